--- a/control/src/messages.rs
+++ b/control/src/messages.rs
@@ -39,3 +39,6 @@
     line.push(b'\n');
     line
 }
+
+#[cfg(test)]
+mod golden_tests;
--- /dev/null
+++ b/coordination/chain/tests/golden.rs
@@ -0,0 +1,171 @@
+//! Messages between core nodes and what they keep on disk, byte for byte as earlier versions write them.
+
+use millrudder_chain::{
+    AppendBatch, CoreMessage, DurableState, Entry, Epoch, Fencing, Heard, Heartbeat, InstallPart, Member,
+    NodeId, Position, Record, RequestId, Role, Sequence, Snapshot, SnapshotId, SnapshotPart, Stamp, View,
+};
+use millrudder_lease::{LeaseAnswer, LeaseRecord, LeaseRelease, LeaseRequest};
+use millrudder_testing::golden::Golden;
+use millrudder_view::{Ballot, ViewMessage, ViewRecord};
+use speedy::{LittleEndian, Readable, Writable};
+use std::fmt::Debug;
+
+const EPOCH: Epoch = Epoch(0x0102_0304_0506_0708);
+const REQUEST: RequestId = RequestId(0x1112_1314_1516_1718_191a_1b1c_1d1e_1f20);
+const POSITION: Position = Position { sequence: Sequence(0x2122), epoch: Epoch(0x3132) };
+const END: Position = Position { sequence: Sequence(0x4142), epoch: Epoch(0x5152) };
+const COMMITTED: Sequence = Sequence(0x6162);
+const COMPLETE_AT: Sequence = Sequence(0x7172);
+const SNAPSHOT: SnapshotId = SnapshotId { position: POSITION, digest: 0x8182_8384_8586_8788, length: 0x9192 };
+
+fn check<T>(golden: &mut Golden, name: &str, value: &T)
+where
+    T: Debug + PartialEq + Writable<LittleEndian> + for<'a> Readable<'a, LittleEndian>,
+{
+    let encode = |value: &T| value.write_to_vec().unwrap();
+    golden.check(name, value, encode, |bytes| T::read_from_buffer(bytes).unwrap());
+}
+
+fn entry(sequence: u64) -> Entry {
+    Entry {
+        position: Position { sequence: Sequence(sequence), epoch: Epoch(3) },
+        request_id: RequestId(REQUEST.0 + u128::from(sequence)),
+        origin: NodeId(0xa1a2),
+        command: vec![1, 2, 3, sequence as u8],
+    }
+}
+
+fn view() -> View {
+    let member = |id: u64| Member { id: NodeId(id), address: format!("127.0.0.1:{}", 9_000 + id) };
+    View {
+        epoch: Epoch(4),
+        voters: vec![member(1), member(2), member(3)],
+        members: vec![member(2), member(1)],
+    }
+}
+
+/// Each flag of a heartbeat once, so that no two of them can change places.
+fn heartbeats() -> Vec<(&'static str, Heartbeat)> {
+    let plain = Heartbeat {
+        epoch: EPOCH,
+        address: "127.0.0.1:9001".to_owned(),
+        stamp: Stamp { process: 0xb1b2, micros: 0xc1c2 },
+        heard: vec![Heard { peer: NodeId(0xd1d2), stamp: Stamp { process: 0xe1e2, micros: 0xf1f2 } }],
+        end: END,
+        committed: COMMITTED,
+        synced: false,
+        complete: false,
+        vouches: false,
+        leaving: false,
+        lagging: false,
+    };
+    vec![
+        ("heartbeat_synced", Heartbeat { synced: true, ..plain.clone() }),
+        ("heartbeat_complete", Heartbeat { complete: true, ..plain.clone() }),
+        ("heartbeat_vouches", Heartbeat { vouches: true, ..plain.clone() }),
+        ("heartbeat_leaving", Heartbeat { leaving: true, ..plain.clone() }),
+        ("heartbeat_lagging", Heartbeat { lagging: true, ..plain.clone() }),
+        ("heartbeat", plain),
+    ]
+}
+
+#[test]
+fn messages_between_core_nodes() {
+    let role = || Role("reader".to_owned());
+    let append = |sealed| {
+        CoreMessage::Append(AppendBatch {
+            epoch: EPOCH,
+            previous: POSITION,
+            entries: vec![entry(7), entry(8)],
+            committed: COMMITTED,
+            complete_at: COMPLETE_AT,
+            sealed,
+        })
+    };
+    let install = |differs_at| {
+        CoreMessage::Install(InstallPart {
+            epoch: EPOCH,
+            part: SnapshotPart { id: SNAPSHOT, offset: 0x0f0e, bytes: b"part".to_vec() },
+            complete_at: COMPLETE_AT,
+            sealed: true,
+            differs_at,
+        })
+    };
+    let request = LeaseRequest { role: role(), round: 5, fencing: Fencing(6), held: true };
+    let answer = LeaseAnswer::Granted { role: role(), round: 5, bound_micros: 7 };
+    let prepare = ViewMessage::Prepare { instance: EPOCH, ballot: Ballot { round: 1, node: NodeId(2) } };
+
+    let mut messages: Vec<(&str, CoreMessage)> = Vec::new();
+    messages.extend(heartbeats().into_iter().map(|(name, beat)| (name, CoreMessage::Heartbeat(beat))));
+    messages.extend([
+        ("view", CoreMessage::View(prepare)),
+        ("append", append(false)),
+        ("append_sealed", append(true)),
+        ("install", install(None)),
+        ("install_differs", install(Some(END))),
+        ("install_received", CoreMessage::InstallReceived { epoch: EPOCH, id: SNAPSHOT, received: 0x0a0b }),
+        ("appended", CoreMessage::Appended { epoch: EPOCH, end: END, committed: COMMITTED }),
+        ("gap", CoreMessage::Gap { epoch: EPOCH, end: END }),
+        ("submit", CoreMessage::Submit { request_id: REQUEST, command: vec![1, 2] }),
+        ("answer", CoreMessage::Answer { request_id: REQUEST, reply: vec![3, 4] }),
+        ("read_index", CoreMessage::ReadIndex { epoch: EPOCH, request_id: REQUEST }),
+        ("read_indexed", CoreMessage::ReadIndexed { request_id: REQUEST, sequence: COMMITTED }),
+        ("confirm_epoch", CoreMessage::ConfirmEpoch { epoch: EPOCH, round: 9 }),
+        ("epoch_confirmed", CoreMessage::EpochConfirmed { epoch: EPOCH, round: 9 }),
+        ("lease_request", CoreMessage::LeaseRequest { epoch: EPOCH, request }),
+        ("lease_answer", CoreMessage::LeaseAnswer { epoch: EPOCH, answer }),
+        (
+            "lease_released",
+            CoreMessage::LeaseReleased { release: LeaseRelease { role: role(), fencing: Fencing(6) } },
+        ),
+    ]);
+    let mut golden = Golden::open("tests/golden/messages.txt");
+    for (name, message) in messages {
+        golden.check(name, &message, CoreMessage::encode, |bytes| CoreMessage::decode(bytes).unwrap());
+    }
+    golden.finish();
+}
+
+/// A replicated state with one remembered reply, as an earlier version writes it.
+fn snapshot() -> Snapshot {
+    let (sequence, epoch, machine) = (5_u64, 3_u64, b"machine".to_vec());
+    let mut bytes = Vec::new();
+    bytes.extend(sequence.to_le_bytes());
+    bytes.extend(epoch.to_le_bytes());
+    bytes.extend((machine.len() as u32).to_le_bytes());
+    bytes.extend(machine);
+    bytes.extend(1_u32.to_le_bytes());
+    bytes.extend(REQUEST.0.to_le_bytes());
+    bytes.extend(5_u32.to_le_bytes());
+    bytes.extend(b"reply");
+    Snapshot::read_from_buffer(&bytes).unwrap()
+}
+
+#[test]
+fn records_and_checkpoints_of_a_core_node() {
+    let lease = LeaseRecord { role: Role("reader".to_owned()), fencing: Fencing(6) };
+    let appended = |sequences: [u64; 2], committed| Record::Appended {
+        entries: sequences.map(entry).to_vec(),
+        committed: Sequence(committed),
+        complete: committed == 7,
+    };
+    let records = [
+        ("identity", Record::Identity { id: NodeId(0x0d0c) }),
+        ("view", Record::View(ViewRecord::Decided { view: view() })),
+        ("installed", Record::Installed { snapshot: snapshot(), complete: false }),
+        ("appended", appended([6, 7], 6)),
+        ("appended_complete", appended([8, 9], 7)),
+        ("sealed", Record::Sealed { epoch: Epoch(4) }),
+        ("lease", Record::Lease(lease)),
+        ("left", Record::Left { committed: Sequence(8) }),
+    ];
+    let mut golden = Golden::open("tests/golden/durable.txt");
+    let mut state = DurableState::default();
+    check(&mut golden, "state_of_an_empty_disk", &state);
+    for (name, record) in records {
+        check(&mut golden, name, &record);
+        state.apply(&record);
+        check(&mut golden, &format!("state_after_{name}"), &state);
+    }
+    golden.finish();
+}
--- a/coordination/membership/src/wire.rs
+++ b/coordination/membership/src/wire.rs
@@ -231,3 +231,6 @@
     let hash = xxh3_64(bytes).to_le_bytes();
     [hash[0], hash[1], hash[2], hash[3]]
 }
+
+#[cfg(test)]
+mod golden_tests;
--- a/core/src/dispatch/legacy.rs
+++ b/core/src/dispatch/legacy.rs
@@ -87,6 +87,9 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/system/node/src/core/messages.rs
+++ b/system/node/src/core/messages.rs
@@ -35,3 +35,6 @@
 pub enum FromCorePeer {
     Unused,
 }
+
+#[cfg(test)]
+mod golden_tests;
--- a/system/node/tests/system/main.rs
+++ b/system/node/tests/system/main.rs
@@ -1,5 +1,6 @@
 //! The program as a whole: real processes on loopback, with stand-ins for everything outside the system.
 
+mod answers;
 mod cluster;
 mod command_line;
 mod configuration;
