--- a/dispatcher/tests/two_fronts.rs
+++ b/balancer/dispatcher/tests/two_fronts.rs
@@ -314,7 +314,7 @@
     let (code, text) = check("");
     assert!(code == Some(2) && text.contains("configuration: NODE_CONFIG: key"), "{text}");
     std::fs::remove_dir_all(&folder).unwrap();
-    let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/millrudder.yaml");
+    let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/millrudder.yaml");
     let shipped = millrudder_config::settings::Settings::load(std::path::Path::new(shipped));
     assert_eq!(
         shipped,
