--- a/coordination/slots/src/lib.rs
+++ b/coordination/checkpoint-store/src/lib.rs
@@ -21,9 +21,9 @@
 //! file system, [`SimulatedFolder`] one in memory for tests, which loses power, fails, runs full and rots as told.
 //!
 //! ```
-//! use millrudder_slots::{SimulatedFolder, SlotStore};
+//! use millrudder_checkpoint_store::{SimulatedFolder, SlotStore};
 //!
-//! # fn main() -> Result<(), millrudder_slots::StorageError> {
+//! # fn main() -> Result<(), millrudder_checkpoint_store::StorageError> {
 //! let folder = SimulatedFolder::new(7);
 //! let (mut store, recovered) = SlotStore::open(folder.clone())?;
 //! assert_eq!(recovered.checkpoint, None);
--- a/coordination/slots/tests/contract.rs
+++ b/coordination/checkpoint-store/tests/contract.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_slots::{
+use millrudder_checkpoint_store::{
     Folder, Operation, Prefixed, RealFolder, SimulatedFolder, Stem, StorageError, StoredFile,
 };
 use support::{name, TemporaryFolder};
--- a/coordination/slots/tests/decoders.rs
+++ b/coordination/checkpoint-store/tests/decoders.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_slots::{inspect, FileName, Folder, SimulatedFolder, SlotStore};
+use millrudder_checkpoint_store::{inspect, FileName, Folder, SimulatedFolder, SlotStore};
 use proptest::prelude::*;
 use proptest::sample::Index;
 use support::replace;
--- a/coordination/slots/tests/golden.rs
+++ b/coordination/checkpoint-store/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The files of a store, byte for byte as earlier versions write them.
 
-use millrudder_slots::{FileName, Folder, SimulatedFolder, SlotStore, StoredFile};
+use millrudder_checkpoint_store::{FileName, Folder, SimulatedFolder, SlotStore, StoredFile};
 use millrudder_testing::golden::Golden;
 
 /// Checks each file of `folder` under its name, with `prefix` before it; gives the committed files.
--- a/coordination/slots/tests/inspect.rs
+++ b/coordination/checkpoint-store/tests/inspect.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_slots::{
+use millrudder_checkpoint_store::{
     inspect, Folder, Generation, LogContents, LogReport, SimulatedFolder, SlotState, SlotStore, StoredFile,
 };
 use support::name;
--- a/coordination/slots/tests/names.rs
+++ b/coordination/checkpoint-store/tests/names.rs
@@ -1,6 +1,6 @@
 //! Names of files.
 
-use millrudder_slots::{FileName, Stem, StorageError};
+use millrudder_checkpoint_store::{FileName, Stem, StorageError};
 
 #[test]
 fn paths_are_no_names() {
--- a/coordination/slots/tests/power_loss.rs
+++ b/coordination/checkpoint-store/tests/power_loss.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_slots::{Fate, SimulatedFolder, SlotStore};
+use millrudder_checkpoint_store::{Fate, SimulatedFolder, SlotStore};
 use proptest::prelude::*;
 use support::history::{History, Step};
 
@@ -184,7 +184,7 @@
         byte_index: prop::sample::Index,
         mask in 1..=255_u8,
     ) {
-        use millrudder_slots::Folder;
+        use millrudder_checkpoint_store::Folder;
         let folder = SimulatedFolder::new(seed);
         let mut history = History::new();
         let mut store = must_open(&folder, &mut history);
--- a/coordination/slots/tests/simulated.rs
+++ b/coordination/checkpoint-store/tests/simulated.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_slots::{
+use millrudder_checkpoint_store::{
     DiskCounts, Fate, Fault, Folder, PendingChange, SimulatedFolder, StorageError, StoredFile,
 };
 use support::name;
--- a/coordination/slots/tests/store.rs
+++ b/coordination/checkpoint-store/tests/store.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_slots::{
+use millrudder_checkpoint_store::{
     Damage, Fate, Fault, Folder, Generation, RealFolder, Recovered, SimulatedFolder, SlotStore, StorageError,
     FILE_HEADER_BYTES, FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES,
 };
--- a/coordination/slots/tests/support/history.rs
+++ b/coordination/checkpoint-store/tests/support/history.rs
@@ -1,6 +1,6 @@
 //! What a store was told, and which of it may and must be recovered.
 
-use millrudder_slots::{Folder, Recovered, SlotStore, StorageError};
+use millrudder_checkpoint_store::{Folder, Recovered, SlotStore, StorageError};
 
 /// One checkpoint and the records appended after it.
 #[derive(Clone, Debug, Default)]
--- a/coordination/slots/tests/support/mod.rs
+++ b/coordination/checkpoint-store/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod history;
 
-use millrudder_slots::{FileName, Folder, SimulatedFolder, StoredFile};
+use millrudder_checkpoint_store::{FileName, Folder, SimulatedFolder, StoredFile};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -14,7 +14,7 @@
     pub fn new() -> Self {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
-        let name = format!("millrudder-slots-{}-{number}", std::process::id());
+        let name = format!("millrudder-checkpoint-store-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir(&path).expect("a new temporary folder");
         Self(path)
--- a/coordination/segments/examples/inspect.rs
+++ b/coordination/segments/examples/inspect.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo run -p millrudder-segments --example inspect -- FOLDER`; ends with 1 if something is unsound.
 
-use millrudder_slots::{RealFolder, StorageError};
+use millrudder_checkpoint_store::{RealFolder, StorageError};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -12,7 +12,7 @@
         return Ok(ExitCode::from(2));
     };
     let folder = RealFolder::existing(Path::new(&path))?;
-    let state = millrudder_slots::inspect(&folder)?;
+    let state = millrudder_checkpoint_store::inspect(&folder)?;
     println!("{state}");
     let log = millrudder_segments::inspect(&folder)?;
     println!("{log}");
--- a/coordination/segments/examples/recovery.rs
+++ b/coordination/segments/examples/recovery.rs
@@ -2,8 +2,8 @@
 //!
 //! `cargo run --release -p millrudder-segments --example recovery -- FOLDER RECORDS`; the folder must be empty or absent.
 
+use millrudder_checkpoint_store::RealFolder;
 use millrudder_segments::{inspect, SegmentConfig, SegmentError, SegmentLog};
-use millrudder_slots::RealFolder;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
--- a/coordination/segments/src/config.rs
+++ b/coordination/segments/src/config.rs
@@ -1,7 +1,7 @@
 //! Sizes of a log.
 
 use crate::position::framed_bytes;
-use millrudder_slots::{FILE_HEADER_BYTES, MAX_PAYLOAD_BYTES};
+use millrudder_checkpoint_store::{FILE_HEADER_BYTES, MAX_PAYLOAD_BYTES};
 
 /// Smallest segment allowed, in bytes: smaller ones are mostly headers and syncs.
 const MIN_SEGMENT_BYTES: u64 = 1 << 10;
--- a/coordination/segments/src/error.rs
+++ b/coordination/segments/src/error.rs
@@ -1,7 +1,7 @@
 //! What can go wrong with a log.
 
 use crate::{ConfigError, Position, SegmentId};
-use millrudder_slots::StorageError;
+use millrudder_checkpoint_store::StorageError;
 
 /// A failure of a [`SegmentLog`](crate::SegmentLog).
 #[derive(Debug, thiserror::Error)]
--- a/coordination/segments/src/inspect.rs
+++ b/coordination/segments/src/inspect.rs
@@ -2,7 +2,7 @@
 
 use crate::recovery::{self, Continuity};
 use crate::SegmentId;
-use millrudder_slots::{Folder, FramedContents, StorageError};
+use millrudder_checkpoint_store::{Folder, FramedContents, StorageError};
 use std::fmt;
 
 /// What a folder holds.
--- a/coordination/segments/src/lib.rs
+++ b/coordination/segments/src/lib.rs
@@ -15,7 +15,7 @@
 //! - Records for which a sync returned are recovered, in the order in which they were appended, without a gap except
 //!   for removed segments. Each removal lasts before the next one begins.
 //! - What one [`SegmentLog::open`] recovered is recovered by the next one as well: it is synced first.
-//! - Damage to synced data ends in [`StorageError::Corrupt`](millrudder_slots::StorageError::Corrupt) with file and
+//! - Damage to synced data ends in [`StorageError::Corrupt`](millrudder_checkpoint_store::StorageError::Corrupt) with file and
 //!   offset wherever a later write proves that the data had been synced; in a sealed segment, always.
 //!
 //! A record that says that another one no longer counts must stay live until the segment of the other one is removed;
@@ -30,7 +30,7 @@
 //!
 //! ```
 //! use millrudder_segments::{SegmentConfig, SegmentLog};
-//! use millrudder_slots::SimulatedFolder;
+//! use millrudder_checkpoint_store::SimulatedFolder;
 //!
 //! # fn main() -> Result<(), millrudder_segments::SegmentError> {
 //! let folder = SimulatedFolder::new(7);
--- a/coordination/segments/src/log.rs
+++ b/coordination/segments/src/log.rs
@@ -4,7 +4,7 @@
 use crate::recovery::{self, Continuity};
 use crate::segment::Segment;
 use crate::{LogUsage, Position, SegmentConfig, SegmentError, SegmentId, SegmentUsage};
-use millrudder_slots::{Folder, StorageError, FILE_HEADER_BYTES};
+use millrudder_checkpoint_store::{Folder, StorageError, FILE_HEADER_BYTES};
 use std::collections::BTreeMap;
 
 /// An append-only store of records in segment files.
@@ -278,7 +278,7 @@
 fn take_newest<F: Folder>(
     folder: &F,
     ids: &mut Vec<SegmentId>,
-) -> Result<Option<(SegmentId, millrudder_slots::FramedContents)>, StorageError> {
+) -> Result<Option<(SegmentId, millrudder_checkpoint_store::FramedContents)>, StorageError> {
     let Some(newest) = ids.pop() else { return Ok(None) };
     if let Some(contents) = recovery::load(folder, newest)? {
         return Ok(Some((newest, contents)));
--- a/coordination/segments/src/position.rs
+++ b/coordination/segments/src/position.rs
@@ -1,6 +1,6 @@
 //! Where a record lies.
 
-use millrudder_slots::{FileName, Stem, FRAME_HEADER_BYTES};
+use millrudder_checkpoint_store::{FileName, Stem, FRAME_HEADER_BYTES};
 use speedy::{Readable, Writable};
 use std::fmt;
 
--- a/coordination/segments/src/recovery.rs
+++ b/coordination/segments/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use crate::segment::position;
 use crate::{Position, SegmentId};
-use millrudder_slots::{Damage, FileKind, Folder, FramedContents, StorageError};
+use millrudder_checkpoint_store::{Damage, FileKind, Folder, FramedContents, StorageError};
 
 /// The ids of the segments in a folder, ascending.
 pub(crate) fn segment_ids<F: Folder>(folder: &F) -> Result<Vec<SegmentId>, StorageError> {
--- a/coordination/segments/src/segment.rs
+++ b/coordination/segments/src/segment.rs
@@ -1,7 +1,7 @@
 //! One segment: its file and the account of its live bytes.
 
 use crate::{Position, SegmentConfig, SegmentError, SegmentId, SegmentUsage};
-use millrudder_slots::{
+use millrudder_checkpoint_store::{
     FileHeader, FileKind, Folder, FramedContents, FramedFile, StorageError, StoredFile, FILE_HEADER_BYTES,
 };
 
--- a/coordination/segments/tests/damage.rs
+++ b/coordination/segments/tests/damage.rs
@@ -2,8 +2,10 @@
 
 mod support;
 
+use millrudder_checkpoint_store::{
+    Damage, Fate, Folder, SimulatedFolder, StorageError, StoredFile, FRAME_HEADER_BYTES,
+};
 use millrudder_segments::{SegmentConfig, SegmentError, SegmentLog};
-use millrudder_slots::{Damage, Fate, Folder, SimulatedFolder, StorageError, StoredFile, FRAME_HEADER_BYTES};
 use support::{append_synced, open, records, sealed_log, try_open, SMALL};
 
 #[test]
--- a/coordination/segments/tests/golden.rs
+++ b/coordination/segments/tests/golden.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_slots::{Folder, SimulatedFolder, StoredFile};
+use millrudder_checkpoint_store::{Folder, SimulatedFolder, StoredFile};
 use millrudder_testing::golden::Golden;
 use support::{append_synced, open, records};
 
--- a/coordination/segments/tests/inspect.rs
+++ b/coordination/segments/tests/inspect.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
+use millrudder_checkpoint_store::{Folder, SimulatedFolder, StoredFile};
 use millrudder_segments::{inspect, SegmentId, SegmentState};
-use millrudder_slots::{Folder, SimulatedFolder, StoredFile};
 use support::open;
 
 fn filled_folder() -> SimulatedFolder {
--- a/coordination/segments/tests/log.rs
+++ b/coordination/segments/tests/log.rs
@@ -2,8 +2,10 @@
 
 mod support;
 
+use millrudder_checkpoint_store::{
+    Fate, Fault, Folder, RealFolder, SimulatedFolder, StorageError, FILE_HEADER_BYTES,
+};
 use millrudder_segments::{ConfigError, Position, SegmentConfig, SegmentError, SegmentId, SegmentLog};
-use millrudder_slots::{Fate, Fault, Folder, RealFolder, SimulatedFolder, StorageError, FILE_HEADER_BYTES};
 use speedy::{Readable, Writable};
 use support::{append_synced, open, records, sealed_log, HALF, SMALL};
 
--- a/coordination/segments/tests/power_loss.rs
+++ b/coordination/segments/tests/power_loss.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
+use millrudder_checkpoint_store::{Fate, SimulatedFolder};
 use millrudder_segments::{inspect, SegmentLog};
-use millrudder_slots::{Fate, SimulatedFolder};
 use proptest::prelude::*;
 use support::model::{Model, Step};
 use support::{open, try_open};
--- a/coordination/segments/tests/support/mod.rs
+++ b/coordination/segments/tests/support/mod.rs
@@ -3,8 +3,8 @@
 
 pub mod model;
 
+use millrudder_checkpoint_store::SimulatedFolder;
 use millrudder_segments::{Position, SegmentConfig, SegmentError, SegmentLog};
-use millrudder_slots::SimulatedFolder;
 
 /// Segments of 1 KiB, 16 KiB in all: room for 14 segments of ordinary records.
 pub const SMALL: SegmentConfig = SegmentConfig {
--- a/coordination/segments/tests/support/model.rs
+++ b/coordination/segments/tests/support/model.rs
@@ -1,8 +1,8 @@
 //! What a log was told, and which of it may and must be recovered.
 
 use super::Found;
+use millrudder_checkpoint_store::SimulatedFolder;
 use millrudder_segments::{Position, SegmentError, SegmentId, SegmentLog};
-use millrudder_slots::SimulatedFolder;
 
 type Log = SegmentLog<SimulatedFolder>;
 
--- a/system/runtime/node/src/control_link/mod.rs
+++ b/system/runtime/node/src/control_link/mod.rs
@@ -7,8 +7,8 @@
 
 use crate::clock::SteadyClock;
 use crate::core::ToCorePort;
-use millrudder_contact::{FreshnessChange, LinkPlan, LinkStep};
 use millrudder_protocol::control::{FromCore, Registrant, ToCore};
+use millrudder_staleness::{FreshnessChange, LinkPlan, LinkStep};
 use millrudder_transport::dialer::Dialer;
 use millrudder_transport::{LinkEvent, Outbox};
 use std::cell::RefCell;
--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -3,8 +3,8 @@
 use super::{CoreHost, GateInput, PlacementInput};
 use crate::core::messages::ToCorePort;
 use millrudder_chain::{Input, NodeId};
-use millrudder_contact::{ConnectionId, Kind, ListNumber, StateNumbers};
 use millrudder_protocol::control::{Registrant, ToCore};
+use millrudder_staleness::{ConnectionId, Kind, ListNumber, StateNumbers};
 use millrudder_transport::{LinkEvent, Outbox};
 
 impl CoreHost {
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -16,11 +16,13 @@
 use crate::error::RoleError;
 use arc_swap::ArcSwap;
 use millrudder_chain::{CoreNode, Input, NodeId, RequestId};
-use millrudder_contact::{ConnectionId, CurrentList, Gate, Input as GateInput, RoundNumber, StandstillWatch};
 use millrudder_control_state::ControlState;
 use millrudder_placement::{Input as PlacementInput, PlacementManager};
 use millrudder_protocol::control::WorkerList;
 use millrudder_settings::Settings;
+use millrudder_staleness::{
+    ConnectionId, CurrentList, Gate, Input as GateInput, RoundNumber, StandstillWatch,
+};
 use millrudder_system_http::client::Client;
 use millrudder_transport::{LinkEvent, Outbox};
 use std::collections::{BTreeMap, BTreeSet};
--- a/system/runtime/node/src/core/host/serving.rs
+++ b/system/runtime/node/src/core/host/serving.rs
@@ -4,10 +4,10 @@
 use crate::core::messages::ToCorePort;
 use crate::core::CONTROLLER;
 use millrudder_chain::{Input, RequestId, Role};
-use millrudder_contact::{ConnectionId, ListNumber, Output, Part, RoundNumber, StateNumbers};
 use millrudder_control_state::ControlState;
 use millrudder_protocol::control::{FromCore, WorkerList};
 use millrudder_protocol::Address;
+use millrudder_staleness::{ConnectionId, ListNumber, Output, Part, RoundNumber, StateNumbers};
 
 /// The versions of a machine's state.
 pub(super) fn numbers(state: &ControlState, list: &WorkerList) -> StateNumbers {
--- a/system/runtime/node/src/core/journal.rs
+++ b/system/runtime/node/src/core/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::error::RoleError;
 use millrudder_chain::{DurableState, PersistToken, Record};
-use millrudder_slots::{RealFolder, SlotStore, StorageError};
+use millrudder_checkpoint_store::{RealFolder, SlotStore, StorageError};
 use speedy::{Readable, Writable};
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, Sender};
--- a/system/runtime/node/src/core/reader.rs
+++ b/system/runtime/node/src/core/reader.rs
@@ -4,14 +4,14 @@
 use http::header::RETRY_AFTER;
 use http::uri::PathAndQuery;
 use http::{HeaderMap, StatusCode};
-use millrudder_contact::ListNumber;
-use millrudder_platform::{
+use millrudder_discovery::{
     difference, Call, CallFailure, CallId, Instance, InstanceState, ListReader, Pace, Page, ReaderInput,
     ReaderOutput, Round,
 };
 use millrudder_protocol::control::{WorkerEntry, WorkerList, WorkerState};
 use millrudder_protocol::Address;
 use millrudder_settings::Settings;
+use millrudder_staleness::ListNumber;
 use millrudder_system_http::client::{Client, FetchError, Fetched, Target};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -43,7 +43,7 @@
 struct Leading {
     reader: ListReader,
     /// The list as it was read last, and as it was told.
-    seen: millrudder_platform::WorkerList,
+    seen: millrudder_discovery::WorkerList,
     told: WorkerList,
 }
 
@@ -77,7 +77,7 @@
         let now = Duration::from_millis(now_ms);
         Leading {
             reader: ListReader::new(self.pace.clone(), self.seed, now),
-            seen: millrudder_platform::WorkerList::default(),
+            seen: millrudder_discovery::WorkerList::default(),
             told: WorkerList { fencing, ..WorkerList::default() },
         }
     }
--- a/system/runtime/node/src/core/registrants.rs
+++ b/system/runtime/node/src/core/registrants.rs
@@ -1,8 +1,8 @@
 //! Dispatchers and stores that are connected to this core machine, and what each has been told.
 
-use millrudder_contact::ConnectionId;
 use millrudder_protocol::control::{FromCore, Registrant};
 use millrudder_protocol::StoreId;
+use millrudder_staleness::ConnectionId;
 use millrudder_transport::Outbox;
 use std::collections::BTreeMap;
 
--- a/system/runtime/node/src/error.rs
+++ b/system/runtime/node/src/error.rs
@@ -37,7 +37,7 @@
     #[error("cannot listen on {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
     #[error("the data folder cannot be used: {0}")]
-    Slots(#[from] millrudder_slots::StorageError),
+    Slots(#[from] millrudder_checkpoint_store::StorageError),
     #[error("the data folder cannot be used: {0}")]
     Records(#[from] millrudder_record_log::RecordLogError),
     #[error("the data folder cannot be made: {0}")]
--- a/system/runtime/node/src/storage/disk.rs
+++ b/system/runtime/node/src/storage/disk.rs
@@ -3,11 +3,11 @@
 
 use crate::clock::time_of_day_ms;
 use crate::error::RoleError;
+use millrudder_checkpoint_store::{RealFolder, SlotStore};
 use millrudder_protocol::{MessageId, StoreId};
 use millrudder_queue::{DiskRecord, Recovered, Ticket};
 use millrudder_record_log::{LogWriter, RecordLog, RecordLogError};
 use millrudder_segments::SegmentConfig;
-use millrudder_slots::{RealFolder, SlotStore};
 use speedy::{Readable, Writable};
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, Sender};
--- a/system/runtime/node/src/storage/host.rs
+++ b/system/runtime/node/src/storage/host.rs
@@ -8,7 +8,6 @@
 use crate::storage::filled::Filled;
 use crate::storage::links::StoreLinks;
 use millrudder_configuration::Configuration;
-use millrudder_contact::Freshness;
 use millrudder_protocol::control::{FromCore, Registrant, ToCore};
 use millrudder_protocol::placement::{Placement, ShardEntry};
 use millrudder_protocol::store::{
@@ -17,6 +16,7 @@
 use millrudder_protocol::{Address, MessageId, RequestNumber, StoreId};
 use millrudder_queue::{Config, ConnectionId, Input, Output, StoreNode};
 use millrudder_settings::Settings;
+use millrudder_staleness::Freshness;
 use millrudder_transport::{LinkEvent, Outbox};
 use std::cell::Cell;
 use std::collections::BTreeMap;
--- a/system/state/control-state/examples/catch_up.rs
+++ b/system/state/control-state/examples/catch_up.rs
@@ -3,9 +3,9 @@
 //! `cargo run --release -p millrudder-control-state --example catch_up -- ACCEPTED BODY_BYTES`
 
 use millrudder_chain::{CoreConfig, CoreMessage, CoreNode, DurableState, Input, Output, Record, RequestId};
+use millrudder_checkpoint_store::{RealFolder, SlotStore};
 use millrudder_control_state::{Command, ControlState};
 use millrudder_protocol::control::ConfigurationText;
-use millrudder_slots::{RealFolder, SlotStore};
 use speedy::{Readable, Writable};
 use std::collections::VecDeque;
 use std::error::Error;
--- a/system/state/platform/src/lib.rs
+++ b/system/state/discovery/src/lib.rs
@@ -4,7 +4,7 @@
 //! asks for, and gets a [`WorkerList`] after each round; [`difference`] tells what changed between two of them.
 //!
 //! ```
-//! use millrudder_platform::{CallFailure, ListReader, Pace, Page, ReaderInput, ReaderOutput};
+//! use millrudder_discovery::{CallFailure, ListReader, Pace, Page, ReaderInput, ReaderOutput};
 //! use std::time::Duration;
 //!
 //! let pace = Pace {
@@ -23,7 +23,7 @@
 //! let Some(ReaderOutput::Complete(round)) = output else { panic!("it was the last page") };
 //! assert!(round.list.is_empty());
 //! assert_eq!(reader.next_deadline(), Duration::from_secs(1));
-//! # Ok::<(), millrudder_platform::PageError>(())
+//! # Ok::<(), millrudder_discovery::PageError>(())
 //! ```
 #![forbid(unsafe_code)]
 
--- a/system/state/platform/tests/difference.rs
+++ b/system/state/discovery/tests/difference.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_platform::{difference, Instance, InstanceState, WorkerChange, WorkerList};
+use millrudder_discovery::{difference, Instance, InstanceState, WorkerChange, WorkerList};
 use proptest::prelude::*;
 use speedy::{Readable, Writable};
 use std::time::Duration;
--- a/system/state/platform/tests/pace.rs
+++ b/system/state/discovery/tests/pace.rs
@@ -1,6 +1,6 @@
 //! How often the list is read.
 
-use millrudder_platform::Pace;
+use millrudder_discovery::Pace;
 use std::time::Duration;
 
 const PACE: Pace = Pace {
--- a/system/state/platform/tests/page.rs
+++ b/system/state/discovery/tests/page.rs
@@ -1,7 +1,7 @@
 //! Pages of the list, whole and spoilt.
 
 use millrudder_configuration::ServiceName;
-use millrudder_platform::{
+use millrudder_discovery::{
     Call, CallId, Instance, InstanceId, InstanceState, Page, PageToken, SoftwareVersion, WorkerAddress,
 };
 use millrudder_settings::Zone;
--- a/system/state/platform/tests/reader.rs
+++ b/system/state/discovery/tests/reader.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_platform::{
+use millrudder_discovery::{
     AbandonReason, Call, CallFailure, CallId, Instance, ListReader, Pace, Page, PageToken, ReaderInput,
     ReaderOutput, Round, WorkerList,
 };
--- a/system/state/platform/tests/support/mod.rs
+++ b/system/state/discovery/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Workers for lists.
 
 use millrudder_configuration::ServiceName;
-use millrudder_platform::{Instance, InstanceId, InstanceState, SoftwareVersion, WorkerAddress};
+use millrudder_discovery::{Instance, InstanceId, InstanceState, SoftwareVersion, WorkerAddress};
 use millrudder_settings::Zone;
 use std::time::Duration;
 
--- a/system/state/record-log/examples/recovery.rs
+++ b/system/state/record-log/examples/recovery.rs
@@ -4,13 +4,13 @@
 //! `cargo run --profile system -p millrudder-record-log --example recovery -- FOLDER RECORDS [BODY_BYTES]`; the folder
 //! must be empty or absent.
 
+use millrudder_checkpoint_store::{RealFolder, StorageError};
 use millrudder_protocol::message::{End, Grant, Message, MessageState};
 use millrudder_protocol::store::Record;
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, Sequence, ShardId, StoreId};
 use millrudder_queue::{Config, DiskRecord, StoreNode};
 use millrudder_record_log::{RecordLog, RecordLogError};
 use millrudder_segments::SegmentConfig;
-use millrudder_slots::{RealFolder, StorageError};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
--- a/system/state/record-log/src/log.rs
+++ b/system/state/record-log/src/log.rs
@@ -3,10 +3,10 @@
 use crate::error::RecordLogError;
 use crate::fact::{Fact, Subject};
 use crate::space::Space;
+use millrudder_checkpoint_store::{Folder, FILE_HEADER_BYTES, FRAME_HEADER_BYTES};
 use millrudder_protocol::MessageId;
 use millrudder_queue::{DiskRecord, Recovered};
 use millrudder_segments::{LogUsage, Position, SegmentConfig, SegmentId, SegmentLog, SegmentUsage};
-use millrudder_slots::{Folder, FILE_HEADER_BYTES, FRAME_HEADER_BYTES};
 use speedy::{Readable, Writable};
 
 /// Where room is short, segments are compacted up to this live share, in percent: those above give too little back
--- a/system/state/record-log/src/writer.rs
+++ b/system/state/record-log/src/writer.rs
@@ -3,9 +3,9 @@
 use crate::error::RecordLogError;
 use crate::fact::{Fact, Subject};
 use crate::log::RecordLog;
+use millrudder_checkpoint_store::Folder;
 use millrudder_protocol::MessageId;
 use millrudder_queue::{DiskRecord, Ticket};
-use millrudder_slots::Folder;
 use std::collections::{BTreeSet, VecDeque};
 
 /// A record that did not fit yet.
--- a/system/state/record-log/tests/compaction.rs
+++ b/system/state/record-log/tests/compaction.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
+use millrudder_checkpoint_store::SimulatedFolder;
 use millrudder_protocol::message::End;
-use millrudder_slots::SimulatedFolder;
 use support::{
     callback_done, ended, failed, give_all_back, granted, id, node, open, promised, state, write, Log,
     NOW_MS, SEGMENT_BYTES,
--- a/system/state/record-log/tests/full.rs
+++ b/system/state/record-log/tests/full.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
+use millrudder_checkpoint_store::SimulatedFolder;
 use millrudder_queue::{DiskRecord, Ticket};
 use millrudder_record_log::{LogWriter, RecordLogError};
-use millrudder_slots::SimulatedFolder;
 use support::{ended, failed, give_all_back, granted, id, node, open, state, Log, NOW_MS, SEGMENT_BYTES};
 
 /// Body of a message of which two fill most of a segment (bytes).
--- a/system/state/record-log/tests/golden.rs
+++ b/system/state/record-log/tests/golden.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
+use millrudder_checkpoint_store::{Folder, SimulatedFolder, StoredFile};
 use millrudder_protocol::message::End;
 use millrudder_queue::DiskRecord;
-use millrudder_slots::{Folder, SimulatedFolder, StoredFile};
 use millrudder_testing::golden::Golden;
 use speedy::{Readable, Writable};
 use support::{callback_done, ended, failed, granted, id, open, promised, state, write};
--- a/system/state/record-log/tests/power_loss.rs
+++ b/system/state/record-log/tests/power_loss.rs
@@ -3,10 +3,10 @@
 
 mod support;
 
+use millrudder_checkpoint_store::SimulatedFolder;
 use millrudder_protocol::message::End;
 use millrudder_record_log::RecordLogError;
 use millrudder_segments::SegmentConfig;
-use millrudder_slots::SimulatedFolder;
 use proptest::prelude::*;
 use support::model::Model;
 use support::{
--- a/system/state/record-log/tests/support/mod.rs
+++ b/system/state/record-log/tests/support/mod.rs
@@ -4,13 +4,13 @@
 
 pub mod model;
 
+use millrudder_checkpoint_store::SimulatedFolder;
 use millrudder_protocol::message::{End, Grant, Message, MessageState};
 use millrudder_protocol::store::Record;
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId, Sequence, ShardId, StoreId};
 use millrudder_queue::{Config, DiskRecord, Recovered, StoreNode};
 use millrudder_record_log::{Opened, RecordLog, RecordLogError};
 use millrudder_segments::SegmentConfig;
-use millrudder_slots::SimulatedFolder;
 
 pub type Log = RecordLog<SimulatedFolder>;
 
--- a/system/state/contact/tests/freshness.rs
+++ b/system/state/staleness/tests/freshness.rs
@@ -1,6 +1,6 @@
 //! How old a copy of the control state is said to be.
 
-use millrudder_contact::{Freshness, FreshnessChange, OLD_AFTER_MS};
+use millrudder_staleness::{Freshness, FreshnessChange, OLD_AFTER_MS};
 
 #[test]
 fn nothing_is_confirmed_at_first() {
--- a/system/state/contact/tests/gate.rs
+++ b/system/state/staleness/tests/gate.rs
@@ -1,6 +1,6 @@
 //! What a core machine tells its registrants, with and without contact with a majority.
 
-use millrudder_contact::{
+use millrudder_staleness::{
     ConnectionId, Gate, Input, Kind, ListNumber, Output, Part, RoundNumber, StateNumbers, CONFIRM_EVERY_MS,
     MOST_AGE_MS,
 };
--- a/system/state/contact/tests/lists.rs
+++ b/system/state/staleness/tests/lists.rs
@@ -1,6 +1,6 @@
 //! Which list of workers counts, whoever has read it and whenever it comes.
 
-use millrudder_contact::{CurrentList, ListNumber};
+use millrudder_staleness::{CurrentList, ListNumber};
 
 fn list(fencing: u64, number: u64) -> ListNumber {
     ListNumber { fencing, number }
--- a/system/state/contact/tests/plan.rs
+++ b/system/state/staleness/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Which core machines a process is connected to, whatever these say and do not say.
 
-use millrudder_contact::{
+use millrudder_staleness::{
     LinkPlan, LinkStep, FIRST_REST_MS, LONGEST_REST_MS, OPEN_WITHIN_MS, VOUCH_WITHIN_MS,
 };
 use std::collections::BTreeSet;
--- a/system/state/contact/tests/standstill.rs
+++ b/system/state/staleness/tests/standstill.rs
@@ -1,6 +1,6 @@
 //! A steady clock that stood still is seen by the time of day.
 
-use millrudder_contact::StandstillWatch;
+use millrudder_staleness::StandstillWatch;
 
 #[test]
 fn clocks_that_run_together_show_nothing() {
--- a/system/testing/simulation/src/checks.rs
+++ b/system/testing/simulation/src/checks.rs
@@ -8,8 +8,8 @@
 use crate::violation::Violation;
 use crate::{MILLISECOND, SECOND};
 use millrudder_chain::{Epoch, RequestId, View};
-use millrudder_contact::MOST_AGE_MS;
 use millrudder_control_state::{Command, Reply};
+use millrudder_staleness::MOST_AGE_MS;
 use speedy::Readable;
 use std::collections::BTreeMap;
 
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -9,14 +9,14 @@
 use crate::orders::{Orders, Step};
 use crate::{MILLISECOND, SECOND};
 use millrudder_chain::{CoreConfig, CoreNode, Fencing, Input, NodeId, Output, RequestId, Role};
-use millrudder_contact::{
-    ConnectionId, CurrentList, Gate, Input as GateInput, Kind, ListNumber, Output as GateOutput, Part,
-    RoundNumber, StateNumbers,
-};
 use millrudder_control_state::{Command, ControlState, Reply};
 use millrudder_placement::{Input as PlacementInput, PlacementManager};
 use millrudder_protocol::control::{FromCore, Registrant, ToCore, WorkerList};
 use millrudder_protocol::{Address, StoreId};
+use millrudder_staleness::{
+    ConnectionId, CurrentList, Gate, Input as GateInput, Kind, ListNumber, Output as GateOutput, Part,
+    RoundNumber, StateNumbers,
+};
 use speedy::Writable;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/system/testing/simulation/src/dispatcher.rs
+++ b/system/testing/simulation/src/dispatcher.rs
@@ -3,12 +3,12 @@
 use crate::event::{Connection, Effect, Happening, Observation, Payload, Target};
 use crate::mechanism::{Mechanism, Mutant};
 use crate::MILLISECOND;
-use millrudder_contact::{LinkPlan, LinkStep};
 use millrudder_protocol::control::{FromCore, Registrant, ToCore, WorkerList};
 use millrudder_protocol::message::Message;
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::store::{AttemptOutcome, FromDispatcher, HeldLease, NotAccepted, ToDispatcher};
 use millrudder_protocol::{Address, DispatcherId, LeaseToken, MessageId, RequestNumber, ShardId, StoreId};
+use millrudder_staleness::{LinkPlan, LinkStep};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
