--- a/coordination/chain/src/contact.rs
+++ b/coordination/chain/src/contact.rs
@@ -19,7 +19,7 @@
 
 /// A moment on the clock of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
-pub struct Stamp {
+pub struct ProcessTimestamp {
     /// Drawn at random by each process, so that the stamps of an earlier one are told apart.
     pub process: u64,
     /// Microseconds of the process's steady clock.
@@ -28,11 +28,11 @@
 
 /// A peer that the sender of a heartbeat hears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct Heard {
+pub struct TimestampEcho {
     /// The peer.
     pub peer: NodeId,
     /// The newest stamp that came from it.
-    pub stamp: Stamp,
+    pub stamp: ProcessTimestamp,
 }
 
 /// What a tail said of its commit point, as of an own time.
@@ -56,10 +56,10 @@
 
 /// Proofs of contact. Times are microseconds of the node's steady clock.
 #[derive(Clone, Debug)]
-pub(crate) struct MajorityContact {
+pub(crate) struct QuorumContact {
     process: u64,
     /// The newest stamp of each peer.
-    stamps: BTreeMap<NodeId, Stamp>,
+    stamps: BTreeMap<NodeId, ProcessTimestamp>,
     epoch: Epoch,
     /// The newest own time to which each peer has answered within the epoch, while it vouched for that.
     vouched: BTreeMap<NodeId, u64>,
@@ -73,9 +73,9 @@
     earlier_state_as_of: Option<u64>,
 }
 
-impl MajorityContact {
-    pub(crate) fn new(process: u64) -> MajorityContact {
-        MajorityContact {
+impl QuorumContact {
+    pub(crate) fn new(process: u64) -> QuorumContact {
+        QuorumContact {
             process,
             stamps: BTreeMap::new(),
             epoch: Epoch::NONE,
@@ -89,14 +89,14 @@
     }
 
     /// The stamp for a heartbeat that is made now.
-    pub(crate) fn stamp(&self, now: u64) -> Stamp {
-        Stamp { process: self.process, micros: now }
+    pub(crate) fn stamp(&self, now: u64) -> ProcessTimestamp {
+        ProcessTimestamp { process: self.process, micros: now }
     }
 
     /// Names peers with their newest stamps.
-    pub(crate) fn echo(&self, peers: Vec<NodeId>) -> Vec<Heard> {
+    pub(crate) fn echo(&self, peers: Vec<NodeId>) -> Vec<TimestampEcho> {
         let stamp = |peer: &NodeId| self.stamps.get(peer).copied().unwrap_or_default();
-        peers.into_iter().map(|peer| Heard { peer, stamp: stamp(&peer) }).collect()
+        peers.into_iter().map(|peer| TimestampEcho { peer, stamp: stamp(&peer) }).collect()
     }
 
     /// Forgets a peer that is gone.
--- a/coordination/chain/src/lib.rs
+++ b/coordination/chain/src/lib.rs
@@ -84,13 +84,13 @@
 mod transfer;
 
 pub use config::{ConfigError, CoreConfig};
-pub use contact::{Heard, Stamp};
+pub use contact::{ProcessTimestamp, TimestampEcho};
 pub use durable::{DurableState, Record, Snapshot};
 pub use entry::{Entry, Position, RequestId, Sequence};
 pub use log::Log;
 pub use machine::{Machine, RestoreError};
-pub use message::{AppendBatch, CoreMessage, Heartbeat, InstallPart, MessageError};
-pub use millrudder_lease::{Fencing, LeaseConfig, Role};
+pub use message::{AppendBatch, CoreMessage, Heartbeat, InstallSnapshotChunk, MessageError};
+pub use millrudder_lease::{FencingToken, LeaseConfig, Role};
 pub use millrudder_view::{DetectorConfig, Epoch, Member, NodeId, View};
 pub use node::{CoreNode, Input, Output, PersistToken, StartError};
-pub use transfer::{SnapshotId, SnapshotPart, MAX_SNAPSHOT_BYTES};
+pub use transfer::{SnapshotChunk, SnapshotId, MAX_SNAPSHOT_BYTES};
--- a/coordination/chain/src/message.rs
+++ b/coordination/chain/src/message.rs
@@ -5,7 +5,9 @@
 use speedy::{Readable, Writable};
 use thiserror::Error;
 
-use crate::{Entry, Heard, Position, RequestId, Sequence, SnapshotId, SnapshotPart, Stamp};
+use crate::{
+    Entry, Position, ProcessTimestamp, RequestId, Sequence, SnapshotChunk, SnapshotId, TimestampEcho,
+};
 
 /// Sent to every peer at a fixed pace. Its fields repeat what a lost message may have said.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
@@ -15,9 +17,9 @@
     /// Address of the sender.
     pub address: String,
     /// The moment at which this was made.
-    pub stamp: Stamp,
+    pub stamp: ProcessTimestamp,
     /// Peers that the sender hears, each with its newest stamp.
-    pub heard: Vec<Heard>,
+    pub heard: Vec<TimestampEcho>,
     /// End of the sender's durable log.
     pub end: Position,
     /// The last command that the sender knows to be committed.
@@ -53,11 +55,11 @@
 
 /// A part of the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct InstallPart {
+pub struct InstallSnapshotChunk {
     /// Epoch of the chain.
     pub epoch: Epoch,
     /// The part.
-    pub part: SnapshotPart,
+    pub part: SnapshotChunk,
     /// Once the receiver holds the commands up to here, it holds every committed command.
     pub complete_at: Sequence,
     /// Whether the sender has sealed the epoch, and feeds the receiver ahead of the next view.
@@ -76,7 +78,7 @@
     /// Commands, from a member to the next one or from the tail to a learner.
     Append(AppendBatch),
     /// A part of the replicated state, for a node that is too far behind.
-    Install(InstallPart),
+    Install(InstallSnapshotChunk),
     /// The sender holds this many bytes from the start of a snapshot that is being sent to it.
     InstallReceived { epoch: Epoch, id: SnapshotId, received: u64 },
     /// The sender holds commands up to `end` durably, and those up to `committed` are committed.
--- a/coordination/chain/src/node/contact.rs
+++ b/coordination/chain/src/node/contact.rs
@@ -13,7 +13,7 @@
     /// state is known to hold all that was committed until a moment ago.
     ///
     /// To be asked directly before each act that rests on it: a process that did not run for a while finds here that
-    /// its contact has expired, before [`Output::ContactLost`] tells.
+    /// its contact has expired, before [`Output::QuorumContactLost`] tells.
     pub fn has_majority_contact(&self, now: u64) -> bool {
         self.contact_expires().is_some_and(|until| now < until)
     }
@@ -47,7 +47,7 @@
     pub(super) fn check_contact(&mut self, now: u64) {
         if self.contact_until.is_some_and(|until| now >= until) {
             self.contact_until = None;
-            self.outbox.push(Output::ContactLost);
+            self.outbox.push(Output::QuorumContactLost);
         }
     }
 
@@ -55,7 +55,7 @@
     pub(super) fn on_stood_still(&mut self, now: u64) {
         self.contact.stood_still(now);
         if self.contact_until.take().is_some() {
-            self.outbox.push(Output::ContactLost);
+            self.outbox.push(Output::QuorumContactLost);
         }
         self.release_leases(now);
         self.send_heartbeats(now);
@@ -75,7 +75,7 @@
         self.contact.conclude(now, view, own);
         let until = self.contact_expires().filter(|until| now < *until);
         if until.is_some() && self.contact_until.is_none() {
-            self.outbox.push(Output::ContactGained);
+            self.outbox.push(Output::QuorumContactGained);
         }
         self.contact_until = until;
     }
--- a/coordination/chain/src/node/filling.rs
+++ b/coordination/chain/src/node/filling.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use millrudder_view::{NodeId, Wanted};
+use millrudder_view::{NodeId, TargetView};
 
 use super::CoreNode;
 use crate::Machine;
@@ -13,12 +13,12 @@
 impl<M: Machine> CoreNode<M> {
     /// Whether so many of the wanted members hold every command that was committed before the next view that it may
     /// begin with them.
-    pub(super) fn has_enough_complete(&self, wanted: &Wanted) -> bool {
+    pub(super) fn has_enough_complete(&self, wanted: &TargetView) -> bool {
         wanted.complete.len() >= self.config.minimum_members
     }
 
     /// The first of the wanted members seals the epoch and feeds those that lack commands.
-    pub(super) fn fill_ahead(&mut self, now: u64, wanted: &Wanted) {
+    pub(super) fn fill_ahead(&mut self, now: u64, wanted: &TargetView) {
         self.proposal_due = Some(now + FILL_LOOK_MICROS);
         let members = wanted.members.iter().map(|member| member.id);
         let lacking: BTreeSet<NodeId> = members.filter(|id| !wanted.complete.contains(id)).collect();
--- a/coordination/chain/src/node/messages.rs
+++ b/coordination/chain/src/node/messages.rs
@@ -11,7 +11,7 @@
     pub(super) fn on_message(&mut self, now: u64, from: NodeId, message: CoreMessage) {
         match message {
             CoreMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, from, heartbeat),
-            CoreMessage::View(ViewMessage::FoundingAgreed { members }) => {
+            CoreMessage::View(ViewMessage::BootstrapAgreed { members }) => {
                 self.on_founding_agreed(now, from, members)
             }
             CoreMessage::View(message) => self.on_view_message(now, from, message),
--- a/coordination/chain/src/node/mod.rs
+++ b/coordination/chain/src/node/mod.rs
@@ -14,15 +14,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use millrudder_lease::{Fencing, Holder, Role, Voter};
-use millrudder_view::{Detector, Foundation, Member, NodeId, Step, View, ViewAgreement};
+use millrudder_lease::{FencingToken, Holder, Role, Voter};
+use millrudder_view::{Bootstrap, Detector, Member, NodeId, Step, View, ViewAgreement};
 use thiserror::Error;
 
 use self::lag::DiskLag;
 use self::outbox::{Effect, Outbox};
 use self::peers::PeerStatus;
 use self::requests::{PendingRead, PendingSubmit};
-use crate::contact::MajorityContact;
+use crate::contact::QuorumContact;
 use crate::reads::Confirmations;
 use crate::replica::{Replica, ReplicaLimits, ReplicaOutput};
 use crate::store::{KeptLog, Store};
@@ -57,7 +57,7 @@
     /// state are replaced by others first; see [`CoreNode::can_do_without`].
     Exclude { ids: BTreeSet<NodeId> },
     /// The machine stood still, its steady clock with it: leases have run out meanwhile, and contact has.
-    StoodStill,
+    ClockStalled,
     /// A node answers at an address.
     PeerSeen { id: NodeId, address: String },
 }
@@ -82,13 +82,13 @@
     /// A newer view is in force.
     ViewChanged(View),
     /// This node holds a role from now on.
-    LeaseGranted { role: Role, fencing: Fencing },
+    LeaseGranted { role: Role, fencing: FencingToken },
     /// This node must not exercise a role any more.
-    LeaseLost { role: Role, fencing: Fencing },
+    LeaseLost { role: Role, fencing: FencingToken },
     /// [`CoreNode::has_majority_contact`] has become true.
-    ContactGained,
+    QuorumContactGained,
     /// [`CoreNode::has_majority_contact`] has become false.
-    ContactLost,
+    QuorumContactLost,
 }
 
 /// Why a node cannot start.
@@ -110,13 +110,13 @@
     config: CoreConfig,
     id: NodeId,
     agreement: ViewAgreement,
-    foundation: Foundation,
+    foundation: Bootstrap,
     replica: Replica<M>,
     detector: Detector,
     voter: Voter,
     holders: Vec<Holder>,
     confirmations: Confirmations,
-    contact: MajorityContact,
+    contact: QuorumContact,
     /// When the contact that was reported expires unless it is renewed.
     contact_until: Option<u64>,
     submits: BTreeMap<RequestId, PendingSubmit>,
@@ -180,13 +180,13 @@
         Ok(CoreNode {
             id,
             agreement: ViewAgreement::new(id, state.view, config.minimum_members),
-            foundation: Foundation::new(me, config.founders.clone(), config.voters),
+            foundation: Bootstrap::new(me, config.founders.clone(), config.voters),
             replica: Replica::new(id, limits, store, state.complete, state.sealed),
             detector: Detector::new(&config.detector, now),
             voter: Voter::new(&config.lease, state.lease, now),
             holders: holders.collect(),
             confirmations: Confirmations::new(random.u64(..)),
-            contact: MajorityContact::new(random.u64(1..)),
+            contact: QuorumContact::new(random.u64(1..)),
             contact_until: None,
             submits: BTreeMap::new(),
             reads: BTreeMap::new(),
@@ -247,8 +247,8 @@
         seen.or_else(|| self.view()?.address(id))
     }
 
-    /// Fencing number of a role, while this node holds it.
-    pub fn holds(&self, now: u64, role: &Role) -> Option<Fencing> {
+    /// FencingToken number of a role, while this node holds it.
+    pub fn holds(&self, now: u64, role: &Role) -> Option<FencingToken> {
         self.holders.iter().find(|holder| holder.role() == role)?.fencing(now)
     }
 
@@ -277,7 +277,7 @@
             Input::Persisted { token } => self.outbox.durable(token),
             Input::Leave => self.on_leave(now),
             Input::Exclude { ids } => self.on_exclude(now, ids),
-            Input::StoodStill => self.on_stood_still(now),
+            Input::ClockStalled => self.on_stood_still(now),
             Input::PeerSeen { id, address } => self.on_peer_seen(now, id, address),
         }
         self.settle(now);
--- a/coordination/chain/src/node/reconfigure.rs
+++ b/coordination/chain/src/node/reconfigure.rs
@@ -1,6 +1,6 @@
 //! When a node proposes another view, and what it does when one is decided.
 
-use millrudder_view::Wanted;
+use millrudder_view::TargetView;
 
 use super::{CoreNode, Output};
 use crate::Machine;
@@ -68,7 +68,7 @@
     }
 
     /// Whoever is to go proposes last.
-    fn first_pause(&self, wanted: &Wanted) -> u64 {
+    fn first_pause(&self, wanted: &TargetView) -> u64 {
         let place = wanted.members.iter().position(|member| member.id == self.id);
         place.unwrap_or(wanted.members.len()) as u64 * PROPOSAL_STEP_MICROS
     }
--- a/coordination/chain/src/node/wanted.rs
+++ b/coordination/chain/src/node/wanted.rs
@@ -5,7 +5,7 @@
 //! out, since the next loss would then end the core. Members are the voters that
 //! are there. One that is about to go stays a member until enough others hold the state.
 
-use millrudder_view::{Member, NodeId, View, Wanted};
+use millrudder_view::{Member, NodeId, TargetView, View};
 
 use super::CoreNode;
 use crate::Machine;
@@ -15,7 +15,7 @@
 
 impl<M: Machine> CoreNode<M> {
     /// The view that this node would have, which is the present one while no majority of voters is there.
-    pub(super) fn wanted_view(&self, now: u64, view: &View) -> Wanted {
+    pub(super) fn wanted_view(&self, now: u64, view: &View) -> TargetView {
         let present = view.voters.iter().filter(|voter| !self.is_lost(now, voter.id)).count();
         if present < view.majority() {
             return self.wanted(view.voters.clone(), view.members.clone());
@@ -106,7 +106,7 @@
         preferred.filter(|_| has_room).cloned()
     }
 
-    fn with_newcomer(&self, now: u64, view: &View, mut members: Vec<Member>, newcomer: Member) -> Wanted {
+    fn with_newcomer(&self, now: u64, view: &View, mut members: Vec<Member>, newcomer: Member) -> TargetView {
         let mut voters = view.voters.clone();
         if !view.is_voter(newcomer.id) {
             let replaced = self.replaceable_voters(now, view, &members);
@@ -121,10 +121,10 @@
         self.wanted(voters, members)
     }
 
-    fn wanted(&self, voters: Vec<Member>, members: Vec<Member>) -> Wanted {
+    fn wanted(&self, voters: Vec<Member>, members: Vec<Member>) -> TargetView {
         let complete = members.iter().map(|member| member.id).filter(|id| self.is_complete(*id));
         let complete = complete.collect();
-        Wanted { complete, ..Wanted::new(voters, members) }
+        TargetView { complete, ..TargetView::new(voters, members) }
     }
 
     /// Voters that are lost or about to go, and are to be no members.
--- a/coordination/chain/src/replica/installing.rs
+++ b/coordination/chain/src/replica/installing.rs
@@ -5,7 +5,7 @@
 use super::{Replica, ReplicaOutput};
 use crate::link::Link;
 use crate::transfer::{IncomingSnapshot, OutgoingSnapshot, Transfer, MAX_SNAPSHOT_BYTES};
-use crate::{CoreMessage, InstallPart, Machine, Record, Sequence, Snapshot, SnapshotId};
+use crate::{CoreMessage, InstallSnapshotChunk, Machine, Record, Sequence, Snapshot, SnapshotId};
 
 impl<M: Machine> Replica<M> {
     /// Begins to send a snapshot: the one that is under way to others if the log goes on from it, else a new one.
@@ -47,7 +47,7 @@
             };
             let part = outgoing.part(transfer.sent, self.limits.batch_bytes);
             transfer.sent += part.bytes.len() as u64;
-            let install = InstallPart {
+            let install = InstallSnapshotChunk {
                 epoch: self.epoch(),
                 part,
                 complete_at: self.complete_at(),
@@ -74,8 +74,8 @@
     }
 
     /// Takes a part of the whole state from the node that feeds this one.
-    pub(crate) fn install(&mut self, now: u64, from: NodeId, install: InstallPart) {
-        let InstallPart { part, complete_at, sealed, differs_at, .. } = install;
+    pub(crate) fn install(&mut self, now: u64, from: NodeId, install: InstallSnapshotChunk) {
+        let InstallSnapshotChunk { part, complete_at, sealed, differs_at, .. } = install;
         if !self.takes_from(from, sealed) {
             return;
         }
--- a/coordination/chain/src/transfer.rs
+++ b/coordination/chain/src/transfer.rs
@@ -29,7 +29,7 @@
 
 /// Some bytes of an encoded snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct SnapshotPart {
+pub struct SnapshotChunk {
     /// The whole that this is a part of.
     pub id: SnapshotId,
     /// Bytes before this part.
@@ -54,10 +54,10 @@
     }
 
     /// The part after `offset`, of `most` bytes or less.
-    pub(crate) fn part(&self, offset: u64, most: usize) -> SnapshotPart {
+    pub(crate) fn part(&self, offset: u64, most: usize) -> SnapshotChunk {
         let from = usize::try_from(offset).map_or(self.encoded.len(), |from| from.min(self.encoded.len()));
         let to = from.saturating_add(most).min(self.encoded.len());
-        SnapshotPart { id: self.id, offset, bytes: self.encoded[from..to].to_vec() }
+        SnapshotChunk { id: self.id, offset, bytes: self.encoded[from..to].to_vec() }
     }
 }
 
@@ -117,7 +117,7 @@
     }
 
     /// Takes a part. Of those that come before their turn the nearest are kept.
-    pub(crate) fn take(&mut self, part: SnapshotPart) {
+    pub(crate) fn take(&mut self, part: SnapshotChunk) {
         let end = part.offset.saturating_add(part.bytes.len() as u64);
         if part.id != self.id || end > self.id.length || part.offset < self.received() {
             return;
--- a/coordination/chain/tests/contact.rs
+++ b/coordination/chain/tests/contact.rs
@@ -89,8 +89,8 @@
                     self.nodes[place].handle(self.now, Input::Persisted { token });
                 }
                 Output::Send { to, message } => self.send(place, to, message),
-                Output::ContactGained => self.told.entry(place).or_default().push(true),
-                Output::ContactLost => self.told.entry(place).or_default().push(false),
+                Output::QuorumContactGained => self.told.entry(place).or_default().push(true),
+                Output::QuorumContactLost => self.told.entry(place).or_default().push(false),
                 _ => {}
             }
         }
@@ -227,7 +227,7 @@
     cluster.frozen.clear();
     assert!(!cluster.has_contact(0));
     cluster.nodes[0].handle(cluster.now, Input::Read { request_id: RequestId(1) });
-    assert!(matches!(cluster.nodes[0].next_output(), Some(Output::ContactLost)));
+    assert!(matches!(cluster.nodes[0].next_output(), Some(Output::QuorumContactLost)));
 }
 
 #[test]
@@ -264,11 +264,11 @@
     cluster.frozen.clear();
     assert!(cluster.has_contact(0), "by its clock too little time has passed");
     let now = cluster.now;
-    cluster.nodes[0].handle(now, Input::StoodStill);
+    cluster.nodes[0].handle(now, Input::ClockStalled);
     assert!(!cluster.has_contact(0));
     assert!(cluster.nodes[0].state_age(now).is_none());
     let lost = std::iter::from_fn(|| cluster.nodes[0].next_output());
-    assert!(lost.into_iter().any(|output| matches!(output, Output::ContactLost)));
+    assert!(lost.into_iter().any(|output| matches!(output, Output::QuorumContactLost)));
     cluster.run(SECOND);
     assert!(cluster.has_contact(0));
 }
--- a/coordination/chain/tests/cores/simulator/checker.rs
+++ b/coordination/chain/tests/cores/simulator/checker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millrudder_chain::{Epoch, Fencing, RequestId, Sequence, View};
+use millrudder_chain::{Epoch, FencingToken, RequestId, Sequence, View};
 
 /// A broken promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,8 +38,8 @@
         second: usize,
     },
     FencingNotHigher {
-        before: Fencing,
-        now: Fencing,
+        before: FencingToken,
+        now: FencingToken,
     },
     ViewTooSmall {
         view: View,
@@ -72,7 +72,7 @@
     acknowledged_at: BTreeMap<u64, u64>,
     reads: BTreeMap<RequestId, ReadOperation>,
     observed: u64,
-    highest_fencing: Fencing,
+    highest_fencing: FencingToken,
     pub finished_reads: usize,
     pub granted_leases: usize,
     pub claims: usize,
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    pub fn lease_granted(&mut self, fencing: Fencing) -> Result<(), Violation> {
+    pub fn lease_granted(&mut self, fencing: FencingToken) -> Result<(), Violation> {
         if fencing <= self.highest_fencing {
             return Err(Violation::FencingNotHigher { before: self.highest_fencing, now: fencing });
         }
--- a/coordination/chain/tests/cores/simulator/outputs.rs
+++ b/coordination/chain/tests/cores/simulator/outputs.rs
@@ -1,6 +1,6 @@
 //! What nodes ask for is carried out and checked.
 
-use millrudder_chain::{CoreMessage, Fencing, NodeId, Output, PersistToken, Role};
+use millrudder_chain::{CoreMessage, FencingToken, NodeId, Output, PersistToken, Role};
 
 use super::checker::Violation;
 use super::disk::DiskWrite;
@@ -50,15 +50,15 @@
             Output::LeaseGranted { fencing, .. } => self.lease_granted(machine, fencing),
             Output::LeaseLost { .. }
             | Output::Replaced { .. }
-            | Output::ContactGained
-            | Output::ContactLost => Ok(()),
+            | Output::QuorumContactGained
+            | Output::QuorumContactLost => Ok(()),
         };
         if let Err(violation) = checked {
             self.violation.get_or_insert(violation);
         }
     }
 
-    fn lease_granted(&mut self, machine: usize, fencing: Fencing) -> Result<(), Violation> {
+    fn lease_granted(&mut self, machine: usize, fencing: FencingToken) -> Result<(), Violation> {
         let role = Role("reader".to_owned());
         for (other, host) in self.hosts.iter().enumerate() {
             let holds = host.node.as_ref().and_then(|node| node.holds(host.clock(self.now), &role));
--- a/coordination/chain/tests/golden.rs
+++ b/coordination/chain/tests/golden.rs
@@ -1,8 +1,9 @@
 //! Messages between core nodes and what they keep on disk, byte for byte as earlier versions write them.
 
 use millrudder_chain::{
-    AppendBatch, CoreMessage, DurableState, Entry, Epoch, Fencing, Heard, Heartbeat, InstallPart, Member,
-    NodeId, Position, Record, RequestId, Role, Sequence, Snapshot, SnapshotId, SnapshotPart, Stamp, View,
+    AppendBatch, CoreMessage, DurableState, Entry, Epoch, FencingToken, Heartbeat, InstallSnapshotChunk,
+    Member, NodeId, Position, ProcessTimestamp, Record, RequestId, Role, Sequence, Snapshot, SnapshotChunk,
+    SnapshotId, TimestampEcho, View,
 };
 use millrudder_lease::{LeaseAnswer, LeaseRecord, LeaseRelease, LeaseRequest};
 use millrudder_testing::golden::Golden;
@@ -49,8 +50,11 @@
     let plain = Heartbeat {
         epoch: EPOCH,
         address: "127.0.0.1:9001".to_owned(),
-        stamp: Stamp { process: 0xb1b2, micros: 0xc1c2 },
-        heard: vec![Heard { peer: NodeId(0xd1d2), stamp: Stamp { process: 0xe1e2, micros: 0xf1f2 } }],
+        stamp: ProcessTimestamp { process: 0xb1b2, micros: 0xc1c2 },
+        heard: vec![TimestampEcho {
+            peer: NodeId(0xd1d2),
+            stamp: ProcessTimestamp { process: 0xe1e2, micros: 0xf1f2 },
+        }],
         end: END,
         committed: COMMITTED,
         synced: false,
@@ -83,15 +87,15 @@
         })
     };
     let install = |differs_at| {
-        CoreMessage::Install(InstallPart {
+        CoreMessage::Install(InstallSnapshotChunk {
             epoch: EPOCH,
-            part: SnapshotPart { id: SNAPSHOT, offset: 0x0f0e, bytes: b"part".to_vec() },
+            part: SnapshotChunk { id: SNAPSHOT, offset: 0x0f0e, bytes: b"part".to_vec() },
             complete_at: COMPLETE_AT,
             sealed: true,
             differs_at,
         })
     };
-    let request = LeaseRequest { role: role(), round: 5, fencing: Fencing(6), held: true };
+    let request = LeaseRequest { role: role(), round: 5, fencing: FencingToken(6), held: true };
     let answer = LeaseAnswer::Granted { role: role(), round: 5, bound_micros: 7 };
     let prepare = ViewMessage::Prepare { instance: EPOCH, ballot: Ballot { round: 1, node: NodeId(2) } };
 
@@ -116,7 +120,7 @@
         ("lease_answer", CoreMessage::LeaseAnswer { epoch: EPOCH, answer }),
         (
             "lease_released",
-            CoreMessage::LeaseReleased { release: LeaseRelease { role: role(), fencing: Fencing(6) } },
+            CoreMessage::LeaseReleased { release: LeaseRelease { role: role(), fencing: FencingToken(6) } },
         ),
     ]);
     let mut golden = Golden::open("tests/golden/messages.txt");
@@ -143,7 +147,7 @@
 
 #[test]
 fn records_and_checkpoints_of_a_core_node() {
-    let lease = LeaseRecord { role: Role("reader".to_owned()), fencing: Fencing(6) };
+    let lease = LeaseRecord { role: Role("reader".to_owned()), fencing: FencingToken(6) };
     let appended = |sequences: [u64; 2], committed| Record::Appended {
         entries: sequences.map(entry).to_vec(),
         committed: Sequence(committed),
--- a/coordination/chain/tests/messages.rs
+++ b/coordination/chain/tests/messages.rs
@@ -1,8 +1,8 @@
 //! Messages as bytes: what was written is read, and garbage is refused without harm.
 
 use millrudder_chain::{
-    AppendBatch, CoreMessage, Entry, Epoch, Heard, Heartbeat, MessageError, NodeId, Position, RequestId,
-    Sequence, Stamp,
+    AppendBatch, CoreMessage, Entry, Epoch, Heartbeat, MessageError, NodeId, Position, ProcessTimestamp,
+    RequestId, Sequence, TimestampEcho,
 };
 use proptest::prelude::*;
 
@@ -26,10 +26,10 @@
         CoreMessage::Heartbeat(Heartbeat {
             epoch: end.epoch,
             address,
-            stamp: Stamp { process: end.epoch.0, micros: end.sequence.0 },
+            stamp: ProcessTimestamp { process: end.epoch.0, micros: end.sequence.0 },
             heard: heard
                 .into_iter()
-                .map(|peer| Heard { peer: NodeId(peer), stamp: Stamp::default() })
+                .map(|peer| TimestampEcho { peer: NodeId(peer), stamp: ProcessTimestamp::default() })
                 .collect(),
             end,
             committed: end.sequence,
--- a/coordination/chain/tests/model.rs
+++ b/coordination/chain/tests/model.rs
@@ -6,8 +6,9 @@
 use std::hash::{DefaultHasher, Hasher};
 
 use millrudder_chain::{
-    CoreConfig, CoreMessage, CoreNode, DurableState, Epoch, Heard, Heartbeat, Input, Machine, Member, NodeId,
-    Output, PersistToken, Position, Record, RequestId, RestoreError, Sequence, Stamp, View,
+    CoreConfig, CoreMessage, CoreNode, DurableState, Epoch, Heartbeat, Input, Machine, Member, NodeId,
+    Output, PersistToken, Position, ProcessTimestamp, Record, RequestId, RestoreError, Sequence,
+    TimestampEcho, View,
 };
 use millrudder_view::ViewRecord;
 use speedy::{Readable, Writable};
@@ -215,8 +216,8 @@
         let mut message = message.clone();
         if let CoreMessage::Heartbeat(heartbeat) = &mut message {
             // Times differ in each; nothing that is checked here rests on them.
-            heartbeat.stamp = Stamp::default();
-            heartbeat.heard.iter_mut().for_each(|heard| heard.stamp = Stamp::default());
+            heartbeat.stamp = ProcessTimestamp::default();
+            heartbeat.heard.iter_mut().for_each(|heard| heard.stamp = ProcessTimestamp::default());
         }
         self.in_flight.insert(InFlight { from, to, bytes: message.encode() });
     }
@@ -306,8 +307,11 @@
         let heartbeat = Heartbeat {
             epoch: self.nodes[&at].epoch(),
             address: address(from),
-            stamp: Stamp::default(),
-            heard: NODES.iter().map(|peer| Heard { peer: *peer, stamp: Stamp::default() }).collect(),
+            stamp: ProcessTimestamp::default(),
+            heard: NODES
+                .iter()
+                .map(|peer| TimestampEcho { peer: *peer, stamp: ProcessTimestamp::default() })
+                .collect(),
             end: Position::default(),
             committed: Sequence(0),
             synced: true,
--- a/coordination/chain/tests/node/voters.rs
+++ b/coordination/chain/tests/node/voters.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use millrudder_chain::{CoreMessage, Epoch, Fencing, Input, NodeId, RequestId, Role, View};
+use millrudder_chain::{CoreMessage, Epoch, FencingToken, Input, NodeId, RequestId, Role, View};
 use millrudder_lease::{LeaseAnswer, LeaseRequest, Refusal};
 use millrudder_view::{Ballot, ViewMessage};
 
@@ -230,7 +230,7 @@
         .collect()
 }
 
-fn lease_request(epoch: Epoch, fencing: Fencing) -> CoreMessage {
+fn lease_request(epoch: Epoch, fencing: FencingToken) -> CoreMessage {
     let request = LeaseRequest { role: Role("any".to_owned()), round: 1, fencing, held: false };
     CoreMessage::LeaseRequest { epoch, request }
 }
@@ -250,7 +250,7 @@
     let accepted = vec![CoreMessage::View(accepted)];
     assert_eq!(answers(&mut cluster, 2, CoreMessage::View(accept)), accepted);
     assert_eq!(answers(&mut cluster, 2, confirm), Vec::new());
-    let request = lease_request(epoch, Fencing::floor(epoch.0).next());
+    let request = lease_request(epoch, FencingToken::floor(epoch.0).next());
     assert_eq!(answers(&mut cluster, 2, request), Vec::new());
     cluster.now += SECOND / 10;
     cluster.input(&address(2), Input::Tick);
@@ -274,7 +274,7 @@
     let mut cluster = Cluster::founded(3);
     let ask = |cluster: &mut Cluster| {
         let epoch = cluster.host(1).node.epoch();
-        answers(cluster, 1, lease_request(epoch, Fencing::floor(epoch.0 + 1)))
+        answers(cluster, 1, lease_request(epoch, FencingToken::floor(epoch.0 + 1)))
     };
     // A loss changes members only.
     cluster.hosts.remove(&address(3));
--- a/coordination/chain/tests/transfer.rs
+++ b/coordination/chain/tests/transfer.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use millrudder_chain::{
-    CoreConfig, CoreMessage, CoreNode, DurableState, Input, InstallPart, NodeId, Output, RequestId, Sequence,
-    SnapshotId, SnapshotPart, MAX_SNAPSHOT_BYTES,
+    CoreConfig, CoreMessage, CoreNode, DurableState, Input, InstallSnapshotChunk, NodeId, Output, RequestId,
+    Sequence, SnapshotChunk, SnapshotId, MAX_SNAPSHOT_BYTES,
 };
 use text::{address, Text};
 
@@ -45,7 +45,7 @@
     /// Returns whether a letter arrives; may change it.
     interference: Interference,
     /// Parts that have been sent, in order.
-    parts: Vec<SnapshotPart>,
+    parts: Vec<SnapshotChunk>,
 }
 
 fn config(place: usize, founders: usize) -> CoreConfig {
@@ -351,7 +351,7 @@
 }
 
 /// A part that no honest sender sends, from the node that feeds the learner.
-fn forged(cluster: &mut Cluster, change: impl FnOnce(&mut SnapshotId, &mut SnapshotPart)) -> Letter {
+fn forged(cluster: &mut Cluster, change: impl FnOnce(&mut SnapshotId, &mut SnapshotChunk)) -> Letter {
     cluster.run_until_parts(5);
     let honest = cluster.parts[4].clone();
     let (mut id, mut part) = (honest.id, honest);
@@ -359,14 +359,14 @@
     part.id = id;
     let epoch = cluster.node(1).epoch();
     let complete_at = Sequence::default();
-    let install = InstallPart { epoch, part, complete_at, sealed: false, differs_at: None };
+    let install = InstallSnapshotChunk { epoch, part, complete_at, sealed: false, differs_at: None };
     let message = CoreMessage::Install(install);
     Letter { from: cluster.node(1).id(), to: cluster.node(2).id(), message }
 }
 
 #[test]
 fn a_part_that_lies_about_lengths_does_no_harm() {
-    let lies: [fn(&mut SnapshotId, &mut SnapshotPart); 5] = [
+    let lies: [fn(&mut SnapshotId, &mut SnapshotChunk); 5] = [
         |id, _| id.length = u64::MAX,
         |id, _| id.length = MAX_SNAPSHOT_BYTES + 1,
         |_, part| part.offset = u64::MAX,
--- a/coordination/checkpoint-store/src/inspect.rs
+++ b/coordination/checkpoint-store/src/inspect.rs
@@ -1,4 +1,4 @@
-//! An offline look into a folder of a [`SlotStore`](crate::SlotStore): what is there, and whether it is sound.
+//! An offline look into a folder of a [`CheckpointStore`](crate::CheckpointStore): what is there, and whether it is sound.
 
 use crate::recovery::{self, Slot, LOG};
 use crate::{FileKind, Folder, FramedContents, Generation, StorageError};
--- a/coordination/checkpoint-store/src/lib.rs
+++ b/coordination/checkpoint-store/src/lib.rs
@@ -1,14 +1,14 @@
 //! Durable state in two slots that are written in turn, with a short log between.
 //!
-//! [`SlotStore`] keeps the small state of a replica: its owner appends a record for each change, syncs once for a group
+//! [`CheckpointStore`] keeps the small state of a replica: its owner appends a record for each change, syncs once for a group
 //! of them, and now and then writes the whole state as a checkpoint. After a crash or a loss of power it is opened
 //! again and hands back the newest checkpoint and the records after it.
 //!
 //! Promised, whatever a loss of power keeps, loses or tears of what was not synced:
 //!
-//! - What [`SlotStore::sync`] or [`SlotStore::checkpoint`] returned for is recovered, always.
+//! - What [`CheckpointStore::sync`] or [`CheckpointStore::checkpoint`] returned for is recovered, always.
 //! - Records are recovered in order without a gap, and only with the checkpoint that they follow.
-//! - What one [`SlotStore::open`] returned is returned by the next one as well: it is synced first.
+//! - What one [`CheckpointStore::open`] returned is returned by the next one as well: it is synced first.
 //! - Damage to synced data ends in [`StorageError::Corrupt`] with file and offset wherever a later write proves that
 //!   the data had been synced. Damage to the last group of synced records alone looks like a torn write.
 //!
@@ -21,11 +21,11 @@
 //! file system, [`SimulatedFolder`] one in memory for tests, which loses power, fails, runs full and rots as told.
 //!
 //! ```
-//! use millrudder_checkpoint_store::{SimulatedFolder, SlotStore};
+//! use millrudder_checkpoint_store::{SimulatedFolder, CheckpointStore};
 //!
 //! # fn main() -> Result<(), millrudder_checkpoint_store::StorageError> {
 //! let folder = SimulatedFolder::new(7);
-//! let (mut store, recovered) = SlotStore::open(folder.clone())?;
+//! let (mut store, recovered) = CheckpointStore::open(folder.clone())?;
 //! assert_eq!(recovered.checkpoint, None);
 //!
 //! store.append(b"epoch 1")?;
@@ -34,7 +34,7 @@
 //! store.append(b"never synced")?;
 //!
 //! folder.lose_power();
-//! let (mut store, recovered) = SlotStore::open(folder.clone())?;
+//! let (mut store, recovered) = CheckpointStore::open(folder.clone())?;
 //! assert_eq!(recovered.records, [b"epoch 1", b"epoch 2"]);
 //!
 //! store.checkpoint(b"state after epoch 2")?;
@@ -42,7 +42,7 @@
 //! store.sync()?;
 //!
 //! folder.lose_power();
-//! let (_store, recovered) = SlotStore::open(folder)?;
+//! let (_store, recovered) = CheckpointStore::open(folder)?;
 //! assert_eq!(recovered.checkpoint.as_deref(), Some(&b"state after epoch 2"[..]));
 //! assert_eq!(recovered.records, [b"epoch 3"]);
 //! # Ok(())
@@ -76,11 +76,11 @@
 pub use framed::FramedFile;
 pub use header::{FileHeader, FileKind, FILE_HEADER_BYTES};
 pub use inspect::{inspect, LogContents, LogReport, SlotReport, SlotState, StoreReport};
-pub use name::{FileName, Stem};
-pub use prefixed::{Prefixed, PrefixedFile};
+pub use name::{FileName, FileNamePrefix};
+pub use prefixed::{PrefixedFile, PrefixedFolder};
 pub use real::{RealFile, RealFolder};
 pub use recovery::Generation;
 pub use simulated::{
-    DiskCounts, Fate, Fault, PendingChange, SimulatedFailure, SimulatedFile, SimulatedFolder,
+    CrashOutcome, DiskCounts, Fault, PendingChange, SimulatedFailure, SimulatedFile, SimulatedFolder,
 };
-pub use store::{Recovered, SlotStore};
+pub use store::{CheckpointStore, Recovered};
--- a/coordination/checkpoint-store/src/name.rs
+++ b/coordination/checkpoint-store/src/name.rs
@@ -38,9 +38,9 @@
 
 /// The constant part of numbered names such as `log-000000000000002a`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stem(&'static str);
+pub struct FileNamePrefix(&'static str);
 
-impl Stem {
+impl FileNamePrefix {
     /// Makes a stem; meant for constants, where a bad one fails the build.
     ///
     /// # Panics
@@ -69,7 +69,7 @@
         FileName(format!("{}-{number:0width$x}", self.0, width = NUMBER_DIGITS))
     }
 
-    /// The number in `name` if it is a name made by [`Stem::file`] of this stem.
+    /// The number in `name` if it is a name made by [`FileNamePrefix::file`] of this stem.
     #[must_use]
     pub fn number(self, name: &FileName) -> Option<u64> {
         let digits = name.as_str().strip_prefix(self.0)?.strip_prefix('-')?;
--- a/coordination/checkpoint-store/src/prefixed.rs
+++ b/coordination/checkpoint-store/src/prefixed.rs
@@ -1,20 +1,20 @@
 //! Several stores in one folder.
 
-use crate::{FileName, Folder, Stem, StorageError, StoredFile};
+use crate::{FileName, FileNamePrefix, Folder, StorageError, StoredFile};
 
 /// A part of another folder: the files whose names begin with a prefix and a dot.
 ///
 /// For places that offer one folder only and no folders inside it. A sync covers the whole folder, and
 /// errors name files without the prefix.
 #[derive(Clone, Debug)]
-pub struct Prefixed<F> {
+pub struct PrefixedFolder<F> {
     folder: F,
-    prefix: Stem,
+    prefix: FileNamePrefix,
 }
 
-impl<F: Folder> Prefixed<F> {
+impl<F: Folder> PrefixedFolder<F> {
     /// The files of `folder` whose names begin with `prefix`.
-    pub const fn new(folder: F, prefix: Stem) -> Self {
+    pub const fn new(folder: F, prefix: FileNamePrefix) -> Self {
         Self { folder, prefix }
     }
 
@@ -28,7 +28,7 @@
     }
 }
 
-impl<F: Folder> Folder for Prefixed<F> {
+impl<F: Folder> Folder for PrefixedFolder<F> {
     type File = PrefixedFile<F::File>;
 
     fn list(&self) -> Result<Vec<FileName>, StorageError> {
@@ -63,7 +63,7 @@
     }
 }
 
-/// An open file of a [`Prefixed`] folder.
+/// An open file of a [`PrefixedFolder`] folder.
 #[derive(Debug)]
 pub struct PrefixedFile<File> {
     file: File,
--- a/coordination/checkpoint-store/src/recovery.rs
+++ b/coordination/checkpoint-store/src/recovery.rs
@@ -1,12 +1,14 @@
 //! Which slot and log are in force, read without changing anything.
 
-use crate::{Damage, FileKind, FileName, Folder, FramedContents, Stem, StorageError, FILE_HEADER_BYTES};
+use crate::{
+    Damage, FileKind, FileName, FileNamePrefix, Folder, FramedContents, StorageError, FILE_HEADER_BYTES,
+};
 use std::fmt;
 
 /// Names of the two slots: numbers 0 and 1.
-pub(crate) const SLOT: Stem = Stem::new("slot");
+pub(crate) const SLOT: FileNamePrefix = FileNamePrefix::new("slot");
 /// Names of logs: their number is the generation of the checkpoint that they follow.
-pub(crate) const LOG: Stem = Stem::new("log");
+pub(crate) const LOG: FileNamePrefix = FileNamePrefix::new("log");
 
 /// Counts checkpoints: generation 0 is the empty state before the first one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/coordination/checkpoint-store/src/simulated/change.rs
+++ b/coordination/checkpoint-store/src/simulated/change.rs
@@ -1,6 +1,6 @@
 //! One change to a simulated disk, and what it does.
 
-use super::{Fate, PendingChange};
+use super::{CrashOutcome, PendingChange};
 use crate::FileName;
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -55,13 +55,13 @@
     }
 
     /// Does to the bytes of a file what `fate` leaves of the change.
-    pub fn apply_to_bytes(&self, target: &mut Vec<u8>, fate: &Fate) {
+    pub fn apply_to_bytes(&self, target: &mut Vec<u8>, fate: &CrashOutcome) {
         match (self, fate) {
-            (Self::Write { offset, bytes, .. }, Fate::Kept) => overwrite(target, *offset, bytes),
-            (Self::Write { offset, bytes, .. }, Fate::Torn(ranges)) => {
+            (Self::Write { offset, bytes, .. }, CrashOutcome::Kept) => overwrite(target, *offset, bytes),
+            (Self::Write { offset, bytes, .. }, CrashOutcome::Torn(ranges)) => {
                 ranges.iter().for_each(|range| overwrite_range(target, *offset, bytes, range));
             }
-            (Self::SetLength { length, .. }, Fate::Kept) => target.resize(in_memory(*length), 0),
+            (Self::SetLength { length, .. }, CrashOutcome::Kept) => target.resize(in_memory(*length), 0),
             _ => {}
         }
     }
--- a/coordination/checkpoint-store/src/simulated/disk.rs
+++ b/coordination/checkpoint-store/src/simulated/disk.rs
@@ -1,7 +1,7 @@
 //! The state of a simulated disk: what programs see, what is on disk, and the changes between the two.
 
 use super::change::{Change, Inode};
-use super::fate::{Chance, Fate};
+use super::fate::{Chance, CrashOutcome};
 use super::fault::{Admission, Fault, Faults, SimulatedFailure};
 use crate::{FileName, Operation, StorageError};
 use std::collections::BTreeMap;
@@ -96,7 +96,7 @@
         self.pending.iter().map(Change::describe).collect()
     }
 
-    pub fn lose_power(&mut self, fate: &mut dyn FnMut(&PendingChange) -> Fate) {
+    pub fn lose_power(&mut self, fate: &mut dyn FnMut(&PendingChange) -> CrashOutcome) {
         for change in std::mem::take(&mut self.pending) {
             let kept = fate(&change.describe());
             self.make_durable(&change, &kept);
@@ -137,14 +137,14 @@
         true
     }
 
-    fn make_durable(&mut self, change: &Change, fate: &Fate) {
+    fn make_durable(&mut self, change: &Change, fate: &CrashOutcome) {
         match change {
             Change::Write { inode, .. } | Change::SetLength { inode, .. } => {
                 let Some(contents) = self.files.get_mut(inode) else { return };
                 change.apply_to_bytes(&mut contents.durable, fate);
             }
             Change::Bind { .. } | Change::Rename { .. } | Change::Unbind { .. } => {
-                if *fate == Fate::Kept {
+                if *fate == CrashOutcome::Kept {
                     change.apply_to_names(&mut self.durable_names);
                 }
             }
@@ -270,7 +270,7 @@
             Err(failure) => return Err(failed(failure)),
         };
         let contents = self.files.get_mut(&handle.inode).expect("an open file has contents");
-        change.apply_to_bytes(&mut contents.current, &Fate::Kept);
+        change.apply_to_bytes(&mut contents.current, &CrashOutcome::Kept);
         self.pending.push(change);
         finish(admission).map_err(failed)
     }
@@ -289,7 +289,7 @@
         let (settled, pending) = std::mem::take(&mut self.pending).into_iter().partition(covered);
         self.pending = pending;
         for change in &settled as &Vec<Change> {
-            self.make_durable(change, &Fate::Kept);
+            self.make_durable(change, &CrashOutcome::Kept);
         }
     }
 
--- a/coordination/checkpoint-store/src/simulated/fate.rs
+++ b/coordination/checkpoint-store/src/simulated/fate.rs
@@ -9,7 +9,7 @@
 
 /// What becomes of one change. A change other than a write counts as missing when it is torn.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum CrashOutcome {
     /// It is on disk.
     Kept,
     /// It never happened.
@@ -18,7 +18,7 @@
     Torn(Vec<Range<usize>>),
 }
 
-impl Fate {
+impl CrashOutcome {
     /// Only `kept` of the write's bytes are on disk.
     #[must_use]
     pub fn torn(kept: Range<usize>) -> Self {
@@ -63,33 +63,33 @@
         Self { random, temper }
     }
 
-    pub fn fate(&mut self, change: &PendingChange) -> Fate {
+    pub fn fate(&mut self, change: &PendingChange) -> CrashOutcome {
         match self.temper {
-            Temper::AllKept => Fate::Kept,
-            Temper::AllMissing => Fate::Missing,
+            Temper::AllKept => CrashOutcome::Kept,
+            Temper::AllMissing => CrashOutcome::Missing,
             Temper::EachByItself => self.single_fate(change),
         }
     }
 
-    fn single_fate(&mut self, change: &PendingChange) -> Fate {
+    fn single_fate(&mut self, change: &PendingChange) -> CrashOutcome {
         let torn_length = match change {
             PendingChange::Write { bytes, .. } => *bytes,
             PendingChange::SetLength { .. } | PendingChange::Name { .. } => 0,
         };
         match self.random.u8(0..3) {
-            0 => Fate::Kept,
-            1 => Fate::Missing,
+            0 => CrashOutcome::Kept,
+            1 => CrashOutcome::Missing,
             _ => self.torn(torn_length),
         }
     }
 
     /// A prefix of `bytes` bytes, or any set of their sectors.
-    fn torn(&mut self, bytes: usize) -> Fate {
+    fn torn(&mut self, bytes: usize) -> CrashOutcome {
         if self.random.bool() {
-            return Fate::torn(0..self.random.usize(0..=bytes));
+            return CrashOutcome::torn(0..self.random.usize(0..=bytes));
         }
         let sectors = (0..bytes).step_by(SECTOR_BYTES);
         let kept = sectors.filter(|_| self.random.bool()).map(|start| start..start + SECTOR_BYTES);
-        Fate::Torn(kept.collect())
+        CrashOutcome::Torn(kept.collect())
     }
 }
--- a/coordination/checkpoint-store/src/simulated/mod.rs
+++ b/coordination/checkpoint-store/src/simulated/mod.rs
@@ -10,7 +10,7 @@
 use crate::{FileName, Folder, Operation, StorageError};
 use disk::Disk;
 pub use disk::{DiskCounts, PendingChange};
-pub use fate::Fate;
+pub use fate::CrashOutcome;
 pub use fault::{Fault, SimulatedFailure};
 pub use file::SimulatedFile;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -44,7 +44,7 @@
     }
 
     /// As [`SimulatedFolder::lose_power`], with the fate of each change, in the order they were made, told by `fate`.
-    pub fn lose_power_with(&self, mut fate: impl FnMut(&PendingChange) -> Fate) {
+    pub fn lose_power_with(&self, mut fate: impl FnMut(&PendingChange) -> CrashOutcome) {
         self.lock().lose_power(&mut fate);
     }
 
--- a/coordination/checkpoint-store/src/store.rs
+++ b/coordination/checkpoint-store/src/store.rs
@@ -11,14 +11,14 @@
 
 /// Small state kept on disk as a checkpoint and the records after it.
 #[derive(Debug)]
-pub struct SlotStore<F: Folder> {
+pub struct CheckpointStore<F: Folder> {
     folder: F,
     generation: Generation,
     log: FramedFile<F::File>,
     poisoned: bool,
 }
 
-/// What a [`SlotStore`] held when it was opened.
+/// What a [`CheckpointStore`] held when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The newest checkpoint; `None` if none was ever written.
@@ -27,7 +27,7 @@
     pub records: Vec<Vec<u8>>,
 }
 
-impl<F: Folder> SlotStore<F> {
+impl<F: Folder> CheckpointStore<F> {
     /// Opens the store in `folder`, or makes it if there is none, and returns what it holds. All that is returned has
     /// been synced. Files of other names are left alone.
     ///
@@ -50,7 +50,7 @@
         Ok((Self { folder, generation, log, poisoned: false }, recovered))
     }
 
-    /// Takes a record; it lasts once [`SlotStore::sync`] returned, together with all taken before it.
+    /// Takes a record; it lasts once [`CheckpointStore::sync`] returned, together with all taken before it.
     ///
     /// # Errors
     /// [`StorageError::RecordTooLarge`], with nothing taken; [`StorageError::Poisoned`]; those of a write.
--- a/coordination/checkpoint-store/tests/contract.rs
+++ b/coordination/checkpoint-store/tests/contract.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use millrudder_checkpoint_store::{
-    Folder, Operation, Prefixed, RealFolder, SimulatedFolder, Stem, StorageError, StoredFile,
+    FileNamePrefix, Folder, Operation, PrefixedFolder, RealFolder, SimulatedFolder, StorageError, StoredFile,
 };
 use support::{name, TemporaryFolder};
 
@@ -132,7 +132,7 @@
                     let folder = SimulatedFolder::new(1);
                     folder.create(&name("b")).unwrap();
                     folder.create(&name("viewer.to")).unwrap();
-                    super::$clause(&Prefixed::new(folder.clone(), Stem::new("view")));
+                    super::$clause(&PrefixedFolder::new(folder.clone(), FileNamePrefix::new("view")));
                     assert!(folder.list().unwrap().contains(&name("viewer.to")));
                 }
             )*
--- a/coordination/checkpoint-store/tests/decoders.rs
+++ b/coordination/checkpoint-store/tests/decoders.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_checkpoint_store::{inspect, FileName, Folder, SimulatedFolder, SlotStore};
+use millrudder_checkpoint_store::{inspect, CheckpointStore, FileName, Folder, SimulatedFolder};
 use proptest::prelude::*;
 use proptest::sample::Index;
 use support::replace;
@@ -50,7 +50,7 @@
 /// A store with two checkpoints and a log.
 fn folder() -> SimulatedFolder {
     let folder = SimulatedFolder::new(1);
-    let (mut store, _) = SlotStore::open(folder.clone()).expect("a new store");
+    let (mut store, _) = CheckpointStore::open(folder.clone()).expect("a new store");
     for round in 0..3_u8 {
         store.append(&[round; 40]).expect("it is taken");
         store.sync().expect("it is synced");
@@ -101,7 +101,7 @@
         }
         let on_disk: usize = names.iter().map(|name| folder.read(name).expect("a file").len()).sum();
         let _ = inspect(&folder);
-        if let Ok((_, recovered)) = SlotStore::open(folder) {
+        if let Ok((_, recovered)) = CheckpointStore::open(folder) {
             let records: usize = recovered.records.iter().map(Vec::len).sum();
             let checkpoint = recovered.checkpoint.map_or(0, |checkpoint| checkpoint.len());
             prop_assert!(records + checkpoint <= on_disk);
--- a/coordination/checkpoint-store/tests/golden.rs
+++ b/coordination/checkpoint-store/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The files of a store, byte for byte as earlier versions write them.
 
-use millrudder_checkpoint_store::{FileName, Folder, SimulatedFolder, SlotStore, StoredFile};
+use millrudder_checkpoint_store::{CheckpointStore, FileName, Folder, SimulatedFolder, StoredFile};
 use millrudder_testing::golden::Golden;
 
 /// Checks each file of `folder` under its name, with `prefix` before it; gives the committed files.
@@ -28,12 +28,12 @@
 fn files_of_a_store_before_and_after_its_first_checkpoints() {
     let mut golden = Golden::open("tests/golden/files.txt");
     let folder = SimulatedFolder::new(1);
-    let (mut store, _) = SlotStore::open(folder.clone()).unwrap();
+    let (mut store, _) = CheckpointStore::open(folder.clone()).unwrap();
     store.append(b"first record").unwrap();
     store.append(b"").unwrap();
     store.sync().unwrap();
     let files = check_files(&mut golden, "no_checkpoint", &folder);
-    let (_, recovered) = SlotStore::open(folder_of(&files)).unwrap();
+    let (_, recovered) = CheckpointStore::open(folder_of(&files)).unwrap();
     assert_eq!(recovered.checkpoint, None);
     assert_eq!(recovered.records, [&b"first record"[..], b""]);
 
@@ -42,7 +42,7 @@
         store.append(&[0x10 * round; 3]).unwrap();
         store.sync().unwrap();
         let files = check_files(&mut golden, &format!("checkpoint_{round}"), &folder);
-        let (_, recovered) = SlotStore::open(folder_of(&files)).unwrap();
+        let (_, recovered) = CheckpointStore::open(folder_of(&files)).unwrap();
         assert_eq!(recovered.checkpoint, Some(vec![round; 20]));
         assert_eq!(recovered.records, [vec![0x10 * round; 3]]);
     }
--- a/coordination/checkpoint-store/tests/inspect.rs
+++ b/coordination/checkpoint-store/tests/inspect.rs
@@ -3,13 +3,14 @@
 mod support;
 
 use millrudder_checkpoint_store::{
-    inspect, Folder, Generation, LogContents, LogReport, SimulatedFolder, SlotState, SlotStore, StoredFile,
+    inspect, CheckpointStore, Folder, Generation, LogContents, LogReport, SimulatedFolder, SlotState,
+    StoredFile,
 };
 use support::name;
 
 fn filled_folder() -> SimulatedFolder {
     let folder = SimulatedFolder::new(1);
-    let (mut store, _) = SlotStore::open(folder.clone()).unwrap();
+    let (mut store, _) = CheckpointStore::open(folder.clone()).unwrap();
     store.checkpoint(b"state").unwrap();
     for record in [b"one", b"two"] {
         store.append(record).unwrap();
--- a/coordination/checkpoint-store/tests/names.rs
+++ b/coordination/checkpoint-store/tests/names.rs
@@ -1,6 +1,6 @@
 //! Names of files.
 
-use millrudder_checkpoint_store::{FileName, Stem, StorageError};
+use millrudder_checkpoint_store::{FileName, FileNamePrefix, StorageError};
 
 #[test]
 fn paths_are_no_names() {
@@ -12,7 +12,7 @@
 
 #[test]
 fn numbers_are_found_again_in_their_order() {
-    let stem = Stem::new("log");
+    let stem = FileNamePrefix::new("log");
     let numbers = [0, 1, 9, 10, 255, u64::MAX];
     let names = numbers.map(|number| stem.file(number));
     assert!(names.is_sorted());
@@ -21,7 +21,7 @@
 
 #[test]
 fn other_names_have_no_number() {
-    let stem = Stem::new("log");
+    let stem = FileNamePrefix::new("log");
     for text in
         ["log", "log-", "log-1", "log-000000000000000G", "log-000000000000000A", "logs-0000000000000001"]
     {
--- a/coordination/checkpoint-store/tests/power_loss.rs
+++ b/coordination/checkpoint-store/tests/power_loss.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millrudder_checkpoint_store::{Fate, SimulatedFolder, SlotStore};
+use millrudder_checkpoint_store::{CheckpointStore, CrashOutcome, SimulatedFolder};
 use proptest::prelude::*;
 use support::history::{History, Step};
 
@@ -25,15 +25,15 @@
 ];
 
 /// Opens the store and checks what it recovered; `None` if the process was stopped on the way.
-fn open(folder: &SimulatedFolder, history: &mut History) -> Option<SlotStore<SimulatedFolder>> {
-    let (store, recovered) = SlotStore::open(folder.clone()).ok()?;
+fn open(folder: &SimulatedFolder, history: &mut History) -> Option<CheckpointStore<SimulatedFolder>> {
+    let (store, recovered) = CheckpointStore::open(folder.clone()).ok()?;
     history.accept(&recovered);
     Some(store)
 }
 
 /// As [`open`], when nothing may go wrong.
-fn must_open(folder: &SimulatedFolder, history: &mut History) -> SlotStore<SimulatedFolder> {
-    let (store, recovered) = SlotStore::open(folder.clone()).unwrap();
+fn must_open(folder: &SimulatedFolder, history: &mut History) -> CheckpointStore<SimulatedFolder> {
+    let (store, recovered) = CheckpointStore::open(folder.clone()).unwrap();
     history.accept(&recovered);
     store
 }
@@ -52,7 +52,7 @@
         let folder = SimulatedFolder::new(0);
         let mut history = History::new();
         let stopped = live_until_stopped(&folder, &mut history, changes);
-        losses += folder.for_each_loss(Fate::choices, |lost| {
+        losses += folder.for_each_loss(CrashOutcome::choices, |lost| {
             let mut history = history.clone();
             let mut store = must_open(&lost, &mut history);
             lose_power_in_the_next_sync(&lost.fork(), history.clone());
@@ -60,7 +60,7 @@
             for step in [Step::Append(4), Step::Sync, Step::Checkpoint(8), Step::Append(6), Step::Sync] {
                 history.run(&mut store, step).unwrap();
             }
-            lost.lose_power_with(|_| Fate::Missing);
+            lost.lose_power_with(|_| CrashOutcome::Missing);
             must_open(&lost, &mut history);
         });
         if !stopped {
@@ -76,7 +76,7 @@
     history.run(&mut store, Step::Append(40)).unwrap();
     folder.interrupt_after(0);
     assert!(history.run(&mut store, Step::Sync).is_err());
-    folder.for_each_loss(Fate::choices, |lost| {
+    folder.for_each_loss(CrashOutcome::choices, |lost| {
         must_open(&lost, &mut history.clone());
     });
 }
@@ -90,12 +90,12 @@
         folder.end_process();
         let mut store = must_open(&folder, &mut history);
         let untouched = folder.fork();
-        untouched.for_each_loss(Fate::choices, |lost| {
+        untouched.for_each_loss(CrashOutcome::choices, |lost| {
             must_open(&lost, &mut history.clone());
         });
         history.run(&mut store, Step::Append(4)).unwrap();
         history.run(&mut store, Step::Sync).unwrap();
-        folder.for_each_loss(Fate::choices, |lost| {
+        folder.for_each_loss(CrashOutcome::choices, |lost| {
             must_open(&lost, &mut history.clone());
         });
         if !stopped {
@@ -200,7 +200,7 @@
         let length = folder.read(name).unwrap().len();
         folder.corrupt(name, byte_index.index(length), mask);
         // Only the last synced record looks like one that was never synced.
-        if let Ok((_, recovered)) = SlotStore::open(folder) {
+        if let Ok((_, recovered)) = CheckpointStore::open(folder) {
             prop_assert!(recovered.checkpoint.is_some());
             prop_assert!(recovered.records.len() + 1 >= kept);
         }
--- a/coordination/checkpoint-store/tests/simulated.rs
+++ b/coordination/checkpoint-store/tests/simulated.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use millrudder_checkpoint_store::{
-    DiskCounts, Fate, Fault, Folder, PendingChange, SimulatedFolder, StorageError, StoredFile,
+    CrashOutcome, DiskCounts, Fault, Folder, PendingChange, SimulatedFolder, StorageError, StoredFile,
 };
 use support::name;
 
@@ -19,7 +19,7 @@
 #[test]
 fn synced_contents_under_a_synced_name_stay() {
     let folder = folder_with_synced_file(b"kept");
-    folder.lose_power_with(|_| Fate::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Missing);
     assert_eq!(folder.read(&name("file")).unwrap(), b"kept");
 }
 
@@ -29,7 +29,7 @@
     let mut file = folder.create(&name("file")).unwrap();
     file.append(b"synced").unwrap();
     file.sync().unwrap();
-    folder.lose_power_with(|_| Fate::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Missing);
     assert_eq!(folder.list().unwrap(), []);
 }
 
@@ -41,8 +41,8 @@
     file.sync().unwrap();
     file.append(b" and not").unwrap();
     folder.lose_power_with(|change| match change {
-        PendingChange::Name { .. } => Fate::Kept,
-        _ => Fate::Missing,
+        PendingChange::Name { .. } => CrashOutcome::Kept,
+        _ => CrashOutcome::Missing,
     });
     assert_eq!(folder.read(&name("file")).unwrap(), b"synced");
 }
@@ -54,7 +54,8 @@
     for part in [b"aa", b"bb", b"cc"] {
         file.append(part).unwrap();
     }
-    let mut fates = [Fate::Kept, Fate::Missing, Fate::Torn(vec![0..1, 7..9])].into_iter();
+    let mut fates =
+        [CrashOutcome::Kept, CrashOutcome::Missing, CrashOutcome::Torn(vec![0..1, 7..9])].into_iter();
     folder.lose_power_with(|_| fates.next().unwrap());
     assert_eq!(folder.read(&name("file")).unwrap(), b"aa\0\0c");
 }
@@ -68,9 +69,9 @@
     folder.remove(&name("removed")).unwrap();
     assert_eq!(folder.list().unwrap(), [name("renamed")]);
     let kept = folder.fork();
-    folder.lose_power_with(|_| Fate::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Missing);
     assert_eq!(folder.list().unwrap(), [name("file"), name("removed")]);
-    kept.lose_power_with(|_| Fate::Kept);
+    kept.lose_power_with(|_| CrashOutcome::Kept);
     assert_eq!(kept.list().unwrap(), [name("renamed")]);
     assert_eq!(kept.read(&name("renamed")).unwrap(), b"old");
 }
@@ -95,7 +96,7 @@
     assert!(file.append(b"b").is_err());
     assert!(folder.list().is_err());
     assert_eq!(folder.pending().len(), 2, "the interrupted write may have got to the disk");
-    folder.lose_power_with(|_| Fate::Kept);
+    folder.lose_power_with(|_| CrashOutcome::Kept);
     assert_eq!(folder.read(&name("file")).unwrap(), b"ab");
 }
 
@@ -107,7 +108,7 @@
     assert!(file.append(b"a").is_err());
     folder.end_process();
     assert_eq!(folder.read(&name("file")).unwrap(), b"a");
-    folder.lose_power_with(|_| Fate::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Missing);
     assert_eq!(folder.read(&name("file")).unwrap(), b"");
 }
 
@@ -136,7 +137,7 @@
     assert!(folder.create(&name("other")).is_err());
     folder.repair();
     file.sync().unwrap();
-    folder.lose_power_with(|_| Fate::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Missing);
     assert_eq!(folder.read(&name("file")).unwrap(), b"a");
 }
 
--- a/coordination/checkpoint-store/tests/store.rs
+++ b/coordination/checkpoint-store/tests/store.rs
@@ -3,23 +3,23 @@
 mod support;
 
 use millrudder_checkpoint_store::{
-    Damage, Fate, Fault, Folder, Generation, RealFolder, Recovered, SimulatedFolder, SlotStore, StorageError,
-    FILE_HEADER_BYTES, FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES,
+    CheckpointStore, CrashOutcome, Damage, Fault, Folder, Generation, RealFolder, Recovered, SimulatedFolder,
+    StorageError, FILE_HEADER_BYTES, FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES,
 };
 use support::{name, replace, TemporaryFolder};
 
 const FIRST_LOG: &str = "log-0000000000000000";
 
-fn open(folder: &SimulatedFolder) -> (SlotStore<SimulatedFolder>, Recovered) {
-    SlotStore::open(folder.clone()).unwrap()
+fn open(folder: &SimulatedFolder) -> (CheckpointStore<SimulatedFolder>, Recovered) {
+    CheckpointStore::open(folder.clone()).unwrap()
 }
 
 fn recover_after_loss(folder: &SimulatedFolder) -> Recovered {
-    folder.lose_power_with(|_| Fate::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Missing);
     open(folder).1
 }
 
-fn append_synced(store: &mut SlotStore<SimulatedFolder>, records: &[&[u8]]) {
+fn append_synced(store: &mut CheckpointStore<SimulatedFolder>, records: &[&[u8]]) {
     for record in records {
         store.append(record).unwrap();
         store.sync().unwrap();
@@ -29,7 +29,7 @@
 #[test]
 fn a_store_on_a_real_disk_comes_back() {
     let temporary = TemporaryFolder::new();
-    let open = || SlotStore::open(RealFolder::open(temporary.path()).unwrap()).unwrap();
+    let open = || CheckpointStore::open(RealFolder::open(temporary.path()).unwrap()).unwrap();
     let (mut store, recovered) = open();
     assert_eq!(recovered, Recovered::default());
     for round in 0..5_u8 {
@@ -140,7 +140,7 @@
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     store.checkpoint(b"state").unwrap();
-    folder.lose_power_with(|_| Fate::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Missing);
     assert!(folder.list().unwrap().contains(&name(FIRST_LOG)));
     open(&folder);
     assert!(!folder.list().unwrap().contains(&name(FIRST_LOG)));
@@ -170,7 +170,7 @@
     for byte in second..second + FRAME_HEADER_BYTES + b"second".len() {
         let rotten = folder.fork();
         assert!(rotten.corrupt(&name(FIRST_LOG), byte, 0x10));
-        let error = SlotStore::open(rotten).unwrap_err();
+        let error = CheckpointStore::open(rotten).unwrap_err();
         let StorageError::Corrupt { file, offset, damage: Damage::Frame } = error else {
             panic!("{error:?}")
         };
@@ -186,7 +186,7 @@
     for byte in 0..FILE_HEADER_BYTES {
         let rotten = folder.fork();
         assert!(rotten.corrupt(&name(FIRST_LOG), byte, 0x01));
-        let error = SlotStore::open(rotten).unwrap_err();
+        let error = CheckpointStore::open(rotten).unwrap_err();
         assert!(matches!(error, StorageError::Corrupt { offset: 0, .. }), "{error:?}");
     }
 }
@@ -202,7 +202,7 @@
     for byte in 0..length {
         let rotten = folder.fork();
         assert!(rotten.corrupt(&slot, byte, 0x80));
-        let error = SlotStore::open(rotten).unwrap_err();
+        let error = CheckpointStore::open(rotten).unwrap_err();
         assert!(matches!(&error, StorageError::Corrupt { file, .. } if *file == slot), "{error:?}");
     }
 }
@@ -227,7 +227,7 @@
     for text in ["slot-0000000000000000", "log-0000000000000002"] {
         let poorer = folder.fork();
         poorer.remove(&name(text)).unwrap();
-        let error = SlotStore::open(poorer).unwrap_err();
+        let error = CheckpointStore::open(poorer).unwrap_err();
         assert!(matches!(&error, StorageError::Missing { file } if *file == name(text)), "{error:?}");
     }
 }
@@ -243,7 +243,7 @@
     store.checkpoint(b"state").unwrap();
     let log = name("log-0000000000000001");
     replace(&folder, &log, &other.read(&log).unwrap());
-    let error = SlotStore::open(folder).unwrap_err();
+    let error = CheckpointStore::open(folder).unwrap_err();
     let expected = Damage::Sequence { expected: 1, found: 2 };
     assert!(matches!(&error, StorageError::Corrupt { damage, .. } if *damage == expected), "{error:?}");
 }
@@ -255,7 +255,7 @@
     store.checkpoint(b"state").unwrap();
     let slot = name("slot-0000000000000001");
     folder.rename(&slot, &name("slot-0000000000000000")).unwrap();
-    let error = SlotStore::open(folder).unwrap_err();
+    let error = CheckpointStore::open(folder).unwrap_err();
     assert!(matches!(&error, StorageError::Missing { file } if *file == slot), "{error:?}");
 }
 
@@ -268,7 +268,7 @@
     let mut bytes = folder.read(&log).unwrap();
     bytes.extend_from_within(FILE_HEADER_BYTES..);
     replace(&folder, &log, &bytes);
-    let error = SlotStore::open(folder).unwrap_err();
+    let error = CheckpointStore::open(folder).unwrap_err();
     let expected = Damage::Sequence { expected: 1, found: 0 };
     assert!(matches!(&error, StorageError::Corrupt { damage, .. } if *damage == expected), "{error:?}");
 }
@@ -281,7 +281,7 @@
     replace(&folder, &name(FIRST_LOG), &[1; 10]);
     open(&folder.fork());
     replace(&folder, &name("slot-0000000000000001"), b"begun");
-    let error = SlotStore::open(folder).unwrap_err();
+    let error = CheckpointStore::open(folder).unwrap_err();
     assert!(matches!(&error, StorageError::Corrupt { file, .. } if *file == name(FIRST_LOG)), "{error:?}");
 }
 
@@ -299,7 +299,7 @@
         let offset = FILE_HEADER_BYTES - 4 + index;
         folder.corrupt(&log, offset, bytes[offset] ^ byte);
     }
-    let error = SlotStore::open(folder).unwrap_err();
+    let error = CheckpointStore::open(folder).unwrap_err();
     assert!(matches!(error, StorageError::UnknownVersion { found: 2, expected: 1, .. }), "{error:?}");
 }
 
@@ -311,7 +311,7 @@
     store.append(b"two, torn").unwrap();
     folder.interrupt_after(1);
     assert!(store.sync().is_err());
-    folder.lose_power_with(|_| Fate::torn(0..35));
+    folder.lose_power_with(|_| CrashOutcome::torn(0..35));
     let (mut store, recovered) = open(&folder);
     assert_eq!(recovered.records, [b"one"]);
     append_synced(&mut store, &[b"three"]);
--- a/coordination/checkpoint-store/tests/support/history.rs
+++ b/coordination/checkpoint-store/tests/support/history.rs
@@ -1,6 +1,6 @@
 //! What a store was told, and which of it may and must be recovered.
 
-use millrudder_checkpoint_store::{Folder, Recovered, SlotStore, StorageError};
+use millrudder_checkpoint_store::{CheckpointStore, Folder, Recovered, StorageError};
 
 /// One checkpoint and the records appended after it.
 #[derive(Clone, Debug, Default)]
@@ -53,7 +53,7 @@
     }
 
     /// Does one step with the store. The history holds it also when it fails: it may have been done.
-    pub fn run<F: Folder>(&mut self, store: &mut SlotStore<F>, step: Step) -> Result<(), StorageError> {
+    pub fn run<F: Folder>(&mut self, store: &mut CheckpointStore<F>, step: Step) -> Result<(), StorageError> {
         match step {
             Step::Append(length) => {
                 let record = self.fresh(length);
--- a/coordination/lease/src/holder.rs
+++ b/coordination/lease/src/holder.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::{Fencing, LeaseAnswer, LeaseConfig, LeaseRelease, LeaseRequest, Refusal, Role, VoterId};
+use crate::{FencingToken, LeaseAnswer, LeaseConfig, LeaseRelease, LeaseRequest, Refusal, Role, VoterId};
 
 /// A change in the possession of a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderEvent {
     /// The role is held from now on.
-    Granted { fencing: Fencing },
+    Granted { fencing: FencingToken },
     /// The role must not be exercised any more.
-    Lost { fencing: Fencing },
+    Lost { fencing: FencingToken },
 }
 
 /// What follows from an input.
@@ -28,7 +28,7 @@
 struct Round {
     number: u64,
     sent_at: u64,
-    fencing: Fencing,
+    fencing: FencingToken,
     grants: BTreeSet<VoterId>,
     /// For how long all of them bind their voters, counted from the request.
     bound: u64,
@@ -38,7 +38,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Held {
-    fencing: Fencing,
+    fencing: FencingToken,
     until: u64,
 }
 
@@ -51,7 +51,7 @@
     renew_every: u64,
     random: fastrand::Rng,
     majority: usize,
-    highest: Fencing,
+    highest: FencingToken,
     next_request: u64,
     last_round: u64,
     round: Option<Round>,
@@ -71,7 +71,7 @@
             renew_every: config.renew_every.as_micros() as u64,
             random,
             majority: 0,
-            highest: Fencing::default(),
+            highest: FencingToken::default(),
             next_request: 0,
             last_round,
             round: None,
@@ -84,7 +84,7 @@
     /// Grants of earlier voters do not count any more. A lease that is held goes on and is claimed anew.
     pub fn voters_changed(&mut self, majority: usize, generation: u64) {
         self.majority = majority;
-        self.highest = self.highest.max(Fencing::floor(generation));
+        self.highest = self.highest.max(FencingToken::floor(generation));
         self.round = None;
         self.next_request = 0;
     }
@@ -99,8 +99,8 @@
         self.held.is_some_and(|held| now < held.until)
     }
 
-    /// Fencing number of the lease, while it is held.
-    pub fn fencing(&self, now: u64) -> Option<Fencing> {
+    /// FencingToken number of the lease, while it is held.
+    pub fn fencing(&self, now: u64) -> Option<FencingToken> {
         self.held.filter(|held| now < held.until).map(|held| held.fencing)
     }
 
@@ -191,7 +191,14 @@
         is_new.then_some(HolderEvent::Granted { fencing })
     }
 
-    fn refused(&mut self, now: u64, number: u64, refusal: Refusal, highest: Fencing, retry_after: Duration) {
+    fn refused(
+        &mut self,
+        now: u64,
+        number: u64,
+        refusal: Refusal,
+        highest: FencingToken,
+        retry_after: Duration,
+    ) {
         self.highest = self.highest.max(highest);
         let spread = self.random.u64(0..self.renew_every / 2 + 1);
         let Some(round) = self.round.as_mut().filter(|round| round.number == number) else {
--- a/coordination/lease/src/lib.rs
+++ b/coordination/lease/src/lib.rs
@@ -3,7 +3,7 @@
 //! A [`Holder`] asks all voters for a role, counts the grants of one round and holds the lease from the moment it
 //! *sent* that round, less a safety margin. A [`Voter`] binds itself from the moment it *received* the request.
 //! Both use their own steady clock only; the margin covers the difference in clock rates. Each lease carries a
-//! [`Fencing`] number that is higher than that of every earlier lease of the role.
+//! [`FencingToken`] number that is higher than that of every earlier lease of the role.
 //!
 //! Everything here is a state machine without I/O: times are microseconds of the steady clock, passed in.
 //!
@@ -35,6 +35,6 @@
 pub use config::{LeaseConfig, LeaseConfigError};
 pub use holder::{Holder, HolderEvent, HolderStep};
 pub use message::{
-    Fencing, HolderId, LeaseAnswer, LeaseRecord, LeaseRelease, LeaseRequest, Refusal, Role, VoterId,
+    FencingToken, HolderId, LeaseAnswer, LeaseRecord, LeaseRelease, LeaseRequest, Refusal, Role, VoterId,
 };
 pub use voter::{Vote, Voter, VoterState};
--- a/coordination/lease/src/message.rs
+++ b/coordination/lease/src/message.rs
@@ -19,20 +19,20 @@
 ///
 /// The upper half is the generation of the voters (their epoch), the lower half counts within it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
-pub struct Fencing(pub u64);
+pub struct FencingToken(pub u64);
 
-/// Bits of a [`Fencing`] number below the generation of the voters.
+/// Bits of a [`FencingToken`] number below the generation of the voters.
 const COUNTER_BITS: u32 = 32;
 
-impl Fencing {
+impl FencingToken {
     /// The number before the first one of a generation of voters.
-    pub fn floor(generation: u64) -> Fencing {
-        Fencing(generation << COUNTER_BITS)
+    pub fn floor(generation: u64) -> FencingToken {
+        FencingToken(generation << COUNTER_BITS)
     }
 
     /// The next number.
-    pub fn next(self) -> Fencing {
-        Fencing(self.0.saturating_add(1))
+    pub fn next(self) -> FencingToken {
+        FencingToken(self.0.saturating_add(1))
     }
 }
 
@@ -43,8 +43,8 @@
     pub role: Role,
     /// Number of this attempt; answers to earlier ones do not count.
     pub round: u64,
-    /// Fencing number of the lease that is asked for or renewed.
-    pub fencing: Fencing,
+    /// FencingToken number of the lease that is asked for or renewed.
+    pub fencing: FencingToken,
     /// Whether the sender holds the lease as it sends this.
     pub held: bool,
 }
@@ -55,7 +55,7 @@
     /// The role.
     pub role: Role,
     /// Number of the lease.
-    pub fencing: Fencing,
+    pub fencing: FencingToken,
 }
 
 /// Why a voter does not grant.
@@ -76,7 +76,7 @@
     /// which an earlier round of this candidate, which did not win, has bound it.
     Granted { role: Role, round: u64, bound_micros: u64 },
     /// It has not, and will not before `retry_after_micros` have passed.
-    Refused { role: Role, round: u64, refusal: Refusal, highest: Fencing, retry_after_micros: u64 },
+    Refused { role: Role, round: u64, refusal: Refusal, highest: FencingToken, retry_after_micros: u64 },
 }
 
 impl LeaseAnswer {
@@ -94,5 +94,5 @@
     /// The role.
     pub role: Role,
     /// The number.
-    pub fencing: Fencing,
+    pub fencing: FencingToken,
 }
--- a/coordination/lease/src/voter.rs
+++ b/coordination/lease/src/voter.rs
@@ -5,13 +5,13 @@
 use speedy::{Readable, Writable};
 
 use crate::{
-    Fencing, HolderId, LeaseAnswer, LeaseConfig, LeaseRecord, LeaseRelease, LeaseRequest, Refusal, Role,
+    FencingToken, HolderId, LeaseAnswer, LeaseConfig, LeaseRecord, LeaseRelease, LeaseRequest, Refusal, Role,
 };
 
 /// Durable state of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct VoterState {
-    highest: BTreeMap<Role, Fencing>,
+    highest: BTreeMap<Role, FencingToken>,
 }
 
 impl VoterState {
@@ -22,7 +22,7 @@
     }
 
     /// The highest fencing number granted for a role.
-    pub fn highest(&self, role: &Role) -> Fencing {
+    pub fn highest(&self, role: &Role) -> FencingToken {
         self.highest.get(role).copied().unwrap_or_default()
     }
 }
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Granted {
     holder: HolderId,
-    fencing: Fencing,
+    fencing: FencingToken,
     until: u64,
 }
 
--- a/coordination/lease/tests/collected_votes.rs
+++ b/coordination/lease/tests/collected_votes.rs
@@ -1,8 +1,8 @@
 //! Votes that a candidate gets one after the other count together while they bind.
 
 use millrudder_lease::{
-    Fencing, Holder, HolderEvent, HolderId, LeaseAnswer, LeaseConfig, LeaseRequest, Role, Voter, VoterId,
-    VoterState,
+    FencingToken, Holder, HolderEvent, HolderId, LeaseAnswer, LeaseConfig, LeaseRequest, Role, Voter,
+    VoterId, VoterState,
 };
 
 const ME: HolderId = HolderId(1);
@@ -19,7 +19,7 @@
 }
 
 fn request(fencing: u64, round: u64) -> LeaseRequest {
-    LeaseRequest { role: role(), round, fencing: Fencing(fencing), held: false }
+    LeaseRequest { role: role(), round, fencing: FencingToken(fencing), held: false }
 }
 
 /// Two voters, of which one was bound to another candidate when this one asked first.
--- a/coordination/lease/tests/golden.rs
+++ b/coordination/lease/tests/golden.rs
@@ -1,13 +1,13 @@
 //! Messages and records of leases, byte for byte as earlier versions write them.
 
 use millrudder_lease::{
-    Fencing, LeaseAnswer, LeaseRecord, LeaseRelease, LeaseRequest, Refusal, Role, VoterState,
+    FencingToken, LeaseAnswer, LeaseRecord, LeaseRelease, LeaseRequest, Refusal, Role, VoterState,
 };
 use millrudder_testing::golden::Golden;
 use speedy::{LittleEndian, Readable, Writable};
 use std::fmt::Debug;
 
-const FENCING: Fencing = Fencing(0x0102_0304_0506_0708);
+const FENCING: FencingToken = FencingToken(0x0102_0304_0506_0708);
 
 fn role() -> Role {
     Role("reader".to_owned())
@@ -33,7 +33,7 @@
     let record = LeaseRecord { role: role(), fencing: FENCING };
     let mut voter = VoterState::default();
     voter.apply(&record);
-    voter.apply(&LeaseRecord { role: Role("placement".to_owned()), fencing: Fencing(3) });
+    voter.apply(&LeaseRecord { role: Role("placement".to_owned()), fencing: FencingToken(3) });
 
     let mut golden = Golden::open("tests/golden/lease.txt");
     let request = |held| LeaseRequest { role: role(), round: 0x1112, fencing: FENCING, held };
--- a/coordination/lease/tests/lease.rs
+++ b/coordination/lease/tests/lease.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use millrudder_lease::{
-    Fencing, Holder, HolderEvent, HolderId, LeaseAnswer, LeaseConfig, LeaseConfigError, LeaseRelease,
+    FencingToken, Holder, HolderEvent, HolderId, LeaseAnswer, LeaseConfig, LeaseConfigError, LeaseRelease,
     LeaseRequest, Refusal, Role, Voter, VoterId, VoterState,
 };
 
@@ -15,7 +15,7 @@
 }
 
 fn request(fencing: u64, held: bool) -> LeaseRequest {
-    LeaseRequest { role: role(), round: 1, fencing: Fencing(fencing), held }
+    LeaseRequest { role: role(), round: 1, fencing: FencingToken(fencing), held }
 }
 
 fn fresh_voter() -> Voter {
@@ -128,7 +128,7 @@
     let first = holder.poll(0).request.expect("a request").fencing;
     holder.voters_changed(1, 5);
     let second = holder.poll(0).request.expect("a request").fencing;
-    assert!(second > first && first > Fencing::floor(4) && second > Fencing::floor(5));
+    assert!(second > first && first > FencingToken::floor(4) && second > FencingToken::floor(5));
 }
 
 #[test]
@@ -147,7 +147,7 @@
 fn a_lease_that_is_given_back_is_free_at_once_and_for_that_lease_only() {
     let mut voter = fresh_voter();
     let _ = voter.request(0, FIRST, &request(5, false));
-    let release = |fencing| LeaseRelease { role: role(), fencing: Fencing(fencing) };
+    let release = |fencing| LeaseRelease { role: role(), fencing: FencingToken(fencing) };
     voter.release(SECOND, &release(5));
     voter.release(FIRST, &release(4));
     let taken = voter.request(10, SECOND, &request(6, false));
@@ -196,7 +196,7 @@
         role: role(),
         round,
         refusal: Refusal::Taken,
-        highest: Fencing(1),
+        highest: FencingToken(1),
         retry_after_micros: duration(),
     };
     let granted = LeaseAnswer::Granted { role: role(), round, bound_micros: duration() };
--- a/coordination/lease/tests/model.rs
+++ b/coordination/lease/tests/model.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use millrudder_lease::{
-    Fencing, Holder, HolderEvent, HolderId, LeaseAnswer, LeaseConfig, LeaseRequest, Role, Voter, VoterId,
+    FencingToken, Holder, HolderEvent, HolderId, LeaseAnswer, LeaseConfig, LeaseRequest, Role, Voter, VoterId,
 };
 
 const VOTERS: usize = 3;
@@ -27,7 +27,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum InFlight {
-    Request { holder: usize, voter: usize, round: u64, fencing: Fencing, held: bool },
+    Request { holder: usize, voter: usize, round: u64, fencing: FencingToken, held: bool },
     Granted { holder: usize, voter: usize, round: u64, bound_micros: u64 },
 }
 
@@ -62,7 +62,7 @@
     holders: Vec<Holder>,
     voters: Vec<Voter>,
     in_flight: BTreeSet<InFlight>,
-    highest: Fencing,
+    highest: FencingToken,
     restarts: usize,
     polls: [usize; HOLDERS],
     /// Within one step of the clock the parts act in a fixed order, since what different parts do commutes: holders
@@ -114,7 +114,7 @@
             holders,
             voters,
             in_flight: BTreeSet::new(),
-            highest: Fencing::default(),
+            highest: FencingToken::default(),
             restarts: 0,
             polls: [0; HOLDERS],
             acting: 0,
--- a/coordination/lease/tests/renewals.rs
+++ b/coordination/lease/tests/renewals.rs
@@ -121,7 +121,7 @@
     let ask = |fencing, held| LeaseRequest {
         role: role(),
         round: 1,
-        fencing: millrudder_lease::Fencing(fencing),
+        fencing: millrudder_lease::FencingToken(fencing),
         held,
     };
     let is_granted = |answer: LeaseAnswer| matches!(answer, LeaseAnswer::Granted { .. });
--- a/coordination/segments/src/position.rs
+++ b/coordination/segments/src/position.rs
@@ -1,11 +1,11 @@
 //! Where a record lies.
 
-use millrudder_checkpoint_store::{FileName, Stem, FRAME_HEADER_BYTES};
+use millrudder_checkpoint_store::{FileName, FileNamePrefix, FRAME_HEADER_BYTES};
 use speedy::{Readable, Writable};
 use std::fmt;
 
 /// Names of segment files: their number is the segment's id.
-const SEGMENT: Stem = Stem::new("segment");
+const SEGMENT: FileNamePrefix = FileNamePrefix::new("segment");
 
 /// A segment of a log; later segments have greater ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
--- a/coordination/segments/tests/damage.rs
+++ b/coordination/segments/tests/damage.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use millrudder_checkpoint_store::{
-    Damage, Fate, Folder, SimulatedFolder, StorageError, StoredFile, FRAME_HEADER_BYTES,
+    CrashOutcome, Damage, Folder, SimulatedFolder, StorageError, StoredFile, FRAME_HEADER_BYTES,
 };
 use millrudder_segments::{SegmentConfig, SegmentError, SegmentLog};
 use support::{append_synced, open, records, sealed_log, try_open, SMALL};
@@ -124,6 +124,6 @@
     log.append(&forged).unwrap();
     folder.interrupt_after(1);
     assert!(log.sync().is_err());
-    folder.lose_power_with(|_| Fate::torn(10..FRAME_HEADER_BYTES + forged.len()));
+    folder.lose_power_with(|_| CrashOutcome::torn(10..FRAME_HEADER_BYTES + forged.len()));
     assert_eq!(records(&open(&folder).1), [b"kept"]);
 }
--- a/coordination/view/src/agreement.rs
+++ b/coordination/view/src/agreement.rs
@@ -3,7 +3,7 @@
 use speedy::{Readable, Writable};
 
 use crate::acceptor::Acceptor;
-use crate::proposer::{Proposer, Wanted};
+use crate::proposer::{Proposer, TargetView};
 use crate::{AcceptedView, Ballot, Epoch, Member, NodeId, View, ViewMessage, ViewRecord};
 
 /// A message with its recipient, which may be the sending node itself.
@@ -57,7 +57,7 @@
     /// Folds one record into the state.
     pub fn apply(&mut self, record: &ViewRecord) {
         match record {
-            ViewRecord::FoundingAgreed { members } => self.founding = Some(members.clone()),
+            ViewRecord::BootstrapAgreed { members } => self.founding = Some(members.clone()),
             ViewRecord::Promised { instance, ballot } => {
                 if *instance == self.epoch().next() {
                     self.acceptor.promise(*ballot);
@@ -137,7 +137,7 @@
     /// Starts a new attempt to replace the present view by the `wanted` one.
     ///
     /// Does nothing at a node that does not vote, or when too few are to keep the state or too many voters differ.
-    pub fn propose(&mut self, wanted: Wanted) -> Step {
+    pub fn propose(&mut self, wanted: TargetView) -> Step {
         if !self.may_propose(&wanted) {
             return Step::default();
         }
@@ -148,7 +148,7 @@
         Step { record: None, messages: self.to_voters(&prepare) }
     }
 
-    fn may_propose(&self, wanted: &Wanted) -> bool {
+    fn may_propose(&self, wanted: &TargetView) -> bool {
         let one_change = |view: &View| view.voters_change_by_one(&wanted.voters);
         let changes = self.view().is_some_and(one_change);
         self.is_voter() && changes && wanted.members.len() >= self.minimum_members
@@ -172,7 +172,7 @@
     /// Records the agreement to a founding list.
     pub(crate) fn agree_to_foundation(&mut self, members: Vec<Member>) -> Step {
         self.state.founding = Some(members.clone());
-        Step { record: Some(ViewRecord::FoundingAgreed { members }), messages: Vec::new() }
+        Step { record: Some(ViewRecord::BootstrapAgreed { members }), messages: Vec::new() }
     }
 
     /// Handles a message. `complete` tells whether this node holds every committed command.
@@ -189,7 +189,7 @@
             ViewMessage::Accepted { instance, ballot } => self.on_accepted(from, instance, ballot),
             ViewMessage::Decided { view } => self.adopt(view),
             ViewMessage::Query { known } => self.on_query(from, known),
-            ViewMessage::FoundingAgreed { .. } => self.on_query(from, Epoch::NONE),
+            ViewMessage::BootstrapAgreed { .. } => self.on_query(from, Epoch::NONE),
         }
     }
 
--- a/coordination/view/src/foundation.rs
+++ b/coordination/view/src/foundation.rs
@@ -11,7 +11,7 @@
 /// lists that share a living disk cannot both be founded. Only a node with a list of founders proposes; a node
 /// without one agrees to a list that names it, which cannot found anything by itself.
 #[derive(Clone, Debug)]
-pub struct Foundation {
+pub struct Bootstrap {
     me: Member,
     /// Addresses of all founders; empty at a node that must not propose a foundation.
     founders: Vec<String>,
@@ -21,12 +21,12 @@
     agreed_by: BTreeSet<NodeId>,
 }
 
-impl Foundation {
+impl Bootstrap {
     /// `founders` are the addresses of the first machines, empty where founding is not allowed. At most `voters` of
     /// them form the first view; this number must be the same at all nodes.
-    pub fn new(me: Member, founders: Vec<String>, voters: usize) -> Foundation {
+    pub fn new(me: Member, founders: Vec<String>, voters: usize) -> Bootstrap {
         let known = BTreeMap::from([(me.address.clone(), me.id)]);
-        Foundation { me, founders, voters, known, agreed_by: BTreeSet::new() }
+        Bootstrap { me, founders, voters, known, agreed_by: BTreeSet::new() }
     }
 
     /// Notes which node answers at an address.
@@ -109,7 +109,7 @@
     }
 
     fn announcement(&self, members: &[Member]) -> Vec<Envelope> {
-        let message = ViewMessage::FoundingAgreed { members: members.to_vec() };
+        let message = ViewMessage::BootstrapAgreed { members: members.to_vec() };
         members.iter().map(|member| Envelope { to: member.id, message: message.clone() }).collect()
     }
 }
--- a/coordination/view/src/lib.rs
+++ b/coordination/view/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`View`] names the voters of one [`Epoch`], and those of them that keep the state, in order. The view that follows
 //! epoch `e` is decided by single-decree Paxos among the voters of view `e`, one instance an epoch, so that at most one
-//! view exists for each epoch. Voters change one at a time. The first view is formed by a [`Foundation`]: every founder
+//! view exists for each epoch. Voters change one at a time. The first view is formed by a [`Bootstrap`]: every founder
 //! must agree to the same list.
 //!
 //! Everything here is a state machine without I/O. [`ViewAgreement`] returns a [`Step`]: a record to make durable
@@ -31,7 +31,7 @@
 pub use acceptor::AcceptedView;
 pub use agreement::{Envelope, Step, ViewAgreement, ViewState};
 pub use detector::{Detector, DetectorConfig, DetectorConfigError};
-pub use foundation::Foundation;
+pub use foundation::Bootstrap;
 pub use identity::{Ballot, Epoch, Member, NodeId, View};
 pub use message::{ViewMessage, ViewRecord};
-pub use proposer::Wanted;
+pub use proposer::TargetView;
--- a/coordination/view/src/message.rs
+++ b/coordination/view/src/message.rs
@@ -22,14 +22,14 @@
     /// Asks for the newest decided view, if it is newer than `known`.
     Query { known: Epoch },
     /// The sender agrees to found the system with these members.
-    FoundingAgreed { members: Vec<Member> },
+    BootstrapAgreed { members: Vec<Member> },
 }
 
 /// What must be durable before the messages of the same [`Step`](crate::Step) leave.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ViewRecord {
     /// This node agreed to found the system with these members, and will agree to no others.
-    FoundingAgreed { members: Vec<Member> },
+    BootstrapAgreed { members: Vec<Member> },
     /// No lower ballot will be answered in this instance.
     Promised { instance: Epoch, ballot: Ballot },
     /// A view was accepted in this instance.
--- a/coordination/view/src/proposer.rs
+++ b/coordination/view/src/proposer.rs
@@ -6,7 +6,7 @@
 
 /// What a proposer wants the next view to be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct TargetView {
     /// Who is to vote: the present voters with at most one of them replaced, added or taken out.
     pub voters: Vec<Member>,
     /// Who is to keep the state: the present members that stay in their order, then others.
@@ -16,10 +16,10 @@
     pub complete: BTreeSet<NodeId>,
 }
 
-impl Wanted {
+impl TargetView {
     /// These voters and members, of whom nothing is known to be complete.
-    pub fn new(voters: Vec<Member>, members: Vec<Member>) -> Wanted {
-        Wanted { voters, members, complete: BTreeSet::new() }
+    pub fn new(voters: Vec<Member>, members: Vec<Member>) -> TargetView {
+        TargetView { voters, members, complete: BTreeSet::new() }
     }
 
     /// Whether this is what `view` says already.
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Proposer {
     pub(crate) ballot: Ballot,
-    pub(crate) wanted: Wanted,
+    pub(crate) wanted: TargetView,
     promises: BTreeMap<NodeId, PromiseOf>,
     proposal: Option<View>,
     acceptances: BTreeSet<NodeId>,
@@ -45,7 +45,7 @@
 }
 
 impl Proposer {
-    pub(crate) fn new(ballot: Ballot, wanted: Wanted) -> Proposer {
+    pub(crate) fn new(ballot: Ballot, wanted: TargetView) -> Proposer {
         Proposer { ballot, wanted, promises: BTreeMap::new(), proposal: None, acceptances: BTreeSet::new() }
     }
 
@@ -89,7 +89,7 @@
     /// A majority alone could come from members that are to go, and leave a view whose others have died unnoticed.
     /// Whoever is complete stands before all that are not, so no later member needs to be tried.
     fn own_view(&self, base: &View, minimum_members: usize) -> Option<View> {
-        let Wanted { voters, members, .. } = &self.wanted;
+        let TargetView { voters, members, .. } = &self.wanted;
         let answered = |member: &Member| !base.is_voter(member.id) || self.promises.contains_key(&member.id);
         let first = members.first().filter(|first| base.contains(first.id))?;
         let complete = members.iter().filter(|member| self.is_complete(base, member.id));
--- a/coordination/view/tests/agreement.rs
+++ b/coordination/view/tests/agreement.rs
@@ -1,8 +1,8 @@
 //! One instance of the agreement, one rule at a time.
 
 use millrudder_view::{
-    AcceptedView, Ballot, Epoch, Member, NodeId, Step, View, ViewAgreement, ViewMessage, ViewRecord,
-    ViewState, Wanted,
+    AcceptedView, Ballot, Epoch, Member, NodeId, Step, TargetView, View, ViewAgreement, ViewMessage,
+    ViewRecord, ViewState,
 };
 
 const SECOND_EPOCH: Epoch = Epoch(2);
@@ -21,9 +21,9 @@
 }
 
 /// The same voters, and these members.
-fn wanted(ids: &[u64]) -> Wanted {
+fn wanted(ids: &[u64]) -> TargetView {
     let View { voters, members, .. } = chain(2, ids);
-    Wanted::new(voters, members)
+    TargetView::new(voters, members)
 }
 
 fn agreement(id: u64) -> ViewAgreement {
@@ -64,7 +64,7 @@
 fn no_view_is_proposed_before_each_member_that_is_to_stay_has_answered() {
     let mut proposer = agreement(2);
     let next = view(2, &[1, 2, 4]);
-    let next = Wanted::new(next.voters, next.members);
+    let next = TargetView::new(next.voters, next.members);
     let ballot = ballot_of(&proposer.propose(next));
     let own = proposer.handle(NodeId(2), promise(ballot, None, true), true);
     let leaving = proposer.handle(NodeId(3), promise(ballot, None, true), true);
@@ -201,9 +201,9 @@
 
 #[test]
 fn what_is_known_of_a_node_that_does_not_vote_yet_counts() {
-    let filled = |complete: &[u64]| Wanted {
+    let filled = |complete: &[u64]| TargetView {
         complete: complete.iter().copied().map(NodeId).collect(),
-        ..Wanted::new(view(2, &[1, 2, 4]).voters, view(2, &[1, 4]).members)
+        ..TargetView::new(view(2, &[1, 2, 4]).voters, view(2, &[1, 4]).members)
     };
     for (complete, proposed) in [(&[][..], 0), (&[2][..], 0), (&[4][..], 3)] {
         let mut proposer = agreement(1);
@@ -218,7 +218,7 @@
 fn a_majority_of_voters_decides_whatever_the_number_of_members() {
     let base = View { voters: view(1, &[1, 2, 3, 4, 5]).voters, ..view(1, &[1, 2, 3]) };
     let mut proposer = ViewAgreement::new(NodeId(1), ViewState::of(base.clone()), 2);
-    let next = Wanted::new(base.voters.clone(), view(2, &[1, 2]).members);
+    let next = TargetView::new(base.voters.clone(), view(2, &[1, 2]).members);
     let ballot = ballot_of(&proposer.propose(next));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
     let two = proposer.handle(NodeId(2), promise(ballot, None, true), true);
@@ -238,7 +238,7 @@
 #[test]
 fn voters_change_one_at_a_time() {
     let mut node = agreement(1);
-    let change = |ids: &[u64]| Wanted::new(view(2, ids).voters, view(2, &[1, 2]).members);
+    let change = |ids: &[u64]| TargetView::new(view(2, ids).voters, view(2, &[1, 2]).members);
     assert_eq!(node.propose(change(&[1, 2, 4, 5])), Step::default());
     assert_eq!(node.propose(change(&[1])), Step::default());
     for one in [&[1, 2, 4][..], &[1, 2], &[1, 2, 3, 4], &[1, 2, 3]] {
--- a/coordination/view/tests/foundation.rs
+++ b/coordination/view/tests/foundation.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use millrudder_view::{
-    Envelope, Epoch, Foundation, Member, NodeId, Step, ViewAgreement, ViewMessage, ViewState,
+    Bootstrap, Envelope, Epoch, Member, NodeId, Step, ViewAgreement, ViewMessage, ViewState,
 };
 
 struct Founder {
-    foundation: Foundation,
+    foundation: Bootstrap,
     agreement: ViewAgreement,
 }
 
@@ -19,7 +19,7 @@
     let me = Member { id: NodeId(id), address: address(place) };
     let founders = if may_found { (1..=3).map(address).collect() } else { Vec::new() };
     let agreement = ViewAgreement::new(me.id, ViewState::default(), 2);
-    Founder { foundation: Foundation::new(me, founders, 3), agreement }
+    Founder { foundation: Bootstrap::new(me, founders, 3), agreement }
 }
 
 impl Founder {
@@ -29,7 +29,7 @@
 
     fn receive(&mut self, from: NodeId, message: ViewMessage) -> Step {
         match message {
-            ViewMessage::FoundingAgreed { members } => {
+            ViewMessage::BootstrapAgreed { members } => {
                 self.foundation.handle(&mut self.agreement, from, members)
             }
             other => self.agreement.handle(from, other, true),
@@ -133,7 +133,7 @@
     let mut late = founder(9, 3, true);
     let list = vec![Member { id: NodeId(9), address: address(3) }];
     let first = founders.get_mut(&NodeId(1)).expect("a founder");
-    let step = first.receive(NodeId(9), ViewMessage::FoundingAgreed { members: list });
+    let step = first.receive(NodeId(9), ViewMessage::BootstrapAgreed { members: list });
     for envelope in step.messages {
         let _ = late.receive(NodeId(1), envelope.message);
     }
--- a/coordination/view/tests/golden.rs
+++ b/coordination/view/tests/golden.rs
@@ -49,7 +49,7 @@
         ("accepted", ViewMessage::Accepted { instance: INSTANCE, ballot: BALLOT }),
         ("decided", ViewMessage::Decided { view: view(9) }),
         ("query", ViewMessage::Query { known: INSTANCE }),
-        ("founding_agreed", ViewMessage::FoundingAgreed { members: vec![member(1), member(2)] }),
+        ("founding_agreed", ViewMessage::BootstrapAgreed { members: vec![member(1), member(2)] }),
     ] {
         check(&mut golden, name, &message);
     }
@@ -59,7 +59,7 @@
 #[test]
 fn records_and_durable_state_of_the_agreement() {
     let records = [
-        ("founding_agreed", ViewRecord::FoundingAgreed { members: vec![member(1), member(2)] }),
+        ("founding_agreed", ViewRecord::BootstrapAgreed { members: vec![member(1), member(2)] }),
         ("decided", ViewRecord::Decided { view: view(8) }),
         ("promised", ViewRecord::Promised { instance: Epoch(9), ballot: BALLOT }),
         ("accepted", ViewRecord::Accepted { instance: Epoch(9), accepted: accepted() }),
--- a/coordination/view/tests/model.rs
+++ b/coordination/view/tests/model.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use millrudder_view::{Epoch, Member, NodeId, Step, View, ViewAgreement, ViewMessage, ViewState, Wanted};
+use millrudder_view::{Epoch, Member, NodeId, Step, TargetView, View, ViewAgreement, ViewMessage, ViewState};
 
 /// States explored in an ordinary run.
 const ORDINARY_STATES: usize = 12_000;
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug)]
 enum Action {
-    Propose { node: NodeId, wanted: Wanted },
+    Propose { node: NodeId, wanted: TargetView },
     Deliver { index: usize },
     Restart { node: NodeId },
 }
@@ -46,8 +46,8 @@
     ids.iter().copied().map(member).collect()
 }
 
-fn wanted(voters: &[u64], kept_by: &[u64]) -> Wanted {
-    Wanted::new(members(voters), members(kept_by))
+fn wanted(voters: &[u64], kept_by: &[u64]) -> TargetView {
+    TargetView::new(members(voters), members(kept_by))
 }
 
 impl World {
@@ -149,7 +149,7 @@
                 } else {
                     kept_by.extend(voters.iter().find(|voter| !view.contains(voter.id)).cloned());
                 }
-                let wanted = Wanted::new(voters, kept_by);
+                let wanted = TargetView::new(voters, kept_by);
                 Some(Action::Propose { node, wanted })
             }
             _ => random.choice(self.deliveries()),
--- a/coordination/view/tests/voters_model.rs
+++ b/coordination/view/tests/voters_model.rs
@@ -12,7 +12,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use millrudder_view::{
-    Envelope, Epoch, Member, NodeId, Step, View, ViewAgreement, ViewMessage, ViewState, Wanted,
+    Envelope, Epoch, Member, NodeId, Step, TargetView, View, ViewAgreement, ViewMessage, ViewState,
 };
 use stateright::{Checker, Model, Property};
 
@@ -157,7 +157,7 @@
     }
 
     /// What a member would have: those that are there, filled up, and the newcomer in the place of one that is lost.
-    fn wanted(&self, state: &State, view: &View) -> Wanted {
+    fn wanted(&self, state: &State, view: &View) -> TargetView {
         let up = |member: &&Member| !state.down.contains(&member.id);
         let mut members: Vec<Member> = view.members.iter().filter(up).cloned().collect();
         let outside = view.voters.iter().filter(|voter| !view.contains(voter.id));
@@ -174,8 +174,10 @@
             members.push(member(NEWCOMER));
         }
         match self.rules {
-            Rules::AsBuilt => Wanted { complete: state.complete.clone(), ..Wanted::new(voters, members) },
-            Rules::VotersShrink => Wanted::new(members.clone(), members),
+            Rules::AsBuilt => {
+                TargetView { complete: state.complete.clone(), ..TargetView::new(voters, members) }
+            }
+            Rules::VotersShrink => TargetView::new(members.clone(), members),
         }
     }
 }
--- a/system/runtime/node/src/control_link/mod.rs
+++ b/system/runtime/node/src/control_link/mod.rs
@@ -1,14 +1,14 @@
 //! Connections of a dispatcher or a store to core machines.
 //!
 //! Seeds are asked where they listen; what a core machine tells of the others is kept. A process is connected to as
-//! many of them as it wants; a [`LinkPlan`] chooses them.
+//! many of them as it wants; a [`ConnectionPlanner`] chooses them.
 
 mod seeds;
 
 use crate::clock::SteadyClock;
 use crate::core::ToCorePort;
 use millrudder_protocol::control::{FromCore, Registrant, ToCore};
-use millrudder_staleness::{FreshnessChange, LinkPlan, LinkStep};
+use millrudder_staleness::{ConnectionPlanner, ConnectionStep, StalenessChange};
 use millrudder_transport::dialer::Dialer;
 use millrudder_transport::{LinkEvent, Outbox};
 use std::cell::RefCell;
@@ -37,12 +37,12 @@
 }
 
 /// Logs that what a process holds has grown old, or that this is over.
-pub fn report_freshness(change: Option<FreshnessChange>) {
+pub fn report_freshness(change: Option<StalenessChange>) {
     match change {
-        Some(FreshnessChange::Old { age_ms }) => {
+        Some(StalenessChange::Old { age_ms }) => {
             log::warn!("no core machine has confirmed for {age_ms} ms what is held here");
         }
-        Some(FreshnessChange::Current { was_old_for_ms }) => {
+        Some(StalenessChange::Current { was_old_for_ms }) => {
             log::info!("what is held here is confirmed again, after {was_old_for_ms} ms");
         }
         None => {}
@@ -51,7 +51,7 @@
 
 struct Shared {
     clock: SteadyClock,
-    plan: LinkPlan,
+    plan: ConnectionPlanner,
     registrant: Registrant,
     held: Held,
     seeds: Vec<SocketAddr>,
@@ -87,7 +87,7 @@
     {
         let shared = Shared {
             clock,
-            plan: LinkPlan::new(most, seed),
+            plan: ConnectionPlanner::new(most, seed),
             registrant,
             held: Held::default(),
             seeds,
@@ -135,7 +135,7 @@
 
 impl Shared {
     /// Tells the plan what happened on the connection to an address.
-    fn report(&mut self, address: SocketAddr, event: fn(&mut LinkPlan, u64, SocketAddr)) {
+    fn report(&mut self, address: SocketAddr, event: fn(&mut ConnectionPlanner, u64, SocketAddr)) {
         event(&mut self.plan, self.clock.millis(), address);
     }
 
@@ -182,8 +182,8 @@
     };
     for step in steps {
         match step {
-            LinkStep::Close(address) => drop(handle.shared.borrow_mut().links.remove(&address)),
-            LinkStep::Open(address) => dial(handle, address, deliver.clone()),
+            ConnectionStep::Close(address) => drop(handle.shared.borrow_mut().links.remove(&address)),
+            ConnectionStep::Open(address) => dial(handle, address, deliver.clone()),
         }
     }
 }
@@ -192,12 +192,12 @@
     let this = handle.clone();
     let report = move |outbox: &Outbox, event: LinkEvent<FromCore>| match event {
         LinkEvent::Opened => {
-            this.shared.borrow_mut().report(address, LinkPlan::opened);
+            this.shared.borrow_mut().report(address, ConnectionPlanner::opened);
             register(&this.shared.borrow(), outbox);
         }
         LinkEvent::Closed(reason) => {
             log::info!("core machine {address} is lost: {reason}");
-            this.shared.borrow_mut().report(address, LinkPlan::closed);
+            this.shared.borrow_mut().report(address, ConnectionPlanner::closed);
         }
         LinkEvent::Message(message) => {
             this.note(address, outbox, &message);
@@ -217,11 +217,11 @@
                 let now = shared.clock.millis();
                 shared.plan.vouched(now, address, *moment_ms);
             }
-            FromCore::NoMajority => {
+            FromCore::NoQuorum => {
                 log::info!("core machine {address} has no majority");
                 self.refuse(address);
             }
-            FromCore::TryAnother => {
+            FromCore::Redirect => {
                 self.refuse(address);
                 outbox.close();
             }
@@ -230,7 +230,7 @@
     }
 
     fn refuse(&self, address: SocketAddr) {
-        self.shared.borrow_mut().report(address, LinkPlan::refused);
+        self.shared.borrow_mut().report(address, ConnectionPlanner::refused);
         self.refused.notify_one();
     }
 }
--- a/system/runtime/node/src/core/host/commits.rs
+++ b/system/runtime/node/src/core/host/commits.rs
@@ -22,7 +22,7 @@
                 Output::ViewChanged(view) => self.on_view(&view),
                 Output::LeaseGranted { role, fencing } => self.on_lease(&role, Some(fencing.0)),
                 Output::LeaseLost { role, .. } => self.on_lease(&role, None),
-                Output::ContactGained | Output::ContactLost => self.guard(GateInput::Tick),
+                Output::QuorumContactGained | Output::QuorumContactLost => self.guard(GateInput::Tick),
             }
         }
     }
--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -4,7 +4,7 @@
 use crate::core::messages::ToCorePort;
 use millrudder_chain::{Input, NodeId};
 use millrudder_protocol::control::{Registrant, ToCore};
-use millrudder_staleness::{ConnectionId, Kind, ListNumber, StateNumbers};
+use millrudder_staleness::{ConnectionId, Kind, StateVersions, WorkerListVersion};
 use millrudder_transport::{LinkEvent, Outbox};
 
 impl CoreHost {
@@ -66,8 +66,8 @@
     fn on_client(&mut self, connection: ConnectionId, outbox: &Outbox, message: ToCore) {
         match message {
             ToCore::Register { registrant, configuration_version, placement_epoch } => {
-                let workers = ListNumber::default();
-                let has = StateNumbers { configuration_version, placement_epoch, workers };
+                let workers = WorkerListVersion::default();
+                let has = StateVersions { configuration_version, placement_epoch, workers };
                 self.on_register(connection, outbox, registrant, has);
             }
             ToCore::Heartbeat { health } => {
@@ -90,7 +90,7 @@
         connection: ConnectionId,
         outbox: &Outbox,
         registrant: Registrant,
-        has: StateNumbers,
+        has: StateVersions,
     ) {
         let kind = match &registrant {
             Registrant::Dispatcher { .. } => Kind::Dispatcher,
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -21,7 +21,7 @@
 use millrudder_protocol::control::WorkerList;
 use millrudder_settings::Settings;
 use millrudder_staleness::{
-    ConnectionId, CurrentList, Gate, Input as GateInput, RoundNumber, StandstillWatch,
+    ClockStallDetector, ConnectionId, CurrentWorkerList, Input as GateInput, ReadBarrier, ReadNumber,
 };
 use millrudder_system_http::client::Client;
 use millrudder_transport::{LinkEvent, Outbox};
@@ -67,7 +67,7 @@
 /// Owns the replicated state machine, the placement manager, the reader and all connections.
 pub struct CoreHost {
     clock: SteadyClock,
-    standstill: StandstillWatch,
+    standstill: ClockStallDetector,
     node: CoreNode<ControlState>,
     manager: PlacementManager,
     reader: Reader,
@@ -81,14 +81,14 @@
     addresses: BTreeMap<NodeId, SocketAddr>,
     registrants: Registrants,
     /// Decides what the registrants are told.
-    gate: Gate,
+    gate: ReadBarrier,
     /// The read under way that confirms this machine's state.
     confirming: Option<Confirming>,
     /// Dispatchers that other core machines serve, by their connection.
     others_dispatchers: BTreeMap<ConnectionId, u32>,
     told_dispatchers: u32,
     workers: WorkerList,
-    current_list: CurrentList,
+    current_list: CurrentWorkerList,
     had_majority: bool,
     /// Versions that were taken note of when they came into force.
     followed_version: u64,
@@ -106,7 +106,7 @@
 /// A read that confirms this machine's state.
 struct Confirming {
     request_id: RequestId,
-    round: RoundNumber,
+    round: ReadNumber,
 }
 
 impl CoreHost {
@@ -126,7 +126,7 @@
         manager.handle(0, PlacementInput::Committed(node.machine().placement().clone()));
         let clock = SteadyClock::start();
         CoreHost {
-            standstill: StandstillWatch::new(clock.millis(), time_of_day_ms()),
+            standstill: ClockStallDetector::new(clock.millis(), time_of_day_ms()),
             clock,
             manager,
             reader: Reader::new(&settings, client.clone(), seed, events.clone()),
@@ -137,12 +137,12 @@
             peer_ids: BTreeMap::new(),
             addresses: BTreeMap::new(),
             registrants: Registrants::default(),
-            gate: Gate::new(serving::numbers(node.machine(), &WorkerList::default())),
+            gate: ReadBarrier::new(serving::numbers(node.machine(), &WorkerList::default())),
             confirming: None,
             others_dispatchers: BTreeMap::new(),
             told_dispatchers: 0,
             workers: WorkerList::default(),
-            current_list: CurrentList::default(),
+            current_list: CurrentWorkerList::default(),
             had_majority: false,
             followed_version: node.machine().configuration().version,
             followed_epoch: node.machine().placement().epoch.0,
@@ -264,8 +264,8 @@
     fn look_at_clocks(&mut self) {
         if self.standstill.has_stood_still(self.clock.millis(), time_of_day_ms()) {
             log::warn!("the machine has stood still: leases and contact are given up");
-            self.node.handle(self.clock.micros(), Input::StoodStill);
-            self.guard(GateInput::StoodStill);
+            self.node.handle(self.clock.micros(), Input::ClockStalled);
+            self.guard(GateInput::ClockStalled);
             self.carry_out();
         }
     }
--- a/system/runtime/node/src/core/host/serving.rs
+++ b/system/runtime/node/src/core/host/serving.rs
@@ -7,14 +7,14 @@
 use millrudder_control_state::ControlState;
 use millrudder_protocol::control::{FromCore, WorkerList};
 use millrudder_protocol::Address;
-use millrudder_staleness::{ConnectionId, ListNumber, Output, Part, RoundNumber, StateNumbers};
+use millrudder_staleness::{ConnectionId, Output, ReadNumber, StatePart, StateVersions, WorkerListVersion};
 
 /// The versions of a machine's state.
-pub(super) fn numbers(state: &ControlState, list: &WorkerList) -> StateNumbers {
-    StateNumbers {
+pub(super) fn numbers(state: &ControlState, list: &WorkerList) -> StateVersions {
+    StateVersions {
         configuration_version: state.configuration().version,
         placement_epoch: state.placement().epoch.0,
-        workers: ListNumber::from(list),
+        workers: WorkerListVersion::from(list),
     }
 }
 
@@ -48,19 +48,19 @@
             Output::StartRead { round } => self.start_confirming(round),
             Output::AbandonRead { round } => self.stop_confirming(round),
             Output::Tell { connection, part } => self.tell_part(connection, part),
-            Output::Vouch { connection, moment } => self.vouch(connection, moment),
-            Output::NoMajority { connection } => self.registrants.tell(connection, &FromCore::NoMajority),
-            Output::TryAnother { connection } => self.registrants.tell(connection, &FromCore::TryAnother),
+            Output::Confirm { connection, moment } => self.vouch(connection, moment),
+            Output::NoQuorum { connection } => self.registrants.tell(connection, &FromCore::NoQuorum),
+            Output::Redirect { connection } => self.registrants.tell(connection, &FromCore::Redirect),
         }
     }
 
-    fn start_confirming(&mut self, round: RoundNumber) {
+    fn start_confirming(&mut self, round: ReadNumber) {
         let request_id = self.orders.own_request();
         self.confirming = Some(Confirming { request_id, round });
         self.node.handle(self.clock.micros(), Input::Read { request_id });
     }
 
-    fn stop_confirming(&mut self, round: RoundNumber) {
+    fn stop_confirming(&mut self, round: ReadNumber) {
         if let Some(confirming) = self.confirming.take_if(|confirming| confirming.round == round) {
             let request_id = confirming.request_id;
             self.node.handle(self.clock.micros(), Input::Abandon { request_id });
@@ -75,12 +75,14 @@
         }
     }
 
-    fn tell_part(&self, connection: ConnectionId, part: Part) {
+    fn tell_part(&self, connection: ConnectionId, part: StatePart) {
         let state = self.node.machine();
         let message = match part {
-            Part::Configuration => FromCore::Configuration { configuration: state.configuration().clone() },
-            Part::Placement => FromCore::Placement { placement: state.placement().clone() },
-            Part::Workers => FromCore::Workers { list: self.workers.clone() },
+            StatePart::Configuration => {
+                FromCore::Configuration { configuration: state.configuration().clone() }
+            }
+            StatePart::Placement => FromCore::Placement { placement: state.placement().clone() },
+            StatePart::Workers => FromCore::Workers { list: self.workers.clone() },
         };
         self.registrants.tell(connection, &message);
     }
@@ -125,7 +127,7 @@
     pub(super) fn adopt_own_list(&mut self, list: WorkerList) {
         let role = Role(CONTROLLER.to_owned());
         let lease = self.node.holds(self.clock.micros(), &role).map(|fencing| fencing.0);
-        if self.current_list.take_own(ListNumber::from(&list), lease) {
+        if self.current_list.take_own(WorkerListVersion::from(&list), lease) {
             self.peers.send_all(&ToCorePort::Workers { list: list.clone() });
             self.adopt_workers(list);
         }
@@ -133,7 +135,7 @@
 
     /// Takes a list that another core machine has told.
     pub(super) fn adopt_told_list(&mut self, list: WorkerList) {
-        if self.current_list.take_told(ListNumber::from(&list)) {
+        if self.current_list.take_told(WorkerListVersion::from(&list)) {
             self.reader.has_list();
             self.adopt_workers(list);
         }
--- a/system/runtime/node/src/core/journal.rs
+++ b/system/runtime/node/src/core/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::error::RoleError;
 use millrudder_chain::{DurableState, PersistToken, Record};
-use millrudder_checkpoint_store::{RealFolder, SlotStore, StorageError};
+use millrudder_checkpoint_store::{CheckpointStore, RealFolder, StorageError};
 use speedy::{Readable, Writable};
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -29,7 +29,7 @@
 
 /// What the disk held.
 pub struct Opened {
-    pub store: SlotStore<RealFolder>,
+    pub store: CheckpointStore<RealFolder>,
     pub state: Option<DurableState>,
 }
 
@@ -53,7 +53,7 @@
 /// The folder cannot be used, or holds something else.
 pub fn open(folder: &Path) -> Result<Opened, RoleError> {
     std::fs::create_dir_all(folder).map_err(RoleError::Folder)?;
-    let (store, recovered) = SlotStore::open(RealFolder::open(folder)?)?;
+    let (store, recovered) = CheckpointStore::open(RealFolder::open(folder)?)?;
     let unreadable = |_| RoleError::Unreadable;
     let checkpoint = recovered.checkpoint.as_deref().map(DurableState::read_from_buffer);
     let mut state = checkpoint.transpose().map_err(unreadable)?;
@@ -66,7 +66,7 @@
 
 impl Journal {
     /// Starts the thread.
-    pub fn start(store: SlotStore<RealFolder>, reports: UnboundedSender<Report>) -> Self {
+    pub fn start(store: CheckpointStore<RealFolder>, reports: UnboundedSender<Report>) -> Self {
         let (commands, queue) = channel();
         std::thread::spawn(move || write_all(store, &queue, &reports));
         Journal { commands }
@@ -86,7 +86,11 @@
     }
 }
 
-fn write_all(mut store: SlotStore<RealFolder>, queue: &Receiver<Command>, reports: &UnboundedSender<Report>) {
+fn write_all(
+    mut store: CheckpointStore<RealFolder>,
+    queue: &Receiver<Command>,
+    reports: &UnboundedSender<Report>,
+) {
     let mut last = PersistToken::default();
     while let Ok(first) = queue.recv() {
         let batch = std::iter::once(first).chain(queue.try_iter());
@@ -104,7 +108,7 @@
 }
 
 fn write(
-    store: &mut SlotStore<RealFolder>,
+    store: &mut CheckpointStore<RealFolder>,
     command: Command,
     last: &mut PersistToken,
 ) -> Result<(), StorageError> {
--- a/system/runtime/node/src/core/reader.rs
+++ b/system/runtime/node/src/core/reader.rs
@@ -11,7 +11,7 @@
 use millrudder_protocol::control::{WorkerEntry, WorkerList, WorkerState};
 use millrudder_protocol::Address;
 use millrudder_settings::Settings;
-use millrudder_staleness::ListNumber;
+use millrudder_staleness::WorkerListVersion;
 use millrudder_system_http::client::{Client, FetchError, Fetched, Target};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -63,14 +63,14 @@
     /// when earlier ones have run out. Every list of a lease holder replaces this one.
     pub fn read_once(&mut self, now_ms: u64) {
         if self.list.is_none() {
-            self.list = Some(self.leading(now_ms, ListNumber::WITHOUT_LEASE));
+            self.list = Some(self.leading(now_ms, WorkerListVersion::WITHOUT_LEASE));
             self.tick(now_ms);
         }
     }
 
     /// There is a list of a lease holder.
     pub fn has_list(&mut self) {
-        self.list.take_if(|leading| leading.told.fencing == ListNumber::WITHOUT_LEASE);
+        self.list.take_if(|leading| leading.told.fencing == WorkerListVersion::WITHOUT_LEASE);
     }
 
     fn leading(&self, now_ms: u64, fencing: u64) -> Leading {
@@ -118,7 +118,7 @@
         leading.told.number += 1;
         leading.seen = round.list;
         let told = leading.told.clone();
-        if told.fencing == ListNumber::WITHOUT_LEASE {
+        if told.fencing == WorkerListVersion::WITHOUT_LEASE {
             self.list = None;
         }
         Some(told)
--- a/system/runtime/node/src/edge/host.rs
+++ b/system/runtime/node/src/edge/host.rs
@@ -18,7 +18,7 @@
 use millrudder_protocol::store::{FromDispatcher, ToDispatcher};
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, ShardId, StoreId};
 use millrudder_settings::Settings;
-use millrudder_staleness::{Freshness, StandstillWatch};
+use millrudder_staleness::{ClockStallDetector, StalenessTracker};
 use millrudder_system_http::client::{Client, ClientLimits};
 use millrudder_system_http::front::RequestLimits;
 use millrudder_transport::LinkEvent;
@@ -67,7 +67,7 @@
 /// Owns intake, delivery and all connections.
 pub struct EdgeHost {
     clock: SteadyClock,
-    standstill: StandstillWatch,
+    standstill: ClockStallDetector,
     me: DispatcherId,
     name: String,
     zone: String,
@@ -79,7 +79,7 @@
     bodies: Bodies,
     held: Held,
     /// Since when what is held may be outdated.
-    freshness: Freshness,
+    freshness: StalenessTracker,
     placement: Placement,
     in_force: Arc<ArcSwapOption<InForce>>,
     limits: Arc<ArcSwap<RequestLimits>>,
@@ -109,7 +109,7 @@
             delivery::Configuration { zone: zone.clone(), seed, ..delivery::Configuration::default() };
         EdgeHost {
             clock,
-            standstill: StandstillWatch::new(clock.millis(), clock::time_of_day_ms()),
+            standstill: ClockStallDetector::new(clock.millis(), clock::time_of_day_ms()),
             me: DispatcherId(seed),
             intake: Intake::new(crate::place::location(settings), seed),
             delivery: Delivery::new(configuration),
@@ -118,7 +118,7 @@
             calls: Calls::new(Client::new(ClientLimits::default()), events),
             bodies: Bodies::default(),
             held: Held::default(),
-            freshness: Freshness::default(),
+            freshness: StalenessTracker::default(),
             placement: Placement::default(),
             in_force,
             limits,
@@ -162,7 +162,7 @@
     fn look_at_clocks(&mut self) {
         if self.standstill.has_stood_still(self.clock.millis(), clock::time_of_day_ms()) {
             log::warn!("the machine has stood still: what stores granted before is given back");
-            self.give_delivery(delivery::Input::StoodStill);
+            self.give_delivery(delivery::Input::ClockStalled);
         }
     }
 
@@ -315,7 +315,7 @@
 
     /// A grant of a primary that has been replaced since: the present one may have granted the message anew.
     fn is_of_former_primary(&self, id: MessageId, token: LeaseToken) -> bool {
-        self.placement.shard(id.shard).is_some_and(|entry| token.epoch() < entry.since)
+        self.placement.shard(id.shard).is_some_and(|entry| token.epoch() < entry.term)
     }
 
     /// The message that a store grants: as sent, or as kept here; else the store is asked for it.
--- a/system/runtime/node/src/storage/disk.rs
+++ b/system/runtime/node/src/storage/disk.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::time_of_day_ms;
 use crate::error::RoleError;
-use millrudder_checkpoint_store::{RealFolder, SlotStore};
+use millrudder_checkpoint_store::{CheckpointStore, RealFolder};
 use millrudder_protocol::{MessageId, StoreId};
 use millrudder_queue::{DiskRecord, Recovered, Ticket};
 use millrudder_record_log::{LogWriter, RecordLog, RecordLogError};
@@ -80,7 +80,7 @@
 
 /// The identity of this disk; drawn when it is first used.
 fn identity(folder: &Path, new_id: StoreId) -> Result<StoreId, RoleError> {
-    let (mut slots, recovered) = SlotStore::open(RealFolder::open(folder)?)?;
+    let (mut slots, recovered) = CheckpointStore::open(RealFolder::open(folder)?)?;
     if let Some(bytes) = recovered.checkpoint {
         return StoreId::read_from_buffer(&bytes).map_err(|_| RoleError::Unreadable);
     }
--- a/system/runtime/node/src/storage/filled.rs
+++ b/system/runtime/node/src/storage/filled.rs
@@ -27,7 +27,7 @@
     pub fn follow(&mut self, placement: &Placement, store: StoreId) {
         self.shards.retain(|filled| {
             let change = placement.shard(filled.shard).and_then(|entry| entry.change);
-            let learns = change.is_some_and(|change| change.joins == store && change.since == filled.change);
+            let learns = change.is_some_and(|change| change.joins == store && change.epoch == filled.change);
             learns || filled.change > placement.epoch
         });
     }
--- a/system/runtime/node/src/storage/host.rs
+++ b/system/runtime/node/src/storage/host.rs
@@ -16,7 +16,7 @@
 use millrudder_protocol::{Address, MessageId, RequestNumber, StoreId};
 use millrudder_queue::{Config, ConnectionId, Input, Output, StoreNode};
 use millrudder_settings::Settings;
-use millrudder_staleness::Freshness;
+use millrudder_staleness::StalenessTracker;
 use millrudder_transport::{LinkEvent, Outbox};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -74,7 +74,7 @@
     control: ControlLink,
     held: Held,
     /// Since when what is held may be outdated.
-    freshness: Freshness,
+    freshness: StalenessTracker,
     me: StoreId,
     filled: Filled,
     heartbeat_at: u64,
@@ -126,7 +126,7 @@
             outboxes: BTreeMap::new(),
             control: ControlLink::start(clock, usize::MAX, registrant, settings.seeds.clone(), seed, deliver),
             held: Held::default(),
-            freshness: Freshness::default(),
+            freshness: StalenessTracker::default(),
             me,
             filled: Filled::default(),
             heartbeat_at: 0,
--- a/system/state/control-state/examples/catch_up.rs
+++ b/system/state/control-state/examples/catch_up.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p millrudder-control-state --example catch_up -- ACCEPTED BODY_BYTES`
 
 use millrudder_chain::{CoreConfig, CoreMessage, CoreNode, DurableState, Input, Output, Record, RequestId};
-use millrudder_checkpoint_store::{RealFolder, SlotStore};
+use millrudder_checkpoint_store::{CheckpointStore, RealFolder};
 use millrudder_control_state::{Command, ControlState};
 use millrudder_protocol::control::ConfigurationText;
 use speedy::{Readable, Writable};
@@ -133,7 +133,7 @@
 fn on_disk(state: &DurableState) -> Result<(Duration, Duration), Box<dyn Error>> {
     let folder = folder();
     std::fs::create_dir_all(&folder)?;
-    let (mut store, _) = SlotStore::open(RealFolder::open(&folder)?)?;
+    let (mut store, _) = CheckpointStore::open(RealFolder::open(&folder)?)?;
     let bytes = state.write_to_vec()?;
     let began = Instant::now();
     store.checkpoint(&bytes)?;
@@ -141,7 +141,7 @@
     drop(store);
 
     let began = Instant::now();
-    let (_store, recovered) = SlotStore::open(RealFolder::open(&folder)?)?;
+    let (_store, recovered) = CheckpointStore::open(RealFolder::open(&folder)?)?;
     let checkpoint = recovered.checkpoint.unwrap_or_default();
     let mut state = DurableState::read_from_buffer(&checkpoint)?;
     for record in &recovered.records {
--- a/system/state/control-state/tests/golden.rs
+++ b/system/state/control-state/tests/golden.rs
@@ -26,7 +26,7 @@
         alive: true,
     };
     let replicas = vec![StoreId(1), StoreId(2), StoreId(3)];
-    let shard = ShardEntry { primary: StoreId(2), replicas, change: None, since: Epoch(1) };
+    let shard = ShardEntry { primary: StoreId(2), replicas, change: None, term: Epoch(1) };
     Placement {
         epoch: Epoch(1),
         tolerated_losses: 1,
--- a/system/state/delivery/src/delivery/mod.rs
+++ b/system/state/delivery/src/delivery/mod.rs
@@ -15,7 +15,7 @@
 use leases::Lease;
 use millrudder::Memory;
 use millrudder_protocol::control::WorkerList;
-use millrudder_protocol::store::{HeldLease, ServiceCredit};
+use millrudder_protocol::store::{ActiveLease, ServiceCredit};
 use millrudder_protocol::{MessageId, ShardId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -122,7 +122,7 @@
             Input::CallBackResult { attempt, result } => {
                 self.on_call_back_result(now, attempt, result, out);
             }
-            Input::StoodStill => self.on_stood_still(now, out),
+            Input::ClockStalled => self.on_stood_still(now, out),
             Input::BarrierReached { store, number } => self.doubts.reached(store, number),
             Input::Leaving => self.on_leaving(now, out),
             Input::Tick => {}
@@ -157,11 +157,11 @@
     }
 
     /// Leases whose end is not recorded, of messages in these shards; for `Hello`.
-    pub fn held(&self, shards: impl Fn(ShardId) -> bool) -> Vec<HeldLease> {
+    pub fn held(&self, shards: impl Fn(ShardId) -> bool) -> Vec<ActiveLease> {
         let leases = self.leases.iter().map(|(id, lease)| LeaseKey { id: *id, token: lease.token });
         let all = leases.chain(self.reports.keys()).chain(self.callbacks.keys());
         let mine = all.filter(|key| shards(key.id.shard));
-        mine.map(|key| HeldLease { id: key.id, token: key.token }).collect()
+        mine.map(|key| ActiveLease { id: key.id, token: key.token }).collect()
     }
 
     /// What stores were told last; for a store that connects.
--- a/system/state/delivery/src/interface.rs
+++ b/system/state/delivery/src/interface.rs
@@ -183,7 +183,7 @@
         result: CallBackResult,
     },
     /// The machine stood still, its steady clock with it: what was granted before may be others' by now.
-    StoodStill,
+    ClockStalled,
     /// A store has answered [`Output::Barrier`].
     BarrierReached {
         store: StoreId,
--- a/system/state/delivery/tests/leases.rs
+++ b/system/state/delivery/tests/leases.rs
@@ -3,10 +3,10 @@
 mod common;
 use common::*;
 use millrudder_delivery::*;
-use millrudder_protocol::store::{AttemptOutcome, HeldLease};
+use millrudder_protocol::store::{ActiveLease, AttemptOutcome};
 use millrudder_protocol::{LeaseToken, ShardId, StoreId};
 
-fn held(fixture: &Fixture) -> Vec<HeldLease> {
+fn held(fixture: &Fixture) -> Vec<ActiveLease> {
     fixture.delivery.held(|_| true)
 }
 
@@ -55,7 +55,7 @@
 fn leases_are_held_until_their_end_is_recorded() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 5, "/a");
-    let lease = HeldLease { id: id(1), token: LeaseToken(5) };
+    let lease = ActiveLease { id: id(1), token: LeaseToken(5) };
     assert_eq!(held(&fixture), [lease]);
     assert!(fixture.delivery.held(|shard| shard == ShardId(9)).is_empty());
     fixture.end(sent.attempt, success());
@@ -153,7 +153,7 @@
 fn after_a_standstill_nothing_is_sent_before_the_store_has_answered() {
     let mut fixture = Fixture::new(1);
     fixture.input(Input::Connected { store: STORE });
-    fixture.input(Input::StoodStill);
+    fixture.input(Input::ClockStalled);
     let sent = barriers(&mut fixture);
     assert_eq!(sent.len(), 1);
     // However long it takes to read what lay there: by the clock of the process next to no time has passed.
@@ -169,9 +169,9 @@
 fn an_answer_to_an_earlier_barrier_or_of_another_store_ends_no_doubt() {
     let mut fixture = Fixture::new(1);
     fixture.input(Input::Connected { store: STORE });
-    fixture.input(Input::StoodStill);
+    fixture.input(Input::ClockStalled);
     let first = barriers(&mut fixture)[0].1;
-    fixture.input(Input::StoodStill);
+    fixture.input(Input::ClockStalled);
     let second = barriers(&mut fixture)[0].1;
     fixture.input(Input::BarrierReached { store: STORE, number: first });
     fixture.input(Input::BarrierReached { store: StoreId(STORE.0 + 1), number: second });
@@ -190,7 +190,7 @@
     let mut fixture = Fixture::new(1);
     let out: Vec<Sent> = (0..8).map(|unique| fixture.send(unique, 1, "/a")).collect();
     fixture.deliver(8, 1, "/a");
-    fixture.input(Input::StoodStill);
+    fixture.input(Input::ClockStalled);
     let ends = fixture.reported();
     assert_eq!(ends.len(), 1);
     assert_eq!((ends[0].id, &ends[0].outcome), (id(8), &AttemptOutcome::NotRun { retry_after_ms: 100 }));
--- a/system/state/delivery/tests/random.rs
+++ b/system/state/delivery/tests/random.rs
@@ -141,7 +141,7 @@
             }
             None => {
                 self.world.in_doubt = self.world.connected.contains(&STORE);
-                self.input(Input::StoodStill);
+                self.input(Input::ClockStalled);
             }
         }
     }
--- a/system/state/intake/tests/intake.rs
+++ b/system/state/intake/tests/intake.rs
@@ -21,7 +21,7 @@
         alive: true,
     };
     let shard =
-        |primary| ShardEntry { primary, replicas: vec![HERE, THERE, FAR], change: None, since: Epoch(epoch) };
+        |primary| ShardEntry { primary, replicas: vec![HERE, THERE, FAR], change: None, term: Epoch(epoch) };
     Placement {
         epoch: Epoch(epoch),
         tolerated_losses: 1,
--- a/system/state/placement/src/balance.rs
+++ b/system/state/placement/src/balance.rs
@@ -128,5 +128,5 @@
     }
     let (joins, leaves, since) = (taker.id, Some(chosen.leaves), next.epoch);
     next.shards[chosen.shard].change =
-        Some(MemberChange { joins, leaves, since, reason: ChangeReason::Balance });
+        Some(MemberChange { joins, leaves, epoch: since, reason: ChangeReason::Balance });
 }
--- a/system/state/placement/src/founding.rs
+++ b/system/state/placement/src/founding.rs
@@ -27,7 +27,7 @@
         for store in &replicas {
             *load.entry(*store).or_default() += 1;
         }
-        ShardEntry { primary: replicas[0], replicas, change: None, since: epoch }
+        ShardEntry { primary: replicas[0], replicas, change: None, term: epoch }
     });
     let shards = if stores.is_empty() { Vec::new() } else { shards.collect() };
     Placement { epoch, tolerated_losses, stores: stores.iter().map(|seen| entry(seen)).collect(), shards }
--- a/system/state/placement/src/knowledge.rs
+++ b/system/state/placement/src/knowledge.rs
@@ -89,7 +89,7 @@
     /// The learner of a change has said that it holds all of the shard.
     pub fn report(&self, shard: ShardId, change: &MemberChange) -> Option<Report> {
         let report = self.caught_up.get(&(shard, change.joins)).copied();
-        report.filter(|report| report.change == change.since)
+        report.filter(|report| report.change == change.epoch)
     }
 }
 
--- a/system/state/placement/src/manager.rs
+++ b/system/state/placement/src/manager.rs
@@ -249,7 +249,7 @@
         self.caught_up.retain(|(shard, id), report| {
             let change = current.shard(*shard).and_then(|entry| entry.change);
             let is_under_way =
-                change.is_some_and(|change| change.joins == *id && change.since == report.change);
+                change.is_some_and(|change| change.joins == *id && change.epoch == report.change);
             is_under_way || report.change > current.epoch
         });
     }
--- a/system/state/placement/src/primaries.rs
+++ b/system/state/placement/src/primaries.rs
@@ -49,5 +49,5 @@
 /// Gives a shard to another primary: a new reign begins.
 pub fn lead(shard: &mut ShardEntry, primary: StoreId, epoch: Epoch) {
     shard.primary = primary;
-    shard.since = epoch;
+    shard.term = epoch;
 }
--- a/system/state/placement/src/repair.rs
+++ b/system/state/placement/src/repair.rs
@@ -113,7 +113,7 @@
         next.stores.push(entry(taker));
     }
     let (leaves, reason) = (need.leaves, need.reason);
-    next.shards[at].change = Some(MemberChange { joins: taker.id, leaves, since: epoch, reason });
+    next.shards[at].change = Some(MemberChange { joins: taker.id, leaves, epoch: epoch, reason });
 }
 
 /// The most urgent place of a shard.
--- a/system/state/placement/tests/manager.rs
+++ b/system/state/placement/tests/manager.rs
@@ -130,7 +130,7 @@
     rig.beating.remove(&3);
     rig.run(1000);
     for (old, new) in before.shards.iter().zip(&rig.placement.shards) {
-        assert_eq!(old.primary == new.primary, old.since == new.since);
+        assert_eq!(old.primary == new.primary, old.term == new.term);
     }
 }
 
--- a/system/state/placement/tests/model.rs
+++ b/system/state/placement/tests/model.rs
@@ -197,14 +197,14 @@
         let Some(change) = shard.change else { return };
         assert!(!shard.replicas.contains(&change.joins), "a learner is no replica");
         assert!(change.leaves.is_some_and(|id| shard.replicas.contains(&id)), "a replica gives its place");
-        assert!(change.since <= placement.epoch, "a change began in a placement that was agreed");
+        assert!(change.epoch <= placement.epoch, "a change began in a placement that was agreed");
     }
 
     fn check_shard(&self, number: ShardId, old: &Placement, before: &ShardEntry, after: &ShardEntry) {
         let same_primary = before.primary == after.primary;
-        assert_eq!(same_primary, before.since == after.since, "a reign is one primary's");
+        assert_eq!(same_primary, before.term == after.term, "a reign is one primary's");
         if let Some(change) = after.change.filter(|_| before.change != after.change) {
-            assert!(change.since > old.epoch, "a change that begins has a name of its own");
+            assert!(change.epoch > old.epoch, "a change that begins has a name of its own");
             assert!(!self.retiring.contains(&self.names[&change.joins.0]), "an emptied machine gets nothing");
         }
         if before.replicas == after.replicas {
@@ -212,12 +212,12 @@
         }
         let change = before.change.expect("replicas change only by a change that was agreed before");
         assert_eq!(after.replicas, before.replicas_after(&change), "and only as it says");
-        let report = (change.joins, FilledShard { shard: number, change: change.since });
+        let report = (change.joins, FilledShard { shard: number, change: change.epoch });
         assert!(
             self.reported.contains(&report),
             "a learner is counted only after its report for this change"
         );
-        assert!(after.change.is_none_or(|next| next.since > change.since), "two changes do not overlap");
+        assert!(after.change.is_none_or(|next| next.epoch > change.epoch), "two changes do not overlap");
         self.check_quorums(before, after);
     }
 
--- a/system/state/placement/tests/rig/mod.rs
+++ b/system/state/placement/tests/rig/mod.rs
@@ -86,7 +86,7 @@
 
     fn note_changes(&mut self, placement: &Placement) {
         for shard in &placement.shards {
-            if let Some(change) = shard.change.filter(|change| change.since == placement.epoch) {
+            if let Some(change) = shard.change.filter(|change| change.epoch == placement.epoch) {
                 self.changes_begun += 1;
                 self.reasons.push(change.reason);
             }
@@ -97,7 +97,7 @@
     pub fn reports_of(&self, id: u64) -> Vec<FilledShard> {
         let shards = self.placement.shards.iter().enumerate().filter_map(|(number, shard)| {
             let change = shard.change.filter(|change| change.joins == StoreId(id))?;
-            Some(FilledShard { shard: ShardId(number as u16), change: change.since })
+            Some(FilledShard { shard: ShardId(number as u16), change: change.epoch })
         });
         shards.collect()
     }
--- a/system/state/protocol/src/control.rs
+++ b/system/state/protocol/src/control.rs
@@ -80,7 +80,7 @@
 /// The whole list as one reader saw it; a higher number replaces every lower one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct WorkerList {
-    /// Fencing number of the reader's lease, then its count of changes.
+    /// FencingToken number of the reader's lease, then its count of changes.
     pub fencing: u64,
     pub number: u64,
     pub workers: Vec<WorkerEntry>,
@@ -128,7 +128,7 @@
         count: u32,
     },
     /// This core machine stops: register elsewhere.
-    TryAnother,
+    Redirect,
     /// This core machine hears no majority of the core, and tells nothing before it does; another one may.
-    NoMajority,
+    NoQuorum,
 }
--- a/system/state/protocol/src/identifiers.rs
+++ b/system/state/protocol/src/identifiers.rs
@@ -34,7 +34,7 @@
 /// Bits below the epoch in a sequence or token.
 const COUNT_BITS: u32 = 32;
 
-/// Fencing number of one delivery of one message; a later grant of the same message has a higher one. The epoch since
+/// FencingToken number of one delivery of one message; a later grant of the same message has a higher one. The epoch since
 /// which its primary is one stands in the high 32 bits, a count below.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct LeaseToken(pub u64);
--- a/system/state/protocol/src/placement.rs
+++ b/system/state/protocol/src/placement.rs
@@ -39,8 +39,8 @@
     pub joins: StoreId,
     /// The replica whose place it takes; absent where it is one more.
     pub leaves: Option<StoreId>,
-    /// Epoch of the placement in which this change began; names it.
-    pub since: Epoch,
+    /// Epoch of the placement in which this change began; identifies it.
+    pub epoch: Epoch,
     pub reason: ChangeReason,
 }
 
@@ -76,8 +76,8 @@
     pub replicas: Vec<StoreId>,
     /// The one change of the replicas that is under way.
     pub change: Option<MemberChange>,
-    /// Epoch of the placement in which the primary last changed.
-    pub since: Epoch,
+    /// The primary's term: epoch of the placement in which the primary last changed.
+    pub term: Epoch,
 }
 
 /// The agreed placement; the default one, of epoch 0, has no stores.
--- a/system/state/protocol/src/store.rs
+++ b/system/state/protocol/src/store.rs
@@ -6,7 +6,7 @@
 
 /// A delivery that a dispatcher holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct HeldLease {
+pub struct ActiveLease {
     pub id: MessageId,
     pub token: LeaseToken,
 }
@@ -53,7 +53,7 @@
         name: String,
         zone: String,
         epoch: Epoch,
-        held: Vec<HeldLease>,
+        held: Vec<ActiveLease>,
         /// Messages that it asked some store to keep, without an answer yet, or wants withdrawn: nobody else may run
         /// them until it has said more.
         in_doubt: Vec<MessageId>,
@@ -228,7 +228,7 @@
     Write {
         number: RequestNumber,
         shard: ShardId,
-        since: Epoch,
+        term: Epoch,
         records: Vec<Record>,
     },
     Written {
@@ -238,17 +238,17 @@
     Fenced {
         number: RequestNumber,
         shard: ShardId,
-        since: Epoch,
+        term: Epoch,
     },
     /// From a new primary: promise the shard to it (durably), then tell all that is known of it, in pieces.
-    Promise {
+    Prepare {
         shard: ShardId,
-        since: Epoch,
+        term: Epoch,
     },
-    /// Part of the answer to `Promise`: states with bodies where the message has not ended. `last` ends it.
-    Promised {
+    /// Part of the answer to `Prepare`: states with bodies where the message has not ended. `last` ends it.
+    Promise {
         shard: ShardId,
-        since: Epoch,
+        term: Epoch,
         states: Vec<MessageState>,
         last: bool,
     },
@@ -256,20 +256,20 @@
     /// `Scrubbed`.
     Scrub {
         shard: ShardId,
-        since: Epoch,
+        term: Epoch,
         entries: Vec<ScrubEntry>,
     },
     /// Of the messages asked about, those that this replica lacks or knows otherwise.
     Scrubbed {
         shard: ShardId,
-        since: Epoch,
+        term: Epoch,
         differing: Vec<MessageId>,
     },
     /// From a primary to a learner: it has all that the shard's replicas have, by the primary's placement, in which
     /// the change of this epoch is under way.
     Filled {
         shard: ShardId,
-        since: Epoch,
+        term: Epoch,
         change: Epoch,
     },
     /// Answered with `Pong`.
--- a/system/state/protocol/tests/decoders.rs
+++ b/system/state/protocol/tests/decoders.rs
@@ -11,7 +11,7 @@
 use millrudder_protocol::message::{End, Grant, Header, Message, MessageState};
 use millrudder_protocol::placement::{ChangeReason, MemberChange, Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::store::{
-    BetweenStores, FromDispatcher, HeldLease, QueryAnswer, Record, ScrubEntry, ServiceCredit, ToDispatcher,
+    ActiveLease, BetweenStores, FromDispatcher, QueryAnswer, Record, ScrubEntry, ServiceCredit, ToDispatcher,
     ToStore,
 };
 use millrudder_protocol::{
@@ -87,8 +87,8 @@
     };
     let replicas = vec![StoreId(1), StoreId(2), StoreId(3)];
     let (joins, leaves) = (StoreId(4), Some(StoreId(1)));
-    let change = Some(MemberChange { joins, leaves, since: Epoch(2), reason: ChangeReason::Repair });
-    let shard = ShardEntry { primary: StoreId(1), replicas, change, since: Epoch(2) };
+    let change = Some(MemberChange { joins, leaves, epoch: Epoch(2), reason: ChangeReason::Repair });
+    let shard = ShardEntry { primary: StoreId(1), replicas, change, term: Epoch(2) };
     Placement {
         epoch: Epoch(5),
         tolerated_losses: 1,
@@ -108,7 +108,7 @@
         name: "edge".into(),
         zone: "zone-1".into(),
         epoch: Epoch(5),
-        held: vec![HeldLease { id: id(), token }; 3],
+        held: vec![ActiveLease { id: id(), token }; 3],
         in_doubt: vec![id(); 3],
     };
     let accept = FromDispatcher::Accept { request, id: id(), message: Box::new(message()), lease: true };
@@ -125,10 +125,10 @@
     ];
     let entries = vec![ScrubEntry { unique: 7, digest: 8 }; 4];
     for message in [
-        BetweenStores::Write { number, shard, since, records },
-        BetweenStores::Promised { shard, since, states: vec![state(); 2], last: true },
-        BetweenStores::Scrub { shard, since, entries },
-        BetweenStores::Scrubbed { shard, since, differing: vec![id(); 4] },
+        BetweenStores::Write { number, shard, term: since, records },
+        BetweenStores::Promise { shard, term: since, states: vec![state(); 2], last: true },
+        BetweenStores::Scrub { shard, term: since, entries },
+        BetweenStores::Scrubbed { shard, term: since, differing: vec![id(); 4] },
     ] {
         add(message.write_to_vec());
         add(ToStore::Store { message }.write_to_vec());
--- a/system/state/protocol/tests/golden.rs
+++ b/system/state/protocol/tests/golden.rs
@@ -8,7 +8,7 @@
 use millrudder_protocol::message::{End, Grant, Header, Message, MessageState};
 use millrudder_protocol::placement::{ChangeReason, MemberChange, Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::store::{
-    AttemptOutcome, BetweenStores, FromDispatcher, HeldLease, NotAccepted, QueryAnswer, Record, ScrubEntry,
+    ActiveLease, AttemptOutcome, BetweenStores, FromDispatcher, NotAccepted, QueryAnswer, Record, ScrubEntry,
     ServiceCredit, ServiceRate, ToDispatcher, ToStore,
 };
 use millrudder_protocol::{
@@ -96,14 +96,14 @@
     let change = MemberChange {
         joins: StoreId(4),
         leaves: Some(StoreId(1)),
-        since: SINCE,
+        epoch: SINCE,
         reason: ChangeReason::Repair,
     };
     let shard = |change: Option<MemberChange>| ShardEntry {
         primary: StoreId(1),
         replicas: vec![StoreId(1), StoreId(2), StoreId(3)],
         change,
-        since: Epoch(2),
+        term: Epoch(2),
     };
     let retire = MemberChange { leaves: None, reason: ChangeReason::Retire, ..change };
     let balance = MemberChange { reason: ChangeReason::Balance, ..change };
@@ -125,7 +125,7 @@
                 name: "edge-1".into(),
                 zone: "zone-2".into(),
                 epoch: EPOCH,
-                held: vec![HeldLease { id: ID, token: TOKEN }],
+                held: vec![ActiveLease { id: ID, token: TOKEN }],
                 in_doubt: vec![ID, MessageId { shard: SHARD, unique: 1 }],
             },
         ),
@@ -230,15 +230,15 @@
     let all_records = records().into_iter().map(|(_, record)| record).collect();
     for (name, message) in [
         ("hello", BetweenStores::Hello { store: STORE, epoch: EPOCH }),
-        ("write", BetweenStores::Write { number: REQUEST, shard: SHARD, since: SINCE, records: all_records }),
+        ("write", BetweenStores::Write { number: REQUEST, shard: SHARD, term: SINCE, records: all_records }),
         ("written", BetweenStores::Written { number: REQUEST }),
-        ("fenced", BetweenStores::Fenced { number: REQUEST, shard: SHARD, since: SINCE }),
-        ("promise", BetweenStores::Promise { shard: SHARD, since: SINCE }),
+        ("fenced", BetweenStores::Fenced { number: REQUEST, shard: SHARD, term: SINCE }),
+        ("promise", BetweenStores::Prepare { shard: SHARD, term: SINCE }),
         (
             "promised",
-            BetweenStores::Promised {
+            BetweenStores::Promise {
                 shard: SHARD,
-                since: SINCE,
+                term: SINCE,
                 states: vec![state(), summary()],
                 last: true,
             },
@@ -247,12 +247,12 @@
             "scrub",
             BetweenStores::Scrub {
                 shard: SHARD,
-                since: SINCE,
+                term: SINCE,
                 entries: vec![ScrubEntry { unique: 0x9192, digest: 0xa1a2 }],
             },
         ),
-        ("scrubbed", BetweenStores::Scrubbed { shard: SHARD, since: SINCE, differing: vec![ID] }),
-        ("filled", BetweenStores::Filled { shard: SHARD, since: SINCE, change: EPOCH }),
+        ("scrubbed", BetweenStores::Scrubbed { shard: SHARD, term: SINCE, differing: vec![ID] }),
+        ("filled", BetweenStores::Filled { shard: SHARD, term: SINCE, change: EPOCH }),
         ("ping", BetweenStores::Ping),
         ("pong", BetweenStores::Pong),
     ] {
@@ -314,8 +314,8 @@
         ),
         ("core", FromCore::Core { addresses: vec![address(), address_v6()] }),
         ("dispatchers", FromCore::Dispatchers { count: 69 }),
-        ("try_another", FromCore::TryAnother),
-        ("no_majority", FromCore::NoMajority),
+        ("try_another", FromCore::Redirect),
+        ("no_majority", FromCore::NoQuorum),
     ] {
         check(&mut golden, &format!("from_core_{name}"), &message);
     }
--- a/system/state/queue/src/api.rs
+++ b/system/state/queue/src/api.rs
@@ -20,7 +20,7 @@
     /// Something became known of a message. Ages in it are relative to the time of the append.
     Message { record: Record },
     /// No `Write` of a lower epoch is accepted for the shard any more.
-    Promised { shard: ShardId, since: Epoch },
+    Promised { shard: ShardId, term: Epoch },
 }
 
 /// A record found on the disk at start.
--- a/system/state/queue/src/connections.rs
+++ b/system/state/queue/src/connections.rs
@@ -4,7 +4,7 @@
 use crate::dispatchers::Hold;
 use crate::node::StoreNode;
 use crate::timers::Timer;
-use millrudder_protocol::store::{HeldLease, ServiceCredit, ToDispatcher};
+use millrudder_protocol::store::{ActiveLease, ServiceCredit, ToDispatcher};
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId};
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
         dispatcher: DispatcherId,
         zone: &str,
         epoch: Epoch,
-        held: &[HeldLease],
+        held: &[ActiveLease],
         in_doubt: Vec<MessageId>,
     ) {
         let former = self.dispatchers.connection_of(dispatcher);
--- a/system/state/queue/src/follower.rs
+++ b/system/state/queue/src/follower.rs
@@ -26,7 +26,7 @@
     /// Notes a promise and appends it.
     pub(crate) fn note_promise(&mut self, shard: ShardId, since: Epoch, then: Synced) {
         self.promises.insert(shard, since);
-        self.disk.append(DiskRecord::Promised { shard, since }, then, self.now, &mut self.out);
+        self.disk.append(DiskRecord::Promised { shard, term: since }, then, self.now, &mut self.out);
     }
 
     /// A primary's write.
@@ -43,7 +43,7 @@
         }
         let promised = self.promised_epoch(shard);
         if since < promised {
-            self.tell_store(from, BetweenStores::Fenced { number, shard, since: promised });
+            self.tell_store(from, BetweenStores::Fenced { number, shard, term: promised });
             return;
         }
         if since > promised {
@@ -92,7 +92,7 @@
         }
         let promised = self.promised_epoch(shard);
         if since < promised {
-            self.tell_store(from, BetweenStores::Fenced { number: RequestNumber(0), shard, since: promised });
+            self.tell_store(from, BetweenStores::Fenced { number: RequestNumber(0), shard, term: promised });
             return;
         }
         self.yield_to(shard, since);
@@ -141,7 +141,7 @@
             bytes += entry.message.as_deref().map_or(0, message_bytes) + size_of::<MessageState>();
             states.push(state);
         }
-        self.tell_store(store, BetweenStores::Promised { shard, since, states, last: next.is_none() });
+        self.tell_store(store, BetweenStores::Promise { shard, term: since, states, last: next.is_none() });
         if let Some(next) = next {
             self.dumps.insert((store, shard), Dump { since, next });
             self.timers.set(self.now.plus(self.config.piece_interval_ms), Timer::Piece(store, shard));
--- a/system/state/queue/src/node.rs
+++ b/system/state/queue/src/node.rs
@@ -102,7 +102,7 @@
     fn recover(&mut self, recovered: impl Iterator<Item = Recovered>) {
         for Recovered { record, age_ms } in recovered {
             match record {
-                DiskRecord::Promised { shard, since } => {
+                DiskRecord::Promised { shard, term: since } => {
                     let promise = self.promises.entry(shard).or_default();
                     *promise = since.max(*promise);
                 }
@@ -203,20 +203,22 @@
     fn take_from_store(&mut self, from: StoreId, message: BetweenStores) {
         match message {
             BetweenStores::Hello { .. } | BetweenStores::Pong => {}
-            BetweenStores::Write { number, shard, since, records } => {
+            BetweenStores::Write { number, shard, term: since, records } => {
                 self.write(from, number, shard, since, records);
             }
             BetweenStores::Written { number } => self.written(from, number),
-            BetweenStores::Fenced { shard, since, .. } => self.fenced(shard, since),
-            BetweenStores::Promise { shard, since } => self.promise(from, shard, since),
-            BetweenStores::Promised { shard, since, states, last } => {
+            BetweenStores::Fenced { shard, term: since, .. } => self.fenced(shard, since),
+            BetweenStores::Prepare { shard, term: since } => self.promise(from, shard, since),
+            BetweenStores::Promise { shard, term: since, states, last } => {
                 self.promised(from, shard, since, states, last);
             }
-            BetweenStores::Scrub { shard, since, entries } => self.compare(from, shard, since, &entries),
-            BetweenStores::Scrubbed { shard, since, differing } => {
+            BetweenStores::Scrub { shard, term: since, entries } => {
+                self.compare(from, shard, since, &entries)
+            }
+            BetweenStores::Scrubbed { shard, term: since, differing } => {
                 self.scrubbed(from, shard, since, &differing);
             }
-            BetweenStores::Filled { shard, since, change } => self.filled(shard, since, change),
+            BetweenStores::Filled { shard, term: since, change } => self.filled(shard, since, change),
             BetweenStores::Ping => self.tell_store(from, BetweenStores::Pong),
         }
     }
@@ -281,7 +283,7 @@
     /// Promises in force, for the compaction of segments.
     pub fn promises(&self) -> Vec<DiskRecord> {
         let promise =
-            |(shard, since): (&ShardId, &Epoch)| DiskRecord::Promised { shard: *shard, since: *since };
+            |(shard, since): (&ShardId, &Epoch)| DiskRecord::Promised { shard: *shard, term: *since };
         self.promises.iter().map(promise).collect()
     }
 
--- a/system/state/queue/src/reign.rs
+++ b/system/state/queue/src/reign.rs
@@ -65,7 +65,7 @@
 impl Reign {
     pub fn new(entry: &ShardEntry, tolerated_losses: u32) -> Self {
         Reign {
-            since: entry.since,
+            since: entry.term,
             memberships: entry.memberships(tolerated_losses),
             change: entry.change,
             heard: BTreeSet::new(),
--- a/system/state/queue/src/repair.rs
+++ b/system/state/queue/src/repair.rs
@@ -118,7 +118,7 @@
             let Some(reign) = self.reigns.get(&shard) else { continue };
             let since = reign.since;
             if let Some(change) = reign.change.filter(|change| change.joins == store) {
-                self.tell_store(store, BetweenStores::Filled { shard, since, change: change.since });
+                self.tell_store(store, BetweenStores::Filled { shard, term: since, change: change.epoch });
             }
         }
     }
--- a/system/state/queue/src/replication.rs
+++ b/system/state/queue/src/replication.rs
@@ -144,7 +144,7 @@
         let Some(peer) = self.peers.get_mut(&store) else { return };
         let repair_bytes = if repair { batch.bytes } else { 0 };
         let number = peer.send(self.now, batch.messages, repair_bytes);
-        self.tell_store(store, BetweenStores::Write { number, shard, since, records: batch.records });
+        self.tell_store(store, BetweenStores::Write { number, shard, term: since, records: batch.records });
     }
 
     /// Other stores that a change is sent to at once: the learner, and as many replicas as are promised.
--- a/system/state/queue/src/scrub.rs
+++ b/system/state/queue/src/scrub.rs
@@ -72,7 +72,7 @@
             reign.scrub_from = next;
         }
         for (store, entries) in by_store {
-            self.tell_store(store, BetweenStores::Scrub { shard, since, entries });
+            self.tell_store(store, BetweenStores::Scrub { shard, term: since, entries });
         }
     }
 
@@ -99,7 +99,7 @@
         let differing = entries.iter().filter(differs).map(|entry| MessageId { shard, unique: entry.unique });
         let differing: Vec<MessageId> = differing.collect();
         if !differing.is_empty() {
-            self.tell_store(from, BetweenStores::Scrubbed { shard, since, differing });
+            self.tell_store(from, BetweenStores::Scrubbed { shard, term: since, differing });
         }
     }
 
--- a/system/state/queue/src/takeover.rs
+++ b/system/state/queue/src/takeover.rs
@@ -85,7 +85,7 @@
         let is_connected = self.peers.get(&store).is_some_and(|peer| peer.connected);
         if is_connected && store != self.me && reign.is_member(store) && !reign.heard.contains(&store) {
             let since = reign.since;
-            self.tell_store(store, BetweenStores::Promise { shard, since });
+            self.tell_store(store, BetweenStores::Prepare { shard, term: since });
         }
     }
 
--- a/system/state/queue/tests/cluster/dispatcher.rs
+++ b/system/state/queue/tests/cluster/dispatcher.rs
@@ -3,7 +3,7 @@
 use super::Cluster;
 use millrudder_protocol::message::Message;
 use millrudder_protocol::placement::Placement;
-use millrudder_protocol::store::{AttemptOutcome, FromDispatcher, HeldLease, NotAccepted, ToDispatcher};
+use millrudder_protocol::store::{ActiveLease, AttemptOutcome, FromDispatcher, NotAccepted, ToDispatcher};
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, RequestNumber, StoreId};
 use std::collections::BTreeMap;
 
@@ -104,7 +104,7 @@
         let dispatcher = &self.dispatchers[at];
         let is_primary = |id: &MessageId| dispatcher.primary(*id) == Some(self.stores[store].id);
         let keys = dispatcher.deliveries.keys().filter(|(id, _)| is_primary(id));
-        let held = keys.map(|(id, token)| HeldLease { id: *id, token: *token }).collect();
+        let held = keys.map(|(id, token)| ActiveLease { id: *id, token: *token }).collect();
         let in_doubt = dispatcher.pending.keys().copied().collect();
         let hello = FromDispatcher::Hello {
             dispatcher: dispatcher.id,
--- a/system/state/queue/tests/cluster/manager.rs
+++ b/system/state/queue/tests/cluster/manager.rs
@@ -41,7 +41,7 @@
             let members =
                 (0..replicas.min(options.stores)).map(|step| (usize::from(number) + step) % options.stores);
             let replicas: Vec<StoreId> = members.map(store).collect();
-            ShardEntry { primary: replicas[0], replicas, change: None, since: Epoch(1) }
+            ShardEntry { primary: replicas[0], replicas, change: None, term: Epoch(1) }
         };
         let placement = Placement {
             epoch: Epoch(1),
@@ -59,7 +59,7 @@
 }
 
 fn change(joins: StoreId, leaves: Option<StoreId>, reason: ChangeReason) -> MemberChange {
-    MemberChange { joins, leaves, since: NEXT, reason }
+    MemberChange { joins, leaves, epoch: NEXT, reason }
 }
 
 /// Disks of one machine have names that differ by whole hundreds.
@@ -94,11 +94,11 @@
         if placement != self.manager.placement {
             placement.epoch = Epoch(placement.epoch.0 + 1);
             for shard in &mut placement.shards {
-                if shard.since == NEXT {
-                    shard.since = placement.epoch;
+                if shard.term == NEXT {
+                    shard.term = placement.epoch;
                 }
-                if let Some(change) = shard.change.as_mut().filter(|change| change.since == NEXT) {
-                    change.since = placement.epoch;
+                if let Some(change) = shard.change.as_mut().filter(|change| change.epoch == NEXT) {
+                    change.epoch = placement.epoch;
                 }
             }
             self.manager.placement = placement;
@@ -163,7 +163,7 @@
             let Some(change) = shard.change else { continue };
             let store = self.stores.iter().find(|store| store.id == change.joins);
             let is_this =
-                |filled: &FilledShard| usize::from(filled.shard.0) == number && filled.change == change.since;
+                |filled: &FilledShard| usize::from(filled.shard.0) == number && filled.change == change.epoch;
             if store.is_some_and(|store| store.caught_up.iter().any(is_this)) {
                 shard.replicas = shard.replicas_after(&change);
                 shard.change = None;
@@ -188,7 +188,7 @@
             let is_better = long_well(best) && load(best, placement) + 1 < load(present, placement);
             if !may_serve(present) || is_better {
                 placement.shards[number].primary = best;
-                placement.shards[number].since = NEXT;
+                placement.shards[number].term = NEXT;
             }
         }
     }
--- a/system/state/queue/tests/delivery.rs
+++ b/system/state/queue/tests/delivery.rs
@@ -264,7 +264,7 @@
     let kept_token = accepted_token(&wired);
     let lost = wired.accept(0, 1, message(), true);
     wired.input(0, Input::DispatcherClosed { connection: ConnectionId(1) });
-    let held = vec![millrudder_protocol::store::HeldLease { id: kept, token: kept_token }];
+    let held = vec![millrudder_protocol::store::ActiveLease { id: kept, token: kept_token }];
     wired.hello(0, 2, 1, "zone-0", held);
     assert_eq!(wired.take_grants()[0].id, lost, "what it does not list it never got");
     for _ in 0..5 {
--- a/system/state/queue/tests/model.rs
+++ b/system/state/queue/tests/model.rs
@@ -101,7 +101,7 @@
     /// fence off.
     fn is_serving(&self, store: usize) -> bool {
         let Some(node) = &self.wired.places[store].node else { return false };
-        let in_force = DiskRecord::Promised { shard: SHARD, since: self.wired.placement.shards[0].since };
+        let in_force = DiskRecord::Promised { shard: SHARD, term: self.wired.placement.shards[0].term };
         node.health(self.wired.now_ms).serving == 1 && node.promises().contains(&in_force)
     }
 
@@ -148,7 +148,7 @@
                 wired.accept_as(FIRST, connection(FIRST), ID, later(), false);
             }
             Event::Succeed => {
-                let since = wired.placement.shards[0].since;
+                let since = wired.placement.shards[0].term;
                 let outcome = AttemptOutcome::Succeeded { signature: "s".to_owned() };
                 wired.attempted(primary, connection(primary), ID, LeaseToken::new(since, 1), outcome);
             }
--- a/system/state/queue/tests/replicas/support.rs
+++ b/system/state/queue/tests/replicas/support.rs
@@ -2,7 +2,7 @@
 
 use millrudder_protocol::message::End;
 use millrudder_protocol::placement::{ChangeReason, MemberChange};
-use millrudder_protocol::store::{AttemptOutcome, HeldLease};
+use millrudder_protocol::store::{ActiveLease, AttemptOutcome};
 use millrudder_protocol::{Epoch, LeaseToken};
 
 use crate::wired::{store_id, Wired};
@@ -29,13 +29,13 @@
 }
 
 /// The dispatcher has heard of a new placement.
-pub fn announce(wired: &mut Wired, store: usize, held: Vec<HeldLease>) {
+pub fn announce(wired: &mut Wired, store: usize, held: Vec<ActiveLease>) {
     wired.hello(store, store as u64 + 1, 7, "zone-0", held);
 }
 
 pub fn replaces(lost: usize, learner: usize, since: Epoch) -> MemberChange {
     let (joins, leaves) = (store_id(learner), Some(store_id(lost)));
-    MemberChange { joins, leaves, since, reason: ChangeReason::Repair }
+    MemberChange { joins, leaves, epoch: since, reason: ChangeReason::Repair }
 }
 
 /// Store 3 is to take the place of store 2, which is well; nothing was said to it yet.
--- a/system/state/queue/tests/replicas/takeovers.rs
+++ b/system/state/queue/tests/replicas/takeovers.rs
@@ -1,7 +1,7 @@
 //! A shard's primary changes.
 
 use millrudder_protocol::message::{End, Message};
-use millrudder_protocol::store::{AttemptOutcome, FromDispatcher, HeldLease, NotAccepted, ToDispatcher};
+use millrudder_protocol::store::{ActiveLease, AttemptOutcome, FromDispatcher, NotAccepted, ToDispatcher};
 use millrudder_protocol::{Epoch, MessageId};
 use millrudder_queue::{ConnectionId, DiskRecord, Input};
 
@@ -102,7 +102,7 @@
     wired.start(0);
     wired.move_primary(2);
     assert_eq!(wired.state(2, id).unwrap().end, completed());
-    announce(&mut wired, 2, vec![HeldLease { id, token }]);
+    announce(&mut wired, 2, vec![ActiveLease { id, token }]);
     wired.attempted(2, 3, id, token, success());
     assert!(wired.is_recorded(id, token));
     wired.advance(10_000);
@@ -119,7 +119,7 @@
     wired.move_primary(1);
     wired.hello(1, 20, 20, "zone-1", Vec::new());
     assert!(wired.take_grants().is_empty(), "the other dispatcher says nothing about it");
-    announce(&mut wired, 1, vec![HeldLease { id, token }]);
+    announce(&mut wired, 1, vec![ActiveLease { id, token }]);
     for _ in 0..10 {
         wired.advance(500);
         wired.say(1, 2, FromDispatcher::Ping);
@@ -187,7 +187,7 @@
     wired.kill(0);
     wired.places[2].held = true;
     wired.move_primary(1);
-    announce(&mut wired, 1, vec![HeldLease { id, token }]);
+    announce(&mut wired, 1, vec![ActiveLease { id, token }]);
     wired.release(2);
     wired.advance(1_000);
     assert!(wired.take_grants().is_empty());
@@ -221,7 +221,7 @@
     wired.hello(1, 21, 20, "zone-1", Vec::new());
     let third = wired.accept(1, 21, with_key("k"), true);
     assert!(wired.take_grants().is_empty());
-    announce(&mut wired, 1, vec![HeldLease { id: first, token: first_token }]);
+    announce(&mut wired, 1, vec![ActiveLease { id: first, token: first_token }]);
     assert!(wired.take_grants().is_empty(), "the first is still out");
     wired.attempted(1, 2, first, first_token, success());
     let granted = wired.take_grants();
@@ -237,7 +237,7 @@
     let token = accepted_token(&wired);
     wired.attempted(0, 1, id, token, AttemptOutcome::Failed);
     wired.move_primary(1);
-    announce(&mut wired, 1, vec![HeldLease { id, token }]);
+    announce(&mut wired, 1, vec![ActiveLease { id, token }]);
     wired.attempted(1, 2, id, token, AttemptOutcome::Failed);
     assert!(wired.is_recorded(id, token));
     assert_eq!(wired.state(1, id).unwrap().failed_attempts, 1);
@@ -250,7 +250,7 @@
     let token = accepted_token(&wired);
     wired.kill(0);
     wired.start(0);
-    announce(&mut wired, 0, vec![HeldLease { id: first, token }]);
+    announce(&mut wired, 0, vec![ActiveLease { id: first, token }]);
     let second = wired.accept(0, 1, message(), true);
     assert!(accepted_token(&wired) > token);
     let sequence = |id| wired.state(0, id).unwrap().sequence;
@@ -272,7 +272,7 @@
     wired.set_link(0, 2, true);
     wired.placement.epoch = Epoch(2);
     wired.placement.shards[0].primary = store_id(2);
-    wired.placement.shards[0].since = Epoch(2);
+    wired.placement.shards[0].term = Epoch(2);
     wired.spread();
     assert!(wired.state(2, id).is_none());
     wired.release(1);
@@ -341,7 +341,7 @@
     assert!(wired.state(2, id).is_some(), "stores 0 and 1 told it");
     wired.places[0].held = true;
     wired.move_primary(1);
-    announce(&mut wired, 1, vec![HeldLease { id, token }]);
+    announce(&mut wired, 1, vec![ActiveLease { id, token }]);
     wired.attempted(1, 2, id, token, success());
     assert!(wired.is_recorded(id, token));
     lose_disk(&mut wired, 1);
--- a/system/state/queue/tests/replicas/writes.rs
+++ b/system/state/queue/tests/replicas/writes.rs
@@ -133,10 +133,10 @@
     let id = wired.accept(0, 1, message(), true);
     let stray = [
         BetweenStores::Written { number: RequestNumber(u64::MAX) },
-        BetweenStores::Fenced { number: RequestNumber(3), shard: SHARD, since: Epoch(0) },
-        BetweenStores::Promised { shard: SHARD, since: Epoch(9), states: Vec::new(), last: true },
-        BetweenStores::Promise { shard: SHARD, since: Epoch(0) },
-        BetweenStores::Write { number: RequestNumber(1), shard: SHARD, since: Epoch(0), records: Vec::new() },
+        BetweenStores::Fenced { number: RequestNumber(3), shard: SHARD, term: Epoch(0) },
+        BetweenStores::Promise { shard: SHARD, term: Epoch(9), states: Vec::new(), last: true },
+        BetweenStores::Prepare { shard: SHARD, term: Epoch(0) },
+        BetweenStores::Write { number: RequestNumber(1), shard: SHARD, term: Epoch(0), records: Vec::new() },
         BetweenStores::Pong,
     ];
     for message in stray {
--- a/system/state/queue/tests/scrub.rs
+++ b/system/state/queue/tests/scrub.rs
@@ -93,11 +93,11 @@
 fn a_comparison_from_an_old_primary_is_not_answered() {
     let mut node = StoreNode::new(Config::default(), store_id(1), zone(1), 0, std::iter::empty());
     let mut out = Vec::new();
-    let promise = BetweenStores::Promise { shard: SHARD, since: Epoch(5) };
+    let promise = BetweenStores::Prepare { shard: SHARD, term: Epoch(5) };
     node.handle(0, Input::Store { from: StoreId(1), message: promise }, &mut out);
     out.clear();
     let entries = vec![millrudder_protocol::store::ScrubEntry { unique: 1, digest: 1 }];
-    let scrub = BetweenStores::Scrub { shard: SHARD, since: Epoch(4), entries };
+    let scrub = BetweenStores::Scrub { shard: SHARD, term: Epoch(4), entries };
     node.handle(1, Input::Store { from: StoreId(2), message: scrub }, &mut out);
     assert!(out.is_empty());
 }
--- a/system/state/queue/tests/wired/mod.rs
+++ b/system/state/queue/tests/wired/mod.rs
@@ -7,7 +7,7 @@
 use millrudder_protocol::message::{Message, MessageState};
 use millrudder_protocol::placement::{Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::store::{
-    AttemptOutcome, BetweenStores, FromDispatcher, HeldLease, ServiceCredit, ServiceRate, ToDispatcher,
+    ActiveLease, AttemptOutcome, BetweenStores, FromDispatcher, ServiceCredit, ServiceRate, ToDispatcher,
 };
 use millrudder_protocol::{
     Address, DispatcherId, Epoch, LeaseToken, MessageId, RequestNumber, ShardId, StoreId,
@@ -123,7 +123,7 @@
             alive: true,
         };
         let replicas: Vec<StoreId> = (0..stores).map(store_id).collect();
-        let shard = ShardEntry { primary: replicas[0], replicas, change: None, since: Epoch(1) };
+        let shard = ShardEntry { primary: replicas[0], replicas, change: None, term: Epoch(1) };
         let placement = Placement {
             epoch: Epoch(1),
             tolerated_losses,
@@ -235,7 +235,7 @@
     pub fn move_primary(&mut self, index: usize) {
         self.placement.epoch = Epoch(self.placement.epoch.0 + 1);
         self.placement.shards[0].primary = store_id(index);
-        self.placement.shards[0].since = self.placement.epoch;
+        self.placement.shards[0].term = self.placement.epoch;
         self.spread();
     }
 
@@ -352,7 +352,7 @@
         connection: u64,
         dispatcher: u64,
         zone: &str,
-        held: Vec<HeldLease>,
+        held: Vec<ActiveLease>,
     ) {
         self.hello_in_doubt(store, connection, dispatcher, zone, held, Vec::new());
     }
@@ -364,7 +364,7 @@
         connection: u64,
         dispatcher: u64,
         zone: &str,
-        held: Vec<HeldLease>,
+        held: Vec<ActiveLease>,
         in_doubt: Vec<MessageId>,
     ) {
         let hello = FromDispatcher::Hello {
--- a/system/state/record-log/src/fact.rs
+++ b/system/state/record-log/src/fact.rs
@@ -45,7 +45,7 @@
 impl Fact {
     pub fn of(record: &DiskRecord) -> Self {
         match record {
-            DiskRecord::Promised { since, .. } => Self::Promised { since: *since },
+            DiskRecord::Promised { term: since, .. } => Self::Promised { since: *since },
             DiskRecord::Message { record } => Self::of_message(record),
         }
     }
--- a/system/state/record-log/tests/support/mod.rs
+++ b/system/state/record-log/tests/support/mod.rs
@@ -111,7 +111,7 @@
 }
 
 pub fn promised(shard: u16, since: u64) -> DiskRecord {
-    DiskRecord::Promised { shard: ShardId(shard), since: Epoch(since) }
+    DiskRecord::Promised { shard: ShardId(shard), term: Epoch(since) }
 }
 
 /// Appends and syncs.
--- a/system/state/record-log/tests/support/model.rs
+++ b/system/state/record-log/tests/support/model.rs
@@ -101,7 +101,9 @@
             appended => appended?,
         }
         match record {
-            DiskRecord::Promised { shard, since } => self.promises.entry(shard).or_default().push(since),
+            DiskRecord::Promised { shard, term: since } => {
+                self.promises.entry(shard).or_default().push(since)
+            }
             DiskRecord::Message { record } => self.note(record),
         }
         Ok(true)
@@ -198,7 +200,7 @@
 
 fn promise(record: DiskRecord) -> Option<(ShardId, Epoch)> {
     match record {
-        DiskRecord::Promised { shard, since } => Some((shard, since)),
+        DiskRecord::Promised { shard, term: since } => Some((shard, since)),
         DiskRecord::Message { .. } => None,
     }
 }
--- a/system/state/staleness/src/freshness.rs
+++ b/system/state/staleness/src/freshness.rs
@@ -1,28 +1,28 @@
 //! How old a process's copy of the control state is.
 
 /// A copy that no core machine has confirmed for so long is reported as old.
-pub const OLD_AFTER_MS: u64 = 2000;
+pub const STALE_AFTER_MS: u64 = 2000;
 
 /// The copy has become old, or is current again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FreshnessChange {
+pub enum StalenessChange {
     Old { age_ms: u64 },
     Current { was_old_for_ms: u64 },
 }
 
 /// Since when a copy may be outdated.
 #[derive(Clone, Debug, Default)]
-pub struct Freshness {
+pub struct StalenessTracker {
     /// At this moment a majority of the core had nothing newer.
     confirmed_at: Option<u64>,
     old: bool,
 }
 
-impl Freshness {
+impl StalenessTracker {
     /// A core machine has confirmed that the copy holds all that was committed at `moment`, of this process's clock.
     /// A confirmation that comes late, as after a freeze of this process, does not count.
-    pub fn confirmed(&mut self, now: u64, moment: u64) -> Option<FreshnessChange> {
-        if now.saturating_sub(moment) >= OLD_AFTER_MS {
+    pub fn confirmed(&mut self, now: u64, moment: u64) -> Option<StalenessChange> {
+        if now.saturating_sub(moment) >= STALE_AFTER_MS {
             return None;
         }
         let before = self.confirmed_at;
@@ -31,7 +31,7 @@
             return None;
         }
         let was_old_for_ms = now.saturating_sub(before.unwrap_or(now));
-        Some(FreshnessChange::Current { was_old_for_ms })
+        Some(StalenessChange::Current { was_old_for_ms })
     }
 
     /// Whether a majority has confirmed the copy at any time of this process's life.
@@ -45,12 +45,12 @@
     }
 
     /// Notes the passing of time.
-    pub fn poll(&mut self, now: u64) -> Option<FreshnessChange> {
+    pub fn poll(&mut self, now: u64) -> Option<StalenessChange> {
         let age_ms = self.age_ms(now)?;
-        if self.old || age_ms < OLD_AFTER_MS {
+        if self.old || age_ms < STALE_AFTER_MS {
             return None;
         }
         self.old = true;
-        Some(FreshnessChange::Old { age_ms })
+        Some(StalenessChange::Old { age_ms })
     }
 }
--- a/system/state/staleness/src/gate.rs
+++ b/system/state/staleness/src/gate.rs
@@ -1,20 +1,20 @@
 //! What a core machine may tell its registrants, and when.
 
-use crate::state::{ConnectionId, StateNumbers};
+use crate::state::{ConnectionId, StateVersions};
 use std::collections::BTreeMap;
 
 /// Pause between the starts of two confirming reads.
-pub const CONFIRM_EVERY_MS: u64 = 300;
+pub const CONFIRM_INTERVAL_MS: u64 = 300;
 /// A confirmation counts for so long from the start of its read. Longer than a change of the core's view takes.
-pub const MOST_AGE_MS: u64 = 1500;
+pub const MAX_CONFIRMATION_AGE_MS: u64 = 1500;
 
 /// Number of a confirming read of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RoundNumber(pub u64);
+pub struct ReadNumber(pub u64);
 
-impl RoundNumber {
-    fn next(self) -> RoundNumber {
-        RoundNumber(self.0 + 1)
+impl ReadNumber {
+    fn next(self) -> ReadNumber {
+        ReadNumber(self.0 + 1)
     }
 }
 
@@ -32,7 +32,7 @@
     Registered {
         connection: ConnectionId,
         kind: Kind,
-        has: StateNumbers,
+        has: StateVersions,
     },
     Closed {
         connection: ConnectionId,
@@ -43,25 +43,25 @@
         moment: u64,
     },
     /// This machine's state has these versions now.
-    State(StateNumbers),
+    State(StateVersions),
     /// This machine acts for the core, or not any more: it holds the controller's lease.
     Acting(bool),
     /// The read sees all that was committed before its start.
     ReadReady {
-        round: RoundNumber,
+        round: ReadNumber,
     },
     Tick,
     /// There is a connection to another core machine: a read that was asked for without one may end now.
     PeerOpened,
     /// This machine's clock has stood still: no confirmation is known to be recent, nor a read that is under way.
-    StoodStill,
+    ClockStalled,
     /// This machine is about to end.
     Leaving,
 }
 
 /// A part of the control state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum StatePart {
     Configuration,
     Placement,
     Workers,
@@ -71,24 +71,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Start a linearizable read, and report [`Input::ReadReady`].
-    StartRead { round: RoundNumber },
+    StartRead { round: ReadNumber },
     /// Nobody waits for this read any more.
-    AbandonRead { round: RoundNumber },
+    AbandonRead { round: ReadNumber },
     /// Tell a part of the state as it is now.
-    Tell { connection: ConnectionId, part: Part },
+    Tell { connection: ConnectionId, part: StatePart },
     /// Confirm that what was told on this connection is all that was committed at `moment`, as the process said it.
-    Vouch { connection: ConnectionId, moment: u64 },
+    Confirm { connection: ConnectionId, moment: u64 },
     /// Say that this machine cannot confirm its state.
-    NoMajority { connection: ConnectionId },
+    NoQuorum { connection: ConnectionId },
     /// Send the process elsewhere: this machine ends.
-    TryAnother { connection: ConnectionId },
+    Redirect { connection: ConnectionId },
 }
 
 /// How a registrant stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Standing {
     /// Told nothing before this round, or a later one, is confirmed.
-    Waiting { round: RoundNumber, since: u64, refused: bool },
+    Waiting { round: ReadNumber, since: u64, refused: bool },
     /// Told everything that comes into force.
     Admitted,
 }
@@ -96,7 +96,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Registrant {
     kind: Kind,
-    told: StateNumbers,
+    told: StateVersions,
     standing: Standing,
     /// The last moment that the process has asked about ...
     asked: Option<u64>,
@@ -108,16 +108,16 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Read {
-    round: RoundNumber,
+    round: ReadNumber,
     started: u64,
 }
 
 /// Lets registrants hear this machine's state only while a majority of the core has confirmed it of late.
 #[derive(Clone, Debug)]
-pub struct Gate {
-    state: StateNumbers,
+pub struct ReadBarrier {
+    state: StateVersions,
     registrants: BTreeMap<ConnectionId, Registrant>,
-    last_round: RoundNumber,
+    last_round: ReadNumber,
     reading: Option<Read>,
     next_read: u64,
     /// Start of the last confirmed read.
@@ -129,13 +129,13 @@
     due: Option<u64>,
 }
 
-impl Gate {
+impl ReadBarrier {
     /// A gate that is closed until a first read is confirmed; `state` is what the disk holds.
-    pub fn new(state: StateNumbers) -> Gate {
-        Gate {
+    pub fn new(state: StateVersions) -> ReadBarrier {
+        ReadBarrier {
             state,
             registrants: BTreeMap::new(),
-            last_round: RoundNumber::default(),
+            last_round: ReadNumber::default(),
             reading: None,
             next_read: 0,
             confirmed_at: None,
@@ -148,7 +148,7 @@
 
     /// Whether a majority has confirmed this machine's state of late, so that answers may rest on it.
     pub fn has_majority(&self, now: u64) -> bool {
-        let recent = |at: u64| now.saturating_sub(at) < MOST_AGE_MS;
+        let recent = |at: u64| now.saturating_sub(at) < MAX_CONFIRMATION_AGE_MS;
         self.confirmed_at.is_some_and(recent)
     }
 
@@ -196,7 +196,7 @@
             Input::ReadReady { round } => self.on_ready(now, round, out),
             Input::Tick => {}
             Input::PeerOpened => self.on_peer_opened(now, out),
-            Input::StoodStill => self.on_stood_still(now, out),
+            Input::ClockStalled => self.on_stood_still(now, out),
             Input::Leaving => self.on_leaving(out),
         }
         self.start_read_if_due(now, out);
@@ -222,13 +222,13 @@
 
     fn find_deadline(&self) -> Option<u64> {
         let read = match self.reading {
-            Some(read) => Some(read.started + MOST_AGE_MS),
+            Some(read) => Some(read.started + MAX_CONFIRMATION_AGE_MS),
             None => Some(self.next_read).filter(|_| !self.leaving),
         };
-        let confirmed = self.confirmed_at.map(|at| at + MOST_AGE_MS);
+        let confirmed = self.confirmed_at.map(|at| at + MAX_CONFIRMATION_AGE_MS);
         let confirmed = confirmed.filter(|_| self.admitted().next().is_some());
         let waiting = self.registrants.values().filter_map(|one| match one.standing {
-            Standing::Waiting { since, refused: false, .. } => Some(since + MOST_AGE_MS),
+            Standing::Waiting { since, refused: false, .. } => Some(since + MAX_CONFIRMATION_AGE_MS),
             _ => None,
         });
         waiting.chain(confirmed).chain(read).min()
@@ -239,16 +239,16 @@
         now: u64,
         connection: ConnectionId,
         kind: Kind,
-        has: StateNumbers,
+        has: StateVersions,
         out: &mut Vec<Output>,
     ) {
         if self.leaving {
-            out.push(Output::TryAnother { connection });
+            out.push(Output::Redirect { connection });
             return;
         }
         let refused = !self.contact && !self.has_majority(now);
         if refused {
-            out.push(Output::NoMajority { connection });
+            out.push(Output::NoQuorum { connection });
         }
         let standing = Standing::Waiting { round: self.last_round.next(), since: now, refused };
         self.registrants.insert(connection, Registrant::new(kind, has, standing));
@@ -264,7 +264,7 @@
         }
     }
 
-    fn on_state(&mut self, state: StateNumbers, out: &mut Vec<Output>) {
+    fn on_state(&mut self, state: StateVersions, out: &mut Vec<Output>) {
         self.state = state;
         for (connection, registrant) in &mut self.registrants {
             if registrant.standing == Standing::Admitted {
@@ -273,7 +273,7 @@
         }
     }
 
-    fn on_ready(&mut self, now: u64, round: RoundNumber, out: &mut Vec<Output>) {
+    fn on_ready(&mut self, now: u64, round: ReadNumber, out: &mut Vec<Output>) {
         let Some(read) = self.reading.take_if(|read| read.round == round) else { return };
         self.confirmed_at = Some(read.started);
         for (connection, registrant) in &mut self.registrants {
@@ -304,12 +304,12 @@
     fn on_leaving(&mut self, out: &mut Vec<Output>) {
         self.leaving = true;
         let connections = std::mem::take(&mut self.registrants);
-        out.extend(connections.into_keys().map(|connection| Output::TryAnother { connection }));
+        out.extend(connections.into_keys().map(|connection| Output::Redirect { connection }));
     }
 
     /// Gives up a read that has taken so long that its confirmation would not count.
     fn expire_read(&mut self, now: u64, out: &mut Vec<Output>) {
-        if self.reading.is_some_and(|read| now.saturating_sub(read.started) >= MOST_AGE_MS) {
+        if self.reading.is_some_and(|read| now.saturating_sub(read.started) >= MAX_CONFIRMATION_AGE_MS) {
             self.restart_read(now, out);
         }
     }
@@ -322,11 +322,11 @@
             let is_refused = match registrant.standing {
                 Standing::Admitted => !has_majority,
                 Standing::Waiting { refused: true, .. } => false,
-                Standing::Waiting { since, .. } => now.saturating_sub(since) >= MOST_AGE_MS,
+                Standing::Waiting { since, .. } => now.saturating_sub(since) >= MAX_CONFIRMATION_AGE_MS,
             };
             if is_refused {
                 registrant.standing = Standing::Waiting { round: next, since: now, refused: true };
-                out.push(Output::NoMajority { connection: *connection });
+                out.push(Output::NoQuorum { connection: *connection });
             }
         }
     }
@@ -338,7 +338,7 @@
         let round = self.last_round.next();
         self.last_round = round;
         self.reading = Some(Read { round, started: now });
-        self.next_read = now + CONFIRM_EVERY_MS;
+        self.next_read = now + CONFIRM_INTERVAL_MS;
         for registrant in self.registrants.values_mut() {
             registrant.covered = registrant.asked;
         }
@@ -352,11 +352,11 @@
 }
 
 impl Registrant {
-    fn new(kind: Kind, told: StateNumbers, standing: Standing) -> Registrant {
+    fn new(kind: Kind, told: StateVersions, standing: Standing) -> Registrant {
         Registrant { kind, told, standing, asked: None, covered: None, vouched: None }
     }
 
-    fn waits_for_more_than(&self, last: RoundNumber) -> bool {
+    fn waits_for_more_than(&self, last: ReadNumber) -> bool {
         let is_waiting = matches!(self.standing, Standing::Waiting { round, .. } if round > last);
         is_waiting || (self.asked.is_some() && self.covered.is_none())
     }
@@ -365,11 +365,11 @@
     fn vouch(&mut self, connection: ConnectionId, out: &mut Vec<Output>) {
         if let Some(moment) = self.covered.filter(|_| self.covered > self.vouched) {
             self.vouched = self.covered;
-            out.push(Output::Vouch { connection, moment });
+            out.push(Output::Confirm { connection, moment });
         }
     }
 
-    fn is_admitted_by(&self, confirmed: RoundNumber) -> bool {
+    fn is_admitted_by(&self, confirmed: ReadNumber) -> bool {
         match self.standing {
             Standing::Admitted => true,
             Standing::Waiting { round, .. } => round <= confirmed,
@@ -383,22 +383,22 @@
     fn tell_newer(
         &mut self,
         connection: ConnectionId,
-        state: &StateNumbers,
+        state: &StateVersions,
         in_full: bool,
         out: &mut Vec<Output>,
     ) {
         let mut tell = |part| out.push(Output::Tell { connection, part });
         let wants_configuration = in_full || self.kind == Kind::Dispatcher;
         if wants_configuration && state.configuration_version > self.told.configuration_version {
-            tell(Part::Configuration);
+            tell(StatePart::Configuration);
             self.told.configuration_version = state.configuration_version;
         }
         if state.placement_epoch > self.told.placement_epoch {
-            tell(Part::Placement);
+            tell(StatePart::Placement);
             self.told.placement_epoch = state.placement_epoch;
         }
         if self.kind == Kind::Dispatcher && state.workers > self.told.workers {
-            tell(Part::Workers);
+            tell(StatePart::Workers);
             self.told.workers = state.workers;
         }
     }
--- a/system/state/staleness/src/plan.rs
+++ b/system/state/staleness/src/plan.rs
@@ -4,19 +4,19 @@
 use std::net::SocketAddr;
 
 /// A connection that does not open within this is replaced, where another machine is known.
-pub const OPEN_WITHIN_MS: u64 = 1200;
+pub const CONNECT_TIMEOUT_MS: u64 = 1200;
 /// The same for a core machine that has not vouched for its state for so long: four of its confirmations.
-pub const VOUCH_WITHIN_MS: u64 = 1200;
+pub const CONFIRM_TIMEOUT_MS: u64 = 1200;
 /// A machine that was left is not tried again for so long ...
-pub const FIRST_REST_MS: u64 = 500;
+pub const INITIAL_BACKOFF_MS: u64 = 500;
 /// ... and twice as long each time, up to this.
-pub const LONGEST_REST_MS: u64 = 2000;
+pub const MAX_BACKOFF_MS: u64 = 2000;
 /// A process that has not run for so long knows nothing of its connections.
 const STOOD_STILL_MS: u64 = 1000;
 
 /// What the process is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkStep {
+pub enum ConnectionStep {
     Close(SocketAddr),
     Open(SocketAddr),
 }
@@ -28,7 +28,7 @@
     /// Open; the machine has not vouched for its state yet.
     Open,
     /// The machine has vouched for its state.
-    Vouched,
+    Confirmed,
     /// The machine cannot vouch for its state, or sends this process away.
     Refused,
 }
@@ -49,7 +49,7 @@
 /// Chooses the core machines to be connected to: leaves those that do not vouch for their state for others, and does
 /// not come back to them at once.
 #[derive(Clone, Debug)]
-pub struct LinkPlan {
+pub struct ConnectionPlanner {
     most: usize,
     known: Vec<SocketAddr>,
     links: BTreeMap<SocketAddr, Link>,
@@ -59,10 +59,10 @@
     polled: u64,
 }
 
-impl LinkPlan {
+impl ConnectionPlanner {
     /// A plan for up to `most` connections; `seed` picks the machine to begin with.
-    pub fn new(most: usize, seed: u64) -> LinkPlan {
-        LinkPlan {
+    pub fn new(most: usize, seed: u64) -> ConnectionPlanner {
+        ConnectionPlanner {
             most,
             known: Vec::new(),
             links: BTreeMap::new(),
@@ -88,7 +88,7 @@
 
     /// Whether some core machine vouches for its state on an open connection.
     pub fn is_served(&self) -> bool {
-        self.links.values().any(|link| link.standing == Standing::Vouched)
+        self.links.values().any(|link| link.standing == Standing::Confirmed)
     }
 
     pub fn opened(&mut self, now: u64, address: SocketAddr) {
@@ -104,8 +104,8 @@
 
     /// The machine has confirmed that its state was current at `moment`, when this process asked.
     pub fn vouched(&mut self, now: u64, address: SocketAddr, moment: u64) {
-        if now.saturating_sub(moment) < VOUCH_WITHIN_MS {
-            self.set(now, address, Standing::Vouched);
+        if now.saturating_sub(moment) < CONFIRM_TIMEOUT_MS {
+            self.set(now, address, Standing::Confirmed);
             self.rests.remove(&address);
         }
     }
@@ -116,13 +116,13 @@
     }
 
     /// What is to be done now.
-    pub fn poll(&mut self, now: u64) -> Vec<LinkStep> {
+    pub fn poll(&mut self, now: u64) -> Vec<ConnectionStep> {
         self.forgive_own_pause(now);
         let mut steps = Vec::new();
         for address in self.lacking(now) {
             let Some(other) = self.candidate(now) else { break };
             self.leave(now, address);
-            steps.push(LinkStep::Close(address));
+            steps.push(ConnectionStep::Close(address));
             self.open(now, other, &mut steps);
         }
         while self.links.len() < self.most {
@@ -156,14 +156,14 @@
 
     fn leave(&mut self, now: u64, address: SocketAddr) {
         self.links.remove(&address);
-        let pause = self.rests.get(&address).map_or(FIRST_REST_MS, |rest| rest.next_ms);
-        let next_ms = (pause * 2).min(LONGEST_REST_MS);
+        let pause = self.rests.get(&address).map_or(INITIAL_BACKOFF_MS, |rest| rest.next_ms);
+        let next_ms = (pause * 2).min(MAX_BACKOFF_MS);
         self.rests.insert(address, Rest { until: now + pause, next_ms });
     }
 
-    fn open(&mut self, now: u64, address: SocketAddr, steps: &mut Vec<LinkStep>) {
+    fn open(&mut self, now: u64, address: SocketAddr, steps: &mut Vec<ConnectionStep>) {
         self.links.insert(address, Link { standing: Standing::Opening, since: now });
-        steps.push(LinkStep::Open(address));
+        steps.push(ConnectionStep::Open(address));
     }
 
     /// The next known address without a connection that may be tried.
@@ -184,8 +184,8 @@
     fn is_lacking(&self, now: u64) -> bool {
         let waited = now.saturating_sub(self.since);
         match self.standing {
-            Standing::Opening => waited >= OPEN_WITHIN_MS,
-            Standing::Open | Standing::Vouched => waited >= VOUCH_WITHIN_MS,
+            Standing::Opening => waited >= CONNECT_TIMEOUT_MS,
+            Standing::Open | Standing::Confirmed => waited >= CONFIRM_TIMEOUT_MS,
             Standing::Refused => true,
         }
     }
--- a/system/state/staleness/src/state.rs
+++ b/system/state/staleness/src/state.rs
@@ -8,33 +8,33 @@
 
 /// Number of a list of workers: the fencing number of its reader's lease, then the reader's count of changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ListNumber {
+pub struct WorkerListVersion {
     pub fencing: u64,
     pub number: u64,
 }
 
-impl ListNumber {
+impl WorkerListVersion {
     /// Below every fencing number of a lease: a list that was read while nobody held one.
     pub const WITHOUT_LEASE: u64 = 0;
 
     /// Whether it was read while nobody held a lease.
     pub fn is_without_lease(&self) -> bool {
-        self.fencing == ListNumber::WITHOUT_LEASE
+        self.fencing == WorkerListVersion::WITHOUT_LEASE
     }
 }
 
-impl From<&WorkerList> for ListNumber {
-    fn from(list: &WorkerList) -> ListNumber {
-        ListNumber { fencing: list.fencing, number: list.number }
+impl From<&WorkerList> for WorkerListVersion {
+    fn from(list: &WorkerList) -> WorkerListVersion {
+        WorkerListVersion { fencing: list.fencing, number: list.number }
     }
 }
 
 /// Versions of the parts of the control state that one process has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StateNumbers {
+pub struct StateVersions {
     /// 0 before the first configuration.
     pub configuration_version: u64,
     /// 0 before the first placement.
     pub placement_epoch: u64,
-    pub workers: ListNumber,
+    pub workers: WorkerListVersion,
 }
