--- a/system/state/staleness/tests/gate.rs
+++ b/system/state/staleness/tests/gate.rs
@@ -1,27 +1,27 @@
 //! What a core machine tells its registrants, with and without contact with a majority.
 
 use millrudder_staleness::{
-    ConnectionId, Gate, Input, Kind, ListNumber, Output, Part, RoundNumber, StateNumbers, CONFIRM_EVERY_MS,
-    MOST_AGE_MS,
+    ConnectionId, Input, Kind, Output, ReadBarrier, ReadNumber, StatePart, StateVersions, WorkerListVersion,
+    CONFIRM_INTERVAL_MS, MAX_CONFIRMATION_AGE_MS,
 };
 
 const FIRST: ConnectionId = ConnectionId(1);
 const SECOND: ConnectionId = ConnectionId(2);
 
-fn numbers(configuration_version: u64, placement_epoch: u64) -> StateNumbers {
-    StateNumbers { configuration_version, placement_epoch, workers: ListNumber::default() }
+fn numbers(configuration_version: u64, placement_epoch: u64) -> StateVersions {
+    StateVersions { configuration_version, placement_epoch, workers: WorkerListVersion::default() }
 }
 
 /// A gate with its clock, and whether it hears a majority.
 struct Machine {
-    gate: Gate,
+    gate: ReadBarrier,
     now: u64,
     contact: bool,
 }
 
 impl Machine {
-    fn with(state: StateNumbers) -> Machine {
-        Machine { gate: Gate::new(state), now: 10_000, contact: true }
+    fn with(state: StateVersions) -> Machine {
+        Machine { gate: ReadBarrier::new(state), now: 10_000, contact: true }
     }
 
     fn give(&mut self, input: Input) -> Vec<Output> {
@@ -30,7 +30,7 @@
         out
     }
 
-    fn register(&mut self, connection: ConnectionId, kind: Kind, has: StateNumbers) -> Vec<Output> {
+    fn register(&mut self, connection: ConnectionId, kind: Kind, has: StateVersions) -> Vec<Output> {
         self.give(Input::Registered { connection, kind, has })
     }
 
@@ -52,19 +52,19 @@
 
     /// A dispatcher that is told everything.
     fn admit(&mut self, connection: ConnectionId, kind: Kind) -> Vec<Output> {
-        let out = self.register(connection, kind, StateNumbers::default());
+        let out = self.register(connection, kind, StateVersions::default());
         self.confirm(&out)
     }
 }
 
-fn started(out: &[Output]) -> Option<RoundNumber> {
+fn started(out: &[Output]) -> Option<ReadNumber> {
     out.iter().find_map(|output| match output {
         Output::StartRead { round } => Some(*round),
         _ => None,
     })
 }
 
-fn told(out: &[Output], connection: ConnectionId) -> Vec<Part> {
+fn told(out: &[Output], connection: ConnectionId) -> Vec<StatePart> {
     let told = out.iter().filter_map(|output| match output {
         Output::Tell { connection: to, part } if *to == connection => Some(*part),
         _ => None,
@@ -80,7 +80,7 @@
 
 fn vouched(out: &[Output], connection: ConnectionId) -> Option<u64> {
     out.iter().find_map(|output| match output {
-        Output::Vouch { connection: to, moment } if *to == connection => Some(*moment),
+        Output::Confirm { connection: to, moment } if *to == connection => Some(*moment),
         _ => None,
     })
 }
@@ -88,18 +88,18 @@
 #[test]
 fn nothing_is_told_before_a_majority_confirms() {
     let mut machine = Machine::with(numbers(5, 2));
-    let out = machine.register(FIRST, Kind::Store, StateNumbers::default());
+    let out = machine.register(FIRST, Kind::Store, StateVersions::default());
     assert_eq!(told(&out, FIRST), vec![]);
     assert_eq!(vouched(&out, FIRST), None);
     machine.now += 7;
     let out = machine.confirm(&out);
-    assert_eq!(told(&out, FIRST), vec![Part::Configuration, Part::Placement]);
+    assert_eq!(told(&out, FIRST), vec![StatePart::Configuration, StatePart::Placement]);
 }
 
 #[test]
 fn only_a_read_that_began_after_a_question_answers_it() {
     let mut machine = Machine::with(numbers(5, 2));
-    let first = machine.register(FIRST, Kind::Store, StateNumbers::default());
+    let first = machine.register(FIRST, Kind::Store, StateVersions::default());
     let asked_at = machine.now;
     assert_eq!(machine.ask(FIRST), vec![]);
     machine.now += 7;
@@ -109,7 +109,7 @@
     machine.now += 7;
     let out = machine.confirm(&out);
     assert_eq!(vouched(&out, FIRST), Some(asked_at));
-    let out = machine.tick_after(CONFIRM_EVERY_MS);
+    let out = machine.tick_after(CONFIRM_INTERVAL_MS);
     let out = machine.confirm(&out);
     assert_eq!(vouched(&out, FIRST), None, "it was answered already");
 }
@@ -118,8 +118,8 @@
 fn a_machine_that_is_cut_off_says_so_and_tells_nothing() {
     let mut machine = Machine::with(numbers(5, 2));
     machine.contact = false;
-    let out = machine.register(FIRST, Kind::Dispatcher, StateNumbers::default());
-    assert_eq!(said(&out), vec![Output::NoMajority { connection: FIRST }]);
+    let out = machine.register(FIRST, Kind::Dispatcher, StateVersions::default());
+    assert_eq!(said(&out), vec![Output::NoQuorum { connection: FIRST }]);
     assert_eq!(said(&machine.give(Input::State(numbers(6, 2)))), vec![]);
     assert!(!machine.gate.takes_orders(machine.now));
 }
@@ -127,14 +127,14 @@
 #[test]
 fn a_read_that_began_before_a_registration_does_not_admit_it() {
     let mut machine = Machine::with(numbers(5, 2));
-    let first = machine.register(FIRST, Kind::Store, StateNumbers::default());
-    assert_eq!(machine.register(SECOND, Kind::Store, StateNumbers::default()), vec![]);
+    let first = machine.register(FIRST, Kind::Store, StateVersions::default());
+    assert_eq!(machine.register(SECOND, Kind::Store, StateVersions::default()), vec![]);
     let out = machine.confirm(&first);
     assert_eq!(told(&out, SECOND), vec![]);
     assert_eq!(vouched(&out, SECOND), None);
     // The next one starts at once.
     let out = machine.confirm(&out);
-    assert_eq!(told(&out, SECOND), vec![Part::Configuration, Part::Placement]);
+    assert_eq!(told(&out, SECOND), vec![StatePart::Configuration, StatePart::Placement]);
 }
 
 #[test]
@@ -143,7 +143,7 @@
     machine.admit(FIRST, Kind::Dispatcher);
     machine.contact = false;
     let lost = machine.tick_after(50);
-    assert_eq!(said(&lost), vec![Output::NoMajority { connection: FIRST }]);
+    assert_eq!(said(&lost), vec![Output::NoQuorum { connection: FIRST }]);
     assert!(!machine.gate.takes_orders(machine.now));
     assert_eq!(machine.give(Input::State(numbers(6, 2))), vec![]);
     assert_eq!(machine.tick_after(50), vec![], "said once");
@@ -151,14 +151,14 @@
     let out = machine.tick_after(50);
     assert_eq!(said(&out), vec![], "contact alone confirms nothing");
     let out = machine.confirm(&lost);
-    assert_eq!(told(&out, FIRST), vec![Part::Configuration]);
+    assert_eq!(told(&out, FIRST), vec![StatePart::Configuration]);
 }
 
 #[test]
 fn a_read_that_began_before_contact_was_lost_confirms_nothing() {
     let mut machine = Machine::with(numbers(5, 2));
     machine.admit(FIRST, Kind::Dispatcher);
-    let under_way = started(&machine.tick_after(CONFIRM_EVERY_MS)).unwrap();
+    let under_way = started(&machine.tick_after(CONFIRM_INTERVAL_MS)).unwrap();
     machine.contact = false;
     let out = machine.tick_after(50);
     assert!(out.contains(&Output::AbandonRead { round: under_way }));
@@ -171,11 +171,11 @@
 fn the_first_connection_to_another_core_machine_starts_the_read_anew() {
     let mut machine = Machine::with(numbers(5, 2));
     machine.contact = false;
-    let lost = machine.register(FIRST, Kind::Store, StateNumbers::default());
+    let lost = machine.register(FIRST, Kind::Store, StateVersions::default());
     let out = machine.give(Input::PeerOpened);
     assert!(out.contains(&Output::AbandonRead { round: started(&lost).unwrap() }));
     let out = machine.confirm(&out);
-    assert_eq!(told(&out, FIRST), vec![Part::Configuration, Part::Placement]);
+    assert_eq!(told(&out, FIRST), vec![StatePart::Configuration, StatePart::Placement]);
     assert!(machine.gate.takes_orders(machine.now));
     assert_eq!(machine.give(Input::PeerOpened), vec![], "it has a majority");
 }
@@ -185,35 +185,35 @@
     let mut machine = Machine::with(numbers(5, 2));
     machine.admit(FIRST, Kind::Dispatcher);
     assert!(machine.gate.takes_orders(machine.now));
-    let out = machine.tick_after(CONFIRM_EVERY_MS);
+    let out = machine.tick_after(CONFIRM_INTERVAL_MS);
     assert!(started(&out).is_some());
     // Contact there is, but the tail does not answer.
-    let out = machine.tick_after(MOST_AGE_MS - CONFIRM_EVERY_MS);
-    assert_eq!(out, vec![Output::NoMajority { connection: FIRST }]);
+    let out = machine.tick_after(MAX_CONFIRMATION_AGE_MS - CONFIRM_INTERVAL_MS);
+    assert_eq!(out, vec![Output::NoQuorum { connection: FIRST }]);
     assert!(!machine.gate.takes_orders(machine.now));
 }
 
 #[test]
 fn a_read_that_took_too_long_confirms_nothing() {
     let mut machine = Machine::with(numbers(5, 2));
-    let out = machine.register(FIRST, Kind::Store, StateNumbers::default());
+    let out = machine.register(FIRST, Kind::Store, StateVersions::default());
     let late = started(&out).unwrap();
     // The process stood still, with the confirmation of long ago in its sockets.
-    machine.now += MOST_AGE_MS;
+    machine.now += MAX_CONFIRMATION_AGE_MS;
     let out = machine.give(Input::ReadReady { round: late });
     assert!(out.contains(&Output::AbandonRead { round: late }));
     assert_eq!(told(&out, FIRST), vec![]);
     let out = machine.confirm(&out);
-    assert_eq!(told(&out, FIRST), vec![Part::Configuration, Part::Placement]);
+    assert_eq!(told(&out, FIRST), vec![StatePart::Configuration, StatePart::Placement]);
 }
 
 #[test]
 fn a_registrant_that_waits_long_is_told_that_there_is_no_majority() {
     let mut machine = Machine::with(numbers(5, 2));
-    machine.register(FIRST, Kind::Dispatcher, StateNumbers::default());
-    assert_eq!(machine.gate.next_deadline(), Some(machine.now + MOST_AGE_MS));
-    let out = machine.tick_after(MOST_AGE_MS);
-    assert!(out.contains(&Output::NoMajority { connection: FIRST }));
+    machine.register(FIRST, Kind::Dispatcher, StateVersions::default());
+    assert_eq!(machine.gate.next_deadline(), Some(machine.now + MAX_CONFIRMATION_AGE_MS));
+    let out = machine.tick_after(MAX_CONFIRMATION_AGE_MS);
+    assert!(out.contains(&Output::NoQuorum { connection: FIRST }));
 }
 
 #[test]
@@ -221,26 +221,29 @@
     let mut machine = Machine::with(numbers(5, 2));
     let out = machine.register(FIRST, Kind::Store, numbers(5, 1));
     let out = machine.confirm(&out);
-    assert_eq!(told(&out, FIRST), vec![Part::Placement]);
+    assert_eq!(told(&out, FIRST), vec![StatePart::Placement]);
     machine.give(Input::Acting(true));
     let out = machine.give(Input::State(numbers(7, 2)));
-    assert_eq!(told(&out, FIRST), vec![Part::Configuration]);
+    assert_eq!(told(&out, FIRST), vec![StatePart::Configuration]);
     assert_eq!(machine.give(Input::State(numbers(7, 2))), vec![]);
 }
 
 #[test]
 fn a_store_is_told_later_configurations_by_the_machine_that_acts() {
     let mut machine = Machine::with(numbers(5, 2));
-    assert_eq!(told(&machine.admit(FIRST, Kind::Store), FIRST), vec![Part::Configuration, Part::Placement]);
+    assert_eq!(
+        told(&machine.admit(FIRST, Kind::Store), FIRST),
+        vec![StatePart::Configuration, StatePart::Placement]
+    );
     let out = machine.give(Input::State(numbers(7, 3)));
-    assert_eq!(told(&out, FIRST), vec![Part::Placement], "another one tells it the configuration");
-    let out = machine.tick_after(CONFIRM_EVERY_MS);
+    assert_eq!(told(&out, FIRST), vec![StatePart::Placement], "another one tells it the configuration");
+    let out = machine.tick_after(CONFIRM_INTERVAL_MS);
     assert_eq!(told(&machine.confirm(&out), FIRST), vec![]);
     machine.give(Input::Acting(true));
-    let out = machine.tick_after(CONFIRM_EVERY_MS);
-    assert_eq!(told(&machine.confirm(&out), FIRST), vec![Part::Configuration], "it may have missed it");
+    let out = machine.tick_after(CONFIRM_INTERVAL_MS);
+    assert_eq!(told(&machine.confirm(&out), FIRST), vec![StatePart::Configuration], "it may have missed it");
     let out = machine.give(Input::State(numbers(8, 3)));
-    assert_eq!(told(&out, FIRST), vec![Part::Configuration]);
+    assert_eq!(told(&out, FIRST), vec![StatePart::Configuration]);
     machine.give(Input::Acting(false));
     assert_eq!(machine.give(Input::State(numbers(9, 3))), vec![]);
 }
@@ -250,20 +253,20 @@
     let mut machine = Machine::with(numbers(5, 2));
     machine.admit(FIRST, Kind::Dispatcher);
     let out = machine.give(Input::State(numbers(7, 2)));
-    assert_eq!(told(&out, FIRST), vec![Part::Configuration]);
+    assert_eq!(told(&out, FIRST), vec![StatePart::Configuration]);
 }
 
 #[test]
 fn workers_are_for_dispatchers() {
-    let workers = ListNumber { fencing: 4, number: 1 };
-    let mut machine = Machine::with(StateNumbers { workers, ..StateNumbers::default() });
+    let workers = WorkerListVersion { fencing: 4, number: 1 };
+    let mut machine = Machine::with(StateVersions { workers, ..StateVersions::default() });
     let store = machine.admit(FIRST, Kind::Store);
     let dispatcher = machine.admit_next(SECOND, Kind::Dispatcher);
     assert_eq!(told(&store, FIRST), vec![]);
-    assert_eq!(told(&dispatcher, SECOND), vec![Part::Workers]);
-    let older = ListNumber { fencing: 3, number: 9 };
+    assert_eq!(told(&dispatcher, SECOND), vec![StatePart::Workers]);
+    let older = WorkerListVersion { fencing: 3, number: 9 };
     assert_eq!(
-        machine.give(Input::State(StateNumbers { workers: older, ..StateNumbers::default() })),
+        machine.give(Input::State(StateVersions { workers: older, ..StateVersions::default() })),
         vec![]
     );
 }
@@ -282,9 +285,9 @@
     machine.admit(FIRST, Kind::Dispatcher);
     let out = machine.ask(FIRST);
     machine.confirm(&out);
-    assert_eq!(machine.gate.next_deadline(), Some(machine.now + CONFIRM_EVERY_MS));
+    assert_eq!(machine.gate.next_deadline(), Some(machine.now + CONFIRM_INTERVAL_MS));
     for _ in 0..10 {
-        assert!(started(&machine.tick_after(CONFIRM_EVERY_MS - 1)).is_none());
+        assert!(started(&machine.tick_after(CONFIRM_INTERVAL_MS - 1)).is_none());
         machine.ask(FIRST);
         let asked_at = machine.now;
         let out = machine.tick_after(1);
@@ -297,9 +300,9 @@
 fn a_machine_that_ends_sends_all_elsewhere() {
     let mut machine = Machine::with(numbers(5, 2));
     machine.admit(FIRST, Kind::Dispatcher);
-    assert_eq!(machine.give(Input::Leaving), vec![Output::TryAnother { connection: FIRST }]);
-    let out = machine.register(SECOND, Kind::Store, StateNumbers::default());
-    assert_eq!(out, vec![Output::TryAnother { connection: SECOND }]);
+    assert_eq!(machine.give(Input::Leaving), vec![Output::Redirect { connection: FIRST }]);
+    let out = machine.register(SECOND, Kind::Store, StateVersions::default());
+    assert_eq!(out, vec![Output::Redirect { connection: SECOND }]);
     assert!(!machine.gate.takes_orders(machine.now));
     assert_eq!(machine.gate.next_deadline(), None);
 }
@@ -311,7 +314,7 @@
     committed: u64,
     has: u64,
     /// The read under way, and what was committed when it began.
-    read: Option<(RoundNumber, u64)>,
+    read: Option<(ReadNumber, u64)>,
     /// Committed when each connection registered; dropped once that was told or vouched for.
     owed: Vec<(ConnectionId, u64)>,
     /// Committed by time.
@@ -367,7 +370,7 @@
         self.next_connection += 1;
         let connection = ConnectionId(self.next_connection);
         self.owed.push((connection, self.committed));
-        self.machine.register(connection, Kind::Dispatcher, StateNumbers::default())
+        self.machine.register(connection, Kind::Dispatcher, StateVersions::default())
     }
 
     fn ask(&mut self) -> Vec<Output> {
@@ -388,7 +391,7 @@
             match output {
                 Output::StartRead { round } => self.read = Some((*round, self.committed)),
                 Output::Tell { connection, .. } => self.check_told(*connection),
-                Output::Vouch { connection, moment } => {
+                Output::Confirm { connection, moment } => {
                     self.check_told(*connection);
                     self.check_moment(*moment);
                     self.vouched += 1;
@@ -428,11 +431,11 @@
 fn after_a_standstill_only_a_read_that_begins_later_confirms_anything() {
     let mut machine = Machine::with(numbers(5, 2));
     machine.admit(FIRST, Kind::Dispatcher);
-    let under_way = started(&machine.tick_after(CONFIRM_EVERY_MS)).unwrap();
+    let under_way = started(&machine.tick_after(CONFIRM_INTERVAL_MS)).unwrap();
     // With or without contact: a read that was answered meanwhile lies unread.
     for contact in [true, false] {
         machine.contact = contact;
-        let out = machine.give(Input::StoodStill);
+        let out = machine.give(Input::ClockStalled);
         assert!(!machine.gate.takes_orders(machine.now));
         assert_eq!(said(&machine.give(Input::ReadReady { round: under_way })), vec![]);
         assert!(started(&out).is_some_and(|later| later > under_way), "a read begins anew");
--- a/system/state/staleness/tests/plan.rs
+++ b/system/state/staleness/tests/plan.rs
@@ -1,7 +1,8 @@
 //! Which core machines a process is connected to, whatever these say and do not say.
 
 use millrudder_staleness::{
-    LinkPlan, LinkStep, FIRST_REST_MS, LONGEST_REST_MS, OPEN_WITHIN_MS, VOUCH_WITHIN_MS,
+    ConnectionPlanner, ConnectionStep, CONFIRM_TIMEOUT_MS, CONNECT_TIMEOUT_MS, INITIAL_BACKOFF_MS,
+    MAX_BACKOFF_MS,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,7 +13,7 @@
 
 /// A process that is connected to what its plan asks for.
 struct Process {
-    plan: LinkPlan,
+    plan: ConnectionPlanner,
     now: u64,
     links: BTreeSet<SocketAddr>,
     opened: usize,
@@ -20,7 +21,7 @@
 
 impl Process {
     fn with(most: usize, machines: u16) -> Process {
-        let mut plan = LinkPlan::new(most, 0);
+        let mut plan = ConnectionPlanner::new(most, 0);
         for number in 1..=machines {
             plan.know(core(number));
         }
@@ -42,8 +43,8 @@
     fn poll(&mut self) {
         for step in self.plan.poll(self.now) {
             match step {
-                LinkStep::Close(address) => assert!(self.links.remove(&address)),
-                LinkStep::Open(address) => {
+                ConnectionStep::Close(address) => assert!(self.links.remove(&address)),
+                ConnectionStep::Open(address) => {
                     assert!(self.links.insert(address));
                     self.opened += 1;
                 }
@@ -52,7 +53,7 @@
     }
 
     /// Time passes in small steps, in which the machines that are not silent say what they do.
-    fn pass(&mut self, millis: u64, says: impl Fn(&mut LinkPlan, u64, SocketAddr)) {
+    fn pass(&mut self, millis: u64, says: impl Fn(&mut ConnectionPlanner, u64, SocketAddr)) {
         for _ in 0..millis / 100 {
             self.now += 100;
             for address in self.links.clone() {
@@ -97,7 +98,7 @@
     process.plan.refused(process.now, second);
     process.poll();
     assert!(process.links.contains(&second), "there is no other machine");
-    process.now += FIRST_REST_MS;
+    process.now += INITIAL_BACKOFF_MS;
     process.poll();
     assert!(process.links.contains(&first));
     assert!(!process.links.contains(&second));
@@ -107,7 +108,7 @@
 fn a_silent_machine_is_left() {
     let mut process = Process::served(2, 3);
     let (silent, spare) = (process.first(), process.spare(3));
-    process.pass(VOUCH_WITHIN_MS, |plan, now, address| {
+    process.pass(CONFIRM_TIMEOUT_MS, |plan, now, address| {
         if address != silent {
             plan.vouched(now, address, now);
         }
@@ -120,7 +121,7 @@
 fn a_machine_that_cannot_be_reached_is_left() {
     let mut process = Process::with(1, 2);
     let dark = process.first();
-    process.pass(OPEN_WITHIN_MS, |_, _, _| {});
+    process.pass(CONNECT_TIMEOUT_MS, |_, _, _| {});
     assert!(!process.links.contains(&dark));
 }
 
@@ -139,7 +140,7 @@
     process.pass(20_000, |plan, now, address| plan.refused(now, address));
     let tries = process.opened - opened;
     // Each machine rests when it was left: three machines, one of them resting.
-    let most = 20_000 / LONGEST_REST_MS as usize * 2 + 4;
+    let most = 20_000 / MAX_BACKOFF_MS as usize * 2 + 4;
     assert!(tries <= most, "{tries} connections were opened");
     assert!(tries >= 8, "only {tries} connections were opened");
 }
@@ -196,11 +197,11 @@
 fn a_confirmation_of_long_ago_does_not_keep_a_machine() {
     let mut process = Process::served(2, 3);
     let silent = process.first();
-    process.pass(VOUCH_WITHIN_MS, |plan, now, address| {
+    process.pass(CONFIRM_TIMEOUT_MS, |plan, now, address| {
         let moment = if address == silent { 0 } else { now };
         plan.vouched(now, address, moment);
     });
-    process.pass(VOUCH_WITHIN_MS, |plan, now, address| {
+    process.pass(CONFIRM_TIMEOUT_MS, |plan, now, address| {
         let moment = if address == silent { 0 } else { now };
         plan.vouched(now, address, moment);
     });
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -8,14 +8,14 @@
 use crate::mechanism::{Mechanism, Mutant};
 use crate::orders::{Orders, Step};
 use crate::{MILLISECOND, SECOND};
-use millrudder_chain::{CoreConfig, CoreNode, Fencing, Input, NodeId, Output, RequestId, Role};
+use millrudder_chain::{CoreConfig, CoreNode, FencingToken, Input, NodeId, Output, RequestId, Role};
 use millrudder_control_state::{Command, ControlState, Reply};
 use millrudder_placement::{Input as PlacementInput, PlacementManager};
 use millrudder_protocol::control::{FromCore, Registrant, ToCore, WorkerList};
 use millrudder_protocol::{Address, StoreId};
 use millrudder_staleness::{
-    ConnectionId, CurrentList, Gate, Input as GateInput, Kind, ListNumber, Output as GateOutput, Part,
-    RoundNumber, StateNumbers,
+    ConnectionId, CurrentWorkerList, Input as GateInput, Kind, Output as GateOutput, ReadBarrier, ReadNumber,
+    StatePart, StateVersions, WorkerListVersion,
 };
 use speedy::Writable;
 use std::collections::BTreeMap;
@@ -62,11 +62,11 @@
     addresses: BTreeMap<NodeId, SocketAddr>,
     registrants: BTreeMap<Connection, Registered>,
     workers: WorkerList,
-    current_list: CurrentList,
-    gate: Gate,
+    current_list: CurrentWorkerList,
+    gate: ReadBarrier,
     confirming: Option<Confirming>,
     followed_epoch: u64,
-    fencing: Option<Fencing>,
+    fencing: Option<FencingToken>,
     read_list_at: u64,
     sweep_at: u64,
     leaving: bool,
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Confirming {
     request_id: RequestId,
-    round: RoundNumber,
+    round: ReadNumber,
 }
 
 /// Gives the process its happenings together with what it works on.
@@ -119,8 +119,8 @@
             addresses: BTreeMap::new(),
             registrants: BTreeMap::new(),
             workers: WorkerList::default(),
-            current_list: CurrentList::default(),
-            gate: Gate::new(numbers(held, &WorkerList::default())),
+            current_list: CurrentWorkerList::default(),
+            gate: ReadBarrier::new(numbers(held, &WorkerList::default())),
             confirming: None,
             followed_epoch: held.placement().epoch.0,
             fencing: None,
@@ -186,8 +186,8 @@
     fn look_at_clocks(&mut self, scene: &mut CoreScene<'_>) {
         let before = std::mem::replace(&mut self.stood_still, scene.stood_still);
         if scene.stood_still > before {
-            self.node.handle(scene.now, Input::StoodStill);
-            self.guard(scene, GateInput::StoodStill);
+            self.node.handle(scene.now, Input::ClockStalled);
+            self.guard(scene, GateInput::ClockStalled);
             self.finish(scene);
         }
     }
@@ -201,7 +201,7 @@
     }
 
     fn has_contact(&self, now: u64) -> bool {
-        !self.mutant.has(Mechanism::MajorityContact) || self.node.has_majority_contact(now)
+        !self.mutant.has(Mechanism::QuorumContact) || self.node.has_majority_contact(now)
     }
 
     /// Whether the core can do without this process, which was told to end.
@@ -229,18 +229,18 @@
                 }
             }
             GateOutput::Tell { connection, part } => self.tell_part(scene, connection, part),
-            GateOutput::Vouch { connection, moment } => self.vouch(scene, connection, moment),
-            GateOutput::NoMajority { connection } => {
-                tell(scene, Connection(connection.0), &FromCore::NoMajority);
+            GateOutput::Confirm { connection, moment } => self.vouch(scene, connection, moment),
+            GateOutput::NoQuorum { connection } => {
+                tell(scene, Connection(connection.0), &FromCore::NoQuorum);
             }
-            GateOutput::TryAnother { connection } => {
-                tell(scene, Connection(connection.0), &FromCore::TryAnother);
+            GateOutput::Redirect { connection } => {
+                tell(scene, Connection(connection.0), &FromCore::Redirect);
             }
         }
     }
 
-    fn start_confirming(&mut self, scene: &mut CoreScene<'_>, round: RoundNumber) {
-        if !self.mutant.has(Mechanism::MajorityContact) {
+    fn start_confirming(&mut self, scene: &mut CoreScene<'_>, round: ReadNumber) {
+        if !self.mutant.has(Mechanism::QuorumContact) {
             // Confirmed by nobody.
             return self.guard(scene, GateInput::ReadReady { round });
         }
@@ -249,15 +249,15 @@
         self.node.handle(scene.now, Input::Read { request_id });
     }
 
-    fn tell_part(&self, scene: &mut CoreScene<'_>, connection: ConnectionId, part: Part) {
+    fn tell_part(&self, scene: &mut CoreScene<'_>, connection: ConnectionId, part: StatePart) {
         let (connection, state) = (Connection(connection.0), self.node.machine().state());
         match part {
-            Part::Configuration => tell_configuration(scene, connection, state.configuration().clone()),
-            Part::Placement => {
+            StatePart::Configuration => tell_configuration(scene, connection, state.configuration().clone()),
+            StatePart::Placement => {
                 let placement = state.placement().clone();
                 tell(scene, connection, &FromCore::Placement { placement });
             }
-            Part::Workers => {
+            StatePart::Workers => {
                 let list = self.workers.clone();
                 tell(scene, connection, &FromCore::Workers { list });
             }
@@ -275,7 +275,7 @@
     }
 
     /// Whether this process acts as holder of the lease.
-    pub fn holds(&self, now: u64) -> Option<Fencing> {
+    pub fn holds(&self, now: u64) -> Option<FencingToken> {
         self.node.holds(now, &Role(CONTROLLER.to_owned()))
     }
 
@@ -304,7 +304,7 @@
                     self.node.handle(scene.now, Input::Message { from, message });
                 }
             }
-            Payload::Workers { list } if self.current_list.take_told(ListNumber::from(&list)) => {
+            Payload::Workers { list } if self.current_list.take_told(WorkerListVersion::from(&list)) => {
                 self.workers = list;
                 self.tell_news(scene);
             }
@@ -372,8 +372,8 @@
         self.registrants.insert(connection, Registered { registrant });
         let addresses = self.core_addresses();
         tell(scene, connection, &addresses);
-        let workers = ListNumber::default();
-        let has = StateNumbers { configuration_version: version, placement_epoch: epoch, workers };
+        let workers = WorkerListVersion::default();
+        let has = StateVersions { configuration_version: version, placement_epoch: epoch, workers };
         let connection = ConnectionId(connection.0);
         self.guard(scene, GateInput::Registered { connection, kind, has });
     }
@@ -414,7 +414,7 @@
     fn adopt_own_list(&mut self, scene: &mut CoreScene<'_>, list: WorkerList) {
         let lease = self.holds(scene.now).map(|fencing| fencing.0);
         let lease = lease.or(Some(list.fencing).filter(|_| !self.mutant.has(Mechanism::LeaseChecked)));
-        if !self.current_list.take_own(ListNumber::from(&list), lease) {
+        if !self.current_list.take_own(WorkerListVersion::from(&list), lease) {
             return;
         }
         for connection in self.dialed.values() {
@@ -496,7 +496,7 @@
                     self.on_lease(scene, Some(fencing));
                 }
                 Output::LeaseLost { .. } => self.on_lease(scene, None),
-                Output::ContactGained | Output::ContactLost => self.guard(scene, GateInput::Tick),
+                Output::QuorumContactGained | Output::QuorumContactLost => self.guard(scene, GateInput::Tick),
             }
         }
     }
@@ -535,7 +535,7 @@
         }
     }
 
-    fn on_lease(&mut self, scene: &mut CoreScene<'_>, fencing: Option<Fencing>) {
+    fn on_lease(&mut self, scene: &mut CoreScene<'_>, fencing: Option<FencingToken>) {
         self.fencing = fencing;
         self.read_list_at = fencing.map_or(u64::MAX, |_| scene.now);
         self.guard(scene, GateInput::Acting(fencing.is_some()));
@@ -579,11 +579,11 @@
 }
 
 /// The versions of a machine's state.
-fn numbers(state: &ControlState, list: &WorkerList) -> StateNumbers {
-    StateNumbers {
+fn numbers(state: &ControlState, list: &WorkerList) -> StateVersions {
+    StateVersions {
         configuration_version: state.configuration().version,
         placement_epoch: state.placement().epoch.0,
-        workers: ListNumber::from(list),
+        workers: WorkerListVersion::from(list),
     }
 }
 
--- a/system/testing/simulation/src/dispatcher.rs
+++ b/system/testing/simulation/src/dispatcher.rs
@@ -6,9 +6,9 @@
 use millrudder_protocol::control::{FromCore, Registrant, ToCore, WorkerList};
 use millrudder_protocol::message::Message;
 use millrudder_protocol::placement::Placement;
-use millrudder_protocol::store::{AttemptOutcome, FromDispatcher, HeldLease, NotAccepted, ToDispatcher};
+use millrudder_protocol::store::{ActiveLease, AttemptOutcome, FromDispatcher, NotAccepted, ToDispatcher};
 use millrudder_protocol::{Address, DispatcherId, LeaseToken, MessageId, RequestNumber, ShardId, StoreId};
-use millrudder_staleness::{LinkPlan, LinkStep};
+use millrudder_staleness::{ConnectionPlanner, ConnectionStep};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -59,7 +59,7 @@
     settings: DispatcherSettings,
     mutant: Mutant,
     random: fastrand::Rng,
-    plan: LinkPlan,
+    plan: ConnectionPlanner,
     /// Core machines to be connected to, with the open connections.
     cores: BTreeMap<SocketAddr, Option<Connection>>,
     configuration: u64,
@@ -100,7 +100,7 @@
 impl Dispatcher {
     /// Starts with nothing.
     pub fn start(settings: DispatcherSettings, mutant: Mutant, seed: u64, now: u64) -> Self {
-        let mut plan = LinkPlan::new(CORE_LINKS, seed);
+        let mut plan = ConnectionPlanner::new(CORE_LINKS, seed);
         for address in &settings.seeds {
             plan.know(*address);
         }
@@ -228,10 +228,10 @@
     fn follow_plan(&mut self, scene: &mut DispatcherScene<'_>) {
         for step in self.plan.poll(scene.now / MILLISECOND) {
             match step {
-                LinkStep::Open(address) => {
+                ConnectionStep::Open(address) => {
                     self.cores.insert(address, None);
                 }
-                LinkStep::Close(address) => {
+                ConnectionStep::Close(address) => {
                     if let Some(connection) = self.cores.remove(&address).flatten() {
                         scene.effects.push(Effect::Close { connection });
                     }
@@ -307,8 +307,8 @@
                 }
             }
             FromCore::Heartbeat { moment_ms, .. } => self.plan.vouched(now_ms, core, moment_ms),
-            FromCore::NoMajority => self.plan.refused(now_ms, core),
-            FromCore::TryAnother => {
+            FromCore::NoQuorum => self.plan.refused(now_ms, core),
+            FromCore::Redirect => {
                 self.plan.refused(now_ms, core);
                 scene.effects.push(Effect::Close { connection });
             }
@@ -342,7 +342,7 @@
     fn hello(&mut self, scene: &mut DispatcherScene<'_>, store: StoreId, connection: Connection) {
         let is_primary = |id: &MessageId| self.primary(*id) == Some(store);
         let held = self.reports.keys().filter(|(id, _)| is_primary(id));
-        let held = held.map(|(id, token)| HeldLease { id: *id, token: *token }).collect();
+        let held = held.map(|(id, token)| ActiveLease { id: *id, token: *token }).collect();
         let hello = FromDispatcher::Hello {
             dispatcher: self.settings.id,
             name: self.settings.name.clone(),
@@ -436,7 +436,7 @@
         id: MessageId,
         token: LeaseToken,
     ) {
-        let since = self.placement.shard(id.shard).map(|shard| shard.since);
+        let since = self.placement.shard(id.shard).map(|shard| shard.term);
         if since.is_some_and(|since| token.epoch() < since) {
             return;
         }
--- a/system/testing/simulation/src/event.rs
+++ b/system/testing/simulation/src/event.rs
@@ -2,7 +2,7 @@
 
 use crate::history::{Answer, Order};
 use crate::place::Place;
-use millrudder_chain::{CoreMessage, Fencing, NodeId, RequestId, View};
+use millrudder_chain::{CoreMessage, FencingToken, NodeId, RequestId, View};
 use millrudder_control_state::Reply;
 use millrudder_protocol::control::{FromCore, ToCore, WorkerList};
 use millrudder_protocol::store::{BetweenStores, FromDispatcher, ToDispatcher};
@@ -133,11 +133,11 @@
         view: View,
     },
     LeaseGranted {
-        fencing: Fencing,
+        fencing: FencingToken,
     },
     /// A holder of the lease acted under this number.
     ActedAsHolder {
-        fencing: Fencing,
+        fencing: FencingToken,
     },
     /// A dispatcher holds this now.
     Adopted {
--- a/system/testing/simulation/src/mechanism.rs
+++ b/system/testing/simulation/src/mechanism.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
     /// A core machine serves its state only while a majority has confirmed it lately.
-    MajorityContact,
+    QuorumContact,
     /// `Config.Get` waits for a confirmed read.
     ConfirmedRead,
     /// Of two orders on one version only the first in the agreed order is confirmed.
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -281,7 +281,7 @@
                     }
                 }
             }
-            FromCore::TryAnother => scene.effects.push(Effect::Close { connection }),
+            FromCore::Redirect => scene.effects.push(Effect::Close { connection }),
             _ => {}
         }
     }
@@ -303,13 +303,13 @@
         let me = self.settings.id;
         self.filled.shards.retain(|filled| {
             let change = placement.shard(filled.shard).and_then(|entry| entry.change);
-            let learns = change.is_some_and(|change| change.joins == me && change.since == filled.change);
+            let learns = change.is_some_and(|change| change.joins == me && change.epoch == filled.change);
             learns || filled.change > placement.epoch
         });
     }
 
     fn give(&mut self, scene: &mut StoreScene<'_>, input: Input) {
-        let joins = matches!(&input, Input::Store { message: BetweenStores::Promised { .. }, .. });
+        let joins = matches!(&input, Input::Store { message: BetweenStores::Promise { .. }, .. });
         let mut output = Vec::new();
         self.node.handle(scene.now / MILLISECOND, input, &mut output);
         for action in output {
--- a/system/testing/simulation/tests/control/point_1.rs
+++ b/system/testing/simulation/tests/control/point_1.rs
@@ -64,8 +64,8 @@
 
 #[test]
 fn point_1_fails_without_majority_contact() {
-    let mutant = without(&with_restart(plan()), Mechanism::MajorityContact);
-    let violation = expect_killed(at_every_step(&mutant, ENOUGH, 2), Mechanism::MajorityContact);
+    let mutant = without(&with_restart(plan()), Mechanism::QuorumContact);
+    let violation = expect_killed(at_every_step(&mutant, ENOUGH, 2), Mechanism::QuorumContact);
     assert!(matches!(violation, Violation::StaleTold { .. } | Violation::NotLearnt { .. }), "{violation}");
 }
 
