--- /dev/null
+++ b/balancer/config/src/tests.rs
@@ -0,0 +1,58 @@
+//! Unit tests of `config`.
+
+use super::*;
+use millrudder_testing::garbage;
+
+pub(super) const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:7070","discovery":"127.0.0.2:8500",
+        "seed":"8c1f30d27a5be964","limits":{"sockets":1024},"settings":{"me":1,"replicas_of_me":2,
+        "lanes":[{"name":"copy-issue","aim":120,"hard_limit":5000,"effect":"deduplicated","dedup_scope":"cell",
+        "window":7500}],"kinds":["a","b"],"registry_mode":"ask","permissions":{"connect_timeout":120,
+        "max_attempts":5,"parallel_tries":true},"rules":{"ask_within":10000,"stop_sending_within":500},
+        "specifics":{"class_kind":[-1],"class_stretch":[2.0],"tells_start":true,"report_x0":"free slots"}}}"#;
+
+fn read(text: &str) -> Result<Config, ConfigError> {
+    Config::read(text.as_bytes(), |_| None)
+}
+
+#[test]
+fn the_settings_reach_the_module() {
+    let config = read(CONFIG).unwrap();
+    assert_eq!((config.name.as_str(), config.seed, config.conn_idle), ("n0", 0x8c1f30d27a5be964, 10_000.0));
+    let (settings, class) = (&config.settings, &config.settings.classes[0]);
+    assert_eq!((settings.me, settings.replicas, settings.list_by_ask), (1, 2, true));
+    assert_eq!((class.aim, class.stretch, class.deadline, class.window), (120.0, 2.0, 5000.0, 7500.0));
+    assert_eq!((class.effect, class.group), (mr::Effect::Deduplicated, mr::Group::Cell));
+    assert_eq!((class.kind, class.worth), (None, 1.0));
+    assert_eq!((settings.rules.drain_grace, settings.limits.connect_timeout), (500.0, 120.0));
+    assert!(settings.tells_start && settings.limits.second_copies && config.known.is_none());
+    let listen =
+        Config::read(CONFIG.as_bytes(), |key| (key == "NODE_LISTEN").then(|| "127.0.0.3:1".to_owned()));
+    assert_eq!(listen.unwrap().listen.to_string(), "127.0.0.3:1", "the environment stands before the file");
+}
+
+#[test]
+fn messages_name_the_faulty_key() {
+    for (from, to, key) in [
+        ("127.0.0.1:7070", "here", "NODE_LISTEN"),
+        ("\"aim\":120", "\"aim\":\"x\"", "settings.lanes[0].aim"),
+        ("\"hard_limit\":5000", "\"hard_limit\":0", "settings.lanes[0].hard_limit"),
+        ("deduplicated", "often", "settings.lanes[0].effect"),
+        ("\"sockets\":1024", "\"sockets\":8", "limits.sockets"),
+        ("\"sockets\":1024", "\"memory_mb\":8", "limits.memory_mb"),
+        ("8c1f", "xyz", "seed"),
+        ("\"settings\"", "\"setting\"", "settings"),
+    ] {
+        let error = read(&CONFIG.replace(from, to)).err().map(|e| e.to_string()).unwrap_or_default();
+        assert!(error.contains(key), "{key}: {error}");
+    }
+    garbage(8, CONFIG.as_bytes(), |bytes| drop(Config::read(bytes, |_| None)));
+}
+
+#[test]
+fn descriptors_are_shared_out_within_the_limit() {
+    for sockets in [LEAST_SOCKETS, 256, 1024, 4096] {
+        let budget = Budget::of(sockets, 32);
+        assert!(budget.inbound + budget.next_hops + OWN_DESCRIPTORS <= sockets);
+        assert!(budget.inbound_jobs < budget.inbound && budget.next_hops >= 12, "{budget:?}");
+    }
+}
--- /dev/null
+++ b/balancer/core/src/dispatch/legacy/tests.rs
@@ -0,0 +1,36 @@
+//! Unit tests of `legacy`.
+
+use super::*;
+use millrudder_testing::garbage;
+
+fn names(classes: &[&str], kinds: &[&str]) -> Names {
+    let text = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
+    Names { classes: text(classes), kinds: text(kinds), ..Names::default() }
+}
+
+#[test]
+fn numbers_are_translated_by_name() {
+    let memory = mr::Memory {
+        class_time: vec![(1.0, 1.0), (2.0, 1.0)],
+        kinds: vec![mr::KindMemory { kind: Some(1), cores: 4.0, ..mr::KindMemory::default() }],
+        banned: vec![(1, 5.0)],
+        ..mr::Memory::default()
+    };
+    let hops = vec!["s-1".to_owned(), "s-2".to_owned()];
+    let old = Legacy::new(Some(41), Vec::new(), hops, &names(&["a", "b"], &["x", "y"]), memory);
+    let old = Legacy::decode(&old.encode()).unwrap();
+    let number = |name: &str| if name == "s-2" { 7 } else { 9 };
+    let new = old.memory(&names(&["b", "c"], &["y"]), number);
+    assert_eq!(new.class_time, [(2.0, 1.0), (0.0, 0.0)]);
+    assert_eq!((new.kinds[0].kind, new.kinds[0].cores), (Some(0), 4.0));
+    assert_eq!(new.banned, [(7, 5.0)]);
+    assert_eq!((old.map().whole, old.map().generation), (true, Some(41)));
+}
+
+#[test]
+fn what_is_no_legacy_is_refused_not_misread() {
+    let old = Legacy::new(Some(41), Vec::new(), Vec::new(), &names(&["a"], &[]), mr::Memory::default());
+    garbage(21, &old.encode(), |bytes| drop(Legacy::decode(bytes)));
+    let other = Legacy { version: VERSION + 1, ..old };
+    assert!(Legacy::decode(&other.encode()).unwrap_err().contains("form 2"));
+}
--- /dev/null
+++ b/balancer/core/src/dispatch/translate/tests.rs
@@ -0,0 +1,62 @@
+//! Unit tests of `translate`.
+
+use super::*;
+
+fn entry(name: &str, address: &str, state: HopState) -> MapEntry {
+    MapEntry {
+        name: name.to_owned(),
+        address: address.parse().ok(),
+        zone: "z".to_owned(),
+        kind: "b".to_owned(),
+        cell: 3,
+        state,
+        weight: 1.0,
+        started_at: Some(1_700_000_000_000.0),
+    }
+}
+
+fn names() -> Names {
+    let text = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
+    let (report_x0, report_x1) = ("free slots".to_owned(), "free memory".to_owned());
+    Names { classes: text(&["c"]), zones: text(&["z"]), kinds: text(&["a", "b"]), report_x0, report_x1 }
+}
+
+#[test]
+fn a_ban_outlives_what_maps_say() {
+    let (names, mut hops) = (names(), Hops::default());
+    assert_eq!(hops.ban("s-1", true), None, "never listed");
+    hops.entry(&names, &entry("s-1", "127.0.0.1:1", HopState::Active));
+    assert_eq!(hops.ban("s-1", true), Some(0));
+    hops.entry(&names, &entry("s-1", "127.0.0.1:1", HopState::Left));
+    hops.entry(&names, &entry("s-1", "127.0.0.1:2", HopState::Active));
+    assert!(!hops.is_active(0), "an attempt that waited for a call-off there must not go");
+    hops.ban("s-1", false);
+    assert!(hops.is_active(0));
+}
+
+#[test]
+fn a_next_hop_keeps_its_number_when_its_address_changes() {
+    let (names, mut hops) = (names(), Hops::default());
+    let first = hops.entry(&names, &entry("s-1", "127.0.0.1:1", HopState::Active));
+    hops.entry(&names, &entry("s-2", "127.0.0.1:2", HopState::Active));
+    let again = hops.entry(&names, &entry("s-1", "127.0.0.1:9", HopState::Leaving));
+    assert_eq!((first.worker, again.worker), (0, 0));
+    assert_eq!(hops.locate(0).unwrap().address.port(), 9);
+    assert!(!hops.is_active(0) && hops.is_active(1));
+    // Gone without an address: attempts that are out there can still be called off.
+    assert_eq!(hops.entry(&names, &entry("s-1", "", HopState::Left)).mode, mr::Mode::Gone);
+    assert!(hops.locate(0).is_some());
+    hops.expect_all();
+    assert!(!hops.is_active(1), "a whole list that does not name it");
+    assert_eq!((first.zone, first.kind, first.ready_at), (Some(0), Some(1), Some(1_700_000_000_000.0)));
+}
+
+#[test]
+fn reports_are_read_by_the_settings_names() {
+    let report: LoadReport = [("fail_rate", 0.5), ("rif", 2.0), ("x0", 3.0), ("x1", 4.0)]
+        .map(|(name, value)| (name.to_owned(), value))
+        .to_vec();
+    let found = load(&names(), &report);
+    assert_eq!((found.in_flight, found.errors_per_s), (Some(2.0), Some(0.5)));
+    assert_eq!((found.free_slots, found.free_memory, found.queue), (Some(3.0), Some(4.0), None));
+}
--- a/balancer/core/src/next_hop/attempt.rs
+++ b/balancer/core/src/next_hop/attempt.rs
@@ -152,33 +152,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use millrudder_wire::http::Decoder;
-
-    const ATTEMPT: AttemptId = AttemptId { ticket: 1, number: 0 };
-
-    fn end_of(text: &str) -> Option<AttemptEnd> {
-        let mut decoder = Decoder::default();
-        decoder.push(text.as_bytes());
-        match told(ATTEMPT, &decoder.next_message().unwrap().unwrap()) {
-            Message::Accepted { .. } => None,
-            Message::Ended { end, .. } => Some(end),
-            _ => panic!("neither accepted nor ended"),
-        }
-    }
-
-    #[test]
-    fn answers_of_next_hops_follow_the_protocols_table() {
-        let answer = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-        assert_eq!(end_of(&answer("202 Accepted")), None);
-        assert_eq!(end_of(&answer("500 Error")), Some(AttemptEnd::Failed));
-        // A job that no worker can use says nothing of the worker: a flood of them would set all aside.
-        assert_eq!(end_of(&answer("400 Bad Request")), Some(AttemptEnd::Refused));
-        assert_eq!(end_of(&answer("503 Busy\r\nX-Never-Ran: 1")), Some(AttemptEnd::NeverRan));
-        assert_eq!(end_of(&answer("504 Late\r\nX-Never-Ran: 1")), Some(AttemptEnd::NeverRan));
-        // Without the mark nothing is proven: a repeat of what ran would be logged twice.
-        assert_eq!(end_of(&answer("503 Busy")), Some(AttemptEnd::Failed));
-        assert_eq!(end_of(&answer("500 Error\r\nX-Never-Ran: 1")), Some(AttemptEnd::Failed));
-    }
-}
+mod tests;
--- /dev/null
+++ b/balancer/core/src/transport_map/watch/tests.rs
@@ -0,0 +1,99 @@
+//! Unit tests of `watch`.
+
+use super::*;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+
+#[test]
+fn a_silent_discovery_is_noticed_before_its_changes_count_as_told() {
+    // Nothing new may be sent 0.5 s after a drain counts as told: 2 s after a hold, 6 s after any other call.
+    assert!(patience(HOLD_MS) < f64::from(HOLD_MS) + 2_000.0 && patience(0) < 6_000.0);
+}
+
+/// Reads past a call.
+fn read_head(peer: &mut TcpStream) {
+    let (mut head, mut byte) = (Vec::new(), [0]);
+    while !head.ends_with(b"\r\n\r\n") {
+        peer.read_exact(&mut byte).unwrap();
+        head.push(byte[0]);
+    }
+}
+
+#[test]
+fn a_spoilt_list_changes_nothing_and_is_counted() {
+    // A whole list without its entries took every worker away at once.
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (exchange, inbox) = Exchange::new();
+    let (counters, log) = (Arc::new(Counters::default()), Logger::root(slog::Discard, slog::o!()));
+    let at = listener.local_addr().unwrap();
+    let map = TransportMap::follow(at, Some(1), exchange, counters.clone(), Clock::start(), log);
+    let bad = [
+        r#"{"generation":2,"reset":true}"#,
+        r#"{"generation":2,"reset":true,"instances":[]}"#,
+        r#"{"generation":2,"reset":true,"instances":[{"instanceId":"s-1","#,
+        r#"{"generation":2,"reset":true,"instances":[{"instanceId":"s-1","lifecycle":"well"}]}"#,
+        r#"{"generation":0,"reset":false,"instances":[]}"#,
+        "",
+    ];
+    for (i, body) in (1..).zip(bad) {
+        map.ask(Call::Watch);
+        let mut peer = listener.accept().unwrap().0;
+        read_head(&mut peer);
+        let length = body.len();
+        let answer =
+            format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}");
+        peer.write_all(answer.as_bytes()).unwrap();
+        assert!(matches!(inbox.recv(), Ok(Message::MapUnavailable)), "{body}");
+        assert_eq!((counters.map_bad.get(), counters.map_failures.get()), (i, i), "{body}");
+    }
+}
+
+#[test]
+fn a_watch_that_has_fallen_silent_is_opened_anew_at_once_and_a_second_silence_reported() {
+    // The module's wait, made for a discovery that all call at once, came on top: up to 10 s for 300 dispatchers.
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (exchange, inbox) = Exchange::new();
+    let (counters, log) = (Arc::new(Counters::default()), Logger::root(slog::Discard, slog::o!()));
+    let at = listener.local_addr().unwrap();
+    let map = TransportMap::follow(at, Some(1), exchange, counters.clone(), Clock::start(), log);
+    map.ask(Call::Watch);
+    let mut silent = Vec::new();
+    listener.set_nonblocking(true).unwrap();
+    for answered in [false, true, false, false] {
+        let mut peer = loop {
+            match listener.accept() {
+                Ok((stream, _)) => break stream,
+                Err(_) => assert!(inbox.try_recv().is_err(), "reported, and not opened anew"),
+            }
+            std::thread::yield_now();
+        };
+        read_head(&mut peer);
+        if answered {
+            let body = r#"{"generation":2,"reset":false,"instances":[]}"#;
+            let length = body.len();
+            write!(peer, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}")
+                .unwrap();
+            assert!(matches!(inbox.recv(), Ok(Message::Map(_))));
+        } else {
+            map.cut(f64::INFINITY);
+            silent.push(peer);
+        }
+    }
+    assert!(matches!(inbox.recv(), Ok(Message::MapUnavailable)));
+    assert_eq!((counters.map_silent.get(), counters.map_failures.get()), (2, 1));
+}
+
+#[test]
+fn an_overdue_call_is_cut_and_reported() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (exchange, inbox) = Exchange::new();
+    let log = Logger::root(slog::Discard, slog::o!());
+    let at = listener.local_addr().unwrap();
+    let map = TransportMap::follow(at, Some(1), exchange, Arc::default(), Clock::start(), log);
+    map.ask(Call::Watch);
+    let _silent = listener.accept().unwrap();
+    while inbox.try_recv().is_err() {
+        map.cut(f64::INFINITY);
+        std::thread::yield_now();
+    }
+}
--- /dev/null
+++ b/balancer/exchange/src/meeting/tests.rs
@@ -0,0 +1,49 @@
+//! Unit tests of `meeting`.
+
+use super::*;
+
+fn job() -> Job {
+    Job {
+        front: Front::Grpc,
+        trace_id: "9b1f".to_owned(),
+        class: "c".to_owned(),
+        slots: 1.0,
+        memory: 0.0,
+        deadline: 5000.0,
+        verbatim: Verbatim {
+            method: "POST".to_owned(),
+            target: "/api".to_owned(),
+            body: Vec::new(),
+            idempotency_key: None,
+            content_type: None,
+        },
+    }
+}
+
+#[test]
+fn a_job_submitted_as_dispatch_ends_is_deferred() {
+    // A front on a thread of its own may have looked just before: its job lay there, and its client waited.
+    let deferred = Some(Answer::Defer { retry_after: None });
+    let (exchange, inbox) = Exchange::new();
+    let (before, after) = (Reply::new(|| {}), Reply::new(|| {}));
+    exchange.submit(job(), before.clone());
+    assert_eq!(before.take(), None);
+    drop(inbox);
+    assert_eq!(before.take(), deferred);
+    exchange.submit(job(), after.clone());
+    assert_eq!(after.take(), deferred);
+}
+
+#[test]
+fn orders_go_before_all_that_waits() {
+    let (exchange, inbox) = Exchange::new();
+    exchange.put(Message::Stop);
+    exchange.put(Message::MapUnavailable);
+    let awaited = exchange.order(Order::Disable("s-1".to_owned()));
+    let Ok(Message::Ordered(asked)) = inbox.try_recv() else { panic!("not the order") };
+    asked.carry_out(|_| Ok(()));
+    assert_eq!(awaited.look(), Some(Ok(())));
+    assert!(matches!(inbox.try_recv(), Ok(Message::Stop)));
+    assert!(matches!(inbox.try_recv(), Ok(Message::MapUnavailable)));
+    assert!(inbox.try_recv().is_err(), "nothing is given out twice");
+}
--- a/balancer/exchange/src/rate.rs
+++ b/balancer/exchange/src/rate.rs
@@ -20,14 +20,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn one_line_a_second() {
-        let limiter = Limiter::default();
-        assert!(limiter.allows(5000.0));
-        assert!(!limiter.allows(5999.0));
-        assert!(limiter.allows(6000.0));
-    }
-}
+mod tests;
--- /dev/null
+++ b/balancer/exchange/src/shutdown/tests.rs
@@ -0,0 +1,66 @@
+//! Unit tests of `shutdown`.
+
+use super::*;
+
+#[test]
+fn the_grace_starts_at_the_first_signal_only() {
+    let stopping = Stopping::new(500.0);
+    assert!(!stopping.grace_is_over(1e9));
+    assert!(stopping.begin(100.0));
+    assert!(!stopping.begin(600.0), "a second signal must not stretch the grace");
+    assert!(!stopping.grace_is_over(899.0) && stopping.grace_is_over(900.0));
+    // SIGKILL may come 1.2 s after SIGTERM.
+    assert!(stopping.last_moment() < 100.0 + 1_200.0);
+}
+
+#[test]
+fn jobs_are_taken_on_while_they_can_still_be_done_and_clients_are_there() {
+    // With no other dispatcher, every request between the grace of old (0.8 s) and the restart failed.
+    let stopping = Stopping::new(5_000.0);
+    stopping.begin(0.0);
+    assert!(!stopping.grace_is_over(2_500.0));
+    assert!(stopping.grace_is_over(stopping.last_moment() - LAST_JOB_MS));
+    assert!(stopping.last_moment() < 3_700.0);
+    stopping.note_no_clients(799.0);
+    assert!(!stopping.grace_is_over(800.0), "the front may still send new ones");
+    stopping.client_came();
+    stopping.note_no_clients(800.0);
+    assert!(!stopping.grace_is_over(800.0), "one is left on another front");
+    stopping.client_left();
+    stopping.note_no_clients(800.0);
+    assert!(stopping.grace_is_over(800.0));
+}
+
+#[test]
+fn nothing_is_taken_on_past_the_last_moment_however_short_deadlines_are() {
+    // With 300 ms, jobs were taken on for 50 ms after all had been answered, and the kill could find them.
+    for longest in [1.0, 100.0, 300.0, 349.0, 400.0, 3_000.0, 60_000.0] {
+        let stopping = Stopping::new(longest);
+        stopping.begin(0.0);
+        assert!(stopping.grace_is_over(stopping.last_moment()), "{longest}");
+        assert!(stopping.last_moment() < longest.min(3_000.0) + 700.0, "{longest}");
+    }
+}
+
+#[test]
+fn a_stop_goes_by_the_deadlines_in_force_when_it_begins() {
+    // Once 3 s always 3 s: after settings with 1 s the kill came 1.3 s before the last moment.
+    let stopping = Stopping::new(5_000.0);
+    stopping.set_longest(1_000.0);
+    stopping.begin(0.0);
+    assert_eq!(stopping.last_moment(), 1_450.0);
+    // SIGHUP right after SIGTERM: what is armed for the last moment does not move with it.
+    stopping.set_longest(5_000.0);
+    assert_eq!(stopping.last_moment(), 1_450.0);
+    assert!(stopping.grace_is_over(1_450.0));
+}
+
+#[test]
+fn with_a_successor_nobody_new_comes_here() {
+    let stopping = Stopping::new(5_000.0);
+    stopping.succeed(true);
+    stopping.begin(0.0);
+    assert!(!stopping.grace_is_over(1.0), "clients' connections are still here");
+    stopping.note_no_clients(2.0);
+    assert!(stopping.grace_is_over(2.0));
+}
--- /dev/null
+++ b/balancer/upgrade/src/giver/tests.rs
@@ -0,0 +1,70 @@
+//! Unit tests of `giver`.
+
+use super::*;
+use crate::Front;
+use millrudder_admission::Capacity;
+use millrudder_exchange::clock::Clock;
+use millrudder_exchange::intake::Classes;
+use millrudder_exchange::shutdown::Stopping;
+use millrudder_exchange::{Advice, Core, Exchange, Gate, Inbox, Standing};
+use millrudder_handover::VERSION;
+use std::net::TcpStream;
+use std::os::unix::net::UnixStream;
+use std::sync::Arc;
+
+struct NoFront;
+
+impl Front for NoFront {
+    fn adopt(&self, _: TcpStream, _: Standing) {}
+    fn take_news(&self, _: &[u8]) {}
+    fn inbound(&self) -> usize {
+        0
+    }
+}
+
+fn shell() -> (Shell, Inbox) {
+    let ((exchange, inbox), clock) = (Exchange::new(), Clock::start());
+    let core = Core {
+        exchange,
+        gate: Gate::new(Capacity { places: 1, bytes: 1 }, &[], clock),
+        counters: Arc::default(),
+        stopping: Stopping::new(1_000.0),
+        drain: Default::default(),
+        neighbour: Default::default(),
+        serving: Arc::default(),
+        clock,
+        classes: Classes::new(Vec::new()),
+        advice: Advice::new(true),
+        log: slog::Logger::root(slog::Discard, slog::o!()),
+    };
+    (Shell { core, front: Arc::new(NoFront), path: "unused".into() }, inbox)
+}
+
+#[test]
+fn a_place_laid_down_before_the_core_failed_to_answer_is_taken_up_again() {
+    // Nobody would have accepted from then on: the machine had not seen its place laid down.
+    let (shell, inbox) = shell();
+    let (here, there) = UnixStream::pair().unwrap();
+    let here = Link::new(here).unwrap();
+    let there = Link::new(there).unwrap();
+    let for_session = shell.clone();
+    let session = std::thread::spawn(move || Session::begin(here, &for_session).unwrap().run());
+    let hello = Message::Hello { version: VERSION, least: VERSION, program: "test".to_owned() };
+    there.send(&hello, None).unwrap();
+    let mut parked = false;
+    while let Ok(message) = inbox.recv_timeout(Duration::from_secs(60)) {
+        match message {
+            Inbound::Asked(Ask::Export(give)) => {
+                give.send(Vec::new()).unwrap();
+                there.send(&Message::Checked, None).unwrap();
+                there.send(&Message::Ready, None).unwrap();
+            }
+            // The core is stuck: what it was asked for is dropped.
+            Inbound::Asked(Ask::UnderWay(_)) => parked = !shell.core.neighbour.accepts(),
+            Inbound::Asked(Ask::Gone) => break,
+            _ => {}
+        }
+    }
+    session.join().unwrap();
+    assert!(parked && shell.core.neighbour.accepts());
+}
--- /dev/null
+++ b/balancer/upgrade/src/link/tests.rs
@@ -0,0 +1,45 @@
+//! Unit tests of `link`.
+
+use super::*;
+use millrudder_handover::Was;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+
+fn pair() -> (Link, Link) {
+    let (a, b) = UnixStream::pair().unwrap();
+    (Link::new(a).unwrap(), Link::new(b).unwrap())
+}
+
+const LONG: Duration = Duration::from_secs(60);
+
+#[test]
+fn a_connection_goes_over_with_what_waits_on_it() {
+    let (here, mut there) = pair();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let served = listener.accept().unwrap().0;
+    client.write_all(b"unread").unwrap();
+    here.send(&Message::Drain { on: true }, None).unwrap();
+    here.send(&Message::Connection { was: Was::Client }, Some(served.as_fd())).unwrap();
+    drop(served);
+    let mut heard = Vec::new();
+    while heard.len() < 2 {
+        heard.extend(there.receive(LONG).unwrap());
+    }
+    assert_eq!((&heard[0].0, heard[0].1.is_none()), (&Message::Drain { on: true }, true));
+    let mut taken = TcpStream::from(heard.pop().unwrap().1.expect("its descriptor"));
+    let mut text = [0; 6];
+    taken.read_exact(&mut text).unwrap();
+    assert_eq!(&text, b"unread");
+    assert!(there.is_ours());
+}
+
+#[test]
+fn who_is_gone_or_talks_nonsense_is_an_error() {
+    let (here, mut there) = pair();
+    drop(here);
+    assert!(there.receive(LONG).is_err());
+    let (mut a, b) = UnixStream::pair().unwrap();
+    a.write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
+    assert!(Link::new(b).unwrap().receive(LONG).is_err());
+}
--- /dev/null
+++ b/balancer/wire/src/list/tests.rs
@@ -0,0 +1,24 @@
+//! Unit tests of `list`.
+
+use super::*;
+use crate::json;
+use millrudder_testing::garbage;
+
+const LIST: &str = r#"{"generation":43,"reset":false,"instances":[{"instanceId":"s-1",
+        "hostPort":"127.0.0.9:7070","zone":"z","machineType":"m","cell":3,"lifecycle":"leaving","startedAtMs":0},
+        {"instanceId":"s-2","hostPort":"","lifecycle":"left"}]}"#;
+
+fn read(text: &[u8]) -> Result<List, JsonError> {
+    read_list(&Node::root(&json::parse(text)?))
+}
+
+#[test]
+fn a_list_is_read_whole_or_not_at_all() {
+    let list = read(LIST.replace(r#""hostPort":"","#, "").as_bytes()).unwrap();
+    assert_eq!((list.generation, list.news.whole, list.news.entries.len()), (43, false, 2));
+    let first = &list.news.entries[0];
+    assert_eq!((first.cell, first.state, first.started_at), (3, HopState::Leaving, None));
+    let error = read(LIST.as_bytes()).unwrap_err().to_string();
+    assert_eq!(error, "key instances[1].hostPort: an address with a port is wanted");
+    garbage(7, LIST.as_bytes(), |bytes| drop(read(bytes)));
+}
