--- a/Makefile
+++ b/Makefile
@@ -12,8 +12,9 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
-# Needs NODE_CONFIG (and may take NODE_LISTEN, NODE_DISCOVERY, NODE_NAME): see the README.
+# Needs NODE_CONFIG (and may take NODE_LISTEN, NODE_DISCOVERY, NODE_NAME): see docs/operators/balancer.md.
 run: build
 	exec target/release/millrudder
 
--- a/testing/src/lib.rs
+++ b/testing/src/lib.rs
@@ -1,6 +1,6 @@
 //! Helpers that the tests of several packages share.
 //!
-//! - [`random_input`]: cuts and garbage from fixed seeds, for parsers.
+//! - [`cuts`] and [`garbage`]: random input from fixed seeds, for parsers.
 //! - [`golden`]: encodings compared byte for byte with committed files.
 
 pub mod golden;
