--- a/system/runtime/node/src/control_link/mod.rs
+++ b/system/runtime/node/src/control_link/mod.rs
@@ -7,6 +7,7 @@
 
 use crate::clock::SteadyClock;
 use crate::core::ToCorePort;
+use millrudder_clock::Instant;
 use millrudder_protocol::control::{FromCore, Registrant, ToCore};
 use millrudder_staleness::{ConnectionPlanner, ConnectionStep, StalenessChange};
 use millrudder_transport::dialer::Dialer;
@@ -39,10 +40,12 @@
 /// Logs that what a process holds has grown old, or that this is over.
 pub fn report_freshness(change: Option<StalenessChange>) {
     match change {
-        Some(StalenessChange::Old { age_ms }) => {
+        Some(StalenessChange::Stale { age }) => {
+            let age_ms = age.as_millis();
             log::warn!("no core machine has confirmed for {age_ms} ms what is held here");
         }
-        Some(StalenessChange::Current { was_old_for_ms }) => {
+        Some(StalenessChange::Fresh { stale_for }) => {
+            let was_old_for_ms = stale_for.as_millis();
             log::info!("what is held here is confirmed again, after {was_old_for_ms} ms");
         }
         None => {}
@@ -112,7 +115,7 @@
     pub fn know(&self, addresses: impl Iterator<Item = SocketAddr>) {
         let mut shared = self.handle.shared.borrow_mut();
         for address in addresses {
-            shared.plan.know(address);
+            shared.plan.add_address(address);
         }
     }
 
@@ -135,8 +138,8 @@
 
 impl Shared {
     /// Tells the plan what happened on the connection to an address.
-    fn report(&mut self, address: SocketAddr, event: fn(&mut ConnectionPlanner, u64, SocketAddr)) {
-        event(&mut self.plan, self.clock.millis(), address);
+    fn report(&mut self, address: SocketAddr, event: fn(&mut ConnectionPlanner, Instant, SocketAddr)) {
+        event(&mut self.plan, Instant::from_millis(self.clock.millis()), address);
     }
 
     /// Asks every core machine that is connected whether what is held here is current.
@@ -150,7 +153,7 @@
 
     /// Whether seeds may tell of core machines that are needed.
     fn wants_seeds(&self) -> bool {
-        !self.plan.is_served() || self.plan.known() < self.seeds.len()
+        !self.plan.has_confirmed_connection() || self.plan.address_count() < self.seeds.len()
     }
 }
 
@@ -177,7 +180,7 @@
 fn follow_plan<F: Fn(FromCore) + Clone + 'static>(handle: &Handle, deliver: &F) {
     let steps = {
         let mut shared = handle.shared.borrow_mut();
-        let now = shared.clock.millis();
+        let now = Instant::from_millis(shared.clock.millis());
         shared.plan.poll(now)
     };
     for step in steps {
@@ -192,12 +195,12 @@
     let this = handle.clone();
     let report = move |outbox: &Outbox, event: LinkEvent<FromCore>| match event {
         LinkEvent::Opened => {
-            this.shared.borrow_mut().report(address, ConnectionPlanner::opened);
+            this.shared.borrow_mut().report(address, ConnectionPlanner::handle_opened);
             register(&this.shared.borrow(), outbox);
         }
         LinkEvent::Closed(reason) => {
             log::info!("core machine {address} is lost: {reason}");
-            this.shared.borrow_mut().report(address, ConnectionPlanner::closed);
+            this.shared.borrow_mut().report(address, ConnectionPlanner::handle_closed);
         }
         LinkEvent::Message(message) => {
             this.note(address, outbox, &message);
@@ -214,8 +217,8 @@
         match message {
             FromCore::Heartbeat { moment_ms, .. } => {
                 let mut shared = self.shared.borrow_mut();
-                let now = shared.clock.millis();
-                shared.plan.vouched(now, address, *moment_ms);
+                let now = Instant::from_millis(shared.clock.millis());
+                shared.plan.handle_confirmation(now, address, Instant::from_millis(*moment_ms));
             }
             FromCore::NoQuorum => {
                 log::info!("core machine {address} has no majority");
@@ -230,7 +233,7 @@
     }
 
     fn refuse(&self, address: SocketAddr) {
-        self.shared.borrow_mut().report(address, ConnectionPlanner::refused);
+        self.shared.borrow_mut().report(address, ConnectionPlanner::handle_rejection);
         self.refused.notify_one();
     }
 }
--- a/system/runtime/node/src/control_link/seeds.rs
+++ b/system/runtime/node/src/control_link/seeds.rs
@@ -38,7 +38,7 @@
     }
     while let Some(answer) = questions.join_next().await {
         let Ok(Some(address)) = answer else { continue };
-        if handle.shared.borrow_mut().plan.know(address) {
+        if handle.shared.borrow_mut().plan.add_address(address) {
             return true;
         }
     }
--- a/system/runtime/node/src/core/host/commits.rs
+++ b/system/runtime/node/src/core/host/commits.rs
@@ -96,7 +96,7 @@
         let now = self.clock.millis();
         let state = if fencing.is_some() { "holds" } else { "has lost" };
         log::info!("{state} the controller's lease");
-        self.guard(GateInput::Acting(fencing.is_some()));
+        self.guard(GateInput::ControllerLease { is_held: fencing.is_some() });
         self.reader.lead(now, fencing);
         self.manage(PlacementInput::Leading(fencing.is_some()));
     }
--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -4,7 +4,7 @@
 use crate::core::messages::ToCorePort;
 use millrudder_chain::{Input, NodeId};
 use millrudder_protocol::control::{Registrant, ToCore};
-use millrudder_staleness::{ConnectionId, Kind, StateVersions, WorkerListVersion};
+use millrudder_staleness::{ConnectionId, RegistrantKind, RegistrantTime, StateVersions, WorkerListVersion};
 use millrudder_transport::{LinkEvent, Outbox};
 
 impl CoreHost {
@@ -67,15 +67,17 @@
         match message {
             ToCore::Register { registrant, configuration_version, placement_epoch } => {
                 let workers = WorkerListVersion::default();
-                let has = StateVersions { configuration_version, placement_epoch, workers };
-                self.on_register(connection, outbox, registrant, has);
+                let versions = StateVersions { configuration_version, placement_epoch, workers };
+                self.on_register(connection, outbox, registrant, versions);
             }
             ToCore::Heartbeat { health } => {
                 if let (Some(id), Some(health)) = (self.registrants.store(connection), health) {
                     self.manage(PlacementInput::Heartbeat { id, health });
                 }
             }
-            ToCore::Ask { moment_ms } => self.guard(GateInput::Asked { connection, moment: moment_ms }),
+            ToCore::Ask { moment_ms } => {
+                self.guard(GateInput::StalenessCheck { connection, sent_at: RegistrantTime(moment_ms) })
+            }
             ToCore::CaughtUp { shards } => {
                 if let Some(id) = self.registrants.store(connection) {
                     self.manage(PlacementInput::CaughtUp { id, shards });
@@ -90,20 +92,20 @@
         connection: ConnectionId,
         outbox: &Outbox,
         registrant: Registrant,
-        has: StateVersions,
+        versions: StateVersions,
     ) {
         let kind = match &registrant {
-            Registrant::Dispatcher { .. } => Kind::Dispatcher,
+            Registrant::Dispatcher { .. } => RegistrantKind::Dispatcher,
             Registrant::Store { id, name, zone, address, .. } => {
                 log::info!("store {name} registers");
                 let (name, zone) = (name.clone(), zone.clone());
                 self.manage(PlacementInput::Registered { id: *id, name, zone, address: *address });
-                Kind::Store
+                RegistrantKind::Store
             }
         };
         self.registrants.add(connection, outbox.clone(), registrant);
         self.registrants.tell(connection, &self.core_addresses());
-        self.guard(GateInput::Registered { connection, kind, has });
+        self.guard(GateInput::Registered { connection, kind, versions });
         self.count_dispatchers();
     }
 }
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -16,6 +16,7 @@
 use crate::error::RoleError;
 use arc_swap::ArcSwap;
 use millrudder_chain::{CoreNode, Input, NodeId, RequestId};
+use millrudder_clock::Instant;
 use millrudder_control_state::ControlState;
 use millrudder_placement::{Input as PlacementInput, PlacementManager};
 use millrudder_protocol::control::WorkerList;
@@ -126,7 +127,10 @@
         manager.handle(0, PlacementInput::Committed(node.machine().placement().clone()));
         let clock = SteadyClock::start();
         CoreHost {
-            standstill: ClockStallDetector::new(clock.millis(), time_of_day_ms()),
+            standstill: ClockStallDetector::new(
+                Instant::from_millis(clock.millis()),
+                Duration::from_millis(time_of_day_ms()),
+            ),
             clock,
             manager,
             reader: Reader::new(&settings, client.clone(), seed, events.clone()),
@@ -231,7 +235,7 @@
         let node = self.clock.at_micros(self.node.next_deadline());
         let manager = self.manager.next_deadline(now).map(|due| self.clock.at_millis(due));
         let reader = self.reader.next_deadline().map(|due| self.clock.at_millis(due));
-        let gate = self.gate.next_deadline().map(|due| self.clock.at_millis(due));
+        let gate = self.gate.next_deadline().map(|due| self.clock.at_millis(due.as_millis()));
         [Some(node), manager, reader, gate].into_iter().flatten().min().unwrap_or(node)
     }
 
@@ -262,7 +266,10 @@
 
     /// After a standstill nothing that was confirmed before is known to be recent.
     fn look_at_clocks(&mut self) {
-        if self.standstill.has_stood_still(self.clock.millis(), time_of_day_ms()) {
+        if self
+            .standstill
+            .detect_stall(Instant::from_millis(self.clock.millis()), Duration::from_millis(time_of_day_ms()))
+        {
             log::warn!("the machine has stood still: leases and contact are given up");
             self.node.handle(self.clock.micros(), Input::ClockStalled);
             self.guard(GateInput::ClockStalled);
@@ -292,14 +299,14 @@
             Event::Reload { file } => self.reload(&file),
             Event::Leaving { done } => {
                 self.leaving = Some(done);
-                self.guard(GateInput::Leaving);
+                self.guard(GateInput::ShuttingDown);
                 self.node.handle(self.clock.micros(), Input::Leave);
             }
         }
     }
 
     fn on_order(&mut self, order: Order, reply: oneshot::Sender<Outcome>) {
-        let open = self.gate.takes_orders(self.clock.millis());
+        let open = self.gate.accepts_requests(Instant::from_millis(self.clock.millis()));
         let step = self.orders.take(order, reply, open);
         let now = self.clock.micros();
         match step {
--- a/system/runtime/node/src/core/host/serving.rs
+++ b/system/runtime/node/src/core/host/serving.rs
@@ -4,10 +4,13 @@
 use crate::core::messages::ToCorePort;
 use crate::core::CONTROLLER;
 use millrudder_chain::{Input, RequestId, Role};
+use millrudder_clock::Instant;
 use millrudder_control_state::ControlState;
 use millrudder_protocol::control::{FromCore, WorkerList};
 use millrudder_protocol::Address;
-use millrudder_staleness::{ConnectionId, Output, ReadNumber, StatePart, StateVersions, WorkerListVersion};
+use millrudder_staleness::{
+    ConnectionId, Output, ReadNumber, RegistrantTime, StatePart, StateVersions, WorkerListVersion,
+};
 
 /// The versions of a machine's state.
 pub(super) fn numbers(state: &ControlState, list: &WorkerList) -> StateVersions {
@@ -22,7 +25,7 @@
     /// Has the gate look at the time, where that is due.
     pub(super) fn look_at_gate(&mut self) {
         let contact = self.node.has_majority_contact(self.clock.micros());
-        if self.gate.is_due(self.clock.millis(), contact) {
+        if self.gate.is_due(Instant::from_millis(self.clock.millis()), contact) {
             self.guard(GateInput::Tick);
         }
     }
@@ -30,10 +33,10 @@
     /// Gives the gate an input and does what it asks for.
     pub(super) fn guard(&mut self, input: GateInput) {
         let mut output = Vec::new();
-        let (now, had_majority) = (self.clock.millis(), self.had_majority);
+        let (now, had_majority) = (Instant::from_millis(self.clock.millis()), self.had_majority);
         let contact = self.node.has_majority_contact(self.clock.micros());
         self.gate.handle(now, contact, input, &mut output);
-        self.had_majority = self.gate.has_majority(now);
+        self.had_majority = self.gate.has_quorum(now);
         if self.had_majority != had_majority {
             let has = if self.had_majority { "is confirmed by" } else { "is not confirmed any more by" };
             log::info!("the state here {has} a majority of the core");
@@ -45,10 +48,10 @@
 
     fn follow(&mut self, output: Output) {
         match output {
-            Output::StartRead { round } => self.start_confirming(round),
-            Output::AbandonRead { round } => self.stop_confirming(round),
-            Output::Tell { connection, part } => self.tell_part(connection, part),
-            Output::Confirm { connection, moment } => self.vouch(connection, moment),
+            Output::StartRead { read } => self.start_confirming(read),
+            Output::AbandonRead { read } => self.stop_confirming(read),
+            Output::Send { connection, part } => self.tell_part(connection, part),
+            Output::Confirm { connection, sent_at } => self.vouch(connection, sent_at),
             Output::NoQuorum { connection } => self.registrants.tell(connection, &FromCore::NoQuorum),
             Output::Redirect { connection } => self.registrants.tell(connection, &FromCore::Redirect),
         }
@@ -70,7 +73,7 @@
     /// A read has ended: one that confirms this machine's state, or an operator's.
     pub(super) fn on_read_ready(&mut self, request_id: RequestId) {
         match self.confirming.take_if(|confirming| confirming.request_id == request_id) {
-            Some(confirming) => self.guard(GateInput::ReadReady { round: confirming.round }),
+            Some(confirming) => self.guard(GateInput::ReadCompleted { read: confirming.round }),
             None => self.answer_read(request_id),
         }
     }
@@ -87,12 +90,12 @@
         self.registrants.tell(connection, &message);
     }
 
-    fn vouch(&mut self, connection: ConnectionId, moment: u64) {
+    fn vouch(&mut self, connection: ConnectionId, sent_at: RegistrantTime) {
         let state = self.node.machine();
         let message = FromCore::Heartbeat {
             configuration_version: state.configuration().version,
             placement_epoch: state.placement().epoch.0,
-            moment_ms: moment,
+            moment_ms: sent_at.0,
         };
         self.registrants.tell(connection, &message);
         self.registrants.tell_count(connection, self.told_dispatchers);
@@ -101,7 +104,7 @@
     /// Reports this machine's present state to the gate, which has it told to whom it may concern.
     pub(super) fn tell_news(&mut self) {
         let numbers = numbers(self.node.machine(), &self.workers);
-        self.guard(GateInput::State(numbers));
+        self.guard(GateInput::StateChanged(numbers));
     }
 
     /// Counts the dispatchers anew, and tells everybody when there are more or fewer.
@@ -127,7 +130,7 @@
     pub(super) fn adopt_own_list(&mut self, list: WorkerList) {
         let role = Role(CONTROLLER.to_owned());
         let lease = self.node.holds(self.clock.micros(), &role).map(|fencing| fencing.0);
-        if self.current_list.take_own(WorkerListVersion::from(&list), lease) {
+        if self.current_list.adopt_own(WorkerListVersion::from(&list), lease) {
             self.peers.send_all(&ToCorePort::Workers { list: list.clone() });
             self.adopt_workers(list);
         }
@@ -135,7 +138,7 @@
 
     /// Takes a list that another core machine has told.
     pub(super) fn adopt_told_list(&mut self, list: WorkerList) {
-        if self.current_list.take_told(WorkerListVersion::from(&list)) {
+        if self.current_list.adopt_received(WorkerListVersion::from(&list)) {
             self.reader.has_list();
             self.adopt_workers(list);
         }
--- a/system/runtime/node/src/edge/host.rs
+++ b/system/runtime/node/src/edge/host.rs
@@ -8,6 +8,7 @@
 use crate::edge::routes::InForce;
 use crate::edge::store_links::StoreLinks;
 use arc_swap::{ArcSwap, ArcSwapOption};
+use millrudder_clock::Instant;
 use millrudder_delivery as delivery;
 use millrudder_delivery::{AttemptId, AttemptResult, CallBackResult, Delivery};
 use millrudder_intake as intake;
@@ -27,6 +28,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
@@ -109,7 +111,10 @@
             delivery::Configuration { zone: zone.clone(), seed, ..delivery::Configuration::default() };
         EdgeHost {
             clock,
-            standstill: ClockStallDetector::new(clock.millis(), clock::time_of_day_ms()),
+            standstill: ClockStallDetector::new(
+                Instant::from_millis(clock.millis()),
+                Duration::from_millis(clock::time_of_day_ms()),
+            ),
             me: DispatcherId(seed),
             intake: Intake::new(crate::place::location(settings), seed),
             delivery: Delivery::new(configuration),
@@ -160,7 +165,10 @@
 
     /// After a standstill what lies unread may be outdated.
     fn look_at_clocks(&mut self) {
-        if self.standstill.has_stood_still(self.clock.millis(), clock::time_of_day_ms()) {
+        if self.standstill.detect_stall(
+            Instant::from_millis(self.clock.millis()),
+            Duration::from_millis(clock::time_of_day_ms()),
+        ) {
             log::warn!("the machine has stood still: what stores granted before is given back");
             self.give_delivery(delivery::Input::ClockStalled);
         }
@@ -179,7 +187,7 @@
             self.ping_at = now + PING_MS;
             self.stores.send_all(&FromDispatcher::Ping);
         }
-        report_freshness(self.freshness.poll(now));
+        report_freshness(self.freshness.poll(Instant::from_millis(now)));
     }
 
     /// A dispatcher whose state has grown old goes on with it; one that has none a majority confirmed does not begin.
@@ -356,7 +364,10 @@
                 let confirmed = Held { configuration_version, placement_epoch };
                 if self.held.covers(confirmed) {
                     let now = self.clock.millis();
-                    report_freshness(self.freshness.confirmed(now, moment_ms));
+                    report_freshness(
+                        self.freshness
+                            .handle_confirmation(Instant::from_millis(now), Instant::from_millis(moment_ms)),
+                    );
                 }
             }
             FromCore::Core { addresses } => {
--- a/system/runtime/node/src/storage/host.rs
+++ b/system/runtime/node/src/storage/host.rs
@@ -7,6 +7,7 @@
 use crate::storage::disk::{Disk, Opened, Report};
 use crate::storage::filled::Filled;
 use crate::storage::links::StoreLinks;
+use millrudder_clock::Instant;
 use millrudder_configuration::Configuration;
 use millrudder_protocol::control::{FromCore, Registrant, ToCore};
 use millrudder_protocol::placement::{Placement, ShardEntry};
@@ -189,7 +190,7 @@
             if let Some(shards) = self.filled.due(now) {
                 self.control.tell_all(&ToCore::CaughtUp { shards });
             }
-            report_freshness(self.freshness.poll(now));
+            report_freshness(self.freshness.poll(Instant::from_millis(now)));
         }
     }
 
@@ -316,7 +317,10 @@
                 let confirmed = Held { configuration_version, placement_epoch };
                 if self.held.covers(confirmed) {
                     let now = self.clock.millis();
-                    report_freshness(self.freshness.confirmed(now, moment_ms));
+                    report_freshness(
+                        self.freshness
+                            .handle_confirmation(Instant::from_millis(now), Instant::from_millis(moment_ms)),
+                    );
                 }
             }
             FromCore::Core { addresses } => {
--- a/system/state/staleness/src/lib.rs
+++ b/system/state/staleness/src/lib.rs
@@ -1,29 +1,38 @@
-//! Contact with a majority of the core, from both ends of a control connection, without I/O.
+//! Bounded staleness of the control state, at both ends of a control connection, without I/O.
 //!
-//! A core machine keeps a [`ReadBarrier`]: it confirms again and again, by linearizable reads, that its state is current, and
-//! tells registrants nothing that is not confirmed. A process that follows the control state keeps a [`ConnectionPlanner`],
-//! which leaves core machines that cannot confirm theirs, and a [`StalenessTracker`] that knows how old its own copy is. A
-//! [`ClockStallDetector`] tells when the clocks on which all this rests have stood still.
+//! A core machine may be cut off from the rest of the core without noticing at once. What it still holds must not reach
+//! a process as current. Two sides keep to that:
 //!
-//! All times are milliseconds of the owner's steady clock.
+//! - A core machine keeps a [`ReadBarrier`]: linearizable reads confirm again and again that its state is current, and
+//!   it sends registrants nothing unless a recent read confirmed it.
+//! - A process that follows the control state (a registrant: dispatcher or store) keeps a [`ConnectionPlanner`], which
+//!   replaces connections to core machines that cannot confirm their state, and a [`StalenessTracker`], which knows how
+//!   old the last confirmation of its own copy is.
+//!
+//! Both rest on steady clocks. A [`ClockStallDetector`] notices that a machine's steady clock has stood still, so that
+//! time-outs measured by it cannot be trusted.
+//!
+//! An embedder passes readings of one steady clock that never go back, handles every output in order, and calls the
+//! state machines at the deadlines that they give. Readings of different processes are never compared: a confirmation
+//! carries the time at which the registrant asked, on the registrant's own clock.
 
 #![forbid(unsafe_code)]
 
-mod freshness;
-mod gate;
-mod lists;
-mod plan;
-mod standstill;
-mod state;
+mod clock_stall;
+mod connection_planner;
+mod read_barrier;
+mod tracker;
+mod versions;
+mod worker_list;
 
-pub use freshness::{StalenessChange, StalenessTracker, STALE_AFTER_MS};
-pub use gate::{
-    Input, Kind, Output, ReadBarrier, ReadNumber, StatePart, CONFIRM_INTERVAL_MS, MAX_CONFIRMATION_AGE_MS,
+pub use clock_stall::ClockStallDetector;
+pub use connection_planner::{
+    ConnectionPlanner, ConnectionStep, CONFIRM_TIMEOUT, CONNECT_TIMEOUT, INITIAL_BACKOFF, MAX_BACKOFF,
 };
-pub use lists::CurrentWorkerList;
-pub use plan::{
-    ConnectionPlanner, ConnectionStep, CONFIRM_TIMEOUT_MS, CONNECT_TIMEOUT_MS, INITIAL_BACKOFF_MS,
-    MAX_BACKOFF_MS,
+pub use read_barrier::{
+    Input, Output, ReadBarrier, ReadNumber, RegistrantKind, RegistrantTime, StatePart, CONFIRM_INTERVAL,
+    MAX_CONFIRMATION_AGE,
 };
-pub use standstill::ClockStallDetector;
-pub use state::{ConnectionId, StateVersions, WorkerListVersion};
+pub use tracker::{StalenessChange, StalenessTracker, STALE_AFTER};
+pub use versions::{ConnectionId, StateVersions, WorkerListVersion};
+pub use worker_list::CurrentWorkerList;
--- /dev/null
+++ b/system/state/staleness/tests/read_barrier.rs
@@ -0,0 +1,464 @@
+//! What a core machine sends its registrants, with and without contact with a quorum.
+
+use millrudder_clock::Instant;
+use millrudder_staleness::{
+    ConnectionId, Input, Output, ReadBarrier, ReadNumber, RegistrantKind, RegistrantTime, StatePart,
+    StateVersions, WorkerListVersion, CONFIRM_INTERVAL, MAX_CONFIRMATION_AGE,
+};
+use std::time::Duration;
+
+const MILLISECOND: Duration = Duration::from_millis(1);
+
+const FIRST: ConnectionId = ConnectionId(1);
+const SECOND: ConnectionId = ConnectionId(2);
+
+fn versions(configuration_version: u64, placement_epoch: u64) -> StateVersions {
+    StateVersions { configuration_version, placement_epoch, workers: WorkerListVersion::default() }
+}
+
+/// A barrier with its clock and its contact with the quorum.
+struct Machine {
+    barrier: ReadBarrier,
+    now: Instant,
+    has_contact: bool,
+}
+
+impl Machine {
+    fn with(state: StateVersions) -> Machine {
+        Machine { barrier: ReadBarrier::new(state), now: Instant::from_millis(10_000), has_contact: true }
+    }
+
+    fn handle(&mut self, input: Input) -> Vec<Output> {
+        let mut outputs = Vec::new();
+        self.barrier.handle(self.now, self.has_contact, input, &mut outputs);
+        outputs
+    }
+
+    fn register(
+        &mut self,
+        connection: ConnectionId,
+        kind: RegistrantKind,
+        versions: StateVersions,
+    ) -> Vec<Output> {
+        self.handle(Input::Registered { connection, kind, versions })
+    }
+
+    /// A registrant sends a check now; its clock is the machine's here.
+    fn check_staleness(&mut self, connection: ConnectionId) -> Vec<Output> {
+        self.handle(Input::StalenessCheck { connection, sent_at: RegistrantTime(self.now.as_millis()) })
+    }
+
+    fn tick_after(&mut self, span: Duration) -> Vec<Output> {
+        self.now += span;
+        self.handle(Input::Tick)
+    }
+
+    /// Ends the read that `outputs` starts.
+    fn confirm(&mut self, outputs: &[Output]) -> Vec<Output> {
+        let read = started(outputs).expect("no read was started");
+        self.handle(Input::ReadCompleted { read })
+    }
+
+    /// A registrant that is admitted.
+    fn admit(&mut self, connection: ConnectionId, kind: RegistrantKind) -> Vec<Output> {
+        let outputs = self.register(connection, kind, StateVersions::default());
+        self.confirm(&outputs)
+    }
+}
+
+fn started(outputs: &[Output]) -> Option<ReadNumber> {
+    outputs.iter().find_map(|output| match output {
+        Output::StartRead { read } => Some(*read),
+        _ => None,
+    })
+}
+
+fn sent(outputs: &[Output], connection: ConnectionId) -> Vec<StatePart> {
+    let sent = outputs.iter().filter_map(|output| match output {
+        Output::Send { connection: to, part } if *to == connection => Some(*part),
+        _ => None,
+    });
+    sent.collect()
+}
+
+/// All that is sent to registrants.
+fn sent_to_registrants(outputs: &[Output]) -> Vec<Output> {
+    let is_read = |output: &&Output| matches!(output, Output::StartRead { .. } | Output::AbandonRead { .. });
+    outputs.iter().filter(|output| !is_read(output)).copied().collect()
+}
+
+fn confirmed_check(outputs: &[Output], connection: ConnectionId) -> Option<RegistrantTime> {
+    outputs.iter().find_map(|output| match output {
+        Output::Confirm { connection: to, sent_at } if *to == connection => Some(*sent_at),
+        _ => None,
+    })
+}
+
+#[test]
+fn nothing_is_sent_before_a_quorum_confirms() {
+    let mut machine = Machine::with(versions(5, 2));
+    let outputs = machine.register(FIRST, RegistrantKind::Store, StateVersions::default());
+    assert_eq!(sent(&outputs, FIRST), vec![]);
+    assert_eq!(confirmed_check(&outputs, FIRST), None);
+    machine.now += 7 * MILLISECOND;
+    let outputs = machine.confirm(&outputs);
+    assert_eq!(sent(&outputs, FIRST), vec![StatePart::Configuration, StatePart::Placement]);
+}
+
+#[test]
+fn only_a_read_that_began_after_a_check_confirms_it() {
+    let mut machine = Machine::with(versions(5, 2));
+    let first = machine.register(FIRST, RegistrantKind::Store, StateVersions::default());
+    let sent_at = RegistrantTime(machine.now.as_millis());
+    assert_eq!(machine.check_staleness(FIRST), vec![]);
+    machine.now += 7 * MILLISECOND;
+    let outputs = machine.confirm(&first);
+    assert_eq!(confirmed_check(&outputs, FIRST), None);
+    // The first question is not kept waiting for the next read that is due.
+    machine.now += 7 * MILLISECOND;
+    let outputs = machine.confirm(&outputs);
+    assert_eq!(confirmed_check(&outputs, FIRST), Some(sent_at));
+    let outputs = machine.tick_after(CONFIRM_INTERVAL);
+    let outputs = machine.confirm(&outputs);
+    assert_eq!(confirmed_check(&outputs, FIRST), None, "it was answered already");
+}
+
+#[test]
+fn a_partitioned_machine_notifies_registrants_and_sends_nothing() {
+    let mut machine = Machine::with(versions(5, 2));
+    machine.has_contact = false;
+    let outputs = machine.register(FIRST, RegistrantKind::Dispatcher, StateVersions::default());
+    assert_eq!(sent_to_registrants(&outputs), vec![Output::NoQuorum { connection: FIRST }]);
+    assert_eq!(sent_to_registrants(&machine.handle(Input::StateChanged(versions(6, 2)))), vec![]);
+    assert!(!machine.barrier.accepts_requests(machine.now));
+}
+
+#[test]
+fn a_read_that_began_before_a_registration_does_not_admit_it() {
+    let mut machine = Machine::with(versions(5, 2));
+    let first = machine.register(FIRST, RegistrantKind::Store, StateVersions::default());
+    assert_eq!(machine.register(SECOND, RegistrantKind::Store, StateVersions::default()), vec![]);
+    let outputs = machine.confirm(&first);
+    assert_eq!(sent(&outputs, SECOND), vec![]);
+    assert_eq!(confirmed_check(&outputs, SECOND), None);
+    // The next one starts at once.
+    let outputs = machine.confirm(&outputs);
+    assert_eq!(sent(&outputs, SECOND), vec![StatePart::Configuration, StatePart::Placement]);
+}
+
+#[test]
+fn lost_contact_withdraws_all_admissions_until_a_new_read_completes() {
+    let mut machine = Machine::with(versions(5, 2));
+    machine.admit(FIRST, RegistrantKind::Dispatcher);
+    machine.has_contact = false;
+    let lost = machine.tick_after(50 * MILLISECOND);
+    assert_eq!(sent_to_registrants(&lost), vec![Output::NoQuorum { connection: FIRST }]);
+    assert!(!machine.barrier.accepts_requests(machine.now));
+    assert_eq!(machine.handle(Input::StateChanged(versions(6, 2))), vec![]);
+    assert_eq!(machine.tick_after(50 * MILLISECOND), vec![], "said once");
+    machine.has_contact = true;
+    let outputs = machine.tick_after(50 * MILLISECOND);
+    assert_eq!(sent_to_registrants(&outputs), vec![], "contact alone confirms nothing");
+    let outputs = machine.confirm(&lost);
+    assert_eq!(sent(&outputs, FIRST), vec![StatePart::Configuration]);
+}
+
+#[test]
+fn a_read_that_began_before_contact_was_lost_confirms_nothing() {
+    let mut machine = Machine::with(versions(5, 2));
+    machine.admit(FIRST, RegistrantKind::Dispatcher);
+    let in_flight = started(&machine.tick_after(CONFIRM_INTERVAL)).unwrap();
+    machine.has_contact = false;
+    let outputs = machine.tick_after(50 * MILLISECOND);
+    assert!(outputs.contains(&Output::AbandonRead { read: in_flight }));
+    machine.has_contact = true;
+    assert_eq!(sent_to_registrants(&machine.handle(Input::ReadCompleted { read: in_flight })), vec![]);
+}
+
+/// A machine that has just started waits neither for the next heartbeats nor for the next attempt of its read.
+#[test]
+fn the_first_connection_to_another_core_machine_starts_the_read_anew() {
+    let mut machine = Machine::with(versions(5, 2));
+    machine.has_contact = false;
+    let lost = machine.register(FIRST, RegistrantKind::Store, StateVersions::default());
+    let outputs = machine.handle(Input::PeerOpened);
+    assert!(outputs.contains(&Output::AbandonRead { read: started(&lost).unwrap() }));
+    let outputs = machine.confirm(&outputs);
+    assert_eq!(sent(&outputs, FIRST), vec![StatePart::Configuration, StatePart::Placement]);
+    assert!(machine.barrier.accepts_requests(machine.now));
+    assert_eq!(machine.handle(Input::PeerOpened), vec![], "it has a quorum");
+}
+
+#[test]
+fn a_confirmation_expires_without_a_new_read() {
+    let mut machine = Machine::with(versions(5, 2));
+    machine.admit(FIRST, RegistrantKind::Dispatcher);
+    assert!(machine.barrier.accepts_requests(machine.now));
+    let outputs = machine.tick_after(CONFIRM_INTERVAL);
+    assert!(started(&outputs).is_some());
+    // Contact there is, but the tail does not answer.
+    let outputs = machine.tick_after(MAX_CONFIRMATION_AGE - CONFIRM_INTERVAL);
+    assert_eq!(outputs, vec![Output::NoQuorum { connection: FIRST }]);
+    assert!(!machine.barrier.accepts_requests(machine.now));
+}
+
+#[test]
+fn a_read_that_took_too_long_confirms_nothing() {
+    let mut machine = Machine::with(versions(5, 2));
+    let outputs = machine.register(FIRST, RegistrantKind::Store, StateVersions::default());
+    let late = started(&outputs).unwrap();
+    // The process stood still, with the confirmation of long ago in its sockets.
+    machine.now += MAX_CONFIRMATION_AGE;
+    let outputs = machine.handle(Input::ReadCompleted { read: late });
+    assert!(outputs.contains(&Output::AbandonRead { read: late }));
+    assert_eq!(sent(&outputs, FIRST), vec![]);
+    let outputs = machine.confirm(&outputs);
+    assert_eq!(sent(&outputs, FIRST), vec![StatePart::Configuration, StatePart::Placement]);
+}
+
+#[test]
+fn a_registrant_that_waits_too_long_is_notified_that_there_is_no_quorum() {
+    let mut machine = Machine::with(versions(5, 2));
+    machine.register(FIRST, RegistrantKind::Dispatcher, StateVersions::default());
+    assert_eq!(machine.barrier.next_deadline(), Some(machine.now + MAX_CONFIRMATION_AGE));
+    let outputs = machine.tick_after(MAX_CONFIRMATION_AGE);
+    assert!(outputs.contains(&Output::NoQuorum { connection: FIRST }));
+}
+
+#[test]
+fn only_newer_parts_are_sent() {
+    let mut machine = Machine::with(versions(5, 2));
+    let outputs = machine.register(FIRST, RegistrantKind::Store, versions(5, 1));
+    let outputs = machine.confirm(&outputs);
+    assert_eq!(sent(&outputs, FIRST), vec![StatePart::Placement]);
+    machine.handle(Input::ControllerLease { is_held: true });
+    let outputs = machine.handle(Input::StateChanged(versions(7, 2)));
+    assert_eq!(sent(&outputs, FIRST), vec![StatePart::Configuration]);
+    assert_eq!(machine.handle(Input::StateChanged(versions(7, 2))), vec![]);
+}
+
+#[test]
+fn a_store_gets_later_configurations_from_the_holder_of_the_controllers_lease() {
+    let mut machine = Machine::with(versions(5, 2));
+    assert_eq!(
+        sent(&machine.admit(FIRST, RegistrantKind::Store), FIRST),
+        vec![StatePart::Configuration, StatePart::Placement]
+    );
+    let outputs = machine.handle(Input::StateChanged(versions(7, 3)));
+    assert_eq!(sent(&outputs, FIRST), vec![StatePart::Placement], "another one tells it the configuration");
+    let outputs = machine.tick_after(CONFIRM_INTERVAL);
+    assert_eq!(sent(&machine.confirm(&outputs), FIRST), vec![]);
+    machine.handle(Input::ControllerLease { is_held: true });
+    let outputs = machine.tick_after(CONFIRM_INTERVAL);
+    assert_eq!(
+        sent(&machine.confirm(&outputs), FIRST),
+        vec![StatePart::Configuration],
+        "it may have missed it"
+    );
+    let outputs = machine.handle(Input::StateChanged(versions(8, 3)));
+    assert_eq!(sent(&outputs, FIRST), vec![StatePart::Configuration]);
+    machine.handle(Input::ControllerLease { is_held: false });
+    assert_eq!(machine.handle(Input::StateChanged(versions(9, 3))), vec![]);
+}
+
+#[test]
+fn a_dispatcher_gets_configurations_from_each_of_its_machines() {
+    let mut machine = Machine::with(versions(5, 2));
+    machine.admit(FIRST, RegistrantKind::Dispatcher);
+    let outputs = machine.handle(Input::StateChanged(versions(7, 2)));
+    assert_eq!(sent(&outputs, FIRST), vec![StatePart::Configuration]);
+}
+
+#[test]
+fn lists_of_workers_are_sent_to_dispatchers_only() {
+    let workers = WorkerListVersion { fencing: 4, number: 1 };
+    let mut machine = Machine::with(StateVersions { workers, ..StateVersions::default() });
+    let store = machine.admit(FIRST, RegistrantKind::Store);
+    let dispatcher = machine.admit_next(SECOND, RegistrantKind::Dispatcher);
+    assert_eq!(sent(&store, FIRST), vec![]);
+    assert_eq!(sent(&dispatcher, SECOND), vec![StatePart::Workers]);
+    let older = WorkerListVersion { fencing: 3, number: 9 };
+    assert_eq!(
+        machine.handle(Input::StateChanged(StateVersions { workers: older, ..StateVersions::default() })),
+        vec![]
+    );
+}
+
+impl Machine {
+    /// The same where a read may be due already.
+    fn admit_next(&mut self, connection: ConnectionId, kind: RegistrantKind) -> Vec<Output> {
+        self.now += MILLISECOND;
+        self.admit(connection, kind)
+    }
+}
+
+#[test]
+fn the_state_is_confirmed_at_an_interval() {
+    let mut machine = Machine::with(versions(5, 2));
+    machine.admit(FIRST, RegistrantKind::Dispatcher);
+    let outputs = machine.check_staleness(FIRST);
+    machine.confirm(&outputs);
+    assert_eq!(machine.barrier.next_deadline(), Some(machine.now + CONFIRM_INTERVAL));
+    for _ in 0..10 {
+        assert!(started(&machine.tick_after(CONFIRM_INTERVAL - MILLISECOND)).is_none());
+        machine.check_staleness(FIRST);
+        let sent_at = RegistrantTime(machine.now.as_millis());
+        let outputs = machine.tick_after(MILLISECOND);
+        let outputs = machine.confirm(&outputs);
+        assert_eq!(confirmed_check(&outputs, FIRST), Some(sent_at));
+    }
+}
+
+#[test]
+fn a_machine_that_shuts_down_redirects_all_registrants() {
+    let mut machine = Machine::with(versions(5, 2));
+    machine.admit(FIRST, RegistrantKind::Dispatcher);
+    assert_eq!(machine.handle(Input::ShuttingDown), vec![Output::Redirect { connection: FIRST }]);
+    let outputs = machine.register(SECOND, RegistrantKind::Store, StateVersions::default());
+    assert_eq!(outputs, vec![Output::Redirect { connection: SECOND }]);
+    assert!(!machine.barrier.accepts_requests(machine.now));
+    assert_eq!(machine.barrier.next_deadline(), None);
+}
+
+/// What is committed by the core, and what a machine that is partitioned at times has received of it.
+struct Core {
+    machine: Machine,
+    random: fastrand::Rng,
+    committed: u64,
+    received: u64,
+    /// The read under way, and what was committed when it began.
+    read: Option<(ReadNumber, u64)>,
+    /// Committed when each connection registered; a lower bound on what may be sent to it.
+    minimum_versions: Vec<(ConnectionId, u64)>,
+    /// Committed by time.
+    history: Vec<(Instant, u64)>,
+    next_connection: u64,
+    confirmations: u64,
+}
+
+impl Core {
+    fn new(seed: u64) -> Core {
+        Core {
+            machine: Machine::with(versions(1, 0)),
+            random: fastrand::Rng::with_seed(seed),
+            committed: 1,
+            received: 1,
+            read: None,
+            minimum_versions: Vec::new(),
+            history: vec![(Instant::ORIGIN, 1)],
+            next_connection: 0,
+            confirmations: 0,
+        }
+    }
+
+    fn step(&mut self) {
+        self.machine.now += Duration::from_millis(self.random.u64(1..200));
+        let outputs = match self.random.u32(0..10) {
+            0 => {
+                self.machine.has_contact = !self.machine.has_contact;
+                self.machine.handle(Input::Tick)
+            }
+            1 | 2 => {
+                self.committed += 1;
+                self.history.push((self.machine.now, self.committed));
+                vec![]
+            }
+            3 | 4 if self.machine.has_contact => {
+                self.received = self.committed;
+                self.machine.handle(Input::StateChanged(versions(self.received, 0)))
+            }
+            5 => self.register(),
+            6 | 7 => self.end_read(),
+            8 => self.check_staleness(),
+            9 if self.random.u32(0..5) == 0 => {
+                self.machine.now += 5000 * MILLISECOND;
+                self.machine.handle(Input::Tick)
+            }
+            _ => self.machine.handle(Input::Tick),
+        };
+        self.check(&outputs);
+    }
+
+    fn register(&mut self) -> Vec<Output> {
+        self.next_connection += 1;
+        let connection = ConnectionId(self.next_connection);
+        self.minimum_versions.push((connection, self.committed));
+        self.machine.register(connection, RegistrantKind::Dispatcher, StateVersions::default())
+    }
+
+    fn check_staleness(&mut self) -> Vec<Output> {
+        let connection = ConnectionId(self.random.u64(0..=self.next_connection));
+        self.machine.check_staleness(connection)
+    }
+
+    /// A read ends only once the machine has what was committed when it began.
+    fn end_read(&mut self) -> Vec<Output> {
+        match self.read.take_if(|(_, begun_at)| *begun_at <= self.received) {
+            Some((read, _)) => self.machine.handle(Input::ReadCompleted { read }),
+            None => vec![],
+        }
+    }
+
+    fn check(&mut self, outputs: &[Output]) {
+        for output in outputs {
+            match output {
+                Output::StartRead { read } => self.read = Some((*read, self.committed)),
+                Output::Send { connection, .. } => self.check_sent(*connection),
+                Output::Confirm { connection, sent_at } => {
+                    self.check_sent(*connection);
+                    self.check_confirmed(*sent_at);
+                    self.confirmations += 1;
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// What a registrant hears is no older than what was committed when it came.
+    fn check_sent(&self, connection: ConnectionId) {
+        let minimum_versions = self
+            .minimum_versions
+            .iter()
+            .find(|(minimum_versions_to, _)| *minimum_versions_to == connection)
+            .map(|(_, version)| *version);
+        assert!(
+            Some(self.received) >= minimum_versions,
+            "{connection:?} is sent {}, but {minimum_versions:?} was committed",
+            self.received
+        );
+    }
+
+    /// What is confirmed holds all that was committed when the registrant asked.
+    fn check_confirmed(&self, sent_at: RegistrantTime) {
+        let then = self.history.iter().rev().find(|(at, _)| at.as_millis() <= sent_at.0).unwrap().1;
+        assert!(self.received >= then, "{} is confirmed, but {then} was committed then", self.received);
+    }
+}
+
+#[test]
+fn no_registrant_is_ever_sent_state_that_was_outdated_when_it_registered() {
+    let mut confirmations = 0;
+    for seed in 0..300 {
+        let mut core = Core::new(seed);
+        for _ in 0..400 {
+            core.step();
+        }
+        confirmations += core.confirmations;
+    }
+    assert!(confirmations > 1000, "only {confirmations} confirmations were given");
+}
+
+#[test]
+fn after_a_clock_stall_only_a_read_that_begins_later_confirms_anything() {
+    let mut machine = Machine::with(versions(5, 2));
+    machine.admit(FIRST, RegistrantKind::Dispatcher);
+    let in_flight = started(&machine.tick_after(CONFIRM_INTERVAL)).unwrap();
+    // With or without contact: a read that was answered meanwhile lies unread.
+    for contact in [true, false] {
+        machine.has_contact = contact;
+        let outputs = machine.handle(Input::ClockStalled);
+        assert!(!machine.barrier.accepts_requests(machine.now));
+        assert_eq!(sent_to_registrants(&machine.handle(Input::ReadCompleted { read: in_flight })), vec![]);
+        assert!(started(&outputs).is_some_and(|later| later > in_flight), "a read begins anew");
+    }
+}
--- a/system/testing/simulation/src/checks.rs
+++ b/system/testing/simulation/src/checks.rs
@@ -9,13 +9,13 @@
 use crate::{MILLISECOND, SECOND};
 use millrudder_chain::{Epoch, RequestId, View};
 use millrudder_control_state::{Command, Reply};
-use millrudder_staleness::MAX_CONFIRMATION_AGE_MS;
+use millrudder_staleness::MAX_CONFIRMATION_AGE;
 use speedy::Readable;
 use std::collections::BTreeMap;
 
 /// What a core machine tells may be so much older than what was acknowledged last (microseconds): the longest time
 /// for which a confirmation by a majority allows serving, and the way of a message.
-pub const STALE_BOUND: u64 = (MAX_CONFIRMATION_AGE_MS + 100) * MILLISECOND;
+pub const STALE_BOUND: u64 = (MAX_CONFIRMATION_AGE.as_millis() as u64 + 100) * MILLISECOND;
 /// A dispatcher that can reach a machine which is in touch with a majority learns of a version within this time.
 pub const LEARN_BOUND: u64 = 6 * SECOND;
 
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -9,13 +9,14 @@
 use crate::orders::{Orders, Step};
 use crate::{MILLISECOND, SECOND};
 use millrudder_chain::{CoreConfig, CoreNode, FencingToken, Input, NodeId, Output, RequestId, Role};
+use millrudder_clock::Instant;
 use millrudder_control_state::{Command, ControlState, Reply};
 use millrudder_placement::{Input as PlacementInput, PlacementManager};
 use millrudder_protocol::control::{FromCore, Registrant, ToCore, WorkerList};
 use millrudder_protocol::{Address, StoreId};
 use millrudder_staleness::{
-    ConnectionId, CurrentWorkerList, Input as GateInput, Kind, Output as GateOutput, ReadBarrier, ReadNumber,
-    StatePart, StateVersions, WorkerListVersion,
+    ConnectionId, CurrentWorkerList, Input as GateInput, Output as GateOutput, ReadBarrier, ReadNumber,
+    RegistrantKind, RegistrantTime, StatePart, StateVersions, WorkerListVersion,
 };
 use speedy::Writable;
 use std::collections::BTreeMap;
@@ -150,7 +151,7 @@
     /// When a tick is due, by the machine's steady clock (microseconds).
     pub fn next_deadline(&self, now: u64) -> u64 {
         let manager = self.manager.next_deadline(now / MILLISECOND).map(|due| due * MILLISECOND);
-        let gate = self.gate.next_deadline().map(|due| due * MILLISECOND);
+        let gate = self.gate.next_deadline().map(|due| due.as_millis() * MILLISECOND);
         let shell = manager.into_iter().chain(gate).chain([self.read_list_at, self.sweep_at]).min();
         self.node.next_deadline().min(shell.unwrap_or(u64::MAX))
     }
@@ -167,7 +168,7 @@
             Happening::Tick => self.on_tick(scene),
             Happening::Leaving => {
                 self.leaving = true;
-                self.guard(scene, GateInput::Leaving);
+                self.guard(scene, GateInput::ShuttingDown);
                 self.node.handle(scene.now, Input::Leave);
             }
             Happening::Called { call, order } => self.on_order(scene, call, order),
@@ -194,7 +195,7 @@
 
     fn finish(&mut self, scene: &mut CoreScene<'_>) {
         let contact = self.has_contact(scene.now);
-        if self.gate.is_due(scene.now / MILLISECOND, contact) {
+        if self.gate.is_due(Instant::from_millis(scene.now / MILLISECOND), contact) {
             self.guard(scene, GateInput::Tick);
         }
         self.carry_out(scene);
@@ -213,7 +214,7 @@
     fn guard(&mut self, scene: &mut CoreScene<'_>, input: GateInput) {
         let mut output = Vec::new();
         let contact = self.has_contact(scene.now);
-        self.gate.handle(scene.now / MILLISECOND, contact, input, &mut output);
+        self.gate.handle(Instant::from_millis(scene.now / MILLISECOND), contact, input, &mut output);
         for output in output {
             self.follow(scene, output);
         }
@@ -221,15 +222,15 @@
 
     fn follow(&mut self, scene: &mut CoreScene<'_>, output: GateOutput) {
         match output {
-            GateOutput::StartRead { round } => self.start_confirming(scene, round),
-            GateOutput::AbandonRead { round } => {
+            GateOutput::StartRead { read } => self.start_confirming(scene, read),
+            GateOutput::AbandonRead { read: round } => {
                 if let Some(confirming) = self.confirming.take_if(|confirming| confirming.round == round) {
                     let request_id = confirming.request_id;
                     self.node.handle(scene.now, Input::Abandon { request_id });
                 }
             }
-            GateOutput::Tell { connection, part } => self.tell_part(scene, connection, part),
-            GateOutput::Confirm { connection, moment } => self.vouch(scene, connection, moment),
+            GateOutput::Send { connection, part } => self.tell_part(scene, connection, part),
+            GateOutput::Confirm { connection, sent_at } => self.vouch(scene, connection, sent_at.0),
             GateOutput::NoQuorum { connection } => {
                 tell(scene, Connection(connection.0), &FromCore::NoQuorum);
             }
@@ -242,7 +243,7 @@
     fn start_confirming(&mut self, scene: &mut CoreScene<'_>, round: ReadNumber) {
         if !self.mutant.has(Mechanism::QuorumContact) {
             // Confirmed by nobody.
-            return self.guard(scene, GateInput::ReadReady { round });
+            return self.guard(scene, GateInput::ReadCompleted { read: round });
         }
         let request_id = self.orders.own_request(&self.mutant);
         self.confirming = Some(Confirming { request_id, round });
@@ -304,7 +305,7 @@
                     self.node.handle(scene.now, Input::Message { from, message });
                 }
             }
-            Payload::Workers { list } if self.current_list.take_told(WorkerListVersion::from(&list)) => {
+            Payload::Workers { list } if self.current_list.adopt_received(WorkerListVersion::from(&list)) => {
                 self.workers = list;
                 self.tell_news(scene);
             }
@@ -331,7 +332,10 @@
             // The simulated machine vouches for nothing.
             ToCore::Ask { moment_ms } => {
                 let connection = ConnectionId(connection.0);
-                self.guard(scene, GateInput::Asked { connection, moment: moment_ms });
+                self.guard(
+                    scene,
+                    GateInput::StalenessCheck { connection, sent_at: RegistrantTime(moment_ms) },
+                );
             }
             ToCore::Heartbeat { health } => {
                 if let (Some(id), Some(health)) = (self.store(connection), health) {
@@ -366,16 +370,16 @@
             self.manage(scene, PlacementInput::Registered { id: *id, name, zone, address: *address });
         }
         let kind = match registrant {
-            Registrant::Dispatcher { .. } => Kind::Dispatcher,
-            Registrant::Store { .. } => Kind::Store,
+            Registrant::Dispatcher { .. } => RegistrantKind::Dispatcher,
+            Registrant::Store { .. } => RegistrantKind::Store,
         };
         self.registrants.insert(connection, Registered { registrant });
         let addresses = self.core_addresses();
         tell(scene, connection, &addresses);
         let workers = WorkerListVersion::default();
-        let has = StateVersions { configuration_version: version, placement_epoch: epoch, workers };
+        let versions = StateVersions { configuration_version: version, placement_epoch: epoch, workers };
         let connection = ConnectionId(connection.0);
-        self.guard(scene, GateInput::Registered { connection, kind, has });
+        self.guard(scene, GateInput::Registered { connection, kind, versions });
     }
 
     fn on_tick(&mut self, scene: &mut CoreScene<'_>) {
@@ -414,7 +418,7 @@
     fn adopt_own_list(&mut self, scene: &mut CoreScene<'_>, list: WorkerList) {
         let lease = self.holds(scene.now).map(|fencing| fencing.0);
         let lease = lease.or(Some(list.fencing).filter(|_| !self.mutant.has(Mechanism::LeaseChecked)));
-        if !self.current_list.take_own(WorkerListVersion::from(&list), lease) {
+        if !self.current_list.adopt_own(WorkerListVersion::from(&list), lease) {
             return;
         }
         for connection in self.dialed.values() {
@@ -428,11 +432,11 @@
     /// Reports this machine's present state to the gate, which has it told to whom it may concern.
     fn tell_news(&mut self, scene: &mut CoreScene<'_>) {
         let numbers = numbers(self.node.machine().state(), &self.workers);
-        self.guard(scene, GateInput::State(numbers));
+        self.guard(scene, GateInput::StateChanged(numbers));
     }
 
     fn on_order(&mut self, scene: &mut CoreScene<'_>, call: Call, order: Order) {
-        let open = self.gate.takes_orders(scene.now / MILLISECOND);
+        let open = self.gate.accepts_requests(Instant::from_millis(scene.now / MILLISECOND));
         let state = self.node.machine().state();
         let step = self.orders.take(scene.now, call, order, open, state, &self.mutant);
         match step {
@@ -511,7 +515,7 @@
     fn on_read_ready(&mut self, scene: &mut CoreScene<'_>, request_id: RequestId) {
         let confirming = self.confirming.take_if(|confirming| confirming.request_id == request_id);
         if let Some(confirming) = confirming {
-            return self.guard(scene, GateInput::ReadReady { round: confirming.round });
+            return self.guard(scene, GateInput::ReadCompleted { read: confirming.round });
         }
         if let Some((call, answer)) = self.orders.read_ready(request_id, self.node.machine().state()) {
             scene.effects.push(Effect::Answer { call, answer });
@@ -538,7 +542,7 @@
     fn on_lease(&mut self, scene: &mut CoreScene<'_>, fencing: Option<FencingToken>) {
         self.fencing = fencing;
         self.read_list_at = fencing.map_or(u64::MAX, |_| scene.now);
-        self.guard(scene, GateInput::Acting(fencing.is_some()));
+        self.guard(scene, GateInput::ControllerLease { is_held: fencing.is_some() });
         self.manage(scene, PlacementInput::Leading(fencing.is_some()));
     }
 
--- a/system/testing/simulation/src/dispatcher.rs
+++ b/system/testing/simulation/src/dispatcher.rs
@@ -3,6 +3,7 @@
 use crate::event::{Connection, Effect, Happening, Observation, Payload, Target};
 use crate::mechanism::{Mechanism, Mutant};
 use crate::MILLISECOND;
+use millrudder_clock::Instant;
 use millrudder_protocol::control::{FromCore, Registrant, ToCore, WorkerList};
 use millrudder_protocol::message::Message;
 use millrudder_protocol::placement::Placement;
@@ -102,7 +103,7 @@
     pub fn start(settings: DispatcherSettings, mutant: Mutant, seed: u64, now: u64) -> Self {
         let mut plan = ConnectionPlanner::new(CORE_LINKS, seed);
         for address in &settings.seeds {
-            plan.know(*address);
+            plan.add_address(*address);
         }
         Dispatcher {
             plan,
@@ -226,7 +227,7 @@
 
     /// Leaves core machines that do not vouch for their state for others.
     fn follow_plan(&mut self, scene: &mut DispatcherScene<'_>) {
-        for step in self.plan.poll(scene.now / MILLISECOND) {
+        for step in self.plan.poll(Instant::from_millis(scene.now / MILLISECOND)) {
             match step {
                 ConnectionStep::Open(address) => {
                     self.cores.insert(address, None);
@@ -253,7 +254,7 @@
     fn register(&mut self, scene: &mut DispatcherScene<'_>, connection: Connection, address: SocketAddr) {
         if let Some(open) = self.cores.get_mut(&address) {
             *open = Some(connection);
-            self.plan.opened(scene.now / MILLISECOND, address);
+            self.plan.handle_opened(Instant::from_millis(scene.now / MILLISECOND), address);
             let DispatcherSettings { name, zone, .. } = self.settings.clone();
             let message = ToCore::Register {
                 registrant: Registrant::Dispatcher { name, zone },
@@ -268,7 +269,7 @@
     fn on_closed(&mut self, scene: &mut DispatcherScene<'_>, connection: Connection) {
         if let Some(address) = self.core_of(connection) {
             self.cores.insert(address, None);
-            self.plan.closed(scene.now / MILLISECOND, address);
+            self.plan.handle_closed(Instant::from_millis(scene.now / MILLISECOND), address);
         }
         self.stores.retain(|_, open| *open != connection);
         if self.mutant.has(Mechanism::AnswerOfSameConnection) {
@@ -284,7 +285,7 @@
 
     fn on_core(&mut self, scene: &mut DispatcherScene<'_>, connection: Connection, message: FromCore) {
         let Some(core) = self.core_of(connection) else { return };
-        let now_ms = scene.now / MILLISECOND;
+        let now = Instant::from_millis(scene.now / MILLISECOND);
         let any = !self.mutant.has(Mechanism::OnlyNewerAdopted);
         match message {
             FromCore::Configuration { configuration }
@@ -303,13 +304,15 @@
             }
             FromCore::Core { addresses } => {
                 for Address(address) in addresses {
-                    self.plan.know(address);
+                    self.plan.add_address(address);
                 }
             }
-            FromCore::Heartbeat { moment_ms, .. } => self.plan.vouched(now_ms, core, moment_ms),
-            FromCore::NoQuorum => self.plan.refused(now_ms, core),
+            FromCore::Heartbeat { moment_ms, .. } => {
+                self.plan.handle_confirmation(now, core, Instant::from_millis(moment_ms))
+            }
+            FromCore::NoQuorum => self.plan.handle_rejection(now, core),
             FromCore::Redirect => {
-                self.plan.refused(now_ms, core);
+                self.plan.handle_rejection(now, core);
                 scene.effects.push(Effect::Close { connection });
             }
             _ => {}
