--- a/coordination/checkpoint-store/src/lib.rs
+++ b/coordination/checkpoint-store/src/lib.rs
@@ -55,30 +55,27 @@
 
 #![forbid(unsafe_code)]
 
-mod contents;
 mod error;
+mod file_name;
 mod folder;
-mod frame;
-mod framed;
-mod header;
 mod inspect;
-mod name;
-mod prefixed;
-mod real;
+mod prefixed_folder;
+mod real_folder;
+mod record_file;
 mod recovery;
 mod simulated;
 mod store;
 
-pub use contents::{FramedContents, FramedRecord};
 pub use error::{Damage, Operation, StorageError};
+pub use file_name::{FileName, FileNamePrefix};
 pub use folder::{Folder, StoredFile};
-pub use frame::{FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES};
-pub use framed::FramedFile;
-pub use header::{FileHeader, FileKind, FILE_HEADER_BYTES};
 pub use inspect::{inspect, LogContents, LogReport, SlotReport, SlotState, StoreReport};
-pub use name::{FileName, FileNamePrefix};
-pub use prefixed::{PrefixedFile, PrefixedFolder};
-pub use real::{RealFile, RealFolder};
+pub use prefixed_folder::{PrefixedFile, PrefixedFolder};
+pub use real_folder::{RealFile, RealFolder};
+pub use record_file::{
+    FileHeader, FileKind, FramedContents, FramedFile, FramedRecord, FILE_HEADER_BYTES, FRAME_HEADER_BYTES,
+    MAX_PAYLOAD_BYTES,
+};
 pub use recovery::Generation;
 pub use simulated::{
     CrashOutcome, DiskCounts, Fault, PendingChange, SimulatedFailure, SimulatedFile, SimulatedFolder,
--- a/coordination/checkpoint-store/src/contents.rs
+++ b/coordination/checkpoint-store/src/record_file/contents.rs
@@ -1,7 +1,8 @@
 //! Reading a framed file back: which records are whole, and whether its end is torn or damaged.
 
-use crate::header::HeaderState;
-use crate::{frame, Damage, FileHeader, FileKind, FileName, Folder, StorageError, FILE_HEADER_BYTES};
+use super::frame;
+use super::header::{FileHeader, FileKind, HeaderState, FILE_HEADER_BYTES};
+use crate::{Damage, FileName, Folder, StorageError};
 use std::ops::Range;
 
 /// What a framed file holds.
--- a/coordination/checkpoint-store/src/framed.rs
+++ b/coordination/checkpoint-store/src/record_file/mod.rs
@@ -1,9 +1,14 @@
 //! Writing a framed file: records are gathered in memory and go out in one write a sync.
 
-use crate::frame::{self, FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES};
-use crate::{
-    Damage, FileHeader, FileName, Folder, FramedContents, StorageError, StoredFile, FILE_HEADER_BYTES,
-};
+mod contents;
+mod frame;
+mod header;
+
+pub use contents::{FramedContents, FramedRecord};
+pub use frame::{FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES};
+pub use header::{FileHeader, FileKind, FILE_HEADER_BYTES};
+
+use crate::{Damage, FileName, Folder, StorageError, StoredFile};
 
 /// Gathered bytes above which they are written before the sync; bounds memory.
 const GATHERED_BYTES: usize = 256 << 10;
--- a/coordination/checkpoint-store/src/simulated/disk.rs
+++ b/coordination/checkpoint-store/src/simulated/disk.rs
@@ -1,7 +1,7 @@
 //! The state of a simulated disk: what programs see, what is on disk, and the changes between the two.
 
 use super::change::{Change, Inode};
-use super::fate::{Chance, CrashOutcome};
+use super::crash_outcome::{Chance, CrashOutcome};
 use super::fault::{Admission, Fault, Faults, SimulatedFailure};
 use crate::{FileName, Operation, StorageError};
 use std::collections::BTreeMap;
--- a/coordination/checkpoint-store/src/simulated/mod.rs
+++ b/coordination/checkpoint-store/src/simulated/mod.rs
@@ -1,16 +1,16 @@
 //! A folder in memory that loses power, fails, runs full and rots as a test tells it.
 
 mod change;
+mod crash_combinations;
+mod crash_outcome;
 mod disk;
-mod fate;
 mod fault;
 mod file;
-mod losses;
 
 use crate::{FileName, Folder, Operation, StorageError};
+pub use crash_outcome::CrashOutcome;
 use disk::Disk;
 pub use disk::{DiskCounts, PendingChange};
-pub use fate::CrashOutcome;
 pub use fault::{Fault, SimulatedFailure};
 pub use file::SimulatedFile;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
