--- a/coordination/checkpoint-store/src/error.rs
+++ b/coordination/checkpoint-store/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with stored data.
+//! Errors of folders, files and stored data.
 
 use crate::FileName;
 use std::{fmt, io};
@@ -10,42 +10,42 @@
     /// The operating system refused or failed an operation on a file.
     #[error("cannot {operation} {file}")]
     File {
-        /// What was tried.
+        /// The operation that failed.
         operation: Operation,
-        /// The file it was tried on.
+        /// The file that it was on.
         file: FileName,
-        /// The operating system's answer.
+        /// The operating system's error.
         #[source]
         source: io::Error,
     },
     /// The operating system refused or failed an operation on the folder itself.
     #[error("cannot {operation} the folder")]
     Folder {
-        /// What was tried.
+        /// The operation that failed.
         operation: Operation,
-        /// The operating system's answer.
+        /// The operating system's error.
         #[source]
         source: io::Error,
     },
-    /// There is no room left on the disk.
+    /// The disk has no capacity left.
     #[error("disk is full: cannot {operation} {file}")]
     DiskFull {
-        /// What was tried.
+        /// The operation that failed.
         operation: Operation,
-        /// The file it was tried on.
+        /// The file that it was on.
         file: FileName,
     },
-    /// Data that had been synced does not read back as it was written.
+    /// Synced data does not read back as it was written.
     #[error("{file} is damaged at byte {offset}: {damage}")]
     Corrupt {
         /// The damaged file.
         file: FileName,
-        /// Where the damage begins, in bytes from the start of the file.
+        /// Offset of the damage, in bytes from the start of the file.
         offset: u64,
-        /// What is wrong there.
+        /// The kind of damage.
         damage: Damage,
     },
-    /// A file that must be there is not.
+    /// A file that later files depend on does not exist.
     #[error("{file} is missing although later files exist")]
     Missing {
         /// The absent file.
@@ -56,7 +56,7 @@
     UnknownVersion {
         /// The file.
         file: FileName,
-        /// The version that its header names.
+        /// The version in its header.
         found: u32,
         /// The version that this library reads and writes.
         expected: u32,
@@ -69,13 +69,13 @@
         /// Greatest length allowed.
         limit: u64,
     },
-    /// An earlier write or sync failed, so what is on disk is unknown until the store is opened again.
+    /// An earlier write or sync failed, so that the state on disk is unknown until the store is opened again.
     #[error("an earlier write or sync failed; the store must be opened again")]
     Poisoned,
-    /// The text cannot name a file in a folder.
+    /// The text is no valid file name.
     #[error("{text:?} is not the name of a file in a folder")]
     BadName {
-        /// The refused text.
+        /// The rejected text.
         text: String,
     },
 }
@@ -90,17 +90,17 @@
     Read,
     /// Open a file that exists.
     Open,
-    /// Make a file, or empty one that exists.
+    /// Create a file, or truncate an existing one.
     Create,
     /// Write bytes.
     Write,
-    /// Cut or extend a file.
+    /// Truncate or extend a file.
     SetLength,
-    /// Wait until what was done is on disk.
+    /// Wait until changes are durable.
     Sync,
-    /// Give a file another name.
+    /// Rename a file.
     Rename,
-    /// Take a name out of a folder.
+    /// Remove a name from a folder.
     Remove,
 }
 
@@ -120,22 +120,22 @@
     }
 }
 
-/// What is wrong at the named place of a damaged file.
+/// The kind of damage at an offset of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Damage {
     /// The header at the start of the file fails its checksum or belongs to another file.
     #[error("the file header does not check")]
     Header,
-    /// The frame of a record fails its checksum, or is cut off.
+    /// The frame of a record fails its checksum, or is truncated.
     #[error("a synced record does not check")]
     Frame,
-    /// The frame checks but is not the one that follows.
+    /// The frame is valid but out of sequence.
     #[error("found sequence {found} where {expected} follows")]
     Sequence {
-        /// The sequence number that must stand here.
+        /// The sequence number that follows the frame before.
         expected: u64,
-        /// The sequence number that stands here.
+        /// The sequence number of this frame.
         found: u64,
     },
 }
--- a/coordination/checkpoint-store/src/file_name.rs
+++ b/coordination/checkpoint-store/src/file_name.rs
@@ -1,4 +1,4 @@
-//! Names of files in a folder, checked once when they are made.
+//! Names of files in a folder, validated on construction.
 
 use crate::StorageError;
 use std::fmt;
@@ -11,13 +11,13 @@
 pub struct FileName(String);
 
 impl FileName {
-    /// Checks `text` as a file name.
+    /// Validates `text` as a file name.
     ///
     /// # Errors
     /// [`StorageError::BadName`] if it is empty, `.` or `..`, or holds a separator or a zero byte.
     pub fn new(text: &str) -> Result<Self, StorageError> {
-        let relative = matches!(text, "" | "." | "..");
-        if relative || text.contains(['/', '\\', '\0']) {
+        let is_relative = matches!(text, "" | "." | "..");
+        if is_relative || text.contains(['/', '\\', '\0']) {
             return Err(StorageError::BadName { text: text.to_owned() });
         }
         Ok(Self(text.to_owned()))
@@ -41,23 +41,23 @@
 pub struct FileNamePrefix(&'static str);
 
 impl FileNamePrefix {
-    /// Makes a stem; meant for constants, where a bad one fails the build.
+    /// Creates a prefix; meant for constants, where an invalid one fails the build.
     ///
     /// # Panics
     /// `text` is empty or holds anything but lower-case ASCII letters.
     #[must_use]
     pub const fn new(text: &'static str) -> Self {
         let bytes = text.as_bytes();
-        assert!(!bytes.is_empty(), "a stem must not be empty");
+        assert!(!bytes.is_empty(), "a prefix must not be empty");
         let mut index = 0;
         while index < bytes.len() {
-            assert!(bytes[index].is_ascii_lowercase(), "a stem holds lower-case letters only");
+            assert!(bytes[index].is_ascii_lowercase(), "a prefix holds lower-case letters only");
             index += 1;
         }
         Self(text)
     }
 
-    /// The stem as text.
+    /// The prefix as text.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         self.0
@@ -69,7 +69,7 @@
         FileName(format!("{}-{number:0width$x}", self.0, width = NUMBER_DIGITS))
     }
 
-    /// The number in `name` if it is a name made by [`FileNamePrefix::file`] of this stem.
+    /// The number in `name` if it is a name made by [`FileNamePrefix::file`] with this prefix.
     #[must_use]
     pub fn number(self, name: &FileName) -> Option<u64> {
         let digits = name.as_str().strip_prefix(self.0)?.strip_prefix('-')?;
--- a/coordination/checkpoint-store/src/folder.rs
+++ b/coordination/checkpoint-store/src/folder.rs
@@ -1,23 +1,23 @@
-//! What the stores need of a folder, so that they run on a disk as well as in a simulation.
+//! The interface between the stores and a folder of files, real or simulated.
 
 use crate::{FileName, StorageError};
 
 /// A folder of files, without folders inside it.
 ///
-/// Names made, renamed or removed last over a loss of power only once [`Folder::sync`] returned; the contents of a
-/// file only once [`StoredFile::sync`] of that file returned. Until then any part of what was done may be lost,
-/// independently of the rest. Calls block until the disk is done.
+/// Created, renamed and removed names are durable only once [`Folder::sync`] returned; the contents of a file only once
+/// [`StoredFile::sync`] of that file returned. Until then a loss of power may undo any part of the changes,
+/// independently of the others. Calls block until the disk is done.
 pub trait Folder {
     /// An open file of this folder.
     type File: StoredFile;
 
-    /// The names in the folder, in ascending order; names that no [`FileName`] can hold are left out.
+    /// The names in the folder, in ascending order, without those that are no valid [`FileName`].
     ///
     /// # Errors
     /// [`StorageError::Folder`] if the disk fails.
     fn list(&self) -> Result<Vec<FileName>, StorageError>;
 
-    /// The whole contents of a file.
+    /// The complete contents of a file.
     ///
     /// # Errors
     /// [`StorageError::File`] if there is no such file or the disk fails.
@@ -29,13 +29,13 @@
     /// [`StorageError::File`] if there is no such file or the disk fails.
     fn open(&self, name: &FileName) -> Result<Self::File, StorageError>;
 
-    /// Makes an empty file and opens it; a file that has the name already is emptied.
+    /// Creates an empty file and opens it; an existing file of this name is truncated.
     ///
     /// # Errors
     /// [`StorageError::File`] or [`StorageError::DiskFull`].
     fn create(&self, name: &FileName) -> Result<Self::File, StorageError>;
 
-    /// Gives a file another name; a file that had this name before is replaced.
+    /// Renames a file; an existing file `to` is replaced.
     ///
     /// # Errors
     /// [`StorageError::File`] if there is no file `from` or the disk fails.
@@ -47,10 +47,10 @@
     /// [`StorageError::File`] if there is no such file or the disk fails.
     fn remove(&self, name: &FileName) -> Result<(), StorageError>;
 
-    /// Waits until all names made, renamed and removed so far are on disk.
+    /// Waits until all names created, renamed and removed so far are durable.
     ///
     /// # Errors
-    /// [`StorageError::Folder`] if the disk fails; what lasts is unknown then.
+    /// [`StorageError::Folder`] if the disk fails; what is durable is unknown then.
     fn sync(&self) -> Result<(), StorageError>;
 }
 
@@ -68,7 +68,7 @@
     /// [`StorageError::File`] if the file ends before the buffer is full, or the disk fails.
     fn read_at(&mut self, offset: u64, buffer: &mut [u8]) -> Result<(), StorageError>;
 
-    /// Writes `bytes` from byte `offset` on; a space between the file's end and `offset` reads as zeros.
+    /// Writes `bytes` from byte `offset` on; a gap between the file's end and `offset` reads as zeros.
     ///
     /// # Errors
     /// [`StorageError::DiskFull`] or [`StorageError::File`]; any part may have been written.
@@ -83,15 +83,15 @@
         self.write_at(end, bytes)
     }
 
-    /// Cuts the file, or extends it with zeros, to `length` bytes.
+    /// Truncates the file, or extends it with zeros, to `length` bytes.
     ///
     /// # Errors
     /// [`StorageError::DiskFull`] or [`StorageError::File`].
     fn set_length(&mut self, length: u64) -> Result<(), StorageError>;
 
-    /// Waits until all that was written is on disk.
+    /// Waits until all writes so far are durable.
     ///
     /// # Errors
-    /// [`StorageError::File`] if the disk fails; what lasts is unknown then, also after a later sync that succeeds.
+    /// [`StorageError::File`] if the disk fails; what is durable is unknown then, also after a later sync that succeeds.
     fn sync(&mut self) -> Result<(), StorageError>;
 }
--- a/coordination/checkpoint-store/src/inspect.rs
+++ b/coordination/checkpoint-store/src/inspect.rs
@@ -1,10 +1,11 @@
-//! An offline look into a folder of a [`CheckpointStore`](crate::CheckpointStore): what is there, and whether it is sound.
+//! Offline report on a folder of a [`CheckpointStore`](crate::CheckpointStore): its files, and whether the store would
+//! open.
 
 use crate::recovery::{self, Slot, LOG};
-use crate::{FileKind, Folder, FramedContents, Generation, StorageError};
+use crate::{FileKind, Folder, Generation, RecordFileContents, StorageError};
 use std::fmt;
 
-/// What a folder holds.
+/// A report on the files of a store.
 #[derive(Debug)]
 pub struct StoreReport {
     /// The two slots.
@@ -12,7 +13,7 @@
     /// The logs by ascending generation; more than one only if power was lost during a checkpoint.
     pub logs: Vec<LogReport>,
     /// The generation that opening the store would recover, or why it would fail.
-    pub verdict: Result<Generation, StorageError>,
+    pub recovery: Result<Generation, StorageError>,
 }
 
 /// One of the two slots.
@@ -20,24 +21,24 @@
 pub struct SlotReport {
     /// Number of the slot, 0 or 1.
     pub number: u64,
-    /// What it holds.
+    /// Its contents.
     pub state: SlotState,
 }
 
-/// What a slot holds.
+/// The contents of a slot.
 #[derive(Debug)]
 pub enum SlotState {
     /// No such file: no checkpoint was written to it yet.
     Absent,
-    /// A whole checkpoint.
-    Whole {
+    /// A complete checkpoint.
+    Complete {
         /// The checkpoint's generation.
         generation: Generation,
         /// Length of the checkpoint in bytes.
         bytes: u64,
     },
-    /// A checkpoint that power was lost in, or a damaged one. Unsound only if the verdict says so.
-    Broken(StorageError),
+    /// A checkpoint that power was lost in, or a damaged one. Unsound only if [`StoreReport::recovery`] is an error.
+    Invalid(StorageError),
 }
 
 /// A log.
@@ -45,22 +46,22 @@
 pub struct LogReport {
     /// The generation of the checkpoint that the log follows.
     pub generation: Generation,
-    /// Whole records and torn bytes; `None` if power was lost while the log was being made.
+    /// Its contents; `None` if power was lost while the log was being created.
     pub contents: Result<Option<LogContents>, StorageError>,
 }
 
-/// What a log holds.
+/// The contents of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogContents {
-    /// Whole records.
+    /// Number of complete records.
     pub records: usize,
-    /// Length of the file's whole part in bytes.
+    /// Length of the file in bytes, without the torn ones.
     pub bytes: u64,
-    /// Bytes after the last whole record, which the next open cuts off.
+    /// Bytes after the last complete record, which the next open truncates.
     pub torn_bytes: u64,
 }
 
-/// Reads the store in `folder` without changing anything.
+/// Reports on the store in `folder` without changing anything.
 ///
 /// # Errors
 /// Those of the folder; damage to the data is reported, not an error.
@@ -69,8 +70,8 @@
     let slots = [slot_report(folder, &names, 0)?, slot_report(folder, &names, 1)?];
     let generations = names.iter().filter_map(|name| LOG.number(name)).map(Generation);
     let logs = generations.map(|generation| log_report(folder, generation)).collect();
-    let verdict = recovery::find(folder).map(|current| current.generation);
-    Ok(StoreReport { slots, logs, verdict })
+    let recovery = recovery::find_active(folder).map(|active| active.generation);
+    Ok(StoreReport { slots, logs, recovery })
 }
 
 fn slot_report<F: Folder>(
@@ -80,17 +81,17 @@
 ) -> Result<SlotReport, StorageError> {
     let state = match recovery::read_slot(folder, names, number)? {
         Slot::Absent => SlotState::Absent,
-        Slot::Whole(generation, contents) => {
+        Slot::Complete(generation, contents) => {
             let bytes = contents.records().map(|record| record.payload.len() as u64).sum();
-            SlotState::Whole { generation, bytes }
+            SlotState::Complete { generation, bytes }
         }
-        Slot::Broken(error) => SlotState::Broken(error),
+        Slot::Invalid(error) => SlotState::Invalid(error),
     };
     Ok(SlotReport { number, state })
 }
 
 fn log_report<F: Folder>(folder: &F, generation: Generation) -> LogReport {
-    let loaded = FramedContents::load(folder, &generation.log(), FileKind::Log, generation.0);
+    let loaded = RecordFileContents::load(folder, &generation.log(), FileKind::Log, generation.0);
     let contents = loaded.map(|contents| {
         contents.map(|contents| LogContents {
             records: contents.record_count(),
@@ -105,7 +106,7 @@
     /// Whether opening the store would succeed.
     #[must_use]
     pub const fn is_sound(&self) -> bool {
-        self.verdict.is_ok()
+        self.recovery.is_ok()
     }
 }
 
@@ -117,7 +118,7 @@
         for log in &self.logs {
             writeln!(formatter, "{log}")?;
         }
-        match &self.verdict {
+        match &self.recovery {
             Ok(generation) => write!(formatter, "sound: generation {generation} is in force"),
             Err(error) => write!(formatter, "unsound: {error}"),
         }
@@ -129,10 +130,10 @@
         write!(formatter, "slot {}: ", self.number)?;
         match &self.state {
             SlotState::Absent => formatter.write_str("absent"),
-            SlotState::Whole { generation, bytes } => {
+            SlotState::Complete { generation, bytes } => {
                 write!(formatter, "checkpoint of generation {generation}, {bytes} bytes")
             }
-            SlotState::Broken(error) => write!(formatter, "unfinished or damaged ({error})"),
+            SlotState::Invalid(error) => write!(formatter, "unfinished or damaged ({error})"),
         }
     }
 }
--- a/coordination/checkpoint-store/src/lib.rs
+++ b/coordination/checkpoint-store/src/lib.rs
@@ -1,24 +1,26 @@
-//! Durable state in two slots that are written in turn, with a short log between.
+//! Durable state as a double-buffered checkpoint (two slot files, written alternately) and a short log of the records
+//! since.
 //!
-//! [`CheckpointStore`] keeps the small state of a replica: its owner appends a record for each change, syncs once for a group
-//! of them, and now and then writes the whole state as a checkpoint. After a crash or a loss of power it is opened
-//! again and hands back the newest checkpoint and the records after it.
+//! [`CheckpointStore`] stores the small state of a replica: its owner appends a record for each change, syncs once for
+//! a group of them, and from time to time writes the complete state as a checkpoint. After a crash or a loss of power
+//! the store is opened again and returns the newest checkpoint and the records after it.
 //!
-//! Promised, whatever a loss of power keeps, loses or tears of what was not synced:
+//! Guaranteed, whatever outcome a loss of power has for unsynced changes:
 //!
-//! - What [`CheckpointStore::sync`] or [`CheckpointStore::checkpoint`] returned for is recovered, always.
+//! - Everything that [`CheckpointStore::sync`] or [`CheckpointStore::checkpoint`] returned for is recovered.
 //! - Records are recovered in order without a gap, and only with the checkpoint that they follow.
-//! - What one [`CheckpointStore::open`] returned is returned by the next one as well: it is synced first.
+//! - What one [`CheckpointStore::open`] recovered is recovered by the next one as well: it is synced first.
 //! - Damage to synced data ends in [`StorageError::Corrupt`] with file and offset wherever a later write proves that
 //!   the data had been synced. Damage to the last group of synced records alone looks like a torn write.
 //!
-//! A failed write or sync makes the store refuse all further ones with [`StorageError::Poisoned`], because what is on
-//! disk is unknown from then on: its owner must stop promising, and open the store again. After a sync that failed for
-//! another reason than a full disk, some systems show data that never got to the disk as if it had: such a disk is best
-//! given up.
+//! A failed write or sync makes the store reject all further ones with [`StorageError::Poisoned`], because the state on
+//! disk is unknown from then on: its owner must stop acknowledging, and open the store again. After a sync that failed
+//! for another reason than a full disk, some operating systems return data that never reached the disk: such a disk
+//! should no longer be used.
 //!
-//! Calls block; the store belongs to one thread. [`Folder`] stands between it and the disk: [`RealFolder`] is one on a
-//! file system, [`SimulatedFolder`] one in memory for tests, which loses power, fails, runs full and rots as told.
+//! Calls block; the store belongs to one thread. [`Folder`] is its interface to the disk: [`RealFolder`] is a folder of
+//! the file system, [`SimulatedFolder`] one in memory for tests, with injected power losses, faults, full disks and
+//! corruption.
 //!
 //! ```
 //! use millrudder_checkpoint_store::{SimulatedFolder, CheckpointStore};
@@ -49,9 +51,9 @@
 //! # }
 //! ```
 //!
-//! On disk, each file is a header of [`FILE_HEADER_BYTES`] bytes and frames of [`FRAME_HEADER_BYTES`] bytes beside
-//! their payload, all little endian, all under CRC-32. A slot is a file with one frame. Package `millrudder-segments`
-//! builds on the same framed files.
+//! On disk, each file ([`RecordFile`]) is a header of [`FILE_HEADER_BYTES`] bytes and frames of [`FRAME_HEADER_BYTES`]
+//! bytes beside their payload, all little endian, all with CRC-32 checksums. A slot is a file with one frame. Package
+//! `millrudder-segments` builds on the same record files.
 
 #![forbid(unsafe_code)]
 
@@ -73,11 +75,12 @@
 pub use prefixed_folder::{PrefixedFile, PrefixedFolder};
 pub use real_folder::{RealFile, RealFolder};
 pub use record_file::{
-    FileHeader, FileKind, FramedContents, FramedFile, FramedRecord, FILE_HEADER_BYTES, FRAME_HEADER_BYTES,
+    FileHeader, FileKind, FileRecord, RecordFile, RecordFileContents, FILE_HEADER_BYTES, FRAME_HEADER_BYTES,
     MAX_PAYLOAD_BYTES,
 };
 pub use recovery::Generation;
 pub use simulated::{
-    CrashOutcome, DiskCounts, Fault, PendingChange, SimulatedFailure, SimulatedFile, SimulatedFolder,
+    run_crash_events, CrashEvent, CrashModel, CrashOutcome, CrashTest, DiskCounts, Fault, PendingChange,
+    SimulatedFailure, SimulatedFile, SimulatedFolder,
 };
 pub use store::{CheckpointStore, Recovered};
--- a/coordination/checkpoint-store/src/real_folder.rs
+++ b/coordination/checkpoint-store/src/real_folder.rs
@@ -1,4 +1,4 @@
-//! A folder on a disk.
+//! A folder of the file system.
 
 use crate::{FileName, Folder, Operation, StorageError, StoredFile};
 use std::fs::{self, File, OpenOptions};
@@ -16,10 +16,10 @@
 }
 
 impl RealFolder {
-    /// Opens the folder at `path`, making it (not its parents) if it is not there; its name is synced then.
+    /// Opens the folder at `path`, and creates it (not its parents) if it does not exist; its name is synced then.
     ///
     /// # Errors
-    /// [`StorageError::Folder`] if it cannot be made or opened.
+    /// [`StorageError::Folder`] if it cannot be created or opened.
     pub fn open(path: &Path) -> Result<Self, StorageError> {
         match Self::existing(path) {
             Err(StorageError::Folder { source, .. }) if source.kind() == ErrorKind::NotFound => {}
@@ -30,7 +30,7 @@
         Self::existing(path)
     }
 
-    /// Opens a folder that is there already; nothing is written.
+    /// Opens an existing folder; nothing is written.
     ///
     /// # Errors
     /// [`StorageError::Folder`] if it cannot be opened.
@@ -54,7 +54,7 @@
     }
 }
 
-/// Syncs the folder that holds `path`, so that the name at the end of `path` lasts.
+/// Syncs the folder that holds `path`, so that the name at the end of `path` is durable.
 fn sync_parent(path: &Path) -> io::Result<()> {
     let parent = match path.parent() {
         Some(parent) if !parent.as_os_str().is_empty() => parent,
@@ -110,7 +110,7 @@
 pub struct RealFile {
     name: FileName,
     file: File,
-    /// Where the operating system's cursor stands; `None` after a failure.
+    /// Offset of the operating system's cursor in bytes; `None` if a failure left it unknown.
     cursor: Option<u64>,
 }
 
@@ -125,7 +125,7 @@
         Ok(())
     }
 
-    /// Seeks to `offset`, does `transfer` of `bytes` bytes and keeps account of the cursor.
+    /// Seeks to `offset`, runs `transfer` of `bytes` bytes and tracks the cursor.
     fn transfer(
         &mut self,
         offset: u64,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Turns a failure of `operation` on `name` into its type.
+/// Maps an I/O error of `operation` on `name`.
 fn on_file(operation: Operation, name: &FileName) -> impl FnOnce(io::Error) -> StorageError + '_ {
     move |source| match source.kind() {
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded => {
@@ -176,7 +176,7 @@
     }
 }
 
-/// Turns a failure of `operation` on the folder into its type.
+/// Maps an I/O error of `operation` on the folder.
 fn on_folder(operation: Operation) -> impl FnOnce(io::Error) -> StorageError {
     move |source| StorageError::Folder { operation, source }
 }
--- a/coordination/checkpoint-store/src/record_file/contents.rs
+++ b/coordination/checkpoint-store/src/record_file/contents.rs
@@ -1,33 +1,35 @@
-//! Reading a framed file back: which records are whole, and whether its end is torn or damaged.
+//! Reading a record file back: which records are complete, and whether its end is torn or damaged.
 
 use super::frame;
 use super::header::{FileHeader, FileKind, HeaderState, FILE_HEADER_BYTES};
 use crate::{Damage, FileName, Folder, StorageError};
 use std::ops::Range;
 
-/// What a framed file holds.
-pub struct FramedContents {
+/// The contents of a record file.
+pub struct RecordFileContents {
     /// The header of the file.
     pub header: FileHeader,
     bytes: Vec<u8>,
+    /// Payloads of the complete records, as ranges of `bytes`.
     payloads: Vec<Range<usize>>,
+    /// Where the last complete record ends in `bytes`.
     end: usize,
 }
 
-/// A record of a framed file.
+/// A record of a record file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FramedRecord<'contents> {
-    /// Where the record's frame starts, in bytes from the start of the file.
+pub struct FileRecord<'contents> {
+    /// Offset of the record's frame, in bytes from the start of the file.
     pub offset: u64,
     /// The bytes that were appended.
     pub payload: &'contents [u8],
 }
 
-impl FramedContents {
+impl RecordFileContents {
     /// Reads file `name`, which must be of this kind and number. `None`: power was lost while the file was being
-    /// made, and no record of it was ever synced.
+    /// created, and no record of it was ever synced.
     ///
-    /// Records are returned up to the first that is not whole. What follows it counts as never synced, unless a later
+    /// Records are returned up to the first that is incomplete. What follows it counts as never synced, unless a later
     /// frame says otherwise.
     ///
     /// # Errors
@@ -42,7 +44,7 @@
         Self::load_numbered(folder, name, kind, Some(number))
     }
 
-    /// As [`FramedContents::load`], for a file whose number stands in its header only.
+    /// As [`RecordFileContents::load`], for a file whose number is only in its header.
     pub(crate) fn load_numbered<F: Folder>(
         folder: &F,
         name: &FileName,
@@ -78,15 +80,15 @@
         Ok(Self { header, bytes, payloads, end })
     }
 
-    /// The whole records in order.
-    pub fn records(&self) -> impl Iterator<Item = FramedRecord<'_>> {
-        self.payloads.iter().map(|payload| FramedRecord {
+    /// The complete records in order.
+    pub fn records(&self) -> impl Iterator<Item = FileRecord<'_>> {
+        self.payloads.iter().map(|payload| FileRecord {
             offset: (payload.start - frame::FRAME_HEADER_BYTES) as u64,
             payload: &self.bytes[payload.clone()],
         })
     }
 
-    /// The number of whole records.
+    /// The number of complete records.
     #[must_use]
     pub fn record_count(&self) -> usize {
         self.payloads.len()
@@ -98,13 +100,13 @@
         self.header.first_sequence + self.payloads.len() as u64
     }
 
-    /// Where the last whole record ends, in bytes from the start of the file.
+    /// Offset of the end of the last complete record, in bytes from the start of the file.
     #[must_use]
     pub fn end(&self) -> u64 {
         self.end as u64
     }
 
-    /// Bytes after the last whole record: a write that power was lost in.
+    /// Bytes after the last complete record: a write that power was lost in.
     #[must_use]
     pub fn torn_bytes(&self) -> u64 {
         (self.bytes.len() - self.end) as u64
--- a/coordination/checkpoint-store/src/record_file/header.rs
+++ b/coordination/checkpoint-store/src/record_file/header.rs
@@ -1,25 +1,25 @@
-//! The header at the start of each file.
+//! The header at the start of each record file.
 
 use crate::{Damage, FileName, StorageError};
 use speedy::{Readable, Writable};
 
-/// Marks files of this format.
+/// Magic number of files of this format.
 const MAGIC: u32 = 0x6c72_646d;
 /// The version of the format that this library reads and writes.
 pub(crate) const FORMAT_VERSION: u32 = 1;
-/// Bytes that a file header takes.
+/// Bytes of a file header.
 pub const FILE_HEADER_BYTES: usize = 40;
 /// Bytes of the header before its checksum.
 const CHECKED_BYTES: usize = FILE_HEADER_BYTES - 4;
 
-/// What a framed file is for.
+/// The purpose of a record file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
-    /// One checkpoint.
+    /// A slot: holds one checkpoint.
     Slot,
     /// The records since a checkpoint.
     Log,
-    /// A part of an append-only store of records.
+    /// A segment of an append-only log.
     Segment,
 }
 
@@ -33,20 +33,20 @@
     }
 }
 
-/// What the header of a file says.
+/// The header of a record file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileHeader {
-    /// What the file is for.
+    /// The purpose of the file.
     pub kind: FileKind,
     /// The generation of a slot or log, the id of a segment.
     pub number: u64,
     /// The sequence number of the first record in the file.
     pub first_sequence: u64,
-    /// Mixed into the checksums of the frames, so that who writes the payload of a record cannot forge a frame in it.
+    /// Mixed into the checksums of the frames, so that the author of a record's payload cannot forge a frame in it.
     pub salt: u64,
 }
 
-/// A header as it stands on disk (little endian).
+/// A header in its form on disk (little endian).
 #[derive(Readable, Writable)]
 struct DiskHeader {
     magic: u32,
@@ -58,11 +58,11 @@
     checksum: u32,
 }
 
-/// What stands where a header should.
+/// The result of decoding a header.
 pub(crate) enum HeaderState {
-    /// A whole header.
+    /// A complete header.
     Valid(FileHeader),
-    /// The file ends within its header: it was being made when power was lost.
+    /// The file ends within its header: it was being created when power was lost.
     Unfinished,
 }
 
@@ -85,7 +85,7 @@
         bytes
     }
 
-    /// Reads the header of file `name`, which must be of this kind, and of this number if one is given.
+    /// Decodes the header of file `name`, which must be of this kind, and of this number if one is given.
     pub(crate) fn decode(
         bytes: &[u8],
         name: &FileName,
--- a/coordination/checkpoint-store/src/record_file/mod.rs
+++ b/coordination/checkpoint-store/src/record_file/mod.rs
@@ -1,34 +1,37 @@
-//! Writing a framed file: records are gathered in memory and go out in one write a sync.
+//! A file of checksummed record frames: its format on disk, and appending to it with group commit.
 
 mod contents;
 mod frame;
 mod header;
 
-pub use contents::{FramedContents, FramedRecord};
+pub use contents::{FileRecord, RecordFileContents};
 pub use frame::{FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES};
 pub use header::{FileHeader, FileKind, FILE_HEADER_BYTES};
 
 use crate::{Damage, FileName, Folder, StorageError, StoredFile};
 
-/// Gathered bytes above which they are written before the sync; bounds memory.
-const GATHERED_BYTES: usize = 256 << 10;
+/// Buffered bytes above which they are written before the sync; bounds memory.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// A framed file open for appending.
+/// A file of record frames, open for appending and reading. Frames are buffered in memory and go out in one write per
+/// sync.
 #[derive(Debug)]
-pub struct FramedFile<File> {
+pub struct RecordFile<File> {
     name: FileName,
     file: File,
     key: u32,
     /// Frames not yet written.
-    gathered: Vec<u8>,
+    buffer: Vec<u8>,
+    /// Bytes of the file that were written.
     written: u64,
+    /// Bytes of the file that were synced.
     synced: u64,
     next_sequence: u64,
     poisoned: bool,
 }
 
-impl<File: StoredFile> FramedFile<File> {
-    /// Makes file `name` with `header` and syncs it; its name lasts once the folder is synced.
+impl<File: StoredFile> RecordFile<File> {
+    /// Creates file `name` with `header` and syncs it; its name lasts once the folder is synced.
     ///
     /// # Errors
     /// Those of the folder.
@@ -39,15 +42,15 @@
         let mut file = folder.create(name)?;
         file.write_at(0, &header.encode())?;
         file.sync()?;
-        Ok(Self::at(name, file, header, FILE_HEADER_BYTES as u64, header.first_sequence))
+        Ok(Self::with_end(name, file, header, FILE_HEADER_BYTES as u64, header.first_sequence))
     }
 
-    /// Opens file `name` to go on after `contents`, which were read from it. Whatever follows them is cut off, and all
-    /// that stays is synced: a process that was killed may have left it unsynced.
+    /// Opens file `name` to append after `contents`, which were read from it. Bytes after them are truncated, and the
+    /// remaining ones are synced: a process that was killed may have left them unsynced.
     ///
     /// # Errors
     /// Those of the folder.
-    pub fn resume<F>(folder: &F, name: &FileName, contents: &FramedContents) -> Result<Self, StorageError>
+    pub fn resume<F>(folder: &F, name: &FileName, contents: &RecordFileContents) -> Result<Self, StorageError>
     where
         F: Folder<File = File>,
     {
@@ -56,14 +59,14 @@
             file.set_length(contents.end())?;
         }
         file.sync()?;
-        Ok(Self::at(name, file, &contents.header, contents.end(), contents.next_sequence()))
+        Ok(Self::with_end(name, file, &contents.header, contents.end(), contents.next_sequence()))
     }
 
     /// Opens file `name` for reading, all of which was synced before; `contents` were read from it.
     ///
     /// # Errors
     /// [`StorageError::Corrupt`] if the contents end in a torn record; those of the folder.
-    pub fn reopen<F>(folder: &F, name: &FileName, contents: &FramedContents) -> Result<Self, StorageError>
+    pub fn reopen<F>(folder: &F, name: &FileName, contents: &RecordFileContents) -> Result<Self, StorageError>
     where
         F: Folder<File = File>,
     {
@@ -71,15 +74,21 @@
             let (file, offset) = (name.clone(), contents.end());
             return Err(StorageError::Corrupt { file, offset, damage: Damage::Frame });
         }
-        Ok(Self::at(name, folder.open(name)?, &contents.header, contents.end(), contents.next_sequence()))
+        Ok(Self::with_end(
+            name,
+            folder.open(name)?,
+            &contents.header,
+            contents.end(),
+            contents.next_sequence(),
+        ))
     }
 
-    fn at(name: &FileName, file: File, header: &FileHeader, end: u64, next_sequence: u64) -> Self {
+    fn with_end(name: &FileName, file: File, header: &FileHeader, end: u64, next_sequence: u64) -> Self {
         Self {
             name: name.clone(),
             file,
             key: header.frame_key(),
-            gathered: Vec::new(),
+            buffer: Vec::new(),
             written: end,
             synced: end,
             next_sequence,
@@ -87,30 +96,30 @@
         }
     }
 
-    /// Takes a record and says where its frame starts, in bytes from the start of the file. It lasts once
-    /// [`FramedFile::sync`] returned.
+    /// Appends a record and returns the offset of its frame, in bytes from the start of the file. The record is durable
+    /// once [`RecordFile::sync`] returned.
     ///
     /// # Errors
-    /// [`StorageError::RecordTooLarge`], with nothing taken; those of a write; [`StorageError::Poisoned`].
+    /// [`StorageError::RecordTooLarge`], with nothing appended; those of a write; [`StorageError::Poisoned`].
     pub fn append(&mut self, payload: &[u8]) -> Result<u64, StorageError> {
-        self.check_sound()?;
+        self.check_not_poisoned()?;
         check_length(payload)?;
         let offset = self.length();
-        frame::encode(&mut self.gathered, payload, self.next_sequence, self.synced, self.key);
+        frame::encode(&mut self.buffer, payload, self.next_sequence, self.synced, self.key);
         self.next_sequence += 1;
-        if self.gathered.len() > GATHERED_BYTES {
-            self.write()?;
+        if self.buffer.len() > MAX_BUFFERED_BYTES {
+            self.write_buffer()?;
         }
         Ok(offset)
     }
 
-    /// Waits until every record taken is on disk: one write and one sync, or nothing if none is new.
+    /// Waits until every appended record is durable: one write and one sync, or nothing if none is new.
     ///
     /// # Errors
     /// Those of a write or sync; afterwards every call that writes fails with [`StorageError::Poisoned`].
     pub fn sync(&mut self) -> Result<(), StorageError> {
-        self.check_sound()?;
-        self.write()?;
+        self.check_not_poisoned()?;
+        self.write_buffer()?;
         if self.synced == self.written {
             return Ok(());
         }
@@ -121,16 +130,16 @@
         Ok(())
     }
 
-    fn write(&mut self) -> Result<(), StorageError> {
-        if self.gathered.is_empty() {
+    fn write_buffer(&mut self) -> Result<(), StorageError> {
+        if self.buffer.is_empty() {
             return Ok(());
         }
-        let written = self.file.write_at(self.written, &self.gathered);
+        let written = self.file.write_at(self.written, &self.buffer);
         self.poisoned = written.is_err();
         written?;
-        self.written += self.gathered.len() as u64;
-        self.gathered.clear();
-        self.gathered.shrink_to(GATHERED_BYTES);
+        self.written += self.buffer.len() as u64;
+        self.buffer.clear();
+        self.buffer.shrink_to(MAX_BUFFERED_BYTES);
         Ok(())
     }
 
@@ -139,44 +148,44 @@
     /// # Errors
     /// [`StorageError::Corrupt`] if no such record is there; those of a read.
     pub fn read(&mut self, offset: u64, bytes: usize) -> Result<Vec<u8>, StorageError> {
-        let corrupt = || StorageError::Corrupt { file: self.name.clone(), offset, damage: Damage::Frame };
         if bytes > MAX_PAYLOAD_BYTES {
-            return Err(corrupt());
+            return Err(self.corrupt_frame(offset));
         }
         let framed_bytes = FRAME_HEADER_BYTES + bytes;
         let end = offset.checked_add(framed_bytes as u64);
         if end.is_none_or(|end| end > self.length()) {
-            return Err(corrupt());
+            return Err(self.corrupt_frame(offset));
         }
         let mut buffer = vec![0; framed_bytes];
         self.read_bytes(offset, &mut buffer)?;
-        let whole = frame::decode(&buffer, 0, self.key).filter(|frame| frame.payload.end == framed_bytes);
-        whole.ok_or_else(|| StorageError::Corrupt {
-            file: self.name.clone(),
-            offset,
-            damage: Damage::Frame,
-        })?;
+        frame::decode(&buffer, 0, self.key)
+            .filter(|frame| frame.payload.end == framed_bytes)
+            .ok_or_else(|| self.corrupt_frame(offset))?;
         buffer.drain(..FRAME_HEADER_BYTES);
         Ok(buffer)
     }
 
-    /// Fills `buffer` from the file or from what is gathered; frames lie wholly in one or the other.
+    fn corrupt_frame(&self, offset: u64) -> StorageError {
+        StorageError::Corrupt { file: self.name.clone(), offset, damage: Damage::Frame }
+    }
+
+    /// Fills `buffer` from the file or from the write buffer; a frame lies entirely in one or the other.
     fn read_bytes(&mut self, offset: u64, buffer: &mut [u8]) -> Result<(), StorageError> {
         let Some(start) = offset.checked_sub(self.written) else {
             return self.file.read_at(offset, buffer);
         };
-        let start = usize::try_from(start).expect("what is gathered is in memory");
-        buffer.copy_from_slice(&self.gathered[start..start + buffer.len()]);
+        let start = usize::try_from(start).expect("the write buffer is in memory");
+        buffer.copy_from_slice(&self.buffer[start..start + buffer.len()]);
         Ok(())
     }
 
-    /// Length in bytes, with the records that are not written yet.
+    /// Length in bytes, including records that are not written yet.
     #[must_use]
     pub fn length(&self) -> u64 {
-        self.written + self.gathered.len() as u64
+        self.written + self.buffer.len() as u64
     }
 
-    /// Whether every record taken is on disk.
+    /// Whether every appended record is durable.
     #[must_use]
     pub fn is_synced(&self) -> bool {
         self.synced == self.length()
@@ -200,7 +209,7 @@
         &self.name
     }
 
-    const fn check_sound(&self) -> Result<(), StorageError> {
+    const fn check_not_poisoned(&self) -> Result<(), StorageError> {
         if self.poisoned {
             return Err(StorageError::Poisoned);
         }
@@ -208,7 +217,7 @@
     }
 }
 
-/// Refuses what no frame can hold.
+/// Rejects a payload that no frame can hold.
 fn check_length(payload: &[u8]) -> Result<(), StorageError> {
     if payload.len() > MAX_PAYLOAD_BYTES {
         let (bytes, limit) = (payload.len() as u64, MAX_PAYLOAD_BYTES as u64);
--- a/coordination/checkpoint-store/src/recovery.rs
+++ b/coordination/checkpoint-store/src/recovery.rs
@@ -1,7 +1,7 @@
-//! Which slot and log are in force, read without changing anything.
+//! Finds the active slot and log of a folder, without changing anything.
 
 use crate::{
-    Damage, FileKind, FileName, FileNamePrefix, Folder, FramedContents, StorageError, FILE_HEADER_BYTES,
+    Damage, FileKind, FileName, FileNamePrefix, Folder, RecordFileContents, StorageError, FILE_HEADER_BYTES,
 };
 use std::fmt;
 
@@ -36,40 +36,40 @@
     }
 }
 
-/// What one of the two slots holds.
+/// The contents of one of the two slots.
 pub(crate) enum Slot {
     /// No such file.
     Absent,
-    /// A whole checkpoint.
-    Whole(Generation, FramedContents),
-    /// Neither: a checkpoint that was not finished, or damage.
-    Broken(StorageError),
+    /// A complete checkpoint.
+    Complete(Generation, RecordFileContents),
+    /// A checkpoint that was not finished, or a damaged one.
+    Invalid(StorageError),
 }
 
-/// What is in force in a folder.
-pub(crate) struct Current {
+/// The files of a folder that opening its store recovers from.
+pub(crate) struct ActiveFiles {
     pub generation: Generation,
-    /// The slot in force; `None` in generation 0.
-    pub slot: Option<FramedContents>,
-    /// The log in force; `None` if it was not made yet.
-    pub log: Option<FramedContents>,
-    /// Logs that no longer count.
+    /// The slot of this generation; `None` in generation 0.
+    pub slot: Option<RecordFileContents>,
+    /// The log of this generation; `None` if it was not created yet.
+    pub log: Option<RecordFileContents>,
+    /// Logs of earlier generations, to be removed.
     pub superseded: Vec<FileName>,
 }
 
-impl Current {
-    /// The sequence number of the first record after the slot in force.
+impl ActiveFiles {
+    /// The sequence number of the first record after the active slot.
     pub fn first_sequence(&self) -> u64 {
         sequence_after(self.slot.as_ref())
     }
 }
 
-fn sequence_after(slot: Option<&FramedContents>) -> u64 {
-    slot.map_or(0, FramedContents::next_sequence)
+fn sequence_after(slot: Option<&RecordFileContents>) -> u64 {
+    slot.map_or(0, RecordFileContents::next_sequence)
 }
 
-/// Finds the slot and log in force.
-pub(crate) fn find<F: Folder>(folder: &F) -> Result<Current, StorageError> {
+/// Finds the active slot and log.
+pub(crate) fn find_active<F: Folder>(folder: &F) -> Result<ActiveFiles, StorageError> {
     let names = folder.list()?;
     let newest_log = names.iter().filter_map(|name| LOG.number(name)).max().map(Generation);
     let (generation, slot) = newest_slot(read_slots(folder, &names)?, newest_log)?;
@@ -80,14 +80,14 @@
     let current_log = generation.log();
     let superseded =
         names.into_iter().filter(|name| LOG.number(name).is_some() && *name != current_log).collect();
-    Ok(Current { generation, slot, log, superseded })
+    Ok(ActiveFiles { generation, slot, log, superseded })
 }
 
 fn read_slots<F: Folder>(folder: &F, names: &[FileName]) -> Result<[Slot; 2], StorageError> {
     Ok([read_slot(folder, names, 0)?, read_slot(folder, names, 1)?])
 }
 
-/// Reads one slot; whether a broken one matters is not decided here.
+/// Reads one slot; the caller decides whether an invalid one matters.
 pub(crate) fn read_slot<F: Folder>(
     folder: &F,
     names: &[FileName],
@@ -98,46 +98,47 @@
         return Ok(Slot::Absent);
     }
     let damaged = || StorageError::Corrupt { file: name.clone(), offset: 0, damage: Damage::Header };
-    match FramedContents::load_numbered(folder, &name, FileKind::Slot, None) {
-        Ok(Some(contents)) => Ok(whole_slot(&name, number, contents)),
-        Ok(None) => Ok(Slot::Broken(damaged())),
-        Err(error @ StorageError::Corrupt { .. }) => Ok(Slot::Broken(error)),
+    match RecordFileContents::load_numbered(folder, &name, FileKind::Slot, None) {
+        Ok(Some(contents)) => Ok(complete_slot(&name, number, contents)),
+        Ok(None) => Ok(Slot::Invalid(damaged())),
+        Err(error @ StorageError::Corrupt { .. }) => Ok(Slot::Invalid(error)),
         Err(error) => Err(error),
     }
 }
 
-fn whole_slot(name: &FileName, number: u64, contents: FramedContents) -> Slot {
+fn complete_slot(name: &FileName, number: u64, contents: RecordFileContents) -> Slot {
     let generation = Generation(contents.header.number);
-    let damaged = |offset, damage| Slot::Broken(StorageError::Corrupt { file: name.clone(), offset, damage });
+    let damaged =
+        |offset, damage| Slot::Invalid(StorageError::Corrupt { file: name.clone(), offset, damage });
     if generation.0 % 2 != number || generation == Generation::default() {
         return damaged(0, Damage::Header);
     }
     if contents.record_count() == 0 {
         return damaged(FILE_HEADER_BYTES as u64, Damage::Frame);
     }
-    Slot::Whole(generation, contents)
+    Slot::Complete(generation, contents)
 }
 
-/// The newest whole slot. A log proves that the slot of its generation had been synced: it must be whole.
+/// The newest complete slot. A log proves that the slot of its generation had been synced: it must be complete.
 fn newest_slot(
     slots: [Slot; 2],
     newest_log: Option<Generation>,
-) -> Result<(Generation, Option<FramedContents>), StorageError> {
+) -> Result<(Generation, Option<RecordFileContents>), StorageError> {
     let mut newest = (Generation::default(), None);
-    let mut broken = Vec::new();
+    let mut invalid = Vec::new();
     for slot in slots {
         match slot {
-            Slot::Whole(generation, contents) if generation > newest.0 => {
+            Slot::Complete(generation, contents) if generation > newest.0 => {
                 newest = (generation, Some(contents));
             }
-            Slot::Whole(..) | Slot::Absent => {}
-            Slot::Broken(error) => broken.push(error),
+            Slot::Complete(..) | Slot::Absent => {}
+            Slot::Invalid(error) => invalid.push(error),
         }
     }
     let Some(proven) = newest_log.filter(|proven| *proven > newest.0) else { return Ok(newest) };
     let file = proven.slot();
-    let names_it = |error: &StorageError| matches!(error, StorageError::Corrupt { file: damaged, .. } if *damaged == file);
-    let error = broken.into_iter().find(names_it);
+    let is_of_file = |error: &StorageError| matches!(error, StorageError::Corrupt { file: damaged, .. } if *damaged == file);
+    let error = invalid.into_iter().find(is_of_file);
     Err(error.unwrap_or(StorageError::Missing { file }))
 }
 
@@ -146,11 +147,11 @@
     folder: &F,
     names: &[FileName],
     generation: Generation,
-) -> Result<Option<FramedContents>, StorageError> {
+) -> Result<Option<RecordFileContents>, StorageError> {
     let name = generation.log();
     let present = names.contains(&name);
     if present {
-        let log = FramedContents::load(folder, &name, FileKind::Log, generation.0)?;
+        let log = RecordFileContents::load(folder, &name, FileKind::Log, generation.0)?;
         if log.is_some() {
             return Ok(log);
         }
@@ -164,11 +165,11 @@
     Err(StorageError::Missing { file: name })
 }
 
-/// Refuses a log that does not go on where its slot ends.
+/// Rejects a log that does not continue where its slot ends.
 fn check_follows(
-    log: &FramedContents,
+    log: &RecordFileContents,
     generation: Generation,
-    slot: Option<&FramedContents>,
+    slot: Option<&RecordFileContents>,
 ) -> Result<(), StorageError> {
     let (expected, found) = (sequence_after(slot), log.header.first_sequence);
     if expected == found {
@@ -178,11 +179,11 @@
     Err(StorageError::Corrupt { file: generation.log(), offset: 0, damage })
 }
 
-/// Whether power may have been lost before the log of `generation` was made.
+/// Whether power may have been lost before the log of `generation` was created.
 fn may_be_unfinished(names: &[FileName], generation: Generation) -> bool {
     match generation.0.checked_sub(1) {
         Some(before) => names.contains(&Generation(before).log()),
-        // The first log lasts before any slot is made.
+        // The first log is durable before any slot is created.
         None => !names.iter().any(|name| SLOT.number(name).is_some()),
     }
 }
--- a/coordination/checkpoint-store/src/simulated/change.rs
+++ b/coordination/checkpoint-store/src/simulated/change.rs
@@ -1,11 +1,11 @@
-//! One change to a simulated disk, and what it does.
+//! One change to a simulated disk, and its effect on contents and names.
 
 use super::{CrashOutcome, PendingChange};
 use crate::FileName;
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// A file, whatever its name.
+/// Identifies a file independently of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Inode(pub u64);
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The name that the change is about.
+    /// The name of the changed file, or the changed name; the old one of a rename.
     pub const fn name(&self) -> &FileName {
         match self {
             Self::Write { file, .. } | Self::SetLength { file, .. } => file,
@@ -54,19 +54,21 @@
         }
     }
 
-    /// Does to the bytes of a file what `fate` leaves of the change.
-    pub fn apply_to_bytes(&self, target: &mut Vec<u8>, fate: &CrashOutcome) {
-        match (self, fate) {
-            (Self::Write { offset, bytes, .. }, CrashOutcome::Kept) => overwrite(target, *offset, bytes),
+    /// Applies to the bytes of a file what `outcome` leaves of the change.
+    pub fn apply_to_bytes(&self, target: &mut Vec<u8>, outcome: &CrashOutcome) {
+        match (self, outcome) {
+            (Self::Write { offset, bytes, .. }, CrashOutcome::Durable) => overwrite(target, *offset, bytes),
             (Self::Write { offset, bytes, .. }, CrashOutcome::Torn(ranges)) => {
                 ranges.iter().for_each(|range| overwrite_range(target, *offset, bytes, range));
             }
-            (Self::SetLength { length, .. }, CrashOutcome::Kept) => target.resize(in_memory(*length), 0),
+            (Self::SetLength { length, .. }, CrashOutcome::Durable) => {
+                target.resize(memory_index(*length), 0)
+            }
             _ => {}
         }
     }
 
-    /// Does the change to the names of a folder.
+    /// Applies the change to the names of a folder.
     pub fn apply_to_names(&self, names: &mut BTreeMap<FileName, Inode>) {
         match self {
             Self::Write { .. } | Self::SetLength { .. } => {}
@@ -88,7 +90,7 @@
     if bytes.is_empty() {
         return;
     }
-    let start = in_memory(offset);
+    let start = memory_index(offset);
     let end = start + bytes.len();
     if target.len() < end {
         target.resize(end, 0);
@@ -102,7 +104,7 @@
     overwrite(target, offset + start as u64, &bytes[start..end]);
 }
 
-/// A place in a file that is held in memory.
-fn in_memory(offset: u64) -> usize {
+/// Converts an offset in a simulated file to an index in memory.
+fn memory_index(offset: u64) -> usize {
     usize::try_from(offset).expect("simulated files fit in memory")
 }
--- a/coordination/checkpoint-store/src/simulated/crash_outcome.rs
+++ b/coordination/checkpoint-store/src/simulated/crash_outcome.rs
@@ -1,35 +1,36 @@
-//! What becomes of a change that was not synced when power is lost.
+//! What a loss of power makes of changes that were not synced.
 
 use super::PendingChange;
 use crate::FRAME_HEADER_BYTES;
 use std::ops::Range;
 
-/// Bytes that a disk writes as a whole: the unit in which a write is torn.
+/// Bytes that a disk writes atomically: the unit in which a write is torn.
 const SECTOR_BYTES: usize = 512;
 
-/// What becomes of one change. A change other than a write counts as missing when it is torn.
+/// What a loss of power makes of one unsynced change. [`CrashOutcome::Torn`] of anything but a write counts as
+/// [`CrashOutcome::Lost`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CrashOutcome {
-    /// It is on disk.
-    Kept,
-    /// It never happened.
-    Missing,
+    /// The change reached the disk.
+    Durable,
+    /// The change never happened.
+    Lost,
     /// Only these ranges of the write's bytes are on disk; ranges beyond its length are ignored.
     Torn(Vec<Range<usize>>),
 }
 
 impl CrashOutcome {
-    /// Only `kept` of the write's bytes are on disk.
+    /// A write of which only the bytes in `durable` are on disk.
     #[must_use]
-    pub fn torn(kept: Range<usize>) -> Self {
-        Self::Torn(Vec::from([kept]))
+    pub fn torn(durable: Range<usize>) -> Self {
+        Self::Torn(Vec::from([durable]))
     }
 
-    /// The fates of a change that matter for framed files: kept, missing, and for a write cut within the first
+    /// The outcomes of a change that matter for record files: durable, lost, and for a write cut within the first
     /// frame's header, within the payload, at the last byte, or with a hole before its second half.
     #[must_use]
     pub fn choices(change: &PendingChange) -> Vec<Self> {
-        let mut choices = vec![Self::Kept, Self::Missing];
+        let mut choices = vec![Self::Durable, Self::Lost];
         if let PendingChange::Write { bytes, .. } = change {
             let cuts = [1, FRAME_HEADER_BYTES - 1, FRAME_HEADER_BYTES + 1, bytes.saturating_sub(1)];
             choices.extend(cuts.map(|cut| Self::torn(0..cut)));
@@ -39,46 +40,48 @@
     }
 }
 
-/// How a loss of power goes as a whole.
+/// How much one loss of power takes.
 #[derive(Clone, Copy, Debug)]
-enum Temper {
-    AllKept,
-    AllMissing,
-    EachByItself,
+enum LossProfile {
+    NothingLost,
+    EverythingLost,
+    /// The outcome of each change is drawn independently.
+    Independent,
 }
 
-/// Fates left to chance.
-pub(super) struct Chance {
+/// Draws the outcomes of one loss of power from a random source.
+pub(super) struct RandomCrash {
     random: fastrand::Rng,
-    temper: Temper,
+    profile: LossProfile,
 }
 
-impl Chance {
+impl RandomCrash {
     pub fn new(mut random: fastrand::Rng) -> Self {
-        let temper = match random.u8(0..5) {
-            0 => Temper::AllKept,
-            1 => Temper::AllMissing,
-            _ => Temper::EachByItself,
+        let profile = match random.u8(0..5) {
+            0 => LossProfile::NothingLost,
+            1 => LossProfile::EverythingLost,
+            _ => LossProfile::Independent,
         };
-        Self { random, temper }
+        Self { random, profile }
     }
 
-    pub fn fate(&mut self, change: &PendingChange) -> CrashOutcome {
-        match self.temper {
-            Temper::AllKept => CrashOutcome::Kept,
-            Temper::AllMissing => CrashOutcome::Missing,
-            Temper::EachByItself => self.single_fate(change),
+    /// Draws the outcome of the next change.
+    pub fn outcome(&mut self, change: &PendingChange) -> CrashOutcome {
+        match self.profile {
+            LossProfile::NothingLost => CrashOutcome::Durable,
+            LossProfile::EverythingLost => CrashOutcome::Lost,
+            LossProfile::Independent => self.independent_outcome(change),
         }
     }
 
-    fn single_fate(&mut self, change: &PendingChange) -> CrashOutcome {
+    fn independent_outcome(&mut self, change: &PendingChange) -> CrashOutcome {
         let torn_length = match change {
             PendingChange::Write { bytes, .. } => *bytes,
             PendingChange::SetLength { .. } | PendingChange::Name { .. } => 0,
         };
         match self.random.u8(0..3) {
-            0 => CrashOutcome::Kept,
-            1 => CrashOutcome::Missing,
+            0 => CrashOutcome::Durable,
+            1 => CrashOutcome::Lost,
             _ => self.torn(torn_length),
         }
     }
@@ -89,7 +92,7 @@
             return CrashOutcome::torn(0..self.random.usize(0..=bytes));
         }
         let sectors = (0..bytes).step_by(SECTOR_BYTES);
-        let kept = sectors.filter(|_| self.random.bool()).map(|start| start..start + SECTOR_BYTES);
-        CrashOutcome::Torn(kept.collect())
+        let durable = sectors.filter(|_| self.random.bool()).map(|start| start..start + SECTOR_BYTES);
+        CrashOutcome::Torn(durable.collect())
     }
 }
--- a/coordination/checkpoint-store/src/simulated/disk.rs
+++ b/coordination/checkpoint-store/src/simulated/disk.rs
@@ -1,12 +1,12 @@
-//! The state of a simulated disk: what programs see, what is on disk, and the changes between the two.
+//! The state of a simulated disk: what programs read, what is durable, and the pending changes between the two.
 
 use super::change::{Change, Inode};
-use super::crash_outcome::{Chance, CrashOutcome};
-use super::fault::{Admission, Fault, Faults, SimulatedFailure};
+use super::crash_outcome::{CrashOutcome, RandomCrash};
+use super::fault::{Completion, Fault, Faults, SimulatedFailure};
 use crate::{FileName, Operation, StorageError};
 use std::collections::BTreeMap;
 
-/// What has been done with a disk, for tests that bound the cost of a store.
+/// Counts of a disk's operations, for tests that bound the cost of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskCounts {
     /// Writes to files.
@@ -69,8 +69,8 @@
     names: BTreeMap<FileName, Inode>,
     durable_names: BTreeMap<FileName, Inode>,
     pending: Vec<Change>,
-    pub faults: Faults,
-    pub counts: DiskCounts,
+    faults: Faults,
+    counts: DiskCounts,
 }
 
 impl Disk {
@@ -88,18 +88,27 @@
         }
     }
 
-    pub fn chance(&mut self) -> Chance {
-        Chance::new(self.random.fork())
+    /// Draws a random loss of power from the disk's seed.
+    pub fn random_crash(&mut self) -> RandomCrash {
+        RandomCrash::new(self.random.fork())
+    }
+
+    pub const fn faults_mut(&mut self) -> &mut Faults {
+        &mut self.faults
+    }
+
+    pub const fn counts(&self) -> DiskCounts {
+        self.counts
     }
 
     pub fn pending(&self) -> Vec<PendingChange> {
         self.pending.iter().map(Change::describe).collect()
     }
 
-    pub fn lose_power(&mut self, fate: &mut dyn FnMut(&PendingChange) -> CrashOutcome) {
+    pub fn lose_power(&mut self, outcome_of: &mut dyn FnMut(&PendingChange) -> CrashOutcome) {
         for change in std::mem::take(&mut self.pending) {
-            let kept = fate(&change.describe());
-            self.make_durable(&change, &kept);
+            let outcome = outcome_of(&change.describe());
+            self.make_durable(&change, &outcome);
         }
         self.names = self.durable_names.clone();
         let names = &self.names;
@@ -137,14 +146,15 @@
         true
     }
 
-    fn make_durable(&mut self, change: &Change, fate: &CrashOutcome) {
+    /// Applies to the durable state what `outcome` leaves of a change.
+    fn make_durable(&mut self, change: &Change, outcome: &CrashOutcome) {
         match change {
             Change::Write { inode, .. } | Change::SetLength { inode, .. } => {
                 let Some(contents) = self.files.get_mut(inode) else { return };
-                change.apply_to_bytes(&mut contents.durable, fate);
+                change.apply_to_bytes(&mut contents.durable, outcome);
             }
             Change::Bind { .. } | Change::Rename { .. } | Change::Unbind { .. } => {
-                if *fate == CrashOutcome::Kept {
+                if *outcome == CrashOutcome::Durable {
                     change.apply_to_names(&mut self.durable_names);
                 }
             }
@@ -191,17 +201,17 @@
 
     fn change_names(&mut self, operation: Operation, change: Change) -> Result<(), StorageError> {
         let name = change.name().clone();
-        let admission = self.faults.admit(Fault::Changes).map_err(on_file(operation, &name))?;
+        let completion = self.faults.attempt(Fault::Changes).map_err(on_file(operation, &name))?;
         change.apply_to_names(&mut self.names);
         self.pending.push(change);
-        finish(admission).map_err(on_file(operation, &name))
+        finish(completion).map_err(on_file(operation, &name))
     }
 
     pub fn sync_names(&mut self) -> Result<(), StorageError> {
-        let admission = self.faults.admit(Fault::Syncs).map_err(on_folder(Operation::Sync))?;
-        finish(admission).map_err(on_folder(Operation::Sync))?;
+        let completion = self.faults.attempt(Fault::Syncs).map_err(on_folder(Operation::Sync))?;
+        finish(completion).map_err(on_folder(Operation::Sync))?;
         self.counts.folder_syncs += 1;
-        self.settle(|change| change.inode().is_none());
+        self.flush(|change| change.inode().is_none());
         Ok(())
     }
 
@@ -221,7 +231,7 @@
         self.check(handle, Operation::Read)?;
         let current = &self.files[&handle.inode].current;
         let start = usize::try_from(offset).unwrap_or(usize::MAX);
-        let bytes = current.get(start..).and_then(|rest| rest.get(..buffer.len()));
+        let bytes = current.get(start..).and_then(|remainder| remainder.get(..buffer.len()));
         let bytes =
             bytes.ok_or(SimulatedFailure::BeyondEnd).map_err(on_file(Operation::Read, &handle.name))?;
         buffer.copy_from_slice(bytes);
@@ -230,26 +240,26 @@
 
     pub fn write_at(&mut self, handle: &Handle, offset: u64, bytes: &[u8]) -> Result<(), StorageError> {
         self.check(handle, Operation::Write)?;
-        let fitting = self.fitting(handle.inode, offset, bytes.len());
-        let full = fitting < bytes.len();
-        let bytes = bytes[..fitting].to_vec();
+        let writable = self.writable_bytes(handle.inode, offset, bytes.len());
+        let is_full = writable < bytes.len();
+        let bytes = bytes[..writable].to_vec();
         let (inode, file) = (handle.inode, handle.name.clone());
         self.counts.writes += 1;
-        self.counts.written_bytes += fitting as u64;
+        self.counts.written_bytes += writable as u64;
         self.change_bytes(handle, Operation::Write, Change::Write { inode, file, offset, bytes })?;
-        if full {
+        if is_full {
             return Err(StorageError::DiskFull { operation: Operation::Write, file: handle.name.clone() });
         }
         Ok(())
     }
 
-    /// How many of `bytes` bytes written at `offset` the disk has room for.
-    fn fitting(&self, inode: Inode, offset: u64, bytes: usize) -> usize {
-        let Some(capacity) = self.faults.capacity else { return bytes };
+    /// How many of `bytes` bytes written at `offset` the disk has capacity for.
+    fn writable_bytes(&self, inode: Inode, offset: u64, bytes: usize) -> usize {
+        let Some(capacity) = self.faults.capacity() else { return bytes };
         let length = |inode: &Inode| self.files[inode].current.len() as u64;
         let used: u64 = self.names.values().map(length).sum();
-        let room = length(&inode).saturating_sub(offset) + capacity.saturating_sub(used);
-        bytes.min(usize::try_from(room).unwrap_or(usize::MAX))
+        let writable = length(&inode).saturating_sub(offset) + capacity.saturating_sub(used);
+        bytes.min(usize::try_from(writable).unwrap_or(usize::MAX))
     }
 
     pub fn set_length(&mut self, handle: &Handle, length: u64) -> Result<(), StorageError> {
@@ -265,31 +275,32 @@
         change: Change,
     ) -> Result<(), StorageError> {
         let failed = on_file(operation, &handle.name);
-        let admission = match self.faults.admit(Fault::Changes) {
-            Ok(admission) => admission,
+        let completion = match self.faults.attempt(Fault::Changes) {
+            Ok(completion) => completion,
             Err(failure) => return Err(failed(failure)),
         };
         let contents = self.files.get_mut(&handle.inode).expect("an open file has contents");
-        change.apply_to_bytes(&mut contents.current, &CrashOutcome::Kept);
+        change.apply_to_bytes(&mut contents.current, &CrashOutcome::Durable);
         self.pending.push(change);
-        finish(admission).map_err(failed)
+        finish(completion).map_err(failed)
     }
 
     pub fn sync_file(&mut self, handle: &Handle) -> Result<(), StorageError> {
         self.check(handle, Operation::Sync)?;
-        let admission = self.faults.admit(Fault::Syncs).map_err(on_file(Operation::Sync, &handle.name))?;
-        finish(admission).map_err(on_file(Operation::Sync, &handle.name))?;
+        let completion = self.faults.attempt(Fault::Syncs).map_err(on_file(Operation::Sync, &handle.name))?;
+        finish(completion).map_err(on_file(Operation::Sync, &handle.name))?;
         self.counts.file_syncs += 1;
-        self.settle(|change| change.inode() == Some(handle.inode));
+        self.flush(|change| change.inode() == Some(handle.inode));
         Ok(())
     }
 
-    /// Makes the pending changes that `covered` picks durable.
-    fn settle(&mut self, covered: impl Fn(&Change) -> bool) {
-        let (settled, pending) = std::mem::take(&mut self.pending).into_iter().partition(covered);
+    /// Makes the pending changes durable that a sync covers.
+    fn flush(&mut self, is_covered: impl Fn(&Change) -> bool) {
+        let (flushed, pending): (Vec<Change>, Vec<Change>) =
+            std::mem::take(&mut self.pending).into_iter().partition(is_covered);
         self.pending = pending;
-        for change in &settled as &Vec<Change> {
-            self.make_durable(change, &CrashOutcome::Kept);
+        for change in &flushed {
+            self.make_durable(change, &CrashOutcome::Durable);
         }
     }
 
@@ -302,11 +313,11 @@
     }
 }
 
-/// Fails an operation that the process was stopped in.
-fn finish(admission: Admission) -> Result<(), SimulatedFailure> {
-    match admission {
-        Admission::Done => Ok(()),
-        Admission::Interrupted => Err(SimulatedFailure::Interrupted),
+/// Fails an operation that the process was interrupted in.
+fn finish(completion: Completion) -> Result<(), SimulatedFailure> {
+    match completion {
+        Completion::Done => Ok(()),
+        Completion::Interrupted => Err(SimulatedFailure::Interrupted),
     }
 }
 
--- a/coordination/checkpoint-store/src/simulated/fault.rs
+++ b/coordination/checkpoint-store/src/simulated/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a simulated disk.
+//! Injected faults of a simulated disk.
 
 use std::io;
 
@@ -11,7 +11,7 @@
     Syncs,
 }
 
-/// Why a simulated operation failed; the source of the [`StorageError`](crate::StorageError).
+/// Why a simulated operation failed: the source of the [`StorageError`](crate::StorageError).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SimulatedFailure {
     /// The process was stopped; see [`SimulatedFolder::interrupt_after`](super::SimulatedFolder::interrupt_after).
@@ -42,29 +42,46 @@
     }
 }
 
-/// The faults that are in force.
+/// The injected faults that are active, and the disk's capacity.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Faults {
-    /// Bytes that fit in all files together.
-    pub capacity: Option<u64>,
-    pub failing: Option<Fault>,
+    /// Bytes that fit in all files together; `None` for no bound.
+    capacity: Option<u64>,
+    failing: Option<Fault>,
     /// Changes and syncs left before the process is interrupted.
-    pub changes_left: Option<u64>,
-    pub interrupted: bool,
+    changes_left: Option<u64>,
+    interrupted: bool,
 }
 
-/// How far an operation gets.
+/// How an operation that passed the injected faults ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Admission {
+pub(super) enum Completion {
     /// It succeeds.
     Done,
-    /// The process stops in it: it may have been done, but it fails.
+    /// The process stops in it: it may have taken effect, but it fails.
     Interrupted,
 }
 
 impl Faults {
-    /// Decides on an operation that changes or syncs something.
-    pub fn admit(&mut self, kind: Fault) -> Result<Admission, SimulatedFailure> {
+    pub const fn capacity(&self) -> Option<u64> {
+        self.capacity
+    }
+
+    pub const fn set_capacity(&mut self, bytes: Option<u64>) {
+        self.capacity = bytes;
+    }
+
+    /// Makes operations of one kind fail; `None` ends the fault.
+    pub const fn set_failing(&mut self, failing: Option<Fault>) {
+        self.failing = failing;
+    }
+
+    pub const fn interrupt_after(&mut self, changes: u64) {
+        self.changes_left = Some(changes);
+    }
+
+    /// Decides how an operation that changes or syncs something ends.
+    pub fn attempt(&mut self, kind: Fault) -> Result<Completion, SimulatedFailure> {
         self.check_running()?;
         if self.failing == Some(kind) {
             return Err(SimulatedFailure::Failing);
@@ -72,13 +89,13 @@
         match &mut self.changes_left {
             Some(0) => {
                 self.interrupted = true;
-                Ok(Admission::Interrupted)
+                Ok(Completion::Interrupted)
             }
             Some(left) => {
                 *left -= 1;
-                Ok(Admission::Done)
+                Ok(Completion::Done)
             }
-            None => Ok(Admission::Done),
+            None => Ok(Completion::Done),
         }
     }
 
@@ -89,13 +106,13 @@
         Ok(())
     }
 
-    /// The next process begins.
+    /// The next process starts.
     pub const fn end_interruption(&mut self) {
         self.interrupted = false;
         self.changes_left = None;
     }
 
-    /// Power is back: what failed is repaired; a disk's size stays.
+    /// Power is restored: all faults end; the capacity stays.
     pub fn restore(&mut self) {
         *self = Self { capacity: self.capacity, ..Self::default() };
     }
--- a/coordination/checkpoint-store/tests/contract.rs
+++ b/coordination/checkpoint-store/tests/contract.rs
@@ -1,4 +1,4 @@
-//! What every implementation of `Folder` must do, run against each of them.
+//! The contract of `Folder`, run against each implementation.
 
 mod support;
 
@@ -49,13 +49,13 @@
     assert_eq!(folder.read(&name("length")).unwrap(), b"abz\0\0");
 }
 
-fn create_empties<F: Folder>(folder: &F) {
+fn create_truncates_an_existing_file<F: Folder>(folder: &F) {
     folder.create(&name("again")).unwrap().append(b"old").unwrap();
     folder.create(&name("again")).unwrap().append(b"n").unwrap();
     assert_eq!(folder.read(&name("again")).unwrap(), b"n");
 }
 
-fn rename_replaces<F: Folder>(folder: &F) {
+fn rename_replaces_an_existing_file<F: Folder>(folder: &F) {
     folder.create(&name("from")).unwrap().append(b"new").unwrap();
     folder.create(&name("to")).unwrap().append(b"old").unwrap();
     folder.rename(&name("from"), &name("to")).unwrap();
@@ -64,14 +64,14 @@
     assert_eq!(folder.read(&name("to")).unwrap(), b"new");
 }
 
-fn remove_removes<F: Folder>(folder: &F) {
+fn removed_names_are_gone<F: Folder>(folder: &F) {
     folder.create(&name("gone")).unwrap();
     folder.remove(&name("gone")).unwrap();
     folder.sync().unwrap();
     assert_eq!(folder.list().unwrap(), []);
 }
 
-fn absent_files_are_typed_errors<F: Folder>(folder: &F) {
+fn missing_files_are_typed_errors<F: Folder>(folder: &F) {
     let absent = name("absent");
     let results = [
         (Operation::Read, folder.read(&absent).map(drop)),
@@ -93,7 +93,7 @@
     file.append(b"abc").unwrap();
     let result = file.read_at(1, &mut [0; 3]);
     assert!(matches!(result, Err(StorageError::File { operation: Operation::Read, .. })), "{result:?}");
-    // The file is as good as before.
+    // The failed read left the file usable.
     let mut buffer = [0; 2];
     file.read_at(1, &mut buffer).unwrap();
     assert_eq!(&buffer, b"bc");
@@ -145,15 +145,15 @@
     writes_are_read_back,
     gaps_read_as_zeros,
     lengths_are_set,
-    create_empties,
-    rename_replaces,
-    remove_removes,
-    absent_files_are_typed_errors,
+    create_truncates_an_existing_file,
+    rename_replaces_an_existing_file,
+    removed_names_are_gone,
+    missing_files_are_typed_errors,
     reads_beyond_the_end_fail,
 );
 
 #[test]
-fn a_real_folder_is_made_if_absent_and_not_by_a_mere_look() {
+fn a_real_folder_is_created_by_open_and_not_by_existing() {
     let temporary = TemporaryFolder::new();
     let path = temporary.path().join("state");
     assert!(matches!(
--- a/coordination/checkpoint-store/tests/decoders.rs
+++ b/coordination/checkpoint-store/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Files that no store has written: damaged in several places at once, random, of each other's names.
+//! Files that no store has written: damaged at several offsets at once, random, or exchanged.
 
 mod support;
 
@@ -20,10 +20,10 @@
         at: Index,
         number: u32,
     },
-    Cut {
+    Truncate {
         at: Index,
     },
-    Doubled {
+    Duplicate {
         at: Index,
     },
     Random {
@@ -40,8 +40,8 @@
     prop_oneof![
         4 => (any::<Index>(), 1..=u8::MAX).prop_map(|(at, mask)| Damage::Flip { at, mask }),
         4 => (any::<Index>(), number).prop_map(|(at, number)| Damage::Number { at, number }),
-        2 => any::<Index>().prop_map(|at| Damage::Cut { at }),
-        2 => any::<Index>().prop_map(|at| Damage::Doubled { at }),
+        2 => any::<Index>().prop_map(|at| Damage::Truncate { at }),
+        2 => any::<Index>().prop_map(|at| Damage::Duplicate { at }),
         1 => proptest::collection::vec(any::<u8>(), 0..300).prop_map(|bytes| Damage::Random { bytes }),
         1 => any::<Index>().prop_map(|which| Damage::Other { which }),
     ]
@@ -71,11 +71,11 @@
             bytes.iter_mut().skip(at.index(length)).take(1).for_each(|byte| *byte ^= mask)
         }
         Damage::Number { at, number } => {
-            let places = bytes.iter_mut().skip(at.index(length));
-            places.zip(number.to_le_bytes()).for_each(|(byte, new)| *byte = new);
+            let overwritten = bytes.iter_mut().skip(at.index(length));
+            overwritten.zip(number.to_le_bytes()).for_each(|(byte, new)| *byte = new);
         }
-        Damage::Cut { at } => bytes.truncate(at.index(length)),
-        Damage::Doubled { at } => {
+        Damage::Truncate { at } => bytes.truncate(at.index(length)),
+        Damage::Duplicate { at } => {
             let tail = bytes.get(at.index(length)..).unwrap_or_default().to_vec();
             bytes.extend(tail);
         }
@@ -89,7 +89,7 @@
     #![proptest_config(ProptestConfig::with_cases(CASES))]
 
     #[test]
-    fn damaged_files_are_refused_or_read_and_hold_no_more_than_their_bytes(
+    fn damaged_files_are_rejected_or_recover_no_more_than_their_bytes(
         damages in proptest::collection::vec((any::<Index>(), damage()), 1..5),
     ) {
         let folder = folder();
--- a/coordination/checkpoint-store/tests/inspect.rs
+++ b/coordination/checkpoint-store/tests/inspect.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_report_says_what_is_there_and_changes_nothing() {
+fn a_report_describes_the_files_and_changes_nothing() {
     let folder = filled_folder();
     let mut log = folder.open(&name("log-0000000000000001")).unwrap();
     log.append(b"torn").unwrap();
@@ -36,8 +36,8 @@
     let report = inspect(&folder).unwrap();
     assert_eq!((folder.counts(), folder.pending()), before);
     assert!(report.is_sound());
-    assert!(matches!(report.verdict, Ok(Generation(1))));
-    assert!(matches!(report.slots[1].state, SlotState::Whole { generation: Generation(1), bytes: 5 }));
+    assert!(matches!(report.recovery, Ok(Generation(1))));
+    assert!(matches!(report.slots[1].state, SlotState::Complete { generation: Generation(1), bytes: 5 }));
     let [LogReport { generation: Generation(1), contents: Ok(Some(contents)) }] = &report.logs[..] else {
         panic!("{report:?}")
     };
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn damage_is_reported_with_its_place() {
+fn damage_is_reported_with_its_offset() {
     let folder = filled_folder();
     folder.corrupt(&name("log-0000000000000001"), 50, 0xff);
     let report = inspect(&folder).unwrap();
     assert!(!report.is_sound());
     let text = report.to_string();
-    let verdict = "unsound: log-0000000000000001 is damaged at byte 40: a synced record does not check";
-    assert!(text.ends_with(verdict), "{text}");
+    let expected = "unsound: log-0000000000000001 is damaged at byte 40: a synced record does not check";
+    assert!(text.ends_with(expected), "{text}");
 }
--- a/coordination/checkpoint-store/tests/names.rs
+++ b/coordination/checkpoint-store/tests/names.rs
@@ -11,20 +11,20 @@
 }
 
 #[test]
-fn numbers_are_found_again_in_their_order() {
-    let stem = FileNamePrefix::new("log");
+fn numbered_names_sort_by_number_and_parse_back() {
+    let prefix = FileNamePrefix::new("log");
     let numbers = [0, 1, 9, 10, 255, u64::MAX];
-    let names = numbers.map(|number| stem.file(number));
+    let names = numbers.map(|number| prefix.file(number));
     assert!(names.is_sorted());
-    assert_eq!(names.each_ref().map(|name| stem.number(name)), numbers.map(Some));
+    assert_eq!(names.each_ref().map(|name| prefix.number(name)), numbers.map(Some));
 }
 
 #[test]
 fn other_names_have_no_number() {
-    let stem = FileNamePrefix::new("log");
+    let prefix = FileNamePrefix::new("log");
     for text in
         ["log", "log-", "log-1", "log-000000000000000G", "log-000000000000000A", "logs-0000000000000001"]
     {
-        assert_eq!(stem.number(&FileName::new(text).unwrap()), None, "{text}");
+        assert_eq!(prefix.number(&FileName::new(text).unwrap()), None, "{text}");
     }
 }
--- a/coordination/checkpoint-store/tests/simulated.rs
+++ b/coordination/checkpoint-store/tests/simulated.rs
@@ -1,4 +1,4 @@
-//! A simulated folder loses exactly what was not synced.
+//! A simulated folder loses exactly the changes that were not synced.
 
 mod support;
 
@@ -17,9 +17,9 @@
 }
 
 #[test]
-fn synced_contents_under_a_synced_name_stay() {
+fn synced_contents_under_a_synced_name_survive_a_power_loss() {
     let folder = folder_with_synced_file(b"kept");
-    folder.lose_power_with(|_| CrashOutcome::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Lost);
     assert_eq!(folder.read(&name("file")).unwrap(), b"kept");
 }
 
@@ -29,20 +29,20 @@
     let mut file = folder.create(&name("file")).unwrap();
     file.append(b"synced").unwrap();
     file.sync().unwrap();
-    folder.lose_power_with(|_| CrashOutcome::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Lost);
     assert_eq!(folder.list().unwrap(), []);
 }
 
 #[test]
-fn a_kept_name_shows_what_the_file_last_synced() {
+fn a_durable_name_shows_the_last_synced_contents() {
     let folder = SimulatedFolder::new(1);
     let mut file = folder.create(&name("file")).unwrap();
     file.append(b"synced").unwrap();
     file.sync().unwrap();
     file.append(b" and not").unwrap();
     folder.lose_power_with(|change| match change {
-        PendingChange::Name { .. } => CrashOutcome::Kept,
-        _ => CrashOutcome::Missing,
+        PendingChange::Name { .. } => CrashOutcome::Durable,
+        _ => CrashOutcome::Lost,
     });
     assert_eq!(folder.read(&name("file")).unwrap(), b"synced");
 }
@@ -54,9 +54,9 @@
     for part in [b"aa", b"bb", b"cc"] {
         file.append(part).unwrap();
     }
-    let mut fates =
-        [CrashOutcome::Kept, CrashOutcome::Missing, CrashOutcome::Torn(vec![0..1, 7..9])].into_iter();
-    folder.lose_power_with(|_| fates.next().unwrap());
+    let mut outcomes =
+        [CrashOutcome::Durable, CrashOutcome::Lost, CrashOutcome::Torn(vec![0..1, 7..9])].into_iter();
+    folder.lose_power_with(|_| outcomes.next().unwrap());
     assert_eq!(folder.read(&name("file")).unwrap(), b"aa\0\0c");
 }
 
@@ -68,12 +68,12 @@
     folder.rename(&name("file"), &name("renamed")).unwrap();
     folder.remove(&name("removed")).unwrap();
     assert_eq!(folder.list().unwrap(), [name("renamed")]);
-    let kept = folder.fork();
-    folder.lose_power_with(|_| CrashOutcome::Missing);
+    let all_durable = folder.fork();
+    folder.lose_power_with(|_| CrashOutcome::Lost);
     assert_eq!(folder.list().unwrap(), [name("file"), name("removed")]);
-    kept.lose_power_with(|_| CrashOutcome::Kept);
-    assert_eq!(kept.list().unwrap(), [name("renamed")]);
-    assert_eq!(kept.read(&name("renamed")).unwrap(), b"old");
+    all_durable.lose_power_with(|_| CrashOutcome::Durable);
+    assert_eq!(all_durable.list().unwrap(), [name("renamed")]);
+    assert_eq!(all_durable.read(&name("renamed")).unwrap(), b"old");
 }
 
 #[test]
@@ -96,7 +96,7 @@
     assert!(file.append(b"b").is_err());
     assert!(folder.list().is_err());
     assert_eq!(folder.pending().len(), 2, "the interrupted write may have got to the disk");
-    folder.lose_power_with(|_| CrashOutcome::Kept);
+    folder.lose_power_with(|_| CrashOutcome::Durable);
     assert_eq!(folder.read(&name("file")).unwrap(), b"ab");
 }
 
@@ -108,12 +108,12 @@
     assert!(file.append(b"a").is_err());
     folder.end_process();
     assert_eq!(folder.read(&name("file")).unwrap(), b"a");
-    folder.lose_power_with(|_| CrashOutcome::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Lost);
     assert_eq!(folder.read(&name("file")).unwrap(), b"");
 }
 
 #[test]
-fn a_full_disk_takes_what_fits() {
+fn a_full_disk_writes_up_to_its_capacity() {
     let folder = folder_with_synced_file(b"1234");
     folder.set_capacity(Some(6));
     let mut file = folder.open(&name("file")).unwrap();
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn faults_fail_what_they_name_until_repaired() {
+fn faults_fail_operations_of_their_kind_until_repaired() {
     let folder = folder_with_synced_file(b"");
     let mut file = folder.open(&name("file")).unwrap();
     folder.fail(Fault::Syncs);
@@ -137,12 +137,12 @@
     assert!(folder.create(&name("other")).is_err());
     folder.repair();
     file.sync().unwrap();
-    folder.lose_power_with(|_| CrashOutcome::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Lost);
     assert_eq!(folder.read(&name("file")).unwrap(), b"a");
 }
 
 #[test]
-fn rot_changes_one_byte_for_good() {
+fn corruption_of_a_byte_survives_a_power_loss() {
     let folder = folder_with_synced_file(b"abc");
     assert!(folder.corrupt(&name("file"), 1, 0x01));
     assert!(!folder.corrupt(&name("file"), 3, 0x01));
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn the_same_seed_loses_the_same() {
+fn the_same_seed_has_the_same_outcomes() {
     let lose = |seed| {
         let folder = SimulatedFolder::new(seed);
         for text in ["a", "b", "c", "d"] {
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn work_is_counted() {
+fn operations_are_counted() {
     let folder = folder_with_synced_file(b"abc");
     let expected = DiskCounts { writes: 1, written_bytes: 3, file_syncs: 1, folder_syncs: 1 };
     assert_eq!(folder.counts(), expected);
--- a/coordination/checkpoint-store/tests/store.rs
+++ b/coordination/checkpoint-store/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store on folders that lose nothing, fail, or rot.
+//! The store on folders that lose nothing, fail, or are corrupted.
 
 mod support;
 
@@ -15,7 +15,7 @@
 }
 
 fn recover_after_loss(folder: &SimulatedFolder) -> Recovered {
-    folder.lose_power_with(|_| CrashOutcome::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Lost);
     open(folder).1
 }
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_store_on_a_real_disk_comes_back() {
+fn a_store_on_a_real_disk_is_recovered() {
     let temporary = TemporaryFolder::new();
     let open = || CheckpointStore::open(RealFolder::open(temporary.path()).unwrap()).unwrap();
     let (mut store, recovered) = open();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn empty_records_and_states_are_kept() {
+fn empty_records_and_states_are_recovered() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     store.checkpoint(b"").unwrap();
@@ -79,7 +79,7 @@
 fn what_was_recovered_from_a_killed_process_is_synced() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
-    // More than is gathered in memory: written, not synced.
+    // More than is buffered in memory: written, not synced.
     store.append(&[7; 1 << 20]).unwrap();
     folder.end_process();
     assert_eq!(open(&folder).1.records.len(), 1);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_record_over_the_limit_is_refused_and_changes_nothing() {
+fn a_record_over_the_limit_is_rejected_and_changes_nothing() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     let oversized = vec![0; MAX_PAYLOAD_BYTES + 1];
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn other_files_are_left_alone() {
+fn other_files_are_not_touched() {
     let folder = SimulatedFolder::new(1);
     folder.create(&name("notes")).unwrap();
     let (mut store, _) = open(&folder);
@@ -140,7 +140,7 @@
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     store.checkpoint(b"state").unwrap();
-    folder.lose_power_with(|_| CrashOutcome::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Lost);
     assert!(folder.list().unwrap().contains(&name(FIRST_LOG)));
     open(&folder);
     assert!(!folder.list().unwrap().contains(&name(FIRST_LOG)));
@@ -162,37 +162,37 @@
 }
 
 #[test]
-fn rot_before_a_later_synced_group_is_told_with_its_place() {
+fn corruption_before_a_later_synced_group_is_reported_with_its_offset() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     append_synced(&mut store, &[b"first", b"second", b"third"]);
     let second = FILE_HEADER_BYTES + FRAME_HEADER_BYTES + b"first".len();
     for byte in second..second + FRAME_HEADER_BYTES + b"second".len() {
-        let rotten = folder.fork();
-        assert!(rotten.corrupt(&name(FIRST_LOG), byte, 0x10));
-        let error = CheckpointStore::open(rotten).unwrap_err();
+        let corrupted = folder.fork();
+        assert!(corrupted.corrupt(&name(FIRST_LOG), byte, 0x10));
+        let error = CheckpointStore::open(corrupted).unwrap_err();
         let StorageError::Corrupt { file, offset, damage: Damage::Frame } = error else {
             panic!("{error:?}")
         };
-        assert_eq!((file, offset), (name(FIRST_LOG), second as u64), "rot at byte {byte}");
+        assert_eq!((file, offset), (name(FIRST_LOG), second as u64), "corruption at byte {byte}");
     }
 }
 
 #[test]
-fn rot_in_the_header_of_a_log_is_told() {
+fn corruption_in_the_header_of_a_log_is_reported() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     append_synced(&mut store, &[b"first"]);
     for byte in 0..FILE_HEADER_BYTES {
-        let rotten = folder.fork();
-        assert!(rotten.corrupt(&name(FIRST_LOG), byte, 0x01));
-        let error = CheckpointStore::open(rotten).unwrap_err();
+        let corrupted = folder.fork();
+        assert!(corrupted.corrupt(&name(FIRST_LOG), byte, 0x01));
+        let error = CheckpointStore::open(corrupted).unwrap_err();
         assert!(matches!(error, StorageError::Corrupt { offset: 0, .. }), "{error:?}");
     }
 }
 
 #[test]
-fn rot_in_the_slot_in_force_is_told_also_while_an_older_one_is_whole() {
+fn corruption_in_the_active_slot_is_reported_although_an_older_one_is_complete() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     store.checkpoint(b"older state").unwrap();
@@ -200,15 +200,15 @@
     let slot = name("slot-0000000000000000");
     let length = folder.read(&slot).unwrap().len();
     for byte in 0..length {
-        let rotten = folder.fork();
-        assert!(rotten.corrupt(&slot, byte, 0x80));
-        let error = CheckpointStore::open(rotten).unwrap_err();
+        let corrupted = folder.fork();
+        assert!(corrupted.corrupt(&slot, byte, 0x80));
+        let error = CheckpointStore::open(corrupted).unwrap_err();
         assert!(matches!(&error, StorageError::Corrupt { file, .. } if *file == slot), "{error:?}");
     }
 }
 
 #[test]
-fn rot_in_the_older_slot_harms_nothing() {
+fn corruption_in_the_older_slot_is_ignored() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     store.checkpoint(b"older state").unwrap();
@@ -218,22 +218,22 @@
 }
 
 #[test]
-fn a_lost_file_is_told() {
+fn a_missing_file_is_reported() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     store.checkpoint(b"older state").unwrap();
     store.checkpoint(b"newer state").unwrap();
     append_synced(&mut store, &[b"record"]);
     for text in ["slot-0000000000000000", "log-0000000000000002"] {
-        let poorer = folder.fork();
-        poorer.remove(&name(text)).unwrap();
-        let error = CheckpointStore::open(poorer).unwrap_err();
+        let incomplete = folder.fork();
+        incomplete.remove(&name(text)).unwrap();
+        let error = CheckpointStore::open(incomplete).unwrap_err();
         assert!(matches!(&error, StorageError::Missing { file } if *file == name(text)), "{error:?}");
     }
 }
 
 #[test]
-fn a_log_of_another_store_is_told() {
+fn a_log_of_another_store_is_rejected() {
     let other = SimulatedFolder::new(1);
     let (mut store, _) = open(&other);
     append_synced(&mut store, &[b"one record more"]);
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_slot_in_place_of_the_other_is_told() {
+fn a_slot_under_the_name_of_the_other_is_rejected() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     store.checkpoint(b"state").unwrap();
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_record_that_stands_there_twice_is_told() {
+fn a_duplicated_record_is_reported() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     append_synced(&mut store, &[b"one"]);
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn the_first_log_cut_within_its_header_is_told_once_a_slot_was_begun() {
+fn a_first_log_truncated_within_its_header_is_reported_once_a_slot_exists() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     append_synced(&mut store, &[b"one"]);
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_file_of_a_later_format_is_refused_by_its_version() {
+fn a_file_of_a_later_format_is_rejected_by_its_version() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     append_synced(&mut store, &[b"record"]);
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_torn_record_is_cut_off_and_the_log_goes_on() {
+fn a_torn_record_is_truncated_and_the_log_continues() {
     let folder = SimulatedFolder::new(1);
     let (mut store, _) = open(&folder);
     append_synced(&mut store, &[b"one"]);
--- a/coordination/checkpoint-store/tests/support/history.rs
+++ b/coordination/checkpoint-store/tests/support/history.rs
@@ -1,6 +1,6 @@
-//! What a store was told, and which of it may and must be recovered.
+//! A model of the store: what was appended to it, and which of it may and must be recovered.
 
-use millrudder_checkpoint_store::{CheckpointStore, Folder, Recovered, StorageError};
+use millrudder_checkpoint_store::{CheckpointStore, CrashModel, Recovered, SimulatedFolder, StorageError};
 
 /// One checkpoint and the records appended after it.
 #[derive(Clone, Debug, Default)]
@@ -16,7 +16,7 @@
     records: usize,
 }
 
-/// Everything that a store was told since it was empty.
+/// Everything that was appended to a store since it was empty.
 #[derive(Clone, Debug)]
 pub struct History {
     eras: Vec<Era>,
@@ -24,7 +24,7 @@
     next: u64,
 }
 
-/// Something to do with a store.
+/// An operation on a store.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     /// Append a record with this many bytes beside its number.
@@ -34,29 +34,27 @@
     Checkpoint(usize),
 }
 
-impl History {
-    pub fn new() -> Self {
+impl Default for History {
+    fn default() -> Self {
         Self { eras: vec![Era::default()], synced: Point::default(), next: 0 }
     }
+}
 
-    /// Bytes that never come twice.
-    fn fresh(&mut self, length: usize) -> Vec<u8> {
-        self.next += 1;
-        let mut bytes = self.next.to_le_bytes().to_vec();
-        bytes.resize(bytes.len() + length, self.next as u8);
-        bytes
-    }
+impl CrashModel for History {
+    type Store = CheckpointStore<SimulatedFolder>;
+    type Step = Step;
+    type Error = StorageError;
 
-    fn end(&self) -> Point {
-        let era = self.eras.len() - 1;
-        Point { era, records: self.eras[era].records.len() }
+    fn open(&mut self, folder: &SimulatedFolder) -> Result<Self::Store, StorageError> {
+        let (store, recovered) = CheckpointStore::open(folder.clone())?;
+        self.accept(&recovered);
+        Ok(store)
     }
 
-    /// Does one step with the store. The history holds it also when it fails: it may have been done.
-    pub fn run<F: Folder>(&mut self, store: &mut CheckpointStore<F>, step: Step) -> Result<(), StorageError> {
+    fn run(&mut self, store: &mut Self::Store, step: Step) -> Result<(), StorageError> {
         match step {
             Step::Append(length) => {
-                let record = self.fresh(length);
+                let record = self.unique_bytes(length);
                 self.eras.last_mut().expect("an era").records.push(record.clone());
                 store.append(&record)
             }
@@ -66,7 +64,7 @@
                 Ok(())
             }
             Step::Checkpoint(length) => {
-                let state = self.fresh(length);
+                let state = self.unique_bytes(length);
                 self.eras.push(Era { checkpoint: Some(state.clone()), records: Vec::new() });
                 store.checkpoint(&state)?;
                 self.synced = self.end();
@@ -74,12 +72,27 @@
             }
         }
     }
+}
+
+impl History {
+    /// Bytes that never occur twice.
+    fn unique_bytes(&mut self, length: usize) -> Vec<u8> {
+        self.next += 1;
+        let mut bytes = self.next.to_le_bytes().to_vec();
+        bytes.resize(bytes.len() + length, self.next as u8);
+        bytes
+    }
+
+    fn end(&self) -> Point {
+        let era = self.eras.len() - 1;
+        Point { era, records: self.eras[era].records.len() }
+    }
 
-    /// Checks that `recovered` is a point of the history, not before the last one that was synced, and goes on from
+    /// Checks that `recovered` is a point of the history, not before the last one that was synced, and continues from
     /// there.
-    pub fn accept(&mut self, recovered: &Recovered) {
+    fn accept(&mut self, recovered: &Recovered) {
         let found = self.find(recovered);
-        let point = found.unwrap_or_else(|| panic!("recovered {recovered:?}, never told by {self:?}"));
+        let point = found.unwrap_or_else(|| panic!("recovered {recovered:?}, never written in {self:?}"));
         assert!(point >= self.synced, "recovered only {point:?} of {:?}", self.synced);
         self.eras.truncate(point.era + 1);
         self.eras[point.era].records.truncate(point.records);
@@ -90,7 +103,7 @@
     fn find(&self, recovered: &Recovered) -> Option<Point> {
         let era = self.eras.iter().rposition(|era| era.checkpoint == recovered.checkpoint)?;
         let records = recovered.records.len();
-        let told = self.eras[era].records.get(..records)?;
-        (told == recovered.records).then_some(Point { era, records })
+        let appended = self.eras[era].records.get(..records)?;
+        (appended == recovered.records).then_some(Point { era, records })
     }
 }
--- a/coordination/checkpoint-store/tests/support/mod.rs
+++ b/coordination/checkpoint-store/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this package share.
+//! Helpers that the tests of this package share.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod history;
@@ -31,12 +31,12 @@
     }
 }
 
-/// Puts `bytes` in place of file `name`.
+/// Replaces the contents of file `name` by `bytes`, synced.
 pub fn replace(folder: &SimulatedFolder, name: &FileName, bytes: &[u8]) {
     let mut file = folder.create(name).expect("a file");
-    file.append(bytes).expect("room");
-    file.sync().expect("a sound disk");
-    folder.sync().expect("a sound disk");
+    file.append(bytes).expect("enough capacity");
+    file.sync().expect("a healthy disk");
+    folder.sync().expect("a healthy disk");
 }
 
 pub fn name(text: &str) -> FileName {
--- a/coordination/segments/src/inspect.rs
+++ b/coordination/segments/src/inspect.rs
@@ -2,7 +2,7 @@
 
 use crate::recovery::{self, Continuity};
 use crate::SegmentId;
-use millrudder_checkpoint_store::{Folder, FramedContents, StorageError};
+use millrudder_checkpoint_store::{Folder, RecordFileContents, StorageError};
 use std::fmt;
 
 /// What a folder holds.
@@ -55,7 +55,7 @@
     Ok(LogReport { segments })
 }
 
-fn sealed<F: Folder>(folder: &F, segment: SegmentId) -> Result<Option<FramedContents>, StorageError> {
+fn sealed<F: Folder>(folder: &F, segment: SegmentId) -> Result<Option<RecordFileContents>, StorageError> {
     recovery::load_sealed(folder, segment).map(Some)
 }
 
@@ -63,7 +63,7 @@
     folder: &F,
     segment: SegmentId,
     before: Option<SegmentId>,
-) -> Result<Option<FramedContents>, StorageError> {
+) -> Result<Option<RecordFileContents>, StorageError> {
     let contents = recovery::load(folder, segment)?;
     if contents.is_none() {
         recovery::check_unfinished(segment, before)?;
@@ -73,7 +73,7 @@
 
 fn segment_state(
     segment: SegmentId,
-    contents: Option<FramedContents>,
+    contents: Option<RecordFileContents>,
     continuity: &mut Continuity,
 ) -> Result<SegmentState, StorageError> {
     let Some(contents) = contents else { return Ok(SegmentState::Unfinished) };
@@ -81,7 +81,7 @@
     Ok(records_state(&contents))
 }
 
-fn records_state(contents: &FramedContents) -> SegmentState {
+fn records_state(contents: &RecordFileContents) -> SegmentState {
     SegmentState::Records {
         records: contents.record_count(),
         bytes: contents.end(),
--- a/coordination/segments/src/log.rs
+++ b/coordination/segments/src/log.rs
@@ -278,7 +278,7 @@
 fn take_newest<F: Folder>(
     folder: &F,
     ids: &mut Vec<SegmentId>,
-) -> Result<Option<(SegmentId, millrudder_checkpoint_store::FramedContents)>, StorageError> {
+) -> Result<Option<(SegmentId, millrudder_checkpoint_store::RecordFileContents)>, StorageError> {
     let Some(newest) = ids.pop() else { return Ok(None) };
     if let Some(contents) = recovery::load(folder, newest)? {
         return Ok(Some((newest, contents)));
--- a/coordination/segments/src/recovery.rs
+++ b/coordination/segments/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use crate::segment::position;
 use crate::{Position, SegmentId};
-use millrudder_checkpoint_store::{Damage, FileKind, Folder, FramedContents, StorageError};
+use millrudder_checkpoint_store::{Damage, FileKind, Folder, RecordFileContents, StorageError};
 
 /// The ids of the segments in a folder, ascending.
 pub(crate) fn segment_ids<F: Folder>(folder: &F) -> Result<Vec<SegmentId>, StorageError> {
@@ -10,12 +10,12 @@
 }
 
 /// Reads one segment. `None`: power was lost while it was being made, which only the newest segment may show.
-pub(crate) fn load<F: Folder>(folder: &F, id: SegmentId) -> Result<Option<FramedContents>, StorageError> {
-    FramedContents::load(folder, &id.file(), FileKind::Segment, id.0)
+pub(crate) fn load<F: Folder>(folder: &F, id: SegmentId) -> Result<Option<RecordFileContents>, StorageError> {
+    RecordFileContents::load(folder, &id.file(), FileKind::Segment, id.0)
 }
 
 /// Reads a segment that was sealed, so that all of it was synced.
-pub(crate) fn load_sealed<F: Folder>(folder: &F, id: SegmentId) -> Result<FramedContents, StorageError> {
+pub(crate) fn load_sealed<F: Folder>(folder: &F, id: SegmentId) -> Result<RecordFileContents, StorageError> {
     let damaged = |offset, damage| StorageError::Corrupt { file: id.file(), offset, damage };
     let contents = load(folder, id)?.ok_or_else(|| damaged(0, Damage::Header))?;
     if contents.torn_bytes() > 0 {
@@ -57,7 +57,7 @@
     }
 
     /// Checks that segment `id` goes on where the one before it ended; between the two others may have been removed.
-    pub fn follow(&mut self, id: SegmentId, contents: &FramedContents) -> Result<(), StorageError> {
+    pub fn follow(&mut self, id: SegmentId, contents: &RecordFileContents) -> Result<(), StorageError> {
         let first = contents.header.first_sequence;
         if let Some(end) = self.last {
             check_end(end, id, first)?;
@@ -84,7 +84,7 @@
 /// Shows each record of a segment with its position.
 pub(crate) fn visit_records(
     id: SegmentId,
-    contents: &FramedContents,
+    contents: &RecordFileContents,
     visit: &mut impl FnMut(Position, &[u8]),
 ) {
     for record in contents.records() {
--- a/coordination/segments/src/segment.rs
+++ b/coordination/segments/src/segment.rs
@@ -2,14 +2,14 @@
 
 use crate::{Position, SegmentConfig, SegmentError, SegmentId, SegmentUsage};
 use millrudder_checkpoint_store::{
-    FileHeader, FileKind, Folder, FramedContents, FramedFile, StorageError, StoredFile, FILE_HEADER_BYTES,
+    FileHeader, FileKind, Folder, RecordFileContents, RecordFile, StorageError, StoredFile, FILE_HEADER_BYTES,
 };
 
 /// A segment that is open.
 #[derive(Debug)]
 pub(crate) struct Segment<File> {
     pub id: SegmentId,
-    pub file: FramedFile<File>,
+    pub file: RecordFile<File>,
     live_bytes: u64,
 }
 
@@ -26,30 +26,30 @@
     {
         let salt = config.salt;
         let header = FileHeader { kind: FileKind::Segment, number: id.0, first_sequence, salt };
-        let file = FramedFile::create(folder, &id.file(), &header)?;
+        let file = RecordFile::create(folder, &id.file(), &header)?;
         folder.sync()?;
         Ok(Self { id, file, live_bytes: 0 })
     }
 
     /// Opens a segment that was sealed, with all its records live.
-    pub fn reopen<F>(folder: &F, id: SegmentId, contents: &FramedContents) -> Result<Self, StorageError>
+    pub fn reopen<F>(folder: &F, id: SegmentId, contents: &RecordFileContents) -> Result<Self, StorageError>
     where
         F: Folder<File = File>,
     {
-        let file = FramedFile::reopen(folder, &id.file(), contents)?;
+        let file = RecordFile::reopen(folder, &id.file(), contents)?;
         Ok(Self::recovered(id, file))
     }
 
     /// Opens the newest segment to go on writing, with all its records live.
-    pub fn resume<F>(folder: &F, id: SegmentId, contents: &FramedContents) -> Result<Self, StorageError>
+    pub fn resume<F>(folder: &F, id: SegmentId, contents: &RecordFileContents) -> Result<Self, StorageError>
     where
         F: Folder<File = File>,
     {
-        let file = FramedFile::resume(folder, &id.file(), contents)?;
+        let file = RecordFile::resume(folder, &id.file(), contents)?;
         Ok(Self::recovered(id, file))
     }
 
-    fn recovered(id: SegmentId, file: FramedFile<File>) -> Self {
+    fn recovered(id: SegmentId, file: RecordFile<File>) -> Self {
         let live_bytes = file.length() - FILE_HEADER_BYTES as u64;
         Self { id, file, live_bytes }
     }
--- a/coordination/segments/tests/log.rs
+++ b/coordination/segments/tests/log.rs
@@ -194,7 +194,7 @@
     positions[..2].iter().for_each(|position| log.release(*position).unwrap());
     log.remove_segment(SegmentId(0)).unwrap();
     assert_eq!(log.oldest_segment(), SegmentId(1));
-    folder.lose_power_with(|_| CrashOutcome::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Lost);
     let (log, found) = open(&folder);
     assert_eq!(records(&found), [&HALF[..], &HALF, b"copy of what was live"]);
     assert_eq!(log.oldest_segment(), SegmentId(1));
@@ -210,7 +210,7 @@
     folder.end_process();
     let mut count = 0;
     SegmentLog::open(folder.clone(), config, |_, _| count += 1).unwrap();
-    folder.lose_power_with(|_| CrashOutcome::Missing);
+    folder.lose_power_with(|_| CrashOutcome::Lost);
     SegmentLog::open(folder, config, |_, _| count += 1).unwrap();
     assert_eq!(count, 2);
 }
--- a/coordination/segments/tests/power_loss.rs
+++ b/coordination/segments/tests/power_loss.rs
@@ -53,7 +53,7 @@
         let folder = SimulatedFolder::new(0);
         let mut model = Model::default();
         let stopped = live_until_stopped(&folder, &mut model, changes);
-        losses += folder.for_each_loss(CrashOutcome::choices, |lost| {
+        losses += folder.for_each_crash(CrashOutcome::choices, |lost| {
             let mut model = model.clone();
             assert!(inspect(&lost).unwrap().is_sound());
             let mut log = must_open(&lost, &mut model);
@@ -62,7 +62,7 @@
             for step in [Step::Append(4), Step::Append(700), Step::Sync, Step::Append(600), Step::Sync] {
                 model.run(&mut log, step).unwrap();
             }
-            lost.lose_power_with(|_| CrashOutcome::Missing);
+            lost.lose_power_with(|_| CrashOutcome::Lost);
             must_open(&lost, &mut model);
         });
         if !stopped {
@@ -78,7 +78,7 @@
     model.run(&mut log, Step::Append(40)).unwrap();
     folder.interrupt_after(0);
     assert!(model.run(&mut log, Step::Sync).is_err());
-    folder.for_each_loss(CrashOutcome::choices, |lost| {
+    folder.for_each_crash(CrashOutcome::choices, |lost| {
         must_open(&lost, &mut model.clone());
     });
 }
@@ -92,12 +92,12 @@
         folder.end_process();
         let mut log = must_open(&folder, &mut model);
         let untouched = folder.fork();
-        untouched.for_each_loss(CrashOutcome::choices, |lost| {
+        untouched.for_each_crash(CrashOutcome::choices, |lost| {
             must_open(&lost, &mut model.clone());
         });
         model.run(&mut log, Step::Append(4)).unwrap();
         model.run(&mut log, Step::Sync).unwrap();
-        folder.for_each_loss(CrashOutcome::choices, |lost| {
+        folder.for_each_crash(CrashOutcome::choices, |lost| {
             must_open(&lost, &mut model.clone());
         });
         if !stopped {
