--- a/coordination/checkpoint-store/src/simulated/crash_test.rs
+++ b/coordination/checkpoint-store/src/simulated/crash_test.rs
@@ -169,7 +169,8 @@
     });
 }
 
-/// Runs random events on a store; it is recovered after each that it does not survive. Returns the store at the end.
+/// Runs random events on a store and recovers it after each that it does not survive. At the end power is lost once
+/// more; returns the store that is recovered then.
 ///
 /// # Panics
 /// The store recovered something else than the model allows.
@@ -200,7 +201,9 @@
         }
         store = reopen(folder, model);
     }
-    store
+    drop(store);
+    folder.lose_power();
+    reopen(folder, model)
 }
 
 /// Opens the store; if the process is interrupted or the disk is full on the way, once more with both repaired.
--- a/coordination/checkpoint-store/tests/power_loss.rs
+++ b/coordination/checkpoint-store/tests/power_loss.rs
@@ -78,8 +78,6 @@
         let folder = SimulatedFolder::new(seed);
         let mut history = History::default();
         drop(run_crash_events(&folder, &mut history, events));
-        folder.lose_power();
-        history.must_open(&folder);
     }
 
     #[test]
--- a/coordination/segments/examples/inspect.rs
+++ b/coordination/segments/examples/inspect.rs
@@ -1,4 +1,4 @@
-//! Prints what a folder holds of the files of both packages, and whether it is sound; changes nothing.
+//! Prints a report on the files of both storage packages in a folder, and whether they are sound; changes nothing.
 //!
 //! `cargo run -p millrudder-segments --example inspect -- FOLDER`; ends with 1 if something is unsound.
 
--- a/coordination/segments/examples/recovery.rs
+++ b/coordination/segments/examples/recovery.rs
@@ -9,9 +9,9 @@
 
 /// Length of a record in bytes: a message of the usual size.
 const RECORD_BYTES: usize = 2_000;
-/// Records in a group that is synced together.
-const GROUP: usize = 50;
-/// Room for 10 million records.
+/// Records that are synced together.
+const GROUP_RECORDS: usize = 50;
+/// Capacity for 10 million records.
 const CONFIG: SegmentConfig = SegmentConfig {
     segment_bytes: 4 << 20,
     total_bytes: 24 << 30,
@@ -40,12 +40,15 @@
     let start = Instant::now();
     for number in 1..=records {
         log.append(&record)?;
-        if number % GROUP == 0 {
+        if number % GROUP_RECORDS == 0 {
             log.sync()?;
         }
     }
     log.sync()?;
-    println!("{records} records of {RECORD_BYTES} bytes appended, synced by {GROUP}: {:?}", start.elapsed());
+    println!(
+        "{records} records of {RECORD_BYTES} bytes appended, synced by {GROUP_RECORDS}: {:?}",
+        start.elapsed()
+    );
     Ok(())
 }
 
--- a/coordination/segments/src/config.rs
+++ b/coordination/segments/src/config.rs
@@ -1,12 +1,12 @@
-//! Sizes of a log.
+//! Configuration of a log: sizes and compaction.
 
 use crate::position::framed_bytes;
 use millrudder_checkpoint_store::{FILE_HEADER_BYTES, MAX_PAYLOAD_BYTES};
 
-/// Smallest segment allowed, in bytes: smaller ones are mostly headers and syncs.
+/// Smallest segment allowed, in bytes: in smaller ones, headers and syncs dominate.
 const MIN_SEGMENT_BYTES: u64 = 1 << 10;
 
-/// How large a log and its segments may get.
+/// Configuration of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentConfig {
     /// Greatest size of a segment file in bytes; bounds the longest record as well.
@@ -14,12 +14,12 @@
     /// Greatest size of all segment files together in bytes.
     pub total_bytes: u64,
     /// The part of `total_bytes` that ordinary records leave free, in bytes. At least one segment, so that compaction
-    /// always finds room.
+    /// always has capacity.
     pub reserve_bytes: u64,
-    /// A sealed segment is worth compacting when less than this share of it is live, in percent.
+    /// A sealed segment is compacted when less than this percentage of its bytes is live.
     pub compact_below_percent: u8,
-    /// Mixed into the checksums of new segments, so that who writes the payload of a record cannot forge frames in
-    /// it: a number that is hard to guess. It may be another one each time the log is opened.
+    /// Mixed into the checksums of new segments, so that the author of a record's payload cannot forge frames in it: a
+    /// number that is hard to guess. It may differ each time the log is opened.
     pub salt: u64,
 }
 
@@ -36,14 +36,14 @@
     }
 }
 
-/// Why a [`SegmentConfig`] cannot work.
+/// Why a [`SegmentConfig`] is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum ConfigError {
     /// Segments are too small or too large.
     #[error("segment_bytes is {found}, must be {least} to {most}")]
     SegmentBytes {
-        /// The size asked for.
+        /// The configured size.
         found: u64,
         /// Smallest size.
         least: u64,
@@ -53,23 +53,23 @@
     /// The reserve is smaller than a segment.
     #[error("reserve_bytes is {found}, must be at least segment_bytes, {least}")]
     ReserveTooSmall {
-        /// The reserve asked for.
+        /// The configured reserve.
         found: u64,
         /// Smallest reserve.
         least: u64,
     },
-    /// The reserve leaves no room for ordinary records.
+    /// The reserve leaves no capacity for ordinary records.
     #[error("total_bytes is {found}, must be at least reserve_bytes and segment_bytes together, {least}")]
     TotalTooSmall {
-        /// The size asked for.
+        /// The configured size.
         found: u64,
         /// Smallest size.
         least: u64,
     },
-    /// The share is no percentage.
+    /// The value is no percentage.
     #[error("compact_below_percent is {found}, must be at most 100")]
     Percentage {
-        /// The share asked for.
+        /// The configured percentage.
         found: u8,
     },
 }
@@ -81,7 +81,7 @@
         self.segment_bytes - FILE_HEADER_BYTES as u64 - framed_bytes(0)
     }
 
-    /// Refuses sizes that cannot work.
+    /// Rejects an invalid configuration.
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         let most = FILE_HEADER_BYTES as u64 + framed_bytes(MAX_PAYLOAD_BYTES as u32);
         if !(MIN_SEGMENT_BYTES..=most).contains(&self.segment_bytes) {
--- a/coordination/segments/src/error.rs
+++ b/coordination/segments/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a log.
+//! Errors of a log.
 
 use crate::{ConfigError, Position, SegmentId};
 use millrudder_checkpoint_store::StorageError;
@@ -7,19 +7,19 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum SegmentError {
-    /// The disk failed or ran full, or synced data is damaged.
+    /// The disk failed or is full, or synced data is damaged.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The configuration cannot work. Nothing was opened.
+    /// The configuration is invalid. Nothing was opened.
     #[error("the log's configuration cannot work")]
     Config(#[from] ConfigError),
-    /// The record does not fit below the log's bound. Nothing was written.
-    #[error("log is full: {needed} bytes needed, {room} bytes left")]
+    /// The record does not fit in the log's capacity. Nothing was written.
+    #[error("log is full: {needed} bytes needed, {available} bytes left")]
     StorageFull {
         /// Bytes that the record would take, with its frame and, where one must begin, a new segment's header.
         needed: u64,
         /// Bytes left for records of this kind.
-        room: u64,
+        available: u64,
     },
     /// The record does not fit in a segment. Nothing was written.
     #[error("record of {bytes} bytes is over the limit of {limit} bytes")]
@@ -29,10 +29,10 @@
         /// Greatest length allowed.
         limit: u64,
     },
-    /// There is no such segment, or no longer.
+    /// The segment does not exist, or was removed.
     #[error("there is no segment {0}")]
     UnknownSegment(SegmentId),
-    /// The newest segment takes records; it cannot be removed or compacted. Roll first.
+    /// The active segment, to which records are appended, cannot be removed or compacted. Roll first.
     #[error("segment {0} is the one being written")]
     ActiveSegment(SegmentId),
     /// The segment holds records that were not released.
--- a/coordination/segments/src/inspect.rs
+++ b/coordination/segments/src/inspect.rs
@@ -1,43 +1,43 @@
-//! An offline look into a folder of a [`SegmentLog`](crate::SegmentLog): what is there, and whether it is sound.
+//! Offline report on a folder of a [`SegmentLog`](crate::SegmentLog): its segments, and whether the log would open.
 
 use crate::recovery::{self, Continuity};
 use crate::SegmentId;
 use millrudder_checkpoint_store::{Folder, RecordFileContents, StorageError};
 use std::fmt;
 
-/// What a folder holds.
+/// A report on the files of a log.
 #[derive(Debug)]
 pub struct LogReport {
     /// The segments by ascending id.
     pub segments: Vec<SegmentReport>,
 }
 
-/// A segment.
+/// A report on one segment.
 #[derive(Debug)]
 pub struct SegmentReport {
     /// The segment.
     pub segment: SegmentId,
-    /// What it holds, or what is wrong with it.
+    /// Its contents, or its damage.
     pub state: Result<SegmentState, StorageError>,
 }
 
-/// What a sound segment holds.
+/// The contents of an undamaged segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SegmentState {
-    /// Records, possibly with a torn one at the end of the newest segment.
+    /// Records; the newest segment may end in a torn one.
     Records {
-        /// Whole records.
+        /// Number of complete records.
         records: usize,
-        /// Length of the file's whole part in bytes.
+        /// Length of the file in bytes, without the torn ones.
         bytes: u64,
-        /// Bytes after the last whole record, which the next open cuts off.
+        /// Bytes after the last complete record, which the next open truncates.
         torn_bytes: u64,
     },
-    /// Power was lost while the newest segment was being made; the next open removes it.
+    /// Power was lost while the newest segment was being created; the next open removes it.
     Unfinished,
 }
 
-/// Reads the log in `folder` without changing anything.
+/// Reports on the log in `folder` without changing anything.
 ///
 /// # Errors
 /// Those of listing the folder; damage to a segment is reported, not an error.
@@ -47,8 +47,8 @@
     let mut segments = Vec::new();
     for (index, segment) in ids.iter().copied().enumerate() {
         let is_newest = index + 1 == ids.len();
-        let before = index.checked_sub(1).map(|index| ids[index]);
-        let state = if is_newest { newest(folder, segment, before) } else { sealed(folder, segment) };
+        let previous = index.checked_sub(1).map(|index| ids[index]);
+        let state = if is_newest { newest(folder, segment, previous) } else { sealed(folder, segment) };
         let state = state.and_then(|contents| segment_state(segment, contents, &mut continuity));
         segments.push(SegmentReport { segment, state });
     }
@@ -62,11 +62,11 @@
 fn newest<F: Folder>(
     folder: &F,
     segment: SegmentId,
-    before: Option<SegmentId>,
+    previous: Option<SegmentId>,
 ) -> Result<Option<RecordFileContents>, StorageError> {
     let contents = recovery::load(folder, segment)?;
     if contents.is_none() {
-        recovery::check_unfinished(segment, before)?;
+        recovery::check_unfinished(segment, previous)?;
     }
     Ok(contents)
 }
@@ -77,7 +77,7 @@
     continuity: &mut Continuity,
 ) -> Result<SegmentState, StorageError> {
     let Some(contents) = contents else { return Ok(SegmentState::Unfinished) };
-    continuity.follow(segment, &contents)?;
+    continuity.check_next(segment, &contents)?;
     Ok(records_state(&contents))
 }
 
--- a/coordination/segments/src/lib.rs
+++ b/coordination/segments/src/lib.rs
@@ -1,31 +1,31 @@
-//! An append-only store of records in segment files, with group commit and compaction.
+//! A segmented append-only log of records, with group commit and compaction.
 //!
-//! [`SegmentLog`] keeps many records of any size, such as messages and what became of them. Records are appended to
-//! the newest segment; a full one is sealed and the next begun. Its owner indexes records by [`Position`], releases
-//! those that no longer count, and gives space back by removing segments in which nothing is live:
+//! [`SegmentLog`] stores many records of any size, such as messages and their state changes. Records are appended to the
+//! active segment; a full one is sealed and the next created. The owner indexes records by [`Position`], releases those
+//! that it no longer needs, and reclaims capacity by removing segments without live records:
 //!
-//! - [`SegmentLog::append`] takes a record, [`SegmentLog::sync`] makes all taken so far last at the cost of one sync.
-//! - [`SegmentLog::release`] counts a record out. [`SegmentLog::segments_to_compact`] names the sealed segments that
+//! - [`SegmentLog::append`] adds a record; [`SegmentLog::sync`] makes all appended so far durable with one sync.
+//! - [`SegmentLog::release`] marks a record as dead. [`SegmentLog::segments_to_compact`] lists the sealed segments that
 //!   are mostly dead: append their live records again, release the old ones, then [`SegmentLog::remove_segment`].
-//! - The size of all segments together is bounded. Ordinary records leave a reserve, which is for records that let
-//!   space be freed, such as ends of messages and what compaction appends again.
+//! - The size of all segments together is bounded. Ordinary records leave a reserve for records that allow capacity to
+//!   be reclaimed, such as ends of messages and records moved by compaction.
 //!
-//! Promised, whatever a loss of power keeps, loses or tears of what was not synced:
+//! Guaranteed, whatever outcome a loss of power has for unsynced changes:
 //!
 //! - Records for which a sync returned are recovered, in the order in which they were appended, without a gap except
-//!   for removed segments. Each removal lasts before the next one begins.
+//!   for removed segments. Each removal is durable before the next one begins.
 //! - What one [`SegmentLog::open`] recovered is recovered by the next one as well: it is synced first.
 //! - Damage to synced data ends in [`StorageError::Corrupt`](millrudder_checkpoint_store::StorageError::Corrupt) with file and
 //!   offset wherever a later write proves that the data had been synced; in a sealed segment, always.
 //!
-//! A record that says that another one no longer counts must stay live until the segment of the other one is removed;
-//! otherwise the other one could come back without it. [`SegmentLog::oldest_segment`] tells when.
+//! The embedder must keep a record that supersedes another one (a tombstone) live until the segment of the other one is
+//! removed; otherwise the other one could be recovered without it. [`SegmentLog::oldest_segment`] shows when.
 //!
 //! A record that compaction appends again is recovered after all that was appended before, also after records that
-//! were once later than it. Either the order of the records of one subject must not matter to the owner, or the owner
-//! appends one record with all that is known of the subject instead, and releases the older ones.
+//! once followed it. Either the order of the records of one key must not matter to the owner, or the owner appends one
+//! record with the merged state of the key instead, and releases the older ones.
 //!
-//! Calls block; the log belongs to one thread. A failed write or sync makes it refuse all further ones until it is
+//! Calls block; the log belongs to one thread. A failed write or sync makes it reject all further ones until it is
 //! opened again.
 //!
 //! ```
--- a/coordination/segments/src/log.rs
+++ b/coordination/segments/src/log.rs
@@ -1,13 +1,13 @@
-//! The log of segments.
+//! The log: appends to the active segment, rolls, compacts and removes segments.
 
 use crate::position::framed_bytes;
 use crate::recovery::{self, Continuity};
 use crate::segment::Segment;
 use crate::{LogUsage, Position, SegmentConfig, SegmentError, SegmentId, SegmentUsage};
-use millrudder_checkpoint_store::{Folder, StorageError, FILE_HEADER_BYTES};
+use millrudder_checkpoint_store::{Folder, RecordFileContents, StorageError, FILE_HEADER_BYTES};
 use std::collections::BTreeMap;
 
-/// An append-only store of records in segment files.
+/// A segmented append-only log of records.
 #[derive(Debug)]
 pub struct SegmentLog<F: Folder> {
     folder: F,
@@ -19,13 +19,13 @@
 }
 
 impl<F: Folder> SegmentLog<F> {
-    /// Opens the log in `folder`, or makes it if there is none, and shows `visit` every record in the order in which
-    /// they were appended. All records count as live; the owner releases those that do not. Files of other names are
-    /// left alone. Reads each byte once, one segment at a time.
+    /// Opens the log in `folder`, or creates it if there is none, and calls `visit` with every record in the order in
+    /// which they were appended. All records count as live; the owner releases those that are not. Files of other names
+    /// are not touched. Reads each byte once, one segment at a time.
     ///
     /// # Errors
     /// [`SegmentError::Config`]; [`SegmentError::Storage`] if synced data is damaged or the disk fails, possibly after
-    /// some records were shown.
+    /// some records were visited.
     pub fn open(
         folder: F,
         config: SegmentConfig,
@@ -38,13 +38,13 @@
         let mut continuity = Continuity::new();
         for id in ids {
             let contents = recovery::load_sealed(&folder, id)?;
-            continuity.follow(id, &contents)?;
+            continuity.check_next(id, &contents)?;
             sealed.insert(id, Segment::reopen(&folder, id, &contents)?);
             recovery::visit_records(id, &contents, &mut visit);
         }
         let active = match newest {
             Some((id, contents)) => {
-                continuity.follow(id, &contents)?;
+                continuity.check_next(id, &contents)?;
                 let active = Segment::resume(&folder, id, &contents)?;
                 // A process that was killed may have left the name unsynced, and an unfinished segment was removed.
                 folder.sync()?;
@@ -53,12 +53,12 @@
             }
             None => Segment::create(&folder, SegmentId::FIRST, 0, &config)?,
         };
-        let sealed_bytes = sealed.values().map(|segment| segment.file.length()).sum();
+        let sealed_bytes = sealed.values().map(|segment| segment.file_bytes()).sum();
         Ok(Self { folder, config, sealed, active, sealed_bytes, poisoned: false })
     }
 
-    /// Takes an ordinary record; it lasts once [`SegmentLog::sync`] returned, together with all taken before it. It
-    /// counts as live until it is released.
+    /// Appends an ordinary record. It is durable once [`SegmentLog::sync`] returned, together with all appended before
+    /// it, and counts as live until it is released.
     ///
     /// Rolls first if the record does not fit in the newest segment.
     ///
@@ -70,7 +70,7 @@
         self.append_below(limit, record)
     }
 
-    /// Takes a record that lets space be freed, and may use the reserve for it.
+    /// Appends a record that may use the reserve: one that allows capacity to be reclaimed.
     ///
     /// # Errors
     /// As [`SegmentLog::append`].
@@ -79,15 +79,15 @@
     }
 
     fn append_below(&mut self, limit: u64, record: &[u8]) -> Result<Position, SegmentError> {
-        self.check_sound()?;
+        self.check_not_poisoned()?;
         let framed = self.checked_framed_bytes(record)?;
-        let rolls = self.active.file.length() + framed > self.config.segment_bytes;
-        let needed = if rolls { framed + FILE_HEADER_BYTES as u64 } else { framed };
-        let room = limit.saturating_sub(self.file_bytes());
-        if needed > room {
-            return Err(SegmentError::StorageFull { needed, room });
+        let must_roll = self.active.file_bytes() + framed > self.config.segment_bytes;
+        let needed = if must_roll { framed + FILE_HEADER_BYTES as u64 } else { framed };
+        let available = limit.saturating_sub(self.file_bytes());
+        if needed > available {
+            return Err(SegmentError::StorageFull { needed, available });
         }
-        if rolls {
+        if must_roll {
             self.roll()?;
         }
         Ok(self.active.append(record)?)
@@ -101,34 +101,34 @@
         }
     }
 
-    /// Waits until all records taken are on disk: one write and one sync for all of them, or nothing if none is new.
+    /// Waits until all appended records are durable: one write and one sync for all of them, or nothing if none is new.
     ///
     /// # Errors
-    /// [`SegmentError::Storage`]; the records may or may not last then, and the log refuses further writes.
+    /// [`SegmentError::Storage`]; the records may or may not be durable then, and the log rejects further writes.
     pub fn sync(&mut self) -> Result<(), SegmentError> {
-        self.check_sound()?;
-        Ok(self.active.file.sync()?)
+        self.check_not_poisoned()?;
+        Ok(self.active.sync()?)
     }
 
-    /// Seals the newest segment and begins the next, unless it has no records yet. All records taken are on disk
+    /// Seals the active segment and creates the next, unless it has no records yet. All appended records are durable
     /// then. Costs two syncs of files and one of the folder.
     ///
     /// # Errors
-    /// [`SegmentError::Storage`]; the log refuses further writes then.
+    /// [`SegmentError::Storage`]; the log rejects further writes then.
     pub fn roll(&mut self) -> Result<(), SegmentError> {
-        self.check_sound()?;
+        self.check_not_poisoned()?;
         if self.active.record_bytes() == 0 {
             return Ok(());
         }
         self.sync()?;
-        let (id, sequence) = (self.active.id.next(), self.active.file.next_sequence());
-        // After a failure the next segment may be there or not: going on in the one before it could contradict it.
+        let (id, sequence) = (self.active.id().next(), self.active.next_sequence());
+        // After a failure the next segment may exist or not: records appended to this one could contradict it.
         self.poisoned = true;
         let next = Segment::create(&self.folder, id, sequence, &self.config)?;
         self.poisoned = false;
         let sealed = std::mem::replace(&mut self.active, next);
-        self.sealed_bytes += sealed.file.length();
-        self.sealed.insert(sealed.id, sealed);
+        self.sealed_bytes += sealed.file_bytes();
+        self.sealed.insert(sealed.id(), sealed);
         Ok(())
     }
 
@@ -136,42 +136,43 @@
     ///
     /// # Errors
     /// [`SegmentError::UnknownSegment`] if its segment was removed; [`SegmentError::Storage`] if it is damaged, the
-    /// disk fails or no record lies there.
+    /// disk fails or there is no record at this position.
     pub fn read(&mut self, position: Position) -> Result<Vec<u8>, SegmentError> {
         Ok(self.segment_mut(position.segment)?.read(position)?)
     }
 
-    /// Counts a live record out: its owner needs it no longer.
+    /// Marks a live record as dead: its owner no longer needs it.
     ///
     /// # Errors
-    /// [`SegmentError::UnknownSegment`]; [`SegmentError::Accounting`] if more than the whole segment would be released.
+    /// [`SegmentError::UnknownSegment`]; [`SegmentError::Accounting`] if more than the entire segment would be released.
     pub fn release(&mut self, position: Position) -> Result<(), SegmentError> {
         self.segment_mut(position.segment)?.release(position)
     }
 
-    /// Counts a released record as live again.
+    /// Marks a released record as live again.
     ///
     /// # Errors
-    /// [`SegmentError::UnknownSegment`]; [`SegmentError::Accounting`] if more than the whole segment would be live.
+    /// [`SegmentError::UnknownSegment`]; [`SegmentError::Accounting`] if more than the entire segment would be live.
     pub fn retain(&mut self, position: Position) -> Result<(), SegmentError> {
         self.segment_mut(position.segment)?.retain(position)
     }
 
-    /// The sealed segments that are worth compacting, those with the smallest live share first. Those without live
-    /// bytes can be removed at once; of the others append the live records again first, with
+    /// The sealed segments to compact, those with the smallest live fraction first. Those without live bytes can be
+    /// removed at once; the live records of the others must first be appended again with
     /// [`SegmentLog::append_reserved`].
     #[must_use]
     pub fn segments_to_compact(&self) -> Vec<SegmentUsage> {
-        let below = u64::from(self.config.compact_below_percent);
-        let worth =
-            |usage: &SegmentUsage| usage.live_bytes == 0 || usage.live_bytes * 100 < usage.file_bytes * below;
-        let mut usages: Vec<_> = self.sealed.values().map(Segment::usage).filter(worth).collect();
-        // By live share in thousandths.
+        let percent = u64::from(self.config.compact_below_percent);
+        let is_sparse = |usage: &SegmentUsage| {
+            usage.live_bytes == 0 || usage.live_bytes * 100 < usage.file_bytes * percent
+        };
+        let mut usages: Vec<_> = self.sealed.values().map(Segment::usage).filter(is_sparse).collect();
+        // By live fraction in thousandths.
         usages.sort_by_key(|usage| (usage.live_bytes * 1000 / usage.file_bytes, usage.segment));
         usages
     }
 
-    /// Shows every record of a sealed segment, live or not, in order.
+    /// Calls `visit` with every record of a sealed segment, live or not, in order.
     ///
     /// # Errors
     /// [`SegmentError::ActiveSegment`], [`SegmentError::UnknownSegment`], [`SegmentError::Storage`].
@@ -186,14 +187,14 @@
         Ok(())
     }
 
-    /// Removes a sealed segment without live records, having synced all records taken so far, and returns the bytes
-    /// given back. The removal lasts when this returns.
+    /// Syncs all appended records, removes a sealed segment without live records, and returns the bytes reclaimed. The
+    /// removal is durable when this returns.
     ///
     /// # Errors
     /// [`SegmentError::StillLive`], [`SegmentError::ActiveSegment`], [`SegmentError::UnknownSegment`], with nothing
-    /// changed; [`SegmentError::Storage`]: the log refuses further writes then.
+    /// changed; [`SegmentError::Storage`]: the log rejects further writes then.
     pub fn remove_segment(&mut self, segment: SegmentId) -> Result<u64, SegmentError> {
-        self.check_sound()?;
+        self.check_not_poisoned()?;
         let usage = self.check_sealed(segment)?;
         if usage.live_bytes > 0 {
             return Err(SegmentError::StillLive { segment, live_bytes: usage.live_bytes });
@@ -208,85 +209,86 @@
         Ok(usage.file_bytes)
     }
 
-    /// The oldest segment there is. A record that makes others void may be released once all of those lay in older
-    /// segments than this.
+    /// The oldest segment that exists. A record that supersedes others may be released once all of those were in
+    /// segments older than this.
     #[must_use]
     pub fn oldest_segment(&self) -> SegmentId {
-        self.sealed.keys().next().copied().unwrap_or(self.active.id)
+        self.sealed.keys().next().copied().unwrap_or(self.active.id())
     }
 
-    /// The segment that takes records.
+    /// The segment to which records are appended.
     #[must_use]
     pub const fn active_segment(&self) -> SegmentId {
-        self.active.id
+        self.active.id()
     }
 
-    /// How full one segment is; `None` if there is no such segment.
+    /// Sizes of one segment; `None` if there is no such segment.
     #[must_use]
     pub fn segment_usage(&self, segment: SegmentId) -> Option<SegmentUsage> {
-        if segment == self.active.id {
+        if segment == self.active.id() {
             return Some(self.active.usage());
         }
         self.sealed.get(&segment).map(Segment::usage)
     }
 
-    /// How full the log is.
+    /// Sizes and free capacity of the log.
     #[must_use]
     pub fn usage(&self) -> LogUsage {
         let segments = self.sealed.values().chain([&self.active]);
         let live_bytes = segments.map(|segment| segment.usage().live_bytes).sum();
         let file_bytes = self.file_bytes();
-        let reserved_room = self.config.total_bytes.saturating_sub(file_bytes);
+        let reserved_capacity = self.config.total_bytes.saturating_sub(file_bytes);
         LogUsage {
             segments: self.sealed.len() + 1,
             file_bytes,
             live_bytes,
-            room: reserved_room.saturating_sub(self.config.reserve_bytes),
-            reserved_room,
+            ordinary_capacity: reserved_capacity.saturating_sub(self.config.reserve_bytes),
+            reserved_capacity,
         }
     }
 
     fn file_bytes(&self) -> u64 {
-        self.sealed_bytes + self.active.file.length()
+        self.sealed_bytes + self.active.file_bytes()
     }
 
     fn segment_mut(&mut self, segment: SegmentId) -> Result<&mut Segment<F::File>, SegmentError> {
-        if segment == self.active.id {
+        if segment == self.active.id() {
             return Ok(&mut self.active);
         }
         self.sealed.get_mut(&segment).ok_or(SegmentError::UnknownSegment(segment))
     }
 
     fn check_sealed(&self, segment: SegmentId) -> Result<SegmentUsage, SegmentError> {
-        if segment == self.active.id {
+        if segment == self.active.id() {
             return Err(SegmentError::ActiveSegment(segment));
         }
         let sealed = self.sealed.get(&segment).ok_or(SegmentError::UnknownSegment(segment))?;
         Ok(sealed.usage())
     }
 
-    fn check_sound(&self) -> Result<(), StorageError> {
-        if self.poisoned || self.active.file.is_poisoned() {
+    fn check_not_poisoned(&self) -> Result<(), StorageError> {
+        if self.poisoned || self.active.is_poisoned() {
             return Err(StorageError::Poisoned);
         }
         Ok(())
     }
 }
 
-/// Takes the newest segment that was finished off `ids` and reads it; one that power was lost in while it was being
-/// made holds nothing and is removed.
+/// Pops the newest complete segment off `ids` and reads it. One that power was lost in while it was being created has
+/// no records and is removed.
 fn take_newest<F: Folder>(
     folder: &F,
     ids: &mut Vec<SegmentId>,
-) -> Result<Option<(SegmentId, millrudder_checkpoint_store::RecordFileContents)>, StorageError> {
+) -> Result<Option<(SegmentId, RecordFileContents)>, StorageError> {
     let Some(newest) = ids.pop() else { return Ok(None) };
     if let Some(contents) = recovery::load(folder, newest)? {
         return Ok(Some((newest, contents)));
     }
-    let before = ids.pop();
-    recovery::check_unfinished(newest, before)?;
-    // Lasts with the sync of the folder before the first record is taken; until then it is removed again.
+    let previous = ids.pop();
+    recovery::check_unfinished(newest, previous)?;
+    // Durable with the sync of the folder before the first append; a loss of power before it undoes the removal, and
+    // the next open repeats it.
     folder.remove(&newest.file())?;
-    let Some(before) = before else { return Ok(None) };
-    Ok(Some((before, recovery::load_sealed(folder, before)?)))
+    let Some(previous) = previous else { return Ok(None) };
+    Ok(Some((previous, recovery::load_sealed(folder, previous)?)))
 }
--- a/coordination/segments/src/position.rs
+++ b/coordination/segments/src/position.rs
@@ -1,4 +1,4 @@
-//! Where a record lies.
+//! Identifiers of segments and positions of records.
 
 use millrudder_checkpoint_store::{FileName, FileNamePrefix, FRAME_HEADER_BYTES};
 use speedy::{Readable, Writable};
@@ -33,19 +33,19 @@
     }
 }
 
-/// Where a record lies in a log. Positions ascend in the order in which records were appended.
+/// Position of a record in a log. Positions ascend in the order in which records were appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Position {
     /// The segment.
     pub segment: SegmentId,
-    /// Where the record's frame starts, in bytes from the start of the segment's file.
+    /// Offset of the record's frame, in bytes from the start of the segment's file.
     pub offset: u32,
     /// Length of the record in bytes.
     pub length: u32,
 }
 
 impl Position {
-    /// Bytes that the record takes in its segment.
+    /// Bytes of the record in its segment, with its frame.
     #[must_use]
     pub const fn framed_bytes(&self) -> u64 {
         framed_bytes(self.length)
@@ -58,7 +58,7 @@
     }
 }
 
-/// Bytes that a record of `length` bytes takes with its frame.
+/// Bytes of a record of `length` bytes with its frame.
 pub(crate) const fn framed_bytes(length: u32) -> u64 {
     length as u64 + FRAME_HEADER_BYTES as u64
 }
--- a/coordination/segments/src/recovery.rs
+++ b/coordination/segments/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading the segments of a folder back in order.
+//! Reads the segments of a folder back in order.
 
 use crate::segment::position;
 use crate::{Position, SegmentId};
@@ -9,7 +9,7 @@
     Ok(folder.list()?.iter().filter_map(SegmentId::of_file).collect())
 }
 
-/// Reads one segment. `None`: power was lost while it was being made, which only the newest segment may show.
+/// Reads one segment. `None`: power was lost while it was being created, which is valid for the newest segment only.
 pub(crate) fn load<F: Folder>(folder: &F, id: SegmentId) -> Result<Option<RecordFileContents>, StorageError> {
     RecordFileContents::load(folder, &id.file(), FileKind::Segment, id.0)
 }
@@ -24,11 +24,11 @@
     Ok(contents)
 }
 
-/// Checks that the newest segment, which does not have a whole header, may be one that power was lost in: the segment
-/// before it is removed only later.
-pub(crate) fn check_unfinished(newest: SegmentId, before: Option<SegmentId>) -> Result<(), StorageError> {
-    let follows = match before {
-        Some(before) => before.next() == newest,
+/// Checks that power may have been lost while the newest segment, whose header is incomplete, was being created: the
+/// segment before it is removed only later.
+pub(crate) fn check_unfinished(newest: SegmentId, previous: Option<SegmentId>) -> Result<(), StorageError> {
+    let follows = match previous {
+        Some(previous) => previous.next() == newest,
         None => newest == SegmentId::FIRST,
     };
     if follows {
@@ -37,7 +37,7 @@
     Err(StorageError::Corrupt { file: newest.file(), offset: 0, damage: Damage::Header })
 }
 
-/// Where the segments read so far end.
+/// Checks that segments continue one another: tracks the end of those read so far.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Continuity {
     last: Option<End>,
@@ -56,8 +56,8 @@
         Self { last: None }
     }
 
-    /// Checks that segment `id` goes on where the one before it ended; between the two others may have been removed.
-    pub fn follow(&mut self, id: SegmentId, contents: &RecordFileContents) -> Result<(), StorageError> {
+    /// Checks that segment `id` continues where the one before it ended; segments between the two may have been removed.
+    pub fn check_next(&mut self, id: SegmentId, contents: &RecordFileContents) -> Result<(), StorageError> {
         let first = contents.header.first_sequence;
         if let Some(end) = self.last {
             check_end(end, id, first)?;
@@ -74,14 +74,14 @@
         return Err(StorageError::Corrupt { file: next.file(), offset: 0, damage });
     }
     if end.segment.next() == next && end.next_sequence < first {
-        // The segment was cut between two records.
+        // The segment was truncated between two records.
         let file = end.segment.file();
         return Err(StorageError::Corrupt { file, offset: end.bytes, damage: Damage::Frame });
     }
     Ok(())
 }
 
-/// Shows each record of a segment with its position.
+/// Calls `visit` with each record of a segment and its position.
 pub(crate) fn visit_records(
     id: SegmentId,
     contents: &RecordFileContents,
--- a/coordination/segments/src/segment.rs
+++ b/coordination/segments/src/segment.rs
@@ -1,20 +1,20 @@
-//! One segment: its file and the account of its live bytes.
+//! One segment: its file and the count of its live bytes.
 
 use crate::{Position, SegmentConfig, SegmentError, SegmentId, SegmentUsage};
 use millrudder_checkpoint_store::{
-    FileHeader, FileKind, Folder, RecordFileContents, RecordFile, StorageError, StoredFile, FILE_HEADER_BYTES,
+    FileHeader, FileKind, Folder, RecordFile, RecordFileContents, StorageError, StoredFile, FILE_HEADER_BYTES,
 };
 
-/// A segment that is open.
+/// An open segment.
 #[derive(Debug)]
 pub(crate) struct Segment<File> {
-    pub id: SegmentId,
-    pub file: RecordFile<File>,
+    id: SegmentId,
+    file: RecordFile<File>,
     live_bytes: u64,
 }
 
 impl<File: StoredFile> Segment<File> {
-    /// Makes an empty segment that lasts, name and all.
+    /// Creates an empty segment; its header and its name are durable when this returns.
     pub fn create<F>(
         folder: &F,
         id: SegmentId,
@@ -40,7 +40,7 @@
         Ok(Self::recovered(id, file))
     }
 
-    /// Opens the newest segment to go on writing, with all its records live.
+    /// Opens the newest segment for appending, with all its records live.
     pub fn resume<F>(folder: &F, id: SegmentId, contents: &RecordFileContents) -> Result<Self, StorageError>
     where
         F: Folder<File = File>,
@@ -54,7 +54,7 @@
         Self { id, file, live_bytes }
     }
 
-    /// Takes a record, which counts as live.
+    /// Appends a record, which counts as live.
     pub fn append(&mut self, record: &[u8]) -> Result<Position, StorageError> {
         let offset = self.file.append(record)?;
         let position = position(self.id, offset, record.len());
@@ -81,6 +81,30 @@
         Ok(())
     }
 
+    pub const fn id(&self) -> SegmentId {
+        self.id
+    }
+
+    /// Length of the file in bytes, including records that are not written yet.
+    pub fn file_bytes(&self) -> u64 {
+        self.file.length()
+    }
+
+    /// The sequence number that the next record gets.
+    pub const fn next_sequence(&self) -> u64 {
+        self.file.next_sequence()
+    }
+
+    /// Whether an earlier write or sync failed.
+    pub const fn is_poisoned(&self) -> bool {
+        self.file.is_poisoned()
+    }
+
+    /// Waits until all appended records are durable.
+    pub fn sync(&mut self) -> Result<(), StorageError> {
+        self.file.sync()
+    }
+
     /// Bytes of all records with their frames.
     pub fn record_bytes(&self) -> u64 {
         self.file.length() - FILE_HEADER_BYTES as u64
@@ -93,8 +117,7 @@
 
 /// The position of a record in segment `segment`.
 pub(crate) fn position(segment: SegmentId, offset: u64, length: usize) -> Position {
-    // Both are below the greatest size of a segment, which `SegmentConfig::check` keeps far below 4 GiB.
-    let offset = u32::try_from(offset).expect("a segment is shorter than 4 GiB");
-    let length = u32::try_from(length).expect("a record is shorter than a segment");
+    let offset = u32::try_from(offset).expect("SegmentConfig::check bounds a segment far below 4 GiB");
+    let length = u32::try_from(length).expect("a record fits in a segment");
     Position { segment, offset, length }
 }
--- a/coordination/segments/tests/damage.rs
+++ b/coordination/segments/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Damage to synced data is told with its place, and torn writes are not mistaken for it.
+//! Damage to synced data is reported with its offset, and torn writes are not mistaken for it.
 
 mod support;
 
@@ -9,16 +9,16 @@
 use support::{append_synced, open, records, sealed_log, try_open, SMALL};
 
 #[test]
-fn rot_in_a_sealed_segment_is_told_with_its_place() {
+fn corruption_in_a_sealed_segment_is_reported_with_its_offset() {
     let folder = SimulatedFolder::new(1);
     let (_, positions) = sealed_log(&folder, 2);
     let last = positions[1];
     let file = folder.list().unwrap()[0].clone();
     let length = folder.read(&file).unwrap().len();
     for byte in last.offset as usize..length {
-        let rotten = folder.fork();
-        assert!(rotten.corrupt(&file, byte, 0x20));
-        let error = try_open(&rotten).unwrap_err();
+        let corrupted = folder.fork();
+        assert!(corrupted.corrupt(&file, byte, 0x20));
+        let error = try_open(&corrupted).unwrap_err();
         let SegmentError::Storage(StorageError::Corrupt { file: named, offset, damage: Damage::Frame }) =
             error
         else {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_sealed_segment_cut_between_records_is_told() {
+fn a_sealed_segment_truncated_between_records_is_reported() {
     let folder = SimulatedFolder::new(1);
     let (_, positions) = sealed_log(&folder, 2);
     let file = folder.list().unwrap()[0].clone();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_sealed_segment_cut_within_a_record_is_told_also_before_an_unfinished_one() {
+fn a_sealed_segment_truncated_within_a_record_is_reported_also_before_an_unfinished_one() {
     let folder = SimulatedFolder::new(1);
     let _ = sealed_log(&folder, 1);
     let names = folder.list().unwrap();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_segment_of_another_log_is_told() {
+fn a_segment_of_another_log_is_rejected() {
     let other = SimulatedFolder::new(1);
     let (mut log, _) = open(&other);
     append_synced(&mut log, b"one record");
@@ -76,16 +76,16 @@
 }
 
 #[test]
-fn rot_in_the_newest_segment_before_a_later_group_is_told() {
+fn corruption_in_the_active_segment_before_a_later_group_is_reported() {
     let folder = SimulatedFolder::new(1);
     let (mut log, _) = open(&folder);
     let first = append_synced(&mut log, b"first");
     append_synced(&mut log, b"second");
     let file = folder.list().unwrap()[0].clone();
     for byte in 0..first.offset as usize + FRAME_HEADER_BYTES + 5 {
-        let rotten = folder.fork();
-        rotten.corrupt(&file, byte, 0x01);
-        let error = try_open(&rotten).unwrap_err();
+        let corrupted = folder.fork();
+        corrupted.corrupt(&file, byte, 0x01);
+        let error = try_open(&corrupted).unwrap_err();
         assert!(
             matches!(error, SegmentError::Storage(StorageError::Corrupt { .. })),
             "byte {byte}: {error:?}"
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_newest_segment_without_a_header_is_refused_if_the_one_before_is_gone() {
+fn a_newest_segment_without_a_header_is_rejected_if_the_one_before_is_missing() {
     let folder = SimulatedFolder::new(1);
     let (_, _) = sealed_log(&folder, 1);
     let names = folder.list().unwrap();
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn a_frame_forged_in_a_payload_proves_nothing_without_the_salt() {
-    // A log with another salt gives the bytes of frames that say that all before them was synced.
+fn a_frame_forged_in_a_payload_is_ignored_without_the_salt() {
+    // A log with another salt provides frames which state that all bytes before them were synced.
     let forger = SimulatedFolder::new(1);
     let guessed = SegmentConfig { salt: SMALL.salt + 1, ..SMALL };
     let mut forged_log = SegmentLog::open(forger.clone(), guessed, |_, _| {}).unwrap();
--- a/coordination/segments/tests/inspect.rs
+++ b/coordination/segments/tests/inspect.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_report_says_what_is_there_and_changes_nothing() {
+fn a_report_describes_the_segments_and_changes_nothing() {
     let folder = filled_folder();
     let newest = folder.list().unwrap().pop().unwrap();
     folder.open(&newest).unwrap().append(b"torn").unwrap();
@@ -38,9 +38,9 @@
 fn an_unfinished_segment_is_sound_only_as_the_newest() {
     let folder = filled_folder();
     let names = folder.list().unwrap();
-    let newest_cut = folder.fork();
-    newest_cut.open(&names[1]).unwrap().set_length(5).unwrap();
-    let report = inspect(&newest_cut).unwrap();
+    let newest_truncated = folder.fork();
+    newest_truncated.open(&names[1]).unwrap().set_length(5).unwrap();
+    let report = inspect(&newest_truncated).unwrap();
     assert!(matches!(report.segments[1].state, Ok(SegmentState::Unfinished)));
     assert!(report.is_sound());
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn damage_is_reported_with_its_place() {
+fn damage_is_reported_with_its_offset() {
     let folder = filled_folder();
     let names = folder.list().unwrap();
     folder.corrupt(&names[0], 45, 0xff);
--- a/coordination/segments/tests/log.rs
+++ b/coordination/segments/tests/log.rs
@@ -10,7 +10,7 @@
 use support::{append_synced, open, records, sealed_log, HALF, SMALL};
 
 #[test]
-fn a_log_on_a_real_disk_comes_back() {
+fn a_log_on_a_real_disk_is_recovered() {
     let path = std::env::temp_dir().join(format!("millrudder-segments-{}", std::process::id()));
     let mut appended = Vec::new();
     for round in 0..4_u8 {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_position_where_no_record_lies_is_refused() {
+fn a_position_without_a_record_is_rejected() {
     let folder = SimulatedFolder::new(1);
     let (mut log, _) = open(&folder);
     let position = append_synced(&mut log, b"record");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn positions_ascend_and_survive_the_wire() {
+fn positions_ascend_and_survive_encoding() {
     let folder = SimulatedFolder::new(1);
     let (mut log, _) = open(&folder);
     let positions: Vec<_> = (0..9).map(|_| log.append(&HALF).unwrap()).collect();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_record_longer_than_a_segment_is_refused() {
+fn a_record_longer_than_a_segment_is_rejected() {
     let folder = SimulatedFolder::new(1);
     let (mut log, _) = open(&folder);
     let limit = SMALL.max_record_bytes();
@@ -115,23 +115,23 @@
 }
 
 #[test]
-fn a_full_log_refuses_before_it_writes_and_keeps_its_reserve() {
+fn a_full_log_rejects_before_it_writes_and_keeps_its_reserve() {
     let folder = SimulatedFolder::new(1);
     let (mut log, _) = open(&folder);
     let first = append_synced(&mut log, &HALF);
-    let refused = loop {
+    let rejection = loop {
         match log.append(&HALF) {
             Ok(_) => log.sync().unwrap(),
             Err(error) => break error,
         }
     };
-    assert!(matches!(refused, SegmentError::StorageFull { .. }), "{refused:?}");
+    assert!(matches!(rejection, SegmentError::StorageFull { .. }), "{rejection:?}");
     let usage = log.usage();
     assert!(usage.file_bytes <= SMALL.total_bytes - SMALL.reserve_bytes);
-    assert!(usage.reserved_room >= SMALL.reserve_bytes);
+    assert!(usage.reserved_capacity >= SMALL.reserve_bytes);
     log.append_reserved(&HALF).unwrap();
 
-    // Space given back takes ordinary records again.
+    // Reclaimed capacity is available to ordinary records again.
     let second = Position { offset: first.offset + first.framed_bytes() as u32, ..first };
     log.release(first).unwrap();
     log.release(second).unwrap();
@@ -143,19 +143,19 @@
 }
 
 #[test]
-fn mostly_dead_segments_are_named_deadest_first() {
+fn mostly_dead_segments_are_compacted_by_ascending_live_fraction() {
     let folder = SimulatedFolder::new(1);
     let (mut log, positions) = sealed_log(&folder, 4);
     assert!(log.segments_to_compact().is_empty());
     for released in [positions[2], positions[4], positions[5]] {
         log.release(released).unwrap();
     }
-    let named: Vec<u64> = log.segments_to_compact().iter().map(|usage| usage.segment.0).collect();
-    assert_eq!(named, [2, 1]);
+    let segments: Vec<u64> = log.segments_to_compact().iter().map(|usage| usage.segment.0).collect();
+    assert_eq!(segments, [2, 1]);
     log.retain(positions[2]).unwrap();
     log.retain(positions[4]).unwrap();
-    let named: Vec<u64> = log.segments_to_compact().iter().map(|usage| usage.segment.0).collect();
-    assert_eq!(named, [2]);
+    let segments: Vec<u64> = log.segments_to_compact().iter().map(|usage| usage.segment.0).collect();
+    assert_eq!(segments, [2]);
 }
 
 #[test]
@@ -171,12 +171,12 @@
     assert!(matches!(log.remove_segment(active), Err(SegmentError::ActiveSegment(_))));
     assert!(matches!(log.remove_segment(SegmentId(7)), Err(SegmentError::UnknownSegment(_))));
     assert!(matches!(log.visit_segment(active, |_, _| {}), Err(SegmentError::ActiveSegment(_))));
-    // None of them harmed the log.
+    // The failed calls left the log usable.
     append_synced(&mut log, b"more");
 }
 
 #[test]
-fn too_many_releases_are_refused() {
+fn releases_beyond_the_live_bytes_are_rejected() {
     let folder = SimulatedFolder::new(1);
     let (mut log, _) = open(&folder);
     let position = log.append(b"record").unwrap();
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_removal_lasts_and_syncs_what_was_appended_before() {
+fn a_removal_is_durable_and_syncs_what_was_appended_before() {
     let folder = SimulatedFolder::new(1);
     let (mut log, positions) = sealed_log(&folder, 2);
     log.append(b"copy of what was live").unwrap();
@@ -205,7 +205,7 @@
     let config = SegmentConfig { salt: 1, ..SegmentConfig::default() };
     let folder = SimulatedFolder::new(1);
     let mut log = SegmentLog::open(folder.clone(), config, |_, _| {}).unwrap();
-    // More than is gathered in memory: written, not synced.
+    // More than is buffered in memory: written, not synced.
     log.append(&[7; 1 << 20]).unwrap();
     folder.end_process();
     let mut count = 0;
@@ -220,7 +220,7 @@
     let folder = SimulatedFolder::new(1);
     let (mut log, positions) = sealed_log(&folder, 1);
     positions.iter().for_each(|position| log.release(*position).unwrap());
-    log.append(b"in doubt").unwrap();
+    log.append(b"unacknowledged").unwrap();
     folder.fail(Fault::Syncs);
     assert!(matches!(log.sync(), Err(SegmentError::Storage(StorageError::File { .. }))));
     folder.repair();
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_log_on_a_full_disk_opens_and_gives_space_back() {
+fn a_log_on_a_full_disk_opens_and_reclaims_capacity() {
     let folder = SimulatedFolder::new(1);
     let (mut log, _) = sealed_log(&folder, 2);
     folder.set_capacity(Some(log.usage().file_bytes + 100));
@@ -277,20 +277,20 @@
 }
 
 #[test]
-fn sizes_that_cannot_work_are_refused() {
-    let refused = |config| {
+fn invalid_configurations_are_rejected() {
+    let rejection_of = |config| {
         let error = SegmentLog::open(SimulatedFolder::new(1), config, |_, _| {}).unwrap_err();
         let SegmentError::Config(error) = error else { panic!("{error:?}") };
         error
     };
     let tiny = SegmentConfig { segment_bytes: 100, ..SMALL };
-    assert!(matches!(refused(tiny), ConfigError::SegmentBytes { found: 100, .. }));
+    assert!(matches!(rejection_of(tiny), ConfigError::SegmentBytes { found: 100, .. }));
     let huge = SegmentConfig { segment_bytes: 1 << 40, ..SMALL };
-    assert!(matches!(refused(huge), ConfigError::SegmentBytes { .. }));
+    assert!(matches!(rejection_of(huge), ConfigError::SegmentBytes { .. }));
     let no_reserve = SegmentConfig { reserve_bytes: 0, ..SMALL };
-    assert!(matches!(refused(no_reserve), ConfigError::ReserveTooSmall { found: 0, least: 1024 }));
-    let no_room = SegmentConfig { total_bytes: 2 << 10, ..SMALL };
-    assert!(matches!(refused(no_room), ConfigError::TotalTooSmall { .. }));
-    let share = SegmentConfig { compact_below_percent: 101, ..SMALL };
-    assert!(matches!(refused(share), ConfigError::Percentage { found: 101 }));
+    assert!(matches!(rejection_of(no_reserve), ConfigError::ReserveTooSmall { found: 0, least: 1024 }));
+    let no_capacity = SegmentConfig { total_bytes: 2 << 10, ..SMALL };
+    assert!(matches!(rejection_of(no_capacity), ConfigError::TotalTooSmall { .. }));
+    let percentage = SegmentConfig { compact_below_percent: 101, ..SMALL };
+    assert!(matches!(rejection_of(percentage), ConfigError::Percentage { found: 101 }));
 }
--- a/coordination/segments/tests/support/mod.rs
+++ b/coordination/segments/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this package share.
+//! Helpers that the tests of this package share.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod model;
@@ -6,7 +6,7 @@
 use millrudder_checkpoint_store::SimulatedFolder;
 use millrudder_segments::{Position, SegmentConfig, SegmentError, SegmentLog};
 
-/// Segments of 1 KiB, 16 KiB in all: room for 14 segments of ordinary records.
+/// Segments of 1 KiB, 16 KiB in all: capacity for 14 segments of ordinary records.
 pub const SMALL: SegmentConfig = SegmentConfig {
     segment_bytes: 1 << 10,
     total_bytes: 16 << 10,
--- a/coordination/segments/tests/support/model.rs
+++ b/coordination/segments/tests/support/model.rs
@@ -1,21 +1,21 @@
-//! What a log was told, and which of it may and must be recovered.
+//! A model of the log: what was appended to it, and which of it may and must be recovered.
 
-use super::Found;
-use millrudder_checkpoint_store::SimulatedFolder;
-use millrudder_segments::{Position, SegmentError, SegmentId, SegmentLog};
+use super::{try_open, Found};
+use millrudder_checkpoint_store::{CrashModel, SimulatedFolder};
+use millrudder_segments::{inspect, Position, SegmentError, SegmentId, SegmentLog};
 
 type Log = SegmentLog<SimulatedFolder>;
 
 /// A record that was appended.
 #[derive(Clone, Debug)]
 struct Entry {
-    /// `None` if the append failed: it may have been done.
+    /// `None` if the append failed: it may have taken effect.
     position: Option<Position>,
     record: Vec<u8>,
     live: bool,
 }
 
-/// Something to do with a log.
+/// An operation on a log.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     /// Append an ordinary record with this many bytes beside its number.
@@ -26,7 +26,7 @@
     Roll,
     /// Release the live record that has this index, modulo their number.
     Release(usize),
-    /// Compact and remove the segment with the smallest live share, if one is worth it.
+    /// Compact and remove the segment with the smallest live fraction, if one is sparse enough.
     Compact,
     /// Release all that is live in the oldest sealed segment, and remove it.
     RemoveOldest,
@@ -38,14 +38,37 @@
     entries: Vec<Entry>,
     /// Entries that were synced, from the first on.
     synced: usize,
-    /// A segment whose removal failed: it is there or not.
-    in_doubt: Option<SegmentId>,
+    /// A segment whose removal failed: it exists or not.
+    removal_in_doubt: Option<SegmentId>,
     next: u64,
 }
 
+impl CrashModel for Model {
+    type Store = Log;
+    type Step = Step;
+    type Error = SegmentError;
+
+    fn open(&mut self, folder: &SimulatedFolder) -> Result<Log, SegmentError> {
+        let (mut log, found) = try_open(folder)?;
+        self.accept(&mut log, &found);
+        Ok(log)
+    }
+
+    /// Runs one step, and checks the log after it. `Ok` also if the log was full, after a check that it had to be.
+    fn run(&mut self, log: &mut Log, step: Step) -> Result<(), SegmentError> {
+        self.apply(log, step)?;
+        self.check(log);
+        Ok(())
+    }
+
+    fn must_open(&mut self, folder: &SimulatedFolder) -> Log {
+        assert!(inspect(folder).unwrap().is_sound());
+        self.open(folder).unwrap()
+    }
+}
+
 impl Model {
-    /// Does one step. `Ok` also if the log was full, after a check that it had to be.
-    pub fn run(&mut self, log: &mut Log, step: Step) -> Result<(), SegmentError> {
+    fn apply(&mut self, log: &mut Log, step: Step) -> Result<(), SegmentError> {
         match step {
             Step::Append(length) => self.append(log, length, false),
             Step::AppendReserved(length) => self.append(log, length, true),
@@ -57,8 +80,8 @@
         }
     }
 
-    /// Bytes that never come twice.
-    fn fresh(&mut self, length: usize) -> Vec<u8> {
+    /// Bytes that never occur twice.
+    fn unique_bytes(&mut self, length: usize) -> Vec<u8> {
         self.next += 1;
         let mut bytes = self.next.to_le_bytes().to_vec();
         bytes.resize(bytes.len() + length, self.next as u8);
@@ -66,14 +89,14 @@
     }
 
     fn append(&mut self, log: &mut Log, length: usize, reserved: bool) -> Result<(), SegmentError> {
-        let record = self.fresh(length);
+        let record = self.unique_bytes(length);
         let before = log.active_segment();
         let usage = log.usage();
         let result = if reserved { log.append_reserved(&record) } else { log.append(&record) };
-        if let Err(SegmentError::StorageFull { needed, room }) = &result {
-            assert_eq!(*room, if reserved { usage.reserved_room } else { usage.room });
-            assert!(needed > room);
-            assert_eq!(log.usage(), usage, "a refused record changes nothing");
+        if let Err(SegmentError::StorageFull { needed, available }) = &result {
+            assert_eq!(*available, if reserved { usage.reserved_capacity } else { usage.ordinary_capacity });
+            assert!(needed > available);
+            assert_eq!(log.usage(), usage, "a rejected record changes nothing");
             return Ok(());
         }
         if result.is_ok() && log.active_segment() != before {
@@ -101,9 +124,9 @@
         assert!(usage.live_bytes * 2 < usage.file_bytes, "{usage:?}");
         let mut visited = Vec::new();
         log.visit_segment(usage.segment, |position, record| visited.push((position, record.to_vec())))?;
-        let held =
+        let expected =
             self.of_segment(usage.segment).map(|entry| (entry.position.unwrap(), entry.record.clone()));
-        assert_eq!(visited, held.collect::<Vec<_>>());
+        assert_eq!(visited, expected.collect::<Vec<_>>());
         let live: Vec<Entry> = self.of_segment(usage.segment).filter(|entry| entry.live).cloned().collect();
         for entry in live {
             let result = log.append_reserved(&entry.record);
@@ -140,38 +163,39 @@
     }
 
     fn remove(&mut self, log: &mut Log, segment: SegmentId) -> Result<(), SegmentError> {
-        self.in_doubt = Some(segment);
+        self.removal_in_doubt = Some(segment);
         log.remove_segment(segment)?;
-        self.in_doubt = None;
+        self.removal_in_doubt = None;
         self.forget(segment);
         self.synced = self.entries.len();
         Ok(())
     }
 
     fn of_segment(&self, segment: SegmentId) -> impl Iterator<Item = &Entry> {
-        let held = move |entry: &&Entry| entry.position.is_some_and(|position| position.segment == segment);
-        self.entries.iter().filter(held)
+        let is_in_segment =
+            move |entry: &&Entry| entry.position.is_some_and(|position| position.segment == segment);
+        self.entries.iter().filter(is_in_segment)
     }
 
     fn forget(&mut self, segment: SegmentId) {
-        let gone = |entry: &Entry| entry.position.is_some_and(|position| position.segment == segment);
-        self.synced -= self.entries[..self.synced].iter().filter(|entry| gone(entry)).count();
-        self.entries.retain(|entry| !gone(entry));
+        let is_removed = |entry: &Entry| entry.position.is_some_and(|position| position.segment == segment);
+        self.synced -= self.entries[..self.synced].iter().filter(|entry| is_removed(entry)).count();
+        self.entries.retain(|entry| !is_removed(entry));
     }
 
-    /// Checks that what was found is what was told, in order and from the start, with no synced record left out; goes
-    /// on from there with all records live.
-    pub fn accept(&mut self, log: &mut Log, found: &[Found]) {
-        if let Some(segment) = self.in_doubt.take() {
+    /// Checks that the records found are those appended, in order and from the start, with no synced record left out;
+    /// continues from there with all records live.
+    fn accept(&mut self, log: &mut Log, found: &[Found]) {
+        if let Some(segment) = self.removal_in_doubt.take() {
             if found.iter().all(|(position, _)| position.segment != segment) {
                 self.forget(segment);
             }
         }
         assert!(found.len() >= self.synced, "recovered {} of {}", found.len(), self.synced);
-        assert!(found.len() <= self.entries.len(), "recovered what was never told");
+        assert!(found.len() <= self.entries.len(), "recovered what was never appended");
         for (entry, (position, record)) in self.entries.iter_mut().zip(found) {
             assert_eq!(&entry.record, record);
-            assert!(entry.position.is_none_or(|told| told == *position));
+            assert!(entry.position.is_none_or(|appended| appended == *position));
             *entry = Entry { position: Some(*position), record: record.clone(), live: true };
         }
         self.entries.truncate(found.len());
@@ -180,8 +204,8 @@
         self.check(log);
     }
 
-    /// Checks that every record is read back and the accounts are right.
-    pub fn check(&self, log: &mut Log) {
+    /// Checks that every record can be read and that the byte counts are right.
+    fn check(&self, log: &mut Log) {
         let mut live_bytes = 0;
         for entry in &self.entries {
             let position = entry.position.expect("a record has a position");
--- a/system/state/record-log/src/error.rs
+++ b/system/state/record-log/src/error.rs
@@ -33,7 +33,7 @@
 impl From<SegmentError> for RecordLogError {
     fn from(error: SegmentError) -> Self {
         match error {
-            SegmentError::StorageFull { needed, room } => Self::Full { needed, room },
+            SegmentError::StorageFull { needed, available } => Self::Full { needed, room: available },
             error => Self::Segments(error),
         }
     }
--- a/system/state/record-log/src/log.rs
+++ b/system/state/record-log/src/log.rs
@@ -101,7 +101,7 @@
             return Ok(position);
         }
         if needed > self.known_room {
-            self.known_room = self.log.usage().reserved_room.saturating_sub(self.config.segment_bytes);
+            self.known_room = self.log.usage().reserved_capacity.saturating_sub(self.config.segment_bytes);
         }
         if needed > self.known_room {
             return Err(RecordLogError::Full { needed, room: self.known_room });
@@ -141,7 +141,7 @@
     /// Less than a segment is left for messages: no new ones should be taken.
     #[must_use]
     pub fn is_short(&self) -> bool {
-        self.log.usage().room < self.config.segment_bytes
+        self.log.usage().ordinary_capacity < self.config.segment_bytes
     }
 
     /// Frees what nobody needs, and one segment that is nearly empty, or several where room is short.
@@ -186,7 +186,7 @@
     /// A segment is emptied as a whole or not at all: there is no second copy of a record that nobody counts.
     fn can_move(&self, usage: &SegmentUsage) -> bool {
         let needed = usage.live_bytes + MOVED_HEADERS * FILE_HEADER_BYTES as u64;
-        usage.live_bytes == 0 || needed <= self.log.usage().reserved_room
+        usage.live_bytes == 0 || needed <= self.log.usage().reserved_capacity
     }
 
     /// Writes the needed records of a segment again.
--- a/system/state/record-log/tests/full.rs
+++ b/system/state/record-log/tests/full.rs
@@ -73,7 +73,7 @@
     while log.append(NOW_MS, &ended(id(changes % messages))).is_ok() {
         changes += 1;
     }
-    assert!(log.usage().reserved_room >= SEGMENT_BYTES - 200);
+    assert!(log.usage().reserved_capacity >= SEGMENT_BYTES - 200);
     for unique in 0..messages {
         log.release(id(unique));
     }
