--- a/system/runtime/node/src/storage/disk.rs
+++ b/system/runtime/node/src/storage/disk.rs
@@ -54,7 +54,7 @@
     /// # Errors
     /// It does not.
     pub fn proven(mut self) -> Result<Self, RoleError> {
-        self.log.prove()?;
+        self.log.verify_writable()?;
         Ok(self)
     }
 }
@@ -134,7 +134,7 @@
             self.write(next)?;
         }
         self.sync()?;
-        self.log.give_back()?;
+        self.log.reclaim()?;
         // What waited and fits now.
         self.sync()?;
         self.report_room();
@@ -159,7 +159,7 @@
     }
 
     fn report_room(&mut self) {
-        let short = self.log.is_short();
+        let short = self.log.is_nearly_full();
         if short != self.short {
             self.short = short;
             self.report(Report::Room { short });
--- a/system/state/record-log/src/error.rs
+++ b/system/state/record-log/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a store's records.
+//! Errors of a store's record log.
 
 use millrudder_segments::SegmentError;
 use thiserror::Error;
@@ -6,24 +6,24 @@
 /// A failure of a [`RecordLog`](crate::RecordLog).
 #[derive(Debug, Error)]
 pub enum RecordLogError {
-    /// The record does not fit now; nothing was written, and the log goes on.
-    #[error("the log is full: {needed} bytes needed, {room} bytes left")]
+    /// The log has no capacity for the record now. Nothing was written; the log remains usable.
+    #[error("the log is full: {needed} bytes needed, {available} bytes left")]
     Full {
-        /// Bytes that the record would take.
+        /// Bytes that the record needs.
         needed: u64,
         /// Bytes left for records of its kind.
-        room: u64,
+        available: u64,
     },
-    /// The disk failed, or what it holds is damaged.
+    /// The disk failed, or its data is damaged.
     #[error(transparent)]
     Segments(SegmentError),
-    /// A whole record is none of this program's.
+    /// A complete record cannot be decoded, or a record cannot be encoded.
     #[error("a record on the disk cannot be read")]
     Unreadable,
 }
 
 impl RecordLogError {
-    /// The log is only full, not broken.
+    /// Whether the log is only full, and remains usable.
     #[must_use]
     pub const fn is_full(&self) -> bool {
         matches!(self, Self::Full { .. })
@@ -33,7 +33,7 @@
 impl From<SegmentError> for RecordLogError {
     fn from(error: SegmentError) -> Self {
         match error {
-            SegmentError::StorageFull { needed, available } => Self::Full { needed, room: available },
+            SegmentError::StorageFull { needed, available } => Self::Full { needed, available },
             error => Self::Segments(error),
         }
     }
--- a/system/state/record-log/src/lib.rs
+++ b/system/state/record-log/src/lib.rs
@@ -1,20 +1,23 @@
-//! A store's records on disk: segments, what of them is still needed, compaction.
+//! A store's records on disk: a segmented log that tracks which records are live, and compacts itself.
 //!
-//! Records of one message may be written again, and so stand in any order. They are read back with the messages
-//! themselves first, and then what became known of them, which joins in any order.
+//! Guaranteed: records for which [`RecordLog::sync`] returned are recovered until they are superseded or their message
+//! is released, and a released message that has ended is never recovered without its end. Compaction may append the
+//! records of one message again in any order; they are recovered with the states of messages first, and the other
+//! records merge in any order.
 //!
-//! Room is given out in three parts. Messages take the ordinary room; changes of messages and promises may take the
-//! reserve as well, but for its last segment, which compaction needs. What does not fit is refused by
-//! [`RecordLogError::Full`], and the log goes on: releases and [`RecordLog::give_back`] make room again.
-//! [`LogWriter`] holds what does not fit and writes it as soon as it does.
-
-#![forbid(unsafe_code)]
+//! Capacity is allotted in three parts. States of messages use the ordinary capacity; changes of messages and promises
+//! may use the reserve as well, except its last segment, which compaction needs. What does not fit is rejected with
+//! [`RecordLogError::Full`], and the log remains usable: [`RecordLog::release`] and [`RecordLog::reclaim`] free
+//! capacity. [`LogWriter`] defers what does not fit and writes it as soon as it does.
+//!
+//! The embedder calls from one thread, as calls block, and gives the time of day; after any error but
+//! [`RecordLogError::Full`] it must stop using the log.
 
 mod error;
-mod fact;
+mod live_records;
 mod log;
-mod remains;
-mod space;
+mod record_effect;
+mod tombstones;
 mod writer;
 
 pub use error::RecordLogError;
--- a/system/state/record-log/src/log.rs
+++ b/system/state/record-log/src/log.rs
@@ -1,30 +1,30 @@
-//! The log: append, sync, give space back, read all of it.
+//! The record log: appends, syncs, reclaims capacity, recovers.
 
 use crate::error::RecordLogError;
-use crate::fact::{Fact, Subject};
-use crate::space::Space;
+use crate::live_records::LiveRecords;
+use crate::record_effect::{RecordEffect, RecordKey};
 use millrudder_checkpoint_store::{Folder, FILE_HEADER_BYTES, FRAME_HEADER_BYTES};
 use millrudder_protocol::MessageId;
 use millrudder_queue::{DiskRecord, Recovered};
 use millrudder_segments::{LogUsage, Position, SegmentConfig, SegmentId, SegmentLog, SegmentUsage};
 use speedy::{Readable, Writable};
 
-/// Where room is short, segments are compacted up to this live share, in percent: those above give too little back
-/// for what they cost.
-const COMPACT_BELOW_WHEN_SHORT_PERCENT: u8 = 85;
-/// File headers that a compacted segment's records may need where they go: they lie in two segments at the most.
+/// In a nearly full log, segments are compacted below this percentage of live bytes: above it, they reclaim too little
+/// for their cost.
+const COMPACT_BELOW_PERCENT_WHEN_NEARLY_FULL: u8 = 85;
+/// File headers that the records of a compacted segment may need: they are moved to two segments at the most.
 const MOVED_HEADERS: u64 = 2;
 
-/// A record as it lies on the disk: with the time of day, in milliseconds since 1970, at which it was written.
+/// A record in its form on the disk: with the time of day, in milliseconds since 1970, at which it was written.
 #[derive(Readable)]
-struct Stamped {
+struct TimestampedRecord {
     written_ms: u64,
     record: DiskRecord,
 }
 
-/// A [`Stamped`] record that is to be written.
+/// A [`TimestampedRecord`] that is to be written.
 #[derive(Writable)]
-struct Stamping<'a> {
+struct TimestampedRecordRef<'a> {
     written_ms: u64,
     record: &'a DiskRecord,
 }
@@ -32,177 +32,185 @@
 /// The records of one store.
 pub struct RecordLog<F: Folder> {
     log: SegmentLog<F>,
-    space: Space,
+    live: LiveRecords,
     config: SegmentConfig,
-    /// Bytes that changes and promises may take for sure; found anew where they do not suffice.
-    known_room: u64,
+    /// A lower bound of the bytes left for changes and promises; computed again where it does not suffice.
+    known_capacity: u64,
 }
 
-/// A log and what it held.
+/// An open log and the records that it recovered.
 pub struct Opened<F: Folder> {
+    /// The log.
     pub log: RecordLog<F>,
-    /// Messages first, then what became known of them.
+    /// The live records: states of messages first, then all others.
     pub records: Vec<Recovered>,
 }
 
 impl<F: Folder> RecordLog<F> {
-    /// Opens the log in `folder`, or makes it; `now_ms` is the time of day.
+    /// Opens the log in `folder`, or creates it; `now_ms` is the time of day in milliseconds since 1970.
     ///
-    /// `config.reserve_bytes` should be two segments or more: one is kept for compaction, changes of messages get the
-    /// rest.
+    /// `config.reserve_bytes` should be two segments or more: one is reserved for compaction, the others for changes of
+    /// messages.
     ///
     /// # Errors
-    /// The folder cannot be used, or holds something else.
+    /// [`RecordLogError::Segments`] if the disk fails, data is damaged or the configuration is invalid;
+    /// [`RecordLogError::Unreadable`] if a record cannot be decoded.
     pub fn open(folder: F, config: SegmentConfig, now_ms: u64) -> Result<Opened<F>, RecordLogError> {
-        let (mut records, mut space, mut damaged) = (Vec::new(), Space::default(), false);
-        let compact_below_percent = config.compact_below_percent.max(COMPACT_BELOW_WHEN_SHORT_PERCENT);
-        let eager = SegmentConfig { compact_below_percent, ..config };
-        let log = SegmentLog::open(folder, eager, |position, bytes| {
-            let Ok(stamped) = Stamped::read_from_buffer(bytes) else {
-                damaged = true;
+        let (mut records, mut live) = (Vec::new(), LiveRecords::default());
+        let mut has_unreadable = false;
+        let compact_below_percent = config.compact_below_percent.max(COMPACT_BELOW_PERCENT_WHEN_NEARLY_FULL);
+        let eager_config = SegmentConfig { compact_below_percent, ..config };
+        let log = SegmentLog::open(folder, eager_config, |position, bytes| {
+            let Ok(timestamped) = TimestampedRecord::read_from_buffer(bytes) else {
+                has_unreadable = true;
                 return;
             };
-            space.found(position, &stamped.record);
-            let age_ms = now_ms.saturating_sub(stamped.written_ms);
-            records.push(Recovered { record: stamped.record, age_ms });
+            live.insert_recovered(position, &timestamped.record);
+            let age_ms = now_ms.saturating_sub(timestamped.written_ms);
+            records.push(Recovered { record: timestamped.record, age_ms });
         })?;
-        if damaged {
+        if has_unreadable {
             return Err(RecordLogError::Unreadable);
         }
-        space.found_all();
-        records.retain(|recovered| space.needs(Subject::of(&recovered.record)));
-        records.sort_by_key(|recovered| !is_message(&recovered.record));
-        Ok(Opened { log: RecordLog { log, space, config, known_room: 0 }, records })
+        live.finish_recovery();
+        records.retain(|recovered| live.is_live(RecordKey::of(&recovered.record)));
+        records.sort_by_key(|recovered| !is_state(&recovered.record));
+        Ok(Opened { log: RecordLog { log, live, config, known_capacity: 0 }, records })
     }
 
-    /// Takes a record; it lasts once [`RecordLog::sync`] returned. Compacts if there is no room otherwise.
+    /// Appends a record, written at the time of day `now_ms`. It is durable once [`RecordLog::sync`] returned. Compacts
+    /// where the capacity does not suffice otherwise.
     ///
     /// # Errors
-    /// [`RecordLogError::Full`] with nothing written; others if the disk fails.
+    /// [`RecordLogError::Full`], with nothing written; [`RecordLogError::Segments`] if the disk fails.
     pub fn append(&mut self, now_ms: u64, record: &DiskRecord) -> Result<(), RecordLogError> {
-        let bytes =
-            Stamping { written_ms: now_ms, record }.write_to_vec().map_err(|_| RecordLogError::Unreadable)?;
+        let bytes = TimestampedRecordRef { written_ms: now_ms, record }
+            .write_to_vec()
+            .map_err(|_| RecordLogError::Unreadable)?;
         let position = match self.write(&bytes, record) {
             Err(RecordLogError::Full { .. }) => {
-                self.make_room()?;
+                self.free_capacity()?;
                 self.write(&bytes, record)?
             }
             written => written?,
         };
-        self.space.wrote(position, record);
+        self.live.insert_appended(position, record);
         Ok(())
     }
 
     fn write(&mut self, bytes: &[u8], record: &DiskRecord) -> Result<Position, RecordLogError> {
         let needed = (bytes.len() + FRAME_HEADER_BYTES + FILE_HEADER_BYTES) as u64;
-        if is_message(record) {
+        if is_state(record) {
             let position = self.log.append(bytes)?;
-            self.known_room = self.known_room.saturating_sub(needed);
+            self.known_capacity = self.known_capacity.saturating_sub(needed);
             return Ok(position);
         }
-        if needed > self.known_room {
-            self.known_room = self.log.usage().reserved_capacity.saturating_sub(self.config.segment_bytes);
+        if needed > self.known_capacity {
+            self.known_capacity =
+                self.log.usage().reserved_capacity.saturating_sub(self.config.segment_bytes);
         }
-        if needed > self.known_room {
-            return Err(RecordLogError::Full { needed, room: self.known_room });
+        if needed > self.known_capacity {
+            return Err(RecordLogError::Full { needed, available: self.known_capacity });
         }
         let position = self.log.append_reserved(bytes)?;
-        self.known_room -= needed;
+        self.known_capacity -= needed;
         Ok(position)
     }
 
-    /// Nothing about this message is needed any more but that it has ended.
+    /// Releases a message: of its records only those of its end are retained, as long as needed.
     pub fn release(&mut self, id: MessageId) {
-        self.space.release(id);
+        self.live.release(id);
     }
 
-    /// Waits until all records taken are on the disk.
+    /// Waits until all appended records are durable.
     ///
     /// # Errors
-    /// The disk fails; what was taken since the last sync may or may not last.
+    /// The disk fails; what was appended since the last sync may or may not be durable.
     pub fn sync(&mut self) -> Result<(), RecordLogError> {
         Ok(self.log.sync()?)
     }
 
-    /// Shows by a new segment that the disk takes writes.
+    /// Verifies that the disk accepts writes, by creating a new segment.
     ///
     /// # Errors
-    /// It does not.
-    pub fn prove(&mut self) -> Result<(), RecordLogError> {
+    /// It does not accept writes.
+    pub fn verify_writable(&mut self) -> Result<(), RecordLogError> {
         Ok(self.log.roll()?)
     }
 
-    /// How full the log is.
+    /// Sizes and free capacity of the log.
     #[must_use]
     pub fn usage(&self) -> LogUsage {
         self.log.usage()
     }
 
-    /// Less than a segment is left for messages: no new ones should be taken.
+    /// Whether less than a segment is left for messages: no new ones should be accepted.
     #[must_use]
-    pub fn is_short(&self) -> bool {
+    pub fn is_nearly_full(&self) -> bool {
         self.log.usage().ordinary_capacity < self.config.segment_bytes
     }
 
-    /// Frees what nobody needs, and one segment that is nearly empty, or several where room is short.
+    /// Releases dead records and compacts one sparse segment, or several if the log is nearly full.
     ///
     /// # Errors
     /// The disk fails.
-    pub fn give_back(&mut self) -> Result<(), RecordLogError> {
-        if self.is_short() {
-            return self.make_room();
+    pub fn reclaim(&mut self) -> Result<(), RecordLogError> {
+        if self.is_nearly_full() {
+            return self.free_capacity();
         }
-        let below = u64::from(self.config.compact_below_percent);
-        let is_worth = |usage: &SegmentUsage| usage.live_bytes * 100 < usage.file_bytes * below;
-        self.compact_one(is_worth)?;
+        let percent = u64::from(self.config.compact_below_percent);
+        let is_sparse = |usage: &SegmentUsage| usage.live_bytes * 100 < usage.file_bytes * percent;
+        self.compact_one(is_sparse)?;
         Ok(())
     }
 
-    /// Compacts until room is no longer short or nothing is worth it.
-    fn make_room(&mut self) -> Result<(), RecordLogError> {
+    /// Compacts until the log is no longer nearly full or no segment is left to compact.
+    fn free_capacity(&mut self) -> Result<(), RecordLogError> {
         while self.compact_one(|_| true)? {
-            if !self.is_short() {
+            if !self.is_nearly_full() {
                 break;
             }
         }
         Ok(())
     }
 
-    /// Frees what nobody needs, and the emptiest segment if it is worth it; returns whether there was one.
-    fn compact_one(&mut self, is_worth: impl Fn(&SegmentUsage) -> bool) -> Result<bool, RecordLogError> {
-        for position in self.space.take_free() {
+    /// Releases dead records and compacts the emptiest segment if it is sparse; returns whether it did.
+    fn compact_one(&mut self, is_sparse: impl Fn(&SegmentUsage) -> bool) -> Result<bool, RecordLogError> {
+        for position in self.live.take_dead() {
             self.log.release(position)?;
         }
         let emptiest = self.log.segments_to_compact().into_iter().next();
-        let Some(usage) = emptiest.filter(|usage| is_worth(usage) && self.can_move(usage)) else {
+        let Some(usage) = emptiest.filter(|usage| is_sparse(usage) && self.can_evacuate(usage)) else {
             return Ok(false);
         };
-        self.empty_segment(usage.segment)?;
+        self.evacuate(usage.segment)?;
         self.log.remove_segment(usage.segment)?;
-        self.space.segment_removed(usage.segment);
+        self.live.segment_removed(usage.segment);
         Ok(true)
     }
 
-    /// A segment is emptied as a whole or not at all: there is no second copy of a record that nobody counts.
-    fn can_move(&self, usage: &SegmentUsage) -> bool {
+    /// Whether all live records of a segment can be moved. A segment is evacuated completely or not at all: a part would
+    /// leave second copies that are not accounted for.
+    fn can_evacuate(&self, usage: &SegmentUsage) -> bool {
         let needed = usage.live_bytes + MOVED_HEADERS * FILE_HEADER_BYTES as u64;
         usage.live_bytes == 0 || needed <= self.log.usage().reserved_capacity
     }
 
-    /// Writes the needed records of a segment again.
-    fn empty_segment(&mut self, segment: SegmentId) -> Result<(), RecordLogError> {
-        for position in self.space.live_in(segment) {
+    /// Appends the live records of a segment again.
+    fn evacuate(&mut self, segment: SegmentId) -> Result<(), RecordLogError> {
+        for position in self.live.positions_in(segment) {
             let bytes = self.log.read(position)?;
             let moved = self.log.append_reserved(&bytes)?;
-            self.known_room = 0;
-            self.space.moved(position, moved);
+            self.known_capacity = 0;
+            self.live.relocate(position, moved);
             self.log.release(position)?;
         }
         Ok(())
     }
 }
 
-/// Messages take the ordinary room; all else lets room be freed, or is as rare as promises are.
-fn is_message(record: &DiskRecord) -> bool {
-    Fact::of(record).is_state()
+/// States of messages use the ordinary capacity; other records allow capacity to be reclaimed, or are as rare as
+/// promises.
+fn is_state(record: &DiskRecord) -> bool {
+    RecordEffect::of(record).is_state()
 }
--- a/system/state/record-log/src/fact.rs
+++ b/system/state/record-log/src/record_effect.rs
@@ -1,17 +1,17 @@
-//! What a record says, as far as it decides which records are needed.
+//! Key and effect of a record, as far as they decide which records are live.
 
 use millrudder_protocol::store::Record;
 use millrudder_protocol::{Epoch, LeaseToken, MessageId, ShardId};
 use millrudder_queue::DiskRecord;
 
-/// Whom a record is about.
+/// What a record belongs to: records of one key supersede one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Subject {
+pub(crate) enum RecordKey {
     Message(MessageId),
     Promise(ShardId),
 }
 
-impl Subject {
+impl RecordKey {
     pub fn of(record: &DiskRecord) -> Self {
         match record {
             DiskRecord::Promised { shard, .. } => Self::Promise(*shard),
@@ -20,10 +20,10 @@
     }
 }
 
-/// What a record says of its subject.
+/// What a record asserts about its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fact {
-    /// The message itself, whether or not with its end.
+pub(crate) enum RecordEffect {
+    /// The complete state of a message, with or without its end.
     State {
         ended: bool,
     },
@@ -38,14 +38,14 @@
     CallbackDone,
     Forgotten,
     Promised {
-        since: Epoch,
+        term: Epoch,
     },
 }
 
-impl Fact {
+impl RecordEffect {
     pub fn of(record: &DiskRecord) -> Self {
         match record {
-            DiskRecord::Promised { term: since, .. } => Self::Promised { since: *since },
+            DiskRecord::Promised { term, .. } => Self::Promised { term: *term },
             DiskRecord::Message { record } => Self::of_message(record),
         }
     }
@@ -63,23 +63,23 @@
         }
     }
 
-    /// It is the message itself: without one, changes of a message say nothing.
+    /// Whether it is a message's complete state, without which its other records have no effect.
     pub const fn is_state(self) -> bool {
         matches!(self, Self::State { .. })
     }
 
-    /// It says that its message has ended.
-    pub const fn ends(self) -> bool {
+    /// Whether it asserts that its message has ended.
+    pub const fn ends_message(self) -> bool {
         matches!(self, Self::State { ended: true } | Self::Ended)
     }
 
-    /// Alone on the disk, it would bring its message back as one that has not ended.
-    pub const fn revives(self) -> bool {
+    /// Whether it would, recovered alone, resurrect its message as one that has not ended.
+    pub const fn resurrects_message(self) -> bool {
         matches!(self, Self::State { ended: false })
     }
 
-    /// Whoever knows this fact learns nothing from `other` about the same subject.
-    pub fn includes(self, other: Self) -> bool {
+    /// Whether `other`, an effect on the same key, adds nothing to this one.
+    pub fn supersedes(self, other: Self) -> bool {
         match (self, other) {
             (Self::Granted { token }, Self::Granted { token: other }) => token >= other,
             (
@@ -87,7 +87,7 @@
                 Self::Failed { token: other_token, failed_attempts: other_attempts },
             ) => token >= other_token && failed_attempts >= other_attempts,
             (Self::CallbackDone, Self::CallbackDone) | (Self::Forgotten, Self::Forgotten) => true,
-            (Self::Promised { since }, Self::Promised { since: other }) => since >= other,
+            (Self::Promised { term }, Self::Promised { term: other }) => term >= other,
             _ => false,
         }
     }
--- a/system/state/record-log/src/writer.rs
+++ b/system/state/record-log/src/writer.rs
@@ -1,154 +1,157 @@
-//! Writes with tickets: what does not fit waits, in the order of its message's records, until releases make room.
+//! Appends with tickets: records that do not fit are deferred, in the order of their message's records, until releases
+//! free capacity.
 
 use crate::error::RecordLogError;
-use crate::fact::{Fact, Subject};
 use crate::log::RecordLog;
+use crate::record_effect::{RecordEffect, RecordKey};
 use millrudder_checkpoint_store::Folder;
 use millrudder_protocol::MessageId;
 use millrudder_queue::{DiskRecord, Ticket};
 use std::collections::{BTreeSet, VecDeque};
 
-/// A record that did not fit yet.
-struct Waiting {
+/// A record, possibly deferred because it did not fit.
+struct TicketedRecord {
     ticket: Ticket,
     written_ms: u64,
     record: DiskRecord,
 }
 
-/// Which records are worth trying: once one did not fit, those like it wait as well, until room was given back.
+/// Which kinds of records may fit: once one did not, others of its kind are deferred as well, until capacity is
+/// reclaimed.
 #[derive(Clone, Copy)]
-struct Fitting {
-    messages: bool,
+struct FitHints {
+    states: bool,
     changes: bool,
 }
 
-impl Fitting {
-    const ALL: Self = Self { messages: true, changes: true };
+impl FitHints {
+    const ALL: Self = Self { states: true, changes: true };
 
     fn of(&mut self, record: &DiskRecord) -> &mut bool {
-        match Fact::of(record).is_state() {
-            true => &mut self.messages,
-            false => &mut self.changes,
+        if RecordEffect::of(record).is_state() {
+            &mut self.states
+        } else {
+            &mut self.changes
         }
     }
 }
 
-/// A log that holds what does not fit.
+/// A record log that defers records which do not fit.
 pub struct LogWriter<F: Folder> {
     log: RecordLog<F>,
-    waiting: VecDeque<Waiting>,
-    /// Subjects of the records that wait.
-    waiting_subjects: BTreeSet<Subject>,
-    fitting: Fitting,
+    deferred: VecDeque<TicketedRecord>,
+    /// Keys of the deferred records.
+    deferred_keys: BTreeSet<RecordKey>,
+    may_fit: FitHints,
+    /// Ticket of the record appended last.
     last: Ticket,
-    told: Ticket,
+    /// The ticket that [`LogWriter::sync`] returned last.
+    reported: Ticket,
 }
 
 impl<F: Folder> LogWriter<F> {
-    /// Writes to `log`, with tickets that are above the default one.
+    /// A writer on `log`; tickets are above the default one.
     #[must_use]
     pub fn new(log: RecordLog<F>) -> Self {
-        let (last, told) = (Ticket::default(), Ticket::default());
         Self {
             log,
-            waiting: VecDeque::new(),
-            waiting_subjects: BTreeSet::new(),
-            fitting: Fitting::ALL,
-            last,
-            told,
+            deferred: VecDeque::new(),
+            deferred_keys: BTreeSet::new(),
+            may_fit: FitHints::ALL,
+            last: Ticket::default(),
+            reported: Ticket::default(),
         }
     }
 
-    /// Takes a record, written at `now_ms` by the time of day. Tickets rise.
+    /// Appends a record, written at the time of day `now_ms` (milliseconds since 1970). Tickets ascend.
     ///
     /// # Errors
-    /// The disk fails. Never [`RecordLogError::Full`]: the record waits then.
+    /// The disk fails. Never [`RecordLogError::Full`]: the record is deferred then.
     pub fn append(&mut self, now_ms: u64, ticket: Ticket, record: DiskRecord) -> Result<(), RecordLogError> {
         self.last = ticket;
-        self.write(Waiting { ticket, written_ms: now_ms, record })
+        self.write_or_defer(TicketedRecord { ticket, written_ms: now_ms, record })
     }
 
-    /// Writes a record or holds it.
-    fn write(&mut self, waiting: Waiting) -> Result<(), RecordLogError> {
-        let record = &waiting.record;
-        // A change that came before its message would say nothing.
-        let follows = self.waiting_subjects.contains(&Subject::of(record));
-        if follows || !*self.fitting.of(record) {
-            self.hold(waiting);
+    fn write_or_defer(&mut self, ticketed: TicketedRecord) -> Result<(), RecordLogError> {
+        let record = &ticketed.record;
+        // A change that was written before its message would have no effect.
+        let follows_deferred = self.deferred_keys.contains(&RecordKey::of(record));
+        if follows_deferred || !*self.may_fit.of(record) {
+            self.defer(ticketed);
             return Ok(());
         }
-        match self.log.append(waiting.written_ms, record) {
+        match self.log.append(ticketed.written_ms, record) {
             Err(error) if error.is_full() => {
-                *self.fitting.of(record) = false;
-                self.hold(waiting);
+                *self.may_fit.of(record) = false;
+                self.defer(ticketed);
                 Ok(())
             }
             appended => appended,
         }
     }
 
-    fn hold(&mut self, waiting: Waiting) {
-        self.waiting_subjects.insert(Subject::of(&waiting.record));
-        self.waiting.push_back(waiting);
+    fn defer(&mut self, ticketed: TicketedRecord) {
+        self.deferred_keys.insert(RecordKey::of(&ticketed.record));
+        self.deferred.push_back(ticketed);
     }
 
-    /// Nothing about this message is needed any more but that it has ended; what of it waits is not written.
+    /// Releases a message: its deferred records are dropped, and of the others only those of its end are retained.
     pub fn release(&mut self, id: MessageId) {
-        let released = Subject::Message(id);
-        if self.waiting_subjects.remove(&released) {
-            self.waiting.retain(|waiting| Subject::of(&waiting.record) != released);
+        let released = RecordKey::Message(id);
+        if self.deferred_keys.remove(&released) {
+            self.deferred.retain(|ticketed| RecordKey::of(&ticketed.record) != released);
         }
         self.log.release(id);
     }
 
-    /// Waits until all records written are on the disk. Returns the highest ticket up to which all is, if it has risen
-    /// since the last call.
+    /// Waits until all written records are durable. Returns the highest ticket up to which all records are, if it has
+    /// risen since the last call.
     ///
     /// # Errors
     /// The disk fails.
     pub fn sync(&mut self) -> Result<Option<Ticket>, RecordLogError> {
         self.log.sync()?;
-        let reached = self.waiting.front().map_or(self.last, |waiting| Ticket(waiting.ticket.0 - 1));
-        if reached <= self.told {
+        let reached = self.deferred.front().map_or(self.last, |ticketed| Ticket(ticketed.ticket.0 - 1));
+        if reached <= self.reported {
             return Ok(None);
         }
-        self.told = reached;
+        self.reported = reached;
         Ok(Some(reached))
     }
 
-    /// Gives space back, and writes what waited and fits now; it is told by the next [`LogWriter::sync`].
+    /// Reclaims capacity, and writes the deferred records that fit then; the next [`LogWriter::sync`] covers them.
     ///
     /// # Errors
     /// The disk fails.
-    pub fn give_back(&mut self) -> Result<(), RecordLogError> {
-        self.log.give_back()?;
-        if self.waiting.is_empty() {
+    pub fn reclaim(&mut self) -> Result<(), RecordLogError> {
+        self.log.reclaim()?;
+        if self.deferred.is_empty() {
             return Ok(());
         }
-        self.write_waiting()?;
-        // Who is told that room is short sends nothing that would lead to the next call.
-        self.log.give_back()
+        self.write_deferred()?;
+        // Clients of a nearly full store send no new messages, whose appends would lead to the next call.
+        self.log.reclaim()
     }
 
-    fn write_waiting(&mut self) -> Result<(), RecordLogError> {
-        self.fitting = Fitting::ALL;
-        self.waiting_subjects.clear();
-        for waiting in std::mem::take(&mut self.waiting) {
-            self.write(waiting)?;
+    fn write_deferred(&mut self) -> Result<(), RecordLogError> {
+        self.may_fit = FitHints::ALL;
+        self.deferred_keys.clear();
+        for ticketed in std::mem::take(&mut self.deferred) {
+            self.write_or_defer(ticketed)?;
         }
         Ok(())
     }
 
-    /// Records that wait for room.
+    /// Number of records that are deferred until capacity is freed.
     #[must_use]
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn deferred(&self) -> usize {
+        self.deferred.len()
     }
 
-    /// Room is short: no new messages should be taken.
+    /// Whether the log is nearly full or records are deferred: no new messages should be accepted.
     #[must_use]
-    pub fn is_short(&self) -> bool {
-        !self.waiting.is_empty() || self.log.is_short()
+    pub fn is_nearly_full(&self) -> bool {
+        !self.deferred.is_empty() || self.log.is_nearly_full()
     }
 
     /// The log.
--- a/system/state/record-log/tests/compaction.rs
+++ b/system/state/record-log/tests/compaction.rs
@@ -1,39 +1,39 @@
-//! What compaction leaves of messages, live and released.
+//! Compaction retains the live records of messages, and the ends of released ones as long as needed.
 
 mod support;
 
 use millrudder_checkpoint_store::SimulatedFolder;
 use millrudder_protocol::message::End;
 use support::{
-    callback_done, ended, failed, give_all_back, granted, id, node, open, promised, state, write, Log,
-    NOW_MS, SEGMENT_BYTES,
+    callback_done, ended, failed, granted, id, node, open, promised, reclaim_all, state, write, Log, NOW_MS,
+    SEGMENT_BYTES,
 };
 
 /// Body of a message that fills most of a segment (bytes).
 const LARGE: usize = 600;
 
-/// Fills a segment with messages that stay, so that it is not worth compacting.
+/// Fills a segment with a live message, so that it is not sparse enough for compaction.
 fn fill_segment(log: &mut Log, first: u64) {
     write(log, [state(id(first), LARGE, None)]);
-    log.prove().unwrap();
+    log.verify_writable().unwrap();
 }
 
-fn is_ended(log_of: &SimulatedFolder, unique: u64) -> Option<bool> {
-    let records = open(log_of).records;
+fn is_ended(folder: &SimulatedFolder, unique: u64) -> Option<bool> {
+    let records = open(folder).records;
     node(&records).state_of(id(unique)).map(|state| state.end.is_some())
 }
 
 #[test]
-fn a_message_written_again_after_what_became_of_it_stays_ended() {
+fn a_message_moved_behind_its_end_is_recovered_as_ended() {
     let folder = SimulatedFolder::new(1);
     let mut log = open(&folder).log;
     write(&mut log, [state(id(1), 0, None), state(id(2), LARGE, None)]);
-    log.prove().unwrap();
-    // The segment of the message is nearly empty now; the message goes to the end of the log.
+    log.verify_writable().unwrap();
+    // The segment of the message becomes sparse, so that the message is moved to the end of the log.
     write(&mut log, [failed(id(1), 3, 2), ended(id(1)), state(id(3), LARGE, None)]);
     log.release(id(2));
-    log.prove().unwrap();
-    give_all_back(&mut log);
+    log.verify_writable().unwrap();
+    reclaim_all(&mut log);
     drop(log);
 
     let records = open(&folder).records;
@@ -43,33 +43,33 @@
 }
 
 #[test]
-fn the_end_of_a_released_message_outlives_it_whatever_was_written_last() {
+fn the_end_of_a_released_message_is_retained_while_a_segment_contains_the_message() {
     let folder = SimulatedFolder::new(1);
     let mut log = open(&folder).log;
     write(&mut log, [state(id(1), 0, None), state(id(2), LARGE, None)]);
-    log.prove().unwrap();
+    log.verify_writable().unwrap();
     write(&mut log, [ended(id(1)), state(id(3), LARGE, None)]);
-    log.prove().unwrap();
+    log.verify_writable().unwrap();
     write(&mut log, [callback_done(id(1))]);
     log.release(id(1));
     log.release(id(3));
-    log.prove().unwrap();
-    give_all_back(&mut log);
+    log.verify_writable().unwrap();
+    reclaim_all(&mut log);
     drop(log);
 
-    assert_eq!(is_ended(&folder, 1), Some(true), "the first segment still holds the message");
+    assert_eq!(is_ended(&folder, 1), Some(true), "the first segment still contains the message");
 }
 
 #[test]
-fn an_end_goes_once_no_segment_holds_its_message() {
+fn an_end_is_dead_once_no_segment_contains_its_message() {
     let folder = SimulatedFolder::new(1);
     let mut log = open(&folder).log;
     write(&mut log, [state(id(1), LARGE, None)]);
-    log.prove().unwrap();
+    log.verify_writable().unwrap();
     write(&mut log, [ended(id(1))]);
     log.release(id(1));
-    log.prove().unwrap();
-    give_all_back(&mut log);
+    log.verify_writable().unwrap();
+    reclaim_all(&mut log);
 
     assert_eq!(log.usage().live_bytes, 0);
     drop(log);
@@ -77,59 +77,59 @@
 }
 
 #[test]
-fn ends_are_not_kept_for_the_sake_of_older_segments_that_stay() {
+fn ends_are_not_retained_for_older_segments_without_their_message() {
     let folder = SimulatedFolder::new(1);
     let mut log = open(&folder).log;
     fill_segment(&mut log, 0);
-    let kept = log.usage().live_bytes;
+    let live_bytes = log.usage().live_bytes;
     for unique in 1..2_000 {
-        let of_one = [state(id(unique), 100, None), granted(id(unique), 1), ended(id(unique))];
-        write(&mut log, of_one);
+        let records = [state(id(unique), 100, None), granted(id(unique), 1), ended(id(unique))];
+        write(&mut log, records);
         log.release(id(unique));
-        log.give_back().unwrap();
+        log.reclaim().unwrap();
     }
-    log.prove().unwrap();
-    give_all_back(&mut log);
+    log.verify_writable().unwrap();
+    reclaim_all(&mut log);
 
-    assert_eq!(log.usage().live_bytes, kept);
+    assert_eq!(log.usage().live_bytes, live_bytes);
     assert!(log.usage().file_bytes <= 3 * SEGMENT_BYTES, "{:?}", log.usage());
 }
 
 #[test]
-fn what_a_restart_finds_of_forgotten_messages_is_given_back() {
+fn orphaned_records_that_a_restart_recovers_are_reclaimed() {
     let folder = SimulatedFolder::new(1);
     let mut log = open(&folder).log;
     write(&mut log, [state(id(1), LARGE, None)]);
-    log.prove().unwrap();
-    // This segment stays for the sake of a message in it, and the end of the other one with it.
+    log.verify_writable().unwrap();
+    // This segment is retained for its live message, and the end of the other one with it.
     write(&mut log, [state(id(2), LARGE, None), granted(id(1), 1), ended(id(1))]);
     log.release(id(1));
-    log.prove().unwrap();
-    give_all_back(&mut log);
+    log.verify_writable().unwrap();
+    reclaim_all(&mut log);
     drop(log);
 
     let opened = open(&folder);
     let mut log = opened.log;
-    assert_eq!(opened.records.len(), 1, "changes of a message that is not there say nothing");
+    assert_eq!(opened.records.len(), 1, "changes of a message without its state have no effect");
     log.release(id(2));
-    give_all_back(&mut log);
+    reclaim_all(&mut log);
     assert_eq!(log.usage().live_bytes, 0);
 }
 
 #[test]
-fn a_change_that_comes_after_its_message_was_forgotten_takes_no_room() {
+fn a_change_that_follows_the_release_of_its_message_is_dead() {
     let folder = SimulatedFolder::new(1);
     let mut log = open(&folder).log;
     write(&mut log, [state(id(1), 0, None), ended(id(1))]);
     log.release(id(1));
     write(&mut log, [callback_done(id(1)), granted(id(7), 1)]);
-    log.prove().unwrap();
-    give_all_back(&mut log);
+    log.verify_writable().unwrap();
+    reclaim_all(&mut log);
     assert_eq!(log.usage().live_bytes, 0);
 }
 
 #[test]
-fn a_message_that_is_tried_for_days_keeps_only_its_latest_grant_and_failure() {
+fn a_message_with_many_attempts_retains_only_its_latest_grant_and_failure() {
     let folder = SimulatedFolder::new(1);
     let mut log = open(&folder).log;
     write(&mut log, [state(id(1), 0, None)]);
@@ -137,7 +137,7 @@
         log.append(NOW_MS, &granted(id(1), token)).unwrap();
         log.append(NOW_MS, &failed(id(1), token, token as u32)).unwrap();
         log.sync().unwrap();
-        log.give_back().unwrap();
+        log.reclaim().unwrap();
     }
     assert!(log.usage().file_bytes <= 4 * SEGMENT_BYTES, "{:?}", log.usage());
     drop(log);
@@ -146,12 +146,12 @@
 }
 
 #[test]
-fn the_highest_promise_stays() {
+fn the_highest_promise_is_retained() {
     let folder = SimulatedFolder::new(1);
     let mut log = open(&folder).log;
     for since in 1..500 {
         write(&mut log, [promised(0, since), promised(1, 500 - since)]);
-        log.give_back().unwrap();
+        log.reclaim().unwrap();
     }
     assert!(log.usage().file_bytes <= 4 * SEGMENT_BYTES, "{:?}", log.usage());
     drop(log);
--- a/system/state/record-log/tests/golden.rs
+++ b/system/state/record-log/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The files of a store's records, byte for byte as earlier versions write them.
+//! The files of a record log, byte for byte as earlier versions write them.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use speedy::{Readable, Writable};
 use support::{callback_done, ended, failed, granted, id, open, promised, state, write};
 
-/// Each kind of record that a store keeps.
+/// Each kind of record that a store writes.
 fn records() -> Vec<DiskRecord> {
     let completed = End::Completed { signature: "5a".into() };
     vec![
--- a/system/state/record-log/tests/support/mod.rs
+++ b/system/state/record-log/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Records and logs that tests use.
+//! Records and logs that the tests of this package share.
 
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod model;
 
@@ -14,7 +14,7 @@
 
 pub type Log = RecordLog<SimulatedFolder>;
 
-/// Smallest segments there are, so that compaction happens all the time.
+/// The smallest valid segments, so that compaction is frequent.
 pub const SEGMENT_BYTES: u64 = 1 << 10;
 pub const TOTAL_BYTES: u64 = 24 * SEGMENT_BYTES;
 pub const CONFIG: SegmentConfig = SegmentConfig {
@@ -24,12 +24,12 @@
     compact_below_percent: 50,
     salt: 0x5eed,
 };
-/// So little room that the log is full most of the time.
-pub const CROWDED: SegmentConfig =
+/// So little capacity that the log is full most of the time.
+pub const SMALL_CAPACITY: SegmentConfig =
     SegmentConfig { total_bytes: 6 * SEGMENT_BYTES, reserve_bytes: 2 * SEGMENT_BYTES, ..CONFIG };
-/// Time of day at which everything happens (ms).
+/// Time of day of all operations, in milliseconds since 1970.
 pub const NOW_MS: u64 = 1_000_000;
-/// Long enough that nothing ends by it.
+/// Long enough that no message expires (ms).
 const RETENTION_MS: u32 = 1 << 30;
 pub const SHARD: ShardId = ShardId(0);
 
@@ -48,7 +48,7 @@
     try_open(folder, CONFIG).unwrap()
 }
 
-/// What a store knows that starts with these records.
+/// A store that starts with these records.
 pub fn node(records: &[Recovered]) -> StoreNode {
     let zone = String::from("zone");
     StoreNode::new(Config::default(), StoreId(1), zone, NOW_MS, records.iter().cloned())
@@ -110,8 +110,8 @@
     of_message(Record::CallbackDone { id })
 }
 
-pub fn promised(shard: u16, since: u64) -> DiskRecord {
-    DiskRecord::Promised { shard: ShardId(shard), term: Epoch(since) }
+pub fn promised(shard: u16, term: u64) -> DiskRecord {
+    DiskRecord::Promised { shard: ShardId(shard), term: Epoch(term) }
 }
 
 /// Appends and syncs.
@@ -122,11 +122,11 @@
     log.sync().unwrap();
 }
 
-/// Gives back until nothing more comes of it.
-pub fn give_all_back(log: &mut Log) {
+/// Reclaims until nothing more is freed.
+pub fn reclaim_all(log: &mut Log) {
     loop {
         let before = log.usage();
-        log.give_back().unwrap();
+        log.reclaim().unwrap();
         if log.usage() == before {
             return;
         }
--- a/system/state/record-log/tests/support/model.rs
+++ b/system/state/record-log/tests/support/model.rs
@@ -1,4 +1,4 @@
-//! What a log must hold, told by what was appended, synced and released.
+//! A model of the log: what was appended, synced and released, and what must be recovered by that.
 
 use super::{id, node, Log, NOW_MS};
 use millrudder_protocol::message::{End, MessageState};
@@ -8,10 +8,10 @@
 use millrudder_record_log::RecordLogError;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The join of some records of one message.
+/// The merged state of some records of one message.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Known {
-    pub is_there: bool,
+pub struct MergedState {
+    pub has_state: bool,
     pub failed_attempts: u32,
     pub settled: LeaseToken,
     pub granted: LeaseToken,
@@ -19,16 +19,16 @@
     pub callback_done: bool,
 }
 
-impl Known {
+impl MergedState {
     fn of<'a>(records: impl Iterator<Item = &'a Record> + Clone) -> Self {
-        let mut known = Known::default();
+        let mut known = MergedState::default();
         records.for_each(|record| known.add(record));
         known
     }
 
     fn of_state(state: &MessageState) -> Self {
-        Known {
-            is_there: true,
+        MergedState {
+            has_state: true,
             failed_attempts: state.failed_attempts,
             settled: state.settled,
             granted: state.grant.map(|grant| grant.token).unwrap_or_default(),
@@ -39,7 +39,7 @@
 
     fn add(&mut self, record: &Record) {
         match record {
-            Record::State { state } => self.join(Known::of_state(state)),
+            Record::State { state } => self.merge(MergedState::of_state(state)),
             Record::Granted { grant, .. } => self.granted = self.granted.max(grant.token),
             Record::Failed { token, failed_attempts, .. } => {
                 self.settled = self.settled.max(*token);
@@ -51,8 +51,8 @@
         }
     }
 
-    fn join(&mut self, other: Known) {
-        self.is_there |= other.is_there;
+    fn merge(&mut self, other: MergedState) {
+        self.has_state |= other.has_state;
         self.failed_attempts = self.failed_attempts.max(other.failed_attempts);
         self.settled = self.settled.max(other.settled);
         self.granted = self.granted.max(other.granted);
@@ -60,36 +60,36 @@
         self.callback_done |= other.callback_done;
     }
 
-    /// Nothing of `other` is missing.
-    fn includes(&self, other: &Known) -> bool {
-        let mut joined = self.clone();
-        joined.join(other.clone());
-        joined == *self
+    /// Whether merging `other` would change nothing.
+    fn includes(&self, other: &MergedState) -> bool {
+        let mut merged = self.clone();
+        merged.merge(other.clone());
+        merged == *self
     }
 }
 
 #[derive(Clone, Debug, Default)]
-struct Subject {
-    /// Since the message was first appended; changes of an unknown message say nothing.
+struct MessageModel {
+    /// Records since the message was first appended; changes of an unknown message have no effect.
     records: Vec<Record>,
     synced: usize,
     released: bool,
-    /// A sync covered its end while it was known: it must never be seen without one again.
+    /// A sync covered its end while it was known: it must never be recovered without one again.
     has_ended: bool,
 }
 
-/// What a log must hold.
+/// A model of one log.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
-    subjects: BTreeMap<MessageId, Subject>,
+    messages: BTreeMap<MessageId, MessageModel>,
     promises: BTreeMap<ShardId, Vec<Epoch>>,
     synced_promises: BTreeMap<ShardId, Epoch>,
-    /// All that was ever appended.
+    /// All records that were ever appended.
     appended: Vec<DiskRecord>,
 }
 
 impl Model {
-    /// Appends to the log; one that is full refuses.
+    /// Appends to the log; returns whether it accepted the record, which a full one does not.
     pub fn append(&mut self, log: &mut Log, record: DiskRecord) -> Result<bool, RecordLogError> {
         let appended = log.append(NOW_MS, &record);
         self.appended.push(record.clone());
@@ -101,32 +101,30 @@
             appended => appended?,
         }
         match record {
-            DiskRecord::Promised { shard, term: since } => {
-                self.promises.entry(shard).or_default().push(since)
-            }
-            DiskRecord::Message { record } => self.note(record),
+            DiskRecord::Promised { shard, term } => self.promises.entry(shard).or_default().push(term),
+            DiskRecord::Message { record } => self.message_appended(record),
         }
         Ok(true)
     }
 
-    fn note(&mut self, record: Record) {
+    fn message_appended(&mut self, record: Record) {
         let (id, is_state) = (record.id(), matches!(record, Record::State { .. }));
-        let subject = self.subjects.entry(id).or_default();
-        if subject.released && is_state {
-            // The store had forgotten it, end and all: it is as good as another message.
-            *subject = Subject::default();
+        let message = self.messages.entry(id).or_default();
+        if message.released && is_state {
+            // The log has discarded it with its end: it counts as another message.
+            *message = MessageModel::default();
         }
-        let is_known = !subject.released && !subject.records.is_empty();
+        let is_known = !message.released && !message.records.is_empty();
         if is_state || is_known {
-            subject.records.push(record);
+            message.records.push(record);
         }
     }
 
     pub fn sync(&mut self, log: &mut Log) -> Result<(), RecordLogError> {
         log.sync()?;
-        for subject in self.subjects.values_mut() {
-            subject.synced = subject.records.len();
-            subject.has_ended |= Known::of(subject.records.iter()).end.is_some();
+        for message in self.messages.values_mut() {
+            message.synced = message.records.len();
+            message.has_ended |= MergedState::of(message.records.iter()).end.is_some();
         }
         for (shard, promises) in &self.promises {
             let highest = promises.iter().copied().max().unwrap_or_default();
@@ -138,19 +136,19 @@
 
     pub fn release(&mut self, log: &mut Log, id: MessageId) {
         log.release(id);
-        if let Some(subject) = self.subjects.get_mut(&id) {
-            subject.released = true;
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.released = true;
         }
     }
 
     pub fn release_all(&mut self, log: &mut Log) {
-        let ids: Vec<MessageId> = self.subjects.keys().copied().collect();
+        let ids: Vec<MessageId> = self.messages.keys().copied().collect();
         for id in ids {
             self.release(log, id);
         }
     }
 
-    /// Checks what a log holds that was opened again, and goes on from there.
+    /// Checks what a reopened log recovered, and continues from there.
     pub fn accept(&mut self, records: &[Recovered]) {
         for recovered in records {
             assert!(self.appended.contains(&recovered.record), "never appended: {recovered:?}");
@@ -158,7 +156,7 @@
         }
         let node = node(records);
         let found = by_message(records);
-        let ids: BTreeSet<MessageId> = self.subjects.keys().chain(found.keys()).copied().collect();
+        let ids: BTreeSet<MessageId> = self.messages.keys().chain(found.keys()).copied().collect();
         for id in ids {
             let records = found.get(&id).cloned().unwrap_or_default();
             self.accept_message(&node, id, records);
@@ -167,40 +165,40 @@
     }
 
     fn accept_message(&mut self, node: &StoreNode, id: MessageId, records: Vec<Record>) {
-        let known = Known::of(records.iter());
-        let in_node = node.state_of(id).map(|state| Known::of_state(&state));
-        assert_eq!(in_node.unwrap_or_default(), known, "{id} is known otherwise by the store");
-        let subject = self.subjects.entry(id).or_default();
-        let synced = Known::of(subject.records[..subject.synced].iter());
-        if !subject.released {
-            assert!(known.includes(&synced), "{id} lost something: {known:?} after {synced:?}");
+        let known = MergedState::of(records.iter());
+        let in_node = node.state_of(id).map(|state| MergedState::of_state(&state));
+        assert_eq!(in_node.unwrap_or_default(), known, "the store merges {id} differently");
+        let message = self.messages.entry(id).or_default();
+        let synced = MergedState::of(message.records[..message.synced].iter());
+        if !message.released {
+            assert!(known.includes(&synced), "{id} lost synced state: {known:?} after {synced:?}");
         }
-        let is_live = known.is_there && known.end.is_none();
-        assert!(!(subject.has_ended && is_live), "{id} came back to life");
-        subject.released = !known.is_there;
-        subject.has_ended |= known.end.is_some();
-        subject.synced = records.len();
-        subject.records = records;
+        let is_live = known.has_state && known.end.is_none();
+        assert!(!(message.has_ended && is_live), "{id} was resurrected");
+        message.released = !known.has_state;
+        message.has_ended |= known.end.is_some();
+        message.synced = records.len();
+        message.records = records;
     }
 
     fn accept_promises(&mut self, node: &StoreNode) {
         let found: BTreeMap<ShardId, Epoch> = node.promises().into_iter().filter_map(promise).collect();
         for (shard, synced) in &self.synced_promises {
-            assert!(found.get(shard) >= Some(synced), "the promise of {shard:?} went down");
+            assert!(found.get(shard) >= Some(synced), "the promise of {shard:?} regressed");
         }
         self.synced_promises.clone_from(&found);
-        self.promises = found.into_iter().map(|(shard, since)| (shard, vec![since])).collect();
+        self.promises = found.into_iter().map(|(shard, term)| (shard, vec![term])).collect();
     }
 
-    /// The message is in the log, and not released.
+    /// Whether the message is in the log and not released.
     pub fn is_known(&self, unique: u64) -> bool {
-        self.subjects.get(&id(unique)).is_some_and(|subject| !subject.released && !subject.records.is_empty())
+        self.messages.get(&id(unique)).is_some_and(|message| !message.released && !message.records.is_empty())
     }
 }
 
 fn promise(record: DiskRecord) -> Option<(ShardId, Epoch)> {
     match record {
-        DiskRecord::Promised { shard, term: since } => Some((shard, since)),
+        DiskRecord::Promised { shard, term } => Some((shard, term)),
         DiskRecord::Message { .. } => None,
     }
 }
