--- a/system/runtime/node/src/core/host/commits.rs
+++ b/system/runtime/node/src/core/host/commits.rs
@@ -4,6 +4,7 @@
 use crate::core::messages::ToCorePort;
 use crate::core::CONTROLLER;
 use millrudder_chain::{Input, NodeId, Output, Role, View};
+use millrudder_clock::Instant;
 use millrudder_control_state::{Command, Reply};
 use millrudder_placement::Input as PlacementInput;
 
@@ -28,7 +29,7 @@
     }
 
     pub(super) fn manage(&mut self, input: PlacementInput) {
-        let now = self.clock.millis();
+        let now = Instant::from_millis(self.clock.millis());
         if let Some(placement) = self.manager.handle(now, input) {
             log::info!("placement {} is proposed", placement.epoch.0);
             let request_id = self.orders.own_request();
@@ -98,6 +99,6 @@
         log::info!("{state} the controller's lease");
         self.guard(GateInput::ControllerLease { is_held: fencing.is_some() });
         self.reader.lead(now, fencing);
-        self.manage(PlacementInput::Leading(fencing.is_some()));
+        self.manage(PlacementInput::ControllerLease { is_held: fencing.is_some() });
     }
 }
--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -3,6 +3,7 @@
 use super::{CoreHost, GateInput, PlacementInput};
 use crate::core::messages::ToCorePort;
 use millrudder_chain::{Input, NodeId};
+use millrudder_placement::Registration;
 use millrudder_protocol::control::{Registrant, ToCore};
 use millrudder_staleness::{ConnectionId, RegistrantKind, RegistrantTime, StateVersions, WorkerListVersion};
 use millrudder_transport::{LinkEvent, Outbox};
@@ -99,7 +100,12 @@
             Registrant::Store { id, name, zone, address, .. } => {
                 log::info!("store {name} registers");
                 let (name, zone) = (name.clone(), zone.clone());
-                self.manage(PlacementInput::Registered { id: *id, name, zone, address: *address });
+                self.manage(PlacementInput::Registered(Registration {
+                    id: *id,
+                    name,
+                    zone,
+                    address: *address,
+                }));
                 RegistrantKind::Store
             }
         };
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -122,9 +122,9 @@
         let seed = crate::clock::seed();
         let catch_up_ms = settings.bounds.catch_up.as_millis() as u64;
         let mut manager = PlacementManager::new(settings.fault_tolerance.machines)
-            .with_catch_up(catch_up_ms)
+            .with_catch_up(Duration::from_millis(catch_up_ms))
             .with_layout(crate::place::layout(&settings));
-        manager.handle(0, PlacementInput::Committed(node.machine().placement().clone()));
+        manager.handle(Instant::ORIGIN, PlacementInput::Committed(node.machine().placement().clone()));
         let clock = SteadyClock::start();
         CoreHost {
             standstill: ClockStallDetector::new(
@@ -233,7 +233,10 @@
     fn next_deadline(&self) -> tokio::time::Instant {
         let now = self.clock.millis();
         let node = self.clock.at_micros(self.node.next_deadline());
-        let manager = self.manager.next_deadline(now).map(|due| self.clock.at_millis(due));
+        let manager = self
+            .manager
+            .next_deadline(Instant::from_millis(now))
+            .map(|due| self.clock.at_millis(due.as_millis()));
         let reader = self.reader.next_deadline().map(|due| self.clock.at_millis(due));
         let gate = self.gate.next_deadline().map(|due| self.clock.at_millis(due.as_millis()));
         [Some(node), manager, reader, gate].into_iter().flatten().min().unwrap_or(node)
--- a/system/runtime/node/src/core/host/retiring.rs
+++ b/system/runtime/node/src/core/host/retiring.rs
@@ -5,6 +5,7 @@
 use crate::core::orders::{answer, configuration_outcome, Question};
 use crate::core::retire::Progress;
 use millrudder_chain::{Input, NodeId, RequestId};
+use millrudder_clock::Instant;
 use millrudder_control_state::{Command, RetireOrder};
 use millrudder_placement::Input as PlacementInput;
 use std::collections::BTreeSet;
@@ -14,7 +15,7 @@
     /// An operator wants a machine to be emptied: whether that may be is decided in the chain's order, by what is known
     /// of the machines here.
     pub(super) fn submit_retire(&mut self, request_id: RequestId, name: String) {
-        let well = self.manager.well(self.clock.millis());
+        let well = self.manager.healthy_stores(Instant::from_millis(self.clock.millis()));
         let address = self.manager.address_of(&name);
         let core = address.map(|address| self.core_at(address.0.ip())).unwrap_or_default();
         let order = RetireOrder { name, is_known: address.is_some(), core, well };
@@ -33,7 +34,7 @@
 
     /// Core processes at a machine's address; none where machines share it, as the address then tells nothing.
     fn core_at(&self, ip: IpAddr) -> Vec<NodeId> {
-        if !self.manager.is_machines_own(ip) {
+        if !self.manager.is_exclusive_address(ip) {
             return Vec::new();
         }
         let voters = self.node.view().map(|view| view.voters.clone()).unwrap_or_default();
--- a/system/runtime/node/src/place.rs
+++ b/system/runtime/node/src/place.rs
@@ -1,6 +1,6 @@
 //! Where this process runs, and what that means for where replicas go, from its settings.
 
-use millrudder_placement::{Layout, Spread};
+use millrudder_placement::{FailureDomain, Layout};
 use millrudder_settings::Settings;
 use millrudder_topology::{Location, Topology};
 
@@ -16,5 +16,5 @@
 /// How replicas are laid out, by what may be lost at one time.
 pub fn layout(settings: &Settings) -> Layout {
     let tolerance = settings.fault_tolerance;
-    Layout { topology: topology(settings), spread: Spread::for_losses(tolerance.zones, tolerance.regions) }
+    Layout::new(topology(settings), FailureDomain::for_losses(tolerance.zones, tolerance.regions))
 }
--- a/system/state/control-state/src/retirement.rs
+++ b/system/state/control-state/src/retirement.rs
@@ -24,7 +24,7 @@
         }
         let stays = |name: &&String| **name != order.name && !self.machines.contains_key(*name);
         let remaining: BTreeSet<&String> = order.well.iter().filter(stays).collect();
-        if remaining.len() < placement.replicas_wanted() {
+        if remaining.len() < placement.target_replicas() {
             return Reply::RetireTooFew;
         }
         self.machines.insert(order.name.clone(), order.core.iter().copied().collect());
--- a/system/state/placement/src/balance.rs
+++ b/system/state/placement/src/balance.rs
@@ -1,106 +1,108 @@
-//! New stores get their share of what others hold, a few shards at a time, and only while all is calm.
+//! Balance: new stores get a fair part of the shards, a few at a time, and only while no store is unhealthy.
 
-use crate::founding::entry;
-use crate::health::Seen;
-use crate::knowledge::{loads, zone_of, Knowledge};
-use millrudder_protocol::placement::{ChangeReason, MemberChange, Placement, ShardEntry};
+use crate::changes;
+use crate::cluster::{ClusterSnapshot, Counts};
+use crate::store_health::StoreStatus;
+use millrudder_protocol::placement::{ChangeReason, Placement, ShardEntry};
 use millrudder_protocol::StoreId;
-use std::collections::BTreeMap;
 
-/// Shards on their way at one time for the sake of even shares.
-const MOVES_AT_ONCE: usize = 8;
-/// Two stores whose loads differ by less are even.
-const UNEVEN: usize = 3;
+/// Shards that move at one time for the sake of balance.
+const MAX_CONCURRENT_MOVES: usize = 8;
+/// Two stores whose numbers of replicas differ by less are balanced.
+const IMBALANCE_THRESHOLD: usize = 3;
 
-/// A place that may go from one store to another.
+/// A replica that may move to another store. The greatest is the best one to move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Move {
-    /// Places that the present holder has more than the taker.
+    /// Replicas that the present store has more than the receiver.
     surplus: usize,
-    /// The place of the shard's home, if the taker has fewer homes than the present holder, or another place if not.
-    suits_homes: bool,
-    /// The shard's primary, which fills the taker, is in the taker's zone.
-    fills_within_zone: bool,
-    shard: usize,
+    /// It is the shard's first replica and the receiver has fewer first replicas, or it is neither.
+    balances_first_replicas: bool,
+    /// The shard's primary, which fills the receiver, is in the receiver's zone.
+    is_filled_within_zone: bool,
+    shard_index: usize,
     leaves: StoreId,
 }
 
-/// Starts to move places to stores that hold fewer than others.
-pub fn begin(known: &Knowledge, next: &mut Placement) {
-    if !is_calm(known, next) {
-        return;
+/// Numbers of replicas at the stores, as the moves that were begun will leave them.
+struct Loads {
+    replicas: Counts,
+    /// First replicas of shards: a store gets the primaries of those.
+    first_replicas: Counts,
+}
+
+impl Loads {
+    fn of(placement: &Placement) -> Loads {
+        let first = placement.shards.iter().filter_map(|shard| shard.replicas.first());
+        Loads { replicas: Counts::of_replicas(placement), first_replicas: Counts::of(first.copied()) }
     }
-    let mut load = loads(next);
-    let mut homes = homes(next);
-    let takers: Vec<Seen> = known.candidates().filter(|seen| has_stood_by(known, seen)).cloned().collect();
-    for _ in 0..MOVES_AT_ONCE {
-        let mut by_load: Vec<&Seen> = takers.iter().collect();
-        by_load.sort_by_key(|seen| (count(&load, seen.id), seen.id));
-        let found =
-            by_load.into_iter().find_map(|taker| Some((taker, best(known, next, taker, &load, &homes)?)));
-        let Some((taker, chosen)) = found else { return };
-        start(next, taker, &chosen);
-        *load.entry(taker.id).or_default() += 1;
-        if let Some(held) = load.get_mut(&chosen.leaves) {
-            *held -= 1;
-        }
-        if next.shards[chosen.shard].replicas.first() == Some(&chosen.leaves) {
-            *homes.entry(taker.id).or_default() += 1;
-            homes.entry(chosen.leaves).and_modify(|held| *held -= 1);
+
+    fn apply(&mut self, placement: &Placement, receiver: StoreId, chosen: &Move) {
+        self.replicas.increment(receiver);
+        self.replicas.decrement(chosen.leaves);
+        if placement.shards[chosen.shard_index].replicas.first() == Some(&chosen.leaves) {
+            self.first_replicas.increment(receiver);
+            self.first_replicas.decrement(chosen.leaves);
         }
     }
 }
 
-/// Every store is well, no change is under way.
-fn is_calm(known: &Knowledge, next: &Placement) -> bool {
-    let is_steady = |id: StoreId| known.stores.is_steady(known.now, id);
-    next.shards.iter().all(|shard| shard.change.is_none())
-        && next.stores.iter().all(|store| is_steady(store.id))
-}
-
-/// A store that has just come may be meant to replace another one: it is not given shares of others at once.
-fn has_stood_by(known: &Knowledge, seen: &Seen) -> bool {
-    let since = known.stores.well_since(seen.id).unwrap_or(known.now);
-    known.now.saturating_sub(since.max(known.watched_since)) >= known.patience.newcomer_ms
+/// Begins to move replicas to stores that hold fewer than others.
+pub fn begin_changes(cluster: &ClusterSnapshot, next: &mut Placement) {
+    if !is_calm(cluster, next) {
+        return;
+    }
+    let mut loads = Loads::of(next);
+    let receivers: Vec<&StoreStatus> =
+        cluster.candidates().filter(|store| was_spare_long_enough(cluster, store)).collect();
+    for _ in 0..MAX_CONCURRENT_MOVES {
+        let mut by_load = receivers.clone();
+        by_load.sort_by_key(|store| (loads.replicas.get(store.id), store.id));
+        let found = by_load
+            .into_iter()
+            .find_map(|receiver| Some((receiver, best_move(cluster, next, receiver, &loads)?)));
+        let Some((receiver, chosen)) = found else { return };
+        let leaves = Some(chosen.leaves);
+        changes::begin_change(next, chosen.shard_index, receiver, leaves, ChangeReason::Balance);
+        loads.apply(next, receiver.id, &chosen);
+    }
 }
 
-fn count(counts: &BTreeMap<StoreId, usize>, id: StoreId) -> usize {
-    counts.get(&id).copied().unwrap_or(0)
+/// Every store is stable, and no change is in progress.
+fn is_calm(cluster: &ClusterSnapshot, next: &Placement) -> bool {
+    let is_stable = |id: StoreId| cluster.stores.is_stable(cluster.now, id);
+    next.shards.iter().all(|shard| shard.change.is_none())
+        && next.stores.iter().all(|store| is_stable(store.id))
 }
 
-/// Shards whose first replica a store is.
-fn homes(next: &Placement) -> BTreeMap<StoreId, usize> {
-    let mut homes: BTreeMap<StoreId, usize> = BTreeMap::new();
-    for home in next.shards.iter().filter_map(|shard| shard.replicas.first()) {
-        *homes.entry(*home).or_default() += 1;
-    }
-    homes
+/// A store that has just registered may be meant to replace another one: it is not given shards of others at once.
+fn was_spare_long_enough(cluster: &ClusterSnapshot, store: &StoreStatus) -> bool {
+    let since = cluster.stores.healthy_since(store.id).unwrap_or(cluster.now);
+    cluster.now - since.max(cluster.observed_since) >= cluster.delays.before_balance
 }
 
-/// The best place for `taker` to take, if it holds fewer than some other store.
-fn best(
-    known: &Knowledge,
+/// The best replica for `receiver` to take, if it holds fewer than some other store.
+fn best_move(
+    cluster: &ClusterSnapshot,
     next: &Placement,
-    taker: &Seen,
-    load: &BTreeMap<StoreId, usize>,
-    homes: &BTreeMap<StoreId, usize>,
+    receiver: &StoreStatus,
+    loads: &Loads,
 ) -> Option<Move> {
-    let free =
-        |shard: &&(usize, &ShardEntry)| shard.1.change.is_none() && !shard.1.replicas.contains(&taker.id);
-    let shards: Vec<(usize, &ShardEntry)> = next.shards.iter().enumerate().collect();
-    let moves = shards.iter().filter(free).flat_map(|(at, shard)| {
-        let places = shard.replicas.iter().enumerate();
-        places.filter_map(move |(place, leaves)| {
-            let surplus = count(load, *leaves).checked_sub(count(load, taker.id))?;
-            let needs_homes = count(homes, *leaves) > count(homes, taker.id) + 1;
-            let fills_within_zone = zone_of(next, known.stores, shard.primary) == taker.zone;
-            let suits_homes = (place == 0) == needs_homes;
-            let is_allowed = surplus >= UNEVEN && keeps_layout(known, next, shard, *leaves, taker);
-            is_allowed.then_some(Move {
+    let shards = next.shards.iter().enumerate();
+    let free = shards.filter(|(_, shard)| shard.change.is_none() && !shard.replicas.contains(&receiver.id));
+    let moves = free.flat_map(|(shard_index, shard)| {
+        let replicas = shard.replicas.iter().enumerate();
+        replicas.filter_map(move |(position, leaves)| {
+            let surplus = loads.replicas.get(*leaves).checked_sub(loads.replicas.get(receiver.id))?;
+            let lacks_first_replicas =
+                loads.first_replicas.get(*leaves) > loads.first_replicas.get(receiver.id) + 1;
+            let is_allowed =
+                surplus >= IMBALANCE_THRESHOLD && keeps_layout(cluster, next, shard, *leaves, receiver);
+            is_allowed.then(|| Move {
                 surplus,
-                suits_homes,
-                fills_within_zone,
-                shard: *at,
+                balances_first_replicas: (position == 0) == lacks_first_replicas,
+                is_filled_within_zone: cluster.zone_of(next, shard.primary) == receiver.zone,
+                shard_index,
                 leaves: *leaves,
             })
         })
@@ -108,25 +110,16 @@
     moves.max()
 }
 
-/// The shard's replicas are laid out no worse than before.
+/// Whether the shard's replicas are laid out no worse than before.
 fn keeps_layout(
-    known: &Knowledge,
+    cluster: &ClusterSnapshot,
     next: &Placement,
     shard: &ShardEntry,
     leaves: StoreId,
-    taker: &Seen,
+    receiver: &StoreStatus,
 ) -> bool {
-    let zone = |id: &StoreId| zone_of(next, known.stores, *id);
+    let zone = |id: &StoreId| cluster.zone_of(next, *id);
     let before: Vec<&str> = shard.replicas.iter().map(zone).collect();
-    let stay: Vec<&str> = shard.replicas.iter().filter(|id| **id != leaves).map(zone).collect();
-    known.layout.misfit_with(&stay, &taker.zone) <= known.layout.misfit(&before)
-}
-
-fn start(next: &mut Placement, taker: &Seen, chosen: &Move) {
-    if next.store(taker.id).is_none() {
-        next.stores.push(entry(taker));
-    }
-    let (joins, leaves, since) = (taker.id, Some(chosen.leaves), next.epoch);
-    next.shards[chosen.shard].change =
-        Some(MemberChange { joins, leaves, epoch: since, reason: ChangeReason::Balance });
+    let others: Vec<&str> = shard.replicas.iter().filter(|id| **id != leaves).map(zone).collect();
+    cluster.layout.cost_with(&others, &receiver.zone) <= cluster.layout.cost(&before)
 }
--- /dev/null
+++ b/system/state/placement/src/initial_placement.rs
@@ -0,0 +1,67 @@
+//! The first placement of a cluster.
+
+use crate::changes::store_entry;
+use crate::cluster::Counts;
+use crate::layout::Layout;
+use crate::store_health::StoreStatus;
+use millrudder_protocol::placement::{target_replicas, Placement, ShardEntry};
+use millrudder_protocol::{Epoch, StoreId};
+
+/// Shards for each store: so many that the shards of a lost store are spread evenly over the others.
+const SHARDS_PER_STORE: usize = 8;
+/// Bounds on the number of shards, which never changes afterwards.
+const MIN_SHARDS: usize = 24;
+const MAX_SHARDS: usize = 4096;
+
+/// Lays out all shards over the stores, with the primaries spread evenly.
+pub fn initial_placement(stores: &[&StoreStatus], tolerated_losses: u32, layout: &Layout) -> Placement {
+    let shard_count = (SHARDS_PER_STORE * stores.len()).clamp(MIN_SHARDS, MAX_SHARDS);
+    let epoch = Epoch(1);
+    let mut load = Counts::default();
+    let shards = (0..shard_count).map(|number| {
+        let replicas = choose_replicas(stores, number, target_replicas(tolerated_losses), &load, layout);
+        replicas.iter().for_each(|store| load.increment(*store));
+        ShardEntry { primary: replicas[0], replicas, change: None, term: epoch }
+    });
+    let shards = if stores.is_empty() { Vec::new() } else { shards.collect() };
+    Placement {
+        epoch,
+        tolerated_losses,
+        stores: stores.iter().map(|store| store_entry(store)).collect(),
+        shards,
+    }
+}
+
+/// Chooses the stores of one shard: the first in turn, then those that the layout prefers and that hold least. Ties go
+/// by an order that differs from shard to shard.
+fn choose_replicas(
+    stores: &[&StoreStatus],
+    shard_number: usize,
+    target_count: usize,
+    load: &Counts,
+    layout: &Layout,
+) -> Vec<StoreId> {
+    let mut remaining = rotated(stores, shard_number);
+    let mut chosen = vec![remaining.remove(0)];
+    while chosen.len() < target_count && !remaining.is_empty() {
+        let zones: Vec<&str> = chosen.iter().map(|store| store.zone.as_str()).collect();
+        let rank = |index: &usize| {
+            let store = remaining[*index];
+            (layout.cost_with(&zones, &store.zone), load.get(store.id))
+        };
+        let Some(next) = (0..remaining.len()).min_by_key(rank) else { break };
+        chosen.push(remaining.remove(next));
+    }
+    chosen.into_iter().map(|store| store.id).collect()
+}
+
+/// The stores in the order for one shard: each is first in turn, and those after the first take turns at being second.
+fn rotated<'a>(stores: &[&'a StoreStatus], shard_number: usize) -> Vec<&'a StoreStatus> {
+    let count = stores.len();
+    let (first, turn) = (shard_number % count, shard_number / count);
+    let mut order: Vec<&StoreStatus> = (0..count).map(|step| stores[(first + step) % count]).collect();
+    if count > 2 {
+        order[1..].rotate_left(turn % (count - 1));
+    }
+    order
+}
--- a/system/state/placement/src/layout.rs
+++ b/system/state/placement/src/layout.rs
@@ -3,25 +3,26 @@
 use millrudder_topology::{Distance, Topology};
 use std::collections::BTreeSet;
 
-/// What the replicas of a shard are spread over, as much as there are; it follows from what must be borne.
+/// The largest failure domain whose loss must be tolerated; replicas are spread over it as far as there are enough.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Spread {
-    /// Zones of one region: only machines may be lost, and each write that leaves the region takes longer and costs more.
+pub enum FailureDomain {
+    /// Machines. Replicas stay in one region, over its zones: each write that leaves the region takes longer and costs
+    /// more.
     #[default]
-    ZonesOfRegion,
-    /// Zones, in one region where it has enough of them: zones may be lost.
-    Zones,
-    /// Regions may be lost.
-    Regions,
+    Machine,
+    /// Zones. Replicas lie in different zones, of one region where that has enough of them.
+    Zone,
+    /// Regions. Replicas lie in different regions.
+    Region,
 }
 
-impl Spread {
-    /// For a system that must bear the loss of so many zones and regions at one time.
+impl FailureDomain {
+    /// For a system that must tolerate the loss of so many zones and regions at one time.
     pub fn for_losses(zones: u32, regions: u32) -> Self {
         match (zones, regions) {
-            (_, 1..) => Spread::Regions,
-            (1.., 0) => Spread::Zones,
-            (0, 0) => Spread::ZonesOfRegion,
+            (_, 1..) => FailureDomain::Region,
+            (1.., 0) => FailureDomain::Zone,
+            (0, 0) => FailureDomain::Machine,
         }
     }
 }
@@ -29,43 +30,49 @@
 /// The rule by which replicas are laid out.
 #[derive(Clone, Debug, Default)]
 pub struct Layout {
-    pub topology: Topology,
-    pub spread: Spread,
+    topology: Topology,
+    failure_domain: FailureDomain,
 }
 
-/// How badly a set of replicas is laid out; the least is the best.
+/// Cost of a set of replicas' zones; the lowest is the best. Only costs of sets of the same size are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Misfit {
+pub struct LayoutCost {
     primary: usize,
     secondary: usize,
 }
 
 impl Layout {
-    /// Of replicas in these zones, one for each replica.
-    pub fn misfit(&self, zones: &[&str]) -> Misfit {
-        let (primary, secondary) = match self.spread {
-            Spread::ZonesOfRegion => (self.region_crossings(zones), shared_zones(zones)),
-            Spread::Zones => (shared_zones(zones), self.region_crossings(zones)),
-            Spread::Regions => (self.shared_regions(zones), shared_zones(zones)),
+    /// A layout over the zones and regions of `topology`.
+    pub fn new(topology: Topology, failure_domain: FailureDomain) -> Self {
+        Layout { topology, failure_domain }
+    }
+
+    /// Cost of replicas in these zones, one for each replica.
+    pub(crate) fn cost(&self, zones: &[&str]) -> LayoutCost {
+        let (primary, secondary) = match self.failure_domain {
+            FailureDomain::Machine => (self.cross_region_pairs(zones), shared_zones(zones)),
+            FailureDomain::Zone => (shared_zones(zones), self.cross_region_pairs(zones)),
+            FailureDomain::Region => (self.shared_regions(zones), shared_zones(zones)),
         };
-        Misfit { primary, secondary }
+        LayoutCost { primary, secondary }
     }
 
-    /// Of these with one more.
-    pub fn misfit_with(&self, others: &[&str], zone: &str) -> Misfit {
+    /// Cost of replicas in these zones and one more.
+    pub(crate) fn cost_with(&self, others: &[&str], zone: &str) -> LayoutCost {
         let zones: Vec<&str> = others.iter().copied().chain([zone]).collect();
-        self.misfit(&zones)
+        self.cost(&zones)
     }
 
-    pub fn is_other_region(&self, one: &str, other: &str) -> bool {
+    /// Whether two zones are of different regions.
+    pub(crate) fn is_other_region(&self, one: &str, other: &str) -> bool {
         self.topology.distance(one, other) == Distance::OtherRegion
     }
 
     /// Pairs of replicas in different regions.
-    fn region_crossings(&self, zones: &[&str]) -> usize {
-        let later = |at: usize| zones.get(at + 1..).unwrap_or_default();
-        let crossings = |(at, zone): (usize, &&str)| {
-            later(at).iter().filter(|other| self.is_other_region(zone, other)).count()
+    fn cross_region_pairs(&self, zones: &[&str]) -> usize {
+        let later = |index: usize| zones.get(index + 1..).unwrap_or_default();
+        let crossings = |(index, zone): (usize, &&str)| {
+            later(index).iter().filter(|other| self.is_other_region(zone, other)).count()
         };
         zones.iter().enumerate().map(crossings).sum()
     }
--- /dev/null
+++ b/system/state/placement/src/learner_reports.rs
@@ -0,0 +1,55 @@
+//! Reports of learners that they have caught up with a shard.
+
+use millrudder_clock::Instant;
+use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::placement::{MemberChange, Placement};
+use millrudder_protocol::{Epoch, ShardId, StoreId};
+use std::collections::BTreeMap;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct LearnerKey {
+    shard: ShardId,
+    learner: StoreId,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Report {
+    /// Epoch of the membership change in which the learner was filled.
+    change: Epoch,
+    received_at: Instant,
+}
+
+/// The newest report of each learner for each shard.
+#[derive(Clone, Debug, Default)]
+pub struct LearnerReports {
+    reports: BTreeMap<LearnerKey, Report>,
+}
+
+impl LearnerReports {
+    /// Adds reports of one learner; of several reports for one change, the first one's time counts.
+    pub fn add(&mut self, now: Instant, learner: StoreId, shards: &[FilledShard]) {
+        for filled in shards {
+            let new = Report { change: filled.change, received_at: now };
+            let report = self.reports.entry(LearnerKey { shard: filled.shard, learner }).or_insert(new);
+            if report.change < filled.change {
+                *report = new;
+            }
+        }
+    }
+
+    /// When the learner of `change` first reported that it has caught up in this very change.
+    pub fn caught_up_at(&self, shard: ShardId, change: &MemberChange) -> Option<Instant> {
+        let report = self.reports.get(&LearnerKey { shard, learner: change.joins })?;
+        (report.change == change.epoch).then_some(report.received_at)
+    }
+
+    /// Removes reports for changes that are completed or abandoned in `placement`.
+    pub fn retain_pending(&mut self, placement: &Placement) {
+        self.reports.retain(|key, report| {
+            let change = placement.shard(key.shard).and_then(|entry| entry.change);
+            let is_in_progress =
+                change.is_some_and(|change| change.joins == key.learner && change.epoch == report.change);
+            is_in_progress || report.change > placement.epoch
+        });
+    }
+}
--- a/system/state/placement/src/lib.rs
+++ b/system/state/placement/src/lib.rs
@@ -1,22 +1,33 @@
-//! Decides which store machines hold which shard, and which of them is its primary.
+//! Decides which stores hold the replicas of each shard, and which replica is its primary.
 //!
-//! [`PlacementManager`] runs at every core machine; only the holder of the lease proposes. It watches the stores'
-//! heartbeats: a store that is silent, whose disk stalls, or that stops loses its primaries at once, and gets them
-//! back when it has been well for a while. A replica whose store is lost, or is to be emptied, is replaced by a learner
-//! that is filled before it counts, one replica of a shard at a time; new stores get their share the same way.
-//! Without I/O; time is a steady clock in milliseconds.
+//! A [`PlacementManager`] runs at every core machine; only the holder of the controller's lease proposes. It follows the
+//! stores' heartbeats and returns the next placement when something should change:
+//!
+//! - A store that is unresponsive, whose disk stalls or that shuts down loses its primaries at once, and gets them back
+//!   after it has been healthy for a while.
+//! - A replica whose store is lost or retiring is replaced by a learner, which is filled before it counts, one replica of
+//!   a shard at a time (repair).
+//! - New stores get a fair part of the shards in the same way (balance).
+//!
+//! The crate does no I/O. Its embedder passes readings of one steady clock that never go back, submits each placement that
+//! [`PlacementManager::handle`] returns, and passes every placement that is committed back in as [`Input::Committed`].
+//! A proposal that is not committed is made again; at most one placement of each epoch is ever committed, by the control
+//! state.
 
 #![forbid(unsafe_code)]
 
-mod arrange;
 mod balance;
-mod founding;
-mod health;
-mod knowledge;
+mod changes;
+mod cluster;
+mod initial_placement;
 mod layout;
+mod learner_reports;
 mod manager;
+mod planner;
 mod primaries;
 mod repair;
+mod store_health;
 
-pub use layout::{Layout, Spread};
+pub use layout::{FailureDomain, Layout};
 pub use manager::{Input, PlacementManager};
+pub use store_health::Registration;
--- a/system/state/placement/src/repair.rs
+++ b/system/state/placement/src/repair.rs
@@ -1,168 +1,169 @@
-//! Places of shards whose store is lost or is to be emptied go to other stores, one place of a shard at a time.
+//! Repair: replicas whose store is lost or retiring move to other stores, one replica of a shard at a time.
 //!
-//! A change begins with a learner that is filled while the replica whose place it takes still counts, and is done once
-//! the learner has reported, for this very change, that it holds all of the shard. A change may be given up at any
-//! moment: the membership before it held through all of it.
+//! A change begins with a learner, which is filled while the replica that it replaces still counts. It is completed once
+//! the learner has reported, for this very change, that it has caught up. A change may be abandoned at any time: the
+//! membership before it stays valid throughout.
 
-use crate::founding::{entry, replicas_wanted};
-use crate::health::Seen;
-use crate::knowledge::{loads, numbered, zone_of, Knowledge};
-use crate::primaries::lead;
-use millrudder_protocol::placement::{ChangeReason, MemberChange, Placement, ShardEntry};
+use crate::changes::{assign_primary, begin_change};
+use crate::cluster::{numbered, ClusterSnapshot, Counts};
+use crate::store_health::StoreStatus;
+use millrudder_protocol::placement::{target_replicas, ChangeReason, MemberChange, Placement, ShardEntry};
 use millrudder_protocol::{Epoch, StoreId};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
+use std::time::Duration;
 
-/// A learner that has all of one shard but lacks others is waited for so long (ms): each placement costs dispatchers a
-/// moment, so a store's shards are better admitted together.
-const TOGETHER_MS: u64 = 400;
+/// How long a learner that has caught up with one shard waits for its other shards: each placement costs dispatchers a
+/// moment, so the shards of one store are better completed together.
+const COMPLETE_TOGETHER_WITHIN: Duration = Duration::from_millis(400);
 
-/// Learners that hold all of their shards become replicas.
-pub fn finish(known: &Knowledge, next: &mut Placement) {
-    let behind = learners_behind(known, next);
+/// Makes replicas of learners that have caught up with all of their shards.
+pub fn complete_changes(cluster: &ClusterSnapshot, next: &mut Placement) {
+    let behind = learners_behind(cluster, next);
+    let completed: Vec<usize> = numbered(&next.shards)
+        .filter(|(number, shard)| {
+            let Some(change) = shard.change else { return false };
+            let Some(caught_up_at) = cluster.caught_up_at(*number, &change) else { return false };
+            let has_waited = cluster.now - caught_up_at >= COMPLETE_TOGETHER_WITHIN;
+            cluster.is_healthy(change.joins) && (has_waited || !behind.contains(&change.joins))
+        })
+        .map(|(number, _)| usize::from(number.0))
+        .collect();
     let epoch = next.epoch;
-    for (number, shard) in numbered(&mut next.shards) {
-        let Some(change) = shard.change else { continue };
-        let Some(report) = known.report(number, &change) else { continue };
-        let is_late = known.now.saturating_sub(report.at) >= TOGETHER_MS;
-        if known.is_well(change.joins) && (is_late || !behind.contains(&change.joins)) {
-            admit(shard, &change, epoch);
-        }
+    for index in completed {
+        complete_change(&mut next.shards[index], epoch);
     }
 }
 
-fn admit(shard: &mut ShardEntry, change: &MemberChange, epoch: Epoch) {
-    shard.replicas = shard.replicas_after(change);
-    shard.change = None;
+fn complete_change(shard: &mut ShardEntry, epoch: Epoch) {
+    let Some(change) = shard.change.take() else { return };
+    shard.replicas = shard.replicas_after(&change);
     if !shard.replicas.contains(&shard.primary) {
-        lead(shard, change.joins, epoch);
+        assign_primary(shard, change.joins, epoch);
     }
 }
 
-fn learners_behind(known: &Knowledge, next: &mut Placement) -> BTreeSet<StoreId> {
-    let mut behind = BTreeSet::new();
-    for (number, shard) in numbered(&mut next.shards) {
-        if let Some(change) = shard.change.filter(|change| known.report(number, change).is_none()) {
-            behind.insert(change.joins);
-        }
-    }
-    behind
+/// Learners that lack some shard still.
+fn learners_behind(cluster: &ClusterSnapshot, next: &Placement) -> BTreeSet<StoreId> {
+    let is_behind = |(number, shard): (_, &ShardEntry)| {
+        let change = shard.change.filter(|change| cluster.caught_up_at(number, change).is_none())?;
+        Some(change.joins)
+    };
+    numbered(&next.shards).filter_map(is_behind).collect()
 }
 
-/// Changes that are of no use any more end.
-pub fn give_up(known: &Knowledge, next: &mut Placement) {
-    let useless: Vec<bool> = next.shards.iter().map(|shard| is_useless(known, next, shard)).collect();
-    for (shard, useless) in next.shards.iter_mut().zip(useless) {
-        if useless {
+/// Ends changes that are of no use any more.
+pub fn abandon_changes(cluster: &ClusterSnapshot, next: &mut Placement) {
+    let obsolete: Vec<bool> = next.shards.iter().map(|shard| is_obsolete(cluster, next, shard)).collect();
+    for (shard, is_obsolete) in next.shards.iter_mut().zip(obsolete) {
+        if is_obsolete {
             shard.change = None;
         }
     }
 }
 
-fn is_useless(known: &Knowledge, next: &Placement, shard: &ShardEntry) -> bool {
+fn is_obsolete(cluster: &ClusterSnapshot, next: &Placement, shard: &ShardEntry) -> bool {
     let Some(change) = shard.change else { return false };
-    if !known.is_well(change.joins) || known.is_retiring(next, change.joins) {
+    if !cluster.is_healthy(change.joins) || cluster.is_retiring(next, change.joins) {
         return true;
     }
-    let is_lost = |id: &StoreId| !known.is_well(*id);
     match change.reason {
         ChangeReason::Repair => {
-            change.leaves.is_some_and(|id| known.is_well(id) && !known.is_retiring(next, id))
+            change.leaves.is_some_and(|id| cluster.is_healthy(id) && !cluster.is_retiring(next, id))
         }
         ChangeReason::Retire => false,
-        // A lost replica is more urgent than an even share.
-        ChangeReason::Balance => shard.replicas.iter().any(|id| is_lost(id) && change.leaves != Some(*id)),
+        ChangeReason::Balance => has_more_urgent_repair(cluster, shard, &change),
     }
 }
 
-/// Who may take a place.
+/// Whether another replica of the shard than the one that leaves is lost: that goes before balance.
+fn has_more_urgent_repair(cluster: &ClusterSnapshot, shard: &ShardEntry, change: &MemberChange) -> bool {
+    shard.replicas.iter().any(|id| !cluster.is_healthy(*id) && change.leaves != Some(*id))
+}
+
+/// Which stores may take over a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Takers {
-    /// Stores that hold nothing, or that came after the lost one fell silent.
-    Spare,
+enum CandidateFilter {
+    /// Stores that hold nothing, or that registered after the lost one became unhealthy.
+    SparesOnly,
+    /// Any store.
     All,
 }
 
-/// A place that is to go to another store.
-struct Need {
+/// A replica that is to be replaced or added.
+struct Repair {
+    /// The replica to be replaced; absent where the shard has too few.
     leaves: Option<StoreId>,
     reason: ChangeReason,
-    takers: Takers,
+    candidates: CandidateFilter,
 }
 
-/// Starts to fill learners in place of replicas that are lost, or whose stores are to be emptied.
-pub fn begin(known: &Knowledge, current: &Placement, next: &mut Placement) {
-    let mut load = loads(next);
+/// Begins to fill learners in place of replicas that are lost or whose stores are retiring.
+pub fn begin_changes(cluster: &ClusterSnapshot, current: &Placement, next: &mut Placement) {
+    let mut load = Counts::of_replicas(next);
     let holders: BTreeSet<StoreId> =
         current.shards.iter().flat_map(|shard| shard.replicas.iter().copied()).collect();
-    let epoch = next.epoch;
-    for at in 0..next.shards.len() {
-        let shard = &next.shards[at];
+    for index in 0..next.shards.len() {
+        let shard = &next.shards[index];
         if shard.change.is_some() {
             continue;
         }
-        let Some(need) = need_of(known, next, shard) else { continue };
-        let Some(taker) = taker(known, next, shard, &need, &holders, &load) else { continue };
-        let taker = taker.clone();
-        start(next, at, &taker, &need, epoch);
-        *load.entry(taker.id).or_default() += 1;
-    }
-}
-
-fn start(next: &mut Placement, at: usize, taker: &Seen, need: &Need, epoch: Epoch) {
-    if next.store(taker.id).is_none() {
-        next.stores.push(entry(taker));
+        let Some(repair) = most_urgent_repair(cluster, next, shard) else { continue };
+        let Some(learner) = choose_learner(cluster, next, shard, &repair, &holders, &load) else { continue };
+        begin_change(next, index, learner, repair.leaves, repair.reason);
+        load.increment(learner.id);
     }
-    let (leaves, reason) = (need.leaves, need.reason);
-    next.shards[at].change = Some(MemberChange { joins: taker.id, leaves, epoch: epoch, reason });
 }
 
-/// The most urgent place of a shard.
-fn need_of(known: &Knowledge, next: &Placement, shard: &ShardEntry) -> Option<Need> {
-    let repair = |leaves, takers| Some(Need { leaves, reason: ChangeReason::Repair, takers });
-    if let Some(gone) = shard.replicas.iter().find(|id| known.is_gone(next, **id)) {
-        return repair(Some(*gone), Takers::All);
+fn most_urgent_repair(cluster: &ClusterSnapshot, next: &Placement, shard: &ShardEntry) -> Option<Repair> {
+    let repair = |leaves, candidates| Some(Repair { leaves, reason: ChangeReason::Repair, candidates });
+    if let Some(replaced) = shard.replicas.iter().find(|id| cluster.is_replaced(next, **id)) {
+        return repair(Some(*replaced), CandidateFilter::All);
     }
-    let urgency = |id: &&StoreId| (known.unwell_ms(**id), known.stores.is_leaving(known.now, **id));
+    let is_shutting_down = |id: StoreId| cluster.stores.is_shutting_down(cluster.now, id);
+    let urgency = |id: &&StoreId| (cluster.unhealthy_for(**id), is_shutting_down(**id));
     if let Some(lost) = shard.replicas.iter().max_by_key(urgency) {
-        let unwell_ms = known.unwell_ms(*lost);
-        if unwell_ms >= known.patience.without_spare_ms {
-            return repair(Some(*lost), Takers::All);
+        let unhealthy_for = cluster.unhealthy_for(*lost);
+        if unhealthy_for >= cluster.delays.without_spare {
+            return repair(Some(*lost), CandidateFilter::All);
         }
-        // One that stops may never come back: while it still serves, nothing is lost by a successor.
-        if unwell_ms >= known.patience.with_spare_ms || known.stores.is_leaving(known.now, *lost) {
-            return repair(Some(*lost), Takers::Spare);
+        // One that shuts down may never come back. It still serves, so a successor loses nothing.
+        if unhealthy_for >= cluster.delays.with_spare || is_shutting_down(*lost) {
+            return repair(Some(*lost), CandidateFilter::SparesOnly);
         }
     }
-    if shard.replicas.len() < replicas_wanted(known.tolerated_losses) {
-        return repair(None, Takers::All);
+    if shard.replicas.len() < target_replicas(cluster.tolerated_losses) {
+        return repair(None, CandidateFilter::All);
     }
-    let retiring = shard.replicas.iter().find(|id| known.is_retiring(next, **id))?;
-    Some(Need { leaves: Some(*retiring), reason: ChangeReason::Retire, takers: Takers::All })
+    let retiring = *shard.replicas.iter().find(|id| cluster.is_retiring(next, **id))?;
+    let (reason, candidates) = (ChangeReason::Retire, CandidateFilter::All);
+    Some(Repair { leaves: Some(retiring), reason, candidates })
 }
 
-/// The store that takes a place: where the layout asks for one, and with the least to hold.
-fn taker<'a>(
-    known: &'a Knowledge,
+/// The store that the layout prefers and that holds least.
+fn choose_learner<'a>(
+    cluster: &'a ClusterSnapshot,
     next: &Placement,
     shard: &ShardEntry,
-    need: &Need,
+    repair: &Repair,
     holders: &BTreeSet<StoreId>,
-    load: &BTreeMap<StoreId, usize>,
-) -> Option<&'a Seen> {
-    let stay = shard.replicas.iter().copied().filter(|id| Some(*id) != need.leaves);
-    let zones: Vec<&str> = stay.map(|id| zone_of(next, known.stores, id)).collect();
-    let is_spare = |seen: &&Seen| need.takers == Takers::All || is_spare_for(known, need, holders, seen.id);
-    let free = known.candidates().filter(|seen| !shard.replicas.contains(&seen.id)).filter(is_spare);
-    let rank = |seen: &&Seen| {
-        let held = load.get(&seen.id).copied().unwrap_or(0);
-        (known.layout.misfit_with(&zones, &seen.zone), held, seen.id)
+    load: &Counts,
+) -> Option<&'a StoreStatus> {
+    let others = shard.replicas.iter().copied().filter(|id| Some(*id) != repair.leaves);
+    let zones: Vec<&str> = others.map(|id| cluster.zone_of(next, id)).collect();
+    let is_eligible = |store: &&StoreStatus| match repair.candidates {
+        CandidateFilter::All => true,
+        CandidateFilter::SparesOnly => is_spare(cluster, repair, holders, store.id),
     };
+    let free = cluster.candidates().filter(|store| !shard.replicas.contains(&store.id)).filter(is_eligible);
+    let rank =
+        |store: &&StoreStatus| (cluster.layout.cost_with(&zones, &store.zone), load.get(store.id), store.id);
     free.min_by_key(rank)
 }
 
-fn is_spare_for(known: &Knowledge, need: &Need, holders: &BTreeSet<StoreId>, id: StoreId) -> bool {
-    let Some(lost) = need.leaves.filter(|_| holders.contains(&id)) else { return true };
-    let fell_silent = known.now.saturating_sub(known.unwell_ms(lost));
-    let was_seen = known.stores.get(lost).is_some();
-    was_seen && known.stores.first_seen(id).is_some_and(|seen| seen > fell_silent)
+/// Whether a store holds nothing, or registered after the lost store became unhealthy.
+fn is_spare(cluster: &ClusterSnapshot, repair: &Repair, holders: &BTreeSet<StoreId>, id: StoreId) -> bool {
+    let Some(lost) = repair.leaves.filter(|_| holders.contains(&id)) else { return true };
+    let unhealthy_since = cluster.now - cluster.unhealthy_for(lost);
+    let has_registered = cluster.stores.get(lost).is_some();
+    has_registered && cluster.stores.first_registered_at(id).is_some_and(|at| at > unhealthy_since)
 }
--- /dev/null
+++ b/system/state/placement/src/store_health.rs
@@ -0,0 +1,221 @@
+//! Health of the stores, by their heartbeats.
+
+use millrudder_clock::Instant;
+use millrudder_protocol::control::StoreHealth;
+use millrudder_protocol::{Address, StoreId};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// A store without a heartbeat for this time is taken for dead: five heartbeats were missed.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A store whose oldest write has waited for its disk for this time is taken for dead.
+const DISK_STALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// A store that was unhealthy gets its primaries back after it has been healthy for this time.
+const STABLE_AFTER: Duration = Duration::from_millis(1500);
+
+/// How a store registers.
+#[derive(Clone, Debug)]
+pub struct Registration {
+    /// Identity of its disk.
+    pub id: StoreId,
+    /// `nodeName` of its machine.
+    pub name: String,
+    /// Its zone.
+    pub zone: String,
+    /// Where it listens.
+    pub address: Address,
+}
+
+/// A store that has registered, and its health.
+#[derive(Clone, Debug)]
+pub struct StoreStatus {
+    /// Identity of its disk.
+    pub id: StoreId,
+    /// `nodeName` of its machine.
+    pub name: String,
+    /// Its zone.
+    pub zone: String,
+    /// Where it listens.
+    pub address: Address,
+    health: StoreHealth,
+    last_heartbeat_at: Instant,
+    first_registered_at: Instant,
+    /// Start of the present time without a fault.
+    healthy_since: Option<Instant>,
+    /// Start of the present time of a fault.
+    unhealthy_since: Option<Instant>,
+    /// It has been unhealthy since this manager receives heartbeats.
+    has_failed: bool,
+}
+
+impl StoreStatus {
+    fn new(now: Instant, registration: Registration) -> StoreStatus {
+        let Registration { id, name, zone, address } = registration;
+        StoreStatus {
+            id,
+            name,
+            zone,
+            address,
+            health: StoreHealth::default(),
+            last_heartbeat_at: now,
+            first_registered_at: now,
+            healthy_since: Some(now),
+            unhealthy_since: None,
+            has_failed: false,
+        }
+    }
+
+    /// A registration anew. The last heartbeat's content holds until the next: a store that shuts down may only have
+    /// connected anew.
+    fn re_register(&mut self, now: Instant, registration: Registration) {
+        self.name = registration.name;
+        self.zone = registration.zone;
+        self.address = registration.address;
+        self.last_heartbeat_at = now;
+    }
+
+    fn is_unresponsive(&self, now: Instant) -> bool {
+        now - self.last_heartbeat_at >= HEARTBEAT_TIMEOUT
+    }
+
+    fn is_disk_stalled(&self) -> bool {
+        Duration::from_millis(self.health.oldest_unsynced_ms.into()) >= DISK_STALL_TIMEOUT
+    }
+
+    /// Whether it can serve as a primary now.
+    fn is_healthy(&self, now: Instant) -> bool {
+        !self.is_unresponsive(now) && !self.is_disk_stalled() && !self.health.leaving
+    }
+
+    /// Notes a change of health; true if there is one.
+    fn update(&mut self, now: Instant) -> bool {
+        match (self.is_healthy(now), self.healthy_since) {
+            (false, Some(_)) => {
+                let since = if self.is_unresponsive(now) { self.last_heartbeat_at } else { now };
+                self.healthy_since = None;
+                self.unhealthy_since = Some(since);
+                self.has_failed = true;
+                true
+            }
+            (true, None) => {
+                self.healthy_since = Some(now);
+                self.unhealthy_since = None;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// When it is to be looked at again: at the end of its heartbeat's time-out, and when it becomes stable.
+    fn next_deadline(&self, now: Instant) -> Option<Instant> {
+        let unresponsive_at = self.last_heartbeat_at + HEARTBEAT_TIMEOUT;
+        let stable_at = self.healthy_since? + STABLE_AFTER;
+        Some(if stable_at > now { unresponsive_at.min(stable_at) } else { unresponsive_at })
+    }
+}
+
+/// All stores that have registered since this manager receives heartbeats.
+#[derive(Clone, Debug, Default)]
+pub struct StoreTable {
+    stores: BTreeMap<StoreId, StoreStatus>,
+}
+
+impl StoreTable {
+    /// Adds a store that has registered; true if it is new.
+    pub fn register(&mut self, now: Instant, registration: Registration) -> bool {
+        match self.stores.get_mut(&registration.id) {
+            Some(store) => {
+                store.re_register(now, registration);
+                false
+            }
+            None => {
+                self.stores.insert(registration.id, StoreStatus::new(now, registration));
+                true
+            }
+        }
+    }
+
+    /// Handles a heartbeat; true if any store has become healthy or unhealthy.
+    pub fn handle_heartbeat(&mut self, now: Instant, id: StoreId, health: StoreHealth) -> bool {
+        if let Some(store) = self.stores.get_mut(&id) {
+            store.last_heartbeat_at = now;
+            store.health = health;
+        }
+        self.update(now)
+    }
+
+    /// Notes which stores have become healthy or unhealthy; true if any has.
+    pub fn update(&mut self, now: Instant) -> bool {
+        let mut is_changed = false;
+        for store in self.stores.values_mut() {
+            is_changed |= store.update(now);
+        }
+        is_changed
+    }
+
+    /// When a store may become unhealthy or stable next.
+    pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
+        self.stores.values().filter_map(|store| store.next_deadline(now)).min()
+    }
+
+    /// Whether a store can serve as a primary now.
+    pub fn is_healthy(&self, now: Instant, id: StoreId) -> bool {
+        self.stores.get(&id).is_some_and(|store| store.is_healthy(now))
+    }
+
+    /// Whether a store is healthy, and has been for so long that it may be given primaries and shards.
+    pub fn is_stable(&self, now: Instant, id: StoreId) -> bool {
+        let Some(store) = self.stores.get(&id) else { return false };
+        let is_long = store.healthy_since.is_some_and(|since| now - since >= STABLE_AFTER);
+        store.is_healthy(now) && (is_long || !store.has_failed)
+    }
+
+    /// How long a store has been unhealthy; zero while it is healthy. One that never registered counts from
+    /// `observed_since`.
+    pub fn unhealthy_for(&self, now: Instant, id: StoreId, observed_since: Instant) -> Duration {
+        if self.is_healthy(now, id) {
+            return Duration::ZERO;
+        }
+        let store = self.stores.get(&id);
+        let since =
+            store.map_or(observed_since, |store| store.unhealthy_since.unwrap_or(store.last_heartbeat_at));
+        now - since
+    }
+
+    /// Since when a store has been healthy without a break.
+    pub fn healthy_since(&self, id: StoreId) -> Option<Instant> {
+        self.stores.get(&id).and_then(|store| store.healthy_since)
+    }
+
+    /// Whether a store's process shuts down and still serves.
+    pub fn is_shutting_down(&self, now: Instant, id: StoreId) -> bool {
+        self.stores.get(&id).is_some_and(|store| store.health.leaving && !store.is_unresponsive(now))
+    }
+
+    /// When a store registered for the first time here.
+    pub fn first_registered_at(&self, id: StoreId) -> Option<Instant> {
+        self.stores.get(&id).map(|store| store.first_registered_at)
+    }
+
+    /// Whether the machine of this name has another disk now, so that the store of this identity never comes back.
+    pub fn is_replaced(&self, now: Instant, id: StoreId, name: &str) -> bool {
+        let is_successor = |store: &StoreStatus| store.id != id && store.name == name;
+        let is_live_successor = |store: &StoreStatus| is_successor(store) && store.is_healthy(now);
+        !self.is_healthy(now, id) && self.stores.values().any(is_live_successor)
+    }
+
+    /// A store that has registered.
+    pub fn get(&self, id: StoreId) -> Option<&StoreStatus> {
+        self.stores.get(&id)
+    }
+
+    /// All stores that have registered, by identity.
+    pub fn iter(&self) -> impl Iterator<Item = &StoreStatus> {
+        self.stores.values()
+    }
+
+    /// Stores that are healthy now, by identity.
+    pub fn healthy(&self, now: Instant) -> impl Iterator<Item = &StoreStatus> {
+        self.stores.values().filter(move |store| store.is_healthy(now))
+    }
+}
--- a/system/state/placement/tests/manager.rs
+++ b/system/state/placement/tests/manager.rs
@@ -1,4 +1,4 @@
-//! Founding, failures, returns and lost disks.
+//! Initial placement, failures, recoveries and lost disks.
 
 mod rig;
 
@@ -7,6 +7,7 @@
 use millrudder_protocol::StoreId;
 use rig::{Rig, STEP_MS};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 #[test]
 fn three_stores_share_the_shards_evenly() {
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn two_stores_are_founded_with_only_after_a_wait() {
+fn two_stores_get_an_initial_placement_only_after_a_wait() {
     let mut rig = Rig::new(2, 1);
     rig.run(4000);
     assert_eq!(rig.commits, 0);
@@ -38,17 +39,17 @@
 }
 
 #[test]
-fn one_store_is_never_enough_to_bear_a_loss() {
+fn one_store_is_never_enough_to_tolerate_a_loss() {
     let mut rig = Rig::new(1, 1);
     rig.run(20_000);
     assert_eq!(rig.commits, 0);
 }
 
 #[test]
-fn a_silent_store_loses_its_primaries_and_gets_them_back() {
+fn an_unresponsive_store_loses_its_primaries_and_gets_them_back() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
-    rig.beating.remove(&1);
+    rig.heartbeats.remove(&1);
     rig.run(700);
     assert_eq!(rig.primaries(), BTreeMap::from([(StoreId(2), 12), (StoreId(3), 12)]));
     assert!(!rig.placement.store(StoreId(1)).unwrap().alive);
@@ -60,25 +61,25 @@
 }
 
 #[test]
-fn a_stalled_disk_counts_as_silence() {
+fn a_store_with_a_stalled_disk_loses_its_primaries() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
-    rig.beating.insert(2, StoreHealth { oldest_unsynced_ms: 900, ..StoreHealth::default() });
+    rig.heartbeats.insert(2, StoreHealth { oldest_unsynced_ms: 900, ..StoreHealth::default() });
     rig.run(200);
     assert_eq!(rig.primaries().get(&StoreId(2)), None);
 }
 
 #[test]
-fn a_leaving_store_hands_over_at_once() {
+fn a_store_that_shuts_down_hands_over_its_primaries_at_once() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
-    rig.beating.insert(2, StoreHealth { leaving: true, ..StoreHealth::default() });
+    rig.heartbeats.insert(2, StoreHealth { leaving: true, ..StoreHealth::default() });
     rig.run(STEP_MS);
     assert_eq!(rig.primaries().get(&StoreId(2)), None);
 }
 
 #[test]
-fn a_calm_system_changes_nothing() {
+fn without_a_fault_nothing_is_proposed() {
     let mut rig = Rig::new(3, 1);
     rig.run(60_000);
     assert_eq!(rig.commits, 1);
@@ -88,34 +89,34 @@
 fn without_the_lease_nothing_is_proposed() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
-    rig.give(Input::Leading(false));
-    rig.beating.remove(&1);
+    rig.handle(Input::ControllerLease { is_held: false });
+    rig.heartbeats.remove(&1);
     rig.run(5000);
     assert_eq!(rig.commits, 1);
 }
 
 #[test]
-fn a_new_lease_holder_listens_before_it_calls_a_store_dead() {
+fn a_new_lease_holder_waits_for_heartbeats_before_it_takes_a_store_for_dead() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
     let mut successor = PlacementManager::new(1);
     successor.handle(rig.now, Input::Committed(rig.placement.clone()));
-    assert_eq!(successor.handle(rig.now, Input::Leading(true)), None);
-    assert_eq!(successor.handle(rig.now + 500, Input::Tick), None);
+    assert_eq!(successor.handle(rig.now, Input::ControllerLease { is_held: true }), None);
+    assert_eq!(successor.handle(rig.now + Duration::from_millis(500), Input::Tick), None);
 }
 
 #[test]
-fn an_emptied_disk_is_filled_before_it_counts() {
+fn a_replaced_disk_is_filled_before_it_counts() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
-    rig.beating.remove(&1);
+    rig.heartbeats.remove(&1);
     rig.run(1000);
     rig.register(11, "store-1");
     rig.run(1000);
     let learners = rig.placement.shards.iter().filter(|shard| shard.learner() == Some(StoreId(11)));
     assert_eq!(learners.count(), 24);
     assert!(rig.placement.shards.iter().all(|shard| !shard.replicas.contains(&StoreId(11))));
-    rig.report_filled(11);
+    rig.report_caught_up(11);
     rig.run(3000);
     assert!(rig.placement.shards.iter().all(|shard| shard.replicas.contains(&StoreId(11))));
     assert!(rig.placement.store(StoreId(1)).is_none());
@@ -123,11 +124,11 @@
 }
 
 #[test]
-fn a_primary_changes_only_with_its_since() {
+fn a_primary_changes_only_with_its_term() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
     let before = rig.placement.clone();
-    rig.beating.remove(&3);
+    rig.heartbeats.remove(&3);
     rig.run(1000);
     for (old, new) in before.shards.iter().zip(&rig.placement.shards) {
         assert_eq!(old.primary == new.primary, old.term == new.term);
@@ -135,25 +136,25 @@
 }
 
 #[test]
-fn a_new_lease_holder_that_has_watched_before_acts_at_once() {
+fn a_new_lease_holder_that_has_followed_the_stores_acts_at_once() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
-    rig.give(Input::Leading(false));
-    rig.beating.remove(&1);
+    rig.handle(Input::ControllerLease { is_held: false });
+    rig.heartbeats.remove(&1);
     rig.run(800);
     assert_eq!(rig.commits, 1);
-    rig.give(Input::Leading(true));
+    rig.handle(Input::ControllerLease { is_held: true });
     assert_eq!(rig.primaries().get(&StoreId(1)), None);
 }
 
 #[test]
-fn a_new_lease_holder_that_hears_few_stores_listens_first() {
+fn a_new_lease_holder_that_hears_few_stores_waits_for_heartbeats() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
-    rig.give(Input::Leading(false));
-    rig.beating.remove(&1);
-    rig.beating.remove(&2);
+    rig.handle(Input::ControllerLease { is_held: false });
+    rig.heartbeats.remove(&1);
+    rig.heartbeats.remove(&2);
     rig.run(800);
-    rig.give(Input::Leading(true));
+    rig.handle(Input::ControllerLease { is_held: true });
     assert_eq!(rig.commits, 1);
 }
--- a/system/state/placement/tests/model.rs
+++ b/system/state/placement/tests/model.rs
@@ -1,4 +1,4 @@
-//! Drawn losses, returns, replacements, additions, stops, emptied machines and lost leases: what holds at each step.
+//! Random losses, recoveries, replacements, additions, shutdowns, retirements and lost leases: invariants at each step.
 
 mod rig;
 
@@ -9,11 +9,12 @@
 use millrudder_protocol::{ShardId, StoreId};
 use rig::{Rig, STEP_MS};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 const RUNS: u64 = 8;
 const STEPS: usize = 60;
-/// In calm, everything is whole again within this (ms).
-const WHOLE_WITHIN_MS: u64 = 40_000;
+/// Without further faults, everything is repaired within this time.
+const REPAIRED_WITHIN: Duration = Duration::from_millis(40_000);
 
 struct Model {
     rig: Rig,
@@ -26,7 +27,7 @@
     retiring: BTreeSet<String>,
     /// Everything that learners have ever reported.
     reported: BTreeSet<(StoreId, FilledShard)>,
-    seen: Placement,
+    previous: Placement,
 }
 
 impl Model {
@@ -37,17 +38,17 @@
         let mut rig = Rig::new(stores, tolerated);
         rig.run(2000);
         let names = (1..=stores).map(|id| (id, format!("store-{id}"))).collect();
-        let seen = rig.placement.clone();
+        let previous = rig.placement.clone();
         let (down, retiring, reported) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
-        Model { rig, random, tolerated, next: stores + 1, down, names, retiring, reported, seen }
+        Model { rig, random, tolerated, next: stores + 1, down, names, retiring, reported, previous }
     }
 
-    fn wanted(&self) -> usize {
+    fn target_replicas(&self) -> usize {
         2 * self.tolerated as usize + 1
     }
 
     fn up(&self) -> Vec<u64> {
-        self.rig.beating.keys().copied().collect()
+        self.rig.heartbeats.keys().copied().collect()
     }
 
     fn pick(&mut self, ids: &[u64]) -> Option<u64> {
@@ -58,10 +59,10 @@
         let up = self.up();
         match self.random.u8(0..10) {
             0 | 1 => self.lose(&up),
-            2 | 3 => self.come_back(),
-            4 => self.wipe(),
+            2 | 3 => self.recover(),
+            4 => self.replace_disk(),
             5 => self.add(),
-            6 => self.stop(&up),
+            6 => self.shut_down(&up),
             7 => self.retire(&up),
             8 => self.lose_lease(),
             _ => {}
@@ -73,12 +74,12 @@
 
     fn lose(&mut self, up: &[u64]) {
         if let Some(id) = self.pick(up).filter(|_| self.down.len() <= self.tolerated as usize) {
-            self.rig.beating.remove(&id);
+            self.rig.heartbeats.remove(&id);
             self.down.insert(id, self.names[&id].clone());
         }
     }
 
-    fn come_back(&mut self) {
+    fn recover(&mut self) {
         let ids: Vec<u64> = self.down.keys().copied().collect();
         if let Some(id) = self.pick(&ids) {
             let name = self.down.remove(&id).unwrap();
@@ -86,7 +87,7 @@
         }
     }
 
-    fn wipe(&mut self) {
+    fn replace_disk(&mut self) {
         let ids: Vec<u64> = self.down.keys().copied().collect();
         if let Some(id) = self.pick(&ids) {
             let name = self.down.remove(&id).unwrap();
@@ -111,13 +112,13 @@
         self.check();
     }
 
-    fn stop(&mut self, up: &[u64]) {
+    fn shut_down(&mut self, up: &[u64]) {
         if let Some(id) = self.pick(up).filter(|_| self.down.len() <= self.tolerated as usize) {
-            self.rig.beating.get_mut(&id).unwrap().leaving = true;
+            self.rig.heartbeats.get_mut(&id).unwrap().leaving = true;
             for _ in 0..self.random.u64(1..10) {
                 self.run_step();
             }
-            self.rig.beating.remove(&id);
+            self.rig.heartbeats.remove(&id);
             self.down.insert(id, self.names[&id].clone());
         }
     }
@@ -126,30 +127,30 @@
         let Some(id) = self.pick(up) else { return };
         let name = self.names[&id].clone();
         let stays = |id: &&u64| self.names[*id] != name && !self.retiring.contains(&self.names[*id]);
-        if up.iter().filter(stays).count() >= self.wanted() {
+        if up.iter().filter(stays).count() >= self.target_replicas() {
             self.retiring.insert(name);
             let names = self.retiring.clone();
-            self.rig.give(Input::Retiring(names));
+            self.rig.handle(Input::Retiring(names));
             self.check();
         }
     }
 
-    /// Another core machine leads, which may have watched for a while or not at all.
+    /// Another core machine gets the lease, which may have followed the stores for a while or not at all.
     fn lose_lease(&mut self) {
         self.rig.manager = PlacementManager::new(self.tolerated);
         let (placement, names) = (self.rig.placement.clone(), self.retiring.clone());
-        self.rig.give(Input::Committed(placement));
-        self.rig.give(Input::Retiring(names));
+        self.rig.handle(Input::Committed(placement));
+        self.rig.handle(Input::Retiring(names));
         for id in self.up() {
-            let health = self.rig.beating[&id];
+            let health = self.rig.heartbeats[&id];
             let name = self.names[&id].clone();
             self.rig.register(id, &name);
-            self.rig.beating.insert(id, health);
+            self.rig.heartbeats.insert(id, health);
         }
         if self.random.bool() {
             self.run_step();
         }
-        self.rig.give(Input::Leading(true));
+        self.rig.handle(Input::ControllerLease { is_held: true });
         self.check();
     }
 
@@ -170,42 +171,46 @@
         self.reported.extend(now.iter().map(|filled| (StoreId(id), *filled)));
         let known = self.reported.iter().filter(|(store, _)| store.0 == id).map(|(_, filled)| *filled);
         let shards = known.collect();
-        self.rig.give(Input::CaughtUp { id: StoreId(id), shards });
+        self.rig.handle(Input::CaughtUp { id: StoreId(id), shards });
         self.check();
     }
 
     fn check(&mut self) {
-        let (old, new) = (self.seen.clone(), self.rig.placement.clone());
+        let (old, new) = (self.previous.clone(), self.rig.placement.clone());
         for (number, (before, after)) in old.shards.iter().zip(&new.shards).enumerate() {
             self.check_shard(ShardId(number as u16), &old, before, after);
         }
         for shard in &new.shards {
             self.check_entry(&new, shard);
         }
-        self.seen = new;
+        self.previous = new;
     }
 
     fn check_entry(&self, placement: &Placement, shard: &ShardEntry) {
         let distinct: BTreeSet<&StoreId> = shard.replicas.iter().collect();
         assert_eq!(distinct.len(), shard.replicas.len(), "a store is one replica of a shard");
-        assert_eq!(shard.replicas.len(), self.wanted(), "replicas are never fewer nor more than wanted");
+        assert_eq!(
+            shard.replicas.len(),
+            self.target_replicas(),
+            "replicas are never fewer nor more than the target"
+        );
         assert!(shard.replicas.contains(&shard.primary), "the primary is a replica");
         let members = shard.replicas.iter().copied().chain(shard.learner());
         for id in members {
-            assert!(placement.store(id).is_some(), "whoever has a place is listed with an address");
+            assert!(placement.store(id).is_some(), "whoever has a replica is listed with an address");
         }
         let Some(change) = shard.change else { return };
         assert!(!shard.replicas.contains(&change.joins), "a learner is no replica");
-        assert!(change.leaves.is_some_and(|id| shard.replicas.contains(&id)), "a replica gives its place");
+        assert!(change.leaves.is_some_and(|id| shard.replicas.contains(&id)), "a replica leaves");
         assert!(change.epoch <= placement.epoch, "a change began in a placement that was agreed");
     }
 
     fn check_shard(&self, number: ShardId, old: &Placement, before: &ShardEntry, after: &ShardEntry) {
         let same_primary = before.primary == after.primary;
-        assert_eq!(same_primary, before.term == after.term, "a reign is one primary's");
+        assert_eq!(same_primary, before.term == after.term, "a term is one primary's");
         if let Some(change) = after.change.filter(|_| before.change != after.change) {
             assert!(change.epoch > old.epoch, "a change that begins has a name of its own");
-            assert!(!self.retiring.contains(&self.names[&change.joins.0]), "an emptied machine gets nothing");
+            assert!(!self.retiring.contains(&self.names[&change.joins.0]), "a retiring machine gets nothing");
         }
         if before.replicas == after.replicas {
             return;
@@ -234,16 +239,17 @@
         assert!(meets, "no membership under which was written is that under which is read");
     }
 
-    /// Once all is calm and enough machines are there, all is whole.
-    fn ends_whole(&mut self) {
+    /// Without further faults and with enough machines, everything is repaired.
+    fn check_converges(&mut self) {
         for id in self.up() {
-            self.rig.beating.get_mut(&id).unwrap().leaving = false;
+            self.rig.heartbeats.get_mut(&id).unwrap().leaving = false;
         }
-        while self.up().iter().filter(|id| !self.retiring.contains(&self.names[*id])).count() < self.wanted()
+        while self.up().iter().filter(|id| !self.retiring.contains(&self.names[*id])).count()
+            < self.target_replicas()
         {
             self.add();
         }
-        let end = self.rig.now + WHOLE_WITHIN_MS;
+        let end = self.rig.now + REPAIRED_WITHIN;
         while self.rig.now < end {
             self.run_step();
             for id in self.up() {
@@ -253,20 +259,20 @@
         let up: BTreeSet<u64> = self.up().into_iter().collect();
         for shard in &self.rig.placement.shards {
             for id in &shard.replicas {
-                assert!(up.contains(&id.0), "a lost store keeps a place for ever");
-                assert!(!self.retiring.contains(&self.names[&id.0]), "a machine is not emptied");
+                assert!(up.contains(&id.0), "a lost store keeps a replica for ever");
+                assert!(!self.retiring.contains(&self.names[&id.0]), "a retiring machine keeps a replica");
             }
         }
     }
 }
 
 #[test]
-fn whatever_happens_to_stores_places_move_safely() {
+fn replicas_move_safely_under_random_faults() {
     for seed in 0..RUNS {
         let mut model = Model::new(seed);
         for _ in 0..STEPS {
             model.step();
         }
-        model.ends_whole();
+        model.check_converges();
     }
 }
--- a/system/state/placement/tests/regions.rs
+++ b/system/state/placement/tests/regions.rs
@@ -1,8 +1,8 @@
-//! Replicas over zones and regions: founding, repair, new stores, the heir of a lost primary.
+//! Replicas over zones and regions: initial placement, repair, new stores, the substitute of a lost primary.
 
 mod rig;
 
-use millrudder_placement::{Layout, Spread};
+use millrudder_placement::{FailureDomain, Layout};
 use millrudder_protocol::placement::{Placement, ShardEntry};
 use millrudder_protocol::StoreId;
 use millrudder_topology::Topology;
@@ -17,13 +17,13 @@
     Topology::new(ZONES.iter().map(|zone| (*zone, &zone[..1])))
 }
 
-fn layout(spread: Spread) -> Layout {
-    Layout { topology: topology(), spread }
+fn layout(failure_domain: FailureDomain) -> Layout {
+    Layout::new(topology(), failure_domain)
 }
 
 /// Stores one after the other in the zones given.
-fn rig(spread: Spread, tolerated_losses: u32, zones: &[&'static str]) -> Rig {
-    let mut rig = Rig::with_layout(tolerated_losses, layout(spread));
+fn rig(failure_domain: FailureDomain, tolerated_losses: u32, zones: &[&'static str]) -> Rig {
+    let mut rig = Rig::with_layout(tolerated_losses, layout(failure_domain));
     for (at, zone) in zones.iter().enumerate() {
         rig.register_in(at as u64 + 1, zone);
     }
@@ -50,20 +50,20 @@
 }
 
 #[test]
-fn where_only_machines_may_be_lost_a_region_holds_all_that_it_can() {
-    let rig = rig(Spread::ZonesOfRegion, 2, &two_in_each_zone());
+fn where_only_machines_may_fail_replicas_stay_in_one_region() {
+    let rig = rig(FailureDomain::Machine, 2, &two_in_each_zone());
     for shard in &rig.placement.shards {
         assert_eq!(shard.replicas.len(), 5);
         assert_eq!(in_home_region(&rig.placement, shard), 4);
     }
-    let held: Vec<usize> = (1..=12).map(|id| rig.held(id)).collect();
-    let (least, most) = (held.iter().min().unwrap(), held.iter().max().unwrap());
-    assert!(most - least <= 2, "{held:?}");
+    let counts: Vec<usize> = (1..=12).map(|id| rig.replica_count(id)).collect();
+    let (least, most) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
+    assert!(most - least <= 2, "{counts:?}");
 }
 
 #[test]
 fn within_a_region_replicas_lie_in_different_zones_first() {
-    let rig = rig(Spread::ZonesOfRegion, 1, &["n-1", "n-1", "n-2", "n-1"]);
+    let rig = rig(FailureDomain::Machine, 1, &["n-1", "n-1", "n-2", "n-1"]);
     for shard in &rig.placement.shards {
         assert!(zones_of(&rig.placement, shard).contains(&"n-2"));
     }
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_region_with_too_few_stores_has_the_rest_in_one_other() {
-    let rig = rig(Spread::ZonesOfRegion, 1, &["n-1", "s-1", "s-2", "s-1", "w-1", "w-2", "w-1"]);
+    let rig = rig(FailureDomain::Machine, 1, &["n-1", "s-1", "s-2", "s-1", "w-1", "w-2", "w-1"]);
     for shard in rig.placement.shards.iter().filter(|shard| shard.replicas[0] == StoreId(1)) {
         let others: BTreeSet<&str> =
             zones_of(&rig.placement, shard)[1..].iter().map(|zone| region(zone)).collect();
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn where_zones_may_be_lost_they_come_before_the_region() {
-    let rig = rig(Spread::Zones, 1, &two_in_each_zone());
+fn where_zones_may_fail_different_zones_come_before_one_region() {
+    let rig = rig(FailureDomain::Zone, 1, &two_in_each_zone());
     for shard in &rig.placement.shards {
         let zones = zones_of(&rig.placement, shard);
         assert_eq!(zones.iter().collect::<BTreeSet<_>>().len(), 3);
@@ -90,8 +90,8 @@
 }
 
 #[test]
-fn where_regions_may_be_lost_each_replica_has_another() {
-    let rig = rig(Spread::Regions, 1, &two_in_each_zone());
+fn where_regions_may_fail_replicas_lie_in_different_regions() {
+    let rig = rig(FailureDomain::Region, 1, &two_in_each_zone());
     for shard in &rig.placement.shards {
         let zones = zones_of(&rig.placement, shard);
         assert_eq!(zones.iter().map(|zone| region(zone)).collect::<BTreeSet<_>>().len(), 3);
@@ -99,39 +99,39 @@
 }
 
 #[test]
-fn what_must_be_borne_decides_the_spread() {
-    assert_eq!(Spread::for_losses(0, 0), Spread::ZonesOfRegion);
-    assert_eq!(Spread::for_losses(1, 0), Spread::Zones);
-    assert_eq!(Spread::for_losses(1, 1), Spread::Regions);
+fn tolerated_losses_decide_the_failure_domain() {
+    assert_eq!(FailureDomain::for_losses(0, 0), FailureDomain::Machine);
+    assert_eq!(FailureDomain::for_losses(1, 0), FailureDomain::Zone);
+    assert_eq!(FailureDomain::for_losses(1, 1), FailureDomain::Region);
 }
 
 #[test]
 fn a_lost_store_is_replaced_in_its_region_while_there_is_one() {
     let zones = ["n-1", "n-2", "n-1", "n-2", "s-1", "s-2", "s-1", "s-2"];
-    let mut rig = rig(Spread::ZonesOfRegion, 1, &zones);
-    rig.beating.remove(&1);
+    let mut rig = rig(FailureDomain::Machine, 1, &zones);
+    rig.heartbeats.remove(&1);
     rig.run_filling(30_000);
-    assert_eq!(rig.held(1), 0);
+    assert_eq!(rig.replica_count(1), 0);
     for shard in &rig.placement.shards {
         assert_eq!(in_home_region(&rig.placement, shard), 3, "{shard:?}");
     }
 }
 
 #[test]
-fn without_a_store_left_in_the_region_another_region_helps() {
+fn without_a_store_left_in_the_region_another_region_is_used() {
     let zones = ["n-1", "n-2", "n-1", "s-1", "s-2", "s-1"];
-    let mut rig = rig(Spread::ZonesOfRegion, 1, &zones);
-    rig.beating.remove(&1);
+    let mut rig = rig(FailureDomain::Machine, 1, &zones);
+    rig.heartbeats.remove(&1);
     rig.run_filling(30_000);
-    assert_eq!(rig.held(1), 0);
+    assert_eq!(rig.replica_count(1), 0);
     assert!(rig.placement.shards.iter().all(|shard| shard.replicas.len() == 3));
 }
 
 #[test]
-fn the_heir_of_a_lost_primary_is_of_its_region() {
-    let mut rig = rig(Spread::ZonesOfRegion, 2, &two_in_each_zone());
+fn the_substitute_of_a_lost_primary_is_of_its_region() {
+    let mut rig = rig(FailureDomain::Machine, 2, &two_in_each_zone());
     let homes: Vec<StoreId> = rig.placement.shards.iter().map(|shard| shard.primary).collect();
-    rig.beating.remove(&1);
+    rig.heartbeats.remove(&1);
     rig.run(700);
     for (shard, home) in rig.placement.shards.iter().zip(homes) {
         let zone = |id: StoreId| rig.placement.store(id).unwrap().zone.clone();
@@ -141,11 +141,11 @@
 }
 
 #[test]
-fn a_new_store_takes_shares_without_drawing_shards_out_of_their_region() {
-    let mut rig = rig(Spread::ZonesOfRegion, 1, &["n-1", "n-2", "n-1", "s-1", "s-2", "s-1"]);
+fn balance_moves_no_replica_out_of_its_region() {
+    let mut rig = rig(FailureDomain::Machine, 1, &["n-1", "n-2", "n-1", "s-1", "s-2", "s-1"]);
     rig.register_in(7, "s-2");
     rig.run_filling(30_000);
-    assert!(rig.held(7) > 0);
+    assert!(rig.replica_count(7) > 0);
     for shard in &rig.placement.shards {
         assert_eq!(in_home_region(&rig.placement, shard), 3);
     }
@@ -156,16 +156,16 @@
 
     /// Whatever stores there are: every shard has as many replicas as it should, all different.
     #[test]
-    fn every_founding_is_whole(
+    fn every_initial_placement_is_complete(
         at in prop::collection::vec(0..ZONES.len(), 5..30),
-        spread in prop_oneof![
-            Just(Spread::ZonesOfRegion),
-            Just(Spread::Zones),
-            Just(Spread::Regions),
+        failure_domain in prop_oneof![
+            Just(FailureDomain::Machine),
+            Just(FailureDomain::Zone),
+            Just(FailureDomain::Region),
         ],
     ) {
         let zones: Vec<&'static str> = at.iter().map(|at| ZONES[*at]).collect();
-        let rig = rig(spread, 2, &zones);
+        let rig = rig(failure_domain, 2, &zones);
         prop_assert!(!rig.placement.shards.is_empty());
         for shard in &rig.placement.shards {
             let distinct: BTreeSet<_> = shard.replicas.iter().collect();
@@ -176,9 +176,9 @@
 }
 
 #[test]
-fn added_stores_settle() {
+fn balance_converges_after_stores_are_added() {
     let zones = ["n-1", "n-2", "n-1", "n-1", "n-2", "s-1", "s-2", "s-1", "s-2", "w-1", "w-2", "w-1", "w-2"];
-    let mut rig = rig(Spread::ZonesOfRegion, 2, &zones);
+    let mut rig = rig(FailureDomain::Machine, 2, &zones);
     rig.register_in(14, "n-1");
     rig.register_in(15, "s-2");
     rig.run_filling(40_000);
@@ -186,5 +186,10 @@
     assert!(begun < rig.placement.shards.len(), "{begun}");
     rig.run_filling(40_000);
     assert_eq!(rig.changes_begun, begun, "nothing moves any more");
-    assert!(rig.held(14) > 10 && rig.held(15) > 10, "{} {}", rig.held(14), rig.held(15));
+    assert!(
+        rig.replica_count(14) > 10 && rig.replica_count(15) > 10,
+        "{} {}",
+        rig.replica_count(14),
+        rig.replica_count(15)
+    );
 }
--- a/system/state/placement/tests/repair.rs
+++ b/system/state/placement/tests/repair.rs
@@ -1,54 +1,54 @@
-//! Lost, added and stopping stores: which places go to whom, and when.
+//! Repair and balance: which replicas move to which store, and when, as stores fail, come back, are added or shut down.
 
 mod rig;
 
-use millrudder_placement::Input;
+use millrudder_placement::{Input, Registration};
 use millrudder_protocol::placement::ChangeReason;
 use millrudder_protocol::StoreId;
 use rig::Rig;
 use std::collections::BTreeSet;
 
-/// Time in which a replaced store must hold all again (ms), as the manager has it by default.
+/// Time in which a replacement must have caught up (ms), as the manager has it by default.
 const CATCH_UP_MS: u64 = 4500;
-/// Shares that differ by less are left as they are.
-const UNEVEN: usize = 3;
+/// Numbers of replicas that differ by less are balanced.
+const IMBALANCE_THRESHOLD: usize = 3;
 
-fn founded(stores: u64, tolerated_losses: u32) -> Rig {
+fn placed(stores: u64, tolerated_losses: u32) -> Rig {
     let mut rig = Rig::new(stores, tolerated_losses);
     rig.run(2000);
     rig
 }
 
 #[test]
-fn a_store_of_another_name_takes_the_place_of_a_silent_one() {
-    let mut rig = founded(3, 1);
-    rig.beating.remove(&1);
+fn a_store_of_another_name_replaces_an_unresponsive_one() {
+    let mut rig = placed(3, 1);
+    rig.heartbeats.remove(&1);
     rig.run(1000);
     rig.register(4, "store-4");
     rig.run(1500);
-    assert_eq!(rig.learning(4), 24);
-    rig.report_filled(4);
+    assert_eq!(rig.learner_count(4), 24);
+    rig.report_caught_up(4);
     rig.run(200);
-    assert_eq!(rig.held(4), 24);
-    assert_eq!(rig.held(1), 0);
+    assert_eq!(rig.replica_count(4), 24);
+    assert_eq!(rig.replica_count(1), 0);
     assert!(rig.placement.store(StoreId(1)).is_none());
 }
 
 #[test]
-fn a_replaced_machine_is_being_filled_well_within_its_time() {
-    let mut rig = founded(3, 1);
-    rig.beating.remove(&1);
+fn a_replacement_is_being_filled_well_within_the_catch_up_time() {
+    let mut rig = placed(3, 1);
+    rig.heartbeats.remove(&1);
     rig.run(1000);
     rig.register(4, "store-4");
     rig.run(CATCH_UP_MS / 3);
-    assert_eq!(rig.learning(4), 24);
+    assert_eq!(rig.learner_count(4), 24);
 }
 
 #[test]
-fn nothing_moves_for_a_restart_that_comes_back_in_time() {
-    let mut rig = founded(4, 1);
+fn no_replica_moves_for_a_store_that_restarts_in_time() {
+    let mut rig = placed(4, 1);
     let before = rig.placement.clone();
-    rig.beating.remove(&1);
+    rig.heartbeats.remove(&1);
     rig.run(CATCH_UP_MS * 2);
     rig.register(1, "store-1");
     rig.run(3000);
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn a_short_silence_moves_nothing_to_a_store_that_stands_by() {
-    let mut rig = founded(3, 1);
+fn a_short_outage_moves_nothing_to_a_spare_store() {
+    let mut rig = placed(3, 1);
     rig.register(4, "store-4");
-    rig.beating.remove(&1);
+    rig.heartbeats.remove(&1);
     rig.run(1200);
     rig.register(1, "store-1");
     rig.run(1000);
@@ -70,93 +70,93 @@
 }
 
 #[test]
-fn a_store_that_comes_back_while_its_successor_is_filled_keeps_its_places() {
-    let mut rig = founded(3, 1);
-    rig.beating.remove(&1);
+fn a_store_that_comes_back_while_its_successor_is_filled_keeps_its_replicas() {
+    let mut rig = placed(3, 1);
+    rig.heartbeats.remove(&1);
     rig.run(1000);
     rig.register(4, "store-4");
     rig.run(1000);
-    assert_eq!(rig.learning(4), 24);
+    assert_eq!(rig.learner_count(4), 24);
     rig.register(1, "store-1");
     rig.run(300);
-    assert_eq!(rig.learning(4), 0);
-    assert_eq!(rig.held(1), 24);
+    assert_eq!(rig.learner_count(4), 0);
+    assert_eq!(rig.replica_count(1), 24);
 }
 
 #[test]
-fn a_store_that_is_away_for_long_is_replaced_by_those_that_hold_shards() {
-    let mut rig = founded(5, 1);
-    rig.beating.remove(&1);
+fn a_store_that_is_lost_for_long_is_replaced_by_those_that_hold_shards() {
+    let mut rig = placed(5, 1);
+    rig.heartbeats.remove(&1);
     rig.run_filling(CATCH_UP_MS * 3 + 3000);
-    assert_eq!(rig.held(1), 0);
+    assert_eq!(rig.replica_count(1), 0);
     assert!(rig.placement.shards.iter().all(|shard| shard.replicas.len() == 3));
 }
 
 #[test]
-fn where_a_learner_dies_another_is_chosen() {
-    let mut rig = founded(3, 1);
-    rig.beating.remove(&1);
+fn where_a_learner_fails_another_is_chosen() {
+    let mut rig = placed(3, 1);
+    rig.heartbeats.remove(&1);
     rig.run(1000);
     rig.register(4, "store-4");
     rig.run(1000);
-    rig.beating.remove(&4);
+    rig.heartbeats.remove(&4);
     rig.register(5, "store-5");
     rig.run(1000);
-    assert_eq!(rig.learning(4), 0);
-    assert_eq!(rig.learning(5), 24);
+    assert_eq!(rig.learner_count(4), 0);
+    assert_eq!(rig.learner_count(5), 24);
 }
 
 #[test]
-fn a_report_for_a_change_that_was_given_up_counts_for_nothing() {
-    let mut rig = founded(3, 1);
-    rig.beating.remove(&1);
+fn a_report_for_an_abandoned_change_is_ignored() {
+    let mut rig = placed(3, 1);
+    rig.heartbeats.remove(&1);
     rig.run(1000);
     rig.register(4, "store-4");
     rig.run(1000);
     let stale = rig.reports_of(4);
-    rig.beating.remove(&4);
+    rig.heartbeats.remove(&4);
     rig.run(1000);
-    assert_eq!(rig.learning(4), 0);
+    assert_eq!(rig.learner_count(4), 0);
     rig.register(4, "store-4");
     rig.run(2000);
-    assert_eq!(rig.learning(4), 24);
-    rig.give(Input::CaughtUp { id: StoreId(4), shards: stale });
+    assert_eq!(rig.learner_count(4), 24);
+    rig.handle(Input::CaughtUp { id: StoreId(4), shards: stale });
     rig.run(1000);
-    assert_eq!(rig.held(4), 0);
+    assert_eq!(rig.replica_count(4), 0);
 }
 
 #[test]
-fn a_stopping_store_hands_its_places_to_one_that_stands_by() {
-    let mut rig = founded(3, 1);
+fn the_replicas_of_a_store_that_shuts_down_move_to_a_spare_store() {
+    let mut rig = placed(3, 1);
     rig.register(4, "store-4");
     rig.run(200);
-    rig.beating.get_mut(&2).unwrap().leaving = true;
+    rig.heartbeats.get_mut(&2).unwrap().leaving = true;
     rig.run(200);
-    assert_eq!(rig.learning(4), 24);
-    assert_eq!(rig.held(2), 24, "it counts until its successor is admitted");
-    rig.report_filled(4);
-    assert_eq!(rig.held(2), 0);
+    assert_eq!(rig.learner_count(4), 24);
+    assert_eq!(rig.replica_count(2), 24, "it counts until its successor is admitted");
+    rig.report_caught_up(4);
+    assert_eq!(rig.replica_count(2), 0);
 }
 
 #[test]
-fn a_stopping_store_hands_no_places_to_stores_that_hold_shards() {
-    let mut rig = founded(5, 1);
-    rig.beating.get_mut(&2).unwrap().leaving = true;
+fn the_replicas_of_a_store_that_shuts_down_do_not_move_to_stores_that_hold_shards() {
+    let mut rig = placed(5, 1);
+    rig.heartbeats.get_mut(&2).unwrap().leaving = true;
     rig.run(1000);
-    rig.beating.remove(&2);
+    rig.heartbeats.remove(&2);
     rig.run(2000);
     assert_eq!(rig.changes_begun, 0);
 }
 
 #[test]
 fn two_replaced_stores_in_a_row_leave_three_live_replicas() {
-    let mut rig = founded(3, 1);
+    let mut rig = placed(3, 1);
     for (lost, fresh) in [(1, 4), (2, 5)] {
-        rig.beating.remove(&lost);
+        rig.heartbeats.remove(&lost);
         rig.run_filling(1000);
         rig.register(fresh, &format!("store-{fresh}"));
         rig.run_filling(CATCH_UP_MS);
-        assert_eq!(rig.held(fresh), 24);
+        assert_eq!(rig.replica_count(fresh), 24);
     }
     let live: BTreeSet<StoreId> = [3, 4, 5].map(StoreId).into();
     for shard in &rig.placement.shards {
@@ -165,19 +165,19 @@
 }
 
 #[test]
-fn a_machine_with_an_emptied_disk_needs_no_patience() {
-    let mut rig = founded(3, 1);
-    rig.beating.remove(&1);
+fn a_machine_with_a_replaced_disk_is_repaired_without_delay() {
+    let mut rig = placed(3, 1);
+    rig.heartbeats.remove(&1);
     rig.run(600);
     rig.register(11, "store-1");
     rig.run(100);
-    assert_eq!(rig.learning(11), 24);
+    assert_eq!(rig.learner_count(11), 24);
 }
 
 #[test]
-fn a_lost_store_that_comes_back_after_its_replacement_stands_by() {
-    let mut rig = founded(3, 1);
-    rig.beating.remove(&1);
+fn a_lost_store_that_comes_back_after_its_replacement_is_a_spare() {
+    let mut rig = placed(3, 1);
+    rig.heartbeats.remove(&1);
     rig.run(1000);
     rig.register(4, "store-4");
     rig.run_filling(3000);
@@ -188,44 +188,44 @@
 }
 
 #[test]
-fn an_added_store_gets_its_share_after_a_while() {
-    let mut rig = founded(9, 1);
+fn an_added_store_gets_a_fair_part_after_a_delay() {
+    let mut rig = placed(9, 1);
     rig.register(10, "store-10");
     rig.run_filling(CATCH_UP_MS - 500);
-    assert_eq!(rig.held(10), 0);
+    assert_eq!(rig.replica_count(10), 0);
     rig.run_filling(20_000);
-    let fewest = (1..=9).map(|id| rig.held(id)).min().unwrap();
-    assert!(rig.held(10) + UNEVEN > fewest, "{} of {fewest}", rig.held(10));
+    let fewest = (1..=9).map(|id| rig.replica_count(id)).min().unwrap();
+    assert!(rig.replica_count(10) + IMBALANCE_THRESHOLD > fewest, "{} of {fewest}", rig.replica_count(10));
     let homes = rig.placement.shards.iter().filter(|shard| shard.primary == StoreId(10)).count();
     assert!((5..=9).contains(&homes), "{homes} primaries");
-    let moved = rig.held(10);
-    assert_eq!(rig.changes_begun, moved, "no place moves for another reason");
+    let moved = rig.replica_count(10);
+    assert_eq!(rig.changes_begun, moved, "no replica moves for another reason");
     assert!(rig.reasons.iter().all(|reason| *reason == ChangeReason::Balance));
 }
 
 #[test]
-fn shares_even_out_without_fewer_zones() {
-    let mut rig = founded(3, 1);
+fn balance_never_reduces_the_number_of_zones() {
+    let mut rig = placed(3, 1);
     rig.register(4, "store-4");
     rig.run_filling(20_000);
-    assert_eq!(rig.held(1) + rig.held(4), 24, "both are in one zone");
-    assert!(rig.held(1).abs_diff(rig.held(4)) < UNEVEN);
-    assert_eq!((rig.held(2), rig.held(3)), (24, 24));
+    assert_eq!(rig.replica_count(1) + rig.replica_count(4), 24, "both are in one zone");
+    assert!(rig.replica_count(1).abs_diff(rig.replica_count(4)) < IMBALANCE_THRESHOLD);
+    assert_eq!((rig.replica_count(2), rig.replica_count(3)), (24, 24));
 }
 
 #[test]
-fn no_share_moves_while_a_store_is_away() {
-    let mut rig = founded(9, 1);
+fn nothing_is_balanced_while_a_store_is_unhealthy() {
+    let mut rig = placed(9, 1);
     rig.register(10, "store-10");
     rig.run(4000);
-    rig.beating.remove(&3);
+    rig.heartbeats.remove(&3);
     rig.run_filling(900);
     assert!(!rig.reasons.contains(&ChangeReason::Balance));
 }
 
 #[test]
-fn a_lost_replica_goes_before_an_even_share() {
-    let mut rig = founded(9, 1);
+fn repair_goes_before_balance() {
+    let mut rig = placed(9, 1);
     rig.register(10, "store-10");
     rig.run(CATCH_UP_MS + 200);
     let moving = |rig: &Rig| rig.placement.shards.iter().filter(|shard| shard.change.is_some()).count();
@@ -233,7 +233,7 @@
     let shard = rig.placement.shards.iter().find(|shard| shard.change.is_some()).unwrap();
     let change = shard.change.unwrap();
     let lost = *shard.replicas.iter().find(|id| Some(**id) != change.leaves).unwrap();
-    rig.beating.remove(&lost.0);
+    rig.heartbeats.remove(&lost.0);
     rig.run(700);
     let is_its = |shard: &&millrudder_protocol::placement::ShardEntry| shard.replicas.contains(&lost);
     for shard in rig.placement.shards.iter().filter(is_its) {
@@ -243,14 +243,14 @@
 }
 
 #[test]
-fn a_stopping_store_that_connects_anew_still_stops() {
-    let mut rig = founded(3, 1);
+fn a_store_that_shuts_down_and_connects_anew_still_shuts_down() {
+    let mut rig = placed(3, 1);
     rig.register(4, "store-4");
     rig.run(200);
-    rig.beating.get_mut(&2).unwrap().leaving = true;
+    rig.heartbeats.get_mut(&2).unwrap().leaving = true;
     rig.run(200);
     let name = "store-2".to_owned();
     let address = rig.placement.store(StoreId(2)).unwrap().address;
-    rig.give(Input::Registered { id: StoreId(2), name, zone: "b".into(), address });
-    assert_eq!(rig.learning(4), 24);
+    rig.handle(Input::Registered(Registration { id: StoreId(2), name, zone: "b".into(), address }));
+    assert_eq!(rig.learner_count(4), 24);
 }
--- a/system/state/placement/tests/rig/mod.rs
+++ b/system/state/placement/tests/rig/mod.rs
@@ -2,11 +2,13 @@
 
 #![allow(dead_code)]
 
-use millrudder_placement::{Input, Layout, PlacementManager};
+use millrudder_clock::Instant;
+use millrudder_placement::{Input, Layout, PlacementManager, Registration};
 use millrudder_protocol::control::{FilledShard, StoreHealth};
 use millrudder_protocol::placement::{ChangeReason, Placement};
 use millrudder_protocol::{Address, ShardId, StoreId};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 pub const STEP_MS: u64 = 100;
@@ -14,9 +16,9 @@
 /// A manager, its stores' heartbeats and the commits of what it proposes.
 pub struct Rig {
     pub manager: PlacementManager,
-    pub now: u64,
-    /// Stores that send heartbeats, with what they say.
-    pub beating: BTreeMap<u64, StoreHealth>,
+    pub now: Instant,
+    /// Stores that send heartbeats, with their health.
+    pub heartbeats: BTreeMap<u64, StoreHealth>,
     pub placement: Placement,
     pub commits: usize,
     /// Membership changes that were begun, and why.
@@ -33,18 +35,18 @@
         rig
     }
 
-    /// A manager that leads, without a store.
+    /// A manager that holds the lease, without a store.
     pub fn with_layout(tolerated_losses: u32, layout: Layout) -> Self {
         let mut rig = Rig {
             manager: PlacementManager::new(tolerated_losses).with_layout(layout),
-            now: 0,
-            beating: BTreeMap::new(),
+            now: Instant::ORIGIN,
+            heartbeats: BTreeMap::new(),
             placement: Placement::default(),
             commits: 0,
             changes_begun: 0,
             reasons: Vec::new(),
         };
-        rig.give(Input::Leading(true));
+        rig.handle(Input::ControllerLease { is_held: true });
         rig
     }
 
@@ -60,27 +62,27 @@
     fn register_as(&mut self, id: u64, name: &str, zone: &str) {
         let address = Address(([127, 0, 0, 1], 7000 + id as u16).into());
         let (name, zone) = (name.into(), zone.into());
-        self.give(Input::Registered { id: StoreId(id), name, zone, address });
-        self.beating.insert(id, StoreHealth::default());
+        self.handle(Input::Registered(Registration { id: StoreId(id), name, zone, address }));
+        self.heartbeats.insert(id, StoreHealth::default());
     }
 
-    pub fn give(&mut self, input: Input) {
+    pub fn handle(&mut self, input: Input) {
         if let Some(placement) = self.manager.handle(self.now, input) {
             self.note_changes(&placement);
             self.placement = placement.clone();
             self.commits += 1;
-            self.give(Input::Committed(placement));
+            self.handle(Input::Committed(placement));
         }
     }
 
     pub fn run(&mut self, ms: u64) {
-        let end = self.now + ms;
+        let end = self.now + Duration::from_millis(ms);
         while self.now < end {
-            self.now += STEP_MS;
-            for (id, health) in self.beating.clone() {
-                self.give(Input::Heartbeat { id: StoreId(id), health });
+            self.now += Duration::from_millis(STEP_MS);
+            for (id, health) in self.heartbeats.clone() {
+                self.handle(Input::Heartbeat { id: StoreId(id), health });
             }
-            self.give(Input::Tick);
+            self.handle(Input::Tick);
         }
     }
 
@@ -93,7 +95,7 @@
         }
     }
 
-    /// What a learner would say now if it had all of the shards that it learns.
+    /// What a learner would report now if it had caught up with all of its shards.
     pub fn reports_of(&self, id: u64) -> Vec<FilledShard> {
         let shards = self.placement.shards.iter().enumerate().filter_map(|(number, shard)| {
             let change = shard.change.filter(|change| change.joins == StoreId(id))?;
@@ -102,30 +104,30 @@
         shards.collect()
     }
 
-    /// A learner says that it has all of the shards that it learns.
-    pub fn report_filled(&mut self, id: u64) {
+    /// A learner reports that it has caught up with all of its shards.
+    pub fn report_caught_up(&mut self, id: u64) {
         let shards = self.reports_of(id);
-        self.give(Input::CaughtUp { id: StoreId(id), shards });
+        self.handle(Input::CaughtUp { id: StoreId(id), shards });
     }
 
     /// Runs while every learner that is up is filled within a step.
     pub fn run_filling(&mut self, ms: u64) {
-        let end = self.now + ms;
+        let end = self.now + Duration::from_millis(ms);
         while self.now < end {
             self.run(STEP_MS);
-            for id in self.beating.keys().copied().collect::<Vec<_>>() {
-                self.report_filled(id);
+            for id in self.heartbeats.keys().copied().collect::<Vec<_>>() {
+                self.report_caught_up(id);
             }
         }
     }
 
-    /// Shards that a store is filled for.
-    pub fn learning(&self, id: u64) -> usize {
+    /// Shards of which a store is the learner.
+    pub fn learner_count(&self, id: u64) -> usize {
         self.placement.shards.iter().filter(|shard| shard.learner() == Some(StoreId(id))).count()
     }
 
-    /// Shards that a store is a replica of.
-    pub fn held(&self, id: u64) -> usize {
+    /// Shards of which a store is a replica.
+    pub fn replica_count(&self, id: u64) -> usize {
         self.placement.shards.iter().filter(|shard| shard.replicas.contains(&StoreId(id))).count()
     }
 
--- a/system/state/protocol/src/placement.rs
+++ b/system/state/protocol/src/placement.rs
@@ -80,6 +80,14 @@
     pub term: Epoch,
 }
 
+/// Replicas that a shard should have to tolerate the loss of f stores: 2f + 1.
+///
+/// A write is on f + 1 of them before it is acknowledged, so that after the loss of any f a replica is left that has it.
+pub fn target_replicas(tolerated_losses: u32) -> usize {
+    let losses = usize::try_from(tolerated_losses).unwrap_or(usize::MAX);
+    losses.saturating_mul(2).saturating_add(1)
+}
+
 /// The agreed placement; the default one, of epoch 0, has no stores.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Placement {
@@ -96,10 +104,9 @@
         self.stores.iter().find(|store| store.id == id)
     }
 
-    /// Replicas that a shard should have: f+1 of them are written, so that any f may be lost and the rest tells all.
-    pub fn replicas_wanted(&self) -> usize {
-        let losses = usize::try_from(self.tolerated_losses).unwrap_or(usize::MAX);
-        losses.saturating_mul(2).saturating_add(1)
+    /// Replicas that a shard should have, by [`target_replicas`].
+    pub fn target_replicas(&self) -> usize {
+        target_replicas(self.tolerated_losses)
     }
 
     pub fn shard(&self, id: ShardId) -> Option<&ShardEntry> {
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -11,7 +11,7 @@
 use millrudder_chain::{CoreConfig, CoreNode, FencingToken, Input, NodeId, Output, RequestId, Role};
 use millrudder_clock::Instant;
 use millrudder_control_state::{Command, ControlState, Reply};
-use millrudder_placement::{Input as PlacementInput, PlacementManager};
+use millrudder_placement::{Input as PlacementInput, PlacementManager, Registration};
 use millrudder_protocol::control::{FromCore, Registrant, ToCore, WorkerList};
 use millrudder_protocol::{Address, StoreId};
 use millrudder_staleness::{
@@ -110,7 +110,10 @@
         let node = CoreNode::<M>::new(config, state, seed, now).expect("the settings fit together");
         let mut manager = PlacementManager::new(settings.tolerated_losses);
         let held = node.machine().state();
-        manager.handle(now / MILLISECOND, PlacementInput::Committed(held.placement().clone()));
+        manager.handle(
+            Instant::from_millis(now / MILLISECOND),
+            PlacementInput::Committed(held.placement().clone()),
+        );
         let mut process = CoreProcess {
             manager,
             orders: Orders::new(seed),
@@ -150,7 +153,10 @@
 
     /// When a tick is due, by the machine's steady clock (microseconds).
     pub fn next_deadline(&self, now: u64) -> u64 {
-        let manager = self.manager.next_deadline(now / MILLISECOND).map(|due| due * MILLISECOND);
+        let manager = self
+            .manager
+            .next_deadline(Instant::from_millis(now / MILLISECOND))
+            .map(|due| due.as_millis() * MILLISECOND);
         let gate = self.gate.next_deadline().map(|due| due.as_millis() * MILLISECOND);
         let shell = manager.into_iter().chain(gate).chain([self.read_list_at, self.sweep_at]).min();
         self.node.next_deadline().min(shell.unwrap_or(u64::MAX))
@@ -367,7 +373,10 @@
     ) {
         if let Registrant::Store { id, name, zone, address, .. } = &registrant {
             let (name, zone) = (name.clone(), zone.clone());
-            self.manage(scene, PlacementInput::Registered { id: *id, name, zone, address: *address });
+            self.manage(
+                scene,
+                PlacementInput::Registered(Registration { id: *id, name, zone, address: *address }),
+            );
         }
         let kind = match registrant {
             Registrant::Dispatcher { .. } => RegistrantKind::Dispatcher,
@@ -452,7 +461,7 @@
     }
 
     fn manage(&mut self, scene: &mut CoreScene<'_>, input: PlacementInput) {
-        if let Some(placement) = self.manager.handle(scene.now / MILLISECOND, input) {
+        if let Some(placement) = self.manager.handle(Instant::from_millis(scene.now / MILLISECOND), input) {
             let request_id = self.orders.own_request(&self.mutant);
             let command = Command::SetPlacement { placement };
             self.node.handle(scene.now, Input::Submit { request_id, command });
@@ -543,7 +552,7 @@
         self.fencing = fencing;
         self.read_list_at = fencing.map_or(u64::MAX, |_| scene.now);
         self.guard(scene, GateInput::ControllerLease { is_held: fencing.is_some() });
-        self.manage(scene, PlacementInput::Leading(fencing.is_some()));
+        self.manage(scene, PlacementInput::ControllerLease { is_held: fencing.is_some() });
     }
 
     fn send(&self, scene: &mut CoreScene<'_>, to: NodeId, payload: Payload) {
