--- a/system/runtime/http/src/client/connection.rs
+++ b/system/runtime/http/src/client/connection.rs
@@ -97,7 +97,7 @@
         let (sender, connection) = handshake.map_err(|_| SendError::ResetBeforeSent)?;
         let task = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!("a connection to a worker ended: {error}");
+                log::debug!(error:%; "worker connection closed");
             }
         });
         let carried = VecDeque::with_capacity(REMEMBERED_REQUESTS);
--- a/system/runtime/http/src/front/connection.rs
+++ b/system/runtime/http/src/front/connection.rs
@@ -184,7 +184,7 @@
 }
 
 fn refusal(error: &BodyError) -> RequestError {
-    log::debug!("request refused: {error}");
+    log::debug!(error:%; "request rejected");
     match error {
         BodyError::TooLarge => RequestError::Answered(http::StatusCode::PAYLOAD_TOO_LARGE),
         BodyError::Malformed => RequestError::Answered(http::StatusCode::BAD_REQUEST),
--- a/system/runtime/http/src/front/server.rs
+++ b/system/runtime/http/src/front/server.rs
@@ -79,18 +79,18 @@
 }
 
 async fn pause(error: &io::Error) {
-    log::warn!("cannot accept a connection: {error}");
+    log::warn!(error:%; "accepting a connection failed");
     sleep(ACCEPT_PAUSE).await;
 }
 
 /// Starts the task of a new connection, unless there are too many and none is idle.
 fn take(stream: TcpStream, registry: &Rc<Registry>, shared: &Rc<Shared>) {
     if let Err(error) = socket::tune(&stream, shared.server_limits.user_timeout) {
-        log::debug!("a connection ended before it was taken: {error}");
+        log::debug!(error:%; "connection closed before it was served");
         return;
     }
     if registry.len() >= shared.server_limits.max_connections && !registry.close_oldest_idle() {
-        log::debug!("a connection was closed: all {} are busy", registry.len());
+        log::debug!(connections = registry.len(); "connection rejected, all others are busy");
         return;
     }
     let state = Rc::new(ConnectionState::new(Instant::now()));
--- a/system/runtime/node/src/cli.rs
+++ b/system/runtime/node/src/cli.rs
@@ -4,6 +4,7 @@
 use crate::mechanisms::Mechanisms;
 use lexopt::prelude::*;
 use std::ffi::OsString;
+use std::fmt;
 use std::path::PathBuf;
 
 /// Printed by `--help`.
@@ -36,6 +37,16 @@
     Core,
 }
 
+impl fmt::Display for Role {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Role::Edge => "edge",
+            Role::Storage => "storage",
+            Role::Core => "core",
+        })
+    }
+}
+
 /// A command line that can be carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
--- a/system/runtime/node/src/control_link/connections.rs
+++ b/system/runtime/node/src/control_link/connections.rs
@@ -165,7 +165,7 @@
                 connections.shared.borrow().register(outbox);
             }
             LinkEvent::Closed(reason) => {
-                log::info!("core machine {address} is lost: {reason}");
+                log::info!(address:%, error:% = reason; "core machine connection lost");
                 connections.shared.borrow_mut().report(address, ConnectionPlanner::handle_closed);
             }
             LinkEvent::Message(message) => {
@@ -186,7 +186,7 @@
                 shared.planner.handle_confirmation(now, address, Instant::from_millis(*moment_ms));
             }
             FromCore::NoQuorum => {
-                log::info!("core machine {address} has no majority");
+                log::info!(address:%; "core machine has no quorum");
                 self.avoid(address);
             }
             FromCore::Redirect => {
--- a/system/runtime/node/src/control_link/replica.rs
+++ b/system/runtime/node/src/control_link/replica.rs
@@ -82,9 +82,9 @@
         match Settings::load(file) {
             Ok(settings) => {
                 self.link.set_seeds(settings.seeds);
-                log::info!("settings are read again");
+                log::info!("settings reloaded");
             }
-            Err(error) => log::warn!("the settings stay as they were: {error}"),
+            Err(error) => log::warn!(error:%; "settings not reloaded, the old ones stay active"),
         }
     }
 }
@@ -92,12 +92,12 @@
 fn log_staleness(change: Option<StalenessChange>) {
     match change {
         Some(StalenessChange::Stale { age }) => {
-            let age_ms = age.as_millis();
-            log::warn!("no core machine has confirmed for {age_ms} ms what is held here");
+            let elapsed_ms = age.as_millis() as u64;
+            log::warn!(elapsed_ms; "control state stale, no core machine has confirmed it");
         }
         Some(StalenessChange::Fresh { stale_for }) => {
-            let was_old_for_ms = stale_for.as_millis();
-            log::info!("what is held here is confirmed again, after {was_old_for_ms} ms");
+            let elapsed_ms = stale_for.as_millis() as u64;
+            log::info!(elapsed_ms; "control state fresh again");
         }
         None => {}
     }
--- a/system/runtime/node/src/core/host/barrier.rs
+++ b/system/runtime/node/src/core/host/barrier.rs
@@ -35,8 +35,10 @@
     fn log_confirmation(&mut self, is_confirmed: bool) {
         let was_confirmed = std::mem::replace(&mut self.is_confirmed, is_confirmed);
         if was_confirmed != is_confirmed {
-            let has = if is_confirmed { "is confirmed by" } else { "is not confirmed any more by" };
-            log::info!("the state here {has} a majority of the core");
+            match is_confirmed {
+                true => log::info!("control state confirmed by a quorum"),
+                false => log::info!("control state no longer confirmed by a quorum"),
+            }
         }
     }
 
--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -3,6 +3,7 @@
 use super::CoreHost;
 use crate::core::messages::ToCorePort;
 use crate::listen::InboundEvent;
+use crate::logging::LoggedStoreId;
 use millrudder_chain::{CoreMessage, Input, NodeId};
 use millrudder_placement::{Input as PlacementInput, Registration};
 use millrudder_protocol::control::{Registrant, ToCore};
@@ -57,7 +58,7 @@
 
     fn handle_peer(&mut self, connection: ConnectionId, id: NodeId, text: &str) {
         let Ok(address) = text.parse() else {
-            log::warn!("a core machine tells an address that cannot be read: {text}");
+            log::warn!(address = text; "core machine announced an unreadable address");
             return;
         };
         self.directory.introduce(connection, id, address);
@@ -104,7 +105,7 @@
         let kind = match &registrant {
             Registrant::Dispatcher { .. } => RegistrantKind::Dispatcher,
             Registrant::Store { id, name, zone, address, .. } => {
-                log::info!("store {name} registers");
+                log::info!(store_id:% = LoggedStoreId(*id), node_name:% = name; "store registered");
                 let (name, zone) = (name.clone(), zone.clone());
                 self.handle_placement(PlacementInput::Registered(Registration {
                     id: *id,
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -218,7 +218,7 @@
     /// After a stall of the clocks nothing that was confirmed before is known to be recent.
     fn check_clocks(&mut self) {
         if self.clock_stalls.detect_stall(self.clock.now(), time_of_day()) {
-            log::warn!("the machine has stood still: leases and contact are given up");
+            log::warn!("clock stall detected, giving up leases and quorum contact");
             self.node.handle(self.clock.micros(), Input::ClockStalled);
             self.handle_barrier(BarrierInput::ClockStalled);
             self.carry_out_all();
--- a/system/runtime/node/src/core/host/operator.rs
+++ b/system/runtime/node/src/core/host/operator.rs
@@ -52,9 +52,9 @@
             Ok(settings) => {
                 self.reader.configure(&settings);
                 self.seeds.store(Arc::new(settings.seeds));
-                log::info!("{} reads its settings again", settings.node_name);
+                log::info!("settings reloaded");
             }
-            Err(error) => log::warn!("the settings stay as they were: {error}"),
+            Err(error) => log::warn!(error:%; "settings not reloaded, the old ones stay active"),
         }
     }
 }
--- a/system/runtime/node/src/core/host/outputs.rs
+++ b/system/runtime/node/src/core/host/outputs.rs
@@ -34,7 +34,7 @@
     pub(super) fn handle_placement(&mut self, input: PlacementInput) {
         let now = self.clock.now();
         if let Some(placement) = self.placement.handle(now, input) {
-            log::info!("placement {} is proposed", placement.epoch.0);
+            log::info!(epoch = placement.epoch.0; "placement proposed");
             let request_id = self.operator_requests.draw_request_id();
             let command = Command::SetPlacement { placement };
             self.node.handle(self.clock.micros(), Input::Submit { request_id, command });
@@ -67,11 +67,11 @@
         self.publish_state();
         self.follow_retirements();
         if let Some(version) = self.followed.newer_configuration(self.node.machine()) {
-            log::info!("configuration {version} is in force");
+            log::info!(configuration_version = version; "configuration committed");
         }
         if let Some(placement) = self.followed.newer_placement(self.node.machine()) {
-            let filled = placement.shards.iter().filter(|shard| shard.change.is_some()).count();
-            log::info!("placement {} is in force, {filled} replicas are being filled", placement.epoch.0);
+            let learners = placement.shards.iter().filter(|shard| shard.change.is_some()).count();
+            log::info!(epoch = placement.epoch.0, learners; "placement committed");
             self.handle_placement(PlacementInput::Committed(placement));
         }
     }
@@ -79,8 +79,8 @@
     fn handle_view(&mut self, view: &View) {
         let members: Vec<&str> = view.members.iter().map(|member| member.address.as_str()).collect();
         let voters: Vec<&str> = view.voters.iter().map(|voter| voter.address.as_str()).collect();
-        log::info!("view {} of the core: {}", view.epoch.0, members.join(" "));
-        log::info!("voters of view {}: {}", view.epoch.0, voters.join(" "));
+        let (members, voters) = (members.join(" "), voters.join(" "));
+        log::info!(view = view.epoch.0, members:%, voters:%; "core view changed");
         self.connect_voters(view);
         self.follow_retirements();
     }
@@ -91,8 +91,10 @@
             return;
         }
         let now = self.clock.millis();
-        let state = if fencing.is_some() { "holds" } else { "has lost" };
-        log::info!("{state} the controller's lease");
+        match fencing {
+            Some(fencing_token) => log::info!(fencing_token; "controller lease acquired"),
+            None => log::info!("controller lease lost"),
+        }
         self.handle_barrier(BarrierInput::ControllerLease { is_held: fencing.is_some() });
         self.reader.set_lease(now, fencing);
         self.handle_placement(PlacementInput::ControllerLease { is_held: fencing.is_some() });
--- a/system/runtime/node/src/core/host/retirements.rs
+++ b/system/runtime/node/src/core/host/retirements.rs
@@ -45,7 +45,8 @@
         if !self.retirements.update(&names, &ids) {
             return;
         }
-        log::info!("to be emptied, or emptied: {names:?}");
+        let machines = Vec::from_iter(names.iter().map(String::as_str)).join(" ");
+        log::info!(machines:%; "retirements changed");
         self.node.handle(self.clock.micros(), Input::Exclude { ids });
         self.handle_placement(PlacementInput::Retiring(names));
     }
--- a/system/runtime/node/src/core/mod.rs
+++ b/system/runtime/node/src/core/mod.rs
@@ -79,7 +79,7 @@
     let supervisor = Supervisor::new(settings, folder, internal, events.clone());
     let stopped = async {
         signals.wait_for_stop(|| drop(events.send(Event::Reload { file: file.clone() }))).await;
-        log::info!("stopping");
+        log::info!("shutting down, leaving the core");
         let longest = grace.saturating_sub(STOP_MARGIN);
         let (done, departure) = oneshot::channel();
         drop(events.send(Event::Leaving { done }));
@@ -87,7 +87,7 @@
         stop.begin(StopPlan { accept_for: Duration::ZERO, finish_within });
         let (_, departure) = tokio::join!(server, timeout(longest, departure));
         if departure.is_err() {
-            log::warn!("stops although the core may still need this machine");
+            log::warn!("shutdown time-out, the core may still need this machine");
         }
     };
     tokio::select! {
--- a/system/runtime/node/src/core/operator/pending.rs
+++ b/system/runtime/node/src/core/operator/pending.rs
@@ -116,7 +116,7 @@
         let version = match Configuration::from_json(body) {
             Ok(configuration) => configuration.version().0,
             Err(error) => {
-                log::info!("a configuration is refused: {error}");
+                log::info!(error:%; "configuration rejected");
                 respond(reply, OperatorResponse::Invalid { reason: error.to_string() });
                 return NextStep::Done;
             }
--- a/system/runtime/node/src/core/supervisor.rs
+++ b/system/runtime/node/src/core/supervisor.rs
@@ -50,7 +50,7 @@
             drop(seed_watch);
             host.disconnect();
             let Err(error) = ended else { return Ok(()) };
-            log::error!("this machine falls silent: {error}");
+            log::error!(error:%; "core machine fenced itself: disk error");
             // The connections that this machine has opened itself stay open until then.
             opened = reopen(|| OpenedJournal::open(&self.folder)?.verify_writable()).await;
         }
--- a/system/runtime/node/src/core/worker_list_reader.rs
+++ b/system/runtime/node/src/core/worker_list_reader.rs
@@ -134,7 +134,7 @@
             }
             ReaderOutput::Complete(round) => Some(round),
             ReaderOutput::Abandoned(reason) => {
-                log::warn!("the platform's list could not be read: {reason:?}");
+                log::warn!(error:? = reason; "worker list not read");
                 None
             }
         }
--- a/system/runtime/node/src/disk_thread.rs
+++ b/system/runtime/node/src/disk_thread.rs
@@ -105,7 +105,7 @@
         backoff = (backoff * 2).min(MAX_REOPEN_BACKOFF);
         match open() {
             Ok(opened) => return opened,
-            Err(error) => log::warn!("the disk cannot be used yet: {error}"),
+            Err(error) => log::warn!(error:%; "disk not usable yet, retrying"),
         }
     }
 }
--- a/system/runtime/node/src/edge/host/clients.rs
+++ b/system/runtime/node/src/edge/host/clients.rs
@@ -36,7 +36,10 @@
             match output {
                 Output::ToStore { store, message } => {
                     if let FromDispatcher::Withdraw { id } = &message {
-                        log::debug!("store {} was slow: {id} is withdrawn there", LoggedStoreId(store));
+                        log::debug!(
+                        store_id:% = LoggedStoreId(store), message_id:% = id;
+                        "store too slow, message withdrawn there"
+                        );
                     }
                     self.stores.send(store, message);
                 }
@@ -52,7 +55,8 @@
         if let AcceptAnswer::Kept { id } = answer {
             let now = self.clock.now();
             self.messages.insert(now, id, Arc::clone(&client.message));
-            log::debug!("{id} is kept after {} ms", (now - client.arrived_at).as_millis());
+            let elapsed_ms = (now - client.arrived_at).as_millis() as u64;
+            log::debug!(message_id:% = id, elapsed_ms; "message accepted");
         }
         client.answer(answer);
     }
--- a/system/runtime/node/src/edge/host/control.rs
+++ b/system/runtime/node/src/edge/host/control.rs
@@ -59,11 +59,11 @@
         let configuration = match ActiveConfiguration::from_json(json) {
             Ok(configuration) => Arc::new(configuration),
             Err(error) => {
-                log::error!("the configuration in force cannot be read: {error}");
+                log::error!(error:%; "committed configuration unreadable");
                 return;
             }
         };
-        log::info!("configuration {} is in force here", configuration.version());
+        log::info!(configuration_version = configuration.version(); "configuration applied");
         self.control.adopt_configuration(configuration.version());
         self.configuration.limits.store(Arc::new(configuration.request_limits()));
         self.configuration.active.store(Some(Arc::clone(&configuration)));
--- a/system/runtime/node/src/edge/host/mod.rs
+++ b/system/runtime/node/src/edge/host/mod.rs
@@ -151,7 +151,7 @@
     /// After a stall of the clocks what has not been read yet may be outdated.
     fn check_clocks(&mut self) {
         if self.clock_stalls.detect_stall(self.clock.now(), time_of_day()) {
-            log::warn!("the machine has stood still: what stores granted before is given back");
+            log::warn!("clock stall detected, returning deliveries that were granted before");
             self.handle_delivery(delivery::Input::ClockStalled);
         }
     }
--- a/system/runtime/node/src/edge/host/stores.rs
+++ b/system/runtime/node/src/edge/host/stores.rs
@@ -19,7 +19,7 @@
                 self.handle_delivery(delivery::Input::Connected { store });
             }
             LinkEvent::Closed(reason) => {
-                log::info!("store {} is lost: {reason}", LoggedStoreId(store));
+                log::info!(store_id:% = LoggedStoreId(store), error:% = reason; "store connection lost");
                 self.stores.set_open(store, false);
                 self.handle_intake(intake::Input::StoreClosed { store });
             }
--- a/system/runtime/node/src/edge/mod.rs
+++ b/system/runtime/node/src/edge/mod.rs
@@ -72,7 +72,7 @@
     let grace = settings.bounds.grace;
     let stopped = async {
         signals.wait_for_stop(|| drop(events.send(Event::Reload { file: file.clone() }))).await;
-        log::info!("stopping: no new deliveries, clients' requests are finished");
+        log::info!("shutting down, finishing requests and deliveries in flight");
         let finish_within = grace.saturating_sub(STOP_MARGIN);
         let deadline = Instant::now() + finish_within;
         stop.begin(StopPlan { accept_for: ACCEPT_WHILE_STOPPING.min(finish_within), finish_within });
--- a/system/runtime/node/src/role.rs
+++ b/system/runtime/node/src/role.rs
@@ -34,7 +34,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(RoleError::Runtime)?;
     let local = LocalSet::new();
-    log::info!("{} starts as {role:?}, {mechanisms}", settings.node_name);
+    log::info!(node_name = &*settings.node_name, role:%, mechanisms:%; "starting");
     local.block_on(&runtime, async {
         match role {
             Role::Edge => edge::run(settings, file).await,
@@ -42,6 +42,6 @@
             Role::Core => core::run(settings, file).await,
         }
     })?;
-    log::info!("done");
+    log::info!("stopped");
     Ok(())
 }
--- a/system/runtime/node/src/storage/host/control.rs
+++ b/system/runtime/node/src/storage/host/control.rs
@@ -50,7 +50,7 @@
     fn follow_configuration(&mut self, json: &[u8]) {
         match Configuration::from_json(json) {
             Ok(configuration) => self.handle(Input::Rates(service_rates(&configuration))),
-            Err(error) => log::error!("the configuration in force cannot be read: {error}"),
+            Err(error) => log::error!(error:%; "committed configuration unreadable"),
         }
     }
 
--- a/system/runtime/node/src/storage/host/mod.rs
+++ b/system/runtime/node/src/storage/host/mod.rs
@@ -185,7 +185,7 @@
             }
             DiskReport::Space { is_short } => {
                 self.is_disk_full = is_short;
-                log::warn!("{}", if is_short { "the disk is full" } else { "the disk has room again" });
+                self.log_space();
                 Ok(())
             }
             DiskReport::Failed { error } => {
@@ -195,6 +195,13 @@
         }
     }
 
+    fn log_space(&self) {
+        match self.is_disk_full {
+            true => log::warn!("disk full, refusing new messages"),
+            false => log::info!("disk has space again, accepting new messages"),
+        }
+    }
+
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Inbound(inbound) => self.handle_inbound(inbound),
@@ -239,7 +246,8 @@
             }
             Output::Stray { id, cause } => {
                 self.orphans += 1;
-                log::warn!("{id} lay though nothing held it back ({cause:?}); {} so far", self.orphans);
+                let total = self.orphans;
+                log::warn!(message_id:% = id, cause:?, total; "orphaned message recovered");
             }
             Output::Released { id } => self.disk.release(id),
         }
--- a/system/runtime/node/src/storage/supervisor.rs
+++ b/system/runtime/node/src/storage/supervisor.rs
@@ -50,7 +50,7 @@
             host.disconnect();
             drop(host);
             let Err(error) = ended else { return };
-            log::error!("this store falls silent: {error}");
+            log::error!(error:%; "store fenced itself: disk error");
             opened = reopen(|| open_disk(&self.folder, &self.settings)?.verify_writable()).await;
         }
     }
@@ -64,6 +64,6 @@
     // An identity is never zero.
     let new_id = StoreId(clock::random_seed() | 1);
     let opened = OpenedDisk::open(folder, settings.limits.disk_bytes, new_id)?;
-    log::info!("{} records on the disk of store {}", opened.records.len(), LoggedStoreId(opened.id));
+    log::info!(store_id:% = LoggedStoreId(opened.id), records = opened.records.len(); "store opened");
     Ok(opened)
 }
--- a/system/runtime/node/tests/system/cluster/load.rs
+++ b/system/runtime/node/tests/system/cluster/load.rs
@@ -126,8 +126,8 @@
         assert!((times..=most).contains(&runs), "{id} ran {runs} times, not {times}");
     }
 
-    /// Tries that dispatchers gave up because a store was slow.
+    /// Attempts that dispatchers gave up because a store was slow.
     fn withdrawn(&self) -> usize {
-        self.edge_lines("is withdrawn there")
+        self.edge_lines("store too slow, message withdrawn there")
     }
 }
--- a/system/runtime/node/tests/system/cluster/log.rs
+++ b/system/runtime/node/tests/system/cluster/log.rs
@@ -1,4 +1,4 @@
-//! What the core machines tell in their logs of the state that they agree on.
+//! What the processes write to their logs of the state that they agree on.
 
 use super::{Cluster, Part, BOUND};
 use millrudder_protocol::StoreId;
@@ -7,23 +7,32 @@
 /// Internal port of core machines, counted from the first free one of the machine.
 const CORE_PORT: u16 = 2;
 
-/// A placement of shards that came into force.
+/// The value of a key in a log line with this message; `None` on other lines.
+fn value<'a>(line: &'a str, message: &str, key: &str) -> Option<&'a str> {
+    let (_, pairs) = line.split_once(&format!("] {message}"))?;
+    let (_, rest) = pairs.split_once(&format!(" {key}="))?;
+    match rest.strip_prefix('"') {
+        Some(quoted) => quoted.split_once('"').map(|(value, _)| value),
+        None => rest.split_whitespace().next(),
+    }
+}
+
+/// A placement of shards that was committed.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct PlacementLine {
     epoch: u64,
-    replicas_to_fill: usize,
+    learners: usize,
 }
 
 impl PlacementLine {
     fn read(line: &str) -> Option<Self> {
-        let (_, rest) = line.split_once("placement ")?;
-        let (epoch, rest) = rest.split_once(" is in force, ")?;
-        let (replicas, _) = rest.split_once(" replicas are being filled")?;
-        Some(PlacementLine { epoch: epoch.parse().ok()?, replicas_to_fill: replicas.parse().ok()? })
+        let epoch = value(line, "placement committed", "epoch")?;
+        let learners = value(line, "placement committed", "learners")?;
+        Some(PlacementLine { epoch: epoch.parse().ok()?, learners: learners.parse().ok()? })
     }
 }
 
-/// A view of the core that came into force.
+/// A view of the core that was agreed on.
 struct ViewLine {
     epoch: u64,
     members: Vec<String>,
@@ -31,8 +40,8 @@
 
 impl ViewLine {
     fn read(line: &str) -> Option<Self> {
-        let (_, rest) = line.split_once("view ")?;
-        let (epoch, members) = rest.split_once(" of the core: ")?;
+        let epoch = value(line, "core view changed", "view")?;
+        let members = value(line, "core view changed", "members")?;
         let members = members.split_whitespace().map(str::to_owned).collect();
         Some(ViewLine { epoch: epoch.parse().ok()?, members })
     }
@@ -49,8 +58,8 @@
         let filled = eventually(BOUND, || {
             let placements = self.placements();
             let mut later = placements.iter().filter(|line| line.epoch > after);
-            later.any(|line| line.replicas_to_fill > 0)
-                && placements.last().is_some_and(|newest| newest.replicas_to_fill == 0)
+            later.any(|line| line.learners > 0)
+                && placements.last().is_some_and(|newest| newest.learners == 0)
         });
         assert!(filled.await.is_ok(), "replicas are not filled: {:?}", self.placements());
     }
@@ -76,8 +85,8 @@
     /// The identity of a store's disk.
     pub fn store_id(&self, part: Part) -> StoreId {
         let lines = self.log_of(part);
-        let id = lines.iter().rev().find_map(|line| line.split_once(" on the disk of store "));
-        let id = id.and_then(|(_, id)| u64::from_str_radix(id.trim(), 16).ok());
+        let id = lines.iter().rev().find_map(|line| value(line, "store opened", "store_id"));
+        let id = id.and_then(|id| u64::from_str_radix(id, 16).ok());
         StoreId(id.unwrap_or_else(|| panic!("{} does not tell its identity", self.name_of(part))))
     }
 
--- a/system/runtime/node/tests/system/contact.rs
+++ b/system/runtime/node/tests/system/contact.rs
@@ -37,10 +37,13 @@
     cluster.core_agrees(&configuration.build().unwrap()).await;
 }
 
-/// Whether a dispatcher has written since its last start that a core machine has no majority.
+/// Whether a dispatcher has written since its last start that a core machine has no quorum.
 fn refused_since_start(log: &[String]) -> bool {
-    let start = log.iter().rposition(|line| line.contains("starts as Edge")).unwrap_or(log.len());
-    log[start..].iter().any(|line| line.contains("has no majority"))
+    let start = log
+        .iter()
+        .rposition(|line| line.contains("starting") && line.contains("role=edge"))
+        .unwrap_or(log.len());
+    log[start..].iter().any(|line| line.contains("core machine has no quorum"))
 }
 
 /// Kills all core machines but one, and tells where that one serves the operator.
--- a/system/runtime/node/tests/system/stops.rs
+++ b/system/runtime/node/tests/system/stops.rs
@@ -187,10 +187,10 @@
         let sound = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, "nodeName: [").unwrap();
         cluster.signal(part, ProcessSignal::HangUp);
-        cluster.writes(part, "the settings stay as they were").await;
+        cluster.writes(part, "settings not reloaded").await;
         std::fs::write(&path, sound).unwrap();
         cluster.signal(part, ProcessSignal::HangUp);
-        cluster.writes(part, "settings").await;
+        cluster.writes(part, "settings reloaded").await;
         assert!(cluster.is_running(part));
         let message = Message::new(HOST, "/plain/", format!("after the {name}'s"));
         let sent = cluster.accept(cluster.fronts()[0], &message).await;
--- a/system/runtime/transport/src/dialer.rs
+++ b/system/runtime/transport/src/dialer.rs
@@ -66,7 +66,7 @@
     let stream = match connect(address, patience).await {
         Ok(stream) => stream,
         Err(error) => {
-            log::debug!("cannot connect to {address}: {error}");
+            log::debug!(address:%, error:%; "connection attempt failed");
             return false;
         }
     };
@@ -74,7 +74,7 @@
     slot.replace(outbox.clone());
     report(&outbox, LinkEvent::Opened);
     let reason = run(stream, &outbox, |message| report(&outbox, LinkEvent::Message(message))).await;
-    log::debug!("connection to {address} ended: {reason}");
+    log::debug!(address:%, error:% = reason; "connection closed");
     report(&outbox, LinkEvent::Closed(reason));
     true
 }
--- a/system/runtime/transport/src/listener.rs
+++ b/system/runtime/transport/src/listener.rs
@@ -22,7 +22,7 @@
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!("cannot accept a connection: {error}");
+                log::warn!(error:%; "accepting a connection failed");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
