--- a/system/runtime/node/src/control_link/mod.rs
+++ b/system/runtime/node/src/control_link/mod.rs
@@ -144,7 +144,8 @@
 
     /// Asks every core machine that is connected whether what is held here is current.
     fn ask(&self) {
-        let message = ToCorePort::Client { message: ToCore::Ask { moment_ms: self.clock.millis() } };
+        let message =
+            ToCorePort::Client { message: ToCore::StalenessCheck { sent_at_ms: self.clock.millis() } };
         for dialer in self.links.values() {
             // One that is closed is asked when it is open again.
             let _ = dialer.outbox().send(&message);
@@ -215,10 +216,10 @@
     /// Takes note of what a message tells of the machine that sent it.
     fn note(&self, address: SocketAddr, outbox: &Outbox, message: &FromCore) {
         match message {
-            FromCore::Heartbeat { moment_ms, .. } => {
+            FromCore::StalenessConfirmed { sent_at_ms, .. } => {
                 let mut shared = self.shared.borrow_mut();
                 let now = Instant::from_millis(shared.clock.millis());
-                shared.plan.handle_confirmation(now, address, Instant::from_millis(*moment_ms));
+                shared.plan.handle_confirmation(now, address, Instant::from_millis(*sent_at_ms));
             }
             FromCore::NoQuorum => {
                 log::info!("core machine {address} has no majority");
@@ -246,6 +247,6 @@
     };
     // Closed at once, it is opened anew.
     let _ = outbox.send(&ToCorePort::Client { message });
-    let question = ToCore::Ask { moment_ms: shared.clock.millis() };
+    let question = ToCore::StalenessCheck { sent_at_ms: shared.clock.millis() };
     let _ = outbox.send(&ToCorePort::Client { message: question });
 }
--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -76,12 +76,12 @@
                     self.manage(PlacementInput::Heartbeat { id, health });
                 }
             }
-            ToCore::Ask { moment_ms } => {
-                self.guard(GateInput::StalenessCheck { connection, sent_at: RegistrantTime(moment_ms) })
+            ToCore::StalenessCheck { sent_at_ms } => {
+                self.guard(GateInput::StalenessCheck { connection, sent_at: RegistrantTime(sent_at_ms) })
             }
-            ToCore::CaughtUp { shards } => {
+            ToCore::LearnerCaughtUp { shards } => {
                 if let Some(id) = self.registrants.store(connection) {
-                    self.manage(PlacementInput::CaughtUp { id, shards });
+                    self.manage(PlacementInput::LearnerCaughtUp { id, shards });
                 }
             }
         }
--- a/system/runtime/node/src/core/host/serving.rs
+++ b/system/runtime/node/src/core/host/serving.rs
@@ -92,10 +92,10 @@
 
     fn vouch(&mut self, connection: ConnectionId, sent_at: RegistrantTime) {
         let state = self.node.machine();
-        let message = FromCore::Heartbeat {
+        let message = FromCore::StalenessConfirmed {
             configuration_version: state.configuration().version,
             placement_epoch: state.placement().epoch.0,
-            moment_ms: sent_at.0,
+            sent_at_ms: sent_at.0,
         };
         self.registrants.tell(connection, &message);
         self.registrants.tell_count(connection, self.told_dispatchers);
@@ -123,7 +123,7 @@
 
     pub(super) fn core_addresses(&self) -> FromCore {
         let addresses = self.peers.addresses().into_iter().map(Address).collect();
-        FromCore::Core { addresses }
+        FromCore::CoreAddresses { addresses }
     }
 
     /// Takes a list that this machine has read, and tells it to the other core machines too.
--- a/system/runtime/node/src/core/messages/golden_tests.rs
+++ b/system/runtime/node/src/core/messages/golden_tests.rs
@@ -16,7 +16,7 @@
         ("core", ToCorePort::Core { to: NodeId(0x4142), message }),
         ("workers", ToCorePort::Workers { list }),
         ("dispatchers", ToCorePort::Dispatchers { count: 69 }),
-        ("client", ToCorePort::Client { message: ToCore::Ask { moment_ms: 0x5152 } }),
+        ("client", ToCorePort::Client { message: ToCore::StalenessCheck { sent_at_ms: 0x5152 } }),
     ] {
         let bytes = golden.entry(name, message.write_to_vec().unwrap());
         let decoded = ToCorePort::read_from_buffer(&bytes).unwrap();
--- a/system/runtime/node/src/core/reader.rs
+++ b/system/runtime/node/src/core/reader.rs
@@ -192,6 +192,6 @@
             InstanceState::Ready => WorkerState::Ready,
             InstanceState::Draining => WorkerState::Draining,
         },
-        cold_left_ms: instance.cold_left.as_millis() as u32,
+        warm_up_left_ms: instance.cold_left.as_millis() as u32,
     }
 }
--- a/system/runtime/node/src/core/registrants.rs
+++ b/system/runtime/node/src/core/registrants.rs
@@ -47,7 +47,7 @@
         let is_news = connected.told_count != Some(count);
         if is_news && matches!(connected.registrant, Registrant::Dispatcher { .. }) {
             connected.told_count = Some(count);
-            let _ = connected.outbox.send(&FromCore::Dispatchers { count });
+            let _ = connected.outbox.send(&FromCore::DispatcherCount { count });
         }
     }
 
--- a/system/runtime/node/src/edge/host.rs
+++ b/system/runtime/node/src/edge/host.rs
@@ -218,7 +218,7 @@
             Event::Reload { file } => self.reload(&file),
             Event::Leaving => {
                 self.leaving = true;
-                self.stores.send_all(&FromDispatcher::Leaving);
+                self.stores.send_all(&FromDispatcher::ShuttingDown);
                 self.give_delivery(delivery::Input::Leaving);
             }
         }
@@ -267,14 +267,14 @@
             name: self.name.clone(),
             zone: self.zone.clone(),
             epoch: self.placement.epoch,
-            held: self.delivery.held(mine),
+            active_leases: self.delivery.held(mine),
             in_doubt: self.intake.in_doubt(mine),
         };
         self.stores.send(store, hello);
         let credits = self.delivery.credits();
         self.stores.send(store, FromDispatcher::Credits { credits });
         if self.leaving {
-            self.stores.send(store, FromDispatcher::Leaving);
+            self.stores.send(store, FromDispatcher::ShuttingDown);
         }
     }
 
@@ -308,7 +308,7 @@
             }
             ToDispatcher::Recorded { .. } | ToDispatcher::Welcome { .. } | ToDispatcher::Pong => {}
             ToDispatcher::Accepted { .. }
-            | ToDispatcher::NotAccepted { .. }
+            | ToDispatcher::Rejected { .. }
             | ToDispatcher::Withdrawn { .. }
             | ToDispatcher::State { .. } => {
                 self.give_intake(intake::Input::FromStore { store, message });
@@ -357,20 +357,20 @@
                 self.configure(&configuration.json);
             }
             FromCore::Workers { list } => self.give_delivery(delivery::Input::Workers(list)),
-            FromCore::Dispatchers { count } => {
+            FromCore::DispatcherCount { count } => {
                 self.give_delivery(delivery::Input::Dispatchers { count });
             }
-            FromCore::Heartbeat { configuration_version, placement_epoch, moment_ms } => {
+            FromCore::StalenessConfirmed { configuration_version, placement_epoch, sent_at_ms } => {
                 let confirmed = Held { configuration_version, placement_epoch };
                 if self.held.covers(confirmed) {
                     let now = self.clock.millis();
                     report_freshness(
                         self.freshness
-                            .handle_confirmation(Instant::from_millis(now), Instant::from_millis(moment_ms)),
+                            .handle_confirmation(Instant::from_millis(now), Instant::from_millis(sent_at_ms)),
                     );
                 }
             }
-            FromCore::Core { addresses } => {
+            FromCore::CoreAddresses { addresses } => {
                 self.control.know(addresses.into_iter().map(|address| address.0));
             }
             _ => {}
--- a/system/runtime/node/src/storage/filled.rs
+++ b/system/runtime/node/src/storage/filled.rs
@@ -1,7 +1,7 @@
 //! Shards that this store was filled with, told until the placement has it as their replica: a core machine that begins
 //! to lead has not heard what was told before.
 
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::StoreId;
 use std::collections::BTreeSet;
@@ -12,13 +12,13 @@
 /// The shards, and when they are told again.
 #[derive(Default)]
 pub struct Filled {
-    shards: BTreeSet<FilledShard>,
+    shards: BTreeSet<CaughtUpShard>,
     tell_at: u64,
 }
 
 impl Filled {
     /// A shard's primary says that this store lacks nothing of it: it is told at once.
-    pub fn add(&mut self, filled: FilledShard) {
+    pub fn add(&mut self, filled: CaughtUpShard) {
         self.shards.insert(filled);
         self.tell_at = 0;
     }
@@ -33,7 +33,7 @@
     }
 
     /// What is to be told now.
-    pub fn due(&mut self, now: u64) -> Option<Vec<FilledShard>> {
+    pub fn due(&mut self, now: u64) -> Option<Vec<CaughtUpShard>> {
         if self.shards.is_empty() || now < self.tell_at {
             return None;
         }
--- a/system/runtime/node/src/storage/host.rs
+++ b/system/runtime/node/src/storage/host.rs
@@ -12,7 +12,7 @@
 use millrudder_protocol::control::{FromCore, Registrant, ToCore};
 use millrudder_protocol::placement::{Placement, ShardEntry};
 use millrudder_protocol::store::{
-    BetweenStores, FromDispatcher, NotAccepted, ServiceRate, ToDispatcher, ToStore,
+    AcceptRejection, BetweenStores, FromDispatcher, ServiceRate, ToDispatcher, ToStore,
 };
 use millrudder_protocol::{Address, MessageId, RequestNumber, StoreId};
 use millrudder_queue::{Config, ConnectionId, Input, Output, StoreNode};
@@ -185,10 +185,10 @@
         if self.heartbeat_at <= now {
             self.heartbeat_at = now + HEARTBEAT_MS;
             let health = self.node.health(now);
-            self.needed.set(health.serving + self.handing_over);
+            self.needed.set(health.primary_shards + self.handing_over);
             self.control.tell_all(&ToCore::Heartbeat { health: Some(health) });
             if let Some(shards) = self.filled.due(now) {
-                self.control.tell_all(&ToCore::CaughtUp { shards });
+                self.control.tell_all(&ToCore::LearnerCaughtUp { shards });
             }
             report_freshness(self.freshness.poll(Instant::from_millis(now)));
         }
@@ -279,8 +279,8 @@
     }
 
     fn refuse(&self, connection: ConnectionId, request: RequestNumber) {
-        let reason = NotAccepted::Full { retry_after_ms: self.full_retry_after_ms };
-        self.tell_dispatcher(connection, &ToDispatcher::NotAccepted { request, reason });
+        let reason = AcceptRejection::Full { retry_after_ms: self.full_retry_after_ms };
+        self.tell_dispatcher(connection, &ToDispatcher::Rejected { request, reason });
     }
 
     fn on_closed(&mut self, connection: ConnectionId, outbox: &Outbox) {
@@ -313,17 +313,17 @@
                 self.control.hold(self.held);
                 self.configure(&configuration.json);
             }
-            FromCore::Heartbeat { configuration_version, placement_epoch, moment_ms } => {
+            FromCore::StalenessConfirmed { configuration_version, placement_epoch, sent_at_ms } => {
                 let confirmed = Held { configuration_version, placement_epoch };
                 if self.held.covers(confirmed) {
                     let now = self.clock.millis();
                     report_freshness(
                         self.freshness
-                            .handle_confirmation(Instant::from_millis(now), Instant::from_millis(moment_ms)),
+                            .handle_confirmation(Instant::from_millis(now), Instant::from_millis(sent_at_ms)),
                     );
                 }
             }
-            FromCore::Core { addresses } => {
+            FromCore::CoreAddresses { addresses } => {
                 self.control.know(addresses.into_iter().map(|address| address.0));
             }
             _ => {}
--- a/system/runtime/node/tests/system/hostile.rs
+++ b/system/runtime/node/tests/system/hostile.rs
@@ -162,7 +162,7 @@
             name: "edge".to_owned(),
             zone: "zone-1".to_owned(),
             epoch: Epoch::default(),
-            held: Vec::new(),
+            active_leases: Vec::new(),
             in_doubt: Vec::new(),
         },
     };
--- a/system/runtime/transport/tests/links.rs
+++ b/system/runtime/transport/tests/links.rs
@@ -41,12 +41,12 @@
         let (to_server, opened) = client.recv().await.unwrap();
         assert!(matches!(opened, LinkEvent::Opened));
         to_server.send(&FromDispatcher::Ping).unwrap();
-        to_server.send(&FromDispatcher::Leaving).unwrap();
+        to_server.send(&FromDispatcher::ShuttingDown).unwrap();
         let (to_client, _) = server.recv().await.unwrap();
         assert!(matches!(server.recv().await.unwrap().1, LinkEvent::Message(FromDispatcher::Ping)));
-        assert!(matches!(server.recv().await.unwrap().1, LinkEvent::Message(FromDispatcher::Leaving)));
-        to_client.send(&FromDispatcher::Leaving).unwrap();
-        assert!(matches!(client.recv().await.unwrap().1, LinkEvent::Message(FromDispatcher::Leaving)));
+        assert!(matches!(server.recv().await.unwrap().1, LinkEvent::Message(FromDispatcher::ShuttingDown)));
+        to_client.send(&FromDispatcher::ShuttingDown).unwrap();
+        assert!(matches!(client.recv().await.unwrap().1, LinkEvent::Message(FromDispatcher::ShuttingDown)));
     });
 }
 
--- a/system/state/delivery/src/fleet.rs
+++ b/system/state/delivery/src/fleet.rs
@@ -128,7 +128,7 @@
         }
         for Listed { entry, zone } in listed {
             let number = self.number(&entry.instance_id);
-            let cold = f64::from(entry.cold_left_ms);
+            let cold = f64::from(entry.warm_up_left_ms);
             if !self.workers.contains_key(&number) {
                 fresh.push(number);
             }
--- a/system/state/delivery/tests/common/mod.rs
+++ b/system/state/delivery/tests/common/mod.rs
@@ -75,7 +75,7 @@
         zone: "here".into(),
         capacity: 4,
         state: WorkerState::Ready,
-        cold_left_ms: 0,
+        warm_up_left_ms: 0,
     }
 }
 
--- a/system/state/delivery/tests/load.rs
+++ b/system/state/delivery/tests/load.rs
@@ -327,7 +327,7 @@
         instance_id: format!("i-{number}-2"),
         address: address(&format!("10.0.0.2:{}", 8000 + number)),
         capacity: 2,
-        cold_left_ms: 6000,
+        warm_up_left_ms: 6000,
         ..worker(number)
     };
     let list: Vec<WorkerEntry> = (1..=4).map(reborn).collect();
--- a/system/state/delivery/tests/random.rs
+++ b/system/state/delivery/tests/random.rs
@@ -215,8 +215,13 @@
             let cold_left_ms = self.dice.u32(0..2) * 5000;
             let instance_id = format!("i-{number}-{life}");
             if self.dice.u32(0..6) > 0 {
-                let entry =
-                    WorkerEntry { state, instance_id, cold_left_ms, capacity: CAPACITY, ..worker(number) };
+                let entry = WorkerEntry {
+                    state,
+                    instance_id,
+                    warm_up_left_ms: cold_left_ms,
+                    capacity: CAPACITY,
+                    ..worker(number)
+                };
                 workers.push(entry);
             }
         }
--- a/system/state/delivery/tests/workers.rs
+++ b/system/state/delivery/tests/workers.rs
@@ -128,7 +128,7 @@
 #[test]
 fn a_worker_that_just_started_gets_less_than_a_warm_one() {
     let mut fixture = Fixture::new(1);
-    let cold = WorkerEntry { cold_left_ms: 8000, ..worker(2) };
+    let cold = WorkerEntry { warm_up_left_ms: 8000, ..worker(2) };
     fixture.workers(vec![worker(1), cold]);
     let (mut warm, mut fresh) = (0, 0);
     for unique in 0..60 {
--- a/system/state/intake/src/accept.rs
+++ b/system/state/intake/src/accept.rs
@@ -9,7 +9,7 @@
 use crate::withdrawals::Withdrawals;
 use crate::{CallNumber, Output};
 use millrudder_protocol::message::Message;
-use millrudder_protocol::store::{FromDispatcher, NotAccepted};
+use millrudder_protocol::store::{AcceptRejection, FromDispatcher};
 use millrudder_protocol::{LeaseToken, MessageId, RequestNumber, ShardId, StoreId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -202,7 +202,7 @@
         &mut self,
         now: u64,
         request: RequestNumber,
-        reason: NotAccepted,
+        reason: AcceptRejection,
         stores: &Stores,
         out: &mut Vec<Output>,
     ) {
@@ -210,11 +210,13 @@
         let Some(call) = self.calls.get_mut(&number) else { return };
         call.tries.remove(&request);
         match reason {
-            NotAccepted::Full { retry_after_ms } if call.fixed.is_some() => {
+            AcceptRejection::Full { retry_after_ms } if call.fixed.is_some() => {
                 self.finish(number, retry_after_ms, stores, out);
             }
             // The same primary may be ready a moment later.
-            NotAccepted::NotPrimary { .. } if call.fixed.is_some() => self.look_again(number, now + AGAIN_MS),
+            AcceptRejection::NotPrimary { .. } if call.fixed.is_some() => {
+                self.look_again(number, now + AGAIN_MS)
+            }
             _ => self.advance(now, number, stores, out),
         }
     }
@@ -268,7 +270,7 @@
         call.tries.insert(request, Try { id, store, open: true, sent: now });
         self.by_request.insert(request, number);
         let message = Box::new(call.submission.message.clone());
-        let accept = FromDispatcher::Accept { request, id, message, lease: true };
+        let accept = FromDispatcher::Accept { request, id, message, wants_lease: true };
         out.push(Output::ToStore { store, message: accept });
         true
     }
--- a/system/state/intake/src/lib.rs
+++ b/system/state/intake/src/lib.rs
@@ -172,7 +172,7 @@
             ToDispatcher::Accepted { request, token } => {
                 self.accepts.on_accepted(now, store, request, token, &self.stores, out);
             }
-            ToDispatcher::NotAccepted { request, reason } => {
+            ToDispatcher::Rejected { request, reason } => {
                 self.accepts.on_not_accepted(now, request, reason, &self.stores, out);
             }
             ToDispatcher::Withdrawn { id } => self.accepts.on_withdrawn(id),
--- a/system/state/intake/src/query.rs
+++ b/system/state/intake/src/query.rs
@@ -169,7 +169,7 @@
             let request = RequestNumber(self.next_request);
             query.awaited.insert(request, store);
             self.by_request.insert(request, call);
-            let message = FromDispatcher::Query { request, id: query.id, body: query.body };
+            let message = FromDispatcher::Query { request, id: query.id, with_body: query.body };
             out.push(Output::ToStore { store, message });
             break;
         }
--- a/system/state/intake/tests/intake.rs
+++ b/system/state/intake/tests/intake.rs
@@ -3,7 +3,7 @@
 use millrudder_intake::{AcceptAnswer, CallNumber, Input, Intake, Output, Place, QueryResult, Submission};
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::placement::{Placement, ShardEntry, StoreEntry};
-use millrudder_protocol::store::{FromDispatcher, NotAccepted, QueryAnswer, ToDispatcher};
+use millrudder_protocol::store::{AcceptRejection, FromDispatcher, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{Address, Epoch, LeaseToken, MessageId, RequestNumber, ShardId, StoreId};
 
 const HERE: StoreId = StoreId(1);
@@ -274,8 +274,8 @@
 fn full_stores_refuse_with_their_advice() {
     let mut rig = Rig::new();
     let (store, request, _) = accept_in(&rig.submit(Place::Named("key".into()))).unwrap();
-    let reason = NotAccepted::Full { retry_after_ms: 2500 };
-    let out = rig.store_says(5, store, ToDispatcher::NotAccepted { request, reason });
+    let reason = AcceptRejection::Full { retry_after_ms: 2500 };
+    let out = rig.store_says(5, store, ToDispatcher::Rejected { request, reason });
     assert_eq!(answer_in(&out), Some(AcceptAnswer::Refused { retry_after_ms: 2500 }));
 }
 
@@ -283,8 +283,8 @@
 fn a_store_that_is_no_primary_any_more_is_passed_over_at_once() {
     let mut rig = Rig::new();
     let (_, request, _) = accept_in(&rig.submit(Place::Any)).unwrap();
-    let reason = NotAccepted::NotPrimary { epoch: Epoch(1) };
-    let out = rig.store_says(5, HERE, ToDispatcher::NotAccepted { request, reason });
+    let reason = AcceptRejection::NotPrimary { epoch: Epoch(1) };
+    let out = rig.store_says(5, HERE, ToDispatcher::Rejected { request, reason });
     assert_ne!(accept_in(&out).unwrap().0, HERE);
 }
 
@@ -477,8 +477,8 @@
         submit_as(&mut rig, 600, call, Place::Any);
     }
     for Asked { request, .. } in before {
-        let reason = NotAccepted::Full { retry_after_ms: 1 };
-        let out = rig.store_says(601, THERE, ToDispatcher::NotAccepted { request, reason });
+        let reason = AcceptRejection::Full { retry_after_ms: 1 };
+        let out = rig.store_says(601, THERE, ToDispatcher::Rejected { request, reason });
         assert_eq!(out, []);
     }
 }
--- a/system/state/placement/src/learner_reports.rs
+++ b/system/state/placement/src/learner_reports.rs
@@ -1,7 +1,7 @@
 //! Reports of learners that they have caught up with a shard.
 
 use millrudder_clock::Instant;
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::placement::{MemberChange, Placement};
 use millrudder_protocol::{Epoch, ShardId, StoreId};
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 
 impl LearnerReports {
     /// Adds reports of one learner; of several reports for one change, the first one's time counts.
-    pub fn add(&mut self, now: Instant, learner: StoreId, shards: &[FilledShard]) {
+    pub fn add(&mut self, now: Instant, learner: StoreId, shards: &[CaughtUpShard]) {
         for filled in shards {
             let new = Report { change: filled.change, received_at: now };
             let report = self.reports.entry(LearnerKey { shard: filled.shard, learner }).or_insert(new);
--- a/system/state/placement/src/manager.rs
+++ b/system/state/placement/src/manager.rs
@@ -7,7 +7,7 @@
 use crate::planner;
 use crate::store_health::{Registration, StoreStatus, StoreTable};
 use millrudder_clock::Instant;
-use millrudder_protocol::control::{FilledShard, StoreHealth};
+use millrudder_protocol::control::{CaughtUpShard, StoreHealth};
 use millrudder_protocol::placement::{target_replicas, Placement};
 use millrudder_protocol::{Address, StoreId};
 use std::collections::BTreeSet;
@@ -46,11 +46,11 @@
         health: StoreHealth,
     },
     /// A learner reports that it has caught up.
-    CaughtUp {
+    LearnerCaughtUp {
         /// The learner's store.
         id: StoreId,
         /// The shards, each with the change in which it was filled.
-        shards: Vec<FilledShard>,
+        shards: Vec<CaughtUpShard>,
     },
     /// Names of the machines that are retiring or have retired, by the control state.
     Retiring(BTreeSet<String>),
@@ -136,7 +136,7 @@
                     return None;
                 }
             }
-            Input::CaughtUp { id, shards } => self.learner_reports.add(now, id, &shards),
+            Input::LearnerCaughtUp { id, shards } => self.learner_reports.add(now, id, &shards),
             Input::Retiring(names) => self.retiring = names,
             Input::Committed(placement) => self.handle_commit(placement),
             Input::ControllerLease { is_held: true } => {
--- a/system/state/placement/src/store_health.rs
+++ b/system/state/placement/src/store_health.rs
@@ -84,7 +84,7 @@
 
     /// Whether it can serve as a primary now.
     fn is_healthy(&self, now: Instant) -> bool {
-        !self.is_unresponsive(now) && !self.is_disk_stalled() && !self.health.leaving
+        !self.is_unresponsive(now) && !self.is_disk_stalled() && !self.health.is_shutting_down
     }
 
     /// Notes a change of health; true if there is one.
@@ -189,7 +189,7 @@
 
     /// Whether a store's process shuts down and still serves.
     pub fn is_shutting_down(&self, now: Instant, id: StoreId) -> bool {
-        self.stores.get(&id).is_some_and(|store| store.health.leaving && !store.is_unresponsive(now))
+        self.stores.get(&id).is_some_and(|store| store.health.is_shutting_down && !store.is_unresponsive(now))
     }
 
     /// When a store registered for the first time here.
--- a/system/state/placement/tests/manager.rs
+++ b/system/state/placement/tests/manager.rs
@@ -73,7 +73,7 @@
 fn a_store_that_shuts_down_hands_over_its_primaries_at_once() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
-    rig.heartbeats.insert(2, StoreHealth { leaving: true, ..StoreHealth::default() });
+    rig.heartbeats.insert(2, StoreHealth { is_shutting_down: true, ..StoreHealth::default() });
     rig.run(STEP_MS);
     assert_eq!(rig.primaries().get(&StoreId(2)), None);
 }
--- a/system/state/placement/tests/model.rs
+++ b/system/state/placement/tests/model.rs
@@ -4,7 +4,7 @@
 
 use fastrand::Rng;
 use millrudder_placement::{Input, PlacementManager};
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::placement::{Placement, ShardEntry};
 use millrudder_protocol::{ShardId, StoreId};
 use rig::{Rig, STEP_MS};
@@ -26,7 +26,7 @@
     names: BTreeMap<u64, String>,
     retiring: BTreeSet<String>,
     /// Everything that learners have ever reported.
-    reported: BTreeSet<(StoreId, FilledShard)>,
+    reported: BTreeSet<(StoreId, CaughtUpShard)>,
     previous: Placement,
 }
 
@@ -114,7 +114,7 @@
 
     fn shut_down(&mut self, up: &[u64]) {
         if let Some(id) = self.pick(up).filter(|_| self.down.len() <= self.tolerated as usize) {
-            self.rig.heartbeats.get_mut(&id).unwrap().leaving = true;
+            self.rig.heartbeats.get_mut(&id).unwrap().is_shutting_down = true;
             for _ in 0..self.random.u64(1..10) {
                 self.run_step();
             }
@@ -167,11 +167,11 @@
     /// A learner reports what it has by now, or what it had in an earlier change.
     fn report(&mut self, id: u64) {
         let all = self.rig.reports_of(id);
-        let now: Vec<FilledShard> = all.into_iter().filter(|_| self.random.u8(0..3) > 0).collect();
+        let now: Vec<CaughtUpShard> = all.into_iter().filter(|_| self.random.u8(0..3) > 0).collect();
         self.reported.extend(now.iter().map(|filled| (StoreId(id), *filled)));
         let known = self.reported.iter().filter(|(store, _)| store.0 == id).map(|(_, filled)| *filled);
         let shards = known.collect();
-        self.rig.handle(Input::CaughtUp { id: StoreId(id), shards });
+        self.rig.handle(Input::LearnerCaughtUp { id: StoreId(id), shards });
         self.check();
     }
 
@@ -217,7 +217,7 @@
         }
         let change = before.change.expect("replicas change only by a change that was agreed before");
         assert_eq!(after.replicas, before.replicas_after(&change), "and only as it says");
-        let report = (change.joins, FilledShard { shard: number, change: change.epoch });
+        let report = (change.joins, CaughtUpShard { shard: number, change: change.epoch });
         assert!(
             self.reported.contains(&report),
             "a learner is counted only after its report for this change"
@@ -242,7 +242,7 @@
     /// Without further faults and with enough machines, everything is repaired.
     fn check_converges(&mut self) {
         for id in self.up() {
-            self.rig.heartbeats.get_mut(&id).unwrap().leaving = false;
+            self.rig.heartbeats.get_mut(&id).unwrap().is_shutting_down = false;
         }
         while self.up().iter().filter(|id| !self.retiring.contains(&self.names[*id])).count()
             < self.target_replicas()
--- a/system/state/placement/tests/repair.rs
+++ b/system/state/placement/tests/repair.rs
@@ -120,7 +120,7 @@
     rig.register(4, "store-4");
     rig.run(2000);
     assert_eq!(rig.learner_count(4), 24);
-    rig.handle(Input::CaughtUp { id: StoreId(4), shards: stale });
+    rig.handle(Input::LearnerCaughtUp { id: StoreId(4), shards: stale });
     rig.run(1000);
     assert_eq!(rig.replica_count(4), 0);
 }
@@ -130,7 +130,7 @@
     let mut rig = placed(3, 1);
     rig.register(4, "store-4");
     rig.run(200);
-    rig.heartbeats.get_mut(&2).unwrap().leaving = true;
+    rig.heartbeats.get_mut(&2).unwrap().is_shutting_down = true;
     rig.run(200);
     assert_eq!(rig.learner_count(4), 24);
     assert_eq!(rig.replica_count(2), 24, "it counts until its successor is admitted");
@@ -141,7 +141,7 @@
 #[test]
 fn the_replicas_of_a_store_that_shuts_down_do_not_move_to_stores_that_hold_shards() {
     let mut rig = placed(5, 1);
-    rig.heartbeats.get_mut(&2).unwrap().leaving = true;
+    rig.heartbeats.get_mut(&2).unwrap().is_shutting_down = true;
     rig.run(1000);
     rig.heartbeats.remove(&2);
     rig.run(2000);
@@ -247,7 +247,7 @@
     let mut rig = placed(3, 1);
     rig.register(4, "store-4");
     rig.run(200);
-    rig.heartbeats.get_mut(&2).unwrap().leaving = true;
+    rig.heartbeats.get_mut(&2).unwrap().is_shutting_down = true;
     rig.run(200);
     let name = "store-2".to_owned();
     let address = rig.placement.store(StoreId(2)).unwrap().address;
--- a/system/state/placement/tests/rig/mod.rs
+++ b/system/state/placement/tests/rig/mod.rs
@@ -4,7 +4,7 @@
 
 use millrudder_clock::Instant;
 use millrudder_placement::{Input, Layout, PlacementManager, Registration};
-use millrudder_protocol::control::{FilledShard, StoreHealth};
+use millrudder_protocol::control::{CaughtUpShard, StoreHealth};
 use millrudder_protocol::placement::{ChangeReason, Placement};
 use millrudder_protocol::{Address, ShardId, StoreId};
 use std::collections::BTreeMap;
@@ -96,10 +96,10 @@
     }
 
     /// What a learner would report now if it had caught up with all of its shards.
-    pub fn reports_of(&self, id: u64) -> Vec<FilledShard> {
+    pub fn reports_of(&self, id: u64) -> Vec<CaughtUpShard> {
         let shards = self.placement.shards.iter().enumerate().filter_map(|(number, shard)| {
             let change = shard.change.filter(|change| change.joins == StoreId(id))?;
-            Some(FilledShard { shard: ShardId(number as u16), change: change.epoch })
+            Some(CaughtUpShard { shard: ShardId(number as u16), change: change.epoch })
         });
         shards.collect()
     }
@@ -107,7 +107,7 @@
     /// A learner reports that it has caught up with all of its shards.
     pub fn report_caught_up(&mut self, id: u64) {
         let shards = self.reports_of(id);
-        self.handle(Input::CaughtUp { id: StoreId(id), shards });
+        self.handle(Input::LearnerCaughtUp { id: StoreId(id), shards });
     }
 
     /// Runs while every learner that is up is filled within a step.
--- a/system/state/protocol/src/address.rs
+++ b/system/state/protocol/src/address.rs
@@ -1,21 +1,21 @@
-//! A socket address that can be encoded.
+//! A socket address with its encoding in messages.
 
 use speedy::{Context, Readable, Reader, Writable, Writer};
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// A TCP or UDP address; on the wire its family, its octets and its port.
+/// A TCP or UDP address; encoded as its family (4 or 6, one byte), its octets as a little-endian number, and its port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Address(pub SocketAddr);
 
 const FAMILY_V4: u8 = 4;
 const FAMILY_V6: u8 = 6;
 /// Bytes of the shortest address: family, octets of IPv4, port.
-const LEAST_BYTES: usize = 1 + 4 + 2;
+const MIN_BYTES: usize = 1 + 4 + 2;
 
 impl fmt::Display for Address {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.fmt(out)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
     }
 }
 
@@ -37,9 +37,9 @@
         Ok(Address(SocketAddr::new(ip, port)))
     }
 
-    /// Without it, a list of addresses with a lying length would be allocated before it is read.
+    /// Without it, a list of addresses with a false length would be allocated before it is read.
     fn minimum_bytes_needed() -> usize {
-        LEAST_BYTES
+        MIN_BYTES
     }
 }
 
--- a/system/state/protocol/src/placement.rs
+++ b/system/state/protocol/src/placement.rs
@@ -1,80 +1,86 @@
-//! Which store machines there are and which of them hold which shard: agreed on the core, read by everybody.
+//! The placement: which stores there are and which of them hold which shard. The core commits it, and every process reads
+//! it.
 
 use crate::address::Address;
 use crate::identifiers::{Epoch, ShardId, StoreId};
 use speedy::{Readable, Writable};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A store machine of the placement.
+/// A store of the placement.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct StoreEntry {
+    /// Identity of its disk.
     pub id: StoreId,
     /// `nodeName` of the machine.
     pub name: String,
+    /// Zone of the machine.
     pub zone: String,
     /// Where dispatchers and other stores connect.
     pub address: Address,
-    /// It answers the core's heartbeats; a store that does not is no primary.
+    /// It was healthy when the placement was decided.
     pub alive: bool,
 }
 
-/// Why a replica's place goes to another store.
+/// Why a replica moves to another store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ChangeReason {
-    /// The replica is lost, or the shard has fewer replicas than wanted.
+    /// The replica is lost, or the shard has fewer replicas than its target.
     Repair,
-    /// The replica's store is to be emptied.
+    /// The replica's store is retiring.
     Retire,
-    /// The replica's store holds more than its share.
+    /// The replica's store holds more replicas than others.
     Balance,
 }
 
-/// A place of a shard on its way from one store to another.
+/// A change of a shard's replicas that is in progress.
 ///
-/// While it is under way the shard has two memberships, the one before and the one after; what needs a quorum needs
-/// one in each. So the store that joins may be counted or not at any moment without losing what was acknowledged.
+/// Meanwhile the shard has two memberships, the one before and the one after; what needs a quorum needs one in each. So
+/// the store that joins may become a replica, or not, at any time without losing what was acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct MemberChange {
     /// The learner: it gets every write and is filled with what was written before.
     pub joins: StoreId,
-    /// The replica whose place it takes; absent where it is one more.
+    /// The replica that it replaces; absent where it is one more.
     pub leaves: Option<StoreId>,
     /// Epoch of the placement in which this change began; identifies it.
     pub epoch: Epoch,
+    /// Why.
     pub reason: ChangeReason,
 }
 
-/// A set of replicas and how many of them count.
+/// A set of replicas and its quorums.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Membership {
+    /// The replicas.
     pub replicas: Vec<StoreId>,
-    /// Disks that must hold a write before it is acknowledged.
+    /// Replicas that must have synced a write before it is acknowledged.
     pub write_quorum: usize,
-    /// Replicas that a new primary must have read: among any so many is one that holds each acknowledged write.
+    /// Replicas that a new primary must have read: any so many overlap with every write quorum.
     pub read_quorum: usize,
 }
 
 impl Membership {
     fn new(replicas: Vec<StoreId>, tolerated_losses: u32) -> Self {
-        let wanted = usize::try_from(tolerated_losses).unwrap_or(usize::MAX).saturating_add(1);
-        let write_quorum = wanted.min(replicas.len());
+        let target = usize::try_from(tolerated_losses).unwrap_or(usize::MAX).saturating_add(1);
+        let write_quorum = target.min(replicas.len());
         let read_quorum = replicas.len() + 1 - write_quorum;
         Membership { replicas, write_quorum, read_quorum }
     }
 
+    /// Whether a store is one of the replicas.
     pub fn contains(&self, store: StoreId) -> bool {
         self.replicas.contains(&store)
     }
 }
 
-/// Replicas of one shard.
+/// Primary and replicas of one shard.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ShardEntry {
-    /// The one that orders, accepts and grants.
+    /// The replica that orders and accepts messages and grants leases.
     pub primary: StoreId,
-    /// All that hold it, the primary among them.
+    /// All replicas, the primary among them. The first is primary whenever it is stable.
     pub replicas: Vec<StoreId>,
-    /// The one change of the replicas that is under way.
+    /// The change of the replicas that is in progress; one at a time.
     pub change: Option<MemberChange>,
     /// The primary's term: epoch of the placement in which the primary last changed.
     pub term: Epoch,
@@ -88,18 +94,21 @@
     losses.saturating_mul(2).saturating_add(1)
 }
 
-/// The agreed placement; the default one, of epoch 0, has no stores.
+/// A placement; the default one, of epoch 0, has no stores.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Placement {
+    /// Number of the placement; a higher one replaces every lower one.
     pub epoch: Epoch,
-    /// Store machines with a disk that may be lost at one time.
+    /// Stores that may be lost at one time without losing a message.
     pub tolerated_losses: u32,
+    /// Stores with a replica or a learner.
     pub stores: Vec<StoreEntry>,
-    /// Indexed by shard number; never changes its length once founded.
+    /// Indexed by shard number; their number never changes after the initial placement.
     pub shards: Vec<ShardEntry>,
 }
 
 impl Placement {
+    /// A store of the placement.
     pub fn store(&self, id: StoreId) -> Option<&StoreEntry> {
         self.stores.iter().find(|store| store.id == id)
     }
@@ -109,13 +118,15 @@
         target_replicas(self.tolerated_losses)
     }
 
+    /// Primary and replicas of a shard; `None` for a number that it does not have.
     pub fn shard(&self, id: ShardId) -> Option<&ShardEntry> {
         self.shards.get(usize::from(id.0))
     }
 
-    /// Shard of everything that must go through one place, by the name of that thing (an order key, a service).
+    /// Shard of everything that one primary must handle, by the name of that thing (an order key, a service): its hash
+    /// modulo the number of shards.
     ///
-    /// `None` before the placement is founded.
+    /// `None` before the initial placement.
     pub fn shard_of(&self, name: &str) -> Option<ShardId> {
         let count = u64::try_from(self.shards.len()).ok().filter(|count| *count > 0)?;
         let number = xxh3_64(name.as_bytes()) % count;
@@ -124,29 +135,29 @@
 
     /// Shards whose primary this store is.
     pub fn shards_of_primary(&self, store: StoreId) -> impl Iterator<Item = ShardId> + '_ {
-        let mine = self.shards.iter().enumerate().filter(move |(_, shard)| shard.primary == store);
-        mine.filter_map(|(number, _)| u16::try_from(number).ok().map(ShardId))
+        let own = self.shards.iter().enumerate().filter(move |(_, shard)| shard.primary == store);
+        own.filter_map(|(number, _)| u16::try_from(number).ok().map(ShardId))
     }
 }
 
 impl ShardEntry {
-    /// The membership in force and, while a change is under way, the one after it.
+    /// The present membership and, while a change is in progress, the one after it.
     pub fn memberships(&self, tolerated_losses: u32) -> Vec<Membership> {
-        let now = std::iter::once(self.replicas.clone());
+        let present = std::iter::once(self.replicas.clone());
         let after = self.change.map(|change| self.replicas_after(&change));
-        now.chain(after).map(|replicas| Membership::new(replicas, tolerated_losses)).collect()
+        present.chain(after).map(|replicas| Membership::new(replicas, tolerated_losses)).collect()
     }
 
-    /// Disks of the replicas in force that must hold a write before it is acknowledged.
+    /// Replicas of the present membership that must have synced a write before it is acknowledged.
     pub fn write_quorum(&self, tolerated_losses: u32) -> usize {
         Membership::new(self.replicas.clone(), tolerated_losses).write_quorum
     }
 
-    /// The replicas once a change is done.
+    /// The replicas once a change is completed.
     pub fn replicas_after(&self, change: &MemberChange) -> Vec<StoreId> {
         let mut replicas = self.replicas.clone();
         match replicas.iter_mut().find(|store| Some(**store) == change.leaves) {
-            Some(place) => *place = change.joins,
+            Some(slot) => *slot = change.joins,
             None => replicas.push(change.joins),
         }
         replicas
--- a/system/state/protocol/src/store.rs
+++ b/system/state/protocol/src/store.rs
@@ -1,28 +1,33 @@
-//! Between dispatchers and store machines, and among store machines.
+//! Messages between dispatchers and stores, and among stores.
 
 use crate::identifiers::{DispatcherId, Epoch, LeaseToken, MessageId, RequestNumber, ShardId, StoreId};
 use crate::message::{End, Grant, Message, MessageState};
 use speedy::{Readable, Writable};
-
-/// A delivery that a dispatcher holds.
+/// A lease whose end has not been recorded yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ActiveLease {
+    /// The leased message.
     pub id: MessageId,
+    /// Fencing token of the lease.
     pub token: LeaseToken,
 }
 
-/// How many deliveries of a service a dispatcher can take from one store at a time.
+/// Flow control: how many leases of a service a dispatcher takes from one store at one time.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ServiceCredit {
+    /// Name of the service.
     pub service: String,
+    /// Maximum number of active leases.
     pub limit: u32,
 }
 
-/// A service's common ceiling, as the configuration in force has it; kept by the shard that all its messages are in.
+/// Rate limit of a service, by the configuration in force. The primary of the shard that has all of the service's
+/// messages applies it.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct ServiceRate {
+    /// Name of the service.
     pub service: String,
-    /// Deliveries a second, over all dispatchers.
+    /// Deliveries per second, by all dispatchers together.
     pub per_second: f64,
 }
 
@@ -30,170 +35,280 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum AttemptOutcome {
     /// A worker answered with success.
-    Succeeded { signature: String },
-    /// A worker refused the message for good (422).
+    Succeeded {
+        /// The worker's `X-Response-Signature`.
+        signature: String,
+    },
+    /// A worker refused the message permanently (422).
     Refused,
     /// A worker answered that this attempt failed (500); it counts.
     Failed,
-    /// The message's route is in the configuration no more.
+    /// The message's route is not in the configuration any more.
     RouteGone,
-    /// It surely did not run; the message waits `retry_after_ms` at least.
-    NotRun { retry_after_ms: u32 },
-    /// Nothing is known: silence, a reset, a time-out. It does not count; it waits `retry_after_ms` at least.
-    Unknown { retry_after_ms: u32 },
+    /// The attempt certainly did not run.
+    NotRun {
+        /// Minimum backoff before the next attempt, in milliseconds.
+        retry_after_ms: u32,
+    },
+    /// Nothing is known (no answer, a reset, a time-out). The attempt is not counted.
+    Unknown {
+        /// Minimum backoff before the next attempt, in milliseconds.
+        retry_after_ms: u32,
+    },
 }
 
-/// From a dispatcher to a store.
+/// Messages from a dispatcher to a store.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum FromDispatcher {
-    /// First on each connection, and again when the placement's epoch changes: whom the store talks to, and which
-    /// deliveries of shards that this store is primary of it still holds.
+    /// Introduces the dispatcher; the first message on each connection, and sent again when the placement's epoch
+    /// changes.
     Hello {
+        /// The dispatcher's incarnation.
         dispatcher: DispatcherId,
+        /// `nodeName` of its machine.
         name: String,
+        /// Zone of its machine.
         zone: String,
+        /// Epoch of its placement.
         epoch: Epoch,
-        held: Vec<ActiveLease>,
-        /// Messages that it asked some store to keep, without an answer yet, or wants withdrawn: nobody else may run
-        /// them until it has said more.
+        /// Leases that it still holds on messages of shards whose primary this store is.
+        active_leases: Vec<ActiveLease>,
+        /// Messages that it has asked some store to accept, without an answer yet, or that it withdraws: nobody else
+        /// may run them until it has sent more.
         in_doubt: Vec<MessageId>,
     },
-    /// Keep this message. The store answers `Accepted` or `NotAccepted`. `lease`: the dispatcher would deliver it now.
-    Accept { request: RequestNumber, id: MessageId, message: Box<Message>, lease: bool },
-    /// The client got no 202: the message must not run. Answered with `Withdrawn` once that is durable.
-    Withdraw { id: MessageId },
-    /// An attempt ended, and with it the lease. Repeated until `Recorded` comes.
-    Attempted { id: MessageId, token: LeaseToken, outcome: AttemptOutcome },
-    /// The call-back was taken by its receiver (`done`), or the dispatcher gives it back for now. Repeated until
-    /// `Recorded` comes.
-    CalledBack { id: MessageId, token: LeaseToken, done: bool, retry_after_ms: u32 },
-    /// It lacks the body of a granted message.
-    NeedBody { id: MessageId, token: LeaseToken },
-    /// How much it can take, of the services for which that is news; limits of others stay. All of them follow each
-    /// `Hello`.
-    Credits { credits: Vec<ServiceCredit> },
-    /// What is known of a message. Answered with `State`.
-    Query { request: RequestNumber, id: MessageId, body: bool },
-    /// The dispatcher stops: nothing more is to be granted to it.
-    Leaving,
-    /// Answered with `Pong`.
+    /// Asks the store to accept a message. Answered with [`ToDispatcher::Accepted`] or [`ToDispatcher::Rejected`].
+    Accept {
+        /// Ties the answer to this request.
+        request: RequestNumber,
+        /// Identifier of the message.
+        id: MessageId,
+        /// The message.
+        message: Box<Message>,
+        /// The dispatcher could deliver it at once and asks for the lease.
+        wants_lease: bool,
+    },
+    /// The client got no 202: the message must not run. Answered with [`ToDispatcher::Withdrawn`] once that is durable.
+    Withdraw {
+        /// The message.
+        id: MessageId,
+    },
+    /// An attempt ended, and its lease with it. Repeated until [`ToDispatcher::Recorded`] arrives.
+    Attempted {
+        /// The message.
+        id: MessageId,
+        /// Token of the lease.
+        token: LeaseToken,
+        /// How the attempt ended.
+        outcome: AttemptOutcome,
+    },
+    /// A call-back ended. Repeated until [`ToDispatcher::Recorded`] arrives.
+    CalledBack {
+        /// The message.
+        id: MessageId,
+        /// Token of the call-back's lease.
+        token: LeaseToken,
+        /// The receiver has taken it; else the dispatcher gives the lease back.
+        done: bool,
+        /// Minimum backoff before the next attempt, in milliseconds.
+        retry_after_ms: u32,
+    },
+    /// The dispatcher lacks the body of a message that was granted without it.
+    NeedBody {
+        /// The message.
+        id: MessageId,
+        /// Token of the lease.
+        token: LeaseToken,
+    },
+    /// Flow control: limits that have changed; those of other services stay. All of them follow each `Hello`.
+    Credits {
+        /// The changed limits.
+        credits: Vec<ServiceCredit>,
+    },
+    /// Asks for the state of a message. Answered with [`ToDispatcher::State`].
+    Query {
+        /// Ties the answer to this request.
+        request: RequestNumber,
+        /// The message.
+        id: MessageId,
+        /// Asks for the message's body.
+        with_body: bool,
+    },
+    /// The dispatcher shuts down: nothing more is to be granted to it.
+    ShuttingDown,
+    /// Answered with [`ToDispatcher::Pong`].
     Ping,
-    /// Answered with `BarrierReached` after all that was sent on this connection before.
-    Barrier { number: u64 },
+    /// Answered with [`ToDispatcher::BarrierReached`], after everything that was sent on this connection before.
+    Barrier {
+        /// Ties the answer to this barrier.
+        number: u64,
+    },
 }
 
-/// Why a store does not keep a message. It does not have it then, and never will.
+/// Why a store rejects a message. It does not have the message then, and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub enum NotAccepted {
+pub enum AcceptRejection {
     /// It is not the shard's primary, or not ready to serve as such yet.
-    NotPrimary { epoch: Epoch },
-    /// Disk or memory are short.
-    Full { retry_after_ms: u32 },
+    NotPrimary {
+        /// Epoch of the store's placement.
+        epoch: Epoch,
+    },
+    /// It is short of disk or memory.
+    Full {
+        /// When the client may try again, in milliseconds.
+        retry_after_ms: u32,
+    },
 }
 
-/// What a store answers to a question for a message.
+/// Answer of a store to [`FromDispatcher::Query`].
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum QueryAnswer {
     /// This replica has no such message.
     Unknown,
-    /// By its placement this store is no replica of the message's shard: that it lacks the message says nothing.
+    /// By its placement this store is no replica of the message's shard: that it lacks the message proves nothing.
     NotReplica,
+    /// The message has not ended.
     Queued,
+    /// The message has ended.
     Ended {
+        /// How it ended.
         end: End,
     },
-    /// Asked for with `body`: the bytes, of a message that is queued or dead.
+    /// The body that was asked for, of a message that is queued or dead-lettered.
     Body {
+        /// The body.
         body: Vec<u8>,
     },
 }
 
-/// From a store to a dispatcher.
+/// Messages from a store to a dispatcher.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum ToDispatcher {
+    /// Answer to [`FromDispatcher::Hello`].
     Welcome {
+        /// The store.
         store: StoreId,
+        /// Epoch of its placement.
         epoch: Epoch,
     },
-    /// Durable on as many disks as promised; with the lease, if it was asked for and can be given.
+    /// The message is durable on a write quorum.
     Accepted {
+        /// The request that is answered.
         request: RequestNumber,
+        /// Token of the lease, if that was asked for and can be granted.
         token: Option<LeaseToken>,
     },
-    NotAccepted {
+    /// The message was not accepted.
+    Rejected {
+        /// The request that is answered.
         request: RequestNumber,
-        reason: NotAccepted,
+        /// Why.
+        reason: AcceptRejection,
     },
+    /// The withdrawal is durable.
     Withdrawn {
+        /// The message.
         id: MessageId,
     },
-    /// Deliver this once. Without `message`, the dispatcher has accepted it lately and may have it still.
+    /// Grants a lease: deliver the message once.
     Deliver {
+        /// The message.
         id: MessageId,
+        /// Token of the lease.
         token: LeaseToken,
+        /// Time since the message was received, in milliseconds.
         age_ms: u64,
+        /// Attempts that have failed before.
         failed_attempts: u32,
+        /// The message; absent where the dispatcher has submitted it recently and may still have it.
         message: Option<Box<Message>>,
     },
-    /// Tell the receiver of this end. `message` as in `Deliver`, without its body.
+    /// Grants the lease of a call-back: report the end to the receiver.
     CallBack {
+        /// The message.
         id: MessageId,
+        /// Token of the lease.
         token: LeaseToken,
+        /// How the message ended.
         end: End,
+        /// The message without its body; absent as in [`ToDispatcher::Deliver`].
         message: Option<Box<Message>>,
     },
-    /// The lease is over: do not start it if it has not started.
+    /// The lease is revoked: an attempt that has not started must not start.
     Revoke {
+        /// The message.
         id: MessageId,
+        /// Token of the lease.
         token: LeaseToken,
     },
-    /// The end of this lease is durable, or was known or void already; the dispatcher may forget it.
+    /// The end of this lease is durable, or was recorded or void already; the dispatcher may forget it.
     Recorded {
+        /// The message.
         id: MessageId,
+        /// Token of the lease.
         token: LeaseToken,
     },
+    /// Answer to [`FromDispatcher::Query`].
     State {
+        /// The request that is answered.
         request: RequestNumber,
+        /// The answer.
         answer: QueryAnswer,
     },
+    /// Answer to [`FromDispatcher::Ping`].
     Pong,
+    /// Answer to [`FromDispatcher::Barrier`].
     BarrierReached {
+        /// The barrier that is answered.
         number: u64,
     },
 }
 
-/// A change of what is known of a message; what replicas write and exchange.
+/// A change of a message's state, as replicas write and exchange it.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum Record {
-    /// The message itself, with all that is known.
+    /// The message itself, with its complete state.
     State {
+        /// The state.
         state: Box<MessageState>,
     },
+    /// A lease was granted.
     Granted {
+        /// The message.
         id: MessageId,
+        /// The lease.
         grant: Grant,
     },
-    /// The attempt under this token failed; with it, so many did.
+    /// An attempt failed.
     Failed {
+        /// The message.
         id: MessageId,
+        /// Token of the attempt's lease.
         token: LeaseToken,
+        /// Failed attempts so far, this one among them.
         failed_attempts: u32,
     },
+    /// The message ended.
     Ended {
+        /// The message.
         id: MessageId,
+        /// How it ended.
         end: End,
     },
+    /// The receiver has taken the call-back.
     CallbackDone {
+        /// The message.
         id: MessageId,
     },
-    /// Nothing needs it any more: ended, called back, and past the time in which its state may be asked for.
+    /// Nothing needs the message any more: it has ended, was called back, and its state may not be queried any more.
     Forgotten {
+        /// The message.
         id: MessageId,
     },
 }
 
 impl Record {
-    /// The message that it is about.
+    /// The message whose state changes.
     pub fn id(&self) -> MessageId {
         match self {
             Record::State { state } => state.id,
@@ -206,90 +321,120 @@
     }
 }
 
-/// What a primary believes a replica to know of one message.
+/// What a primary expects a replica to have of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ScrubEntry {
-    /// The message's name within its shard.
+    /// The message's identifier within its shard.
     pub unique: u64,
-    /// Hash of all that is known of it but for times and the message itself.
+    /// Hash of the message's state without times and without the message itself.
     pub digest: u64,
 }
 
-/// Among stores.
+/// Messages among stores.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum BetweenStores {
-    /// First on each connection.
+    /// Introduces the store; the first message on each connection.
     Hello {
+        /// The store.
         store: StoreId,
+        /// Epoch of its placement.
         epoch: Epoch,
     },
-    /// From a primary: write these and answer `Written` once they are synced. Refused in an epoch below the one
-    /// promised for the shard.
+    /// From a primary: write these records, and answer [`BetweenStores::Written`] once they are synced. Answered with
+    /// [`BetweenStores::Fenced`] if a later term was promised for the shard.
     Write {
+        /// Ties the answer to this write.
         number: RequestNumber,
+        /// The shard.
         shard: ShardId,
+        /// The primary's term.
         term: Epoch,
+        /// The records, in order.
         records: Vec<Record>,
     },
+    /// The records of a write are synced.
     Written {
+        /// The write that is answered.
         number: RequestNumber,
     },
-    /// The shard has been promised to a later primary.
+    /// A [`BetweenStores::Write`] or [`BetweenStores::Prepare`] was rejected: a later term was promised for the shard.
     Fenced {
+        /// The write that is answered; 0 for an answer to `Prepare`.
         number: RequestNumber,
+        /// The shard.
         shard: ShardId,
+        /// The promised term.
         term: Epoch,
     },
-    /// From a new primary: promise the shard to it (durably), then tell all that is known of it, in pieces.
+    /// From a new primary (phase 1 of Paxos): promise the shard to this term, durably, then send its state in chunks.
     Prepare {
+        /// The shard.
         shard: ShardId,
+        /// The new primary's term.
         term: Epoch,
     },
-    /// Part of the answer to `Prepare`: states with bodies where the message has not ended. `last` ends it.
+    /// A chunk of the answer to [`BetweenStores::Prepare`].
     Promise {
+        /// The shard.
         shard: ShardId,
+        /// The promised term.
         term: Epoch,
+        /// States of messages, with bodies where the message has not ended.
         states: Vec<MessageState>,
+        /// This is the last chunk.
         last: bool,
     },
-    /// From a primary: digests of some messages that it believes this replica to hold as it does itself. Answered with
-    /// `Scrubbed`.
+    /// From a primary: digests of some messages as this replica should have them. Answered with
+    /// [`BetweenStores::Scrubbed`].
     Scrub {
+        /// The shard.
         shard: ShardId,
+        /// The primary's term.
         term: Epoch,
+        /// The messages with their digests.
         entries: Vec<ScrubEntry>,
     },
-    /// Of the messages asked about, those that this replica lacks or knows otherwise.
+    /// Messages of a [`BetweenStores::Scrub`] that this replica lacks or has in another state.
     Scrubbed {
+        /// The shard.
         shard: ShardId,
+        /// The primary's term.
         term: Epoch,
+        /// The messages.
         differing: Vec<MessageId>,
     },
-    /// From a primary to a learner: it has all that the shard's replicas have, by the primary's placement, in which
-    /// the change of this epoch is under way.
-    Filled {
+    /// From a primary to a learner: it has everything that the shard's replicas have.
+    LearnerCaughtUp {
+        /// The shard.
         shard: ShardId,
+        /// The primary's term.
         term: Epoch,
+        /// Epoch that identifies the membership change, which is in progress in the primary's placement.
         change: Epoch,
     },
-    /// Answered with `Pong`.
+    /// Answered with [`BetweenStores::Pong`].
     Ping,
+    /// Answer to [`BetweenStores::Ping`].
     Pong,
 }
 
-/// All that can arrive on a connection that somebody opened to a store.
+/// Everything that may arrive on a connection that was opened to a store.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum ToStore {
+    /// From a dispatcher.
     Dispatcher {
+        /// The message.
         message: FromDispatcher,
     },
-    /// From the store that said `Hello` on this connection.
+    /// From the store that introduced itself on this connection.
     Store {
+        /// The message.
         message: BetweenStores,
     },
-    /// First on each connection: which store it is meant for. A machine whose disk was lost is another store at the same
-    /// address, which must not answer for the one before; it closes the connection.
+    /// The store for which the connection is meant; the first message on each connection. A machine whose disk was
+    /// lost is another store at the same address, which must not answer for the one before; it closes the connection.
     Addressed {
+        /// The store.
         store: StoreId,
     },
 }
--- a/system/state/protocol/tests/decoders.rs
+++ b/system/state/protocol/tests/decoders.rs
@@ -5,7 +5,7 @@
 
 use cap::Cap;
 use millrudder_protocol::control::{
-    FilledShard, FromCore, Registrant, StoreHealth, ToCore, WorkerEntry, WorkerList, WorkerState,
+    CaughtUpShard, FromCore, Registrant, StoreHealth, ToCore, WorkerEntry, WorkerList, WorkerState,
 };
 use millrudder_protocol::frame::{decode, encode, Content, HEADER_BYTES};
 use millrudder_protocol::message::{End, Grant, Header, Message, MessageState};
@@ -70,7 +70,7 @@
         message: Some(message()),
         failed_attempts: 1,
         grant: Some(Grant { dispatcher: DispatcherId(4), token: LeaseToken(8) }),
-        settled: LeaseToken(7),
+        resolved_through: LeaseToken(7),
         end: Some(End::Completed { signature: "3e1b.07".into() }),
         ended_age_ms: 1,
         callback_done: false,
@@ -108,10 +108,11 @@
         name: "edge".into(),
         zone: "zone-1".into(),
         epoch: Epoch(5),
-        held: vec![ActiveLease { id: id(), token }; 3],
+        active_leases: vec![ActiveLease { id: id(), token }; 3],
         in_doubt: vec![id(); 3],
     };
-    let accept = FromDispatcher::Accept { request, id: id(), message: Box::new(message()), lease: true };
+    let accept =
+        FromDispatcher::Accept { request, id: id(), message: Box::new(message()), wants_lease: true };
     let credits =
         FromDispatcher::Credits { credits: vec![ServiceCredit { service: "a".into(), limit: 3 }; 3] };
     for message in [hello, accept, credits] {
@@ -147,12 +148,12 @@
         zone: "zone-1".into(),
         capacity: 6,
         state: WorkerState::Ready,
-        cold_left_ms: 0,
+        warm_up_left_ms: 0,
     };
     add(FromCore::Workers { list: WorkerList { fencing: 3, number: 4, workers: vec![worker; 3] } }
         .write_to_vec());
     add(FromCore::Placement { placement: placement() }.write_to_vec());
-    add(FromCore::Core { addresses: vec![address(); 3] }.write_to_vec());
+    add(FromCore::CoreAddresses { addresses: vec![address(); 3] }.write_to_vec());
     let registrant = Registrant::Store {
         id: store,
         name: "a".into(),
@@ -162,7 +163,7 @@
     };
     add(ToCore::Register { registrant, configuration_version: 7, placement_epoch: 5 }.write_to_vec());
     add(ToCore::Heartbeat { health: Some(StoreHealth::default()) }.write_to_vec());
-    add(ToCore::CaughtUp { shards: vec![FilledShard { shard, change: Epoch(2) }; 5] }.write_to_vec());
+    add(ToCore::LearnerCaughtUp { shards: vec![CaughtUpShard { shard, change: Epoch(2) }; 5] }.write_to_vec());
     all
 }
 
--- a/system/state/protocol/tests/frames.rs
+++ b/system/state/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Names and frames: what goes out comes back, and nothing else is taken for a frame.
+//! Message identifiers and frames: what is encoded decodes to the same, and nothing else is taken for a frame.
 
 use millrudder_protocol::frame::{
     self, decode, encode, Content, FrameError, HEADER_BYTES, KEEP_ALIVE, MAX_CONTENT_BYTES,
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn a_name_reads_back() {
+fn a_message_id_parses_back() {
     let id = MessageId { shard: ShardId(23), unique: 0xfeed };
     assert_eq!(id.to_string().parse(), Ok(id));
 }
 
 #[test]
-fn other_texts_are_no_names() {
+fn other_texts_are_no_message_ids() {
     for text in ["", "0017", "0017000000000000feed0", "0017000000000000FEED", "+017000000000000feed", "x"] {
         assert!(text.parse::<MessageId>().is_err(), "{text}");
     }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_cut_frame_is_waited_for() {
+fn an_incomplete_frame_decodes_to_none() {
     let mut bytes = Vec::new();
     encode(&accepted(1), &mut bytes).unwrap();
     for length in 0..bytes.len() {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_long_frame_is_refused_by_its_header() {
+fn a_frame_over_the_limit_is_rejected_by_its_header() {
     let mut bytes = vec![0; HEADER_BYTES];
     let length = u32::try_from(MAX_CONTENT_BYTES + 1).unwrap();
     bytes[..4].copy_from_slice(&length.to_le_bytes());
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_changed_byte_is_noticed() {
+fn a_changed_byte_fails_the_checksum() {
     let mut bytes = Vec::new();
     encode(&accepted(7), &mut bytes).unwrap();
     let last = bytes.len() - 1;
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn addresses_of_both_families_read_back() {
+fn addresses_of_both_families_decode_to_the_same() {
     for text in ["10.1.0.40:8069", "[::1]:80"] {
         let address = Address(text.parse().unwrap());
         let bytes = address.write_to_vec().unwrap();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_long_message_is_sent_shorter_and_reads_back() {
+fn a_long_message_is_compressed_and_decodes_to_the_same() {
     let message = long_text(40_000);
     let mut bytes = Vec::new();
     frame::encode(&message, &mut bytes).unwrap();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn what_cannot_be_shortened_is_sent_as_it_is() {
+fn an_incompressible_message_is_sent_uncompressed() {
     let mut random = 1_u64;
     let mut byte = || {
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_compressed_frame_never_unpacks_to_more_than_it_says() {
+fn a_compressed_frame_never_inflates_to_more_than_its_length_says() {
     let mut bytes = Vec::new();
     frame::encode(&long_text(40_000), &mut bytes).unwrap();
     let raw_length = frame::HEADER_BYTES;
--- a/system/state/protocol/tests/golden.rs
+++ b/system/state/protocol/tests/golden.rs
@@ -1,15 +1,15 @@
 //! Each message between processes, byte for byte as earlier versions send it.
 
 use millrudder_protocol::control::{
-    ConfigurationText, FilledShard, FromCore, Registrant, StoreHealth, ToCore, WorkerEntry, WorkerList,
+    CaughtUpShard, ConfigurationText, FromCore, Registrant, StoreHealth, ToCore, WorkerEntry, WorkerList,
     WorkerState,
 };
 use millrudder_protocol::frame::{decode, encode, Content};
 use millrudder_protocol::message::{End, Grant, Header, Message, MessageState};
 use millrudder_protocol::placement::{ChangeReason, MemberChange, Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::store::{
-    ActiveLease, AttemptOutcome, BetweenStores, FromDispatcher, NotAccepted, QueryAnswer, Record, ScrubEntry,
-    ServiceCredit, ServiceRate, ToDispatcher, ToStore,
+    AcceptRejection, ActiveLease, AttemptOutcome, BetweenStores, FromDispatcher, QueryAnswer, Record,
+    ScrubEntry, ServiceCredit, ServiceRate, ToDispatcher, ToStore,
 };
 use millrudder_protocol::{
     Address, DispatcherId, Epoch, LeaseToken, MessageId, RequestNumber, Sequence, ShardId, StoreId,
@@ -22,7 +22,7 @@
 const TOKEN: LeaseToken = LeaseToken(0x1112_1314_1516_1718);
 const REQUEST: RequestNumber = RequestNumber(0x2122_2324_2526_2728);
 const SHARD: ShardId = ShardId(0x3132);
-const SINCE: Epoch = Epoch(0x4142_4344_4546_4748);
+const TERM: Epoch = Epoch(0x4142_4344_4546_4748);
 const EPOCH: Epoch = Epoch(0x5152_5354_5556_5758);
 const STORE: StoreId = StoreId(0x6162_6364_6566_6768);
 const DISPATCHER: DispatcherId = DispatcherId(0x7172_7374_7576_7778);
@@ -74,7 +74,7 @@
         message: Some(message()),
         failed_attempts: 1,
         grant: Some(Grant { dispatcher: DISPATCHER, token: TOKEN }),
-        settled: LeaseToken(7),
+        resolved_through: LeaseToken(7),
         end: Some(End::Completed { signature: "3e1b.07".into() }),
         ended_age_ms: 3,
         callback_done: true,
@@ -96,7 +96,7 @@
     let change = MemberChange {
         joins: StoreId(4),
         leaves: Some(StoreId(1)),
-        epoch: SINCE,
+        epoch: TERM,
         reason: ChangeReason::Repair,
     };
     let shard = |change: Option<MemberChange>| ShardEntry {
@@ -125,13 +125,18 @@
                 name: "edge-1".into(),
                 zone: "zone-2".into(),
                 epoch: EPOCH,
-                held: vec![ActiveLease { id: ID, token: TOKEN }],
+                active_leases: vec![ActiveLease { id: ID, token: TOKEN }],
                 in_doubt: vec![ID, MessageId { shard: SHARD, unique: 1 }],
             },
         ),
         (
             "accept",
-            FromDispatcher::Accept { request: REQUEST, id: ID, message: Box::new(message()), lease: true },
+            FromDispatcher::Accept {
+                request: REQUEST,
+                id: ID,
+                message: Box::new(message()),
+                wants_lease: true,
+            },
         ),
         (
             "accept_bare",
@@ -139,7 +144,7 @@
                 request: REQUEST,
                 id: ID,
                 message: Box::new(bare_message()),
-                lease: false,
+                wants_lease: false,
             },
         ),
         ("withdraw", FromDispatcher::Withdraw { id: ID }),
@@ -158,8 +163,8 @@
             "credits",
             FromDispatcher::Credits { credits: vec![ServiceCredit { service: "orders".into(), limit: 3 }] },
         ),
-        ("query", FromDispatcher::Query { request: REQUEST, id: ID, body: true }),
-        ("leaving", FromDispatcher::Leaving),
+        ("query", FromDispatcher::Query { request: REQUEST, id: ID, with_body: true }),
+        ("leaving", FromDispatcher::ShuttingDown),
         ("ping", FromDispatcher::Ping),
         ("barrier", FromDispatcher::Barrier { number: 77 }),
     ]
@@ -178,7 +183,7 @@
 #[test]
 fn messages_of_stores_to_dispatchers() {
     let state = |answer| ToDispatcher::State { request: REQUEST, answer };
-    let not_accepted = |reason| ToDispatcher::NotAccepted { request: REQUEST, reason };
+    let rejected = |reason| ToDispatcher::Rejected { request: REQUEST, reason };
     let call_back = |end, message| ToDispatcher::CallBack { id: ID, token: TOKEN, end, message };
     let deliver =
         |message| ToDispatcher::Deliver { id: ID, token: TOKEN, age_ms: 1_234, failed_attempts: 2, message };
@@ -187,8 +192,8 @@
         ("welcome", ToDispatcher::Welcome { store: STORE, epoch: EPOCH }),
         ("accepted", ToDispatcher::Accepted { request: REQUEST, token: Some(TOKEN) }),
         ("accepted_without_lease", ToDispatcher::Accepted { request: REQUEST, token: None }),
-        ("not_accepted_not_primary", not_accepted(NotAccepted::NotPrimary { epoch: EPOCH })),
-        ("not_accepted_full", not_accepted(NotAccepted::Full { retry_after_ms: 90 })),
+        ("not_accepted_not_primary", rejected(AcceptRejection::NotPrimary { epoch: EPOCH })),
+        ("not_accepted_full", rejected(AcceptRejection::Full { retry_after_ms: 90 })),
         ("withdrawn", ToDispatcher::Withdrawn { id: ID }),
         ("deliver", deliver(Some(Box::new(message())))),
         ("deliver_without_message", deliver(None)),
@@ -230,29 +235,24 @@
     let all_records = records().into_iter().map(|(_, record)| record).collect();
     for (name, message) in [
         ("hello", BetweenStores::Hello { store: STORE, epoch: EPOCH }),
-        ("write", BetweenStores::Write { number: REQUEST, shard: SHARD, term: SINCE, records: all_records }),
+        ("write", BetweenStores::Write { number: REQUEST, shard: SHARD, term: TERM, records: all_records }),
         ("written", BetweenStores::Written { number: REQUEST }),
-        ("fenced", BetweenStores::Fenced { number: REQUEST, shard: SHARD, term: SINCE }),
-        ("promise", BetweenStores::Prepare { shard: SHARD, term: SINCE }),
+        ("fenced", BetweenStores::Fenced { number: REQUEST, shard: SHARD, term: TERM }),
+        ("promise", BetweenStores::Prepare { shard: SHARD, term: TERM }),
         (
             "promised",
-            BetweenStores::Promise {
-                shard: SHARD,
-                term: SINCE,
-                states: vec![state(), summary()],
-                last: true,
-            },
+            BetweenStores::Promise { shard: SHARD, term: TERM, states: vec![state(), summary()], last: true },
         ),
         (
             "scrub",
             BetweenStores::Scrub {
                 shard: SHARD,
-                term: SINCE,
+                term: TERM,
                 entries: vec![ScrubEntry { unique: 0x9192, digest: 0xa1a2 }],
             },
         ),
-        ("scrubbed", BetweenStores::Scrubbed { shard: SHARD, term: SINCE, differing: vec![ID] }),
-        ("filled", BetweenStores::Filled { shard: SHARD, term: SINCE, change: EPOCH }),
+        ("scrubbed", BetweenStores::Scrubbed { shard: SHARD, term: TERM, differing: vec![ID] }),
+        ("filled", BetweenStores::LearnerCaughtUp { shard: SHARD, term: TERM, change: EPOCH }),
         ("ping", BetweenStores::Ping),
         ("pong", BetweenStores::Pong),
     ] {
@@ -272,7 +272,7 @@
         zone: "zone-3".into(),
         capacity: 8,
         state,
-        cold_left_ms: 4_500,
+        warm_up_left_ms: 4_500,
     };
     let workers = vec![worker(WorkerState::Ready, address()), worker(WorkerState::Draining, address_v6())];
     WorkerList { fencing: 0xb1b2, number: 0xc1c2, workers }
@@ -280,8 +280,13 @@
 
 #[test]
 fn messages_to_and_from_core_machines() {
-    let health =
-        StoreHealth { oldest_unsynced_ms: 11, disk_bytes: 12, live_messages: 13, leaving: true, serving: 14 };
+    let health = StoreHealth {
+        oldest_unsynced_ms: 11,
+        disk_bytes: 12,
+        live_messages: 13,
+        is_shutting_down: true,
+        primary_shards: 14,
+    };
     let register =
         |registrant| ToCore::Register { registrant, configuration_version: 0xd1d2, placement_epoch: 0xe1e2 };
     let dispatcher = Registrant::Dispatcher { name: "edge-1".into(), zone: "zone-2".into() };
@@ -298,8 +303,11 @@
         ("register_store", register(store)),
         ("heartbeat", ToCore::Heartbeat { health: Some(health) }),
         ("heartbeat_without_health", ToCore::Heartbeat { health: None }),
-        ("caught_up", ToCore::CaughtUp { shards: vec![FilledShard { shard: SHARD, change: EPOCH }] }),
-        ("ask", ToCore::Ask { moment_ms: 0xf1f2 }),
+        (
+            "caught_up",
+            ToCore::LearnerCaughtUp { shards: vec![CaughtUpShard { shard: SHARD, change: EPOCH }] },
+        ),
+        ("ask", ToCore::StalenessCheck { sent_at_ms: 0xf1f2 }),
     ] {
         check(&mut golden, &format!("to_core_{name}"), &message);
     }
@@ -310,10 +318,14 @@
         ("workers", FromCore::Workers { list: workers() }),
         (
             "heartbeat",
-            FromCore::Heartbeat { configuration_version: 0xd1d2, placement_epoch: 0xe1e2, moment_ms: 0xf1f2 },
+            FromCore::StalenessConfirmed {
+                configuration_version: 0xd1d2,
+                placement_epoch: 0xe1e2,
+                sent_at_ms: 0xf1f2,
+            },
         ),
-        ("core", FromCore::Core { addresses: vec![address(), address_v6()] }),
-        ("dispatchers", FromCore::Dispatchers { count: 69 }),
+        ("core", FromCore::CoreAddresses { addresses: vec![address(), address_v6()] }),
+        ("dispatchers", FromCore::DispatcherCount { count: 69 }),
         ("try_another", FromCore::Redirect),
         ("no_majority", FromCore::NoQuorum),
     ] {
--- a/system/state/queue/src/accept.rs
+++ b/system/state/queue/src/accept.rs
@@ -6,7 +6,7 @@
 use crate::node::StoreNode;
 use crate::reign::Withdrawal;
 use millrudder_protocol::message::{End, Message};
-use millrudder_protocol::store::{NotAccepted, QueryAnswer, ToDispatcher};
+use millrudder_protocol::store::{AcceptRejection, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{DispatcherId, MessageId, RequestNumber};
 
 /// Withdrawals that wait for one shard's take-over; further ones are not answered.
@@ -24,8 +24,8 @@
     ) {
         let Some(dispatcher) = self.dispatchers.of(connection) else { return };
         if !self.is_serving(id.shard) {
-            let reason = NotAccepted::NotPrimary { epoch: self.placement.epoch };
-            self.tell(connection, ToDispatcher::NotAccepted { request, reason });
+            let reason = AcceptRejection::NotPrimary { epoch: self.placement.epoch };
+            self.tell(connection, ToDispatcher::Rejected { request, reason });
             return;
         }
         if let Some(entry) = self.table.get(id) {
@@ -58,8 +58,8 @@
     }
 
     fn refuse(&mut self, connection: ConnectionId, request: RequestNumber) {
-        let reason = NotAccepted::Full { retry_after_ms: self.config.full_retry_after_ms };
-        self.tell(connection, ToDispatcher::NotAccepted { request, reason });
+        let reason = AcceptRejection::Full { retry_after_ms: self.config.full_retry_after_ms };
+        self.tell(connection, ToDispatcher::Rejected { request, reason });
     }
 
     fn is_full(&self, message: &Message) -> bool {
--- a/system/state/queue/src/api.rs
+++ b/system/state/queue/src/api.rs
@@ -1,6 +1,6 @@
 //! What goes into the state machine and what comes out of it.
 
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::store::{BetweenStores, FromDispatcher, Record, ServiceRate, ToDispatcher};
 use millrudder_protocol::{Epoch, MessageId, ShardId, StoreId};
@@ -106,7 +106,7 @@
     },
     /// This store has all that the shard's replicas have: the core may count it as a replica.
     CaughtUp {
-        filled: FilledShard,
+        filled: CaughtUpShard,
     },
     /// The message lay though nothing held it back, and is on its way again: to be counted and logged.
     Stray {
--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -57,7 +57,7 @@
     pub fn of_state(state: &MessageState) -> Facts {
         Facts {
             failed_attempts: state.failed_attempts,
-            settled: state.settled,
+            settled: state.resolved_through,
             grant: state.grant.map(|grant| grant.token),
             end: state.end.clone(),
             callback_done: state.callback_done,
@@ -110,7 +110,7 @@
         self.sequence = self.sequence.max(state.sequence);
         self.received = self.received.min(now.minus(state.age_ms.saturating_add(state_age_ms)));
         self.failed_attempts = self.failed_attempts.max(state.failed_attempts);
-        self.settled = self.settled.max(state.settled);
+        self.settled = self.settled.max(state.resolved_through);
         self.callback_done |= state.callback_done;
         self.join_grant(state.grant);
         if let Some(message) = state.message {
@@ -195,7 +195,7 @@
             message: Some(self.message.as_deref().cloned().unwrap_or_else(|| self.hollow_message())),
             failed_attempts: self.failed_attempts,
             grant: self.grant,
-            settled: self.settled,
+            resolved_through: self.settled,
             end: self.end.clone(),
             ended_age_ms: if self.end.is_some() { now.since(self.ended) } else { 0 },
             callback_done: self.callback_done,
--- a/system/state/queue/src/follower.rs
+++ b/system/state/queue/src/follower.rs
@@ -6,7 +6,7 @@
 use crate::entry::message_bytes;
 use crate::node::StoreNode;
 use crate::timers::Timer;
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::message::MessageState;
 use millrudder_protocol::store::{BetweenStores, Record};
 use millrudder_protocol::{Epoch, MessageId, RequestNumber, ShardId, StoreId};
@@ -151,7 +151,7 @@
     /// The shard's primary says that this learner lacks nothing.
     pub(crate) fn filled(&mut self, shard: ShardId, since: Epoch, change: Epoch) {
         if since >= self.promised_epoch(shard) && !self.disk.failed {
-            self.out.push(Output::CaughtUp { filled: FilledShard { shard, change } });
+            self.out.push(Output::CaughtUp { filled: CaughtUpShard { shard, change } });
         }
     }
 }
--- a/system/state/queue/src/node.rs
+++ b/system/state/queue/src/node.rs
@@ -176,10 +176,10 @@
     fn take_from_dispatcher(&mut self, connection: ConnectionId, message: FromDispatcher) {
         self.dispatchers.heard(connection, self.now);
         match message {
-            FromDispatcher::Hello { dispatcher, name: _, zone, epoch, held, in_doubt } => {
+            FromDispatcher::Hello { dispatcher, name: _, zone, epoch, active_leases: held, in_doubt } => {
                 self.hello(connection, dispatcher, &zone, epoch, &held, in_doubt);
             }
-            FromDispatcher::Accept { request, id, message, lease } => {
+            FromDispatcher::Accept { request, id, message, wants_lease: lease } => {
                 self.accept(connection, request, id, message, lease);
             }
             FromDispatcher::Withdraw { id } => self.withdraw(connection, id),
@@ -191,8 +191,10 @@
             }
             FromDispatcher::NeedBody { id, token } => self.need_body(connection, id, token),
             FromDispatcher::Credits { credits } => self.set_credits(connection, &credits),
-            FromDispatcher::Query { request, id, body } => self.query(connection, request, id, body),
-            FromDispatcher::Leaving => self.dispatcher_leaving(connection),
+            FromDispatcher::Query { request, id, with_body: body } => {
+                self.query(connection, request, id, body)
+            }
+            FromDispatcher::ShuttingDown => self.dispatcher_leaving(connection),
             FromDispatcher::Ping => self.tell(connection, ToDispatcher::Pong),
             FromDispatcher::Barrier { number } => {
                 self.tell(connection, ToDispatcher::BarrierReached { number })
@@ -218,7 +220,9 @@
             BetweenStores::Scrubbed { shard, term: since, differing } => {
                 self.scrubbed(from, shard, since, &differing);
             }
-            BetweenStores::Filled { shard, term: since, change } => self.filled(shard, since, change),
+            BetweenStores::LearnerCaughtUp { shard, term: since, change } => {
+                self.filled(shard, since, change)
+            }
             BetweenStores::Ping => self.tell_store(from, BetweenStores::Pong),
         }
     }
@@ -270,8 +274,8 @@
             oldest_unsynced_ms: u32::try_from(oldest_unsynced_ms).unwrap_or(u32::MAX),
             disk_bytes: self.table.bytes(),
             live_messages: self.table.live(),
-            leaving: self.leaving,
-            serving: u32::try_from(serving).unwrap_or(u32::MAX),
+            is_shutting_down: self.leaving,
+            primary_shards: u32::try_from(serving).unwrap_or(u32::MAX),
         }
     }
 
--- a/system/state/queue/src/repair.rs
+++ b/system/state/queue/src/repair.rs
@@ -118,7 +118,10 @@
             let Some(reign) = self.reigns.get(&shard) else { continue };
             let since = reign.since;
             if let Some(change) = reign.change.filter(|change| change.joins == store) {
-                self.tell_store(store, BetweenStores::Filled { shard, term: since, change: change.epoch });
+                self.tell_store(
+                    store,
+                    BetweenStores::LearnerCaughtUp { shard, term: since, change: change.epoch },
+                );
             }
         }
     }
--- a/system/state/queue/src/takeover.rs
+++ b/system/state/queue/src/takeover.rs
@@ -301,7 +301,7 @@
         let knows_callback = state.callback_done && !entry.callback_done;
         let knows_end = state.end.as_ref().is_some_and(|end| entry.end.as_ref().is_none_or(|own| end < own));
         if knows_more_failures {
-            let (token, failed_attempts) = (state.settled, state.failed_attempts);
+            let (token, failed_attempts) = (state.resolved_through, state.failed_attempts);
             self.record(id, Record::Failed { id, token, failed_attempts });
         }
         if let Some(end) = state.end.filter(|_| knows_end) {
--- a/system/state/queue/tests/call_backs.rs
+++ b/system/state/queue/tests/call_backs.rs
@@ -260,7 +260,7 @@
     let mut wired = with_dispatchers(12);
     let before = callers(&mut wired, "r", 20);
     for gone in before.iter().filter(|gone| **gone != 1) {
-        wired.say(0, *gone, FromDispatcher::Leaving);
+        wired.say(0, *gone, FromDispatcher::ShuttingDown);
     }
     let after = callers(&mut wired, "r", 20);
     assert!(!after.is_empty());
--- a/system/state/queue/tests/cluster/dispatcher.rs
+++ b/system/state/queue/tests/cluster/dispatcher.rs
@@ -3,7 +3,9 @@
 use super::Cluster;
 use millrudder_protocol::message::Message;
 use millrudder_protocol::placement::Placement;
-use millrudder_protocol::store::{ActiveLease, AttemptOutcome, FromDispatcher, NotAccepted, ToDispatcher};
+use millrudder_protocol::store::{
+    AcceptRejection, ActiveLease, AttemptOutcome, FromDispatcher, ToDispatcher,
+};
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, RequestNumber, StoreId};
 use std::collections::BTreeMap;
 
@@ -111,7 +113,7 @@
             name: format!("dispatcher-{at}"),
             zone: dispatcher.zone.clone(),
             epoch: dispatcher.placement.epoch,
-            held,
+            active_leases: held,
             in_doubt,
         };
         self.send_to_store(at, store, hello);
@@ -161,7 +163,7 @@
             FromDispatcher::Withdraw { id }
         } else {
             let message = Box::new(dispatcher.bodies[&id].0.clone());
-            FromDispatcher::Accept { request: pending.request, id, message, lease }
+            FromDispatcher::Accept { request: pending.request, id, message, wants_lease: lease }
         };
         self.tell_primary(at, id, message);
     }
@@ -174,7 +176,7 @@
             | ToDispatcher::State { .. } => {}
             ToDispatcher::Revoke { id, token } => self.revoked(at, id, token),
             ToDispatcher::Accepted { request, token } => self.acknowledged(at, request, token),
-            ToDispatcher::NotAccepted { request, reason } => self.refused(at, request, reason),
+            ToDispatcher::Rejected { request, reason } => self.refused(at, request, reason),
             ToDispatcher::Withdrawn { id } => {
                 let pending = self.dispatchers[at].pending.get(&id);
                 if pending.is_some_and(|pending| pending.withdrawing) {
@@ -218,11 +220,11 @@
         }
     }
 
-    fn refused(&mut self, at: usize, request: RequestNumber, reason: NotAccepted) {
+    fn refused(&mut self, at: usize, request: RequestNumber, reason: AcceptRejection) {
         let dispatcher = &mut self.dispatchers[at];
         let found = dispatcher.pending.iter().find(|(_, pending)| pending.request == request);
         let Some(id) = found.map(|(id, _)| *id) else { return };
-        if matches!(reason, NotAccepted::Full { .. }) {
+        if matches!(reason, AcceptRejection::Full { .. }) {
             dispatcher.pending.remove(&id);
             self.refusals += 1;
         }
--- a/system/state/queue/tests/cluster/manager.rs
+++ b/system/state/queue/tests/cluster/manager.rs
@@ -2,7 +2,7 @@
 
 use super::links::{End, LinkId};
 use super::{Cluster, Event, Options};
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::placement::{ChangeReason, MemberChange, Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::{Address, Epoch, StoreId};
 use millrudder_queue::Input;
@@ -162,8 +162,9 @@
         for (number, shard) in placement.shards.iter_mut().enumerate() {
             let Some(change) = shard.change else { continue };
             let store = self.stores.iter().find(|store| store.id == change.joins);
-            let is_this =
-                |filled: &FilledShard| usize::from(filled.shard.0) == number && filled.change == change.epoch;
+            let is_this = |filled: &CaughtUpShard| {
+                usize::from(filled.shard.0) == number && filled.change == change.epoch
+            };
             if store.is_some_and(|store| store.caught_up.iter().any(is_this)) {
                 shard.replicas = shard.replicas_after(&change);
                 shard.change = None;
--- a/system/state/queue/tests/cluster/stores.rs
+++ b/system/state/queue/tests/cluster/stores.rs
@@ -3,7 +3,7 @@
 use super::disks::Disk;
 use super::links::{End, LinkId};
 use super::{Cluster, Event, Options, Payload};
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::{MessageId, StoreId};
 use millrudder_queue::{Input, Output, StoreNode, StrayCause};
 use std::collections::BTreeSet;
@@ -35,7 +35,7 @@
     pub sync_ms: u64,
     pub leaving: bool,
     /// Shards of which it said that it has caught up.
-    pub caught_up: BTreeSet<FilledShard>,
+    pub caught_up: BTreeSet<CaughtUpShard>,
     pub released: BTreeSet<MessageId>,
     ticking_at: Option<u64>,
     /// What its process's steady clock is ahead of the simulation's: each one starts anywhere.
--- a/system/state/queue/tests/delivery.rs
+++ b/system/state/queue/tests/delivery.rs
@@ -3,7 +3,9 @@
 mod wired;
 
 use millrudder_protocol::message::{End, Message};
-use millrudder_protocol::store::{AttemptOutcome, FromDispatcher, NotAccepted, QueryAnswer, ToDispatcher};
+use millrudder_protocol::store::{
+    AcceptRejection, AttemptOutcome, FromDispatcher, QueryAnswer, ToDispatcher,
+};
 use millrudder_protocol::{LeaseToken, RequestNumber};
 use millrudder_queue::{Config, ConnectionId, Input};
 use wired::{message, with_key, Granted, Wired};
@@ -63,7 +65,7 @@
     let other = Message { request_id: "another".to_owned(), body: b"other".to_vec(), ..message() };
     wired.accept_as(0, 1, id, other, true);
     assert_eq!(wired.acceptances(), before);
-    let refused = |(_, told): &(ConnectionId, ToDispatcher)| matches!(told, ToDispatcher::NotAccepted { .. });
+    let refused = |(_, told): &(ConnectionId, ToDispatcher)| matches!(told, ToDispatcher::Rejected { .. });
     assert!(wired.told.iter().any(refused), "so the dispatcher tries another name");
     assert_eq!(wired.state(0, id).unwrap().message.unwrap().request_id, message().request_id);
 }
@@ -307,7 +309,7 @@
     let mut wired = one_store();
     let id = wired.accept(0, 1, message(), true);
     let token = accepted_token(&wired);
-    wired.say(0, 1, FromDispatcher::Leaving);
+    wired.say(0, 1, FromDispatcher::ShuttingDown);
     wired.accept(0, 1, message(), true);
     assert_eq!(wired.last_accepted(), Some(None));
     wired.advance(2_000);
@@ -374,7 +376,7 @@
     let is_full = |message: &ToDispatcher| {
         matches!(
             message,
-            ToDispatcher::NotAccepted { reason: NotAccepted::Full { retry_after_ms: 1_000 }, .. }
+            ToDispatcher::Rejected { reason: AcceptRejection::Full { retry_after_ms: 1_000 }, .. }
         )
     };
     assert!(wired.told.iter().any(|(_, message)| is_full(message)));
@@ -395,7 +397,7 @@
 }
 
 fn ask(wired: &mut Wired, id: millrudder_protocol::MessageId, body: bool) -> QueryAnswer {
-    wired.say(0, 1, FromDispatcher::Query { request: RequestNumber(9), id, body });
+    wired.say(0, 1, FromDispatcher::Query { request: RequestNumber(9), id, with_body: body });
     let answer = |message: &ToDispatcher| match message {
         ToDispatcher::State { answer, .. } => Some(answer.clone()),
         _ => None,
@@ -430,11 +432,11 @@
     wired.input(0, Input::DiskFailed);
     wired.accept(0, 1, message(), true);
     let is_refused = |message: &ToDispatcher| {
-        matches!(message, ToDispatcher::NotAccepted { reason: NotAccepted::NotPrimary { .. }, .. })
+        matches!(message, ToDispatcher::Rejected { reason: AcceptRejection::NotPrimary { .. }, .. })
     };
     assert!(wired.told.iter().any(|(_, message)| is_refused(message)));
     let health = wired.places[0].node.as_ref().unwrap().health(wired.now_ms);
-    assert_eq!((health.serving, health.oldest_unsynced_ms), (0, u32::MAX));
+    assert_eq!((health.primary_shards, health.oldest_unsynced_ms), (0, u32::MAX));
 }
 
 /// The dispatcher that holds the message is gone; another one is granted it. Gives that grant.
@@ -459,7 +461,7 @@
         wired.attempted(0, again, id, token, AttemptOutcome::Failed);
         assert!(wired.is_recorded(id, token));
         assert_eq!(u64::from(wired.state(0, id).unwrap().failed_attempts), dispatcher);
-        wired.say(0, again, FromDispatcher::Leaving);
+        wired.say(0, again, FromDispatcher::ShuttingDown);
         token = next.token;
     }
     assert_eq!(wired.state(0, id).unwrap().end, Some(End::DeadLetter));
--- a/system/state/queue/tests/homes.rs
+++ b/system/state/queue/tests/homes.rs
@@ -93,7 +93,7 @@
     let mut wired = store(Config::default());
     let homes = runners(&mut wired, ordered(60));
     let gone = *homes.first().unwrap();
-    wired.say(0, gone, FromDispatcher::Leaving);
+    wired.say(0, gone, FromDispatcher::ShuttingDown);
     let later = (0..60).map(|number| with_key(&format!("later-{number}")));
     let later = runners(&mut wired, later);
     assert!(!later.contains(&gone));
--- a/system/state/queue/tests/replicas/membership.rs
+++ b/system/state/queue/tests/replicas/membership.rs
@@ -1,6 +1,6 @@
 //! A shard's replicas change.
 
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::store::{FromDispatcher, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{Epoch, MessageId, RequestNumber};
 
@@ -13,7 +13,7 @@
     let id = wired.name();
     let ask = |wired: &mut Wired| {
         wired.told.clear();
-        wired.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, body: false });
+        wired.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, with_body: false });
         let (_, told) = wired.told.pop().expect("an answer");
         told
     };
@@ -36,7 +36,7 @@
     wired.start(learner);
     wired.spread();
     let during = wired.accept(0, 1, message(), true);
-    assert_eq!(wired.caught_up, [(learner, FilledShard { shard: SHARD, change: Epoch(2) })]);
+    assert_eq!(wired.caught_up, [(learner, CaughtUpShard { shard: SHARD, change: Epoch(2) })]);
     for id in before.iter().chain([&during]) {
         assert!(wired.state(learner, *id).is_some());
     }
@@ -75,7 +75,7 @@
     assert!(wired.state(1, id).is_none());
     let learner = moving_to_a_learner(&mut wired);
     wired.spread();
-    assert_eq!(wired.caught_up, [(learner, FilledShard { shard: SHARD, change: Epoch(2) })]);
+    assert_eq!(wired.caught_up, [(learner, CaughtUpShard { shard: SHARD, change: Epoch(2) })]);
     wired.placement.shards[0].change = None;
     wired.placement.shards[0].replicas = vec![store_id(0), store_id(1), store_id(learner)];
     wired.placement.epoch = Epoch(3);
@@ -116,6 +116,6 @@
     wired.placement.shards[0].change = Some(replaces(2, learner, Epoch(4)));
     wired.placement.epoch = Epoch(4);
     wired.spread();
-    assert_eq!(wired.caught_up.last(), Some(&(learner, FilledShard { shard: SHARD, change: Epoch(4) })));
+    assert_eq!(wired.caught_up.last(), Some(&(learner, CaughtUpShard { shard: SHARD, change: Epoch(4) })));
     assert!(wired.state(learner, between).is_some());
 }
--- a/system/state/queue/tests/replicas/takeovers.rs
+++ b/system/state/queue/tests/replicas/takeovers.rs
@@ -1,7 +1,9 @@
 //! A shard's primary changes.
 
 use millrudder_protocol::message::{End, Message};
-use millrudder_protocol::store::{ActiveLease, AttemptOutcome, FromDispatcher, NotAccepted, ToDispatcher};
+use millrudder_protocol::store::{
+    AcceptRejection, ActiveLease, AttemptOutcome, FromDispatcher, ToDispatcher,
+};
 use millrudder_protocol::{Epoch, MessageId};
 use millrudder_queue::{ConnectionId, DiskRecord, Input};
 
@@ -18,7 +20,7 @@
         assert!(wired.state(2, id).is_some());
     }
     let health = wired.places[2].node.as_ref().unwrap().health(wired.now_ms);
-    assert_eq!(health.serving, 1);
+    assert_eq!(health.primary_shards, 1);
 }
 
 #[test]
@@ -47,7 +49,7 @@
     let refused = |message: &ToDispatcher| {
         matches!(
             message,
-            ToDispatcher::NotAccepted { reason: NotAccepted::NotPrimary { epoch: Epoch(2) }, .. }
+            ToDispatcher::Rejected { reason: AcceptRejection::NotPrimary { epoch: Epoch(2) }, .. }
         )
     };
     assert!(wired.told.iter().any(|(_, message)| refused(message)));
@@ -62,13 +64,13 @@
     wired.places[0].held = true;
     wired.move_primary(1);
     let node = wired.places[0].node.as_ref().unwrap();
-    assert_eq!(node.health(wired.now_ms).serving, 1, "it still believes to be primary");
+    assert_eq!(node.health(wired.now_ms).primary_shards, 1, "it still believes to be primary");
     wired.accept(0, 1, message(), true);
     wired.advance(1_000);
     assert_eq!(wired.acceptances(), 0);
     wired.release(0);
     let node = wired.places[0].node.as_ref().unwrap();
-    assert_eq!(node.health(wired.now_ms).serving, 0, "the refusal tells it");
+    assert_eq!(node.health(wired.now_ms).primary_shards, 0, "the refusal tells it");
     assert_eq!(wired.acceptances(), 0);
 }
 
--- a/system/state/queue/tests/states.rs
+++ b/system/state/queue/tests/states.rs
@@ -44,7 +44,7 @@
             message: Some(body()),
             failed_attempts,
             grant: token.map(grant),
-            settled: LeaseToken(settled),
+            resolved_through: LeaseToken(settled),
             ended_age_ms: if end.is_some() { ended_age_ms } else { 0 },
             end,
             callback_done,
@@ -100,7 +100,7 @@
         message: Some(body()),
         failed_attempts: 0,
         grant: None,
-        settled: LeaseToken(0),
+        resolved_through: LeaseToken(0),
         end: None,
         ended_age_ms: 0,
         callback_done: false,
@@ -116,7 +116,7 @@
 /// What is known later includes what was known before.
 fn assert_grown(before: &MessageState, after: &MessageState) {
     assert!(after.failed_attempts >= before.failed_attempts);
-    assert!(after.settled >= before.settled);
+    assert!(after.resolved_through >= before.resolved_through);
     assert!(after.grant.map(|grant| grant.token) >= before.grant.map(|grant| grant.token));
     assert!(after.callback_done || !before.callback_done);
     if let Some(end) = &before.end {
--- a/system/state/queue/tests/wired/mod.rs
+++ b/system/state/queue/tests/wired/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::message::{Message, MessageState};
 use millrudder_protocol::placement::{Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::store::{
@@ -67,7 +67,7 @@
     pub grants: Vec<Granted>,
     pub closed: Vec<ConnectionId>,
     pub released: BTreeSet<MessageId>,
-    pub caught_up: Vec<(usize, FilledShard)>,
+    pub caught_up: Vec<(usize, CaughtUpShard)>,
     pub strays: Vec<Stray>,
     /// Messages between stores so far.
     pub writes: u64,
@@ -372,7 +372,7 @@
             name: format!("dispatcher-{dispatcher}"),
             zone: zone.to_owned(),
             epoch: self.placement.epoch,
-            held,
+            active_leases: held,
             in_doubt,
         };
         self.say(store, connection, hello);
@@ -398,7 +398,7 @@
         self.requests += 1;
         let request = RequestNumber(self.requests);
         let message = Box::new(message);
-        self.say(store, connection, FromDispatcher::Accept { request, id, message, lease });
+        self.say(store, connection, FromDispatcher::Accept { request, id, message, wants_lease: lease });
     }
 
     /// The token of the acceptance that was told last.
--- a/system/state/record-log/examples/recovery.rs
+++ b/system/state/record-log/examples/recovery.rs
@@ -86,7 +86,7 @@
         message: Some(message(body_bytes)),
         failed_attempts: 0,
         grant: None,
-        settled: LeaseToken(0),
+        resolved_through: LeaseToken(0),
         end: None,
         ended_age_ms: 0,
         callback_done: false,
--- a/system/state/record-log/tests/support/mod.rs
+++ b/system/state/record-log/tests/support/mod.rs
@@ -85,7 +85,7 @@
         message: Some(message(body_bytes)),
         failed_attempts: 0,
         grant: None,
-        settled: LeaseToken(0),
+        resolved_through: LeaseToken(0),
         end,
         ended_age_ms: 0,
         callback_done: false,
--- a/system/state/record-log/tests/support/model.rs
+++ b/system/state/record-log/tests/support/model.rs
@@ -30,7 +30,7 @@
         MergedState {
             has_state: true,
             failed_attempts: state.failed_attempts,
-            settled: state.settled,
+            settled: state.resolved_through,
             granted: state.grant.map(|grant| grant.token).unwrap_or_default(),
             end: state.end.clone(),
             callback_done: state.callback_done,
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -271,12 +271,12 @@
         }
     }
 
-    fn vouch(&self, scene: &mut CoreScene<'_>, connection: ConnectionId, moment_ms: u64) {
+    fn vouch(&self, scene: &mut CoreScene<'_>, connection: ConnectionId, sent_at_ms: u64) {
         let state = self.node.machine().state();
-        let message = FromCore::Heartbeat {
+        let message = FromCore::StalenessConfirmed {
             configuration_version: state.configuration().version,
             placement_epoch: state.placement().epoch.0,
-            moment_ms,
+            sent_at_ms,
         };
         tell(scene, Connection(connection.0), &message);
     }
@@ -336,11 +336,11 @@
                 self.on_register(scene, connection, registrant, configuration_version, placement_epoch);
             }
             // The simulated machine vouches for nothing.
-            ToCore::Ask { moment_ms } => {
+            ToCore::StalenessCheck { sent_at_ms } => {
                 let connection = ConnectionId(connection.0);
                 self.guard(
                     scene,
-                    GateInput::StalenessCheck { connection, sent_at: RegistrantTime(moment_ms) },
+                    GateInput::StalenessCheck { connection, sent_at: RegistrantTime(sent_at_ms) },
                 );
             }
             ToCore::Heartbeat { health } => {
@@ -348,9 +348,9 @@
                     self.manage(scene, PlacementInput::Heartbeat { id, health });
                 }
             }
-            ToCore::CaughtUp { shards } => {
+            ToCore::LearnerCaughtUp { shards } => {
                 if let Some(id) = self.store(connection) {
-                    self.manage(scene, PlacementInput::CaughtUp { id, shards });
+                    self.manage(scene, PlacementInput::LearnerCaughtUp { id, shards });
                 }
             }
         }
@@ -581,7 +581,7 @@
     }
 
     fn core_addresses(&self) -> FromCore {
-        FromCore::Core { addresses: self.known.iter().copied().map(Address).collect() }
+        FromCore::CoreAddresses { addresses: self.known.iter().copied().map(Address).collect() }
     }
 
     fn tell_all(&self, scene: &mut CoreScene<'_>, message: &FromCore) {
--- a/system/testing/simulation/src/dispatcher.rs
+++ b/system/testing/simulation/src/dispatcher.rs
@@ -7,7 +7,9 @@
 use millrudder_protocol::control::{FromCore, Registrant, ToCore, WorkerList};
 use millrudder_protocol::message::Message;
 use millrudder_protocol::placement::Placement;
-use millrudder_protocol::store::{ActiveLease, AttemptOutcome, FromDispatcher, NotAccepted, ToDispatcher};
+use millrudder_protocol::store::{
+    AcceptRejection, ActiveLease, AttemptOutcome, FromDispatcher, ToDispatcher,
+};
 use millrudder_protocol::{Address, DispatcherId, LeaseToken, MessageId, RequestNumber, ShardId, StoreId};
 use millrudder_staleness::{ConnectionPlanner, ConnectionStep};
 use std::collections::{BTreeMap, BTreeSet};
@@ -302,13 +304,13 @@
                 self.workers = list;
                 self.adopted(scene);
             }
-            FromCore::Core { addresses } => {
+            FromCore::CoreAddresses { addresses } => {
                 for Address(address) in addresses {
                     self.plan.add_address(address);
                 }
             }
-            FromCore::Heartbeat { moment_ms, .. } => {
-                self.plan.handle_confirmation(now, core, Instant::from_millis(moment_ms))
+            FromCore::StalenessConfirmed { sent_at_ms, .. } => {
+                self.plan.handle_confirmation(now, core, Instant::from_millis(sent_at_ms))
             }
             FromCore::NoQuorum => self.plan.handle_rejection(now, core),
             FromCore::Redirect => {
@@ -351,7 +353,7 @@
             name: self.settings.name.clone(),
             zone: self.settings.zone.clone(),
             epoch: self.placement.epoch,
-            held,
+            active_leases: held,
             in_doubt: self.pending.keys().copied().collect(),
         };
         send(scene, connection, hello);
@@ -383,7 +385,7 @@
         let request = RequestNumber(link.last);
         link.requests.insert(request, id);
         let message = Box::new(plain_message(id));
-        send(scene, connection, FromDispatcher::Accept { request, id, message, lease: false });
+        send(scene, connection, FromDispatcher::Accept { request, id, message, wants_lease: false });
     }
 
     /// Clients that have waited long are gone; what became of their messages stays in doubt.
@@ -402,7 +404,7 @@
     }
 
     fn on_store(&mut self, scene: &mut DispatcherScene<'_>, connection: Connection, message: ToDispatcher) {
-        let answers = matches!(message, ToDispatcher::Accepted { .. } | ToDispatcher::NotAccepted { .. });
+        let answers = matches!(message, ToDispatcher::Accepted { .. } | ToDispatcher::Rejected { .. });
         let any = answers && !self.mutant.has(Mechanism::AnswerOfSameConnection);
         if !any && !self.stores.values().any(|open| *open == connection) {
             return;
@@ -414,9 +416,9 @@
                 self.pending.remove(&id);
                 scene.effects.push(Effect::Seen(Observation::Accepted { id }));
             }
-            ToDispatcher::NotAccepted { request, reason } => {
+            ToDispatcher::Rejected { request, reason } => {
                 let asked = self.asked_on(connection).and_then(|link| link.requests.remove(&request));
-                if let (Some(id), NotAccepted::Full { .. }) = (asked, reason) {
+                if let (Some(id), AcceptRejection::Full { .. }) = (asked, reason) {
                     self.pending.remove(&id);
                 }
             }
@@ -475,7 +477,7 @@
 
 /// Asks a core machine whether what is held here is current.
 fn ask(scene: &mut DispatcherScene<'_>, connection: Connection) {
-    let message = ToCore::Ask { moment_ms: scene.now / MILLISECOND };
+    let message = ToCore::StalenessCheck { sent_at_ms: scene.now / MILLISECOND };
     scene.effects.push(Effect::Send { connection, payload: Payload::ToCore(message) });
 }
 
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -5,7 +5,7 @@
 use crate::mechanism::{Mechanism, Mutant};
 use crate::store_disk::StoreDisk;
 use crate::MILLISECOND;
-use millrudder_protocol::control::{FilledShard, FromCore, Registrant, ToCore};
+use millrudder_protocol::control::{CaughtUpShard, FromCore, Registrant, ToCore};
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::store::BetweenStores;
 use millrudder_protocol::{Address, Epoch, StoreId};
@@ -42,7 +42,7 @@
 /// Shards that this store was filled with, told until the placement has it as their replica.
 #[derive(Clone, Debug, Default)]
 struct Filled {
-    shards: BTreeSet<FilledShard>,
+    shards: BTreeSet<CaughtUpShard>,
     tell_at: u64,
 }
 
@@ -131,12 +131,12 @@
     /// Whether it serves every shard of which it is the primary.
     pub fn serves_all(&self, now: u64) -> bool {
         let led = self.placement.shards_of_primary(self.settings.id).count();
-        self.node.health(now / MILLISECOND).serving as usize == led
+        self.node.health(now / MILLISECOND).primary_shards as usize == led
     }
 
     /// Whether others have taken all its shards.
     pub fn may_go(&self, now: u64) -> bool {
-        self.node.health(now / MILLISECOND).serving == 0
+        self.node.health(now / MILLISECOND).primary_shards == 0
     }
 
     /// Takes one happening and does what follows.
@@ -175,7 +175,7 @@
         if !self.filled.shards.is_empty() && scene.now >= self.filled.tell_at {
             self.filled.tell_at = scene.now + TELL_FILLED;
             let shards = self.filled.shards.iter().copied().collect();
-            self.tell_cores(scene, &ToCore::CaughtUp { shards });
+            self.tell_cores(scene, &ToCore::LearnerCaughtUp { shards });
         }
     }
 
@@ -274,7 +274,7 @@
             FromCore::Configuration { configuration } => {
                 self.configuration_version = self.configuration_version.max(configuration.version);
             }
-            FromCore::Core { addresses } => {
+            FromCore::CoreAddresses { addresses } => {
                 for Address(address) in addresses {
                     if !self.cores.contains(&address) {
                         self.cores.push(address);
