--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -80,15 +80,15 @@
                     self.handle_placement(PlacementInput::Heartbeat { id, health });
                 }
             }
-            ToCore::Ask { moment_ms } => {
+            ToCore::StalenessCheck { sent_at_ms: moment_ms } => {
                 self.handle_barrier(BarrierInput::StalenessCheck {
                     connection,
                     sent_at: RegistrantTime(moment_ms),
                 });
             }
-            ToCore::CaughtUp { shards } => {
+            ToCore::LearnerCaughtUp { shards } => {
                 if let Some(id) = self.registrants.store(connection) {
-                    self.handle_placement(PlacementInput::CaughtUp { id, shards });
+                    self.handle_placement(PlacementInput::LearnerCaughtUp { id, shards });
                 }
             }
         }
--- a/system/runtime/node/src/edge/host/control.rs
+++ b/system/runtime/node/src/edge/host/control.rs
@@ -25,15 +25,19 @@
                 self.follow_configuration(&configuration.json);
             }
             FromCore::Workers { list } => self.handle_delivery(delivery::Input::Workers(list)),
-            FromCore::Dispatchers { count } => {
+            FromCore::DispatcherCount { count } => {
                 self.handle_delivery(delivery::Input::Dispatchers { count });
             }
-            FromCore::Heartbeat { configuration_version, placement_epoch, moment_ms } => {
+            FromCore::StalenessConfirmed {
+                configuration_version,
+                placement_epoch,
+                sent_at_ms: moment_ms,
+            } => {
                 let newest = AdoptedVersions { configuration_version, placement_epoch };
                 let asked_at = Instant::from_millis(moment_ms);
                 self.control.handle_confirmation(self.clock.now(), newest, asked_at);
             }
-            FromCore::Core { addresses } => self.control.add_core_machines(addresses),
+            FromCore::CoreAddresses { addresses } => self.control.add_core_machines(addresses),
             _ => {}
         }
     }
--- a/system/runtime/node/src/edge/host/mod.rs
+++ b/system/runtime/node/src/edge/host/mod.rs
@@ -184,7 +184,7 @@
             Event::Reload { file } => self.control.reload(&file),
             Event::Leaving => {
                 self.is_leaving = true;
-                self.stores.send_all(&FromDispatcher::Leaving);
+                self.stores.send_all(&FromDispatcher::ShuttingDown);
                 self.handle_delivery(delivery::Input::Leaving);
             }
         }
--- a/system/runtime/node/src/edge/host/stores.rs
+++ b/system/runtime/node/src/edge/host/stores.rs
@@ -36,14 +36,14 @@
             name: self.name.clone(),
             zone: self.zone.clone(),
             epoch: self.placement.epoch,
-            held: self.delivery.held(of_store),
+            active_leases: self.delivery.held(of_store),
             in_doubt: self.intake.in_doubt(of_store),
         };
         self.stores.send(store, hello);
         let credits = self.delivery.credits();
         self.stores.send(store, FromDispatcher::Credits { credits });
         if self.is_leaving {
-            self.stores.send(store, FromDispatcher::Leaving);
+            self.stores.send(store, FromDispatcher::ShuttingDown);
         }
     }
 
@@ -77,7 +77,7 @@
             }
             ToDispatcher::Recorded { .. } | ToDispatcher::Welcome { .. } | ToDispatcher::Pong => {}
             ToDispatcher::Accepted { .. }
-            | ToDispatcher::NotAccepted { .. }
+            | ToDispatcher::Rejected { .. }
             | ToDispatcher::Withdrawn { .. }
             | ToDispatcher::State { .. } => {
                 self.handle_intake(intake::Input::FromStore { store, message });
--- a/system/runtime/node/src/storage/catch_up.rs
+++ b/system/runtime/node/src/storage/catch_up.rs
@@ -1,7 +1,7 @@
 //! Reports to the core of shards that this store has been filled with.
 
 use millrudder_clock::Instant;
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::StoreId;
 use std::collections::BTreeSet;
@@ -14,13 +14,13 @@
 /// replica: a core machine that takes the controller's lease has not received earlier reports.
 #[derive(Default)]
 pub struct CatchUpReports {
-    shards: BTreeSet<FilledShard>,
+    shards: BTreeSet<CaughtUpShard>,
     due_at: Instant,
 }
 
 impl CatchUpReports {
     /// A shard's primary says that this store lacks nothing of it; that is to be reported at once.
-    pub fn add(&mut self, filled: FilledShard) {
+    pub fn add(&mut self, filled: CaughtUpShard) {
         self.shards.insert(filled);
         self.due_at = Instant::ORIGIN;
     }
@@ -35,7 +35,7 @@
     }
 
     /// The shards to be reported now; `None` where no report is due.
-    pub fn poll(&mut self, now: Instant) -> Option<Vec<FilledShard>> {
+    pub fn poll(&mut self, now: Instant) -> Option<Vec<CaughtUpShard>> {
         if self.shards.is_empty() || now < self.due_at {
             return None;
         }
--- a/system/runtime/node/src/storage/host/control.rs
+++ b/system/runtime/node/src/storage/host/control.rs
@@ -27,12 +27,16 @@
                 self.control.adopt_configuration(configuration.version);
                 self.follow_configuration(&configuration.json);
             }
-            FromCore::Heartbeat { configuration_version, placement_epoch, moment_ms } => {
+            FromCore::StalenessConfirmed {
+                configuration_version,
+                placement_epoch,
+                sent_at_ms: moment_ms,
+            } => {
                 let newest = AdoptedVersions { configuration_version, placement_epoch };
                 let asked_at = Instant::from_millis(moment_ms);
                 self.control.handle_confirmation(self.clock.now(), newest, asked_at);
             }
-            FromCore::Core { addresses } => self.control.add_core_machines(addresses),
+            FromCore::CoreAddresses { addresses } => self.control.add_core_machines(addresses),
             _ => {}
         }
     }
@@ -66,10 +70,10 @@
         }
         self.heartbeat_at = now + HEARTBEAT_INTERVAL;
         let health = self.node.health(now.as_millis());
-        self.drain.set_remaining(health.serving + self.handing_over);
+        self.drain.set_remaining(health.primary_shards + self.handing_over);
         self.control.send_all(&ToCore::Heartbeat { health: Some(health) });
         if let Some(shards) = self.catch_up.poll(now) {
-            self.control.send_all(&ToCore::CaughtUp { shards });
+            self.control.send_all(&ToCore::LearnerCaughtUp { shards });
         }
         self.control.poll_staleness(now);
     }
--- a/system/runtime/node/src/storage/host/inbound.rs
+++ b/system/runtime/node/src/storage/host/inbound.rs
@@ -3,7 +3,7 @@
 use super::StoreHost;
 use crate::listen::InboundEvent;
 use crate::storage::caller::Caller;
-use millrudder_protocol::store::{BetweenStores, FromDispatcher, NotAccepted, ToDispatcher, ToStore};
+use millrudder_protocol::store::{AcceptRejection, BetweenStores, FromDispatcher, ToDispatcher, ToStore};
 use millrudder_protocol::{MessageId, RequestNumber};
 use millrudder_queue::{ConnectionId, Input};
 use millrudder_transport::{LinkEvent, Outbox};
@@ -60,8 +60,8 @@
     }
 
     fn refuse_full(&self, connection: ConnectionId, request: RequestNumber) {
-        let reason = NotAccepted::Full { retry_after_ms: self.full_retry_after_ms };
-        self.send_to_dispatcher(connection, &ToDispatcher::NotAccepted { request, reason });
+        let reason = AcceptRejection::Full { retry_after_ms: self.full_retry_after_ms };
+        self.send_to_dispatcher(connection, &ToDispatcher::Rejected { request, reason });
     }
 
     fn handle_closed(&mut self, connection: ConnectionId, outbox: &Outbox) {
