--- a/system/runtime/node/src/control_link/connections.rs
+++ b/system/runtime/node/src/control_link/connections.rs
@@ -180,10 +180,10 @@
     /// Tells the planner what a message says of the core machine that sent it.
     fn inspect(&self, address: SocketAddr, outbox: &Outbox, message: &FromCore) {
         match message {
-            FromCore::StalenessConfirmed { sent_at_ms: moment_ms, .. } => {
+            FromCore::StalenessConfirmed { sent_at_ms, .. } => {
                 let mut shared = self.shared.borrow_mut();
                 let now = shared.clock.now();
-                shared.planner.handle_confirmation(now, address, Instant::from_millis(*moment_ms));
+                shared.planner.handle_confirmation(now, address, Instant::from_millis(*sent_at_ms));
             }
             FromCore::NoQuorum => {
                 log::info!(address:%; "core machine has no quorum");
--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -80,10 +80,10 @@
                     self.handle_placement(PlacementInput::Heartbeat { id, health });
                 }
             }
-            ToCore::StalenessCheck { sent_at_ms: moment_ms } => {
+            ToCore::StalenessCheck { sent_at_ms } => {
                 self.handle_barrier(BarrierInput::StalenessCheck {
                     connection,
-                    sent_at: RegistrantTime(moment_ms),
+                    sent_at: RegistrantTime(sent_at_ms),
                 });
             }
             ToCore::LearnerCaughtUp { shards } => {
--- a/system/runtime/node/src/edge/host/control.rs
+++ b/system/runtime/node/src/edge/host/control.rs
@@ -28,13 +28,9 @@
             FromCore::DispatcherCount { count } => {
                 self.handle_delivery(delivery::Input::Dispatchers { count });
             }
-            FromCore::StalenessConfirmed {
-                configuration_version,
-                placement_epoch,
-                sent_at_ms: moment_ms,
-            } => {
+            FromCore::StalenessConfirmed { configuration_version, placement_epoch, sent_at_ms } => {
                 let newest = AdoptedVersions { configuration_version, placement_epoch };
-                let asked_at = Instant::from_millis(moment_ms);
+                let asked_at = Instant::from_millis(sent_at_ms);
                 self.control.handle_confirmation(self.clock.now(), newest, asked_at);
             }
             FromCore::CoreAddresses { addresses } => self.control.add_core_machines(addresses),
--- a/system/runtime/node/src/storage/host/control.rs
+++ b/system/runtime/node/src/storage/host/control.rs
@@ -27,13 +27,9 @@
                 self.control.adopt_configuration(configuration.version);
                 self.follow_configuration(&configuration.json);
             }
-            FromCore::StalenessConfirmed {
-                configuration_version,
-                placement_epoch,
-                sent_at_ms: moment_ms,
-            } => {
+            FromCore::StalenessConfirmed { configuration_version, placement_epoch, sent_at_ms } => {
                 let newest = AdoptedVersions { configuration_version, placement_epoch };
-                let asked_at = Instant::from_millis(moment_ms);
+                let asked_at = Instant::from_millis(sent_at_ms);
                 self.control.handle_confirmation(self.clock.now(), newest, asked_at);
             }
             FromCore::CoreAddresses { addresses } => self.control.add_core_machines(addresses),
