--- a/balancer/benchlink/src/wire.rs
+++ b/balancer/benchlink/src/wire.rs
@@ -5,6 +5,7 @@
 use serde::{Deserialize, Deserializer};
 use std::collections::HashMap;
 use std::fmt;
+use thiserror::Error;
 
 /// A string of the wire: borrowed unless it holds escapes.
 enum Text<'a> {
@@ -576,19 +577,35 @@
     actions: Vec<mr::Action>,
 }
 
+/// Why a line of the simulator cannot be answered.
+#[derive(Debug, Error)]
+pub enum BatchError {
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error("field sim_time: not a finite number")]
+    Time,
+    #[error("SHEET: field ref: {number} is above 15")]
+    SheetNumber { number: usize },
+    #[error("MEMBERSHIP: field ref: no such SHEET yet")]
+    NoSuchSheet,
+}
+
 impl Host {
-    /// Answers one line; an error is a plain message.
-    pub fn batch(&mut self, line: &str, reply: &mut Vec<u8>) -> Result<(), String> {
-        let batch: Batch = serde_json::from_str(line).map_err(|e| e.to_string())?;
+    /// Answers one line.
+    ///
+    /// # Errors
+    /// [`BatchError`]: the line cannot be understood.
+    pub fn batch(&mut self, line: &str, reply: &mut Vec<u8>) -> Result<(), BatchError> {
+        let batch: Batch = serde_json::from_str(line)?;
         if !batch.sim_time.is_finite() {
-            return Err("field sim_time: not a finite number".to_owned());
+            return Err(BatchError::Time);
         }
         reply.extend_from_slice(b"{\"outbox\":[");
         for Addressed { instance, message } in batch.inbox {
             match message {
                 Message::Sheet { number, hosts } => {
                     let slot = self.sheets.get_mut(number);
-                    *slot.ok_or_else(|| format!("SHEET: field ref: {number} is above 15"))? = Some(hosts);
+                    *slot.ok_or(BatchError::SheetNumber { number })? = Some(hosts);
                 }
                 Message::Hello { salt, conf } => {
                     let balancer = mr::Balancer::new(conf.settings(), salt);
@@ -613,7 +630,7 @@
                     self.actions.clear();
                     target.balancer.handle(batch.sim_time, event, &mut self.actions);
                     for action in &self.actions {
-                        target.write(instance, action, reply).map_err(|e| e.to_string())?;
+                        target.write(instance, action, reply)?;
                     }
                 }
             }
@@ -632,14 +649,14 @@
         &mut self,
         message: Message,
         sheets: &[Option<Vec<Row>>; 16],
-    ) -> Result<Option<mr::Event>, String> {
+    ) -> Result<Option<mr::Event>, BatchError> {
         Ok(Some(match message {
             Message::Membership { scope: kind, number } => {
                 let entries = if kind == mr::ListKind::Unavailable {
                     Vec::new()
                 } else {
                     let sheet = number.and_then(|n| sheets.get(n)).and_then(|s| s.as_ref());
-                    let rows = sheet.ok_or("MEMBERSHIP: field ref: no such SHEET yet")?;
+                    let rows = sheet.ok_or(BatchError::NoSuchSheet)?;
                     rows.iter().map(|row| self.entry(row)).collect()
                 };
                 mr::Event::List { kind, entries }
--- a/balancer/config/src/settings/units.rs
+++ b/balancer/config/src/settings/units.rs
@@ -1,8 +1,9 @@
 //! Values with units and ranges, as the operators write them: `5 s`, `64 KiB`, `128`.
 
-use serde::de::{Deserialize, Deserializer, Error};
+use serde::de::{Deserialize, Deserializer, Error as _};
 use std::fmt;
 use std::net::SocketAddr;
+use thiserror::Error;
 
 const SPANS: [(&str, f64); 5] = [("us", 0.001), ("ms", 1.0), ("s", 1e3), ("min", 6e4), ("h", 3.6e6)];
 const SIZES: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
@@ -82,23 +83,45 @@
     (&text[..end], text[end..].trim_start())
 }
 
-/// The number in terms of the smallest unit, or what is wrong.
-fn read(text: &str, units: &[(&str, f64)], what: &str) -> Result<f64, String> {
+/// Why a text is not a quantity with a unit.
+#[derive(Debug, PartialEq, Eq, Error)]
+enum QuantityError {
+    #[error("{text:?}: {expected}")]
+    NoNumber { text: String, expected: ExpectedQuantity },
+    #[error("{text:?} has no unit: {expected}")]
+    NoUnit { text: String, expected: ExpectedQuantity },
+    #[error("{text:?}: unknown unit {unit:?}, did you mean {nearest}?")]
+    MisspeltUnit { text: String, unit: String, nearest: String },
+    #[error("{text:?}: unknown unit {unit:?}, {expected}")]
+    UnknownUnit { text: String, unit: String, expected: ExpectedQuantity },
+}
+
+/// What a quantity looks like, for error messages.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{kind} is wanted: a number and one of {}", units.join(", "))]
+struct ExpectedQuantity {
+    kind: &'static str,
+    units: Vec<&'static str>,
+}
+
+/// Reads a number with its unit, in terms of the smallest unit.
+fn read(text: &str, units: &[(&'static str, f64)], kind: &'static str) -> Result<f64, QuantityError> {
     let (number, unit) = split(text);
-    let names: Vec<&str> = units.iter().map(|(name, _)| *name).collect();
-    let wanted = || format!("{what} is wanted: a number and one of {}", names.join(", "));
+    let names: Vec<&'static str> = units.iter().map(|(name, _)| *name).collect();
+    let (text, expected) = (text.to_owned(), ExpectedQuantity { kind, units: names.clone() });
     let Ok(number) = number.parse::<f64>() else {
-        return Err(format!("{text:?}: {}", wanted()));
+        return Err(QuantityError::NoNumber { text, expected });
     };
     if unit.is_empty() {
-        return Err(format!("{text:?} has no unit: {}", wanted()));
-    }
-    match units.iter().find(|(name, _)| *name == unit) {
-        Some((_, scale)) => Ok(number * scale),
-        None => match super::nearest(unit, &names) {
-            Some(near) => Err(format!("{text:?}: unknown unit {unit:?}, did you mean {near}?")),
-            None => Err(format!("{text:?}: unknown unit {unit:?}, {}", wanted())),
-        },
+        return Err(QuantityError::NoUnit { text, expected });
+    }
+    if let Some((_, scale)) = units.iter().find(|(name, _)| *name == unit) {
+        return Ok(number * scale);
+    }
+    let unit = unit.to_owned();
+    match super::nearest(&unit, &names) {
+        Some(nearest) => Err(QuantityError::MisspeltUnit { text, nearest: nearest.to_owned(), unit }),
+        None => Err(QuantityError::UnknownUnit { text, unit, expected }),
     }
 }
 
--- a/balancer/core/src/dispatch/legacy.rs
+++ b/balancer/core/src/dispatch/legacy.rs
@@ -5,10 +5,28 @@
 use millrudder_config::{position, Names};
 use millrudder_exchange::{HopId, MapEntry, MapNews};
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// Of this form; another is refused whole.
 const VERSION: u32 = 1;
 
+/// Deepest nesting of the CBOR that is read; what is written nests less deeply.
+const MAX_NESTING: usize = 16;
+
+/// Why bytes are not what a predecessor of this version leaves.
+#[derive(Debug, Error)]
+pub enum LegacyError {
+    /// They are no CBOR, or lack a field.
+    #[error(transparent)]
+    Malformed(#[from] ciborium::de::Error<std::io::Error>),
+    /// Another version of the program wrote them.
+    #[error("a legacy of form {found}, {VERSION} is wanted")]
+    Version {
+        /// The form that they say they have.
+        found: u32,
+    },
+}
+
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Legacy {
     pub(super) version: u32,
@@ -40,14 +58,15 @@
         bytes
     }
 
+    /// Reads what a predecessor left.
+    ///
     /// # Errors
-    /// It is of another form.
-    pub fn decode(bytes: &[u8]) -> Result<Self, String> {
-        let legacy: Legacy =
-            ciborium::de::from_reader_with_recursion_limit(bytes, 16).map_err(|e| e.to_string())?;
+    /// [`LegacyError`]: the bytes are of another form, or of none.
+    pub fn decode(bytes: &[u8]) -> Result<Self, LegacyError> {
+        let legacy: Legacy = ciborium::de::from_reader_with_recursion_limit(bytes, MAX_NESTING)?;
         match legacy.version {
             VERSION => Ok(legacy),
-            other => Err(format!("a legacy of form {other}, {VERSION} is wanted")),
+            found => Err(LegacyError::Version { found }),
         }
     }
 
--- a/balancer/core/src/dispatch/legacy/tests.rs
+++ b/balancer/core/src/dispatch/legacy/tests.rs
@@ -32,5 +32,5 @@
     let old = Legacy::new(Some(41), Vec::new(), Vec::new(), &names(&["a"], &[]), mr::Memory::default());
     garbage(21, &old.encode(), |bytes| drop(Legacy::decode(bytes)));
     let other = Legacy { version: VERSION + 1, ..old };
-    assert!(Legacy::decode(&other.encode()).unwrap_err().contains("form 2"));
+    assert!(Legacy::decode(&other.encode()).unwrap_err().to_string().contains("form 2"));
 }
--- a/balancer/core/src/transport_map/watch.rs
+++ b/balancer/core/src/transport_map/watch.rs
@@ -10,8 +10,10 @@
 use millrudder_wire::list::{read_list, List};
 use millrudder_wire::socket::{Cut, Socket};
 use slog::Logger;
+use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
+use thiserror::Error;
 
 /// How long discovery may hold a watch that has nothing to tell. A change in it is told at once; what it holds back
 /// in silence counts as told 2 s after this.
@@ -32,6 +34,24 @@
     TurnTo(SocketAddr),
 }
 
+/// Why a call at discovery failed.
+#[derive(Debug, Error)]
+enum CallError {
+    #[error("connect: {0}")]
+    Connect(#[source] io::Error),
+    /// The connection broke, or the call was given up.
+    #[error("{0}")]
+    Broken(#[source] io::Error),
+    #[error("status {0}")]
+    Status(u16),
+    #[error(transparent)]
+    Document(#[from] json::JsonError),
+    #[error("a whole list that names nobody")]
+    EmptyList,
+    #[error("changes up to {generation} on a list of {held:?}")]
+    OldChanges { generation: u64, held: Option<u64> },
+}
+
 /// The call under way, to end it from outside, and its last moment.
 type UnderWay = Arc<Mutex<(Arc<Cut>, f64)>>;
 
@@ -137,10 +157,10 @@
         }
     }
 
-    fn report(&self, called: Result<(), String>) {
+    fn report(&self, called: Result<(), CallError>) {
         if let Err(problem) = called {
             self.counters.map_failures.add();
-            slog::warn!(self.log, "discovery call failed"; "at" => %self.discovery, "problem" => problem);
+            slog::warn!(self.log, "discovery call failed"; "at" => %self.discovery, "problem" => %problem);
             self.exchange.put(Message::MapUnavailable);
         }
     }
@@ -200,7 +220,7 @@
     }
 
     /// One call; passes on what it brought.
-    fn call(&mut self, call: Call) -> Result<(), String> {
+    fn call(&mut self, call: Call) -> Result<(), CallError> {
         let held = match (call, self.generation) {
             (Call::Watch, Some(_)) => HOLD_MS,
             _ => 0,
@@ -228,31 +248,31 @@
         cut
     }
 
-    fn read(&self, response: &Response) -> Result<List, String> {
+    fn read(&self, response: &Response) -> Result<List, CallError> {
         if response.status != 200 {
-            return Err(format!("status {}", response.status));
+            return Err(CallError::Status(response.status));
         }
         let list = json::parse(&response.body).and_then(|document| read_list(&Node::root(&document)));
-        let list = list.map_err(|error| error.to_string()).and_then(|list| match list.news.whole {
+        let list = list.map_err(CallError::from).and_then(|list| match list.news.whole {
             // A fleet does not leave all at once: this is a discovery that has lost what it knew.
-            true if list.news.entries.is_empty() => Err("a whole list that names nobody".to_owned()),
+            true if list.news.entries.is_empty() => Err(CallError::EmptyList),
             // Changes from before the list that is held would bring back who has gone since.
             false if Some(list.generation) < self.generation => {
-                Err(format!("changes up to {} on a list of {:?}", list.generation, self.generation))
+                Err(CallError::OldChanges { generation: list.generation, held: self.generation })
             }
             _ => Ok(list),
         });
         list.inspect_err(|_| self.counters.map_bad.add())
     }
 
-    fn fetch(&mut self, target: &str, cut: &Cut) -> Result<Response, String> {
+    fn fetch(&mut self, target: &str, cut: &Cut) -> Result<Response, CallError> {
         let socket = match self.connection.take().filter(Socket::is_quiet) {
             Some(kept) => kept,
-            None => Socket::connect(self.discovery, span(CONNECT_MS)).map_err(|e| format!("connect: {e}"))?,
+            None => Socket::connect(self.discovery, span(CONNECT_MS)).map_err(CallError::Connect)?,
         };
         let request = http::request("GET", target, &self.discovery.to_string(), &[], b"");
         let response = converse(&socket, &request, cut, || true).map_err(|broken| match broken {
-            Broken::BeforeWritten(error) | Broken::AfterWritten(error) => error.to_string(),
+            Broken::BeforeWritten(error) | Broken::AfterWritten(error) => CallError::Broken(error),
         })?;
         if response.keep_alive {
             self.connection = Some(socket);
--- a/balancer/dispatcher/src/cli.rs
+++ b/balancer/dispatcher/src/cli.rs
@@ -3,6 +3,7 @@
 use clap::{Args, Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
+use thiserror::Error;
 
 /// A dispatcher that pushes jobs to workers. Without a command it serves, as the platform starts it.
 #[derive(Debug, Parser)]
@@ -64,10 +65,15 @@
     pub seed: u64,
 }
 
-fn rate(text: &str) -> Result<f64, String> {
+/// The text is no rate that the demo can run at.
+#[derive(Debug, Error)]
+#[error("a number from 0 to 5000 is wanted")]
+struct BadRate;
+
+fn rate(text: &str) -> Result<f64, BadRate> {
     match text.parse::<f64>() {
         Ok(rate) if (0.0..=5_000.0).contains(&rate) => Ok(rate),
-        _ => Err("a number from 0 to 5000 is wanted".to_owned()),
+        _ => Err(BadRate),
     }
 }
 
--- a/balancer/dispatcher/src/demo.rs
+++ b/balancer/dispatcher/src/demo.rs
@@ -1,6 +1,7 @@
 //! `millrudder demo`: stand-ins, a dispatcher and a small load in one process.
 
 use crate::cli::Demo;
+use crate::error::{DemoError, StartError};
 use crate::serve::{self, Setup};
 use crate::{logging, signals};
 use millrudder_config::settings::{Log, LogLevel, Settings};
@@ -29,18 +30,18 @@
     }
 }
 
-fn start(demo: &Demo) -> Result<(), String> {
+fn start(demo: &Demo) -> Result<(), DemoError> {
     // The figures below are what a person came to see: only warnings beside them.
     let (log, guard, threshold) = logging::start(Log { level: LogLevel::Warning, ..Log::default() });
-    let signals = signals::catch().map_err(|e| format!("signals: {e}"))?;
+    let signals = signals::catch().map_err(StartError::Signals)?;
     let plan = Plan { workers: usize::from(demo.workers), seed: demo.seed, ..Plan::default() };
-    let fleet = Fleet::start(plan).map_err(|e| format!("stand-ins: {e}"))?;
-    let discovery = fleet.attach(demo.http).map_err(|e| format!("stand-ins: {e}"))?;
+    let fleet = Fleet::start(plan).map_err(DemoError::StandIns)?;
+    let discovery = fleet.attach(demo.http).map_err(DemoError::StandIns)?;
     let text = node::node_config(demo.http, discovery, demo.seed).to_string();
-    let mut config = Config::from_json(text.as_bytes()).map_err(|e| e.to_string())?;
+    let mut config = Config::from_json(text.as_bytes())?;
     config.mgmt = Some(demo.operators);
     let yaml = format!("fronts: {{grpc: {{listen: '{}'}}}}", demo.grpc);
-    let settings = Settings::read(&yaml, Path::new("demo")).map_err(|e| e.to_string())?;
+    let settings = Settings::read(&yaml, Path::new("demo"))?;
     let counters = Arc::new(Counters::default());
     serve::start_coroutines();
 
--- a/balancer/dispatcher/src/main.rs
+++ b/balancer/dispatcher/src/main.rs
@@ -7,6 +7,7 @@
 mod check;
 mod cli;
 mod demo;
+mod error;
 mod logging;
 mod reload;
 mod serve;
@@ -15,6 +16,7 @@
 
 use clap::Parser;
 use cli::{Cli, Command, Files};
+use error::StartError;
 use millrudder_config::settings::{Log, Settings};
 use millrudder_config::Config;
 use millrudder_exchange::counters::Counters;
@@ -42,9 +44,9 @@
     let (log, guard, threshold) = logging::start(log);
     let counters = Arc::new(Counters::default());
     let start = || {
-        let settings = settings.map_err(|e| format!("settings: {e}"))?;
-        let signals = signals::catch().map_err(|e| format!("signals: {e}"))?;
-        let (config, source) = Config::load().map_err(|e| format!("configuration: {e}"))?;
+        let settings = settings.map_err(StartError::Settings)?;
+        let signals = signals::catch().map_err(StartError::Signals)?;
+        let (config, source) = Config::load().map_err(StartError::Configuration)?;
         serve::start_coroutines();
         let files = Some((source, files.settings.clone()));
         let (counters, log) = (counters.clone(), log.clone());
--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -1,5 +1,6 @@
 //! Puts the parts together, runs until a stop is over, and ends in order.
 
+use crate::error::StartError;
 use crate::logging::Threshold;
 use crate::reload::Reload;
 use crate::{signals, status};
@@ -54,13 +55,13 @@
 /// `running` is called once all fronts listen.
 ///
 /// # Errors
-/// What could not be started, in words.
-pub fn serve(setup: Setup, running: impl FnOnce(&Exchange)) -> Result<(), String> {
+/// [`StartError`]: what could not be started.
+pub fn serve(setup: Setup, running: impl FnOnce(&Exchange)) -> Result<(), StartError> {
     let Setup { config, settings, files, signals, threshold, counters, log } = setup;
     let clock = Clock::start();
     // Before anything else runs: the number must not name a descriptor of our own.
     let inherited = config.inherited.as_deref().map(descriptor::inherited_listener).transpose();
-    let inherited = inherited.map_err(|e| format!("NODE_INHERITED_FD: {e}"))?;
+    let inherited = inherited.map_err(StartError::InheritedListener)?;
     let met = config.meeting.as_deref().and_then(|path| upgrade::meet(path, clock, &log));
     let legacy = met.as_ref().and_then(|met| read_legacy(&met.state.core, &log));
     let neighbour = Neighbour::default();
@@ -89,7 +90,7 @@
         clock,
     });
     signals::listen(signals, reload, exchange.clone(), counters.clone(), log.clone())
-        .map_err(|e| format!("signals: {e}"))?;
+        .map_err(StartError::Signals)?;
 
     let limits = next_hop::Limits {
         connections: config.budget.next_hops,
@@ -140,7 +141,7 @@
 
     if let Some(address) = config.mgmt {
         let desk = operators::bind(address).and_then(|listener| operators::open(listener, core.clone()));
-        desk.map_err(|e| format!("listen for operators on {address}: {e}"))?;
+        desk.map_err(|source| StartError::ListenForOperators { address, source })?;
         slog::info!(log, "operators are answered"; "listen" => %address);
     }
     // The module knows the last list before the first client can come.
@@ -149,14 +150,14 @@
     let opens = inherited.map_or(Listen::At(listen), Listen::On);
     // A new process listens, and accepts once the old one has laid that down.
     neighbour.accept(met.is_none());
-    sender.open(opens).map_err(|e| format!("listen on {listen}: {e}"))?;
+    sender.open(opens).map_err(|source| StartError::Listen { address: listen, source })?;
     // What cannot be opened ends the start before a running process lays anything down.
     let grpc = match (settings.fronts.grpc, shares.grpc) {
         (Some(grpc), Some(budget)) => {
             let address = grpc.listen.0;
             let opened =
                 GrpcFront::open(address, config.meeting.is_some(), grpc.limits, budget, core.clone());
-            Some(opened.map_err(|e| format!("listen on {address}: {e}"))?)
+            Some(opened.map_err(|source| StartError::Listen { address, source })?)
         }
         _ => None,
     };
@@ -165,7 +166,7 @@
         upgrade::Shell { core: core.clone(), front, path }
     });
     match (met, &shell) {
-        (Some(met), Some(shell)) => met.take_over(shell.clone()).map_err(|e| format!("upgrade: {e}"))?,
+        (Some(met), Some(shell)) => met.take_over(shell.clone()).map_err(StartError::Upgrade)?,
         (_, Some(shell)) => {
             if let Err(error) = upgrade::await_successors(shell.clone()) {
                 slog::warn!(log, "upgrade: no successor will find this process"; "why" => %error);
@@ -179,7 +180,7 @@
         slog::info!(log, "serving gRPC"; "listen" => %grpc.address());
     }
     running(&exchange);
-    dispatching.join().map_err(|_| "the dispatch coroutine has failed".to_owned())?;
+    dispatching.join().map_err(|_| StartError::DispatchFailed)?;
     shell.iter().for_each(|shell| upgrade::flush(shell, LAST_PARCELS_MS));
     finish(&sender, grpc);
     drop(control);
@@ -205,7 +206,7 @@
 
 fn read_legacy(bytes: &[u8], log: &Logger) -> Option<Legacy> {
     Legacy::decode(bytes)
-        .map_err(|why| slog::warn!(log, "upgrade: what the old process knows cannot be used"; "why" => why))
+        .map_err(|why| slog::warn!(log, "upgrade: what the old process knows cannot be used"; "why" => %why))
         .ok()
 }
 
--- a/balancer/dispatcher/src/status.rs
+++ b/balancer/dispatcher/src/status.rs
@@ -1,6 +1,7 @@
 //! The control socket's questions: answered by a running dispatcher, asked by `millrudder status`.
 
 use crate::cli;
+use crate::error::StartError;
 use millrudder_control::{ask, Answer, Control, Question, Status};
 use millrudder_exchange::{Core, Gate};
 use std::path::Path;
@@ -9,8 +10,8 @@
 /// Opens the control socket of this dispatcher.
 ///
 /// # Errors
-/// The socket cannot be had, with its path.
-pub fn open(path: &Path, core: &Core) -> Result<Control, String> {
+/// [`StartError::ControlSocket`]: the socket cannot be had.
+pub fn open(path: &Path, core: &Core) -> Result<Control, StartError> {
     let (core, start) = (core.clone(), core.clock.now());
     let answer = move |Question::Status| {
         let places = |gate: &Gate| gate.fronts().iter().map(|front| gate.usage(*front).places).sum();
@@ -22,7 +23,7 @@
             age_ms: (core.clock.now() - start) as u64,
         })
     };
-    Control::open(path, answer).map_err(|e| format!("control socket {}: {e}", path.display()))
+    Control::open(path, answer).map_err(|source| StartError::ControlSocket { path: path.to_owned(), source })
 }
 
 pub fn run(arguments: &cli::Status) -> ExitCode {
--- a/balancer/upgrade/src/taker.rs
+++ b/balancer/upgrade/src/taker.rs
@@ -6,6 +6,7 @@
 use slog::Logger;
 use std::path::Path;
 use std::time::Duration;
+use thiserror::Error;
 
 /// In all, until the old process has given its state: it may still be busy with its own predecessor.
 const MEET_MS: f64 = 4_000.0;
@@ -38,25 +39,36 @@
     match greet(link, taker, out, clock) {
         Ok(met) => Some(met),
         Err(why) => {
-            slog::warn!(log, "upgrade: the old process gives nothing, serving beside it"; "why" => why);
+            slog::warn!(log, "upgrade: the old process gives nothing, serving beside it"; "why" => %why);
             None
         }
     }
 }
 
-fn greet(mut link: Link, mut taker: Taker, mut out: Vec<Action>, clock: Clock) -> Result<Met, String> {
+/// Why an old process that was found gives nothing.
+#[derive(Debug, Error)]
+enum MeetError {
+    #[error(transparent)]
+    Link(#[from] std::io::Error),
+    #[error("no state")]
+    NoState,
+    #[error("it did not answer in time")]
+    TimedOut,
+}
+
+fn greet(mut link: Link, mut taker: Taker, mut out: Vec<Action>, clock: Clock) -> Result<Met, MeetError> {
     let (mut state, mut since) = (None, Vec::new());
     loop {
         for action in std::mem::take(&mut out) {
             match action {
-                Action::Send(message) => link.send(&message, None).map_err(|e| e.to_string())?,
+                Action::Send(message) => link.send(&message, None)?,
                 // It was read and checked before anybody was looked for.
                 Action::Check => taker.handle(Event::Checked, clock.now(), &mut out),
                 Action::Load => {
-                    let state = state.take().ok_or("no state")?;
+                    let state = state.take().ok_or(MeetError::NoState)?;
                     return Ok(Met { link, taker, state, since });
                 }
-                Action::Accept => return Err("it did not answer in time".to_owned()),
+                Action::Accept => return Err(MeetError::TimedOut),
                 _ => {}
             }
         }
@@ -64,7 +76,7 @@
             continue;
         }
         let left = (taker.deadline() - clock.now()).max(0.0);
-        for (message, descriptor) in link.receive(span(left)).map_err(|e| e.to_string())? {
+        for (message, descriptor) in link.receive(span(left))? {
             match message {
                 Message::Offer { .. } | Message::Abort { .. } => {}
                 Message::State(ref given) => state = Some(given.clone()),
