--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,18 +1,18 @@
-//! Every decision of the library, by concern in the modules below: all of them decide but `memory` and
+//! Every decision of the library, by concern in the modules below: all of them decide but `learned_state` and
 //! `records`. Types, events and actions are in `src/interface.rs`, the records it keeps in `src/state.rs`.
 //!
 //! Ordinary path: `handle(Request)` -> `place` -> `pick`, which takes the able, ready worker whose Whittle
 //! index at its present count of our jobs is highest. The rest keeps the four rules and handles failures.
 
 pub(crate) mod index;
-mod limits;
-mod list;
-pub(crate) mod memory;
+mod constants;
+mod worker_list;
+pub(crate) mod learned_state;
 mod outcomes;
-mod pick;
-mod placing;
+mod selection;
+mod scheduling;
 mod records;
-mod watch;
+mod lost_attempts;
 
 use crate::interface::*;
 use crate::state::*;
--- a/src/rules/index.rs
+++ b/src/rules/index.rs
@@ -1,7 +1,7 @@
 //! The index of equation (15), and the estimates that it rests on: our arrival rate, workers' speeds, and
 //! the jobs that others have there.
 
-use super::limits::*;
+use super::constants::*;
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
--- a/src/rules/memory.rs
+++ b/src/rules/learned_state.rs
@@ -5,7 +5,7 @@
 //! successor counts them at their workers, in the index and so against cold workers' budgets, until it is told that
 //! they have ended.
 
-use super::limits::RETRY_BURST;
+use super::constants::RETRY_BURST;
 use super::Balancer;
 use crate::interface::{Action, WorkerId};
 use crate::state::{Flight, Kind, Speed, Worker};
--- a/src/rules/watch.rs
+++ b/src/rules/lost_attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts that are lost, and jobs that wait past their use.
 
-use super::limits::*;
+use super::constants::*;
 use super::{Balancer, TIMER_WATCH};
 use crate::interface::*;
 use crate::state::*;
--- a/src/rules/outcomes.rs
+++ b/src/rules/outcomes.rs
@@ -1,7 +1,7 @@
 //! What is learnt of a worker by notes, load reports and outcomes, and how long one that fails is left
 //! alone.
 
-use super::limits::*;
+use super::constants::*;
 use super::{positive, Balancer};
 use crate::interface::*;
 
--- a/src/rules/records.rs
+++ b/src/rules/records.rs
@@ -1,6 +1,6 @@
 //! How a dispatcher's records begin, are found, and go over to new settings. Nothing here decides.
 
-use super::limits::{PRICE_LEAST, RETRY_BURST, TENANT_BURST};
+use super::constants::{PRICE_LEAST, RETRY_BURST, TENANT_BURST};
 use super::{positive, Balancer};
 use crate::interface::{RequestId, Settings, WorkerId};
 use crate::state::{Dice, Fading, Pool, Speed, Worker};
--- a/src/rules/placing.rs
+++ b/src/rules/scheduling.rs
@@ -1,7 +1,7 @@
 //! What becomes of a request: taken on or refused, sent, held until a worker has room, given a second copy,
 //! answered.
 
-use super::limits::*;
+use super::constants::*;
 use super::{positive, Balancer, TIMER_HELD, TIMER_REQUEST, TIMER_WATCH};
 use crate::interface::*;
 use crate::state::*;
--- a/src/rules/pick.rs
+++ b/src/rules/selection.rs
@@ -1,7 +1,7 @@
 //! Which worker gets a job: the choice by index, among the part of the fleet that we keep to, of those with
 //! room, within the budgets of cold workers.
 
-use super::limits::*;
+use super::constants::*;
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
--- a/src/rules/list.rs
+++ b/src/rules/worker_list.rs
@@ -1,6 +1,6 @@
 //! The worker list: when to ask for it, what it says of a worker, and the workers that operators take out.
 
-use super::limits::*;
+use super::constants::*;
 use super::{Balancer, TIMER_LIST};
 use crate::interface::*;
 use crate::state::*;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -49,7 +49,7 @@
     let mut deciding = vec!["src/rules.rs".to_string()];
     for entry in fs::read_dir(folder).expect("the folder of the rules") {
         let name = entry.expect("an entry").file_name().into_string().expect("a name in UTF-8");
-        if !["memory.rs", "records.rs"].contains(&name.as_str()) {
+        if !["learned_state.rs", "records.rs"].contains(&name.as_str()) {
             deciding.push(format!("src/rules/{name}"));
         }
     }
