--- a/balancer/benchlink/src/wire.rs
+++ b/balancer/benchlink/src/wire.rs
@@ -459,22 +459,22 @@
     fn settings(&self) -> mr::Settings {
         let specifics = &self.specifics;
         let classes = self.lanes.iter().enumerate().map(|(i, lane)| mr::Class {
-            aim: lane.aim,
-            stretch: lane.aim_stretch.or(specifics.class_stretch.get(i).copied()).unwrap_or(0.0),
+            latency_target: lane.aim,
+            target_stretch: lane.aim_stretch.or(specifics.class_stretch.get(i).copied()).unwrap_or(0.0),
             deadline: lane.hard_limit,
-            worth: lane.worth,
-            late_worth: lane.late_worth,
+            value: lane.worth,
+            late_value: lane.late_worth,
             effect: match lane.effect.as_str() {
                 "idempotent" => mr::Effect::Idempotent,
                 "deduplicated" => mr::Effect::Deduplicated,
                 _ => mr::Effect::AtMostOnce,
             },
-            group: match lane.dedup_scope.as_str() {
-                "all" => mr::Group::All,
-                "zone" => mr::Group::Zone,
-                _ => mr::Group::Cell,
+            dedup_scope: match lane.dedup_scope.as_str() {
+                "all" => mr::DedupScope::All,
+                "zone" => mr::DedupScope::Zone,
+                _ => mr::DedupScope::Cell,
             },
-            window: lane.window,
+            dedup_window: lane.window,
             stream: lane.stream,
             kind: specifics.class_kind.get(i).and_then(|k| u32::try_from(*k).ok()),
             priority: specifics.class_priority.get(i).copied().unwrap_or(0),
@@ -483,22 +483,22 @@
             self.tenants.iter().map(|t| mr::Tenant { quota_per_s: t.quota_per_s, share: t.share }).collect();
         let (p, r) = (&self.permissions, &self.rules);
         mr::Settings {
-            me: self.me,
+            instance: self.me,
             replicas: self.replicas_of_me,
             zone: self.zone.as_deref().and_then(|z| position(&self.failure_domains, z)),
             zones: self.failure_domains.len() as u32,
             period: self.period,
-            list_by_ask: self.registry_mode == "ask",
+            list_by_call: self.registry_mode == "ask",
             classes: classes.collect(),
             tenants,
-            over_share_worth: self.over_share_worth,
-            worth_by_work: self.counted_by == "work",
-            tells_start: specifics.tells_start,
+            over_quota_value: self.over_share_worth,
+            value_by_work: self.counted_by == "work",
+            reports_starts: specifics.tells_start,
             fifo: specifics.queue_order == "fifo",
             progress: specifics.progress,
             reports: self.reporting.how == "piggyback",
-            kept_promises: self.goal.kept_promises,
-            borne_misses: self.goal.borne_misses,
+            promise_weight: self.goal.kept_promises,
+            tolerated_misses: self.goal.borne_misses,
             prices: mr::Prices {
                 cross_zone: self.fees.cross_zone,
                 waste: self.fees.waste,
@@ -508,7 +508,7 @@
             },
             limits: mr::Limits {
                 max_attempts: p.max_attempts,
-                second_copies: p.parallel_tries,
+                hedging: p.parallel_tries,
                 probes: p.probing,
                 cancel: p.may_cancel,
                 retry_after: p.retry_after,
@@ -517,14 +517,14 @@
             },
             rules: mr::Rules {
                 answer_slack: r.answer_slack,
-                ask_within: r.ask_within,
+                list_interval: r.ask_within,
                 drain_grace: r.stop_sending_within,
                 drain_close: r.drain_close,
-                dropped_stay_open: r.dropped_stay_open,
-                cold_from: r.cold_from,
-                cold: r.cold,
-                fall_multiple: r.tip_multiple,
-                fall: r.tip_after,
+                unlisted_stay_open: r.dropped_stay_open,
+                warm_up_from: r.cold_from,
+                warm_up: r.cold,
+                overload_multiple: r.tip_multiple,
+                overload_time: r.tip_after,
             },
         }
     }
--- a/balancer/config/src/lib.rs
+++ b/balancer/config/src/lib.rs
@@ -250,22 +250,22 @@
         return Ok(node.at("lanes").wrong("at least one class")?);
     }
     let settings = mr::Settings {
-        me: node.at("me").count()?.unwrap_or(0) as u32,
+        instance: node.at("me").count()?.unwrap_or(0) as u32,
         replicas: node.at("replicas_of_me").count()?.unwrap_or(1) as u32,
         zone: node.at("zone").text()?.and_then(|z| position(&names.zones, z)),
         zones: names.zones.len() as u32,
         period: node.at("period").number_or(0.0)?,
-        list_by_ask: node.at("registry_mode").text()? == Some("ask"),
+        list_by_call: node.at("registry_mode").text()? == Some("ask"),
         classes: read_classes(node)?,
         tenants: read_tenants(node)?,
-        over_share_worth: node.at("over_share_worth").number_or(0.0)?,
-        worth_by_work: node.at("counted_by").text()? == Some("work"),
-        tells_start: specifics.at("tells_start").flag()?,
+        over_quota_value: node.at("over_share_worth").number_or(0.0)?,
+        value_by_work: node.at("counted_by").text()? == Some("work"),
+        reports_starts: specifics.at("tells_start").flag()?,
         progress: specifics.at("progress").number_or(0.0)?,
         fifo: specifics.at("queue_order").text()? == Some("fifo"),
         reports: node.at("reporting").at("how").text()? == Some("piggyback"),
-        kept_promises: node.at("goal").at("kept_promises").number_or(0.0)?,
-        borne_misses: node.at("goal").at("borne_misses").number_or(0.0)?,
+        promise_weight: node.at("goal").at("kept_promises").number_or(0.0)?,
+        tolerated_misses: node.at("goal").at("borne_misses").number_or(0.0)?,
         prices: read_prices(&node.at("fees"))?,
         limits: read_limits(&node.at("permissions"))?,
         rules: read_rules(&node.at("rules"))?,
@@ -283,26 +283,26 @@
     let class = |(i, lane): (usize, &Node)| {
         let own_stretch = lane.at("aim_stretch").number()?;
         Ok(mr::Class {
-            aim: lane.at("aim").number_or(0.0)?,
-            stretch: own_stretch.or(stretches.get(i).copied()).unwrap_or(0.0),
+            latency_target: lane.at("aim").number_or(0.0)?,
+            target_stretch: own_stretch.or(stretches.get(i).copied()).unwrap_or(0.0),
             deadline: match lane.at("hard_limit").number()? {
                 Some(ms) if ms > 0.0 => ms,
                 _ => return lane.at("hard_limit").wrong("a number of milliseconds over 0"),
             },
-            worth: lane.at("worth").number_or(1.0)?,
-            late_worth: lane.at("late_worth").number_or(0.0)?,
+            value: lane.at("worth").number_or(1.0)?,
+            late_value: lane.at("late_worth").number_or(0.0)?,
             effect: match lane.at("effect").text()? {
                 Some("idempotent") => mr::Effect::Idempotent,
                 Some("deduplicated") => mr::Effect::Deduplicated,
                 Some("at_most_once") => mr::Effect::AtMostOnce,
                 _ => return lane.at("effect").wrong("idempotent, deduplicated or at_most_once"),
             },
-            group: match lane.at("dedup_scope").text()? {
-                Some("all") => mr::Group::All,
-                Some("zone") => mr::Group::Zone,
-                _ => mr::Group::Cell,
+            dedup_scope: match lane.at("dedup_scope").text()? {
+                Some("all") => mr::DedupScope::All,
+                Some("zone") => mr::DedupScope::Zone,
+                _ => mr::DedupScope::Cell,
             },
-            window: lane.at("window").number_or(0.0)?,
+            dedup_window: lane.at("window").number_or(0.0)?,
             stream: lane.at("stream").flag()?,
             kind: kinds.get(i).filter(|k| **k >= 0.0).map(|k| *k as u32),
             priority: priorities.get(i).copied().unwrap_or(0.0) as i64,
@@ -334,7 +334,7 @@
 fn read_limits(permissions: &Node) -> Result<mr::Limits, JsonError> {
     Ok(mr::Limits {
         max_attempts: permissions.at("max_attempts").count()?.unwrap_or(1) as usize,
-        second_copies: permissions.at("parallel_tries").flag()?,
+        hedging: permissions.at("parallel_tries").flag()?,
         probes: permissions.at("probing").flag()?,
         cancel: permissions.at("may_cancel").flag()?,
         retry_after: permissions.at("retry_after").flag()?,
@@ -349,14 +349,14 @@
 fn read_rules(rules: &Node) -> Result<mr::Rules, JsonError> {
     Ok(mr::Rules {
         answer_slack: rules.at("answer_slack").number_or(0.0)?,
-        ask_within: rules.at("ask_within").number_or(10_000.0)?,
+        list_interval: rules.at("ask_within").number_or(10_000.0)?,
         drain_grace: rules.at("stop_sending_within").number_or(0.0)?,
         drain_close: rules.at("drain_close").number_or(0.0)?,
-        dropped_stay_open: rules.at("dropped_stay_open").flag()?,
-        cold_from: rules.at("cold_from").number_or(0.0)?,
-        cold: rules.at("cold").number_or(0.0)?,
-        fall_multiple: rules.at("tip_multiple").number_or(0.0)?,
-        fall: rules.at("tip_after").number_or(0.0)?,
+        unlisted_stay_open: rules.at("dropped_stay_open").flag()?,
+        warm_up_from: rules.at("cold_from").number_or(0.0)?,
+        warm_up: rules.at("cold").number_or(0.0)?,
+        overload_multiple: rules.at("tip_multiple").number_or(0.0)?,
+        overload_time: rules.at("tip_after").number_or(0.0)?,
     })
 }
 
--- a/balancer/config/src/reload.rs
+++ b/balancer/config/src/reload.rs
@@ -85,9 +85,9 @@
             class.kind = class.kind.map(|k| kind(k).unwrap_or(u32::MAX));
         }
         (names.zones, names.kinds) = (self.names.zones.clone(), self.names.kinds.clone());
-        (settings.me, settings.replicas) = (running.me, running.replicas);
+        (settings.instance, settings.replicas) = (running.instance, running.replicas);
         (settings.zone, settings.zones) = (running.zone, running.zones);
-        (settings.list_by_ask, settings.tenants) = (running.list_by_ask, running.tenants.clone());
+        (settings.list_by_call, settings.tenants) = (running.list_by_call, running.tenants.clone());
         settings.reports = running.reports;
         (settings, names)
     }
--- a/balancer/config/src/tests.rs
+++ b/balancer/config/src/tests.rs
@@ -19,12 +19,15 @@
     let config = read(CONFIG).unwrap();
     assert_eq!((config.name.as_str(), config.seed, config.conn_idle), ("n0", 0x8c1f30d27a5be964, 10_000.0));
     let (settings, class) = (&config.settings, &config.settings.classes[0]);
-    assert_eq!((settings.me, settings.replicas, settings.list_by_ask), (1, 2, true));
-    assert_eq!((class.aim, class.stretch, class.deadline, class.window), (120.0, 2.0, 5000.0, 7500.0));
-    assert_eq!((class.effect, class.group), (mr::Effect::Deduplicated, mr::Group::Cell));
-    assert_eq!((class.kind, class.worth), (None, 1.0));
+    assert_eq!((settings.instance, settings.replicas, settings.list_by_call), (1, 2, true));
+    assert_eq!(
+        (class.latency_target, class.target_stretch, class.deadline, class.dedup_window),
+        (120.0, 2.0, 5000.0, 7500.0)
+    );
+    assert_eq!((class.effect, class.dedup_scope), (mr::Effect::Deduplicated, mr::DedupScope::Cell));
+    assert_eq!((class.kind, class.value), (None, 1.0));
     assert_eq!((settings.rules.drain_grace, settings.limits.connect_timeout), (500.0, 120.0));
-    assert!(settings.tells_start && settings.limits.second_copies && config.known.is_none());
+    assert!(settings.reports_starts && settings.limits.hedging && config.known.is_none());
     let listen =
         Config::read(CONFIG.as_bytes(), |key| (key == "NODE_LISTEN").then(|| "127.0.0.3:1".to_owned()));
     assert_eq!(listen.unwrap().listen.to_string(), "127.0.0.3:1", "the environment stands before the file");
--- a/balancer/core/src/dispatch/jobs.rs
+++ b/balancer/core/src/dispatch/jobs.rs
@@ -83,7 +83,7 @@
 
 impl Entry {
     pub fn new(job: Arc<Job>, reply: Reply, limits: &Limits) -> Self {
-        let (most_attempts, alone) = (limits.max_attempts.max(1), !limits.second_copies);
+        let (most_attempts, alone) = (limits.max_attempts.max(1), !limits.hedging);
         Entry { job, reply: Owed(Some(reply)), attempts: Vec::new(), most_attempts, alone }
     }
 
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -79,7 +79,7 @@
         let Around { exchange, next_hops, transport_map, neighbour, newer, counters, stopping, clock } =
             around;
         let settings = config.settings.clone();
-        let dropped_stay = settings.rules.dropped_stay_open;
+        let dropped_stay = settings.rules.unlisted_stay_open;
         Dispatch {
             balancer: mr::Balancer::new(settings, config.seed),
             names: config.names.clone(),
@@ -129,7 +129,7 @@
 
     /// Lists come unasked, as the module sees it: the watch is held here, and the module is told of no failure.
     fn lists_are_pushed(&self) -> bool {
-        !self.balancer.settings().list_by_ask
+        !self.balancer.settings().list_by_call
     }
 
     fn fire_due(&mut self) {
@@ -197,7 +197,7 @@
         let classes = (&self.names.classes, self.balancer.settings());
         let from = self.dropped.merge(classes, &mut names, &mut settings, self.clock.now());
         self.names = names;
-        self.hops.dropped_stay = settings.rules.dropped_stay_open;
+        self.hops.dropped_stay = settings.rules.unlisted_stay_open;
         self.feed(mr::Event::Settings { settings: Box::new(settings), from });
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,5 +27,7 @@
 
 pub use interface::*;
 pub use rules::index::whittle_index;
-pub use rules::learned_state::{FlightMemory, KindMemory, Mean, Memory, MemoryError, WorkerMemory, MEMORY_VERSION};
+pub use rules::learned_state::{
+    FlightMemory, KindMemory, Mean, Memory, MemoryError, WorkerMemory, MEMORY_VERSION,
+};
 pub use rules::Balancer;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -4,15 +4,15 @@
 //! Ordinary path: `handle(Request)` -> `place` -> `pick`, which takes the able, ready worker whose Whittle
 //! index at its present count of our jobs is highest. The rest keeps the four rules and handles failures.
 
-pub(crate) mod index;
 mod constants;
-mod worker_list;
+pub(crate) mod index;
 pub(crate) mod learned_state;
+mod lost_attempts;
 mod outcomes;
-mod selection;
-mod scheduling;
 mod records;
-mod lost_attempts;
+mod scheduling;
+mod selection;
+mod worker_list;
 
 use crate::interface::*;
 use crate::state::*;
@@ -74,7 +74,7 @@
         if self.began.is_none() {
             self.began = Some(self.now);
             self.arrivals.at = self.now;
-            if self.settings.list_by_ask {
+            if self.settings.list_by_call {
                 self.ask(out);
             }
         }
--- a/src/rules/index.rs
+++ b/src/rules/index.rs
@@ -29,8 +29,8 @@
     /// Share of its capacity that a worker has at least, from its last start.
     pub(super) fn cold_share(&self, ready_at: Option<f64>) -> f64 {
         let rules = &self.settings.rules;
-        let age = ready_at.map_or(f64::INFINITY, |at| (self.now - at).max(0.0) / rules.cold);
-        (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
+        let age = ready_at.map_or(f64::INFINITY, |at| (self.now - at).max(0.0) / rules.warm_up);
+        (rules.warm_up_from + (1.0 - rules.warm_up_from) * age).min(1.0)
     }
 
     /// Work a millisecond of one core of a warm worker, from served work only; its kind's mean stands before.
--- a/src/rules/lost_attempts.rs
+++ b/src/rules/lost_attempts.rs
@@ -29,7 +29,7 @@
                 // Where starts are told, one that does not come may wait in a deep queue, but not behind
                 // later ones in a queue served in order.
                 let passed = self.settings.fifo && !started && worker.passed > flight.sent + lag;
-                let patience = match (started, self.settings.tells_start) {
+                let patience = match (started, self.settings.reports_starts) {
                     (true, _) => notes * progress + lag,
                     (false, false) => notes * progress + lag + self.long_wait(),
                     (false, true) if passed => 0.0,
@@ -76,7 +76,8 @@
             let flight = self.worker(a.worker).and_then(|w| w.flight(id, k));
             flight.is_none_or(|f| f.started.is_some())
         };
-        let told = self.settings.tells_start && self.settings.limits.cancel && pending.class.aim > 0.0;
+        let told =
+            self.settings.reports_starts && self.settings.limits.cancel && pending.class.latency_target > 0.0;
         // Running times are guesses till some have been seen.
         let seen = pending.request.class.and_then(|c| self.class_time.get(c)).map_or(0.0, |s| s.time);
         told && seen >= SPEED_JOBS && !pending.open_attempts().any(begun)
--- a/src/rules/outcomes.rs
+++ b/src/rules/outcomes.rs
@@ -41,7 +41,7 @@
                 worker.passed = worker.passed.max(f.sent);
                 let (took, slots) = ((start - f.sent).max(0.0), f.slots);
                 let lag = &mut self.pools[worker.pool].lag;
-                if self.settings.tells_start {
+                if self.settings.reports_starts {
                     *lag = lag.min(took);
                 }
                 self.waits.add(took, 1.0, WAITS);
--- a/src/rules/records.rs
+++ b/src/rules/records.rs
@@ -55,7 +55,7 @@
 
     /// How long after its start a job is heard of.
     pub(super) fn note_delay(&self) -> f64 {
-        if self.settings.tells_start {
+        if self.settings.reports_starts {
             0.0
         } else {
             self.progress()
--- a/src/rules/scheduling.rs
+++ b/src/rules/scheduling.rs
@@ -20,8 +20,8 @@
         self.arrivals.count(self.now, ARRIVAL_MS);
         self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
         self.mean_work.add(work * slots, 1.0, 200.0);
-        let worth = class.worth * if self.settings.worth_by_work { work } else { 1.0 };
-        let stake = if self.in_share(request.tenant) { 1.0 } else { self.settings.over_share_worth };
+        let worth = class.value * if self.settings.value_by_work { work } else { 1.0 };
+        let stake = if self.in_share(request.tenant) { 1.0 } else { self.settings.over_quota_value };
         let worth = worth * stake;
         self.mean_worth.add(worth, 1.0, 200.0);
         let pending = Pending {
@@ -36,7 +36,7 @@
         };
         let earns = worth / (work * slots) / (self.mean_worth.mean() / self.mean_work.mean());
         self.pending.insert(id, pending);
-        let borne = if self.settings.kept_promises > 0.0 { LATE_PROMISED } else { LATE_BORNE };
+        let borne = if self.settings.promise_weight > 0.0 { LATE_PROMISED } else { LATE_BORNE };
         self.judge(-borne * stake);
         if self.price > PRICE_LEAST && earns.ln() + PRICE_SPREAD * (self.rng.0.f64() - 0.5) < self.price {
             self.answer(id, out);
@@ -68,7 +68,7 @@
 
     fn class_work(&self, index: Option<usize>, class: &Class) -> f64 {
         let seen = index.and_then(|c| self.class_time.get(c)).and_then(|s| s.rate());
-        seen.or(self.mean_work.rate()).or(positive(Some(class.aim))).unwrap_or(1.0)
+        seen.or(self.mean_work.rate()).or(positive(Some(class.latency_target))).unwrap_or(1.0)
     }
 
     /// Sends a request that is not out, holds it, or gives its final answer.
@@ -105,7 +105,7 @@
             _ if pending.attempts.len() >= pending.most_attempts => false,
             (None, _) | (_, Effect::Idempotent) => true,
             (Some(_), Effect::AtMostOnce) => false,
-            (Some(a), Effect::Deduplicated) => self.now < a.sent + pending.class.window,
+            (Some(a), Effect::Deduplicated) => self.now < a.sent + pending.class.dedup_window,
         }
     }
 
@@ -127,7 +127,7 @@
             out.push(Action::Timer { token: TIMER_WATCH, delay });
         }
         let repeats = pending.class.effect != Effect::AtMostOnce && first;
-        let copies = self.settings.limits.second_copies && self.settings.tells_start;
+        let copies = self.settings.limits.hedging && self.settings.reports_starts;
         if copies && repeats && lag.is_finite() {
             let token = TIMER_REQUEST.saturating_add(id);
             out.push(Action::Timer { token, delay: 3.0 * lag });
@@ -208,7 +208,7 @@
 
     /// From then on an answer earns nothing. A late one that waited for as long as jobs run has no chance.
     pub(super) fn in_vain(&self, pending: &Pending) -> f64 {
-        let late = if pending.class.late_worth > 0.0 { self.mean_time() } else { 0.0 };
+        let late = if pending.class.late_value > 0.0 { self.mean_time() } else { 0.0 };
         pending.arrived + self.slack(pending) + late
     }
 
@@ -216,7 +216,7 @@
     pub(super) fn value(&self, pending: &Pending) -> f64 {
         match self.now - pending.arrived - self.slack(pending) {
             over if over <= 0.0 => pending.worth,
-            _ if self.now <= self.in_vain(pending) => pending.worth * pending.class.late_worth,
+            _ if self.now <= self.in_vain(pending) => pending.worth * pending.class.late_value,
             _ => 0.0,
         }
     }
@@ -224,8 +224,9 @@
     /// Rule 1 and 2: the final answer. BUSY is a promise that nothing happened or that repeats are harmless.
     pub(super) fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else { return };
-        let (effect, group) = (pending.class.effect, pending.class.group);
-        let harmless = effect == Effect::Idempotent || effect == Effect::Deduplicated && group == Group::All;
+        let (effect, group) = (pending.class.effect, pending.class.dedup_scope);
+        let harmless =
+            effect == Effect::Idempotent || effect == Effect::Deduplicated && group == DedupScope::All;
         if harmless || pending.first_run().is_none() {
             // By our next arrivals the price or the queues may be down; longer, and what they ask is late.
             let (limits, wait) = (&self.settings.limits, 1.0 / self.rate.max(1e-3));
--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -15,9 +15,9 @@
         let pending = self.pending.get(&id)?;
         let class = &pending.class;
         let bound = match pending.first_run() {
-            Some(a) if class.effect == Effect::Deduplicated && class.group != Group::All => {
+            Some(a) if class.effect == Effect::Deduplicated && class.dedup_scope != DedupScope::All => {
                 let worker = self.worker(a.worker)?;
-                Some((self.pools[worker.pool].zone, worker.cell, class.group))
+                Some((self.pools[worker.pool].zone, worker.cell, class.dedup_scope))
             }
             _ => None,
         };
@@ -34,8 +34,13 @@
             let pool = &self.pools[worker.pool];
             let listed = worker.mode == Mode::Ready && !self.banned.contains_key(&worker.id);
             let able = listed && (kind.is_none() || kind == pool.kind);
-            let same =
-                |(zone, cell, by)| if by == Group::Zone { pool.zone == zone } else { worker.cell == cell };
+            let same = |(zone, cell, by)| {
+                if by == DedupScope::Zone {
+                    pool.zone == zone
+                } else {
+                    worker.cell == cell
+                }
+            };
             if !able || !bound.is_none_or(same) {
                 continue;
             }
@@ -68,8 +73,9 @@
     /// is learnt of a worker then serve many jobs. The part are whole cells, which repeats may not leave, by
     /// rendezvous hash of our number: all of us together cover the fleet, and changes move few.
     pub(super) fn draw_near(&mut self) {
-        let (me, classes) = (u64::from(self.settings.me) << 32, &self.settings.classes);
-        let cells = classes.iter().any(|c| c.effect == Effect::Deduplicated && c.group == Group::Cell);
+        let (me, classes) = (u64::from(self.settings.instance) << 32, &self.settings.classes);
+        let cells =
+            classes.iter().any(|c| c.effect == Effect::Deduplicated && c.dedup_scope == DedupScope::Cell);
         let whole = self.settings.replicas < 2 || classes.iter().any(|c| c.kind.is_some());
         let part = if whole { f64::INFINITY } else { (self.rate * HEARD_MS / BLIND).max(NEAR) };
         let mut order = Vec::with_capacity(self.workers.len());
@@ -102,7 +108,7 @@
         let kept = |f: &Flight| f.sent >= lost || worker.sign <= f.sent;
         let waits = |f: &Flight| f.started.is_none() && kept(f) && (!room || self.now - f.sent > lag);
         let past_knee = worker.slots >= worker.knee + 1.0;
-        self.settings.tells_start && (past_knee || worker.open_flights().any(waits))
+        self.settings.reports_starts && (past_knee || worker.open_flights().any(waits))
     }
 
     /// Rule 4, each dispatcher alone: dispatchers take turns at a cold worker, one job a turn. Turns come at
@@ -111,17 +117,17 @@
     /// So the sum over all is bounded however uneven traffic is. Gives our last turn, and whether it is open.
     pub(super) fn turn(&self, worker: &Worker) -> Option<(f64, bool)> {
         let rules = &self.settings.rules;
-        let start = worker.start().filter(|at| rules.cold > 0.0 && self.now < at + rules.cold)?;
+        let start = worker.start().filter(|at| rules.warm_up > 0.0 && self.now < at + rules.warm_up)?;
         let age = (self.now - start).max(0.0);
         let warm = self.all_speed.rate().map_or(0.0, |_| self.pools[worker.pool].speed);
         let job = self.mean_work.rate().filter(|w| *w > 0.0)? / (warm * self.pools[worker.pool].cores);
-        let pace = COLD_SAFETY * rules.fall_multiple / (job * (1.0 + TURN_SHARE));
-        let done = rules.cold_from * age + (1.0 - rules.cold_from) * age * age / (2.0 * rules.cold);
+        let pace = COLD_SAFETY * rules.overload_multiple / (job * (1.0 + TURN_SHARE));
+        let done = rules.warm_up_from * age + (1.0 - rules.warm_up_from) * age * age / (2.0 * rules.warm_up);
         let replicas = f64::from(self.settings.replicas.max(1));
         let place =
-            (f64::from(self.settings.me) + (start * 0.618_034).fract() * replicas).rem_euclid(replicas);
+            (f64::from(self.settings.instance) + (start * 0.618_034).fract() * replicas).rem_euclid(replicas);
         let round = ((pace * done - place) / replicas).floor();
-        let width = (pace * self.cold_share(worker.start()) * TURN_SHARE * rules.fall).max(1.0);
+        let width = (pace * self.cold_share(worker.start()) * TURN_SHARE * rules.overload_time).max(1.0);
         let open = pace * done - (round * replicas + place) <= width;
         Some((round, round >= 0.0 && open))
     }
--- a/src/rules/worker_list.rs
+++ b/src/rules/worker_list.rs
@@ -10,7 +10,7 @@
     /// it is given up, and nobody is answered any more: calls are spread over the time that the fleet's take,
     /// twice as long after each failure, with full jitter. Within `ask_within` no change counts as told.
     pub(super) fn ask(&mut self, out: &mut Vec<Action>) {
-        let most = self.settings.rules.ask_within;
+        let most = self.settings.rules.list_interval;
         let fleet = LIST_CALL_MS * f64::from(self.settings.replicas.saturating_sub(1));
         let least = if self.list_failures == 0 { 0.0 } else { LIST_AGAIN * most };
         let wait = fleet.max(least) * f64::from(1u32 << self.list_failures.min(9));
@@ -25,7 +25,7 @@
             return self.ask(out);
         }
         self.list_failures = 0;
-        let (stays, first) = (self.settings.rules.dropped_stay_open, self.workers.is_empty());
+        let (stays, first) = (self.settings.rules.unlisted_stay_open, self.workers.is_empty());
         for entry in entries {
             let ready_at = entry.ready_at.filter(|t| t.is_finite());
             let pool = self.pool_of(entry.kind, entry.zone);
@@ -87,7 +87,7 @@
         let worker = &mut self.workers[i];
         if worker.dropped.is_none() {
             (worker.dropped, worker.since) = (Some(self.now), self.now);
-            if !self.settings.rules.dropped_stay_open {
+            if !self.settings.rules.unlisted_stay_open {
                 worker.mode = Mode::Gone;
             }
             let id = worker.id;
--- a/src/state.rs
+++ b/src/state.rs
@@ -212,7 +212,7 @@
 impl Pending {
     /// An answer within this time earns the full worth.
     pub fn aim(&self) -> f64 {
-        self.class.aim + self.class.stretch * self.work
+        self.class.latency_target + self.class.target_stretch * self.work
     }
     /// Opens its next attempt, at this worker; what is kept of it there.
     pub fn open_attempt(&mut self, worker: WorkerId, now: f64) -> Flight {
@@ -225,7 +225,7 @@
             work: self.work,
             sent: now,
             noted: now,
-            longest: if self.class.aim > 0.0 { self.aim() } else { f64::INFINITY },
+            longest: if self.class.latency_target > 0.0 { self.aim() } else { f64::INFINITY },
             stake: self.stake,
             ..Flight::default()
         }
--- a/system/state/delivery/src/service/settings.rs
+++ b/system/state/delivery/src/service/settings.rs
@@ -24,15 +24,15 @@
 /// For one service; `with_cold`: workers that have just started count as slow.
 pub(super) fn settings(site: Site, with_cold: bool) -> Settings {
     let class = Class {
-        aim: AIM_MS,
+        latency_target: AIM_MS,
         deadline: AIM_MS,
-        worth: 1.0,
-        late_worth: 1.0,
+        value: 1.0,
+        late_value: 1.0,
         effect: Effect::AtMostOnce,
         ..Class::default()
     };
     Settings {
-        me: site.me,
+        instance: site.me,
         replicas: site.dispatchers.max(1),
         zone: Some(site.zone),
         classes: vec![class],
@@ -40,10 +40,10 @@
         prices: Prices { cross_zone: site.cross_zone_price, ..Prices::default() },
         limits: Limits { max_attempts: 1, ..Limits::default() },
         rules: Rules {
-            cold_from: COLD_FROM,
-            cold: if with_cold { COLD_MS } else { 0.0 },
-            fall_multiple: FALL_MULTIPLE,
-            fall: FALL_MS,
+            warm_up_from: COLD_FROM,
+            warm_up: if with_cold { COLD_MS } else { 0.0 },
+            overload_multiple: FALL_MULTIPLE,
+            overload_time: FALL_MS,
             ..Rules::default()
         },
         ..Settings::default()
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -3,12 +3,24 @@
 use millrudder::*;
 
 fn settings(replicas: u32) -> Settings {
-    let class = Class { aim: 200.0, deadline: 5000.0, worth: 1.0, stretch: 2.0, ..Class::default() };
+    let class = Class {
+        latency_target: 200.0,
+        deadline: 5000.0,
+        value: 1.0,
+        target_stretch: 2.0,
+        ..Class::default()
+    };
     Settings {
         replicas,
         classes: vec![class],
         limits: Limits { max_attempts: 3, retry_after: true, max_retry_after: 2000.0, ..Limits::default() },
-        rules: Rules { cold_from: 0.3, cold: 8000.0, fall_multiple: 3.0, fall: 2000.0, ..Rules::default() },
+        rules: Rules {
+            warm_up_from: 0.3,
+            warm_up: 8000.0,
+            overload_multiple: 3.0,
+            overload_time: 2000.0,
+            ..Rules::default()
+        },
         ..Settings::default()
     }
 }
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -162,7 +162,7 @@
     }
 
     fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        let stays = self.settings.rules.dropped_stay_open;
+        let stays = self.settings.rules.unlisted_stay_open;
         for e in &entries {
             if e.mode == Mode::Ready {
                 // Where only draining binds, it does until a newer start.
@@ -223,19 +223,19 @@
                 let open = self.open.get_mut(&id).expect("rule 1: a send for a request that was never given");
                 assert!(!open.ended, "rule 1: sent after the end");
                 let second = open.attempts.iter().any(|a| a.2.is_none());
-                assert!(!second || self.settings.limits.second_copies, "rule 2: two at once");
+                assert!(!second || self.settings.limits.hedging, "rule 2: two at once");
                 let first = open.attempts.iter().find(|a| a.2.is_none_or(|o| !o.never_ran()));
                 if let Some((to, at, _)) = first {
                     match class.effect {
                         Effect::Idempotent => {}
                         Effect::AtMostOnce => panic!("rule 2: an unsafe request sent again"),
                         Effect::Deduplicated => {
-                            let same = match class.group {
-                                Group::All => true,
-                                Group::Zone => to % 2 == worker % 2,
-                                Group::Cell => Self::cell(*to) == Self::cell(worker),
+                            let same = match class.dedup_scope {
+                                DedupScope::All => true,
+                                DedupScope::Zone => to % 2 == worker % 2,
+                                DedupScope::Cell => Self::cell(*to) == Self::cell(worker),
                             };
-                            assert!(same && now <= at + class.window, "rule 2: group or window");
+                            assert!(same && now <= at + class.dedup_window, "rule 2: group or window");
                         }
                     }
                 }
@@ -250,7 +250,7 @@
                 let ran = open.attempts.iter().any(|a| a.2.is_none_or(|o| !o.never_ran()));
                 let harmless = match class.effect {
                     Effect::Idempotent => true,
-                    Effect::Deduplicated => class.group == Group::All,
+                    Effect::Deduplicated => class.dedup_scope == DedupScope::All,
                     Effect::AtMostOnce => false,
                 };
                 assert!(!ran || harmless, "rule 2: a refusal after it may have run");
@@ -500,38 +500,38 @@
     dropped_stay_open: bool,
 ) {
     let class = |effect, group| Class {
-        aim: 150.0,
+        latency_target: 150.0,
         deadline: 4000.0,
-        worth: 1.0,
+        value: 1.0,
         effect,
-        group,
-        window: 600.0,
+        dedup_scope: group,
+        dedup_window: 600.0,
         ..Class::default()
     };
     let settings = Settings {
         replicas: 2,
         zone: Some(0),
         period: PERIOD,
-        list_by_ask,
-        tells_start,
+        list_by_call: list_by_ask,
+        reports_starts: tells_start,
         progress: 300.0,
         classes: vec![
-            class(Effect::Idempotent, Group::All),
-            class(Effect::Deduplicated, Group::Cell),
-            class(Effect::Deduplicated, Group::Zone),
-            class(Effect::AtMostOnce, Group::All),
+            class(Effect::Idempotent, DedupScope::All),
+            class(Effect::Deduplicated, DedupScope::Cell),
+            class(Effect::Deduplicated, DedupScope::Zone),
+            class(Effect::AtMostOnce, DedupScope::All),
         ],
-        limits: Limits { max_attempts: 4, second_copies, cancel: true, ..Limits::default() },
+        limits: Limits { max_attempts: 4, hedging: second_copies, cancel: true, ..Limits::default() },
         rules: Rules {
             answer_slack: SLACK,
-            ask_within: 10_000.0,
+            list_interval: 10_000.0,
             drain_grace: GRACE,
             drain_close: CLOSE,
-            dropped_stay_open,
-            cold_from: COLD_FROM,
-            cold: COLD,
-            fall_multiple: MULTIPLE,
-            fall: FALL,
+            unlisted_stay_open: dropped_stay_open,
+            warm_up_from: COLD_FROM,
+            warm_up: COLD,
+            overload_multiple: MULTIPLE,
+            overload_time: FALL,
         },
         ..Settings::default()
     };
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -7,14 +7,20 @@
 const FLEET: u32 = 100;
 
 fn settings(me: u32) -> Settings {
-    let class = Class { aim: 120.0, stretch: 2.0, deadline: 5000.0, worth: 1.0, ..Class::default() };
+    let class = Class {
+        latency_target: 120.0,
+        target_stretch: 2.0,
+        deadline: 5000.0,
+        value: 1.0,
+        ..Class::default()
+    };
     Settings {
-        me,
+        instance: me,
         replicas: FLEET,
         period: 2.0,
-        list_by_ask: true,
+        list_by_call: true,
         classes: vec![class],
-        rules: Rules { ask_within: 10_000.0, drain_grace: 500.0, ..Rules::default() },
+        rules: Rules { list_interval: 10_000.0, drain_grace: 500.0, ..Rules::default() },
         ..Settings::default()
     }
 }
@@ -101,9 +107,9 @@
 
 fn keyed(me: u32) -> Settings {
     let mut settings = settings(me);
-    (settings.classes[0].effect, settings.classes[0].group) = (Effect::Deduplicated, Group::Cell);
-    settings.classes[0].window = 7_500.0;
-    settings.limits = Limits { max_attempts: 5, probes: true, second_copies: true, ..Limits::default() };
+    (settings.classes[0].effect, settings.classes[0].dedup_scope) = (Effect::Deduplicated, DedupScope::Cell);
+    settings.classes[0].dedup_window = 7_500.0;
+    settings.limits = Limits { max_attempts: 5, probes: true, hedging: true, ..Limits::default() };
     settings
 }
 
@@ -182,12 +188,12 @@
     const TOLD: f64 = 3_000.0;
     let mut due: BinaryHeap<Reverse<(u64, u32, u8, u64)>> = BinaryHeap::new();
     let rules = Rules {
-        ask_within: 10_000.0,
+        list_interval: 10_000.0,
         drain_grace: 500.0,
-        cold_from: 0.31,
-        cold: 9_000.0,
-        fall_multiple: 3.0,
-        fall: 2_000.0,
+        warm_up_from: 0.31,
+        warm_up: 9_000.0,
+        overload_multiple: 3.0,
+        overload_time: 2_000.0,
         ..Rules::default()
     };
     let settings = |me| Settings { replicas, rules: rules.clone(), ..keyed(me) };
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -3,13 +3,24 @@
 use millrudder::*;
 
 fn settings() -> Settings {
-    let class =
-        Class { aim: 200.0, deadline: 5000.0, worth: 1.0, effect: Effect::AtMostOnce, ..Class::default() };
+    let class = Class {
+        latency_target: 200.0,
+        deadline: 5000.0,
+        value: 1.0,
+        effect: Effect::AtMostOnce,
+        ..Class::default()
+    };
     Settings {
         replicas: 1,
         classes: vec![class],
         limits: Limits { max_attempts: 3, ..Limits::default() },
-        rules: Rules { cold_from: 0.3, cold: 8000.0, fall_multiple: 2.5, fall: 2000.0, ..Rules::default() },
+        rules: Rules {
+            warm_up_from: 0.3,
+            warm_up: 8000.0,
+            overload_multiple: 2.5,
+            overload_time: 2000.0,
+            ..Rules::default()
+        },
         ..Settings::default()
     }
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -2,8 +2,16 @@
 
 use millrudder::*;
 
-fn class(effect: Effect, group: Group) -> Class {
-    Class { aim: 200.0, deadline: 5000.0, worth: 1.0, effect, group, window: 2000.0, ..Class::default() }
+fn class(effect: Effect, group: DedupScope) -> Class {
+    Class {
+        latency_target: 200.0,
+        deadline: 5000.0,
+        value: 1.0,
+        effect,
+        dedup_scope: group,
+        dedup_window: 2000.0,
+        ..Class::default()
+    }
 }
 
 fn settings(classes: Vec<Class>) -> Settings {
@@ -14,14 +22,14 @@
         limits: Limits { max_attempts: 3, ..Limits::default() },
         rules: Rules {
             answer_slack: 8.0,
-            ask_within: 10_000.0,
+            list_interval: 10_000.0,
             drain_grace: 500.0,
             drain_close: 1000.0,
-            dropped_stay_open: false,
-            cold_from: 0.3,
-            cold: 8000.0,
-            fall_multiple: 2.5,
-            fall: 2000.0,
+            unlisted_stay_open: false,
+            warm_up_from: 0.3,
+            warm_up: 8000.0,
+            overload_multiple: 2.5,
+            overload_time: 2000.0,
         },
         ..Settings::default()
     }
@@ -90,7 +98,8 @@
 #[test]
 fn a_slow_worker_gets_less_than_a_fast_one() {
     let kinds = |w: WorkerId| Entry { kind: Some(w), ..entry(w, 0) };
-    let mut s = Script::new(settings(vec![class(Effect::Idempotent, Group::All)]), vec![kinds(0), kinds(1)]);
+    let mut s =
+        Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![kinds(0), kinds(1)]);
     let mut ends: Vec<(f64, RequestId, WorkerId)> = Vec::new();
     let mut counts = [0; 2];
     for id in 0..400u64 {
@@ -112,7 +121,7 @@
 fn an_unsafe_request_that_may_have_run_is_failed_not_repeated() {
     for outcome in [Outcome::Failed, Outcome::ResetByPeer, Outcome::TimedOut, Outcome::Canceled] {
         let mut s = Script::new(
-            settings(vec![class(Effect::AtMostOnce, Group::All)]),
+            settings(vec![class(Effect::AtMostOnce, DedupScope::All)]),
             vec![entry(0, 0), entry(1, 0)],
         );
         let to = sent(&s.request(1, 0)).unwrap();
@@ -122,8 +131,10 @@
 
 #[test]
 fn an_unsafe_request_that_never_ran_goes_to_another_worker() {
-    let mut s =
-        Script::new(settings(vec![class(Effect::AtMostOnce, Group::All)]), vec![entry(0, 0), entry(1, 0)]);
+    let mut s = Script::new(
+        settings(vec![class(Effect::AtMostOnce, DedupScope::All)]),
+        vec![entry(0, 0), entry(1, 0)],
+    );
     let to = sent(&s.request(1, 0)).unwrap();
     assert_eq!(sent(&s.outcome(1, 0, to, Outcome::QueueFull)), Some(1 - to));
 }
@@ -132,9 +143,9 @@
 fn a_keyed_request_is_repeated_only_in_its_cell_and_window() {
     for seed in 0..6 {
         let entries = vec![entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 1)];
-        let mut s = Script::new(settings(vec![class(Effect::Deduplicated, Group::Cell)]), entries);
+        let mut s = Script::new(settings(vec![class(Effect::Deduplicated, DedupScope::Cell)]), entries);
         for _ in 0..seed {
-            s.balancer = Balancer::new(settings(vec![class(Effect::Deduplicated, Group::Cell)]), seed);
+            s.balancer = Balancer::new(settings(vec![class(Effect::Deduplicated, DedupScope::Cell)]), seed);
             s.run(Event::List {
                 kind: ListKind::Replace,
                 entries: vec![entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 1)],
@@ -151,8 +162,10 @@
 
 #[test]
 fn a_drained_worker_gets_nothing_new() {
-    let mut s =
-        Script::new(settings(vec![class(Effect::Idempotent, Group::All)]), vec![entry(0, 0), entry(1, 0)]);
+    let mut s = Script::new(
+        settings(vec![class(Effect::Idempotent, DedupScope::All)]),
+        vec![entry(0, 0), entry(1, 0)],
+    );
     let draining = Entry { mode: Mode::Draining, ..entry(0, 0) };
     s.run(Event::List { kind: ListKind::Update, entries: vec![draining] });
     for id in 0..20 {
@@ -167,8 +180,8 @@
 /// Guards against a list that is wrong: called gone or left out binds only where the rules say so.
 #[test]
 fn where_only_draining_binds_an_emptied_list_changes_nothing_and_a_drain_outlives_older_lists() {
-    let mut with = settings(vec![class(Effect::Idempotent, Group::All)]);
-    with.rules.dropped_stay_open = true;
+    let mut with = settings(vec![class(Effect::Idempotent, DedupScope::All)]);
+    with.rules.unlisted_stay_open = true;
     let at = |worker, mode, ready_at| Entry { mode, ready_at, ..entry(worker, 0) };
     let first = Some(-50_000.0);
     let mut s = Script::new(with, vec![at(0, Mode::Ready, first), at(1, Mode::Ready, None)]);
@@ -198,7 +211,7 @@
 
 #[test]
 fn with_no_worker_a_request_is_refused_in_time_and_timers_do_not_multiply() {
-    let mut s = Script::new(settings(vec![class(Effect::AtMostOnce, Group::All)]), vec![]);
+    let mut s = Script::new(settings(vec![class(Effect::AtMostOnce, DedupScope::All)]), vec![]);
     let mut due: Vec<(f64, u64)> = Vec::new();
     let mut answered = 0;
     let mut timers = 0;
@@ -237,8 +250,10 @@
 
 #[test]
 fn a_worker_that_fails_fast_does_not_draw_all_traffic() {
-    let mut s =
-        Script::new(settings(vec![class(Effect::Idempotent, Group::All)]), vec![entry(0, 0), entry(1, 0)]);
+    let mut s = Script::new(
+        settings(vec![class(Effect::Idempotent, DedupScope::All)]),
+        vec![entry(0, 0), entry(1, 0)],
+    );
     let mut to_bad = 0;
     for id in 0..100 {
         s.now += 20.0;
@@ -255,7 +270,7 @@
 
 #[test]
 fn a_cold_worker_gets_no_more_than_our_part_of_the_budget() {
-    let mut s = Script::new(settings(vec![class(Effect::Idempotent, Group::All)]), vec![entry(0, 0)]);
+    let mut s = Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![entry(0, 0)]);
     for id in 0..40 {
         s.request(id, 0);
         s.run(Event::Started { id, attempt: 0 });
@@ -278,8 +293,8 @@
 
 #[test]
 fn a_failed_list_call_is_repeated_later_and_later() {
-    let base = settings(vec![class(Effect::Idempotent, Group::All)]);
-    let mut s = Script::new(Settings { list_by_ask: true, ..base }, vec![entry(0, 0)]);
+    let base = settings(vec![class(Effect::Idempotent, DedupScope::All)]);
+    let mut s = Script::new(Settings { list_by_call: true, ..base }, vec![entry(0, 0)]);
     let mut waits = Vec::new();
     for _ in 0..40 {
         let actions = s.run(Event::List { kind: ListKind::Unavailable, entries: vec![] });
@@ -297,7 +312,7 @@
 
 #[test]
 fn odd_input_is_ignored() {
-    let mut s = Script::new(settings(vec![class(Effect::Idempotent, Group::All)]), vec![entry(0, 0)]);
+    let mut s = Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![entry(0, 0)]);
     for event in [
         Event::Outcome {
             id: 77,
@@ -333,8 +348,9 @@
 /// Overload: seconds of queue stood at every worker and nearly all answers were late.
 #[test]
 fn once_a_job_waits_at_each_worker_the_rest_is_held_and_the_dearest_goes_first() {
-    let dear = Class { worth: 9.0, ..class(Effect::Idempotent, Group::All) };
-    let base = Settings { tells_start: true, ..settings(vec![class(Effect::Idempotent, Group::All), dear]) };
+    let dear = Class { value: 9.0, ..class(Effect::Idempotent, DedupScope::All) };
+    let base =
+        Settings { reports_starts: true, ..settings(vec![class(Effect::Idempotent, DedupScope::All), dear]) };
     let mut s = Script::new(base, vec![entry(0, 0)]);
     assert_eq!(sent(&s.request(0, 0)), Some(0));
     s.now += 1.0;
@@ -352,11 +368,11 @@
 }
 
 fn hedging(waste: f64) -> Script {
-    let base = settings(vec![class(Effect::Deduplicated, Group::Cell)]);
-    let limits = Limits { second_copies: true, cancel: true, ..base.limits.clone() };
+    let base = settings(vec![class(Effect::Deduplicated, DedupScope::Cell)]);
+    let limits = Limits { hedging: true, cancel: true, ..base.limits.clone() };
     let prices = Prices { waste, ..Prices::default() };
     let entries = vec![entry(0, 7), entry(1, 7), entry(2, 8)];
-    let mut s = Script::new(Settings { tells_start: true, limits, prices, ..base }, entries);
+    let mut s = Script::new(Settings { reports_starts: true, limits, prices, ..base }, entries);
     for id in 100..130 {
         let to = sent(&s.request(id, 0)).unwrap();
         s.now += 2.0;
@@ -401,7 +417,7 @@
 /// A hint that lies made a worker look fast beyond measure, and so a cold one of its kind too.
 #[test]
 fn a_lying_hint_does_not_open_the_cold_budget() {
-    let mut s = Script::new(settings(vec![class(Effect::Idempotent, Group::All)]), vec![entry(0, 0)]);
+    let mut s = Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![entry(0, 0)]);
     for id in 0..60 {
         let hint = Some(if id % 10 == 0 { 1e300 } else { 100.0 });
         let deadline = s.now + 5000.0;
@@ -433,7 +449,7 @@
 #[test]
 fn among_many_a_worker_in_usual_use_is_not_taken_for_idle() {
     let first = |replicas| {
-        let base = Settings { replicas, ..settings(vec![class(Effect::Idempotent, Group::All)]) };
+        let base = Settings { replicas, ..settings(vec![class(Effect::Idempotent, DedupScope::All)]) };
         let slower = Entry { kind: Some(1), ..entry(1, 0) };
         let mut s = Script::new(base, vec![slower.clone()]);
         let serve = |s: &mut Script, id, worker, latency| {
@@ -463,8 +479,10 @@
 /// A worker that answered every second job with an error was forgiven by each served one.
 #[test]
 fn a_worker_that_errs_half_the_time_is_set_aside() {
-    let mut s =
-        Script::new(settings(vec![class(Effect::Idempotent, Group::All)]), vec![entry(0, 0), entry(1, 0)]);
+    let mut s = Script::new(
+        settings(vec![class(Effect::Idempotent, DedupScope::All)]),
+        vec![entry(0, 0), entry(1, 0)],
+    );
     let (mut to_bad, mut bad_turn) = (0, false);
     for id in 0..200 {
         s.now += 20.0;
@@ -484,9 +502,9 @@
 #[test]
 fn a_job_without_its_progress_notes_is_called_off_and_sent_again() {
     for effect in [Effect::Idempotent, Effect::AtMostOnce] {
-        let base = settings(vec![class(effect, Group::All)]);
+        let base = settings(vec![class(effect, DedupScope::All)]);
         let limits = Limits { max_attempts: 3, cancel: true, ..Limits::default() };
-        let base = Settings { tells_start: true, progress: 400.0, limits, ..base };
+        let base = Settings { reports_starts: true, progress: 400.0, limits, ..base };
         let mut s = Script::new(base, vec![entry(0, 0), entry(1, 0)]);
         let to = sent(&s.request(1, 0)).unwrap();
         s.now += 5.0;
@@ -511,9 +529,9 @@
 /// In an overload that no dispatcher sees whole every job was sent into a queue of seconds, and all were late.
 #[test]
 fn late_starts_make_it_refuse_what_earns_least() {
-    let cheap = Class { worth: 1.0, ..class(Effect::Idempotent, Group::All) };
-    let dear = Class { worth: 6.0, ..cheap.clone() };
-    let base = Settings { tells_start: true, replicas: 50, ..settings(vec![cheap, dear]) };
+    let cheap = Class { value: 1.0, ..class(Effect::Idempotent, DedupScope::All) };
+    let dear = Class { value: 6.0, ..cheap.clone() };
+    let base = Settings { reports_starts: true, replicas: 50, ..settings(vec![cheap, dear]) };
     let mut s = Script::new(base, (0..8).map(|w| entry(w, 0)).collect());
     let mut play = |ids: std::ops::Range<u64>, wait: f64| {
         let mut refused = [0; 2];
@@ -545,8 +563,11 @@
     const WORK: f64 = 100.0;
     let mut sends: Vec<f64> = Vec::new();
     for me in 0..REPLICAS {
-        let base =
-            Settings { me, replicas: REPLICAS, ..settings(vec![class(Effect::Idempotent, Group::All)]) };
+        let base = Settings {
+            instance: me,
+            replicas: REPLICAS,
+            ..settings(vec![class(Effect::Idempotent, DedupScope::All)])
+        };
         let mut s = Script::new(base, vec![entry(0, 0)]);
         let start = s.now + 20_000.0;
         let every = if me % 10 == 0 { 25.0 } else { 400.0 };
@@ -592,7 +613,7 @@
 /// The list's word that a worker drains closes its idle connections at once, and again after each outcome there.
 #[test]
 fn idle_connections_to_a_draining_worker_are_closed() {
-    let mut s = Script::new(settings(vec![class(Effect::Idempotent, Group::All)]), vec![entry(0, 0)]);
+    let mut s = Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![entry(0, 0)]);
     s.request(1, 0);
     let drains = |w| Entry { mode: Mode::Draining, ..entry(w, 0) };
     let release = Action::Release { worker: 0 };
@@ -607,11 +628,11 @@
     let tenant = |share| Tenant { quota_per_s: 20.0 * share, share };
     let refused = |over_share_worth| {
         let base = Settings {
-            tells_start: true,
+            reports_starts: true,
             replicas: 1,
             tenants: vec![tenant(0.5), tenant(0.5)],
-            over_share_worth,
-            ..settings(vec![class(Effect::Idempotent, Group::All)])
+            over_quota_value: over_share_worth,
+            ..settings(vec![class(Effect::Idempotent, DedupScope::All)])
         };
         let mut s = Script::new(base, (0..8).map(|w| entry(w, 0)).collect());
         let mut refused = [0.0f64; 2];
@@ -648,15 +669,15 @@
         max_retry_after: 900.0,
         ..Limits::default()
     };
-    for (effect, group) in [(Effect::AtMostOnce, Group::All), (Effect::Deduplicated, Group::Cell)] {
-        let kind = Class { window: 300.0, ..class(effect, group) };
+    for (effect, group) in [(Effect::AtMostOnce, DedupScope::All), (Effect::Deduplicated, DedupScope::Cell)] {
+        let kind = Class { dedup_window: 300.0, ..class(effect, group) };
         let base = Settings { progress: 400.0, limits: limits.clone(), ..settings(vec![kind]) };
         let mut s = Script::new(base, vec![entry(0, 0), entry(1, 1)]);
         s.request(1, 0);
         assert!(s.advance(4000.0).contains(&Action::Fail { id: 1 }), "{effect:?}");
     }
     // No budget for retries left: refused in the same round, and told when to return.
-    let base = Settings { limits, ..settings(vec![class(Effect::Idempotent, Group::All)]) };
+    let base = Settings { limits, ..settings(vec![class(Effect::Idempotent, DedupScope::All)]) };
     let mut s = Script::new(base, (0..4).map(|w| entry(w, 0)).collect());
     let refused = (0..60).any(|id| {
         let to = sent(&s.request(id, 0)).unwrap();
@@ -671,7 +692,7 @@
 #[test]
 fn a_retry_whose_group_is_gone_is_answered_at_once() {
     let mut s = Script::new(
-        settings(vec![class(Effect::Deduplicated, Group::Cell)]),
+        settings(vec![class(Effect::Deduplicated, DedupScope::Cell)]),
         vec![entry(0, 0), entry(1, 1), entry(2, 2)],
     );
     let to = sent(&s.request(1, 0)).unwrap();
@@ -687,9 +708,9 @@
     for fifo in [true, false] {
         let limits = Limits { max_attempts: 2, cancel: true, ..Limits::default() };
         // Not given up for being late.
-        let patient = Class { aim: 2_000.0, ..class(Effect::Idempotent, Group::All) };
+        let patient = Class { latency_target: 2_000.0, ..class(Effect::Idempotent, DedupScope::All) };
         let base = settings(vec![patient]);
-        let base = Settings { tells_start: true, progress: 1000.0, fifo, limits, ..base };
+        let base = Settings { reports_starts: true, progress: 1000.0, fifo, limits, ..base };
         let mut s = Script::new(base, vec![entry(0, 0)]);
         let serve = |s: &mut Script, id| {
             assert_eq!(sent(&s.request(id, 0)), Some(0));
@@ -719,8 +740,10 @@
 /// With room for none but the running jobs, "full" was taken for a failure: workers stood idle for seconds.
 #[test]
 fn a_full_worker_is_left_alone_for_about_a_running_time() {
-    let mut s =
-        Script::new(settings(vec![class(Effect::Idempotent, Group::All)]), vec![entry(0, 0), entry(1, 0)]);
+    let mut s = Script::new(
+        settings(vec![class(Effect::Idempotent, DedupScope::All)]),
+        vec![entry(0, 0), entry(1, 0)],
+    );
     for id in 0..30 {
         let to = sent(&s.request(id, 0)).unwrap();
         s.now += 50.0;
@@ -739,7 +762,7 @@
 /// A list named hundreds of workers that did not exist: each drew jobs as an idle one.
 #[test]
 fn a_newly_listed_worker_that_never_answers_gets_one_job_and_is_left_alone_for_long() {
-    let base = settings(vec![class(Effect::Idempotent, Group::All)]);
+    let base = settings(vec![class(Effect::Idempotent, DedupScope::All)]);
     let mut s = Script::new(base, vec![entry(0, 0)]);
     for id in 0..20 {
         s.request(id, 0);
@@ -757,8 +780,8 @@
 /// A job that could only be late was held until near its deadline, though those in time went first.
 #[test]
 fn a_held_job_that_is_late_without_a_place_is_answered_long_before_its_deadline() {
-    let late = Class { late_worth: 0.5, ..class(Effect::AtMostOnce, Group::All) };
-    let mut s = Script::new(Settings { tells_start: true, ..settings(vec![late]) }, vec![entry(0, 0)]);
+    let late = Class { late_value: 0.5, ..class(Effect::AtMostOnce, DedupScope::All) };
+    let mut s = Script::new(Settings { reports_starts: true, ..settings(vec![late]) }, vec![entry(0, 0)]);
     for id in 0..10 {
         s.request(id, 0);
         s.now += 2.0;
@@ -777,7 +800,7 @@
 #[test]
 fn a_worker_at_which_all_is_reset_at_once_is_taken_as_cold() {
     let sends_after = |resets: u64| {
-        let base = settings(vec![class(Effect::AtMostOnce, Group::All)]);
+        let base = settings(vec![class(Effect::AtMostOnce, DedupScope::All)]);
         let mut s = Script::new(Settings { replicas: 1, ..base }, vec![entry(0, 0)]);
         for id in 0..20 {
             s.request(id, 0);
@@ -799,7 +822,7 @@
 #[test]
 fn a_stray_reset_does_not_set_a_worker_aside() {
     // On a day on which connections broke now and then, most workers were left alone most of the time.
-    let class = class(Effect::Idempotent, Group::All);
+    let class = class(Effect::Idempotent, DedupScope::All);
     let mut s = Script::new(settings(vec![class]), vec![entry(0, 0), entry(1, 0)]);
     let to = sent(&s.request(1, 0)).unwrap();
     assert_eq!(sent(&s.outcome(1, 0, to, Outcome::ResetByPeer)), Some(1 - to));
@@ -812,7 +835,7 @@
 #[test]
 fn an_attempt_that_never_left_uses_up_no_retry() {
     // Kept connections that had died cost the budget that is meant to spare workers.
-    let class = class(Effect::AtMostOnce, Group::All);
+    let class = class(Effect::AtMostOnce, DedupScope::All);
     let mut s = Script::new(settings(vec![class]), vec![entry(0, 0), entry(1, 0)]);
     for id in 1..30 {
         let to = sent(&s.request(id, 0)).expect("sent");
@@ -824,7 +847,8 @@
 #[test]
 fn a_worker_whose_running_times_alone_make_jobs_late_is_left_alone() {
     // Its estimate still drew a job whenever the others were busy: two in a hundred came late on such days.
-    let tells = Settings { tells_start: true, ..settings(vec![class(Effect::Idempotent, Group::All)]) };
+    let tells =
+        Settings { reports_starts: true, ..settings(vec![class(Effect::Idempotent, DedupScope::All)]) };
     let mut s = Script::new(tells, (0..3).map(|w| entry(w, 0)).collect());
     let (mut ends, mut late): (Vec<(f64, RequestId, WorkerId)>, usize) = (Vec::new(), 0);
     for id in 0..3000u64 {
@@ -844,7 +868,7 @@
 
 #[test]
 fn a_worker_that_took_a_job_and_said_nothing_is_set_aside() {
-    let class = class(Effect::Idempotent, Group::All);
+    let class = class(Effect::Idempotent, DedupScope::All);
     let mut s = Script::new(settings(vec![class]), vec![entry(0, 0), entry(1, 0)]);
     let to = sent(&s.request(1, 0)).unwrap();
     s.now += 400.0;
@@ -859,7 +883,7 @@
 #[test]
 fn a_connection_that_fails_right_after_a_sign_of_life_does_not_set_a_worker_aside() {
     for (age, stays) in [(10.0, true), (5000.0, false)] {
-        let class = class(Effect::Idempotent, Group::All);
+        let class = class(Effect::Idempotent, DedupScope::All);
         let mut s = Script::new(settings(vec![class]), vec![entry(0, 0), entry(1, 0)]);
         let to = sent(&s.request(1, 0)).unwrap();
         s.outcome(1, 0, to, Outcome::Ok);
@@ -878,10 +902,10 @@
 fn a_job_that_waits_until_a_start_would_be_late_is_called_off_and_answered_at_once() {
     // Late starts kept the places that later jobs still had time for: 99 % served in time before a release, 80 % in the 5 s
     // after it (join+vast, seed 1060834082237), with queues 30 deep at some workers and empty ones elsewhere.
-    for (effect, group) in [(Effect::AtMostOnce, Group::All), (Effect::Deduplicated, Group::Cell)] {
+    for (effect, group) in [(Effect::AtMostOnce, DedupScope::All), (Effect::Deduplicated, DedupScope::Cell)] {
         let limits = Limits { max_attempts: 3, cancel: true, ..Limits::default() };
-        let kind = Class { stretch: 2.0, ..class(effect, group) };
-        let base = Settings { limits, tells_start: true, ..settings(vec![kind]) };
+        let kind = Class { target_stretch: 2.0, ..class(effect, group) };
+        let base = Settings { limits, reports_starts: true, ..settings(vec![kind]) };
         let mut s = Script::new(base, vec![entry(0, 0), entry(1, 0)]);
         // Jobs of 100 ms: wanted within 200 ms and twice that, so a start is of use for 300 ms.
         for id in 0..40 {
@@ -919,7 +943,7 @@
 fn a_worker_that_fails_for_others_is_left_at_our_first_error_and_a_stray_one_is_no_reason() {
     // Each of 100 dispatchers met the same seven failing workers 3 to 4 times each before it left them (join+vast): some
     // 1,200 errors a day, and the retries that they used up. Their reports told of 20 to 30 errors a second.
-    let class = class(Effect::Idempotent, Group::All);
+    let class = class(Effect::Idempotent, DedupScope::All);
     for (errors_per_s, left) in [(30.0, true), (0.0, false)] {
         let mut s = Script::new(settings(vec![class.clone()]), vec![entry(0, 0), entry(1, 0)]);
         let (mut failed, mut later) = (false, 0);
--- a/tests/support/day.rs
+++ b/tests/support/day.rs
@@ -250,7 +250,7 @@
         if !self.open(id, attempt) {
             return;
         }
-        if self.settings.tells_start {
+        if self.settings.reports_starts {
             self.event(Event::Started { id, attempt });
         }
         if self.settings.progress > 0.0 {
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -40,16 +40,16 @@
     of[dice.usize(..of.len())]
 }
 
-fn class(dice: &mut Rng, effect: Effect, group: Group, kind: Option<u32>) -> Class {
+fn class(dice: &mut Rng, effect: Effect, group: DedupScope, kind: Option<u32>) -> Class {
     Class {
-        aim: pick(dice, &[0.0, 80.0, 200.0, 200.0]),
-        stretch: pick(dice, &[0.0, 1.5, 3.0]),
+        latency_target: pick(dice, &[0.0, 80.0, 200.0, 200.0]),
+        target_stretch: pick(dice, &[0.0, 1.5, 3.0]),
         deadline: pick(dice, &[0.0, 900.0, 5000.0]),
-        worth: pick(dice, &[0.3, 1.0, 4.0]),
-        late_worth: pick(dice, &[0.0, 0.0, 0.4]),
+        value: pick(dice, &[0.3, 1.0, 4.0]),
+        late_value: pick(dice, &[0.0, 0.0, 0.4]),
         effect,
-        group,
-        window: pick(dice, &[300.0, 2000.0, 7500.0]),
+        dedup_scope: group,
+        dedup_window: pick(dice, &[300.0, 2000.0, 7500.0]),
         kind,
         ..Class::default()
     }
@@ -58,12 +58,12 @@
 fn classes(dice: &mut Rng, kinds: u32) -> Vec<Class> {
     let tied = (kinds > 1 && dice.bool()).then_some(0);
     let classes = vec![
-        class(dice, Effect::Idempotent, Group::All, None),
-        class(dice, Effect::Idempotent, Group::Cell, tied),
-        class(dice, Effect::Deduplicated, Group::Cell, None),
-        class(dice, Effect::Deduplicated, Group::Zone, None),
-        class(dice, Effect::Deduplicated, Group::All, None),
-        class(dice, Effect::AtMostOnce, Group::All, None),
+        class(dice, Effect::Idempotent, DedupScope::All, None),
+        class(dice, Effect::Idempotent, DedupScope::Cell, tied),
+        class(dice, Effect::Deduplicated, DedupScope::Cell, None),
+        class(dice, Effect::Deduplicated, DedupScope::Zone, None),
+        class(dice, Effect::Deduplicated, DedupScope::All, None),
+        class(dice, Effect::AtMostOnce, DedupScope::All, None),
     ];
     assert_eq!(classes.len(), CLASSES);
     classes
@@ -72,7 +72,7 @@
 fn limits(dice: &mut Rng) -> Limits {
     Limits {
         max_attempts: dice.usize(1..6),
-        second_copies: dice.bool(),
+        hedging: dice.bool(),
         cancel: dice.f64() < 0.7,
         retry_after: dice.bool(),
         max_retry_after: 400.0,
@@ -83,14 +83,14 @@
 fn rules(dice: &mut Rng) -> Rules {
     Rules {
         answer_slack: 8.0,
-        ask_within: 10_000.0,
+        list_interval: 10_000.0,
         drain_grace: 500.0,
         drain_close: 1000.0,
-        dropped_stay_open: dice.bool(),
-        cold_from: 0.31,
-        cold: pick(dice, &[0.0, 3000.0, 9000.0]),
-        fall_multiple: 3.0,
-        fall: 2000.0,
+        unlisted_stay_open: dice.bool(),
+        warm_up_from: 0.31,
+        warm_up: pick(dice, &[0.0, 3000.0, 9000.0]),
+        overload_multiple: 3.0,
+        overload_time: 2000.0,
     }
 }
 
@@ -99,21 +99,21 @@
     let replicas = pick(dice, &[1, 2, 2, 20, 100]);
     let tenant = |quota_per_s, share| Tenant { quota_per_s, share };
     Settings {
-        me: dice.u32(0..replicas),
+        instance: dice.u32(0..replicas),
         replicas,
         zone: Some(dice.u32(0..zones)),
         zones,
         period: pick(dice, &[0.0, 2.0, 5.0]),
-        list_by_ask: dice.bool(),
+        list_by_call: dice.bool(),
         classes: classes(dice, kinds),
         tenants: vec![tenant(40.0, 0.5), tenant(2.0, 0.1)],
-        over_share_worth: 0.2,
-        worth_by_work: dice.bool(),
-        tells_start: dice.f64() < 0.7,
+        over_quota_value: 0.2,
+        value_by_work: dice.bool(),
+        reports_starts: dice.f64() < 0.7,
         progress: pick(dice, &[0.0, 40.0, 150.0]),
         fifo: dice.bool(),
         reports: true,
-        kept_promises: pick(dice, &[0.0, 0.5]),
+        promise_weight: pick(dice, &[0.0, 0.5]),
         prices: Prices { cross_zone: pick(dice, &[0.0, 0.01, 0.2]), waste: 0.02, ..Prices::default() },
         limits: limits(dice),
         rules: rules(dice),
