--- a/balancer/core/src/dispatch/legacy.rs
+++ b/balancer/core/src/dispatch/legacy.rs
@@ -36,7 +36,7 @@
     pub(super) hops: Vec<String>,
     pub(super) classes: Vec<String>,
     pub(super) kinds: Vec<String>,
-    pub(super) memory: mr::Memory,
+    pub(super) memory: mr::LearnedState,
 }
 
 impl Legacy {
@@ -45,7 +45,7 @@
         map: Vec<MapEntry>,
         hops: Vec<String>,
         names: &Names,
-        memory: mr::Memory,
+        memory: mr::LearnedState,
     ) -> Self {
         let (classes, kinds) = (names.classes.clone(), names.kinds.clone());
         Legacy { version: VERSION, generation, map, hops, classes, kinds, memory }
@@ -80,23 +80,23 @@
     }
 
     /// The memory in a successor's numbers; what has no name there is left out.
-    pub(super) fn memory(&self, names: &Names, mut number: impl FnMut(&str) -> HopId) -> mr::Memory {
+    pub(super) fn memory(&self, names: &Names, mut number: impl FnMut(&str) -> HopId) -> mr::LearnedState {
         let numbers: Vec<HopId> = self.hops.iter().map(|name| number(name)).collect();
         let hop = |id: HopId| numbers.get(id as usize).copied();
-        let kind = |known: &mr::KindMemory| {
+        let kind = |known: &mr::LearnedKind| {
             let kind = match known.kind {
                 None => None,
                 Some(k) => Some(position(&names.kinds, self.kinds.get(k as usize)?)?),
             };
-            Some(mr::KindMemory { kind, ..known.clone() })
+            Some(mr::LearnedKind { kind, ..known.clone() })
         };
         let time = |name: &String| {
             let known = self.classes.iter().position(|class| class == name);
             known.and_then(|i| self.memory.class_time.get(i)).copied().unwrap_or_default()
         };
         let worker =
-            |known: &mr::WorkerMemory| Some(mr::WorkerMemory { id: hop(known.id)?, ..known.clone() });
-        mr::Memory {
+            |known: &mr::LearnedWorker| Some(mr::LearnedWorker { id: hop(known.id)?, ..known.clone() });
+        mr::LearnedState {
             class_time: names.classes.iter().map(time).collect(),
             kinds: self.memory.kinds.iter().filter_map(kind).collect(),
             workers: self.memory.workers.iter().filter_map(worker).collect(),
--- a/balancer/core/src/dispatch/legacy/golden_tests.rs
+++ b/balancer/core/src/dispatch/legacy/golden_tests.rs
@@ -6,37 +6,42 @@
 use millrudder_exchange::{HopState, MapEntry};
 use millrudder_testing::golden::Golden;
 
-fn memory() -> mr::Memory {
-    let flight = mr::FlightMemory { request: 71, attempt: 2, slots: 1.5, work: 72.0, sent: 73.0 };
-    let worker = mr::WorkerMemory {
+fn memory() -> mr::LearnedState {
+    let flight = mr::LearnedAttempt { request: 71, attempt: 2, slots: 1.5, work: 72.0, sent_at: 73.0 };
+    let worker = mr::LearnedWorker {
         id: 1,
         ready_at: Some(11.0),
-        returned: None,
-        put_back: true,
+        restored_at: None,
+        restored: true,
         speed: (12.0, 13.0),
         knee: 14.0,
         errors: 0.25,
-        hold_until: 15.0,
-        cold_turn: 16.0,
-        since: 17.0,
-        sign: 18.0,
-        flights: vec![flight],
+        ejected_until: 15.0,
+        warm_up_turn: 16.0,
+        listed_since: 17.0,
+        last_seen_at: 18.0,
+        in_flight: vec![flight],
     };
-    let kind =
-        mr::KindMemory { kind: Some(0), speed: (21.0, 22.0), cores: 23.0, usual: 24.0, heard: (25.0, 26.0) };
-    mr::Memory {
-        version: mr::MEMORY_VERSION,
-        at: 31.0,
-        began: Some(32.0),
+    let kind = mr::LearnedKind {
+        kind: Some(0),
+        speed: (21.0, 22.0),
+        cores: 23.0,
+        usual_slots: 24.0,
+        reported_slots: (25.0, 26.0),
+    };
+    mr::LearnedState {
+        version: mr::LEARNED_STATE_VERSION,
+        exported_at: 31.0,
+        started_at: Some(32.0),
         arrivals: (33.0, 34.0),
         retry_tokens: 35.0,
         price: 36.0,
         class_time: vec![(37.0, 38.0)],
         all_speed: (39.0, 40.0),
         mean_work: (41.0, 42.0),
-        waits: (43.0, 44.0),
-        mean_worth: (45.0, 46.0),
-        kinds: vec![kind, mr::KindMemory::default()],
+        start_waits: (43.0, 44.0),
+        mean_value: (45.0, 46.0),
+        kinds: vec![kind, mr::LearnedKind::default()],
         workers: vec![worker],
         banned: vec![(1, 47.0)],
     }
--- a/balancer/core/src/dispatch/legacy/tests.rs
+++ b/balancer/core/src/dispatch/legacy/tests.rs
@@ -10,11 +10,11 @@
 
 #[test]
 fn numbers_are_translated_by_name() {
-    let memory = mr::Memory {
+    let memory = mr::LearnedState {
         class_time: vec![(1.0, 1.0), (2.0, 1.0)],
-        kinds: vec![mr::KindMemory { kind: Some(1), cores: 4.0, ..mr::KindMemory::default() }],
+        kinds: vec![mr::LearnedKind { kind: Some(1), cores: 4.0, ..mr::LearnedKind::default() }],
         banned: vec![(1, 5.0)],
-        ..mr::Memory::default()
+        ..mr::LearnedState::default()
     };
     let hops = vec!["s-1".to_owned(), "s-2".to_owned()];
     let old = Legacy::new(Some(41), Vec::new(), hops, &names(&["a", "b"], &["x", "y"]), memory);
@@ -29,7 +29,7 @@
 
 #[test]
 fn what_is_no_legacy_is_refused_not_misread() {
-    let old = Legacy::new(Some(41), Vec::new(), Vec::new(), &names(&["a"], &[]), mr::Memory::default());
+    let old = Legacy::new(Some(41), Vec::new(), Vec::new(), &names(&["a"], &[]), mr::LearnedState::default());
     garbage(21, &old.encode(), |bytes| drop(Legacy::decode(bytes)));
     let other = Legacy { version: VERSION + 1, ..old };
     assert!(Legacy::decode(&other.encode()).unwrap_err().to_string().contains("form 2"));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -93,9 +93,9 @@
     pub probes: bool,
     /// An attempt may be cancelled at its worker.
     pub cancel: bool,
-    /// Clients are told how long to wait after a refusal, up to `max_retry_after`.
+    /// Clients are advised how long to wait after a refusal, up to `max_retry_after`.
     pub retry_after: bool,
-    /// Longest wait that a client is told (ms).
+    /// Longest wait that a client is advised (ms).
     pub max_retry_after: f64,
     /// Time limit of connecting to a worker (ms).
     pub connect_timeout: f64,
@@ -267,7 +267,7 @@
     pub hint: Option<f64>,
     /// Slots that it takes at its worker.
     pub slots: f64,
-    /// Memory that it takes at its worker, in the site's unit.
+    /// LearnedState that it takes at its worker, in the site's unit.
     pub memory: f64,
     /// Index into [`Settings::tenants`].
     pub tenant: Option<usize>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,7 +8,7 @@
 //! ```
 //! use millrudder::{Action, Balancer, Class, Entry, Event, ListKind, Mode, Request, Settings};
 //!
-//! let class = Class { aim: 200.0, deadline: 5000.0, worth: 1.0, ..Class::default() };
+//! let class = Class { latency_target: 200.0, deadline: 5000.0, value: 1.0, ..Class::default() };
 //! let settings = Settings { replicas: 1, classes: vec![class], ..Settings::default() };
 //! let mut balancer = Balancer::new(settings, 7);
 //! let mut actions = Vec::new();
@@ -28,6 +28,6 @@
 pub use interface::*;
 pub use rules::index::whittle_index;
 pub use rules::learned_state::{
-    FlightMemory, KindMemory, Mean, Memory, MemoryError, WorkerMemory, MEMORY_VERSION,
+    LearnedAttempt, LearnedKind, LearnedState, LearnedStateError, LearnedWorker, Mean, LEARNED_STATE_VERSION,
 };
 pub use rules::Balancer;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,7 +1,7 @@
 //! Every decision of the library, by concern in the modules below: all of them decide but `learned_state` and
 //! `records`. Types, events and actions are in `src/interface.rs`, the records it keeps in `src/state.rs`.
 //!
-//! Ordinary path: `handle(Request)` -> `place` -> `pick`, which takes the able, ready worker whose Whittle
+//! Ordinary path: `handle(Request)` -> `place` -> `select_worker`, the able, ready worker whose Whittle
 //! index at its present count of our jobs is highest. The rest keeps the four rules and handles failures.
 
 mod constants;
@@ -22,34 +22,34 @@
 #[derive(Default)]
 pub struct Balancer {
     settings: Settings,
-    rng: Dice,
+    rng: Random,
     now: f64,
     workers: Vec<Worker>,
     kinds: BTreeMap<Option<u32>, Kind>,
     pools: Vec<Pool>,
     pending: BTreeMap<RequestId, Pending>,
-    held: Vec<RequestId>,
-    held_timer: bool,
+    parked: Vec<RequestId>,
+    parked_timer: bool,
     /// Mean running time by class, for jobs without a hint.
-    class_time: Vec<Speed>,
-    all_speed: Speed,
-    mean_work: Speed,
+    class_time: Vec<DecayingMean>,
+    all_speed: DecayingMean,
+    mean_work: DecayingMean,
     /// How long jobs wait for their start.
-    waits: Speed,
-    mean_worth: Speed,
-    arrivals: Fading,
+    start_waits: DecayingMean,
+    mean_value: DecayingMean,
+    arrivals: DecayingCount,
     /// By tenant: arrivals lately, and what was left of our part of its quota at the latest.
-    tenants: Vec<(Fading, f64)>,
-    began: Option<f64>,
+    tenants: Vec<(DecayingCount, f64)>,
+    started_at: Option<f64>,
     renewed_at: f64,
     renew_now: bool,
     /// Arrivals a millisecond, and the length of a step, as the index uses them.
-    rate: f64,
+    arrival_rate: f64,
     step: f64,
-    /// How far indices are ties: none where we hold a job at each worker, `SPREAD` where one of hundreds.
+    /// How far indices are ties: none where we hold a job at each worker, `INDEX_TIE` where one of hundreds.
     spread: f64,
     /// A timer is armed at which attempts are judged lost.
-    watching: bool,
+    lost_timer: bool,
     retry_tokens: f64,
     /// What a unit of work must earn to be taken on (log, in means).
     price: f64,
@@ -59,20 +59,23 @@
 }
 
 const TIMER_LIST: u64 = 0;
-const TIMER_HELD: u64 = 1;
-const TIMER_WATCH: u64 = 2;
+const TIMER_PARKED: u64 = 1;
+const TIMER_LOST: u64 = 2;
 /// From here on one a request, for its second copy.
-const TIMER_REQUEST: u64 = 3;
+const TIMER_HEDGE: u64 = 3;
 
 fn positive(x: Option<f64>) -> Option<f64> {
     x.filter(|x| x.is_finite() && *x > 0.0)
 }
 
 impl Balancer {
+    /// Handles one event and appends what is to be done to `out`, in order.
+    ///
+    /// `now` is the caller's clock (ms); a reading before the last one counts as that one.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         self.now = if now.is_finite() { self.now.max(now) } else { self.now };
-        if self.began.is_none() {
-            self.began = Some(self.now);
+        if self.started_at.is_none() {
+            self.started_at = Some(self.now);
             self.arrivals.at = self.now;
             if self.settings.list_by_call {
                 self.ask(out);
@@ -82,16 +85,16 @@
             Event::List { kind, entries } => self.on_list(kind, entries, out),
             Event::Request(request) => self.on_request(request, out),
             Event::First { .. } => {}
-            Event::Progress { id, attempt, .. } => self.on_note(id, attempt),
+            Event::Progress { id, attempt, .. } => self.on_progress(id, attempt),
             Event::Probed { worker, load, .. } => self.on_load(worker, load),
             Event::Lapsed { id } => self.end(id),
             Event::Ban { worker, on } => self.on_ban(worker, on, out),
             Event::Settings { settings, from } => self.on_settings(*settings, &from),
             Event::Timer { token } => self.on_timer(token, out),
             Event::Started { id, attempt } => {
-                self.on_note(id, attempt);
+                self.on_progress(id, attempt);
                 self.cancel_others(id, attempt, out);
-                self.try_held(false, out);
+                self.dispatch_parked(false, out);
             }
             Event::Outcome { .. } => self.on_outcome(event, out),
         }
@@ -100,13 +103,13 @@
     fn on_timer(&mut self, token: u64, out: &mut Vec<Action>) {
         match token {
             TIMER_LIST => out.push(Action::Watch),
-            TIMER_WATCH => self.watch(out),
-            TIMER_HELD => {
-                self.held_timer = false;
-                self.try_held(true, out);
-                self.arm_held(out);
+            TIMER_LOST => self.watch(out),
+            TIMER_PARKED => {
+                self.parked_timer = false;
+                self.dispatch_parked(true, out);
+                self.arm_parked_timer(out);
             }
-            _ => self.hedge(token - TIMER_REQUEST, out),
+            _ => self.hedge(token - TIMER_HEDGE, out),
         }
     }
 }
--- a/src/rules/learned_state.rs
+++ b/src/rules/learned_state.rs
@@ -1,106 +1,156 @@
-//! What the module has learnt, given to a successor (an upgrade): read out, and taken in before the first event but
-//! the list. Nothing here decides.
+//! What the module has learnt, given to a successor (an upgrade): read out, and taken in before the first
+//! event but the list. Nothing here decides.
 //!
-//! Times are those of the clock that both processes count by. Jobs under way stay with the process that sent them; the
-//! successor counts them at their workers, in the index and so against cold workers' budgets, until it is told that
-//! they have ended.
+//! Times are those of the clock that both processes count by. Jobs under way stay with the process that
+//! sent them; the successor counts them at their workers, in the index and so against the budgets of
+//! workers that are warming up, until it is notified that they have ended.
 
 use super::constants::RETRY_BURST;
 use super::Balancer;
 use crate::interface::{Action, WorkerId};
-use crate::state::{Flight, Kind, Speed, Worker};
+use crate::state::{DecayingMean, InFlight, Kind, Worker};
 use serde::{Deserialize, Serialize};
 
-/// Of this form. Another version's memory is refused whole: to start afresh is safe, to misread is not.
-pub const MEMORY_VERSION: u32 = 2;
-/// Of what a predecessor sends no more is taken in: far beyond any fleet.
-const MOST_WORKERS: usize = 100_000;
-const MOST_FLIGHTS: usize = 1_000_000;
-/// Numbers of foreign jobs start here, where our own never come.
-const FOREIGN: u64 = 1 << 63;
+/// Version of this form. Another version's state is rejected whole: to start afresh is safe, to misread is
+/// not.
+pub const LEARNED_STATE_VERSION: u32 = 2;
+/// More workers than this are not accepted from a predecessor: far beyond any fleet.
+const MAX_WORKERS: usize = 100_000;
+/// More attempts than this are not accepted from a predecessor.
+const MAX_ATTEMPTS: usize = 1_000_000;
+/// Numbers of a predecessor's requests start here, where our own never come.
+const PREDECESSOR: u64 = 1 << 63;
 
-/// Work and the time it took, both fading: their quotient is a mean.
+/// Work (ms on a standard core, or a count) and the time it took (ms), both decaying: their quotient is a
+/// mean.
 pub type Mean = (f64, f64);
 
-/// All that is worth passing on. Plain numbers; ids of workers are the caller's to translate.
+/// All that is worth passing on. Plain numbers; the caller translates identifiers of workers, classes and
+/// kinds.
+///
+/// The field names of the encoded form are those of version 2.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Memory {
+pub struct LearnedState {
+    /// [`LEARNED_STATE_VERSION`] of the writer.
     pub version: u32,
-    /// When it was read out.
-    pub at: f64,
-    pub began: Option<f64>,
-    /// Sum of arrivals, fading, and as of when.
+    /// When it was exported.
+    #[serde(rename = "at")]
+    pub exported_at: f64,
+    /// When the first event came.
+    #[serde(rename = "began")]
+    pub started_at: Option<f64>,
+    /// Sum of arrivals, decaying, and as of when.
     pub arrivals: (f64, f64),
+    /// Retries that may still be made at once.
     pub retry_tokens: f64,
+    /// Logarithm of what a unit of work must earn to be accepted, in means.
     pub price: f64,
     /// Mean running time by class.
     pub class_time: Vec<Mean>,
+    /// Speed of all workers taken together.
     pub all_speed: Mean,
+    /// Work of a request.
     pub mean_work: Mean,
-    pub waits: Mean,
-    pub mean_worth: Mean,
-    pub kinds: Vec<KindMemory>,
-    pub workers: Vec<WorkerMemory>,
-    /// Workers out by hand, and since when.
+    /// How long jobs wait for their start.
+    #[serde(rename = "waits")]
+    pub start_waits: Mean,
+    /// Value of a request.
+    #[serde(rename = "mean_worth")]
+    pub mean_value: Mean,
+    /// What is pooled over the workers of one kind.
+    pub kinds: Vec<LearnedKind>,
+    /// What is known of each worker.
+    pub workers: Vec<LearnedWorker>,
+    /// Workers ejected by hand, and since when.
     pub banned: Vec<(WorkerId, f64)>,
 }
 
+/// What is pooled over the workers of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct KindMemory {
+pub struct LearnedKind {
+    /// The kind; `None`: workers whose kind the list does not say.
     pub kind: Option<u32>,
+    /// Speed of one core.
     pub speed: Mean,
+    /// Most slots seen at work at once on one worker.
     pub cores: f64,
-    pub usual: f64,
-    pub heard: Mean,
+    /// Mean slots of this dispatcher's jobs at one worker.
+    #[serde(rename = "usual")]
+    pub usual_slots: f64,
+    /// Mean slots in use at one worker by load reports.
+    #[serde(rename = "heard")]
+    pub reported_slots: Mean,
 }
 
+/// What is known of one worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WorkerMemory {
+pub struct LearnedWorker {
+    /// The worker.
     pub id: WorkerId,
-    /// Which process of it this is about.
+    /// When the process started that this is about.
     pub ready_at: Option<f64>,
-    /// When it was last put back by hand, and whether it is still owed a job for that.
-    pub returned: Option<f64>,
-    pub put_back: bool,
+    /// When it was last restored by hand ...
+    #[serde(rename = "returned")]
+    pub restored_at: Option<f64>,
+    /// ... and whether it has not been sent a job since.
+    #[serde(rename = "put_back")]
+    pub restored: bool,
+    /// Its speed.
     pub speed: Mean,
+    /// Slots of this dispatcher's jobs beyond which its completions did not rise.
     pub knee: f64,
+    /// Fraction of its latest outcomes that failed.
     pub errors: f64,
-    /// Set aside until then.
-    pub hold_until: f64,
-    /// The last turn of its cold budget that was spent.
-    pub cold_turn: f64,
-    pub since: f64,
-    pub sign: f64,
-    /// Slots of jobs that were sent there and have not ended, with when they were sent.
-    pub flights: Vec<FlightMemory>,
+    /// It is ejected until then.
+    #[serde(rename = "hold_until")]
+    pub ejected_until: f64,
+    /// The last turn of its warm-up budget that was used.
+    #[serde(rename = "cold_turn")]
+    pub warm_up_turn: f64,
+    /// When it was last listed anew, started or unlisted.
+    #[serde(rename = "since")]
+    pub listed_since: f64,
+    /// When it last gave a sign of life.
+    #[serde(rename = "sign")]
+    pub last_seen_at: f64,
+    /// Attempts there that have not ended.
+    #[serde(rename = "flights")]
+    pub in_flight: Vec<LearnedAttempt>,
 }
 
+/// An attempt that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FlightMemory {
-    /// The sender's number of the job, and of the attempt.
+pub struct LearnedAttempt {
+    /// The sender's number of the request.
     pub request: u64,
+    /// The attempt, from 0.
     pub attempt: usize,
+    /// Slots that it takes.
     pub slots: f64,
+    /// Its work (ms on a standard core).
     pub work: f64,
-    pub sent: f64,
+    /// When it was sent.
+    #[serde(rename = "sent")]
+    pub sent_at: f64,
 }
 
-/// Why a memory is not taken in.
+/// Why a predecessor's state is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MemoryError {
+pub enum LearnedStateError {
+    /// It is of another version.
     Version(u32),
-    /// More classes, workers or jobs than there can be.
+    /// More classes, workers or attempts than there can be.
     Size,
     /// A number that is none, or out of its range.
     Number,
 }
 
-fn mean(speed: Speed) -> Mean {
+fn mean(speed: DecayingMean) -> Mean {
     (speed.work, speed.time)
 }
 
-fn speed((work, time): Mean) -> Speed {
-    Speed { work, time }
+fn speed((work, time): Mean) -> DecayingMean {
+    DecayingMean { work, time }
 }
 
 fn is_mean((work, time): Mean) -> bool {
@@ -116,73 +166,76 @@
     !x.is_nan() && x < f64::INFINITY
 }
 
-impl Memory {
-    fn check(&self, classes: usize) -> Result<(), MemoryError> {
-        if self.version != MEMORY_VERSION {
-            return Err(MemoryError::Version(self.version));
+impl LearnedState {
+    fn check(&self, classes: usize) -> Result<(), LearnedStateError> {
+        if self.version != LEARNED_STATE_VERSION {
+            return Err(LearnedStateError::Version(self.version));
         }
-        let flights: usize = self.workers.iter().map(|w| w.flights.len()).sum();
+        let flights: usize = self.workers.iter().map(|w| w.in_flight.len()).sum();
         let classes = self.class_time.len() == classes;
-        if !classes || self.workers.len().max(self.banned.len()) > MOST_WORKERS || flights > MOST_FLIGHTS {
-            return Err(MemoryError::Size);
+        if !classes || self.workers.len().max(self.banned.len()) > MAX_WORKERS || flights > MAX_ATTEMPTS {
+            return Err(LearnedStateError::Size);
         }
-        let means = [self.all_speed, self.mean_work, self.waits, self.mean_worth];
+        let means = [self.all_speed, self.mean_work, self.start_waits, self.mean_value];
         let sound = means.iter().chain(&self.class_time).all(|m| is_mean(*m))
             && is_amount(self.arrivals.0)
             && is_time(self.arrivals.1)
-            && is_time(self.at)
-            && self.began.is_none_or(is_time)
+            && is_time(self.exported_at)
+            && self.started_at.is_none_or(is_time)
             && is_amount(self.retry_tokens)
             && self.price.is_finite()
-            && self.kinds.iter().all(KindMemory::is_sound)
+            && self.kinds.iter().all(LearnedKind::is_sound)
             && self.banned.iter().all(|(_, since)| is_time(*since))
-            && self.workers.iter().all(WorkerMemory::is_sound);
+            && self.workers.iter().all(LearnedWorker::is_sound);
         if sound {
             Ok(())
         } else {
-            Err(MemoryError::Number)
+            Err(LearnedStateError::Number)
         }
     }
 }
 
-impl KindMemory {
+impl LearnedKind {
     fn is_sound(&self) -> bool {
-        is_mean(self.speed) && is_mean(self.heard) && is_amount(self.cores) && is_amount(self.usual)
+        is_mean(self.speed)
+            && is_mean(self.reported_slots)
+            && is_amount(self.cores)
+            && is_amount(self.usual_slots)
     }
 }
 
-impl WorkerMemory {
+impl LearnedWorker {
     fn is_sound(&self) -> bool {
-        let times = [self.hold_until, self.since, self.sign, self.cold_turn];
-        let flight = |f: &FlightMemory| is_amount(f.slots) && is_amount(f.work) && is_time(f.sent);
+        let times = [self.ejected_until, self.listed_since, self.last_seen_at, self.warm_up_turn];
+        let flight = |f: &LearnedAttempt| is_amount(f.slots) && is_amount(f.work) && is_time(f.sent_at);
         is_mean(self.speed)
             && self.knee >= 0.0
             && (0.0..=1.0).contains(&self.errors)
-            && times.into_iter().chain(self.ready_at).chain(self.returned).all(is_time)
-            && self.flights.iter().all(flight)
+            && times.into_iter().chain(self.ready_at).chain(self.restored_at).all(is_time)
+            && self.in_flight.iter().all(flight)
     }
 
     fn of(worker: &Worker) -> Self {
-        let out = worker.flights.iter().filter(|f| f.ghost_until.is_none());
-        WorkerMemory {
+        let out = worker.in_flight.iter().filter(|f| f.occupied_until.is_none());
+        LearnedWorker {
             id: worker.id,
             ready_at: worker.ready_at,
-            returned: worker.returned,
-            put_back: worker.put_back,
+            restored_at: worker.restored_at,
+            restored: worker.restored,
             speed: mean(worker.speed),
             knee: worker.knee,
             errors: worker.errors,
-            hold_until: worker.hold_until,
-            cold_turn: worker.cold_turn,
-            since: worker.since,
-            sign: worker.sign,
-            flights: out
-                .map(|f| FlightMemory {
+            ejected_until: worker.ejected_until,
+            warm_up_turn: worker.warm_up_turn,
+            listed_since: worker.listed_since,
+            last_seen_at: worker.last_seen_at,
+            in_flight: out
+                .map(|f| LearnedAttempt {
                     request: f.request,
                     attempt: f.attempt,
                     slots: f.slots,
                     work: f.work,
-                    sent: f.sent,
+                    sent_at: f.sent_at,
                 })
                 .collect(),
         }
@@ -191,52 +244,52 @@
 
 impl Balancer {
     /// What a successor is given.
-    pub fn export(&self) -> Memory {
-        let kind = |(kind, known): (&Option<u32>, &Kind)| KindMemory {
+    pub fn export(&self) -> LearnedState {
+        let kind = |(kind, known): (&Option<u32>, &Kind)| LearnedKind {
             kind: *kind,
             speed: mean(known.speed),
             cores: known.cores,
-            usual: known.usual,
-            heard: mean(known.heard),
+            usual_slots: known.usual_slots,
+            reported_slots: mean(known.reported_slots),
         };
-        Memory {
-            version: MEMORY_VERSION,
-            at: self.now,
-            began: self.began,
+        LearnedState {
+            version: LEARNED_STATE_VERSION,
+            exported_at: self.now,
+            started_at: self.started_at,
             arrivals: (self.arrivals.sum, self.arrivals.at),
             retry_tokens: self.retry_tokens,
             price: self.price,
             class_time: self.class_time.iter().map(|s| mean(*s)).collect(),
             all_speed: mean(self.all_speed),
             mean_work: mean(self.mean_work),
-            waits: mean(self.waits),
-            mean_worth: mean(self.mean_worth),
+            start_waits: mean(self.start_waits),
+            mean_value: mean(self.mean_value),
             kinds: self.kinds.iter().map(kind).collect(),
-            workers: self.workers.iter().map(WorkerMemory::of).collect(),
+            workers: self.workers.iter().map(LearnedWorker::of).collect(),
             banned: self.banned.iter().map(|(id, since)| (*id, *since)).collect(),
         }
     }
 
-    /// Takes a predecessor's memory in: after the list and before the first request. Of a worker that the list does
-    /// not name, or that has restarted since, nothing holds.
+    /// Takes a predecessor's memory in: after the list and before the first request. Of a worker that the
+    /// list does not name, or that has restarted since, nothing holds.
     ///
     /// # Errors
     /// It cannot be used; nothing of it has been taken in.
-    pub fn import(&mut self, memory: &Memory) -> Result<(), MemoryError> {
+    pub fn import(&mut self, memory: &LearnedState) -> Result<(), LearnedStateError> {
         memory.check(self.class_time.len())?;
-        self.began = memory.began.or(self.began);
+        self.started_at = memory.started_at.or(self.started_at);
         (self.arrivals.sum, self.arrivals.at) = memory.arrivals;
         self.retry_tokens = memory.retry_tokens.min(RETRY_BURST);
         self.price = memory.price;
         self.class_time = memory.class_time.iter().map(|m| speed(*m)).collect();
         self.all_speed = speed(memory.all_speed);
         self.mean_work = speed(memory.mean_work);
-        self.waits = speed(memory.waits);
-        self.mean_worth = speed(memory.mean_worth);
+        self.start_waits = speed(memory.start_waits);
+        self.mean_value = speed(memory.mean_value);
         for known in &memory.kinds {
             let kind = self.kinds.entry(known.kind).or_default();
-            (kind.speed, kind.heard) = (speed(known.speed), speed(known.heard));
-            (kind.cores, kind.usual) = (known.cores, known.usual);
+            (kind.speed, kind.reported_slots) = (speed(known.speed), speed(known.reported_slots));
+            (kind.cores, kind.usual_slots) = (known.cores, known.usual_slots);
         }
         let longest = self.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
         for known in &memory.workers {
@@ -245,13 +298,13 @@
             if worker.ready_at > known.ready_at {
                 continue;
             }
-            // Perhaps a start that no list has told of yet: a crash that was seen.
-            (worker.ready_at, worker.returned) = (known.ready_at, known.returned);
-            (worker.speed, worker.put_back) = (speed(known.speed), known.put_back);
+            // Perhaps a start that no list has named yet: a crash that was seen.
+            (worker.ready_at, worker.restored_at) = (known.ready_at, known.restored_at);
+            (worker.speed, worker.restored) = (speed(known.speed), known.restored);
             (worker.knee, worker.errors) = (known.knee, known.errors);
-            (worker.hold_until, worker.cold_turn) = (known.hold_until, known.cold_turn);
-            (worker.since, worker.sign) = (known.since, known.sign);
-            known.flights.iter().for_each(|flight| worker.push(foreign(flight, longest)));
+            (worker.ejected_until, worker.warm_up_turn) = (known.ejected_until, known.warm_up_turn);
+            (worker.listed_since, worker.last_seen_at) = (known.listed_since, known.last_seen_at);
+            known.in_flight.iter().for_each(|flight| worker.push(foreign(flight, longest)));
         }
         self.banned.extend(memory.banned.iter().copied());
         self.renew_now = true;
@@ -267,9 +320,9 @@
         out: &mut Vec<Action>,
     ) -> bool {
         let Some(i) = self.find(worker) else { return false };
-        let ended = self.workers[i].take(FOREIGN | request, attempt).is_some();
+        let ended = self.workers[i].take(PREDECESSOR | request, attempt).is_some();
         if ended {
-            self.try_held(false, out);
+            self.dispatch_parked(false, out);
         }
         ended
     }
@@ -278,32 +331,33 @@
     pub fn foreign_gone(&mut self, out: &mut Vec<Action>) {
         for worker in &mut self.workers {
             let foreign: Vec<(u64, usize)> = worker
-                .flights
+                .in_flight
                 .iter()
-                .filter(|f| f.request >= FOREIGN)
+                .filter(|f| f.request >= PREDECESSOR)
                 .map(|f| (f.request, f.attempt))
                 .collect();
             for (request, attempt) in foreign {
                 worker.take(request, attempt);
             }
         }
-        self.try_held(false, out);
+        self.dispatch_parked(false, out);
     }
 }
 
-/// Work that goes on there, as after an attempt of our own that was given up: it takes room, and is neither late nor
-/// lost by our judgement. No client waits longer than the longest deadline, whatever becomes of its sender.
-fn foreign(flight: &FlightMemory, longest: f64) -> Flight {
-    Flight {
-        request: FOREIGN | flight.request,
+/// Work that goes on there, as after an attempt of our own that was given up: it takes room, and is neither
+/// late nor lost by our judgement. No client waits longer than the longest deadline, whatever becomes of
+/// its sender.
+fn foreign(flight: &LearnedAttempt, longest: f64) -> InFlight {
+    InFlight {
+        request: PREDECESSOR | flight.request,
         attempt: flight.attempt,
         slots: flight.slots,
         work: flight.work,
-        sent: flight.sent,
-        noted: flight.sent,
-        due: f64::INFINITY,
-        longest: f64::INFINITY,
-        ghost_until: Some(flight.sent + longest),
-        ..Flight::default()
+        sent_at: flight.sent_at,
+        reported_at: flight.sent_at,
+        start_due_at: f64::INFINITY,
+        max_run_time: f64::INFINITY,
+        occupied_until: Some(flight.sent_at + longest),
+        ..InFlight::default()
     }
 }
--- a/src/rules/lost_attempts.rs
+++ b/src/rules/lost_attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts that are lost, and jobs that wait past their use.
 
 use super::constants::*;
-use super::{Balancer, TIMER_WATCH};
+use super::{Balancer, TIMER_LOST};
 use crate::interface::*;
 use crate::state::*;
 
@@ -12,34 +12,35 @@
     pub(super) fn watch(&mut self, out: &mut Vec<Action>) {
         let (mut lost, mut late, mut next) = (Vec::new(), Vec::new(), f64::INFINITY);
         let (mean_time, progress) = (self.mean_time(), self.progress());
-        for (id, pending) in self.pending.iter().filter(|p| !p.1.ended && !p.1.held) {
+        for (id, pending) in self.pending.iter().filter(|p| !p.1.ended && !p.1.parked) {
             if self.waits(*id, pending) {
-                next = next.min(self.in_vain(pending).max(self.now));
+                next = next.min(self.worthless_after(pending).max(self.now));
                 if self.value(pending) <= 0.0 {
                     late.push(*id);
                     continue;
                 }
             }
-            let notes = LOST_NOTES + f64::from(u32::from(!self.may_send_again(pending)));
+            let notes = LOST_REPORTS + f64::from(u32::from(!self.may_retry(pending)));
             for (k, at) in pending.open_attempts() {
                 let Some(worker) = self.worker(at.worker) else { continue };
                 let Some(flight) = worker.flight(*id, k) else { continue };
-                let started = flight.started.is_some();
-                let lag = 2.0 * self.pools[worker.pool].lag.min(mean_time);
-                // Where starts are told, one that does not come may wait in a deep queue, but not behind
+                let started = flight.started_at.is_some();
+                let lag = 2.0 * self.pools[worker.pool].start_lag.min(mean_time);
+                // Where starts are reported, one that does not come may wait in a deep queue, but not behind
                 // later ones in a queue served in order.
-                let passed = self.settings.fifo && !started && worker.passed > flight.sent + lag;
+                let passed =
+                    self.settings.fifo && !started && worker.latest_started_send > flight.sent_at + lag;
                 let patience = match (started, self.settings.reports_starts) {
                     (true, _) => notes * progress + lag,
                     (false, false) => notes * progress + lag + self.long_wait(),
                     (false, true) if passed => 0.0,
                     (false, true) => f64::INFINITY,
                 };
-                let due = flight.noted + patience;
+                let due = flight.reported_at + patience;
                 if due <= self.now {
                     lost.push((*id, k, at.worker, !started && !passed));
                 } else {
-                    next = next.min(due.min(self.now + mean_time.max(HELD_LOOK_MS)));
+                    next = next.min(due.min(self.now + mean_time.max(PARKED_CHECK_MS)));
                 }
             }
         }
@@ -53,38 +54,39 @@
                     self.blame(i);
                 }
                 // It had counted as a late start: what is lost is no overload.
-                if flight.started.is_none() && flight.due == f64::INFINITY {
-                    self.judge(-flight.stake);
+                if flight.started_at.is_none() && flight.start_due_at == f64::INFINITY {
+                    self.adjust_price(-flight.weight);
                 }
             }
             let Some(pending) = self.pending.get(&id) else { continue };
-            if self.settings.limits.cancel && self.may_send_again(pending) {
+            if self.settings.limits.cancel && self.may_retry(pending) {
                 out.push(Action::Cancel { id, attempt: k });
             } else if pending.open_attempts().count() == 1 {
                 self.answer(id, out);
             }
         }
-        self.watching = next.is_finite();
-        if self.watching {
-            out.push(Action::Timer { token: TIMER_WATCH, delay: (next - self.now).max(HELD_LOOK_MS) });
+        self.lost_timer = next.is_finite();
+        if self.lost_timer {
+            out.push(Action::Timer { token: TIMER_LOST, delay: (next - self.now).max(PARKED_CHECK_MS) });
         }
     }
 
-    /// Told of each start, and of none of this one: it waits in queues, past its use in the way of others.
+    /// Each start is reported, and of none of this one: it waits in queues, past its use in the way of
+    /// others.
     fn waits(&self, id: RequestId, pending: &Pending) -> bool {
         let begun = |(k, a): (usize, &Attempt)| {
             let flight = self.worker(a.worker).and_then(|w| w.flight(id, k));
-            flight.is_none_or(|f| f.started.is_some())
+            flight.is_none_or(|f| f.started_at.is_some())
         };
-        let told =
+        let reports_queueing =
             self.settings.reports_starts && self.settings.limits.cancel && pending.class.latency_target > 0.0;
         // Running times are guesses till some have been seen.
         let seen = pending.request.class.and_then(|c| self.class_time.get(c)).map_or(0.0, |s| s.time);
-        told && seen >= SPEED_JOBS && !pending.open_attempts().any(begun)
+        reports_queueing && seen >= SPEED_JOBS && !pending.open_attempts().any(begun)
     }
 
     /// Longer than jobs wait for their start.
     pub(super) fn long_wait(&self) -> f64 {
-        self.mean_time() + LOST_STARTS * self.waits.rate().unwrap_or(self.mean_time())
+        self.mean_time() + LOST_STARTS * self.start_waits.rate().unwrap_or(self.mean_time())
     }
 }
--- a/src/rules/records.rs
+++ b/src/rules/records.rs
@@ -1,25 +1,27 @@
 //! How a dispatcher's records begin, are found, and go over to new settings. Nothing here decides.
 
-use super::constants::{PRICE_LEAST, RETRY_BURST, TENANT_BURST};
+use super::constants::{MIN_PRICE, RETRY_BURST, TENANT_BURST};
 use super::{positive, Balancer};
 use crate::interface::{RequestId, Settings, WorkerId};
-use crate::state::{Dice, Fading, Pool, Speed, Worker};
+use crate::state::{DecayingCount, DecayingMean, Pool, Random, Worker};
 use fastrand::Rng;
 
 impl Balancer {
+    /// An instance that knows no worker yet. Equal settings, seeds and events give equal actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Balancer {
-            rng: Dice(Rng::with_seed(seed)),
-            class_time: vec![Speed::default(); settings.classes.len()],
-            tenants: vec![(Fading::default(), TENANT_BURST); settings.tenants.len()],
+            rng: Random(Rng::with_seed(seed)),
+            class_time: vec![DecayingMean::default(); settings.classes.len()],
+            tenants: vec![(DecayingCount::default(), TENANT_BURST); settings.tenants.len()],
             renewed_at: f64::NEG_INFINITY,
             retry_tokens: RETRY_BURST,
-            price: PRICE_LEAST,
+            price: MIN_PRICE,
             settings,
             ..Balancer::default()
         }
     }
 
+    /// The settings in force.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
@@ -32,7 +34,7 @@
             let before = request.class.take();
             request.class = before.and_then(|class| from.iter().position(|f| *f == Some(class)));
         }
-        self.tenants.resize(settings.tenants.len(), (Fading::default(), TENANT_BURST));
+        self.tenants.resize(settings.tenants.len(), (DecayingCount::default(), TENANT_BURST));
         (self.settings, self.renew_now) = (settings, true);
     }
 
@@ -53,8 +55,8 @@
         })
     }
 
-    /// How long after its start a job is heard of.
-    pub(super) fn note_delay(&self) -> f64 {
+    /// How long after its start a job is reported.
+    pub(super) fn progress_delay(&self) -> f64 {
         if self.settings.reports_starts {
             0.0
         } else {
@@ -69,7 +71,7 @@
     pub(super) fn end(&mut self, id: RequestId) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.ended = true;
-            pending.held = false;
+            pending.parked = false;
             if pending.attempts.iter().all(|a| a.outcome.is_some()) {
                 self.pending.remove(&id);
             }
--- a/src/rules/scheduling.rs
+++ b/src/rules/scheduling.rs
@@ -1,8 +1,8 @@
-//! What becomes of a request: taken on or refused, sent, held until a worker has room, given a second copy,
-//! answered.
+//! What becomes of a request: taken on or refused, sent, parked until a worker has capacity, given a second
+//! copy, answered.
 
 use super::constants::*;
-use super::{positive, Balancer, TIMER_HELD, TIMER_REQUEST, TIMER_WATCH};
+use super::{positive, Balancer, TIMER_HEDGE, TIMER_LOST, TIMER_PARKED};
 use crate::interface::*;
 use crate::state::*;
 
@@ -20,25 +20,25 @@
         self.arrivals.count(self.now, ARRIVAL_MS);
         self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
         self.mean_work.add(work * slots, 1.0, 200.0);
-        let worth = class.value * if self.settings.value_by_work { work } else { 1.0 };
-        let stake = if self.in_share(request.tenant) { 1.0 } else { self.settings.over_quota_value };
-        let worth = worth * stake;
-        self.mean_worth.add(worth, 1.0, 200.0);
+        let value = class.value * if self.settings.value_by_work { work } else { 1.0 };
+        let weight = if self.in_share(request.tenant) { 1.0 } else { self.settings.over_quota_value };
+        let value = value * weight;
+        self.mean_value.add(value, 1.0, 200.0);
         let pending = Pending {
             request: Request { slots, ..request },
             class,
-            most_attempts: self.settings.limits.max_attempts.max(1),
+            max_attempts: self.settings.limits.max_attempts.max(1),
             work,
-            worth,
-            stake,
-            arrived: self.now,
+            value,
+            weight,
+            arrived_at: self.now,
             ..Pending::default()
         };
-        let earns = worth / (work * slots) / (self.mean_worth.mean() / self.mean_work.mean());
+        let earns = value / (work * slots) / (self.mean_value.mean() / self.mean_work.mean());
         self.pending.insert(id, pending);
-        let borne = if self.settings.promise_weight > 0.0 { LATE_PROMISED } else { LATE_BORNE };
-        self.judge(-borne * stake);
-        if self.price > PRICE_LEAST && earns.ln() + PRICE_SPREAD * (self.rng.0.f64() - 0.5) < self.price {
+        let borne = if self.settings.promise_weight > 0.0 { TOLERATED_LATE_PROMISED } else { TOLERATED_LATE };
+        self.adjust_price(-borne * weight);
+        if self.price > MIN_PRICE && earns.ln() + PRICE_SPREAD * (self.rng.0.f64() - 0.5) < self.price {
             self.answer(id, out);
         } else {
             self.place(id, out);
@@ -62,8 +62,8 @@
 
     /// Overload that no dispatcher sees whole: each late start of ours raises the price that a unit of work
     /// must earn to be taken on, each arrival lowers it.
-    pub(super) fn judge(&mut self, late: f64) {
-        self.price = (self.price + PRICE_STEP * late).clamp(PRICE_LEAST, PRICE_MOST);
+    pub(super) fn adjust_price(&mut self, late: f64) {
+        self.price = (self.price + PRICE_STEP * late).clamp(MIN_PRICE, MAX_PRICE);
     }
 
     fn class_work(&self, index: Option<usize>, class: &Class) -> f64 {
@@ -80,32 +80,32 @@
         let left = pending.request.deadline - self.now - self.margin();
         // One that never left here cost no worker anything.
         let retry = pending.attempts.iter().any(|a| a.outcome != Some(Outcome::Ignored));
-        if !self.may_send_again(pending) || left <= 0.0 || retry && self.retry_tokens < 1.0 {
+        if !self.may_retry(pending) || left <= 0.0 || retry && self.retry_tokens < 1.0 {
             return self.answer(id, out);
         }
-        match self.pick(id) {
+        match self.select_worker(id) {
             // Its group is gone: no list change brings it back in time. Nor does one end a ban.
             None if retry || !self.banned.is_empty() => self.answer(id, out),
             Some(Some(chosen)) => {
                 self.retry_tokens -= f64::from(u32::from(retry));
                 self.send(id, chosen, out);
             }
-            _ => self.hold(id, out),
+            _ => self.park(id, out),
         }
     }
 
-    /// Rule 1: time before the client's deadline at which a held request is answered, a look ahead.
+    /// Rule 1: time before the client's deadline at which a parked request is answered, a look ahead.
     fn margin(&self) -> f64 {
-        HELD_LOOK_MS.max(self.settings.period) + 2.0 * self.settings.period.max(0.0) + 1.0
+        PARKED_CHECK_MS.max(self.settings.period) + 2.0 * self.settings.period.max(0.0) + 1.0
     }
 
     /// Rule 2: is a further attempt allowed at all, given what the earlier ones may have done?
-    pub(super) fn may_send_again(&self, pending: &Pending) -> bool {
+    pub(super) fn may_retry(&self, pending: &Pending) -> bool {
         match (pending.first_run(), pending.class.effect) {
-            _ if pending.attempts.len() >= pending.most_attempts => false,
+            _ if pending.attempts.len() >= pending.max_attempts => false,
             (None, _) | (_, Effect::Idempotent) => true,
             (Some(_), Effect::AtMostOnce) => false,
-            (Some(a), Effect::Deduplicated) => self.now < a.sent + pending.class.dedup_window,
+            (Some(a), Effect::Deduplicated) => self.now < a.sent_at + pending.class.dedup_window,
         }
     }
 
@@ -113,23 +113,23 @@
         let Some(i) = self.find(to) else { return };
         let turn = self.turn(&self.workers[i]);
         let slack = self.pending.get(&id).map_or(0.0, |p| self.slack(p));
-        let delay = HELD_LOOK_MS.max(self.mean_time());
+        let delay = PARKED_CHECK_MS.max(self.mean_time());
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let worker = &mut self.workers[i];
         let flight = pending.open_attempt(to, self.now);
         let first = flight.attempt == 0;
-        worker.push(Flight { due: self.now + LATE_SHARE * slack, ..flight });
-        worker.cold_turn = turn.map_or(worker.cold_turn, |t| t.0);
-        worker.put_back = false;
-        let lag = self.pools[worker.pool].lag;
+        worker.push(InFlight { start_due_at: self.now + LATE_START_SHARE * slack, ..flight });
+        worker.warm_up_turn = turn.map_or(worker.warm_up_turn, |t| t.0);
+        worker.restored = false;
+        let lag = self.pools[worker.pool].start_lag;
         out.push(Action::Send { id, worker: to, timeout: 0.0 });
-        if !std::mem::replace(&mut self.watching, true) {
-            out.push(Action::Timer { token: TIMER_WATCH, delay });
+        if !std::mem::replace(&mut self.lost_timer, true) {
+            out.push(Action::Timer { token: TIMER_LOST, delay });
         }
         let repeats = pending.class.effect != Effect::AtMostOnce && first;
         let copies = self.settings.limits.hedging && self.settings.reports_starts;
         if copies && repeats && lag.is_finite() {
-            let token = TIMER_REQUEST.saturating_add(id);
+            let token = TIMER_HEDGE.saturating_add(id);
             out.push(Action::Timer { token, delay: 3.0 * lag });
         }
     }
@@ -139,84 +139,84 @@
     pub(super) fn hedge(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else { return };
         let [Attempt { worker, outcome: None, .. }] = pending.attempts[..] else { return };
-        let waits = |w: &Worker| w.flight(id, 0).is_some_and(|f| f.started.is_none());
-        let gain = HEDGE_GAIN * pending.worth / self.mean_worth.mean().max(1e-9);
+        let waits = |w: &Worker| w.flight(id, 0).is_some_and(|f| f.started_at.is_none());
+        let gain = HEDGE_GAIN * pending.value / self.mean_value.mean().max(1e-9);
         let price = self.settings.prices.waste * pending.work / self.mean_work.mean();
-        let late = self.now + self.margin() >= pending.request.deadline || !self.held.is_empty();
-        let vain = pending.ended || late || price >= gain || !self.may_send_again(pending);
+        let late = self.now + self.margin() >= pending.request.deadline || !self.parked.is_empty();
+        let vain = pending.ended || late || price >= gain || !self.may_retry(pending);
         if vain || !self.worker(worker).is_some_and(waits) {
             return;
         }
-        if let Some(to) = self.pick(id).flatten() {
+        if let Some(to) = self.select_worker(id).flatten() {
             self.send(id, to, out);
         }
     }
 
     /// Keeps a request until a worker can take it. Timers cannot be withdrawn: only one that looks at all
-    /// held requests is armed at a time, or they multiply with every look (timer flood).
-    fn hold(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// parked requests is armed at a time, or they multiply with every look (timer flood).
+    fn park(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        if !std::mem::replace(&mut pending.held, true) {
-            self.held.push(id);
-            self.arm_held(out);
+        if !std::mem::replace(&mut pending.parked, true) {
+            self.parked.push(id);
+            self.arm_parked_timer(out);
         }
     }
 
-    pub(super) fn arm_held(&mut self, out: &mut Vec<Action>) {
-        if !self.held_timer && !self.held.is_empty() {
-            self.held_timer = true;
-            out.push(Action::Timer { token: TIMER_HELD, delay: HELD_LOOK_MS.max(self.settings.period) });
+    pub(super) fn arm_parked_timer(&mut self, out: &mut Vec<Action>) {
+        if !self.parked_timer && !self.parked.is_empty() {
+            self.parked_timer = true;
+            out.push(Action::Timer { token: TIMER_PARKED, delay: PARKED_CHECK_MS.max(self.settings.period) });
         }
     }
 
-    /// Sends what can be sent of the held requests, the most worth first and the youngest of equals (the
+    /// Sends what can be sent of the parked requests, the highest value first and the youngest of equals (the
     /// oldest are the least likely to be in time); answers those that waiting can only harm.
-    pub(super) fn try_held(&mut self, sweep: bool, out: &mut Vec<Action>) {
+    pub(super) fn dispatch_parked(&mut self, sweep: bool, out: &mut Vec<Action>) {
         // Most events free nothing: look before sorting, stop after a few misses (CPU).
-        let takes = |w: &Worker| w.mode == Mode::Ready && w.hold_until <= self.now && !self.full(w);
-        if self.held.is_empty() || !(sweep || self.workers.iter().any(takes)) {
+        let takes = |w: &Worker| w.mode == Mode::Ready && w.ejected_until <= self.now && !self.full(w);
+        if self.parked.is_empty() || !(sweep || self.workers.iter().any(takes)) {
             return;
         }
-        let mut held: Vec<(f64, RequestId)> = Vec::with_capacity(self.held.len());
-        for id in std::mem::take(&mut self.held) {
-            let Some(pending) = self.pending.get(&id).filter(|p| p.held && !p.ended) else { continue };
+        let mut parked: Vec<(f64, RequestId)> = Vec::with_capacity(self.parked.len());
+        for id in std::mem::take(&mut self.parked) {
+            let Some(pending) = self.pending.get(&id).filter(|p| p.parked && !p.ended) else { continue };
             let value = self.value(pending);
             if value <= 0.0 || pending.request.deadline - self.now <= self.margin() {
                 self.answer(id, out);
             } else {
-                held.push((value, id));
+                parked.push((value, id));
             }
         }
-        held.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
+        parked.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
         let mut misses = 0;
-        for (_, id) in held {
+        for (_, id) in parked {
             let before = out.len();
             if misses < 4 {
-                self.pending.entry(id).and_modify(|p| p.held = false);
+                self.pending.entry(id).and_modify(|p| p.parked = false);
                 self.place(id, out);
                 misses += u32::from(out.len() == before);
             } else {
-                self.held.push(id);
+                self.parked.push(id);
             }
         }
     }
 
     /// Time that a job may wait for its start before it will probably be late.
     fn slack(&self, pending: &Pending) -> f64 {
-        (pending.aim() - pending.work / self.all_speed.mean()).max(0.0)
+        (pending.latency_target() - pending.work / self.all_speed.mean()).max(0.0)
     }
 
     /// From then on an answer earns nothing. A late one that waited for as long as jobs run has no chance.
-    pub(super) fn in_vain(&self, pending: &Pending) -> f64 {
+    pub(super) fn worthless_after(&self, pending: &Pending) -> f64 {
         let late = if pending.class.late_value > 0.0 { self.mean_time() } else { 0.0 };
-        pending.arrived + self.slack(pending) + late
+        pending.arrived_at + self.slack(pending) + late
     }
 
     /// What an answer may still earn.
     pub(super) fn value(&self, pending: &Pending) -> f64 {
-        match self.now - pending.arrived - self.slack(pending) {
-            over if over <= 0.0 => pending.worth,
-            _ if self.now <= self.in_vain(pending) => pending.worth * pending.class.late_value,
+        match self.now - pending.arrived_at - self.slack(pending) {
+            over if over <= 0.0 => pending.value,
+            _ if self.now <= self.worthless_after(pending) => pending.value * pending.class.late_value,
             _ => 0.0,
         }
     }
@@ -229,7 +229,7 @@
             effect == Effect::Idempotent || effect == Effect::Deduplicated && group == DedupScope::All;
         if harmless || pending.first_run().is_none() {
             // By our next arrivals the price or the queues may be down; longer, and what they ask is late.
-            let (limits, wait) = (&self.settings.limits, 1.0 / self.rate.max(1e-3));
+            let (limits, wait) = (&self.settings.limits, 1.0 / self.arrival_rate.max(1e-3));
             let retry_after = if limits.retry_after { wait.min(limits.max_retry_after) } else { 0.0 };
             out.push(Action::Refuse { id, retry_after });
         } else {
--- a/system/state/delivery/src/delivery/mod.rs
+++ b/system/state/delivery/src/delivery/mod.rs
@@ -13,7 +13,7 @@
 use crate::service::{Decision, ServiceState, Site};
 use fastrand::Rng;
 use leases::Lease;
-use millrudder::Memory;
+use millrudder::LearnedState;
 use millrudder_protocol::control::WorkerList;
 use millrudder_protocol::store::{ActiveLease, ServiceCredit};
 use millrudder_protocol::{MessageId, ShardId};
@@ -175,7 +175,7 @@
     }
 
     /// What the decision module has learnt of a service's workers.
-    pub fn learnt(&self, service: &str) -> Option<Memory> {
+    pub fn learnt(&self, service: &str) -> Option<LearnedState> {
         self.services.get(service).map(ServiceState::memory)
     }
 
--- a/system/state/delivery/src/service/mod.rs
+++ b/system/state/delivery/src/service/mod.rs
@@ -13,7 +13,7 @@
 use crate::outcome::{Reading, Sign, Verdict};
 use crate::window::Window;
 use fastrand::Rng;
-use millrudder::{Balancer, Event, ListKind, Memory, Outcome, RequestId, WorkerId};
+use millrudder::{Balancer, Event, LearnedState, ListKind, Outcome, RequestId, WorkerId};
 use millrudder_protocol::Address;
 use settings::{report, settings};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -120,7 +120,7 @@
         Some(Target { address: worker.address, instance_id, connections: self.fleet.connections() })
     }
 
-    pub fn memory(&self) -> Memory {
+    pub fn memory(&self) -> LearnedState {
         self.balancer.export()
     }
 
--- a/system/state/delivery/tests/index.rs
+++ b/system/state/delivery/tests/index.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use millrudder::{whittle_index, Memory, WorkerMemory};
+use millrudder::{whittle_index, LearnedState, LearnedWorker};
 use millrudder_delivery::*;
 use millrudder_protocol::control::WorkerEntry;
 use millrudder_protocol::Address;
@@ -32,20 +32,20 @@
 /// Index of each worker at its present count, when one more message arrives at `now`. `usual_before`: the kind's speed
 /// when this was last reckoned, which the length of the step still rests on.
 fn indices(
-    memory: &Memory,
+    memory: &LearnedState,
     now: f64,
     counts: &BTreeMap<u32, f64>,
     usual_before: &mut f64,
 ) -> BTreeMap<u32, f64> {
     let arrivals = memory.arrivals.0 * (-(now - memory.arrivals.1) / ARRIVAL_MS).exp() + 1.0;
-    let seen = (now - memory.began.unwrap_or(now)).max(1.0);
+    let seen = (now - memory.started_at.unwrap_or(now)).max(1.0);
     let arrival_rate = arrivals / (ARRIVAL_MS * (1.0 - (-seen / ARRIVAL_MS).exp()));
     let work = rate(memory.class_time[0]).or(rate(memory.mean_work)).unwrap_or(AIM_MS);
     let keep = 1.0 - 1.0 / ARRIVALS_REMEMBERED;
     let mean_work = (memory.mean_work.0 * keep + work) / (memory.mean_work.1 * keep + 1.0);
     let kind = memory.kinds.iter().find(|kind| rate(kind.speed).is_some());
     let usual = kind.and_then(|kind| rate(kind.speed)).or(rate(memory.all_speed)).unwrap_or(1.0);
-    let speed = |worker: &WorkerMemory, usual: f64| {
+    let speed = |worker: &LearnedWorker, usual: f64| {
         let prior = PRIOR_JOBS * mean_work;
         (worker.speed.0 + prior) / (worker.speed.1 + prior / usual)
     };
@@ -54,7 +54,7 @@
     let speeds = able.map(|worker| speed(worker, before) / mean_work);
     let fastest = speeds.fold(arrival_rate, f64::max);
     let step = STEP_SHARE / fastest;
-    let index = |worker: &WorkerMemory| {
+    let index = |worker: &LearnedWorker| {
         let q = (speed(worker, usual) / mean_work * step).min(1.0);
         let n = counts.get(&worker.id).copied().unwrap_or(0.0) / f64::from(CAPACITY);
         (worker.id, whittle_index(arrival_rate * step, q, n))
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -356,6 +356,7 @@
         self.event(Event::Request(request));
     }
 
+    #[expect(clippy::too_many_lines, reason = "a flat table: one arm for each kind of step")]
     fn step(&mut self, step: Step) {
         match step {
             Step::Wait(ms) => self.advance(ms),
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -104,7 +104,7 @@
     let mut new = started(4, now);
     new.import(&old.export()).unwrap();
     let mut idle = started(4, now);
-    idle.import(&Memory { workers: Vec::new(), ..old.export() }).unwrap();
+    idle.import(&LearnedState { workers: Vec::new(), ..old.export() }).unwrap();
     // With the old one's jobs counted, the next goes where both together have the highest index.
     let next = ask(&mut new, 1, now);
     assert_eq!(next, ask(&mut old, 2000, now));
@@ -134,11 +134,11 @@
         }
     }
     let memory = old.export();
-    assert!(memory.workers[2].hold_until > now);
+    assert!(memory.workers[2].ejected_until > now);
     let mut new = started(4, now);
     new.import(&memory).unwrap();
     assert_ne!(ask(&mut new, 1, now), Some(2), "set aside");
-    assert_eq!(new.export().workers[2].hold_until, memory.workers[2].hold_until);
+    assert_eq!(new.export().workers[2].ejected_until, memory.workers[2].ejected_until);
     // Worker 0 has started anew since: nothing of the old process holds.
     let mut later = Balancer::new(settings(), 7);
     later.handle(now, list(4, Some(now)), &mut Vec::new());
@@ -152,7 +152,10 @@
     let (old, now) = experienced();
     let mut new = started(4, now);
     new.import(&old.export()).unwrap();
-    assert_eq!(Memory { at: 0.0, ..new.export() }, Memory { at: 0.0, ..old.export() });
+    assert_eq!(
+        LearnedState { exported_at: 0.0, ..new.export() },
+        LearnedState { exported_at: 0.0, ..old.export() }
+    );
 }
 
 #[test]
@@ -160,18 +163,18 @@
     let (old, now) = experienced();
     let good = old.export();
     let mut bad = vec![
-        (Memory { version: 1, ..good.clone() }, MemoryError::Version(1)),
-        (Memory { class_time: Vec::new(), ..good.clone() }, MemoryError::Size),
-        (Memory { price: f64::NAN, ..good.clone() }, MemoryError::Number),
-        (Memory { arrivals: (-1.0, 0.0), ..good.clone() }, MemoryError::Number),
+        (LearnedState { version: 1, ..good.clone() }, LearnedStateError::Version(1)),
+        (LearnedState { class_time: Vec::new(), ..good.clone() }, LearnedStateError::Size),
+        (LearnedState { price: f64::NAN, ..good.clone() }, LearnedStateError::Number),
+        (LearnedState { arrivals: (-1.0, 0.0), ..good.clone() }, LearnedStateError::Number),
     ];
     let mut worker = good.clone();
     worker.workers[1].errors = 7.0;
-    bad.push((worker, MemoryError::Number));
+    bad.push((worker, LearnedStateError::Number));
     let mut flight = good.clone();
-    let odd = FlightMemory { request: 1, attempt: 0, slots: f64::INFINITY, work: 0.0, sent: 0.0 };
-    flight.workers[1].flights.push(odd);
-    bad.push((flight, MemoryError::Number));
+    let odd = LearnedAttempt { request: 1, attempt: 0, slots: f64::INFINITY, work: 0.0, sent_at: 0.0 };
+    flight.workers[1].in_flight.push(odd);
+    bad.push((flight, LearnedStateError::Number));
     for (memory, error) in bad {
         let mut new = started(4, now);
         let before = new.export();
--- a/tests/support/day.rs
+++ b/tests/support/day.rs
@@ -112,7 +112,8 @@
             self.happen(due);
         }
         let learnt = self.balancer.export();
-        write!(self.digest, "{learnt:?}").expect("a digest takes all");
+        let learnt = with_recorded_names(format!("{learnt:?}"));
+        write!(self.digest, "{learnt}").expect("a digest takes all");
         self.digest.value()
     }
 
@@ -324,3 +325,30 @@
         }
     }
 }
+
+/// Names of types and fields now, and as they were when the digests were recorded. The digests are of text that holds
+/// them; only so may a name change without recording the digests anew.
+const RECORDED_NAMES: [(&str, &str); 18] = [
+    ("LearnedState {", "Memory {"),
+    ("LearnedKind {", "KindMemory {"),
+    ("LearnedWorker {", "WorkerMemory {"),
+    ("LearnedAttempt {", "FlightMemory {"),
+    ("exported_at:", "at:"),
+    ("started_at:", "began:"),
+    ("start_waits:", "waits:"),
+    ("mean_value:", "mean_worth:"),
+    ("usual_slots:", "usual:"),
+    ("reported_slots:", "heard:"),
+    ("restored_at:", "returned:"),
+    ("restored:", "put_back:"),
+    ("ejected_until:", "hold_until:"),
+    ("warm_up_turn:", "cold_turn:"),
+    ("listed_since:", "since:"),
+    ("last_seen_at:", "sign:"),
+    ("in_flight:", "flights:"),
+    ("sent_at:", "sent:"),
+];
+
+fn with_recorded_names(text: String) -> String {
+    RECORDED_NAMES.iter().fold(text, |text, (now, recorded)| text.replace(now, recorded))
+}
--- a/tests/support/day/changes.rs
+++ b/tests/support/day/changes.rs
@@ -1,6 +1,6 @@
 //! What changes around the dispatcher in the course of a day: lists, workers, operators and upgrades.
 
-use super::{Day, Due, CLASSES};
+use super::{with_recorded_names, Day, Due, CLASSES};
 use millrudder::*;
 use std::fmt::Write;
 
@@ -116,7 +116,8 @@
     /// A successor takes over; what was out goes on as its predecessor's.
     pub(super) fn upgrade(&mut self) {
         let memory = self.balancer.export();
-        write!(self.digest, "{memory:?}").expect("a digest takes all");
+        let learnt = with_recorded_names(format!("{memory:?}"));
+        write!(self.digest, "{learnt}").expect("a digest takes all");
         self.process += 1;
         self.balancer = Balancer::new(self.settings.clone(), self.dice.u64(..));
         self.list(ListKind::Restored);
