--- a/system/state/queue/src/lib.rs
+++ b/system/state/queue/src/lib.rs
@@ -12,16 +12,16 @@
 //!
 //! let me = StoreId(1);
 //! let mut node = StoreNode::new(Config::default(), me, "zone", 0, std::iter::empty());
-//! let shard = ShardEntry { primary: me, replicas: vec![me], change: None, since: Epoch(1) };
+//! let shard = ShardEntry { primary: me, replicas: vec![me], change: None, term: Epoch(1) };
 //! let placement = Placement { epoch: Epoch(1), tolerated_losses: 0, stores: vec![], shards: vec![shard] };
 //!
 //! let mut outputs = Vec::new();
 //! node.handle(0, Input::Placement(placement), &mut outputs);
 //! // It promises the shard to itself, and serves it once that is on its disk.
 //! let [Output::Append { ticket, .. }] = outputs[..] else { panic!("one record") };
-//! assert_eq!(node.health(0).serving, 0);
+//! assert_eq!(node.health(0).primary_shards, 0);
 //! node.handle(2, Input::Synced { ticket }, &mut outputs);
-//! assert_eq!(node.health(2).serving, 1);
+//! assert_eq!(node.health(2).primary_shards, 1);
 //! ```
 //!
 //! # Parts
@@ -38,7 +38,7 @@
 //! # What dispatchers must keep to
 //!
 //! - They ping at least three times within [`Config::silence_ms`].
-//! - They start a delivery only if its token's epoch is not below the `since` of its shard in their placement.
+//! - They start a delivery only if its token's epoch is not below the `term` of its shard in their placement.
 //! - They take `Recorded` only from the shard's primary in their placement, and repeat reports to that one until then.
 //! - They announce themselves by `Hello` on each connection and at each new placement, with every lease whose
 //!   outcome is not `Recorded`, and read nothing more from an older connection to the same store.
