--- a/system/runtime/node/src/core/host/retirements.rs
+++ b/system/runtime/node/src/core/host/retirements.rs
@@ -4,7 +4,7 @@
 use crate::core::operator::pending::ReadPurpose;
 use crate::core::operator::request::{OperatorResponse, RetirementProgress};
 use millrudder_chain::{Input, NodeId, RequestId};
-use millrudder_control_state::{Command, RetireOrder};
+use millrudder_control_state::{Command, RetireRequest};
 use millrudder_placement::Input as PlacementInput;
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -16,15 +16,20 @@
         let well = self.placement.healthy_stores(self.clock.now());
         let address = self.placement.address_of(&name);
         let core = address.map(|address| self.core_processes_at(address.0.ip())).unwrap_or_default();
-        let order = RetireOrder { name, is_known: address.is_some(), core, well };
-        let command = Command::Retire { order };
+        let request = RetireRequest {
+            name,
+            is_registered: address.is_some(),
+            core_members: core,
+            healthy_machines: well,
+        };
+        let command = Command::Retire { request };
         self.node.handle(self.clock.micros(), Input::Submit { request_id, command });
     }
 
     /// Core processes on a retiring machine: those that were there when the retirement was agreed on, and those that have
     /// started there since with another disk.
     fn core_processes_on(&self, name: &str) -> BTreeSet<NodeId> {
-        let agreed = self.node.machine().retiring_core_of(name).cloned().unwrap_or_default();
+        let agreed = self.node.machine().retiring_core_members(name).cloned().unwrap_or_default();
         let address = self.placement.address_of(name);
         let seen = address.map(|address| self.core_processes_at(address.0.ip())).unwrap_or_default();
         agreed.into_iter().chain(seen).collect()
@@ -40,7 +45,7 @@
 
     /// The retirements may have changed, or are known again after a start.
     pub(super) fn follow_retirements(&mut self) {
-        let names = self.node.machine().retiring();
+        let names = self.node.machine().retiring_machines();
         let ids: BTreeSet<NodeId> = names.iter().flat_map(|name| self.core_processes_on(name)).collect();
         if !self.retirements.update(&names, &ids) {
             return;
@@ -65,7 +70,7 @@
     /// processes.
     fn retirement_progress(&self, name: &str) -> OperatorResponse {
         let state = self.node.machine();
-        if state.retiring_core_of(name).is_none() {
+        if state.retiring_core_members(name).is_none() {
             return OperatorResponse::UnknownMachine;
         }
         let now = self.clock.micros();
--- a/system/runtime/node/src/core/operator/pending.rs
+++ b/system/runtime/node/src/core/operator/pending.rs
@@ -165,17 +165,17 @@
 /// The response to an operator; `None` where there is no clear one.
 fn response_to(reply: Reply) -> Option<OperatorResponse> {
     match reply {
-        Reply::ConfigurationAccepted | Reply::ConfigurationKnown | Reply::Retiring => {
+        Reply::ConfigurationAccepted | Reply::ConfigurationAlreadyAccepted | Reply::Retiring => {
             Some(OperatorResponse::Accepted)
         }
-        Reply::RetireUnknown => Some(OperatorResponse::UnknownMachine),
-        Reply::RetireTooFew => Some(OperatorResponse::TooFewRemain),
+        Reply::RetireUnknownMachine => Some(OperatorResponse::UnknownMachine),
+        Reply::RetireTooFewRemain => Some(OperatorResponse::TooFewRemain),
         Reply::ConfigurationConflict { current } => Some(OperatorResponse::Conflict { current }),
         Reply::VersionNotHigher { current } => {
             let reason = format!("its version is not higher than {current}, which is current");
             Some(OperatorResponse::Invalid { reason })
         }
-        Reply::ConfigurationForgotten => None,
+        Reply::ConfigurationEvicted => None,
         // Replies to commands of this machine's own.
         Reply::PlacementSet | Reply::PlacementConflict { .. } => None,
     }
--- a/system/state/control-state/src/state.rs
+++ b/system/state/control-state/src/state.rs
@@ -1,19 +1,19 @@
-//! The state itself and how commands change it.
+//! The control state and how commands change it.
 
-use crate::accepted::Accepted;
+use crate::accepted_configurations::AcceptedConfigurations;
 use crate::command::{Command, Reply};
-use crate::retirement::Retirements;
+use crate::retirements::Retirements;
 use millrudder_chain::{Machine, NodeId, RestoreError, Sequence};
 use millrudder_protocol::control::ConfigurationText;
 use millrudder_protocol::placement::Placement;
 use speedy::{Readable, Writable};
 use std::collections::BTreeSet;
 
-/// All that the core keeps for the system.
+/// The state that the core replicates for the system.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ControlState {
     configuration: ConfigurationText,
-    accepted: Accepted,
+    accepted: AcceptedConfigurations,
     placement: Placement,
     retirements: Retirements,
 }
@@ -29,34 +29,34 @@
         &self.placement
     }
 
-    /// These very bytes were accepted before, and that is remembered.
+    /// Whether these bytes were accepted before and are retained as such.
     pub fn has_accepted(&self, json: &[u8]) -> bool {
         self.accepted.contains(json)
     }
 
-    /// Names of the storage machines that are to be emptied, or were.
-    pub fn retiring(&self) -> BTreeSet<String> {
+    /// Names of the storage machines that are retiring, or have retired.
+    pub fn retiring_machines(&self) -> BTreeSet<String> {
         self.retirements.names()
     }
 
-    /// The core processes on a storage machine that is to be emptied; `None` for any other.
-    pub fn retiring_core_of(&self, name: &str) -> Option<&BTreeSet<NodeId>> {
-        self.retirements.core_of(name)
+    /// The core processes on a storage machine that is retiring; `None` for any other.
+    pub fn retiring_core_members(&self, name: &str) -> Option<&BTreeSet<NodeId>> {
+        self.retirements.core_members(name)
     }
 
-    fn put(&mut self, expected_version: u64, configuration: &ConfigurationText) -> Reply {
+    fn put_configuration(&mut self, expected_version: u64, configuration: &ConfigurationText) -> Reply {
         let current = self.configuration.version;
         if self.accepted.contains(&configuration.json) {
-            return Reply::ConfigurationKnown;
+            return Reply::ConfigurationAlreadyAccepted;
         }
-        let builds_on_lower = configuration.version > expected_version;
-        if builds_on_lower && self.accepted.is_forgotten(configuration.version) {
-            return Reply::ConfigurationForgotten;
+        let is_higher = configuration.version > expected_version;
+        if is_higher && self.accepted.is_evicted(configuration.version) {
+            return Reply::ConfigurationEvicted;
         }
         if expected_version != current {
             return Reply::ConfigurationConflict { current };
         }
-        if !builds_on_lower {
+        if !is_higher {
             return Reply::VersionNotHigher { current };
         }
         self.accepted.add(configuration.version, &configuration.json);
@@ -64,7 +64,7 @@
         Reply::ConfigurationAccepted
     }
 
-    fn place(&mut self, placement: &Placement) -> Reply {
+    fn set_placement(&mut self, placement: &Placement) -> Reply {
         let current = self.placement.epoch;
         if placement.epoch.0 != current.0 + 1 {
             return Reply::PlacementConflict { current };
@@ -81,10 +81,10 @@
     fn apply(&mut self, _sequence: Sequence, command: &Command) -> Reply {
         match command {
             Command::PutConfiguration { expected_version, configuration } => {
-                self.put(*expected_version, configuration)
+                self.put_configuration(*expected_version, configuration)
             }
-            Command::SetPlacement { placement } => self.place(placement),
-            Command::Retire { order } => self.retirements.begin(&self.placement, order),
+            Command::SetPlacement { placement } => self.set_placement(placement),
+            Command::Retire { request } => self.retirements.retire(&self.placement, request),
         }
     }
 
--- a/system/state/control-state/tests/catch_up.rs
+++ b/system/state/control-state/tests/catch_up.rs
@@ -1,5 +1,5 @@
-//! A member that is brought up, or starts again, after many changes: it answers as the others do, and what it takes
-//! does not grow with their number.
+//! A member that catches up, or restarts, after many changes: it replies as the others do, and the cost does not grow with
+//! their number.
 
 use millrudder_chain::{CoreConfig, CoreMessage, CoreNode, DurableState, Input, Output, RequestId};
 use millrudder_control_state::{Command, ControlState};
@@ -13,7 +13,7 @@
 const JOIN_WITHIN_MICROS: u64 = 2_000_000;
 const BODY_BYTES: usize = 2_000;
 /// A message holds 64 KiB of entries or of a snapshot, and little beside it.
-const LARGEST_MESSAGE: usize = (64 << 10) + 128;
+const MAX_MESSAGE_BYTES: usize = (64 << 10) + 128;
 
 fn json(version: u64) -> Vec<u8> {
     let mut json = format!("{{\"version\":{version},").into_bytes();
@@ -28,12 +28,12 @@
 }
 
 impl Host {
-    fn start(place: u64, founds: bool, state: Option<DurableState>) -> Host {
-        let address = format!("10.0.0.{place}:9000");
+    fn start(number: u64, founds: bool, state: Option<DurableState>) -> Host {
+        let address = format!("10.0.0.{number}:9000");
         let mut config = CoreConfig::new(address.clone());
         config.minimum_members = 1;
         config.founders = if founds { vec![address] } else { Vec::new() };
-        let node = Node::new(config, state, place, 0).expect("the node starts");
+        let node = Node::new(config, state, number, 0).expect("the node starts");
         Host { node, sent: VecDeque::new() }
     }
 
@@ -63,8 +63,8 @@
     }
 }
 
-/// Lengths of the messages that bring `learner` up.
-fn bring_up(member: &mut Host, learner: &mut Host) -> Vec<usize> {
+/// Lengths of the messages with which `learner` catches up.
+fn catch_up(member: &mut Host, learner: &mut Host) -> Vec<usize> {
     let (from, to) = (member.node.id(), learner.node.id());
     let mut now = 300_000;
     let mut lengths = Vec::new();
@@ -86,10 +86,10 @@
 }
 
 #[test]
-fn a_member_that_is_brought_up_knows_what_was_accepted() {
+fn a_member_that_catches_up_knows_accepted_configurations() {
     let mut member = Host::after(1_500);
     let mut learner = Host::start(2, false, None);
-    bring_up(&mut member, &mut learner);
+    catch_up(&mut member, &mut learner);
     assert_eq!(learner.node.machine(), member.node.machine());
     for version in [1, 700, 1_500] {
         assert!(learner.node.machine().has_accepted(&json(version)), "version {version}");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_member_that_starts_again_knows_what_was_accepted() {
+fn a_member_that_restarts_knows_accepted_configurations() {
     let member = Host::after(1_500);
     let bytes = member.node.durable_state().write_to_vec().expect("it is written");
     let state = DurableState::read_from_buffer(&bytes).expect("it is read");
@@ -112,8 +112,8 @@
     let cost = |versions: u64| {
         let mut member = Host::after(versions);
         let mut learner = Host::start(2, false, None);
-        let lengths = bring_up(&mut member, &mut learner);
-        assert!(lengths.iter().all(|length| *length <= LARGEST_MESSAGE), "{lengths:?}");
+        let lengths = catch_up(&mut member, &mut learner);
+        assert!(lengths.iter().all(|length| *length <= MAX_MESSAGE_BYTES), "{lengths:?}");
         let checkpoint = member.node.durable_state().write_to_vec().expect("it is written").len();
         (lengths.iter().sum::<usize>(), checkpoint)
     };
--- a/system/state/control-state/tests/state.rs
+++ b/system/state/control-state/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Which configurations are taken, refused and acknowledged again.
+//! Which configurations and placements are accepted, rejected and acknowledged again.
 
 use millrudder_chain::{Machine, Sequence};
 use millrudder_control_state::{Command, ControlState, Reply};
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn of_two_on_one_version_one_wins() {
+fn of_two_configurations_on_one_version_one_is_accepted() {
     let mut state = ControlState::default();
     put(&mut state, 0, 5, "a");
     assert_eq!(put(&mut state, 5, 7, "b"), Reply::ConfigurationAccepted);
@@ -29,18 +29,18 @@
 }
 
 #[test]
-fn a_repeat_is_acknowledged_many_versions_later_and_changes_nothing() {
+fn a_retry_is_acknowledged_many_versions_later_and_changes_nothing() {
     let mut state = ControlState::default();
     put(&mut state, 0, 1, "first");
     for version in 1..300 {
         assert_eq!(put(&mut state, version, version + 1, &version.to_string()), Reply::ConfigurationAccepted);
     }
-    assert_eq!(put(&mut state, 0, 1, "first"), Reply::ConfigurationKnown);
+    assert_eq!(put(&mut state, 0, 1, "first"), Reply::ConfigurationAlreadyAccepted);
     assert_eq!(state.configuration().version, 300);
 }
 
 #[test]
-fn a_refused_one_may_be_sent_again_on_the_right_version() {
+fn a_rejected_configuration_may_be_sent_again_on_the_right_version() {
     let mut state = ControlState::default();
     put(&mut state, 0, 5, "a");
     assert_eq!(put(&mut state, 4, 9, "b"), Reply::ConfigurationConflict { current: 5 });
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn a_version_that_is_not_higher_is_refused() {
+fn a_version_that_is_not_higher_is_rejected() {
     let mut state = ControlState::default();
     put(&mut state, 0, 5, "a");
     assert_eq!(put(&mut state, 5, 5, "b"), Reply::VersionNotHigher { current: 5 });
 }
 
 #[test]
-fn placements_follow_each_other() {
+fn only_the_placement_of_the_next_epoch_is_set() {
     let mut state = ControlState::default();
     let next = |epoch| Command::SetPlacement {
         placement: Placement { epoch: Epoch(epoch), ..Placement::default() },
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_snapshot_restores_all() {
+fn a_snapshot_restores_the_complete_state() {
     let mut state = ControlState::default();
     put(&mut state, 0, 5, "a");
     let restored = ControlState::restore(&state.snapshot()).unwrap();
--- a/system/state/control-state/tests/golden.rs
+++ b/system/state/control-state/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Commands, replies and the snapshot of the control state, byte for byte as earlier versions write them.
 
 use millrudder_chain::{Machine, NodeId, Sequence};
-use millrudder_control_state::{Command, ControlState, Reply, RetireOrder};
+use millrudder_control_state::{Command, ControlState, Reply, RetireRequest};
 use millrudder_protocol::control::ConfigurationText;
 use millrudder_protocol::placement::{Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::{Address, Epoch, StoreId};
@@ -37,16 +37,16 @@
 
 fn commands() -> [(&'static str, Command); 3] {
     let configuration = ConfigurationText { version: 5, json: b"{\"version\": 5}".to_vec() };
-    let order = RetireOrder {
+    let request = RetireRequest {
         name: "storage-4".into(),
-        is_known: true,
-        core: vec![NodeId(0x0102), NodeId(0x0304)],
-        well: (1..5).map(|number| format!("storage-{number}")).collect(),
+        is_registered: true,
+        core_members: vec![NodeId(0x0102), NodeId(0x0304)],
+        healthy_machines: (1..5).map(|number| format!("storage-{number}")).collect(),
     };
     [
         ("put_configuration", Command::PutConfiguration { expected_version: 0, configuration }),
         ("set_placement", Command::SetPlacement { placement: placement() }),
-        ("retire", Command::Retire { order }),
+        ("retire", Command::Retire { request }),
     ]
 }
 
@@ -69,15 +69,15 @@
     let mut golden = Golden::open("tests/golden/replies.txt");
     for (name, reply) in [
         ("configuration_accepted", Reply::ConfigurationAccepted),
-        ("configuration_known", Reply::ConfigurationKnown),
-        ("configuration_forgotten", Reply::ConfigurationForgotten),
+        ("configuration_known", Reply::ConfigurationAlreadyAccepted),
+        ("configuration_forgotten", Reply::ConfigurationEvicted),
         ("configuration_conflict", Reply::ConfigurationConflict { current: 0x0102 }),
         ("version_not_higher", Reply::VersionNotHigher { current: 0x0304 }),
         ("placement_set", Reply::PlacementSet),
         ("placement_conflict", Reply::PlacementConflict { current: Epoch(0x0506) }),
         ("retiring", Reply::Retiring),
-        ("retire_unknown", Reply::RetireUnknown),
-        ("retire_too_few", Reply::RetireTooFew),
+        ("retire_unknown", Reply::RetireUnknownMachine),
+        ("retire_too_few", Reply::RetireTooFewRemain),
     ] {
         check(&mut golden, name, &reply);
     }
--- a/system/state/control-state/tests/retire.rs
+++ b/system/state/control-state/tests/retire.rs
@@ -1,12 +1,12 @@
-//! Storage machines that are to be emptied: what the order of commands decides.
+//! Retiring storage machines: what the order of commands decides.
 
 use millrudder_chain::{Machine, NodeId, Sequence};
-use millrudder_control_state::{Command, ControlState, Reply, RetireOrder};
+use millrudder_control_state::{Command, ControlState, Reply, RetireRequest};
 use millrudder_protocol::placement::{Placement, StoreEntry};
 use millrudder_protocol::{Address, Epoch, StoreId};
 use std::collections::BTreeSet;
 
-fn founded(stores: u64) -> ControlState {
+fn with_stores(stores: u64) -> ControlState {
     let entry = |id: u64| StoreEntry {
         id: StoreId(id),
         name: name(id),
@@ -33,63 +33,69 @@
     state.apply(Sequence(1), &command)
 }
 
-fn retire(state: &mut ControlState, id: u64, well: &[u64]) -> Reply {
-    let well = well.iter().map(|id| name(*id)).collect();
-    let order = RetireOrder { name: name(id), is_known: false, core: vec![NodeId(id)], well };
-    apply(state, Command::Retire { order })
+fn retire(state: &mut ControlState, id: u64, healthy: &[u64]) -> Reply {
+    let healthy_machines = healthy.iter().map(|id| name(*id)).collect();
+    let request = RetireRequest {
+        name: name(id),
+        is_registered: false,
+        core_members: vec![NodeId(id)],
+        healthy_machines,
+    };
+    apply(state, Command::Retire { request })
 }
 
 #[test]
-fn a_machine_with_enough_others_is_emptied() {
-    let mut state = founded(4);
+fn a_machine_with_enough_others_retires() {
+    let mut state = with_stores(4);
     assert_eq!(retire(&mut state, 1, &[1, 2, 3, 4]), Reply::Retiring);
-    assert_eq!(state.retiring(), BTreeSet::from([name(1)]));
-    assert_eq!(state.retiring_core_of("store-1"), Some(&BTreeSet::from([NodeId(1)])));
+    assert_eq!(state.retiring_machines(), BTreeSet::from([name(1)]));
+    assert_eq!(state.retiring_core_members("store-1"), Some(&BTreeSet::from([NodeId(1)])));
 }
 
 #[test]
-fn the_same_order_again_is_acknowledged_again_whatever_has_become_of_the_others() {
-    let mut state = founded(4);
+fn a_retry_is_acknowledged_whatever_has_become_of_the_other_machines() {
+    let mut state = with_stores(4);
     retire(&mut state, 1, &[1, 2, 3, 4]);
     assert_eq!(retire(&mut state, 1, &[2]), Reply::Retiring);
 }
 
 #[test]
-fn an_unknown_machine_is_not_emptied() {
-    let mut state = founded(4);
-    assert_eq!(retire(&mut state, 9, &[1, 2, 3, 4]), Reply::RetireUnknown);
-    assert_eq!(state.retiring(), BTreeSet::new());
+fn an_unknown_machine_does_not_retire() {
+    let mut state = with_stores(4);
+    assert_eq!(retire(&mut state, 9, &[1, 2, 3, 4]), Reply::RetireUnknownMachine);
+    assert_eq!(state.retiring_machines(), BTreeSet::new());
 }
 
 #[test]
-fn a_machine_that_has_registered_is_known_though_it_holds_nothing() {
-    let mut state = founded(3);
-    let well = [1, 2, 3, 4].map(name).to_vec();
-    let order = RetireOrder { name: name(4), is_known: true, core: Vec::new(), well };
-    assert_eq!(apply(&mut state, Command::Retire { order }), Reply::Retiring);
+fn a_registered_machine_without_shards_retires() {
+    let mut state = with_stores(3);
+    let healthy_machines = [1, 2, 3, 4].map(name).to_vec();
+    let request =
+        RetireRequest { name: name(4), is_registered: true, core_members: Vec::new(), healthy_machines };
+    assert_eq!(apply(&mut state, Command::Retire { request }), Reply::Retiring);
 }
 
 #[test]
 fn as_many_as_a_shard_has_replicas_must_remain() {
-    let mut state = founded(3);
-    assert_eq!(retire(&mut state, 1, &[1, 2, 3]), Reply::RetireTooFew);
-    let mut state = founded(4);
-    assert_eq!(retire(&mut state, 1, &[1, 2, 3]), Reply::RetireTooFew, "the fourth is away");
+    let mut state = with_stores(3);
+    assert_eq!(retire(&mut state, 1, &[1, 2, 3]), Reply::RetireTooFewRemain);
+    let mut state = with_stores(4);
+    assert_eq!(retire(&mut state, 1, &[1, 2, 3]), Reply::RetireTooFewRemain, "the fourth is unhealthy");
 }
 
 #[test]
-fn two_orders_that_were_checked_at_the_same_time_do_not_both_pass() {
-    let mut state = founded(4);
+fn two_concurrent_requests_do_not_both_pass() {
+    let mut state = with_stores(4);
     let all = [1, 2, 3, 4];
     assert_eq!(retire(&mut state, 1, &all), Reply::Retiring);
-    assert_eq!(retire(&mut state, 2, &all), Reply::RetireTooFew);
+    assert_eq!(retire(&mut state, 2, &all), Reply::RetireTooFewRemain);
 }
 
 #[test]
-fn what_is_to_be_emptied_outlives_a_restart() {
-    let mut state = founded(4);
+fn retiring_machines_survive_a_restart() {
+    let mut state = with_stores(4);
     retire(&mut state, 1, &[1, 2, 3, 4]);
     let restored = ControlState::restore(&state.snapshot()).unwrap();
-    assert_eq!(restored.retiring(), state.retiring());
-    assert_eq!(restored.retiring_core_of("store-1"), Some(&BTreeSet::from([NodeId(1)])));
+    assert_eq!(restored.retiring_machines(), state.retiring_machines());
+    assert_eq!(restored.retiring_core_members("store-1"), Some(&BTreeSet::from([NodeId(1)])));
 }
--- a/system/testing/simulation/src/orders.rs
+++ b/system/testing/simulation/src/orders.rs
@@ -86,13 +86,13 @@
     ) -> Option<(Call, Answer)> {
         let waiting = self.waiting.remove(&request_id)?;
         let answer = match reply {
-            Reply::ConfigurationAccepted | Reply::ConfigurationKnown => Answer::Accepted,
+            Reply::ConfigurationAccepted | Reply::ConfigurationAlreadyAccepted => Answer::Accepted,
             Reply::ConfigurationConflict { .. } if !mutant.has(Mechanism::LoserRefused) => Answer::Accepted,
             Reply::ConfigurationConflict { .. } => Answer::Conflict,
             Reply::VersionNotHigher { .. } => Answer::NotHigher,
-            Reply::ConfigurationForgotten => Answer::Unavailable,
+            Reply::ConfigurationEvicted => Answer::Unavailable,
             Reply::PlacementSet | Reply::PlacementConflict { .. } => return None,
-            Reply::Retiring | Reply::RetireUnknown | Reply::RetireTooFew => return None,
+            Reply::Retiring | Reply::RetireUnknownMachine | Reply::RetireTooFewRemain => return None,
         };
         Some((waiting.call, answer))
     }
