--- a/coordination/chain/src/lib.rs
+++ b/coordination/chain/src/lib.rs
@@ -80,6 +80,7 @@
 mod reads;
 mod replica;
 mod replies;
+mod simulated_disk;
 mod store;
 mod transfer;
 
@@ -93,4 +94,5 @@
 pub use millrudder_lease::{FencingToken, LeaseConfig, Role};
 pub use millrudder_view::{DetectorConfig, Epoch, Member, NodeId, View};
 pub use node::{CoreNode, Input, Output, PersistToken, StartError};
+pub use simulated_disk::{DiskWrite, SimulatedDisk};
 pub use transfer::{SnapshotChunk, SnapshotId, MAX_SNAPSHOT_BYTES};
--- a/coordination/chain/tests/cores/simulator/host.rs
+++ b/coordination/chain/tests/cores/simulator/host.rs
@@ -2,14 +2,14 @@
 
 use millrudder_chain::CoreNode;
 
-use super::disk::Disk;
 use super::ledger::Ledger;
+use millrudder_chain::SimulatedDisk;
 
 /// One machine with its process, if that runs.
 #[derive(Default)]
 pub struct Host {
     pub node: Option<CoreNode<Ledger>>,
-    pub disk: Disk,
+    pub disk: SimulatedDisk,
     pub process: u64,
     pub clock_offset: u64,
     pub clock_rate_ppm: u64,
--- a/coordination/chain/tests/cores/simulator/mod.rs
+++ b/coordination/chain/tests/cores/simulator/mod.rs
@@ -2,7 +2,6 @@
 
 pub mod checker;
 mod clients;
-pub mod disk;
 pub mod faults;
 pub mod history;
 mod host;
--- a/coordination/chain/tests/cores/simulator/outputs.rs
+++ b/coordination/chain/tests/cores/simulator/outputs.rs
@@ -3,9 +3,9 @@
 use millrudder_chain::{CoreMessage, FencingToken, NodeId, Output, PersistToken, Role};
 
 use super::checker::Violation;
-use super::disk::DiskWrite;
 use super::history::{Grant, Submission, ViewEntered};
 use super::world::{EventKind, World};
+use millrudder_chain::DiskWrite;
 
 /// Shortest and longest time of an ordinary write to disk, in microseconds.
 const DISK_MICROS: std::ops::Range<u64> = 1_500..6_000;
--- a/coordination/chain/tests/cores/simulator/strikes.rs
+++ b/coordination/chain/tests/cores/simulator/strikes.rs
@@ -2,10 +2,10 @@
 
 use millrudder_chain::Input;
 
-use super::disk::Disk;
 use super::faults::{Fault, STOP_MICROS};
 use super::host::Host;
 use super::world::{EventKind, World};
+use millrudder_chain::SimulatedDisk;
 
 /// Pause between two looks whether it may end earlier.
 const STOP_LOOK_MICROS: u64 = 20_000;
@@ -97,7 +97,7 @@
 
     fn wipe(&mut self, machine: usize, down_micros: u64) {
         self.stop(machine, 0, down_micros);
-        self.hosts[machine].disk = Disk::default();
+        self.hosts[machine].disk = SimulatedDisk::default();
         self.hosts[machine].wiped = true;
     }
 
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -2,13 +2,14 @@
 
 use crate::clock::Clock;
 use crate::control_machine::ControlMachine;
-use crate::core_disk::CoreDisk;
 use crate::event::{Call, Connection, Effect, Happening, Observation, Payload, Target};
 use crate::history::{Answer, Order};
 use crate::mechanism::{Mechanism, Mutant};
 use crate::orders::{Orders, Step};
 use crate::{MILLISECOND, SECOND};
-use millrudder_chain::{CoreConfig, CoreNode, FencingToken, Input, NodeId, Output, RequestId, Role};
+use millrudder_chain::{
+    CoreConfig, CoreNode, DiskWrite, FencingToken, Input, NodeId, Output, RequestId, Role, SimulatedDisk,
+};
 use millrudder_clock::Instant;
 use millrudder_control_state::{Command, ControlState, Reply};
 use millrudder_placement::{Input as PlacementInput, PlacementManager, Registration};
@@ -88,16 +89,16 @@
     pub now: u64,
     /// By how much the time of day has run ahead of it, since it stood still (microseconds).
     pub stood_still: u64,
-    pub disk: &'a mut CoreDisk,
+    pub disk: &'a mut SimulatedDisk,
     pub effects: &'a mut Vec<Effect>,
 }
 
 impl<M: ControlMachine> CoreProcess<M> {
     /// Starts on what the disk holds.
-    pub fn start(settings: CoreSettings, mutant: Mutant, disk: &CoreDisk, seed: u64, now: u64) -> Self {
+    pub fn start(settings: CoreSettings, mutant: Mutant, disk: &SimulatedDisk, seed: u64, now: u64) -> Self {
         let state = match mutant.has(Mechanism::RecordsReplayed) {
             true => disk.state(),
-            false => disk.checkpoint_alone(),
+            false => disk.state_at_checkpoint(),
         };
         let mut config = CoreConfig::new(settings.address.to_string());
         config.minimum_members = settings.tolerated_losses as usize + 1;
@@ -474,11 +475,11 @@
             match output {
                 Output::Send { to, message } => self.send(scene, to, Payload::Core { to, message }),
                 Output::Persist { token, record } => {
-                    scene.disk.append(token, record);
+                    scene.disk.begin(DiskWrite::Append { token, record });
                     self.written(scene, token);
                 }
                 Output::Checkpoint { token, state } => {
-                    scene.disk.checkpoint(token, state);
+                    scene.disk.begin(DiskWrite::Checkpoint { token, state });
                     scene.effects.push(Effect::Sync);
                 }
                 Output::Committed { sequence, request_id, command, reply } => {
@@ -618,7 +619,7 @@
 #[derive(Clone)]
 pub struct CoreMachine<M: ControlMachine> {
     pub process: Option<CoreProcess<M>>,
-    pub disk: CoreDisk,
+    pub disk: SimulatedDisk,
     pub clock: Clock,
     /// The machine had another disk before.
     pub lost_a_disk: bool,
--- a/system/testing/simulation/src/lib.rs
+++ b/system/testing/simulation/src/lib.rs
@@ -14,7 +14,6 @@
 pub mod checks;
 pub mod clock;
 pub mod control_machine;
-pub mod core_disk;
 pub mod core_machine;
 pub mod dispatcher;
 pub mod event;
--- a/system/testing/simulation/src/store_disk.rs
+++ b/system/testing/simulation/src/store_disk.rs
@@ -1,4 +1,8 @@
-//! Disk of a store: what was appended, and how much of it is synced.
+//! Simulated disk of a store: the appended records, and how many of them are synced.
+//!
+//! It differs from the core's [`millrudder_chain::SimulatedDisk`] and stays apart from it: a store returns its records
+//! one by one with their ages, not folded into one state; a killed process loses none of them; and a sync covers all
+//! records appended when it starts. The simulated folders of `millrudder-checkpoint-store` work on bytes below both.
 
 use millrudder_queue::{DiskRecord, Recovered, Ticket};
 
--- a/system/testing/simulation/src/strikes.rs
+++ b/system/testing/simulation/src/strikes.rs
@@ -1,13 +1,13 @@
 //! Faults strike.
 
 use crate::control_machine::ControlMachine;
-use crate::core_disk::CoreDisk;
 use crate::event::Happening;
 use crate::fault::Fault;
 use crate::mechanism::Mechanism;
 use crate::place::Place;
 use crate::world::World;
 use crate::{MILLISECOND, SECOND};
+use millrudder_chain::SimulatedDisk;
 
 /// A process that was told to stop serves on for so long after the others can do without it (microseconds).
 const LINGER: u64 = 250 * MILLISECOND;
@@ -141,10 +141,7 @@
                 let core = &mut self.cores[index];
                 core.lost_a_disk = true;
                 let id = core.disk.state().map(|state| state.id).filter(|_| keeps_name);
-                core.disk = CoreDisk::default();
-                if let Some(id) = id {
-                    core.disk.rename(id);
-                }
+                core.disk = id.map_or_else(SimulatedDisk::default, SimulatedDisk::with_identity);
             }
             Place::Store(index) => {
                 let keeps_name = !self.plan.mutant.has(Mechanism::FilledBeforeCounted);
--- a/system/testing/simulation/src/world/mod.rs
+++ b/system/testing/simulation/src/world/mod.rs
@@ -9,7 +9,6 @@
 use crate::checks::Checks;
 use crate::clock::Clock;
 use crate::control_machine::ControlMachine;
-use crate::core_disk::CoreDisk;
 use crate::core_machine::CoreMachine;
 use crate::dispatcher::Dispatcher;
 use crate::event::{Call, Process};
@@ -24,6 +23,7 @@
 use crate::store_machine::StoreMachine;
 use crate::violation::Violation;
 use crate::{MILLISECOND, SECOND};
+use millrudder_chain::SimulatedDisk;
 use millrudder_control_state::ControlState;
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::StoreId;
@@ -113,7 +113,7 @@
             stood_still: 0,
         };
         let core =
-            |clock| CoreMachine { process: None, disk: CoreDisk::default(), clock, lost_a_disk: false };
+            |clock| CoreMachine { process: None, disk: SimulatedDisk::default(), clock, lost_a_disk: false };
         let cores = (0..shape.cores).map(|_| core(clock())).collect();
         let store = |(index, clock)| StoreMachine {
             process: None,
