--- a/system/testing/simulation/src/checks.rs
+++ b/system/testing/simulation/src/checks.rs
@@ -1,10 +1,10 @@
 //! What must hold at all times, checked from what machines were seen to do.
 
 use crate::event::Observation;
-use crate::history::{Answer, History, Operation, Order};
-use crate::ledger::Ledger;
-use crate::linearizability::{is_linearizable, shrunk};
-use crate::place::Place;
+use crate::history::{History, Operation, Request, Response};
+use crate::linearizability::{is_linearizable, shrink};
+use crate::machine_id::MachineId;
+use crate::message_log::MessageLog;
 use crate::violation::Violation;
 use crate::{MILLISECOND, SECOND};
 use millrudder_chain::{Epoch, RequestId, View};
@@ -15,9 +15,9 @@
 
 /// What a core machine tells may be so much older than what was acknowledged last (microseconds): the longest time
 /// for which a confirmation by a majority allows serving, and the way of a message.
-pub const STALE_BOUND: u64 = (MAX_CONFIRMATION_AGE.as_millis() as u64 + 100) * MILLISECOND;
+pub const STALENESS_BOUND: u64 = (MAX_CONFIRMATION_AGE.as_millis() as u64 + 100) * MILLISECOND;
 /// A dispatcher that can reach a machine which is in touch with a majority learns of a version within this time.
-pub const LEARN_BOUND: u64 = 6 * SECOND;
+pub const PROPAGATION_BOUND: u64 = 6 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Adopted {
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Checks {
     pub history: History,
-    pub ledger: Ledger,
+    pub messages: MessageLog,
     views: BTreeMap<Epoch, View>,
     committed: BTreeMap<u64, Vec<u8>>,
     /// By which request each configuration came into force.
@@ -45,37 +45,44 @@
 
 impl Checks {
     /// Something was seen at a place at a true time.
-    pub fn seen(&mut self, place: Place, now: u64, seen: Observation) -> Result<(), Violation> {
-        match seen {
-            Observation::ToldConfiguration { version } => self.told(place, now, version),
+    pub fn observe(
+        &mut self,
+        machine_id: MachineId,
+        now: u64,
+        observation: Observation,
+    ) -> Result<(), Violation> {
+        match observation {
+            Observation::ConfigurationPublished { version } => self.published(machine_id, now, version),
             Observation::Committed { sequence, request_id, command, reply } => {
                 self.committed(sequence, request_id, command, reply)
             }
             Observation::ViewEntered { view } => self.view(view),
             Observation::LeaseGranted { fencing } => self.lease_granted(fencing.0),
-            Observation::ActedAsHolder { fencing } => self.acted(place, now, fencing.0),
+            Observation::ActedAsLeaseHolder { fencing } => self.acted(machine_id, now, fencing.0),
             Observation::Queried { .. } => Ok(()),
-            Observation::Adopted { .. } => self.adopted(place, seen),
+            Observation::Adopted { .. } => self.adopted(machine_id, observation),
             Observation::Accepted { id } => {
-                if let Place::Dispatcher(dispatcher) = place {
-                    self.ledger.accepted(dispatcher, id, now);
+                if let MachineId::Dispatcher(dispatcher) = machine_id {
+                    self.messages.accepted(dispatcher, id, now);
                 }
                 Ok(())
             }
-            Observation::Ran { id } if self.ledger.is_recorded(id) => Err(Violation::RanAgain { id }),
-            Observation::Ran { .. } => Ok(()),
+            Observation::Executed { id } if self.messages.is_recorded(id) => {
+                Err(Violation::ExecutedAgain { id })
+            }
+            Observation::Executed { .. } => Ok(()),
             Observation::Recorded { id } => {
-                self.ledger.recorded(id);
+                self.messages.recorded(id);
                 Ok(())
             }
         }
     }
 
     /// A core machine answers an operator.
-    pub fn answered(&mut self, order: Order, answer: Answer, now: u64) {
-        let Order::Put { configuration, .. } = order else { return };
+    pub fn responded(&mut self, request: Request, response: Response, now: u64) {
+        let Request::Put { configuration, .. } = request else { return };
         let highest = self.acknowledged.last().map_or(0, |(_, version)| *version);
-        if answer == Answer::Accepted && configuration.version > highest {
+        if response == Response::Accepted && configuration.version > highest {
             self.acknowledged.push((now, configuration.version));
         }
     }
@@ -97,16 +104,16 @@
         if is_linearizable(operations) {
             return Ok(());
         }
-        Err(Violation::NotLinearizable { history: shrunk(operations) })
+        Err(Violation::NotLinearizable { history: shrink(operations) })
     }
 
-    fn told(&self, machine: Place, now: u64, told: u64) -> Result<(), Violation> {
-        let acknowledged = self.acknowledged_at(now.saturating_sub(STALE_BOUND));
-        if told >= acknowledged {
+    fn published(&self, machine: MachineId, now: u64, published: u64) -> Result<(), Violation> {
+        let acknowledged = self.acknowledged_at(now.saturating_sub(STALENESS_BOUND));
+        if published >= acknowledged {
             return Ok(());
         }
-        let age = now - self.acknowledged_since(told);
-        Err(Violation::StaleTold { machine, told, acknowledged, at: now, age })
+        let age = now - self.acknowledged_since(published);
+        Err(Violation::StalePublished { machine, published, acknowledged, at: now, age })
     }
 
     fn view(&mut self, view: View) -> Result<(), Violation> {
@@ -114,7 +121,7 @@
         if *first == view {
             return Ok(());
         }
-        Err(Violation::TwoViews { first: first.clone(), second: view })
+        Err(Violation::ConflictingViews { first: first.clone(), second: view })
     }
 
     fn committed(
@@ -126,7 +133,7 @@
     ) -> Result<(), Violation> {
         let first = self.committed.entry(sequence).or_insert_with(|| command.clone());
         if *first != command {
-            return Err(Violation::TwoCommands { sequence });
+            return Err(Violation::ConflictingCommands { sequence });
         }
         if reply != Reply::ConfigurationAccepted {
             return Ok(());
@@ -139,21 +146,21 @@
         let first = *self.effects.entry(configuration.json).or_insert(request_id);
         match first == request_id {
             true => Ok(()),
-            false => Err(Violation::SecondEffect { text }),
+            false => Err(Violation::DuplicateEffect { text }),
         }
     }
 
     fn lease_granted(&mut self, number: u64) -> Result<(), Violation> {
         let before = self.highest_fencing;
         if number <= before {
-            return Err(Violation::FencingNotHigher { before, number });
+            return Err(Violation::FencingNotIncreased { before, number });
         }
         self.highest_fencing = number;
         self.leases += 1;
         Ok(())
     }
 
-    fn acted(&mut self, machine: Place, at: u64, number: u64) -> Result<(), Violation> {
+    fn acted(&mut self, machine: MachineId, at: u64, number: u64) -> Result<(), Violation> {
         let later = self.highest_act;
         if number < later {
             return Err(Violation::ActedAfterSuccessor { machine, number, later, at });
@@ -167,9 +174,9 @@
         self.adopted.remove(&dispatcher);
     }
 
-    fn adopted(&mut self, place: Place, seen: Observation) -> Result<(), Violation> {
-        let (Place::Dispatcher(index), Observation::Adopted { configuration, placement, workers }) =
-            (place, &seen)
+    fn adopted(&mut self, machine_id: MachineId, observation: Observation) -> Result<(), Violation> {
+        let (MachineId::Dispatcher(index), Observation::Adopted { configuration, placement, workers }) =
+            (machine_id, &observation)
         else {
             return Ok(());
         };
@@ -182,6 +189,6 @@
             return Ok(());
         }
         let (before, now) = (format!("{before:?}"), format!("{now:?}"));
-        Err(Violation::WentBack { dispatcher: place, before, now })
+        Err(Violation::Regressed { dispatcher: machine_id, before, now })
     }
 }
--- a/system/testing/simulation/src/clock.rs
+++ b/system/testing/simulation/src/clock.rs
@@ -11,13 +11,13 @@
     /// How much faster than true time it runs, in parts per million.
     pub rate_ppm: u64,
     /// For how long it has stood still in all (microseconds).
-    pub stood_still: u64,
+    pub stalled: u64,
 }
 
 impl Clock {
     /// What the clock shows at a true time.
     pub fn local(&self, now: u64) -> u64 {
-        (self.offset + now + now / MILLION * self.rate_ppm).saturating_sub(self.stood_still)
+        (self.offset + now + now / MILLION * self.rate_ppm).saturating_sub(self.stalled)
     }
 
     /// A true time, `now` or later, at which the clock shows `local` or a little more.
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -2,10 +2,10 @@
 
 use crate::clock::Clock;
 use crate::control_machine::ControlMachine;
-use crate::event::{Call, Connection, Effect, Happening, Observation, Payload, Target};
-use crate::history::{Answer, Order};
+use crate::event::{Call, Connection, Effect, Observation, Payload, ProcessInput, Target};
+use crate::history::{Request, Response};
 use crate::mechanism::{Mechanism, Mutant};
-use crate::orders::{Orders, Step};
+use crate::pending_requests::{PendingRequests, RequestStep};
 use crate::{MILLISECOND, SECOND};
 use millrudder_chain::{
     CoreConfig, CoreNode, DiskWrite, FencingToken, Input, NodeId, Output, RequestId, Role, SimulatedDisk,
@@ -16,7 +16,7 @@
 use millrudder_protocol::control::{FromCore, Registrant, ToCore, WorkerList};
 use millrudder_protocol::{Address, StoreId};
 use millrudder_staleness::{
-    ConnectionId, CurrentWorkerList, Input as GateInput, Output as GateOutput, ReadBarrier, ReadNumber,
+    ConnectionId, CurrentWorkerList, Input as BarrierInput, Output as BarrierOutput, ReadBarrier, ReadNumber,
     RegistrantKind, RegistrantTime, StatePart, StateVersions, WorkerListVersion,
 };
 use speedy::Writable;
@@ -26,13 +26,13 @@
 /// One role for all that one core machine does for all of them.
 const CONTROLLER: &str = "controller";
 /// Pause between two readings of the platform's list.
-const READ_LIST_EVERY: u64 = 400 * MILLISECOND;
+const LIST_INTERVAL: u64 = 400 * MILLISECOND;
 /// Orders that have waited too long are looked for this often.
-const SWEEP: u64 = SECOND / 4;
+const SWEEP_INTERVAL: u64 = SECOND / 4;
 /// A checkpoint after records of this many bytes, so that hundreds of changes bring many.
 const CHECKPOINT_BYTES: usize = 4 << 10;
 /// Commands kept in memory, so few that peers that were away need a snapshot.
-const KEPT_ENTRIES: usize = 20;
+const RETAINED_ENTRIES: usize = 20;
 
 /// What does not change while the machine lives.
 #[derive(Clone, Debug)]
@@ -56,16 +56,16 @@
     manager: PlacementManager,
     settings: CoreSettings,
     mutant: Mutant,
-    orders: Orders,
+    pending_requests: PendingRequests,
     /// Connections to other core machines, by address.
     dialed: BTreeMap<SocketAddr, Connection>,
-    known: Vec<SocketAddr>,
+    core_addresses: Vec<SocketAddr>,
     peers: BTreeMap<Connection, NodeId>,
     addresses: BTreeMap<NodeId, SocketAddr>,
     registrants: BTreeMap<Connection, Registered>,
     workers: WorkerList,
     current_list: CurrentWorkerList,
-    gate: ReadBarrier,
+    read_barrier: ReadBarrier,
     confirming: Option<Confirming>,
     followed_epoch: u64,
     fencing: Option<FencingToken>,
@@ -73,22 +73,22 @@
     sweep_at: u64,
     leaving: bool,
     /// For how long the machine is known to have stood still in all (microseconds).
-    stood_still: u64,
+    stalled: u64,
 }
 
 /// The read under way that confirms the state here.
 #[derive(Clone, Copy, Debug)]
 struct Confirming {
     request_id: RequestId,
-    round: ReadNumber,
+    read: ReadNumber,
 }
 
 /// Gives the process its happenings together with what it works on.
-pub struct CoreScene<'a> {
+pub struct CoreContext<'a> {
     /// Steady clock of the machine (microseconds).
     pub now: u64,
     /// By how much the time of day has run ahead of it, since it stood still (microseconds).
-    pub stood_still: u64,
+    pub stalled: u64,
     pub disk: &'a mut SimulatedDisk,
     pub effects: &'a mut Vec<Effect>,
 }
@@ -96,7 +96,7 @@
 impl<M: ControlMachine> CoreProcess<M> {
     /// Starts on what the disk holds.
     pub fn start(settings: CoreSettings, mutant: Mutant, disk: &SimulatedDisk, seed: u64, now: u64) -> Self {
-        let state = match mutant.has(Mechanism::RecordsReplayed) {
+        let state = match mutant.is_enabled(Mechanism::RecordsReplayed) {
             true => disk.state(),
             false => disk.state_at_checkpoint(),
         };
@@ -104,40 +104,37 @@
         config.minimum_members = settings.tolerated_losses as usize + 1;
         config.roles = vec![Role(CONTROLLER.to_owned())];
         config.checkpoint_bytes = CHECKPOINT_BYTES;
-        config.kept_entries = KEPT_ENTRIES;
+        config.kept_entries = RETAINED_ENTRIES;
         if settings.bootstrap && state.is_none() {
             config.founders = settings.seeds.iter().map(SocketAddr::to_string).collect();
         }
         let node = CoreNode::<M>::new(config, state, seed, now).expect("the settings fit together");
         let mut manager = PlacementManager::new(settings.tolerated_losses);
-        let held = node.machine().state();
-        manager.handle(
-            Instant::from_millis(now / MILLISECOND),
-            PlacementInput::Committed(held.placement().clone()),
-        );
+        let control_state = node.machine().state();
+        manager.handle(Instant::from_millis(now / MILLISECOND), PlacementInput::Committed(control_state.placement().clone()));
         let mut process = CoreProcess {
             manager,
-            orders: Orders::new(seed),
+            pending_requests: PendingRequests::new(seed),
             dialed: BTreeMap::new(),
-            known: settings.seeds.clone(),
+            core_addresses: settings.seeds.clone(),
             peers: BTreeMap::new(),
             addresses: BTreeMap::new(),
             registrants: BTreeMap::new(),
             workers: WorkerList::default(),
             current_list: CurrentWorkerList::default(),
-            gate: ReadBarrier::new(numbers(held, &WorkerList::default())),
+            read_barrier: ReadBarrier::new(numbers(control_state, &WorkerList::default())),
             confirming: None,
-            followed_epoch: held.placement().epoch.0,
+            followed_epoch: control_state.placement().epoch.0,
             fencing: None,
             read_list_at: u64::MAX,
             sweep_at: now,
             leaving: false,
-            stood_still: u64::MAX,
+            stalled: u64::MAX,
             settings,
             mutant,
             node,
         };
-        process.know_view();
+        process.add_view_addresses();
         process
     }
 
@@ -147,139 +144,147 @@
     }
 
     /// Addresses to which a connection is wanted.
-    pub fn wanted(&self) -> Vec<Target> {
-        let others = self.known.iter().filter(|address| **address != self.settings.address);
+    pub fn missing_connections(&self) -> Vec<Target> {
+        let others = self.core_addresses.iter().filter(|address| **address != self.settings.address);
         others.filter(|address| !self.dialed.contains_key(address)).copied().map(Target::core).collect()
     }
 
     /// When a tick is due, by the machine's steady clock (microseconds).
     pub fn next_deadline(&self, now: u64) -> u64 {
-        let manager = self
-            .manager
-            .next_deadline(Instant::from_millis(now / MILLISECOND))
-            .map(|due| due.as_millis() * MILLISECOND);
-        let gate = self.gate.next_deadline().map(|due| due.as_millis() * MILLISECOND);
-        let shell = manager.into_iter().chain(gate).chain([self.read_list_at, self.sweep_at]).min();
+        let manager = self.manager.next_deadline(Instant::from_millis(now / MILLISECOND)).map(|due| due.as_millis() * MILLISECOND);
+        let read_barrier = self.read_barrier.next_deadline().map(|due| due.as_millis() * MILLISECOND);
+        let shell = manager.into_iter().chain(read_barrier).chain([self.read_list_at, self.sweep_at]).min();
         self.node.next_deadline().min(shell.unwrap_or(u64::MAX))
     }
 
     /// Takes one happening and does what follows.
-    pub fn handle(&mut self, scene: &mut CoreScene<'_>, happening: Happening) {
-        self.look_at_clocks(scene);
-        match happening {
-            Happening::Dialed { connection, target } => self.on_dialed(scene, connection, target.address),
-            Happening::Accepted { .. } => {}
-            Happening::Closed { connection } => self.on_closed(scene, connection),
-            Happening::Arrived { connection, payload } => self.on_payload(scene, connection, payload),
-            Happening::Synced => {}
-            Happening::Tick => self.on_tick(scene),
-            Happening::Leaving => {
+    pub fn handle(&mut self, context: &mut CoreContext<'_>, input: ProcessInput) {
+        self.detect_clock_stall(context);
+        match input {
+            ProcessInput::Connected { connection, target } => {
+                self.on_dialed(context, connection, target.address)
+            }
+            ProcessInput::Accepted { .. } => {}
+            ProcessInput::Closed { connection } => self.on_closed(context, connection),
+            ProcessInput::Received { connection, payload } => self.on_payload(context, connection, payload),
+            ProcessInput::Synced => {}
+            ProcessInput::Tick => self.on_tick(context),
+            ProcessInput::ShutdownRequested => {
                 self.leaving = true;
-                self.guard(scene, GateInput::ShuttingDown);
-                self.node.handle(scene.now, Input::Leave);
+                self.drive_barrier(context, BarrierInput::ShuttingDown);
+                self.node.handle(context.now, Input::Leave);
             }
-            Happening::Called { call, order } => self.on_order(scene, call, order),
+            ProcessInput::OperatorCall { call, request } => self.on_request(context, call, request),
         }
-        self.finish(scene);
+        self.finish(context);
     }
 
     /// Everything up to this write is durable.
-    pub fn persisted(&mut self, scene: &mut CoreScene<'_>, token: millrudder_chain::PersistToken) {
-        self.look_at_clocks(scene);
-        self.node.handle(scene.now, Input::Persisted { token });
-        self.finish(scene);
+    pub fn persisted(&mut self, context: &mut CoreContext<'_>, token: millrudder_chain::PersistToken) {
+        self.detect_clock_stall(context);
+        self.node.handle(context.now, Input::Persisted { token });
+        self.finish(context);
     }
 
     /// After a standstill nothing that was confirmed before is known to be recent.
-    fn look_at_clocks(&mut self, scene: &mut CoreScene<'_>) {
-        let before = std::mem::replace(&mut self.stood_still, scene.stood_still);
-        if scene.stood_still > before {
-            self.node.handle(scene.now, Input::ClockStalled);
-            self.guard(scene, GateInput::ClockStalled);
-            self.finish(scene);
+    fn detect_clock_stall(&mut self, context: &mut CoreContext<'_>) {
+        let before = std::mem::replace(&mut self.stalled, context.stalled);
+        if context.stalled > before {
+            self.node.handle(context.now, Input::ClockStalled);
+            self.drive_barrier(context, BarrierInput::ClockStalled);
+            self.finish(context);
         }
     }
 
-    fn finish(&mut self, scene: &mut CoreScene<'_>) {
-        let contact = self.has_contact(scene.now);
-        if self.gate.is_due(Instant::from_millis(scene.now / MILLISECOND), contact) {
-            self.guard(scene, GateInput::Tick);
+    fn finish(&mut self, context: &mut CoreContext<'_>) {
+        let contact = self.has_quorum_contact(context.now);
+        if self.read_barrier.is_due(Instant::from_millis(context.now / MILLISECOND), contact) {
+            self.drive_barrier(context, BarrierInput::Tick);
         }
-        self.carry_out(scene);
+        self.carry_out(context);
     }
 
-    fn has_contact(&self, now: u64) -> bool {
-        !self.mutant.has(Mechanism::QuorumContact) || self.node.has_majority_contact(now)
+    fn has_quorum_contact(&self, now: u64) -> bool {
+        !self.mutant.is_enabled(Mechanism::QuorumContact) || self.node.has_majority_contact(now)
     }
 
     /// Whether the core can do without this process, which was told to end.
-    pub fn may_go(&self, now: u64) -> bool {
+    pub fn can_leave(&self, now: u64) -> bool {
         self.leaving && self.node.may_go(now)
     }
 
     /// Gives the gate an input and does what it asks for.
-    fn guard(&mut self, scene: &mut CoreScene<'_>, input: GateInput) {
+    fn drive_barrier(&mut self, context: &mut CoreContext<'_>, input: BarrierInput) {
         let mut output = Vec::new();
-        let contact = self.has_contact(scene.now);
-        self.gate.handle(Instant::from_millis(scene.now / MILLISECOND), contact, input, &mut output);
+        let contact = self.has_quorum_contact(context.now);
+        self.read_barrier.handle(
+            Instant::from_millis(context.now / MILLISECOND),
+            contact,
+            input,
+            &mut output,
+        );
         for output in output {
-            self.follow(scene, output);
+            self.apply_barrier_output(context, output);
         }
     }
 
-    fn follow(&mut self, scene: &mut CoreScene<'_>, output: GateOutput) {
+    fn apply_barrier_output(&mut self, context: &mut CoreContext<'_>, output: BarrierOutput) {
         match output {
-            GateOutput::StartRead { read } => self.start_confirming(scene, read),
-            GateOutput::AbandonRead { read: round } => {
-                if let Some(confirming) = self.confirming.take_if(|confirming| confirming.round == round) {
+            BarrierOutput::StartRead { read } => self.start_confirming(context, read),
+            BarrierOutput::AbandonRead { read } => {
+                if let Some(confirming) = self.confirming.take_if(|confirming| confirming.read == read) {
                     let request_id = confirming.request_id;
-                    self.node.handle(scene.now, Input::Abandon { request_id });
+                    self.node.handle(context.now, Input::Abandon { request_id });
                 }
             }
-            GateOutput::Send { connection, part } => self.tell_part(scene, connection, part),
-            GateOutput::Confirm { connection, sent_at } => self.vouch(scene, connection, sent_at.0),
-            GateOutput::NoQuorum { connection } => {
-                tell(scene, Connection(connection.0), &FromCore::NoQuorum);
+            BarrierOutput::Send { connection, part } => self.send_state_part(context, connection, part),
+            BarrierOutput::Confirm { connection, sent_at } => {
+                self.send_confirmation(context, connection, sent_at.0)
             }
-            GateOutput::Redirect { connection } => {
-                tell(scene, Connection(connection.0), &FromCore::Redirect);
+            BarrierOutput::NoQuorum { connection } => {
+                send_from_core(context, Connection(connection.0), &FromCore::NoQuorum);
+            }
+            BarrierOutput::Redirect { connection } => {
+                send_from_core(context, Connection(connection.0), &FromCore::Redirect);
             }
         }
     }
 
-    fn start_confirming(&mut self, scene: &mut CoreScene<'_>, round: ReadNumber) {
-        if !self.mutant.has(Mechanism::QuorumContact) {
+    fn start_confirming(&mut self, context: &mut CoreContext<'_>, read: ReadNumber) {
+        if !self.mutant.is_enabled(Mechanism::QuorumContact) {
             // Confirmed by nobody.
-            return self.guard(scene, GateInput::ReadCompleted { read: round });
+            return self.drive_barrier(context, BarrierInput::ReadCompleted { read });
         }
-        let request_id = self.orders.own_request(&self.mutant);
-        self.confirming = Some(Confirming { request_id, round });
-        self.node.handle(scene.now, Input::Read { request_id });
+        let request_id = self.pending_requests.own_request(&self.mutant);
+        self.confirming = Some(Confirming { request_id, read });
+        self.node.handle(context.now, Input::Read { request_id });
     }
 
-    fn tell_part(&self, scene: &mut CoreScene<'_>, connection: ConnectionId, part: StatePart) {
+    fn send_state_part(&self, context: &mut CoreContext<'_>, connection: ConnectionId, part: StatePart) {
         let (connection, state) = (Connection(connection.0), self.node.machine().state());
         match part {
-            StatePart::Configuration => tell_configuration(scene, connection, state.configuration().clone()),
+            StatePart::Configuration => {
+                send_configuration(context, connection, state.configuration().clone())
+            }
             StatePart::Placement => {
                 let placement = state.placement().clone();
-                tell(scene, connection, &FromCore::Placement { placement });
+                send_from_core(context, connection, &FromCore::Placement { placement });
             }
             StatePart::Workers => {
                 let list = self.workers.clone();
-                tell(scene, connection, &FromCore::Workers { list });
+                send_from_core(context, connection, &FromCore::Workers { list });
             }
         }
     }
 
-    fn vouch(&self, scene: &mut CoreScene<'_>, connection: ConnectionId, moment_ms: u64) {
+    fn send_confirmation(&self, context: &mut CoreContext<'_>, connection: ConnectionId, moment_ms: u64) {
         let state = self.node.machine().state();
         let message = FromCore::Heartbeat {
             configuration_version: state.configuration().version,
             placement_epoch: state.placement().epoch.0,
             moment_ms,
         };
-        tell(scene, Connection(connection.0), &message);
+        send_from_core(context, Connection(connection.0), &message);
     }
 
     /// Whether this process acts as holder of the lease.
@@ -287,71 +292,71 @@
         self.node.holds(now, &Role(CONTROLLER.to_owned()))
     }
 
-    fn on_dialed(&mut self, scene: &mut CoreScene<'_>, connection: Connection, address: SocketAddr) {
+    fn on_dialed(&mut self, context: &mut CoreContext<'_>, connection: Connection, address: SocketAddr) {
         self.dialed.insert(address, connection);
         let payload = Payload::Peer { id: self.node.id(), address: self.settings.address.to_string() };
-        scene.effects.push(Effect::Send { connection, payload });
+        context.effects.push(Effect::Send { connection, payload });
         let payload = Payload::Workers { list: self.workers.clone() };
-        scene.effects.push(Effect::Send { connection, payload });
-        self.guard(scene, GateInput::PeerOpened);
+        context.effects.push(Effect::Send { connection, payload });
+        self.drive_barrier(context, BarrierInput::PeerOpened);
     }
 
-    fn on_closed(&mut self, scene: &mut CoreScene<'_>, connection: Connection) {
+    fn on_closed(&mut self, context: &mut CoreContext<'_>, connection: Connection) {
         self.dialed.retain(|_, dialed| *dialed != connection);
         self.peers.remove(&connection);
         self.registrants.remove(&connection);
-        self.guard(scene, GateInput::Closed { connection: ConnectionId(connection.0) });
+        self.drive_barrier(context, BarrierInput::Closed { connection: ConnectionId(connection.0) });
     }
 
-    fn on_payload(&mut self, scene: &mut CoreScene<'_>, connection: Connection, payload: Payload) {
+    fn on_payload(&mut self, context: &mut CoreContext<'_>, connection: Connection, payload: Payload) {
         match payload {
-            Payload::Peer { id, address } => self.on_peer(scene, connection, id, &address),
+            Payload::Peer { id, address } => self.on_peer(context, connection, id, &address),
             Payload::Core { to, message } => {
                 let from = self.peers.get(&connection).copied().filter(|_| to == self.node.id());
                 if let Some(from) = from {
-                    self.node.handle(scene.now, Input::Message { from, message });
+                    self.node.handle(context.now, Input::Message { from, message });
                 }
             }
             Payload::Workers { list } if self.current_list.adopt_received(WorkerListVersion::from(&list)) => {
                 self.workers = list;
-                self.tell_news(scene);
+                self.publish_state(context);
             }
-            Payload::ToCore(message) => self.on_client(scene, connection, message),
+            Payload::ToCore(message) => self.on_client(context, connection, message),
             _ => {}
         }
     }
 
-    fn on_peer(&mut self, scene: &mut CoreScene<'_>, connection: Connection, id: NodeId, text: &str) {
+    fn on_peer(&mut self, context: &mut CoreContext<'_>, connection: Connection, id: NodeId, text: &str) {
         let Ok(address) = text.parse::<SocketAddr>() else { return };
         self.peers.insert(connection, id);
         self.addresses.insert(id, address);
-        self.know(address);
-        self.node.handle(scene.now, Input::PeerSeen { id, address: text.to_owned() });
+        self.add_core_address(address);
+        self.node.handle(context.now, Input::PeerSeen { id, address: text.to_owned() });
         let addresses = self.core_addresses();
-        self.tell_all(scene, &addresses);
+        self.send_to_registrants(context, &addresses);
     }
 
-    fn on_client(&mut self, scene: &mut CoreScene<'_>, connection: Connection, message: ToCore) {
+    fn on_client(&mut self, context: &mut CoreContext<'_>, connection: Connection, message: ToCore) {
         match message {
             ToCore::Register { registrant, configuration_version, placement_epoch } => {
-                self.on_register(scene, connection, registrant, configuration_version, placement_epoch);
+                self.on_register(context, connection, registrant, configuration_version, placement_epoch);
             }
             // The simulated machine vouches for nothing.
             ToCore::Ask { moment_ms } => {
                 let connection = ConnectionId(connection.0);
-                self.guard(
-                    scene,
-                    GateInput::StalenessCheck { connection, sent_at: RegistrantTime(moment_ms) },
+                self.drive_barrier(
+                    context,
+                    BarrierInput::StalenessCheck { connection, sent_at: RegistrantTime(moment_ms) },
                 );
             }
             ToCore::Heartbeat { health } => {
                 if let (Some(id), Some(health)) = (self.store(connection), health) {
-                    self.manage(scene, PlacementInput::Heartbeat { id, health });
+                    self.manage(context, PlacementInput::Heartbeat { id, health });
                 }
             }
             ToCore::CaughtUp { shards } => {
                 if let Some(id) = self.store(connection) {
-                    self.manage(scene, PlacementInput::CaughtUp { id, shards });
+                    self.manage(context, PlacementInput::CaughtUp { id, shards });
                 }
             }
         }
@@ -366,7 +371,7 @@
 
     fn on_register(
         &mut self,
-        scene: &mut CoreScene<'_>,
+        context: &mut CoreContext<'_>,
         connection: Connection,
         registrant: Registrant,
         version: u64,
@@ -374,10 +379,7 @@
     ) {
         if let Registrant::Store { id, name, zone, address, .. } = &registrant {
             let (name, zone) = (name.clone(), zone.clone());
-            self.manage(
-                scene,
-                PlacementInput::Registered(Registration { id: *id, name, zone, address: *address }),
-            );
+            self.manage(context, PlacementInput::Registered(Registration { id: *id, name, zone, address: *address }));
         }
         let kind = match registrant {
             Registrant::Dispatcher { .. } => RegistrantKind::Dispatcher,
@@ -385,209 +387,215 @@
         };
         self.registrants.insert(connection, Registered { registrant });
         let addresses = self.core_addresses();
-        tell(scene, connection, &addresses);
+        send_from_core(context, connection, &addresses);
         let workers = WorkerListVersion::default();
         let versions = StateVersions { configuration_version: version, placement_epoch: epoch, workers };
         let connection = ConnectionId(connection.0);
-        self.guard(scene, GateInput::Registered { connection, kind, versions });
+        self.drive_barrier(context, BarrierInput::Registered { connection, kind, versions });
     }
 
-    fn on_tick(&mut self, scene: &mut CoreScene<'_>) {
-        self.node.handle(scene.now, Input::Tick);
-        self.manage(scene, PlacementInput::Tick);
-        self.read_list(scene);
-        self.sweep(scene);
+    fn on_tick(&mut self, context: &mut CoreContext<'_>) {
+        self.node.handle(context.now, Input::Tick);
+        self.manage(context, PlacementInput::Tick);
+        self.read_list(context);
+        self.sweep(context);
     }
 
-    fn sweep(&mut self, scene: &mut CoreScene<'_>) {
-        if scene.now < self.sweep_at {
+    fn sweep(&mut self, context: &mut CoreContext<'_>) {
+        if context.now < self.sweep_at {
             return;
         }
-        self.sweep_at = scene.now + SWEEP;
-        for (request_id, call) in self.orders.take_overdue(scene.now) {
-            self.node.handle(scene.now, Input::Abandon { request_id });
-            scene.effects.push(Effect::Answer { call, answer: Answer::Unavailable });
+        self.sweep_at = context.now + SWEEP_INTERVAL;
+        for (request_id, call) in self.pending_requests.take_overdue(context.now) {
+            self.node.handle(context.now, Input::Abandon { request_id });
+            context.effects.push(Effect::Response { call, response: Response::Unavailable });
         }
     }
 
-    fn read_list(&mut self, scene: &mut CoreScene<'_>) {
-        let fencing = match self.mutant.has(Mechanism::LeaseChecked) {
-            true => self.holds(scene.now),
+    fn read_list(&mut self, context: &mut CoreContext<'_>) {
+        let fencing = match self.mutant.is_enabled(Mechanism::LeaseChecked) {
+            true => self.holds(context.now),
             false => self.fencing,
         };
-        let Some(fencing) = fencing.filter(|_| scene.now >= self.read_list_at) else { return };
-        self.read_list_at = scene.now + READ_LIST_EVERY;
-        scene.effects.push(Effect::Seen(Observation::ActedAsHolder { fencing }));
+        let Some(fencing) = fencing.filter(|_| context.now >= self.read_list_at) else { return };
+        self.read_list_at = context.now + LIST_INTERVAL;
+        context.effects.push(Effect::Observe(Observation::ActedAsLeaseHolder { fencing }));
         let same = self.workers.fencing == fencing.0;
         let number = if same { self.workers.number + 1 } else { 1 };
         let list = WorkerList { fencing: fencing.0, number, workers: Vec::new() };
-        self.adopt_own_list(scene, list);
+        self.adopt_own_list(context, list);
     }
 
     /// Takes a list that this machine has read, and tells it to the other core machines too.
-    fn adopt_own_list(&mut self, scene: &mut CoreScene<'_>, list: WorkerList) {
-        let lease = self.holds(scene.now).map(|fencing| fencing.0);
-        let lease = lease.or(Some(list.fencing).filter(|_| !self.mutant.has(Mechanism::LeaseChecked)));
+    fn adopt_own_list(&mut self, context: &mut CoreContext<'_>, list: WorkerList) {
+        let lease = self.holds(context.now).map(|fencing| fencing.0);
+        let lease = lease.or(Some(list.fencing).filter(|_| !self.mutant.is_enabled(Mechanism::LeaseChecked)));
         if !self.current_list.adopt_own(WorkerListVersion::from(&list), lease) {
             return;
         }
         for connection in self.dialed.values() {
             let payload = Payload::Workers { list: list.clone() };
-            scene.effects.push(Effect::Send { connection: *connection, payload });
+            context.effects.push(Effect::Send { connection: *connection, payload });
         }
         self.workers = list;
-        self.tell_news(scene);
+        self.publish_state(context);
     }
 
     /// Reports this machine's present state to the gate, which has it told to whom it may concern.
-    fn tell_news(&mut self, scene: &mut CoreScene<'_>) {
+    fn publish_state(&mut self, context: &mut CoreContext<'_>) {
         let numbers = numbers(self.node.machine().state(), &self.workers);
-        self.guard(scene, GateInput::StateChanged(numbers));
+        self.drive_barrier(context, BarrierInput::StateChanged(numbers));
     }
 
-    fn on_order(&mut self, scene: &mut CoreScene<'_>, call: Call, order: Order) {
-        let open = self.gate.accepts_requests(Instant::from_millis(scene.now / MILLISECOND));
+    fn on_request(&mut self, context: &mut CoreContext<'_>, call: Call, request: Request) {
+        let open = self.read_barrier.accepts_requests(Instant::from_millis(context.now / MILLISECOND));
         let state = self.node.machine().state();
-        let step = self.orders.take(scene.now, call, order, open, state, &self.mutant);
+        let step = self.pending_requests.take(context.now, call, request, open, state, &self.mutant);
         match step {
-            Step::Answer(answer) => scene.effects.push(Effect::Answer { call, answer }),
-            Step::Submit { request_id, command } => {
-                self.node.handle(scene.now, Input::Submit { request_id, command });
-                if !self.mutant.has(Mechanism::CommitBeforeAnswer) {
-                    scene.effects.push(Effect::Answer { call, answer: Answer::Accepted });
+            RequestStep::Response(response) => context.effects.push(Effect::Response { call, response }),
+            RequestStep::Submit { request_id, command } => {
+                self.node.handle(context.now, Input::Submit { request_id, command });
+                if !self.mutant.is_enabled(Mechanism::CommitBeforeResponse) {
+                    context.effects.push(Effect::Response { call, response: Response::Accepted });
                 }
             }
-            Step::Read { request_id } => self.node.handle(scene.now, Input::Read { request_id }),
+            RequestStep::Read { request_id } => self.node.handle(context.now, Input::Read { request_id }),
         }
     }
 
-    fn manage(&mut self, scene: &mut CoreScene<'_>, input: PlacementInput) {
-        if let Some(placement) = self.manager.handle(Instant::from_millis(scene.now / MILLISECOND), input) {
-            let request_id = self.orders.own_request(&self.mutant);
+    fn manage(&mut self, context: &mut CoreContext<'_>, input: PlacementInput) {
+        if let Some(placement) = self.manager.handle(Instant::from_millis(context.now / MILLISECOND), input) {
+            let request_id = self.pending_requests.own_request(&self.mutant);
             let command = Command::SetPlacement { placement };
-            self.node.handle(scene.now, Input::Submit { request_id, command });
+            self.node.handle(context.now, Input::Submit { request_id, command });
         }
     }
 
     /// Carries out what the node asks for, until nothing more comes.
-    fn carry_out(&mut self, scene: &mut CoreScene<'_>) {
+    fn carry_out(&mut self, context: &mut CoreContext<'_>) {
         while let Some(output) = self.node.next_output() {
             match output {
-                Output::Send { to, message } => self.send(scene, to, Payload::Core { to, message }),
+                Output::Send { to, message } => self.send(context, to, Payload::Core { to, message }),
                 Output::Persist { token, record } => {
-                    scene.disk.begin(DiskWrite::Append { token, record });
-                    self.written(scene, token);
+                    context.disk.begin(DiskWrite::Append { token, record });
+                    self.written(context, token);
                 }
                 Output::Checkpoint { token, state } => {
-                    scene.disk.begin(DiskWrite::Checkpoint { token, state });
-                    scene.effects.push(Effect::Sync);
+                    context.disk.begin(DiskWrite::Checkpoint { token, state });
+                    context.effects.push(Effect::Sync);
                 }
                 Output::Committed { sequence, request_id, command, reply } => {
                     let command_bytes = command.write_to_vec().unwrap_or_default();
-                    let seen = Observation::Committed {
+                    let observation = Observation::Committed {
                         sequence: sequence.0,
                         request_id,
                         command: command_bytes,
                         reply,
                     };
-                    scene.effects.push(Effect::Seen(seen));
-                    self.on_committed(scene, reply);
+                    context.effects.push(Effect::Observe(observation));
+                    self.on_committed(context, reply);
                 }
-                Output::Replaced { .. } => self.follow_state(scene),
+                Output::Replaced { .. } => self.follow_state(context),
                 Output::Reply { request_id, reply } => {
-                    if let Some((call, answer)) = self.orders.replied(request_id, reply, &self.mutant) {
-                        scene.effects.push(Effect::Answer { call, answer });
+                    if let Some((call, response)) =
+                        self.pending_requests.replied(request_id, reply, &self.mutant)
+                    {
+                        context.effects.push(Effect::Response { call, response });
                     }
                 }
-                Output::ReadReady { request_id } => self.on_read_ready(scene, request_id),
+                Output::ReadReady { request_id } => self.on_read_ready(context, request_id),
                 Output::ViewChanged(view) => {
-                    scene.effects.push(Effect::Seen(Observation::ViewEntered { view }));
-                    self.know_view();
+                    context.effects.push(Effect::Observe(Observation::ViewEntered { view }));
+                    self.add_view_addresses();
                 }
                 // Contact is asked for where it counts.
                 Output::LeaseGranted { fencing, .. } => {
-                    scene.effects.push(Effect::Seen(Observation::LeaseGranted { fencing }));
-                    self.on_lease(scene, Some(fencing));
+                    context.effects.push(Effect::Observe(Observation::LeaseGranted { fencing }));
+                    self.on_lease(context, Some(fencing));
+                }
+                Output::LeaseLost { .. } => self.on_lease(context, None),
+                Output::QuorumContactGained | Output::QuorumContactLost => {
+                    self.drive_barrier(context, BarrierInput::Tick)
                 }
-                Output::LeaseLost { .. } => self.on_lease(scene, None),
-                Output::QuorumContactGained | Output::QuorumContactLost => self.guard(scene, GateInput::Tick),
             }
         }
     }
 
-    fn written(&mut self, scene: &mut CoreScene<'_>, token: millrudder_chain::PersistToken) {
-        scene.effects.push(Effect::Sync);
-        if !self.mutant.has(Mechanism::SyncBeforePersisted) {
-            self.node.handle(scene.now, Input::Persisted { token });
+    fn written(&mut self, context: &mut CoreContext<'_>, token: millrudder_chain::PersistToken) {
+        context.effects.push(Effect::Sync);
+        if !self.mutant.is_enabled(Mechanism::SyncBeforePersisted) {
+            self.node.handle(context.now, Input::Persisted { token });
         }
     }
 
-    fn on_read_ready(&mut self, scene: &mut CoreScene<'_>, request_id: RequestId) {
+    fn on_read_ready(&mut self, context: &mut CoreContext<'_>, request_id: RequestId) {
         let confirming = self.confirming.take_if(|confirming| confirming.request_id == request_id);
         if let Some(confirming) = confirming {
-            return self.guard(scene, GateInput::ReadCompleted { read: confirming.round });
+            return self.drive_barrier(context, BarrierInput::ReadCompleted { read: confirming.read });
         }
-        if let Some((call, answer)) = self.orders.read_ready(request_id, self.node.machine().state()) {
-            scene.effects.push(Effect::Answer { call, answer });
+        if let Some((call, response)) =
+            self.pending_requests.read_ready(request_id, self.node.machine().state())
+        {
+            context.effects.push(Effect::Response { call, response });
         }
     }
 
-    fn on_committed(&mut self, scene: &mut CoreScene<'_>, reply: Reply) {
+    fn on_committed(&mut self, context: &mut CoreContext<'_>, reply: Reply) {
         if matches!(reply, Reply::ConfigurationAccepted | Reply::PlacementSet) {
-            self.follow_state(scene);
+            self.follow_state(context);
         }
     }
 
     /// Something may have come into force.
-    fn follow_state(&mut self, scene: &mut CoreScene<'_>) {
-        self.tell_news(scene);
+    fn follow_state(&mut self, context: &mut CoreContext<'_>) {
+        self.publish_state(context);
         let placement = self.node.machine().state().placement();
         if placement.epoch.0 > self.followed_epoch {
             let placement = placement.clone();
             self.followed_epoch = placement.epoch.0;
-            self.manage(scene, PlacementInput::Committed(placement));
+            self.manage(context, PlacementInput::Committed(placement));
         }
     }
 
-    fn on_lease(&mut self, scene: &mut CoreScene<'_>, fencing: Option<FencingToken>) {
+    fn on_lease(&mut self, context: &mut CoreContext<'_>, fencing: Option<FencingToken>) {
         self.fencing = fencing;
-        self.read_list_at = fencing.map_or(u64::MAX, |_| scene.now);
-        self.guard(scene, GateInput::ControllerLease { is_held: fencing.is_some() });
-        self.manage(scene, PlacementInput::ControllerLease { is_held: fencing.is_some() });
+        self.read_list_at = fencing.map_or(u64::MAX, |_| context.now);
+        self.drive_barrier(context, BarrierInput::ControllerLease { is_held: fencing.is_some() });
+        self.manage(context, PlacementInput::ControllerLease { is_held: fencing.is_some() });
     }
 
-    fn send(&self, scene: &mut CoreScene<'_>, to: NodeId, payload: Payload) {
+    fn send(&self, context: &mut CoreContext<'_>, to: NodeId, payload: Payload) {
         let known = self.addresses.get(&to).copied();
         let address = known.or_else(|| self.node.address(to)?.parse().ok());
         let connection = address.and_then(|address| self.dialed.get(&address).copied());
         if let Some(connection) = connection {
-            scene.effects.push(Effect::Send { connection, payload });
+            context.effects.push(Effect::Send { connection, payload });
         }
     }
 
-    fn know(&mut self, address: SocketAddr) {
-        if !self.known.contains(&address) {
-            self.known.push(address);
+    fn add_core_address(&mut self, address: SocketAddr) {
+        if !self.core_addresses.contains(&address) {
+            self.core_addresses.push(address);
         }
     }
 
-    fn know_view(&mut self) {
+    fn add_view_addresses(&mut self) {
         let Some(view) = self.node.view().cloned() else { return };
         for member in &view.voters {
             if let Ok(address) = member.address.parse() {
                 self.addresses.insert(member.id, address);
-                self.know(address);
+                self.add_core_address(address);
             }
         }
     }
 
     fn core_addresses(&self) -> FromCore {
-        FromCore::Core { addresses: self.known.iter().copied().map(Address).collect() }
+        FromCore::Core { addresses: self.core_addresses.iter().copied().map(Address).collect() }
     }
 
-    fn tell_all(&self, scene: &mut CoreScene<'_>, message: &FromCore) {
+    fn send_to_registrants(&self, context: &mut CoreContext<'_>, message: &FromCore) {
         for connection in self.registrants.keys() {
-            tell(scene, *connection, message);
+            send_from_core(context, *connection, message);
         }
     }
 }
@@ -601,18 +609,18 @@
     }
 }
 
-fn tell(scene: &mut CoreScene<'_>, connection: Connection, message: &FromCore) {
-    scene.effects.push(Effect::Send { connection, payload: Payload::FromCore(message.clone()) });
+fn send_from_core(context: &mut CoreContext<'_>, connection: Connection, message: &FromCore) {
+    context.effects.push(Effect::Send { connection, payload: Payload::FromCore(message.clone()) });
 }
 
-fn tell_configuration(
-    scene: &mut CoreScene<'_>,
+fn send_configuration(
+    context: &mut CoreContext<'_>,
     connection: Connection,
     configuration: millrudder_protocol::control::ConfigurationText,
 ) {
     let version = configuration.version;
-    scene.effects.push(Effect::Seen(Observation::ToldConfiguration { version }));
-    tell(scene, connection, &FromCore::Configuration { configuration });
+    context.effects.push(Effect::Observe(Observation::ConfigurationPublished { version }));
+    send_from_core(context, connection, &FromCore::Configuration { configuration });
 }
 
 /// A core machine with its disk and clock, whether or not its process runs.
--- a/system/testing/simulation/src/dispatcher.rs
+++ b/system/testing/simulation/src/dispatcher.rs
@@ -1,6 +1,6 @@
 //! A model of a dispatcher: adopts what core machines tell, has messages kept by stores, runs what they grant.
 
-use crate::event::{Connection, Effect, Happening, Observation, Payload, Target};
+use crate::event::{Connection, Effect, Observation, Payload, ProcessInput, Target};
 use crate::mechanism::{Mechanism, Mutant};
 use crate::MILLISECOND;
 use millrudder_clock::Instant;
@@ -16,19 +16,19 @@
 /// Core machines to which a dispatcher keeps connections.
 const CORE_LINKS: usize = 2;
 /// Pause between two looks at what needs sending again.
-const LOOK: u64 = 50 * MILLISECOND;
+const POLL_INTERVAL: u64 = 50 * MILLISECOND;
 /// Pause between two questions whether what is held is current.
-const ASK: u64 = 400 * MILLISECOND;
+const STALENESS_CHECK_INTERVAL: u64 = 400 * MILLISECOND;
 /// What has no answer is sent again after so long.
-const REPEAT: u64 = 250 * MILLISECOND;
+const RETRY_INTERVAL: u64 = 250 * MILLISECOND;
 /// A client is given up after so long.
-const GIVE_UP: u64 = 4_000 * MILLISECOND;
+const CLIENT_TIMEOUT: u64 = 4_000 * MILLISECOND;
 /// A process that looks so much later than it wanted to has stood still, as `millrudder-delivery` judges it.
-const HALTED: u64 = 1_000 * MILLISECOND;
+const STALL_THRESHOLD: u64 = 1_000 * MILLISECOND;
 /// For so long after that, what it reads may have been waiting for it meanwhile: it is given back and not run.
-const STALE: u64 = 100 * MILLISECOND;
+const STALE_READ_WINDOW: u64 = 100 * MILLISECOND;
 /// Pause between two pings of a store.
-const PING: u64 = 1_000 * MILLISECOND;
+const PING_INTERVAL: u64 = 1_000 * MILLISECOND;
 
 /// What does not change while the process lives.
 #[derive(Clone, Debug)]
@@ -38,7 +38,7 @@
     pub zone: String,
     pub seeds: Vec<SocketAddr>,
     /// Pause between two messages of its clients (microseconds).
-    pub message_every: u64,
+    pub message_interval: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -60,7 +60,7 @@
     settings: DispatcherSettings,
     mutant: Mutant,
     random: fastrand::Rng,
-    plan: ConnectionPlanner,
+    connection_planner: ConnectionPlanner,
     /// Core machines to be connected to, with the open connections.
     cores: BTreeMap<SocketAddr, Option<Connection>>,
     configuration: u64,
@@ -72,16 +72,16 @@
     owners: BTreeMap<Connection, StoreId>,
     pending: BTreeMap<MessageId, Pending>,
     reports: BTreeMap<(MessageId, LeaseToken), u64>,
-    ran: BTreeSet<MessageId>,
-    names: u64,
-    look_at: u64,
+    executed: BTreeSet<MessageId>,
+    last_unique: u64,
+    poll_at: u64,
     message_at: u64,
     ping_at: u64,
     ask_at: u64,
     /// Grants that are read before this moment are given back.
     stale_until: u64,
     /// For how long the machine is known to have stood still in all (microseconds).
-    stood_still: u64,
+    stalled: u64,
     /// Barriers that a store has not answered on the connection.
     barriers: BTreeMap<Connection, u64>,
     last_barrier: u64,
@@ -90,23 +90,23 @@
 }
 
 /// Gives the process its happenings together with what it works on.
-pub struct DispatcherScene<'a> {
+pub struct DispatcherContext<'a> {
     /// Steady clock of the machine (microseconds).
     pub now: u64,
     /// By how much the time of day has run ahead of it, since it stood still (microseconds).
-    pub stood_still: u64,
+    pub stalled: u64,
     pub effects: &'a mut Vec<Effect>,
 }
 
 impl Dispatcher {
     /// Starts with nothing.
     pub fn start(settings: DispatcherSettings, mutant: Mutant, seed: u64, now: u64) -> Self {
-        let mut plan = ConnectionPlanner::new(CORE_LINKS, seed);
+        let mut connection_planner = ConnectionPlanner::new(CORE_LINKS, seed);
         for address in &settings.seeds {
-            plan.add_address(*address);
+            connection_planner.add_address(*address);
         }
         Dispatcher {
-            plan,
+            connection_planner,
             cores: BTreeMap::new(),
             configuration: 0,
             placement: Placement::default(),
@@ -116,14 +116,14 @@
             owners: BTreeMap::new(),
             pending: BTreeMap::new(),
             reports: BTreeMap::new(),
-            ran: BTreeSet::new(),
-            names: 0,
-            look_at: now,
+            executed: BTreeSet::new(),
+            last_unique: 0,
+            poll_at: now,
             message_at: now,
             ping_at: now,
             ask_at: now,
             stale_until: 0,
-            stood_still: u64::MAX,
+            stalled: u64::MAX,
             barriers: BTreeMap::new(),
             last_barrier: 0,
             sending: true,
@@ -149,7 +149,7 @@
     }
 
     /// Addresses to which a connection is wanted.
-    pub fn wanted(&self) -> Vec<Target> {
+    pub fn missing_connections(&self) -> Vec<Target> {
         let cores = self.cores.iter().filter(|(_, open)| open.is_none());
         let stores = self.placement.stores.iter().filter(|store| !self.stores.contains_key(&store.id));
         let cores = cores.map(|(address, _)| Target::core(*address));
@@ -158,121 +158,121 @@
 
     /// When a tick is due (microseconds of its steady clock).
     pub fn next_deadline(&self) -> u64 {
-        self.look_at
+        self.poll_at
     }
 
     /// Takes one happening and does what follows.
-    pub fn handle(&mut self, scene: &mut DispatcherScene<'_>, happening: Happening) {
-        if scene.now > self.look_at + HALTED {
-            self.stale_until = scene.now + STALE;
-            self.send_barriers(scene);
+    pub fn handle(&mut self, context: &mut DispatcherContext<'_>, input: ProcessInput) {
+        if context.now > self.poll_at + STALL_THRESHOLD {
+            self.stale_until = context.now + STALE_READ_WINDOW;
+            self.send_barriers(context);
         }
-        let before = std::mem::replace(&mut self.stood_still, scene.stood_still);
-        if scene.stood_still > before {
-            self.send_barriers(scene);
+        let before = std::mem::replace(&mut self.stalled, context.stalled);
+        if context.stalled > before {
+            self.send_barriers(context);
         }
-        match happening {
-            Happening::Dialed { connection, target } => self.on_dialed(scene, connection, target),
-            Happening::Closed { connection } => self.on_closed(scene, connection),
-            Happening::Arrived { connection, payload } => match payload {
-                Payload::FromCore(message) => self.on_core(scene, connection, message),
-                Payload::ToDispatcher(message) => self.on_store(scene, connection, message),
+        match input {
+            ProcessInput::Connected { connection, target } => self.on_dialed(context, connection, target),
+            ProcessInput::Closed { connection } => self.on_closed(context, connection),
+            ProcessInput::Received { connection, payload } => match payload {
+                Payload::FromCore(message) => self.on_core(context, connection, message),
+                Payload::ToDispatcher(message) => self.on_store(context, connection, message),
                 _ => {}
             },
-            Happening::Tick => self.look(scene),
+            ProcessInput::Tick => self.poll(context),
             _ => {}
         }
     }
 
     /// What comes from a store before it answers on the connection there is now may have lain unread.
-    fn send_barriers(&mut self, scene: &mut DispatcherScene<'_>) {
+    fn send_barriers(&mut self, context: &mut DispatcherContext<'_>) {
         for connection in self.stores.values() {
             self.last_barrier += 1;
             self.barriers.insert(*connection, self.last_barrier);
-            send(scene, *connection, FromDispatcher::Barrier { number: self.last_barrier });
+            send(context, *connection, FromDispatcher::Barrier { number: self.last_barrier });
         }
     }
 
-    fn look(&mut self, scene: &mut DispatcherScene<'_>) {
-        self.look_at = scene.now + LOOK;
-        self.follow_plan(scene);
-        if scene.now >= self.ask_at {
-            self.ask_at = scene.now + ASK;
+    fn poll(&mut self, context: &mut DispatcherContext<'_>) {
+        self.poll_at = context.now + POLL_INTERVAL;
+        self.apply_connection_plan(context);
+        if context.now >= self.ask_at {
+            self.ask_at = context.now + STALENESS_CHECK_INTERVAL;
             for connection in self.cores.values().flatten() {
-                ask(scene, *connection);
+                ask(context, *connection);
             }
         }
-        self.drop_clients(scene.now);
-        if self.sending && scene.now >= self.message_at {
-            self.message_at = scene.now + self.settings.message_every;
-            self.new_message(scene);
+        self.drop_clients(context.now);
+        if self.sending && context.now >= self.message_at {
+            self.message_at = context.now + self.settings.message_interval;
+            self.new_message(context);
         }
-        let now = scene.now;
-        let due = |sent: u64| now - sent >= REPEAT;
+        let now = context.now;
+        let due = |sent: u64| now - sent >= RETRY_INTERVAL;
         let late = self.pending.iter().filter(|(_, pending)| due(pending.sent));
         for id in late.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.send_accept(scene, id);
+            self.send_accept(context, id);
         }
         let late = self.reports.iter().filter(|(_, sent)| due(**sent));
         for (id, token) in late.map(|(report, _)| *report).collect::<Vec<_>>() {
-            self.report(scene, id, token);
+            self.report(context, id, token);
         }
-        if scene.now >= self.ping_at {
-            self.ping_at = scene.now + PING;
+        if context.now >= self.ping_at {
+            self.ping_at = context.now + PING_INTERVAL;
             for connection in self.stores.values() {
-                send(scene, *connection, FromDispatcher::Ping);
+                send(context, *connection, FromDispatcher::Ping);
             }
         }
     }
 
     /// Leaves core machines that do not vouch for their state for others.
-    fn follow_plan(&mut self, scene: &mut DispatcherScene<'_>) {
-        for step in self.plan.poll(Instant::from_millis(scene.now / MILLISECOND)) {
+    fn apply_connection_plan(&mut self, context: &mut DispatcherContext<'_>) {
+        for step in self.connection_planner.poll(Instant::from_millis(context.now / MILLISECOND)) {
             match step {
                 ConnectionStep::Open(address) => {
                     self.cores.insert(address, None);
                 }
                 ConnectionStep::Close(address) => {
                     if let Some(connection) = self.cores.remove(&address).flatten() {
-                        scene.effects.push(Effect::Close { connection });
+                        context.effects.push(Effect::Close { connection });
                     }
                 }
             }
         }
     }
 
-    fn on_dialed(&mut self, scene: &mut DispatcherScene<'_>, connection: Connection, target: Target) {
-        let Some(store) = target.store else { return self.register(scene, connection, target.address) };
+    fn on_dialed(&mut self, context: &mut DispatcherContext<'_>, connection: Connection, target: Target) {
+        let Some(store) = target.store else { return self.register(context, connection, target.address) };
         self.stores.insert(store, connection);
         self.links.insert(connection, StoreLink::default());
         self.owners.insert(connection, store);
         let payload = Payload::Addressed { store };
-        scene.effects.push(Effect::Send { connection, payload });
-        self.hello(scene, store, connection);
+        context.effects.push(Effect::Send { connection, payload });
+        self.hello(context, store, connection);
     }
 
-    fn register(&mut self, scene: &mut DispatcherScene<'_>, connection: Connection, address: SocketAddr) {
+    fn register(&mut self, context: &mut DispatcherContext<'_>, connection: Connection, address: SocketAddr) {
         if let Some(open) = self.cores.get_mut(&address) {
             *open = Some(connection);
-            self.plan.handle_opened(Instant::from_millis(scene.now / MILLISECOND), address);
+            self.connection_planner.handle_opened(Instant::from_millis(context.now / MILLISECOND), address);
             let DispatcherSettings { name, zone, .. } = self.settings.clone();
             let message = ToCore::Register {
                 registrant: Registrant::Dispatcher { name, zone },
                 configuration_version: self.configuration,
                 placement_epoch: self.placement.epoch.0,
             };
-            scene.effects.push(Effect::Send { connection, payload: Payload::ToCore(message) });
-            ask(scene, connection);
+            context.effects.push(Effect::Send { connection, payload: Payload::ToCore(message) });
+            ask(context, connection);
         }
     }
 
-    fn on_closed(&mut self, scene: &mut DispatcherScene<'_>, connection: Connection) {
+    fn on_closed(&mut self, context: &mut DispatcherContext<'_>, connection: Connection) {
         if let Some(address) = self.core_of(connection) {
             self.cores.insert(address, None);
-            self.plan.handle_closed(Instant::from_millis(scene.now / MILLISECOND), address);
+            self.connection_planner.handle_closed(Instant::from_millis(context.now / MILLISECOND), address);
         }
         self.stores.retain(|_, open| *open != connection);
-        if self.mutant.has(Mechanism::AnswerOfSameConnection) {
+        if self.mutant.is_enabled(Mechanism::ResponseOnSameConnection) {
             self.links.remove(&connection);
         }
     }
@@ -283,66 +283,66 @@
         open.map(|(address, _)| *address)
     }
 
-    fn on_core(&mut self, scene: &mut DispatcherScene<'_>, connection: Connection, message: FromCore) {
+    fn on_core(&mut self, context: &mut DispatcherContext<'_>, connection: Connection, message: FromCore) {
         let Some(core) = self.core_of(connection) else { return };
-        let now = Instant::from_millis(scene.now / MILLISECOND);
-        let any = !self.mutant.has(Mechanism::OnlyNewerAdopted);
+        let now = Instant::from_millis(context.now / MILLISECOND);
+        let any = !self.mutant.is_enabled(Mechanism::OnlyNewerAdopted);
         match message {
             FromCore::Configuration { configuration }
                 if any || configuration.version > self.configuration =>
             {
                 self.configuration = configuration.version;
-                self.adopted(scene);
+                self.adopted(context);
             }
             FromCore::Placement { placement } if any || placement.epoch > self.placement.epoch => {
-                self.adopt_placement(scene, placement);
-                self.adopted(scene);
+                self.adopt_placement(context, placement);
+                self.adopted(context);
             }
             FromCore::Workers { list } if any || list.is_newer_than(&self.workers) => {
                 self.workers = list;
-                self.adopted(scene);
+                self.adopted(context);
             }
             FromCore::Core { addresses } => {
                 for Address(address) in addresses {
-                    self.plan.add_address(address);
+                    self.connection_planner.add_address(address);
                 }
             }
             FromCore::Heartbeat { moment_ms, .. } => {
-                self.plan.handle_confirmation(now, core, Instant::from_millis(moment_ms))
+                self.connection_planner.handle_confirmation(now, core, Instant::from_millis(moment_ms))
             }
-            FromCore::NoQuorum => self.plan.handle_rejection(now, core),
+            FromCore::NoQuorum => self.connection_planner.handle_rejection(now, core),
             FromCore::Redirect => {
-                self.plan.handle_rejection(now, core);
-                scene.effects.push(Effect::Close { connection });
+                self.connection_planner.handle_rejection(now, core);
+                context.effects.push(Effect::Close { connection });
             }
             _ => {}
         }
     }
 
-    fn adopted(&self, scene: &mut DispatcherScene<'_>) {
+    fn adopted(&self, context: &mut DispatcherContext<'_>) {
         let (configuration, placement) = (self.configuration, self.placement.epoch.0);
         let workers = (self.workers.fencing, self.workers.number);
-        scene.effects.push(Effect::Seen(Observation::Adopted { configuration, placement, workers }));
+        context.effects.push(Effect::Observe(Observation::Adopted { configuration, placement, workers }));
     }
 
-    fn adopt_placement(&mut self, scene: &mut DispatcherScene<'_>, placement: Placement) {
+    fn adopt_placement(&mut self, context: &mut DispatcherContext<'_>, placement: Placement) {
         let gone = self.stores.iter().filter(|(id, _)| {
             placement.store(**id).map(|store| store.address)
                 != self.placement.store(**id).map(|store| store.address)
         });
         for connection in gone.map(|(_, connection)| *connection).collect::<Vec<_>>() {
-            scene.effects.push(Effect::Close { connection });
+            context.effects.push(Effect::Close { connection });
         }
         self.placement = placement;
         for (store, connection) in self.stores.clone() {
-            self.hello(scene, store, connection);
+            self.hello(context, store, connection);
         }
         for id in self.pending.keys().copied().collect::<Vec<_>>() {
-            self.send_accept(scene, id);
+            self.send_accept(context, id);
         }
     }
 
-    fn hello(&mut self, scene: &mut DispatcherScene<'_>, store: StoreId, connection: Connection) {
+    fn hello(&mut self, context: &mut DispatcherContext<'_>, store: StoreId, connection: Connection) {
         let is_primary = |id: &MessageId| self.primary(*id) == Some(store);
         let held = self.reports.keys().filter(|(id, _)| is_primary(id));
         let held = held.map(|(id, token)| ActiveLease { id: *id, token: *token }).collect();
@@ -354,28 +354,28 @@
             held,
             in_doubt: self.pending.keys().copied().collect(),
         };
-        send(scene, connection, hello);
+        send(context, connection, hello);
     }
 
     fn primary(&self, id: MessageId) -> Option<StoreId> {
         self.placement.shard(id.shard).map(|shard| shard.primary)
     }
 
-    fn new_message(&mut self, scene: &mut DispatcherScene<'_>) {
+    fn new_message(&mut self, context: &mut DispatcherContext<'_>) {
         let shards = self.placement.shards.len() as u16;
         if shards == 0 {
             return;
         }
-        self.names += 1;
-        let unique = self.settings.id.0 << 32 | self.names;
+        self.last_unique += 1;
+        let unique = self.settings.id.0 << 32 | self.last_unique;
         let id = MessageId { shard: ShardId(self.random.u16(0..shards)), unique };
-        self.pending.insert(id, Pending { first: scene.now, sent: scene.now });
-        self.send_accept(scene, id);
+        self.pending.insert(id, Pending { first: context.now, sent: context.now });
+        self.send_accept(context, id);
     }
 
-    fn send_accept(&mut self, scene: &mut DispatcherScene<'_>, id: MessageId) {
+    fn send_accept(&mut self, context: &mut DispatcherContext<'_>, id: MessageId) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        pending.sent = scene.now;
+        pending.sent = context.now;
         let primary = self.primary(id).and_then(|store| self.stores.get(&store));
         let Some(connection) = primary.copied() else { return };
         let Some(link) = self.links.get_mut(&connection) else { return };
@@ -383,17 +383,17 @@
         let request = RequestNumber(link.last);
         link.requests.insert(request, id);
         let message = Box::new(plain_message(id));
-        send(scene, connection, FromDispatcher::Accept { request, id, message, lease: false });
+        send(context, connection, FromDispatcher::Accept { request, id, message, lease: false });
     }
 
     /// Clients that have waited long are gone; what became of their messages stays in doubt.
     fn drop_clients(&mut self, now: u64) {
-        self.pending.retain(|_, pending| now - pending.first < GIVE_UP);
+        self.pending.retain(|_, pending| now - pending.first < CLIENT_TIMEOUT);
     }
 
     /// The link to whose questions an answer belongs.
-    fn asked_on(&mut self, connection: Connection) -> Option<&mut StoreLink> {
-        if self.mutant.has(Mechanism::AnswerOfSameConnection) {
+    fn request_link(&mut self, connection: Connection) -> Option<&mut StoreLink> {
+        if self.mutant.is_enabled(Mechanism::ResponseOnSameConnection) {
             return self.links.get_mut(&connection);
         }
         let store = self.owners.get(&connection)?;
@@ -401,31 +401,36 @@
         self.links.get_mut(&current.unwrap_or(connection))
     }
 
-    fn on_store(&mut self, scene: &mut DispatcherScene<'_>, connection: Connection, message: ToDispatcher) {
+    fn on_store(
+        &mut self,
+        context: &mut DispatcherContext<'_>,
+        connection: Connection,
+        message: ToDispatcher,
+    ) {
         let answers = matches!(message, ToDispatcher::Accepted { .. } | ToDispatcher::NotAccepted { .. });
-        let any = answers && !self.mutant.has(Mechanism::AnswerOfSameConnection);
+        let any = answers && !self.mutant.is_enabled(Mechanism::ResponseOnSameConnection);
         if !any && !self.stores.values().any(|open| *open == connection) {
             return;
         }
         match message {
             ToDispatcher::Accepted { request, .. } => {
-                let asked = self.asked_on(connection).and_then(|link| link.requests.remove(&request));
-                let Some(id) = asked.filter(|id| self.pending.contains_key(id)) else { return };
+                let requested = self.request_link(connection).and_then(|link| link.requests.remove(&request));
+                let Some(id) = requested.filter(|id| self.pending.contains_key(id)) else { return };
                 self.pending.remove(&id);
-                scene.effects.push(Effect::Seen(Observation::Accepted { id }));
+                context.effects.push(Effect::Observe(Observation::Accepted { id }));
             }
             ToDispatcher::NotAccepted { request, reason } => {
-                let asked = self.asked_on(connection).and_then(|link| link.requests.remove(&request));
-                if let (Some(id), NotAccepted::Full { .. }) = (asked, reason) {
+                let requested = self.request_link(connection).and_then(|link| link.requests.remove(&request));
+                if let (Some(id), NotAccepted::Full { .. }) = (requested, reason) {
                     self.pending.remove(&id);
                 }
             }
-            ToDispatcher::Deliver { id, token, .. } => self.deliver(scene, connection, id, token),
+            ToDispatcher::Deliver { id, token, .. } => self.deliver(context, connection, id, token),
             ToDispatcher::BarrierReached { number } if self.barriers.get(&connection) == Some(&number) => {
                 self.barriers.remove(&connection);
             }
             ToDispatcher::Recorded { id, token } if self.reports.remove(&(id, token)).is_some() => {
-                scene.effects.push(Effect::Seen(Observation::Recorded { id }));
+                context.effects.push(Effect::Observe(Observation::Recorded { id }));
             }
             _ => {}
         }
@@ -434,7 +439,7 @@
     /// Runs a message at once, unless its grant is of a primary before the present one, or may have waited unread.
     fn deliver(
         &mut self,
-        scene: &mut DispatcherScene<'_>,
+        context: &mut DispatcherContext<'_>,
         connection: Connection,
         id: MessageId,
         token: LeaseToken,
@@ -443,44 +448,44 @@
         if since.is_some_and(|since| token.epoch() < since) {
             return;
         }
-        let in_doubt = scene.now < self.stale_until || self.barriers.contains_key(&connection);
-        if in_doubt && !self.ran.contains(&id) {
-            let retry_after_ms = (STALE / MILLISECOND) as u32;
-            return self.attempted(scene, id, token, AttemptOutcome::NotRun { retry_after_ms });
+        let in_doubt = context.now < self.stale_until || self.barriers.contains_key(&connection);
+        if in_doubt && !self.executed.contains(&id) {
+            let retry_after_ms = (STALE_READ_WINDOW / MILLISECOND) as u32;
+            return self.attempted(context, id, token, AttemptOutcome::NotRun { retry_after_ms });
         }
-        if self.ran.insert(id) {
-            scene.effects.push(Effect::Seen(Observation::Ran { id }));
+        if self.executed.insert(id) {
+            context.effects.push(Effect::Observe(Observation::Executed { id }));
         }
-        self.report(scene, id, token);
+        self.report(context, id, token);
     }
 
-    fn report(&mut self, scene: &mut DispatcherScene<'_>, id: MessageId, token: LeaseToken) {
-        self.reports.insert((id, token), scene.now);
-        self.attempted(scene, id, token, AttemptOutcome::Succeeded { signature: id.to_string() });
+    fn report(&mut self, context: &mut DispatcherContext<'_>, id: MessageId, token: LeaseToken) {
+        self.reports.insert((id, token), context.now);
+        self.attempted(context, id, token, AttemptOutcome::Succeeded { signature: id.to_string() });
     }
 
     fn attempted(
         &self,
-        scene: &mut DispatcherScene<'_>,
+        context: &mut DispatcherContext<'_>,
         id: MessageId,
         token: LeaseToken,
         outcome: AttemptOutcome,
     ) {
         let primary = self.primary(id).and_then(|store| self.stores.get(&store));
         if let Some(connection) = primary.copied() {
-            send(scene, connection, FromDispatcher::Attempted { id, token, outcome });
+            send(context, connection, FromDispatcher::Attempted { id, token, outcome });
         }
     }
 }
 
 /// Asks a core machine whether what is held here is current.
-fn ask(scene: &mut DispatcherScene<'_>, connection: Connection) {
-    let message = ToCore::Ask { moment_ms: scene.now / MILLISECOND };
-    scene.effects.push(Effect::Send { connection, payload: Payload::ToCore(message) });
+fn ask(context: &mut DispatcherContext<'_>, connection: Connection) {
+    let message = ToCore::Ask { moment_ms: context.now / MILLISECOND };
+    context.effects.push(Effect::Send { connection, payload: Payload::ToCore(message) });
 }
 
-fn send(scene: &mut DispatcherScene<'_>, connection: Connection, message: FromDispatcher) {
-    scene.effects.push(Effect::Send { connection, payload: Payload::FromDispatcher(message) });
+fn send(context: &mut DispatcherContext<'_>, connection: Connection, message: FromDispatcher) {
+    context.effects.push(Effect::Send { connection, payload: Payload::FromDispatcher(message) });
 }
 
 /// A message without an order key, to be run at once.
--- a/system/testing/simulation/src/event.rs
+++ b/system/testing/simulation/src/event.rs
@@ -1,7 +1,7 @@
 //! What happens to a machine and what it does.
 
-use crate::history::{Answer, Order};
-use crate::place::Place;
+use crate::history::{Request, Response};
+use crate::machine_id::MachineId;
 use millrudder_chain::{CoreMessage, FencingToken, NodeId, RequestId, View};
 use millrudder_control_state::Reply;
 use millrudder_protocol::control::{FromCore, ToCore, WorkerList};
@@ -65,9 +65,9 @@
 
 /// Something happens to a machine.
 #[derive(Clone, Debug)]
-pub enum Happening {
+pub enum ProcessInput {
     /// A connection that this machine dialed is open.
-    Dialed {
+    Connected {
         connection: Connection,
         target: Target,
     },
@@ -78,7 +78,7 @@
     Closed {
         connection: Connection,
     },
-    Arrived {
+    Received {
         connection: Connection,
         payload: Payload,
     },
@@ -86,11 +86,11 @@
     Synced,
     Tick,
     /// SIGTERM.
-    Leaving,
+    ShutdownRequested,
     /// An operator calls.
-    Called {
+    OperatorCall {
         call: Call,
-        order: Order,
+        request: Request,
     },
 }
 
@@ -107,19 +107,19 @@
     /// Something was appended to the disk and is to be synced.
     Sync,
     /// Answers an operator.
-    Answer {
+    Response {
         call: Call,
-        answer: Answer,
+        response: Response,
     },
     /// For the checks alone.
-    Seen(Observation),
+    Observe(Observation),
 }
 
 /// What the checks see of a machine's doings.
 #[derive(Clone, Debug)]
 pub enum Observation {
     /// A core machine told a registrant which configuration is in force.
-    ToldConfiguration {
+    ConfigurationPublished {
         version: u64,
     },
     /// A core machine has a command applied.
@@ -136,7 +136,7 @@
         fencing: FencingToken,
     },
     /// A holder of the lease acted under this number.
-    ActedAsHolder {
+    ActedAsLeaseHolder {
         fencing: FencingToken,
     },
     /// A dispatcher holds this now.
@@ -152,10 +152,10 @@
     /// A dispatcher asked for a message that had been kept, and was told of it, or not.
     Queried {
         id: MessageId,
-        known: bool,
+        core_addresses: bool,
     },
     /// A dispatcher began to run a message.
-    Ran {
+    Executed {
         id: MessageId,
     },
     /// A store said that the success of a run is kept.
@@ -166,7 +166,7 @@
 
 /// Who is at a place and how often its process has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Process {
-    pub place: Place,
-    pub life: u32,
+pub struct ProcessId {
+    pub machine_id: MachineId,
+    pub incarnation: u32,
 }
--- a/system/testing/simulation/src/explore.rs
+++ b/system/testing/simulation/src/explore.rs
@@ -1,7 +1,7 @@
 //! Places faults after every single delivery and sync of a run.
 
 use crate::control_machine::ControlMachine;
-use crate::fault::{Fault, PlannedFault, When};
+use crate::fault::{Fault, PlannedFault, Trigger};
 use crate::plan::Plan;
 use crate::violation::Violation;
 use crate::world::World;
@@ -29,10 +29,10 @@
 
 /// When the steps begin after which faults are placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begins {
-    AtOnce,
+pub enum ExplorationStart {
+    Immediate,
     /// As soon as no machine lacks what a lost disk held: the system takes the loss for made up.
-    OnceMadeUp,
+    AfterDiskRestored,
 }
 
 /// How a run is explored.
@@ -40,7 +40,7 @@
 pub struct Exploration {
     /// Faults placed one at a time after each step.
     pub faults: Vec<Fault>,
-    pub begins: Begins,
+    pub start: ExplorationStart,
     /// Steps are counted within this time after the beginning (microseconds).
     pub window: u64,
     /// Only every so many steps, beginning with a drawn one.
@@ -69,8 +69,8 @@
 
     /// The world after each step of the window.
     fn forks<M: ControlMachine>(&self, base: &mut World<M>) -> Result<Vec<World<M>>, Violation> {
-        if self.begins == Begins::OnceMadeUp {
-            base.run_until_made_up()?;
+        if self.start == ExplorationStart::AfterDiskRestored {
+            base.run_until_disk_restored()?;
         }
         let until = base.now + self.window;
         let mut forks = Vec::new();
@@ -120,9 +120,9 @@
 
 fn play_fork<M: ControlMachine>(fork: &World<M>, fault: &Fault) -> Result<(), Failure> {
     let mut world = fork.clone();
-    let planned = PlannedFault { when: When::Step(world.steps), fault: fault.clone() };
+    let planned = PlannedFault { trigger: Trigger::Step(world.steps), fault: fault.clone() };
     let mut plan = Box::new(world.plan.clone());
     plan.faults.push(planned);
-    world.strike(fault);
+    world.inject(fault);
     world.play().map_err(|violation| Failure { plan, violation })
 }
--- a/system/testing/simulation/src/fault.rs
+++ b/system/testing/simulation/src/fault.rs
@@ -1,90 +1,173 @@
-//! Faults that a plan lets happen.
+//! Faults that a plan injects, and when.
 
-use crate::place::Place;
+use crate::machine_id::MachineId;
 
-/// A fault of the simulated world; times are in microseconds.
+/// A fault of the simulated world.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process ends; what was written may or may not be there. It starts again after a while.
-    Kill { place: Place, down: u64 },
-    /// Power is lost: only what was synced is kept.
-    PowerLoss { place: Place, down: u64 },
+    /// The process is killed; an arbitrary prefix of its unsynced writes is lost. It restarts after the downtime.
+    Kill {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the process is down.
+        downtime: u64,
+    },
+    /// The machine loses power, and with it all unsynced writes.
+    PowerLoss {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the process is down.
+        downtime: u64,
+    },
     /// Every machine with a disk loses power.
-    PowerLossOfAll { down: u64 },
-    /// The disk is lost; the machine starts with an empty one.
-    Wipe { place: Place, down: u64 },
+    PowerLossOfAll {
+        /// How long the process is down.
+        downtime: u64,
+    },
+    /// The disk is lost; the machine restarts with an empty one.
+    Wipe {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the process is down.
+        downtime: u64,
+    },
     /// The disk is lost while every other machine, dispatchers included, loses power.
-    WipeInDarkness { place: Place, down: u64 },
-    /// The machine is replaced by another at another address, with an empty disk.
-    Replace { place: Place, down: u64 },
-    /// SIGTERM: the process tells the others, serves on for a while, and ends.
-    Stop { place: Place, down: u64 },
-    /// The process does not run for a while; its steady clock goes on.
-    Freeze { place: Place, micros: u64 },
-    /// The whole machine stands still for a while, its steady clock with it.
-    Suspend { place: Place, micros: u64 },
-    /// A machine is cut off from all others; operators still reach it.
-    Isolate { place: Place, micros: u64 },
-    /// These are cut off from all others, and talk among each other.
-    Split { places: Vec<Place>, micros: u64 },
-    /// These machines with disks are cut off from the others with disks; all other machines reach both.
-    Halves { places: Vec<Place>, micros: u64 },
-    /// Nothing passes in one direction.
-    CutOneWay { from: Place, to: Place, micros: u64 },
-    /// Nothing that this machine sends arrives, while it hears the others.
-    Mute { place: Place, micros: u64 },
+    WipeWithPowerLossOfOthers {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the process is down.
+        downtime: u64,
+    },
+    /// The machine is replaced by one at another address with an empty disk.
+    Replace {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the process is down.
+        downtime: u64,
+    },
+    /// SIGTERM: the process announces that it leaves, continues to serve for a while, and ends.
+    Shutdown {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the process is down.
+        downtime: u64,
+    },
+    /// The process does not run; the machine's steady clock continues.
+    Freeze {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the fault lasts.
+        duration: u64,
+    },
+    /// The machine is suspended; its steady clock stalls.
+    Suspend {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the fault lasts.
+        duration: u64,
+    },
+    /// A machine is partitioned from all others; operators still reach it.
+    Isolate {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the fault lasts.
+        duration: u64,
+    },
+    /// These machines are partitioned from all others, and can communicate among each other.
+    Partition {
+        /// The machines.
+        machine_ids: Vec<MachineId>,
+        /// How long the fault lasts.
+        duration: u64,
+    },
+    /// These machines are partitioned from the other machines with disks; dispatchers reach both sides.
+    PartitionDisks {
+        /// The machines.
+        machine_ids: Vec<MachineId>,
+        /// How long the fault lasts.
+        duration: u64,
+    },
+    /// Messages in one direction are blocked.
+    PartitionOneWay {
+        /// The sender.
+        from: MachineId,
+        /// The receiver.
+        to: MachineId,
+        /// How long the fault lasts.
+        duration: u64,
+    },
+    /// Messages from this machine are blocked, while it receives those of the others.
+    BlockOutbound {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the fault lasts.
+        duration: u64,
+    },
     /// All connections of a machine are reset.
-    Reset { place: Place },
-    /// Syncs take long.
-    SlowDisk { place: Place, micros: u64 },
-    /// No answer reaches an operator.
-    LoseAnswers { micros: u64 },
+    ResetConnections {
+        /// The machine.
+        machine_id: MachineId,
+    },
+    /// Syncs are slow.
+    SlowDisk {
+        /// The machine.
+        machine_id: MachineId,
+        /// How long the fault lasts.
+        duration: u64,
+    },
+    /// Responses to operators are lost.
+    LoseResponses {
+        /// How long the fault lasts.
+        duration: u64,
+    },
 }
 
 impl Fault {
-    /// Whether the fault takes a disk.
+    /// Whether a disk is lost.
     pub fn takes_disk(&self) -> bool {
-        matches!(self, Fault::Wipe { .. } | Fault::WipeInDarkness { .. } | Fault::Replace { .. })
+        matches!(self, Fault::Wipe { .. } | Fault::WipeWithPowerLossOfOthers { .. } | Fault::Replace { .. })
     }
 
-    /// How long the fault lasts (microseconds).
-    pub fn micros(&self) -> u64 {
+    /// How long the fault lasts.
+    pub fn duration(&self) -> u64 {
         match self {
-            Fault::Kill { down, .. }
-            | Fault::PowerLoss { down, .. }
-            | Fault::PowerLossOfAll { down }
-            | Fault::Wipe { down, .. }
-            | Fault::WipeInDarkness { down, .. }
-            | Fault::Replace { down, .. }
-            | Fault::Stop { down, .. } => *down,
-            Fault::Freeze { micros, .. }
-            | Fault::Suspend { micros, .. }
-            | Fault::Isolate { micros, .. }
-            | Fault::Split { micros, .. }
-            | Fault::Halves { micros, .. }
-            | Fault::CutOneWay { micros, .. }
-            | Fault::Mute { micros, .. }
-            | Fault::SlowDisk { micros, .. }
-            | Fault::LoseAnswers { micros } => *micros,
-            Fault::Reset { .. } => 0,
+            Fault::Kill { downtime, .. }
+            | Fault::PowerLoss { downtime, .. }
+            | Fault::PowerLossOfAll { downtime }
+            | Fault::Wipe { downtime, .. }
+            | Fault::WipeWithPowerLossOfOthers { downtime, .. }
+            | Fault::Replace { downtime, .. }
+            | Fault::Shutdown { downtime, .. } => *downtime,
+            Fault::Freeze { duration, .. }
+            | Fault::Suspend { duration, .. }
+            | Fault::Isolate { duration, .. }
+            | Fault::Partition { duration, .. }
+            | Fault::PartitionDisks { duration, .. }
+            | Fault::PartitionOneWay { duration, .. }
+            | Fault::BlockOutbound { duration, .. }
+            | Fault::SlowDisk { duration, .. }
+            | Fault::LoseResponses { duration } => *duration,
+            Fault::ResetConnections { .. } => 0,
         }
     }
 }
 
-/// When a fault strikes.
+/// When a fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum When {
-    /// At a true time (microseconds).
+pub enum Trigger {
+    /// At a true time.
     At(u64),
     /// Directly after the n-th delivery or sync.
     Step(u64),
-    /// At the first moment from a true time on at which all machines are members and every replica is filled.
-    WhenWhole(u64),
+    /// As soon as, from a true time on, all machines are members and every replica is complete.
+    OnceComplete(u64),
 }
 
-/// A fault with its moment.
+/// A fault and when it is injected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedFault {
-    pub when: When,
+    /// When the fault is injected.
+    pub trigger: Trigger,
+    /// The fault.
     pub fault: Fault,
 }
--- /dev/null
+++ b/system/testing/simulation/src/fault_injection.rs
@@ -0,0 +1,229 @@
+//! Faults strike.
+
+use crate::control_machine::ControlMachine;
+use crate::event::ProcessInput;
+use crate::fault::Fault;
+use crate::machine_id::MachineId;
+use crate::mechanism::Mechanism;
+use crate::world::World;
+use crate::{MILLISECOND, SECOND};
+use millrudder_chain::SimulatedDisk;
+
+/// A process that was told to stop serves on for so long after the others can do without it (microseconds).
+const SHUTDOWN_DELAY: u64 = 250 * MILLISECOND;
+/// The platform waits for so long before it ends a process that was told to stop.
+const SHUTDOWN_GRACE: u64 = 6 * SECOND;
+/// A machine without power may come back so much later than planned.
+const MAX_RESTART_DELAY: u64 = 50 * MILLISECOND;
+
+impl<M: ControlMachine> World<M> {
+    /// Lets a fault happen now; one that takes a second disk before the first is made up for is left out.
+    pub fn inject(&mut self, fault: &Fault) {
+        if fault.takes_disk() && !self.may_lose_disk(fault) {
+            return;
+        }
+        self.faults_end = self.faults_end.max(self.now + fault.duration() + MAX_RESTART_DELAY);
+        match fault {
+            Fault::Kill { machine_id, downtime } => self.kill(*machine_id, *downtime),
+            Fault::PowerLoss { machine_id, downtime } => self.lose_power(*machine_id, *downtime),
+            Fault::PowerLossOfAll { downtime } => {
+                for machine_id in self.disks() {
+                    self.lose_power(machine_id, *downtime);
+                }
+            }
+            Fault::Wipe { machine_id, downtime } => {
+                self.lose_power(*machine_id, *downtime);
+                self.wipe(*machine_id);
+            }
+            Fault::WipeWithPowerLossOfOthers { machine_id, downtime } => {
+                for other in self.machine_ids() {
+                    self.lose_power(other, *downtime);
+                }
+                self.wipe(*machine_id);
+            }
+            Fault::Replace { machine_id, downtime } => {
+                self.lose_power(*machine_id, *downtime);
+                self.machine(*machine_id).generation += 1;
+                self.wipe(*machine_id);
+            }
+            Fault::Shutdown { machine_id, downtime } => self.stop(*machine_id, *downtime),
+            Fault::Freeze { machine_id, duration } => self.freeze(*machine_id, *duration),
+            Fault::Suspend { machine_id, duration } => self.suspend(*machine_id, *duration),
+            Fault::Isolate { machine_id, duration } => self.partition(&[*machine_id], *duration),
+            Fault::Partition { machine_ids, duration } => self.partition(machine_ids, *duration),
+            Fault::PartitionDisks { machine_ids, duration } => self.partition_disks(machine_ids, *duration),
+            Fault::PartitionOneWay { from, to, duration } => {
+                self.network.partition(*from, *to, self.now + duration)
+            }
+            Fault::BlockOutbound { machine_id, duration } => {
+                for other in self.machine_ids() {
+                    self.network.partition(*machine_id, other, self.now + duration);
+                }
+            }
+            Fault::ResetConnections { machine_id } => self.reset(*machine_id),
+            Fault::SlowDisk { machine_id, duration } => {
+                let until = self.now + duration;
+                self.machine(*machine_id).slow_until = until;
+            }
+            Fault::LoseResponses { duration } => self.lose_responses_until = self.now + duration,
+        }
+    }
+
+    /// All machines.
+    pub(crate) fn machine_ids(&self) -> Vec<MachineId> {
+        self.machines.keys().copied().collect()
+    }
+
+    fn disks(&self) -> Vec<MachineId> {
+        self.machine_ids().into_iter().filter(|machine_id| machine_id.has_disk()).collect()
+    }
+
+    /// Disks of one kind are lost one at a time: as many as are tolerated.
+    fn may_lose_disk(&mut self, fault: &Fault) -> bool {
+        let (Fault::Wipe { machine_id, .. }
+        | Fault::WipeWithPowerLossOfOthers { machine_id, .. }
+        | Fault::Replace { machine_id, .. }) = fault
+        else {
+            return true;
+        };
+        self.update_restored_disks();
+        let same_kind = |other: &MachineId| {
+            matches!(other, MachineId::Core(_)) == matches!(machine_id, MachineId::Core(_))
+        };
+        let lost = self.machines.iter().filter(|(other, _)| same_kind(other));
+        lost.filter(|(_, machine)| machine.disk_lost).count()
+            < self.plan.cluster_size.tolerated_losses as usize
+    }
+
+    fn kill(&mut self, machine_id: MachineId, downtime: u64) {
+        self.end_process(machine_id);
+        match machine_id {
+            MachineId::Core(index) => {
+                let kept = self.random.usize(0..=self.cores[index].disk.pending());
+                self.cores[index].disk.crash(kept);
+            }
+            MachineId::Store(index) => self.stores[index].disk.process_died(),
+            _ => {}
+        }
+        for connection in self.network.connections_of(machine_id) {
+            self.notice_closed(connection, machine_id);
+        }
+        self.schedule_start(machine_id, self.now + downtime);
+    }
+
+    fn lose_power(&mut self, machine_id: MachineId, downtime: u64) {
+        self.end_process(machine_id);
+        match machine_id {
+            MachineId::Core(index) => self.cores[index].disk.crash(0),
+            MachineId::Store(index) => self.stores[index].disk.power_lost(),
+            _ => {}
+        }
+        let later = self.random.u64(0..MAX_RESTART_DELAY);
+        self.schedule_start(machine_id, self.now + downtime + later);
+    }
+
+    fn end_process(&mut self, machine_id: MachineId) {
+        match machine_id {
+            MachineId::Core(index) => self.cores[index].process = None,
+            MachineId::Store(index) => self.stores[index].process = None,
+            MachineId::Dispatcher(index) => self.dispatchers[index].process = None,
+            MachineId::Operator(_) => {}
+        }
+        for connection in self.network.connections_of(machine_id) {
+            if let Some(link) = self.network.link_mut(connection) {
+                link.close_at(machine_id);
+            }
+        }
+        let machine = self.machine(machine_id);
+        machine.incarnation += 1;
+        machine.frozen_until = 0;
+    }
+
+    fn wipe(&mut self, machine_id: MachineId) {
+        self.machine(machine_id).disk_lost = true;
+        match machine_id {
+            MachineId::Core(index) => {
+                let keeps_name = !self.plan.mutant.is_enabled(Mechanism::NewIdentityAfterWipe);
+                let core = &mut self.cores[index];
+                core.lost_a_disk = true;
+                let id = core.disk.state().map(|state| state.id).filter(|_| keeps_name);
+                core.disk = id.map_or_else(SimulatedDisk::default, SimulatedDisk::with_identity);
+            }
+            MachineId::Store(index) => {
+                let keeps_name = !self.plan.mutant.is_enabled(Mechanism::CatchUpBeforeReplica);
+                let id = self.stores[index].id;
+                self.new_store_disk(index);
+                if keeps_name {
+                    self.stores[index].id = id;
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn stop(&mut self, machine_id: MachineId, downtime: u64) {
+        let grace = match machine_id {
+            MachineId::Core(_) | MachineId::Store(_)
+                if self.plan.mutant.is_enabled(Mechanism::GracefulLeave) =>
+            {
+                SHUTDOWN_GRACE
+            }
+            _ => 0,
+        };
+        self.deliver(machine_id, ProcessInput::ShutdownRequested);
+        self.faults_end = self.faults_end.max(self.now + grace + downtime + MAX_RESTART_DELAY);
+        let linger = SHUTDOWN_DELAY.min(grace);
+        self.schedule_end(machine_id, self.now + linger, downtime, self.now + grace);
+    }
+
+    fn freeze(&mut self, machine_id: MachineId, duration: u64) {
+        let until = self.now + duration;
+        let machine = self.machine(machine_id);
+        machine.frozen_until = machine.frozen_until.max(until);
+    }
+
+    fn suspend(&mut self, machine_id: MachineId, duration: u64) {
+        if !self.is_running(machine_id) {
+            return;
+        }
+        self.freeze(machine_id, duration);
+        match machine_id {
+            MachineId::Core(index) => self.cores[index].clock.stalled += duration,
+            MachineId::Store(index) => self.stores[index].clock.stalled += duration,
+            MachineId::Dispatcher(index) => self.dispatchers[index].clock.stalled += duration,
+            MachineId::Operator(_) => {}
+        }
+    }
+
+    fn partition(&mut self, machine_ids: &[MachineId], duration: u64) {
+        let until = self.now + duration;
+        for inside in machine_ids {
+            for outside in self.machine_ids() {
+                if !machine_ids.contains(&outside) {
+                    self.network.partition(*inside, outside, until);
+                    self.network.partition(outside, *inside, until);
+                }
+            }
+        }
+    }
+
+    fn partition_disks(&mut self, machine_ids: &[MachineId], duration: u64) {
+        let until = self.now + duration;
+        let (ours, theirs): (Vec<MachineId>, Vec<MachineId>) =
+            self.disks().into_iter().partition(|machine_id| machine_ids.contains(machine_id));
+        for one in ours {
+            for other in &theirs {
+                self.network.partition(one, *other, until);
+                self.network.partition(*other, one, until);
+            }
+        }
+    }
+
+    fn reset(&mut self, machine_id: MachineId) {
+        for connection in self.network.connections_of(machine_id) {
+            let Some(link) = self.network.link(connection).copied() else { continue };
+            self.notice_closed(connection, link.dialer);
+            self.notice_closed(connection, link.acceptor);
+        }
+    }
+}
--- a/system/testing/simulation/src/history.rs
+++ b/system/testing/simulation/src/history.rs
@@ -4,14 +4,14 @@
 
 /// Name of a configuration's bytes: equal for equal bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Body(pub u64);
+pub struct ContentId(pub u64);
 
 /// A configuration as an operator sends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Configuration {
     /// Its own number.
     pub version: u64,
-    pub body: Body,
+    pub body: ContentId,
 }
 
 impl Configuration {
@@ -24,13 +24,13 @@
     pub fn from_bytes(bytes: &[u8]) -> Option<Configuration> {
         let text = std::str::from_utf8(bytes).ok()?;
         let (version, body) = text.split_once(' ')?;
-        Some(Configuration { version: version.parse().ok()?, body: Body(body.parse().ok()?) })
+        Some(Configuration { version: version.parse().ok()?, body: ContentId(body.parse().ok()?) })
     }
 }
 
 /// What an operator asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Order {
+pub enum Request {
     /// Put a configuration into force on top of a version.
     Put {
         expected: u64,
@@ -41,7 +41,7 @@
 
 /// What a machine answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Answer {
+pub enum Response {
     /// 200 to a `Put`.
     Accepted,
     /// 412: another version is current.
@@ -61,37 +61,37 @@
     pub operator: usize,
     /// Which core machine was asked.
     pub machine: usize,
-    pub order: Order,
+    pub request: Request,
     /// Place of the call among all calls and answers.
-    pub called: u64,
+    pub invoked: u64,
     /// Place of the answer, and what it said; nothing where no clear answer came.
-    pub answered: Option<(u64, Answer)>,
+    pub responded: Option<(u64, Response)>,
 }
 
 impl fmt::Display for Operation {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "[{:>5} ", self.called)?;
-        match self.answered {
+        write!(out, "[{:>5} ", self.invoked)?;
+        match self.responded {
             Some((at, _)) => write!(out, "{at:>5}]")?,
             None => write!(out, "  ...]")?,
         }
         write!(out, " operator {} at core {}: ", self.operator, self.machine)?;
-        match self.order {
-            Order::Get => write!(out, "Get")?,
-            Order::Put { expected, configuration } => {
+        match self.request {
+            Request::Get => write!(out, "Get")?,
+            Request::Put { expected, configuration } => {
                 let Configuration { version, body } = configuration;
                 write!(out, "Put {version} (body {}) on {expected}", body.0)?;
             }
         }
-        match self.answered {
-            Some((_, Answer::Accepted)) => write!(out, " -> accepted"),
-            Some((_, Answer::Conflict)) => write!(out, " -> conflict"),
-            Some((_, Answer::NotHigher)) => write!(out, " -> not higher"),
-            Some((_, Answer::Current(None))) => write!(out, " -> nothing"),
-            Some((_, Answer::Current(Some(Configuration { version, body })))) => {
+        match self.responded {
+            Some((_, Response::Accepted)) => write!(out, " -> accepted"),
+            Some((_, Response::Conflict)) => write!(out, " -> conflict"),
+            Some((_, Response::NotHigher)) => write!(out, " -> not higher"),
+            Some((_, Response::Current(None))) => write!(out, " -> nothing"),
+            Some((_, Response::Current(Some(Configuration { version, body })))) => {
                 write!(out, " -> {version} (body {})", body.0)
             }
-            Some((_, Answer::Unavailable)) | None => write!(out, " -> no clear answer"),
+            Some((_, Response::Unavailable)) | None => write!(out, " -> no clear response"),
         }
     }
 }
@@ -105,17 +105,17 @@
 
 impl History {
     /// An operator calls. Gives the operation's index.
-    pub fn call(&mut self, operator: usize, machine: usize, order: Order) -> usize {
-        let called = self.tick();
-        self.operations.push(Operation { operator, machine, order, called, answered: None });
+    pub fn call(&mut self, operator: usize, machine: usize, request: Request) -> usize {
+        let invoked = self.tick();
+        self.operations.push(Operation { operator, machine, request, invoked, responded: None });
         self.operations.len() - 1
     }
 
     /// An answer arrived; one that says nothing leaves the operation open.
-    pub fn answer(&mut self, index: usize, answer: Answer) {
+    pub fn response(&mut self, index: usize, response: Response) {
         let at = self.tick();
-        if answer != Answer::Unavailable {
-            self.operations[index].answered.get_or_insert((at, answer));
+        if response != Response::Unavailable {
+            self.operations[index].responded.get_or_insert((at, response));
         }
     }
 
--- a/system/testing/simulation/src/lib.rs
+++ b/system/testing/simulation/src/lib.rs
@@ -1,15 +1,17 @@
-//! Deterministic simulation of the whole control side.
+//! Deterministic simulation of the entire control side, for tests.
 //!
-//! The true state machines of core machines, stores and placement run together with a model of dispatchers and of
-//! operators in one thread on a virtual clock. Networks are cut, connections reset, processes killed or frozen, disks
-//! lose what was not synced or are lost whole, each drawn from a seed or placed after one single delivery or sync.
+//! The production state machines of core machines, stores and placement run together with models of dispatchers and
+//! operators in one thread on a virtual clock. Networks are partitioned, connections reset, processes killed or frozen,
+//! disks lose unsynced writes or all data; faults are drawn from a seed or injected after one single delivery or sync.
 //!
-//! - [`world::World`] plays a [`plan::Plan`] and stops at the first [`violation::Violation`].
-//! - [`explore`] places faults after every step of a run; [`shrink`] drops the faults that a failure does not need.
-//! - [`linearizability`] checks what operators were answered against a versioned register with repeats.
-//! - [`mechanism::Mechanism`] names what a test can switch off in the simulated shells, to see its scenario fail.
-
-#![forbid(unsafe_code)]
+//! - [`world::World`] runs a [`plan::Plan`] and stops at the first [`violation::Violation`].
+//! - [`explore`] injects faults after every step of a run; [`shrink`] drops the faults that a failure does not need.
+//! - [`linearizability`] checks the responses to operators against a versioned register.
+//! - [`mechanism::Mechanism`] lists what a test can disable in the simulated shells, to verify that its scenario fails
+//!   without it.
+//!
+//! Guaranteed: a run depends on its plan and seed alone, so that each failure can be reproduced. Times of the world are
+//! true time; each machine has a [`clock::Clock`] of its own that deviates from it.
 
 pub mod checks;
 pub mod clock;
@@ -19,20 +21,20 @@
 pub mod event;
 pub mod explore;
 pub mod fault;
+mod fault_injection;
 pub mod history;
-pub mod ledger;
 pub mod linearizability;
+pub mod machine_id;
 pub mod mechanism;
+pub mod message_log;
 pub mod network;
 pub mod operator;
-pub mod orders;
-pub mod place;
+pub mod pending_requests;
 pub mod plan;
-pub mod reachability;
+pub mod recovery;
 pub mod shrink;
 pub mod store_disk;
 pub mod store_machine;
-mod strikes;
 pub mod violation;
 pub mod world;
 
--- a/system/testing/simulation/src/mechanism.rs
+++ b/system/testing/simulation/src/mechanism.rs
@@ -1,56 +1,56 @@
-//! Mechanisms of the simulated shells that a test can switch off.
+//! Mechanisms of the simulated shells that a test can disable.
 
 use std::collections::BTreeSet;
 
-/// One mechanism; a scenario must fail without the one that it is about.
+/// A mechanism; a scenario must fail without the one that it tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// A core machine serves its state only while a majority has confirmed it lately.
+    /// A core machine serves its state only while a quorum has recently confirmed it.
     QuorumContact,
     /// `Config.Get` waits for a confirmed read.
     ConfirmedRead,
-    /// Of two orders on one version only the first in the agreed order is confirmed.
-    LoserRefused,
-    /// An order is confirmed only once every member of the chain holds it.
-    CommitBeforeAnswer,
-    /// A core machine tells that a record is durable only after its sync.
+    /// Of two updates of one version only the first in the log is acknowledged.
+    ConflictRejected,
+    /// An update is acknowledged only once it is committed by every member of the chain.
+    CommitBeforeResponse,
+    /// A core machine reports a record as durable only after its sync.
     SyncBeforePersisted,
-    /// A core machine that starts replays its records over its last checkpoint.
+    /// A starting core machine replays the records since its last checkpoint.
     RecordsReplayed,
-    /// A snapshot holds which configurations were accepted (left out by a machine of the tests' own).
+    /// A snapshot contains digests of the accepted configurations (omitted by a replicated machine of the tests).
     DigestsInSnapshot,
-    /// A core machine whose disk was lost takes another identity.
+    /// A core machine whose disk was lost gets a new identity.
     NewIdentityAfterWipe,
-    /// A store appends what it hears from other replicas before it counts it as held.
-    JoinAppended,
-    /// A store that lost its disk is filled before it counts as a replica.
-    FilledBeforeCounted,
-    /// Names of requests are never used again.
-    FreshRequestNames,
-    /// An answer counts only on the connection on which its question went.
-    AnswerOfSameConnection,
-    /// A dispatcher takes only higher versions and epochs.
+    /// A store appends records merged from other replicas before it acknowledges them.
+    MergeAppended,
+    /// A store that lost its disk catches up before it counts as a replica.
+    CatchUpBeforeReplica,
+    /// Request ids are never reused.
+    UniqueRequestIds,
+    /// A response counts only on the connection of its request.
+    ResponseOnSameConnection,
+    /// A dispatcher adopts only higher versions and epochs.
     OnlyNewerAdopted,
-    /// A frozen or cut off holder of the lease stops acting when its lease ends.
+    /// A frozen or partitioned lease holder stops acting when its lease expires.
     LeaseChecked,
-    /// A member that leaves stays a full one until the view without it is agreed.
-    LeaverLingers,
+    /// A member that leaves remains a full member until the view without it is agreed.
+    GracefulLeave,
 }
 
-/// The mechanisms that are switched off; none in a true run.
+/// The set of disabled mechanisms; empty in a faithful run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Mutant {
-    off: BTreeSet<Mechanism>,
+    disabled: BTreeSet<Mechanism>,
 }
 
 impl Mutant {
-    /// Everything works but this.
+    /// Disables one mechanism.
     pub fn without(mechanism: Mechanism) -> Mutant {
-        Mutant { off: BTreeSet::from([mechanism]) }
+        Mutant { disabled: BTreeSet::from([mechanism]) }
     }
 
-    /// Whether the mechanism works.
-    pub fn has(&self, mechanism: Mechanism) -> bool {
-        !self.off.contains(&mechanism)
+    /// Whether a mechanism is enabled.
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        !self.disabled.contains(&mechanism)
     }
 }
--- a/system/testing/simulation/src/ledger.rs
+++ b/system/testing/simulation/src/message_log.rs
@@ -1,45 +1,47 @@
-//! Messages that were accepted, and what became of them.
+//! Log of the messages that were acknowledged to dispatchers, for the checks.
 
 use millrudder_protocol::MessageId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What truly happened to messages; times are microseconds.
+/// The acknowledged messages and successes.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct MessageLog {
+    /// When each message was first acknowledged as accepted (true time).
     accepted: BTreeMap<MessageId, u64>,
+    /// Messages whose success was acknowledged.
     recorded: BTreeSet<MessageId>,
-    /// Last acceptance at each dispatcher.
+    /// When each dispatcher last received an acknowledgement (true time).
     last: BTreeMap<usize, u64>,
 }
 
-impl Ledger {
-    /// A dispatcher was told that a message is kept.
+impl MessageLog {
+    /// Records that a message was acknowledged to a dispatcher as accepted.
     pub fn accepted(&mut self, dispatcher: usize, id: MessageId, now: u64) {
         self.accepted.entry(id).or_insert(now);
         self.last.insert(dispatcher, now);
     }
 
-    /// A store said that the success of a run is kept.
+    /// Records that a store acknowledged the success of an execution.
     pub fn recorded(&mut self, id: MessageId) {
         self.recorded.insert(id);
     }
 
-    /// Whether the success of a run is kept.
+    /// Whether the success of an execution was acknowledged.
     pub fn is_recorded(&self, id: MessageId) -> bool {
         self.recorded.contains(&id)
     }
 
-    /// Messages that must be known.
-    pub fn messages(&self) -> impl Iterator<Item = MessageId> + '_ {
+    /// The accepted messages, which must not be lost.
+    pub fn accepted_ids(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.accepted.keys().copied()
     }
 
-    /// When this dispatcher last had a message accepted.
+    /// When this dispatcher last had a message accepted (true time).
     pub fn last_accepted(&self, dispatcher: usize) -> u64 {
         self.last.get(&dispatcher).copied().unwrap_or_default()
     }
 
-    /// Messages that were accepted.
+    /// The number of accepted messages.
     pub fn count(&self) -> usize {
         self.accepted.len()
     }
--- a/system/testing/simulation/src/network.rs
+++ b/system/testing/simulation/src/network.rs
@@ -1,7 +1,7 @@
 //! Connections between machines: in order and with a delay; cut, reset and opened again.
 
 use crate::event::Connection;
-use crate::place::Place;
+use crate::machine_id::MachineId;
 use std::collections::BTreeMap;
 
 /// Shortest and longest ordinary delay of a message (microseconds).
@@ -10,8 +10,8 @@
 /// One connection as its two ends see it.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
-    pub dialer: Place,
-    pub acceptor: Place,
+    pub dialer: MachineId,
+    pub acceptor: MachineId,
     /// Each end has not learnt of its end yet.
     pub dialer_open: bool,
     pub acceptor_open: bool,
@@ -23,8 +23,8 @@
 
 impl Link {
     /// The other end.
-    pub fn other(&self, place: Place) -> Place {
-        if self.dialer == place {
+    pub fn other(&self, machine_id: MachineId) -> MachineId {
+        if self.dialer == machine_id {
             self.acceptor
         } else {
             self.dialer
@@ -32,8 +32,8 @@
     }
 
     /// Whether the end at `place` takes this connection for open.
-    pub fn is_open_at(&self, place: Place) -> bool {
-        if self.dialer == place {
+    pub fn is_open_at(&self, machine_id: MachineId) -> bool {
+        if self.dialer == machine_id {
             self.dialer_open
         } else {
             self.acceptor_open
@@ -41,8 +41,8 @@
     }
 
     /// The end at `place` has learnt that it is closed.
-    pub fn close_at(&mut self, place: Place) {
-        if self.dialer == place {
+    pub fn close_at(&mut self, machine_id: MachineId) {
+        if self.dialer == machine_id {
             self.dialer_open = false;
         } else {
             self.acceptor_open = false;
@@ -56,33 +56,33 @@
     links: BTreeMap<Connection, Link>,
     next: u64,
     /// Nothing passes from the first to the second before this time.
-    cuts: BTreeMap<(Place, Place), u64>,
+    partitions: BTreeMap<(MachineId, MachineId), u64>,
 }
 
 impl Network {
     /// Cuts one direction until a time.
-    pub fn cut(&mut self, from: Place, to: Place, until: u64) {
-        let cut = self.cuts.entry((from, to)).or_default();
-        *cut = until.max(*cut);
+    pub fn partition(&mut self, from: MachineId, to: MachineId, until: u64) {
+        let partitioned_until = self.partitions.entry((from, to)).or_default();
+        *partitioned_until = until.max(*partitioned_until);
     }
 
     /// When what is sent from one place passes to the other.
-    pub fn passes_at(&self, from: Place, to: Place, now: u64) -> u64 {
-        self.cuts.get(&(from, to)).copied().unwrap_or_default().max(now)
+    pub fn passes_at(&self, from: MachineId, to: MachineId, now: u64) -> u64 {
+        self.partitions.get(&(from, to)).copied().unwrap_or_default().max(now)
     }
 
     /// Whether nothing passes from one place to the other now.
-    pub fn is_cut(&self, from: Place, to: Place, now: u64) -> bool {
+    pub fn is_partitioned(&self, from: MachineId, to: MachineId, now: u64) -> bool {
         self.passes_at(from, to, now) > now
     }
 
     /// Whether the two places can talk in both directions.
-    pub fn can_talk(&self, one: Place, other: Place, now: u64) -> bool {
-        !self.is_cut(one, other, now) && !self.is_cut(other, one, now)
+    pub fn can_communicate(&self, one: MachineId, other: MachineId, now: u64) -> bool {
+        !self.is_partitioned(one, other, now) && !self.is_partitioned(other, one, now)
     }
 
     /// A new connection, open at both ends.
-    pub fn open(&mut self, dialer: Place, acceptor: Place) -> Connection {
+    pub fn open(&mut self, dialer: MachineId, acceptor: MachineId) -> Connection {
         self.next += 1;
         let link = Link {
             dialer,
@@ -110,9 +110,10 @@
     }
 
     /// Connections that touch a place.
-    pub fn touching(&self, place: Place) -> Vec<Connection> {
-        let touching = self.links.iter().filter(|(_, link)| link.dialer == place || link.acceptor == place);
-        touching.map(|(connection, _)| *connection).collect()
+    pub fn connections_of(&self, machine_id: MachineId) -> Vec<Connection> {
+        let connections_of =
+            self.links.iter().filter(|(_, link)| link.dialer == machine_id || link.acceptor == machine_id);
+        connections_of.map(|(connection, _)| *connection).collect()
     }
 
     /// Forgets connections that both ends have closed.
@@ -124,7 +125,7 @@
     pub fn arrival(
         &mut self,
         connection: Connection,
-        to: Place,
+        to: MachineId,
         now: u64,
         random: &mut fastrand::Rng,
     ) -> u64 {
--- a/system/testing/simulation/src/orders.rs
+++ b/system/testing/simulation/src/pending_requests.rs
@@ -1,7 +1,7 @@
 //! The operator's orders that wait at a core machine, as the shell of the core keeps them.
 
 use crate::event::Call;
-use crate::history::{Answer, Configuration, Order};
+use crate::history::{Configuration, Request, Response};
 use crate::mechanism::{Mechanism, Mutant};
 use millrudder_chain::RequestId;
 use millrudder_control_state::{Command, ControlState, Reply};
@@ -9,12 +9,12 @@
 use std::collections::BTreeMap;
 
 /// How long an order waits for the chain (microseconds).
-const PATIENCE: u64 = 850_000;
+const REQUEST_TIMEOUT: u64 = 850_000;
 
 /// What an order needs before it can be answered.
 #[derive(Clone, Debug)]
-pub enum Step {
-    Answer(Answer),
+pub enum RequestStep {
+    Response(Response),
     Submit { request_id: RequestId, command: Command },
     Read { request_id: RequestId },
 }
@@ -27,15 +27,15 @@
 
 /// Orders by the request that they wait for.
 #[derive(Clone, Debug)]
-pub struct Orders {
+pub struct PendingRequests {
     random: fastrand::Rng,
     counted: u128,
     waiting: BTreeMap<RequestId, Waiting>,
 }
 
-impl Orders {
+impl PendingRequests {
     pub fn new(seed: u64) -> Self {
-        Orders { random: fastrand::Rng::with_seed(seed), counted: 0, waiting: BTreeMap::new() }
+        PendingRequests { random: fastrand::Rng::with_seed(seed), counted: 0, waiting: BTreeMap::new() }
     }
 
     /// Takes an order. Every answer rests on the state, so that a machine that is not `open` gives none.
@@ -43,21 +43,23 @@
         &mut self,
         now: u64,
         call: Call,
-        order: Order,
+        request: Request,
         open: bool,
         state: &ControlState,
         mutant: &Mutant,
-    ) -> Step {
-        match order {
-            Order::Get if !mutant.has(Mechanism::ConfirmedRead) => Step::Answer(current(state)),
-            _ if !open => Step::Answer(Answer::Unavailable),
-            Order::Get => Step::Read { request_id: self.wait(now, call, mutant) },
-            Order::Put { expected, configuration } => {
+    ) -> RequestStep {
+        match request {
+            Request::Get if !mutant.is_enabled(Mechanism::ConfirmedRead) => {
+                RequestStep::Response(current(state))
+            }
+            _ if !open => RequestStep::Response(Response::Unavailable),
+            Request::Get => RequestStep::Read { request_id: self.wait(now, call, mutant) },
+            Request::Put { expected, configuration } => {
                 let request_id = self.wait(now, call, mutant);
                 let json = configuration.bytes();
                 let configuration = ConfigurationText { version: configuration.version, json };
                 let command = Command::PutConfiguration { expected_version: expected, configuration };
-                Step::Submit { request_id, command }
+                RequestStep::Submit { request_id, command }
             }
         }
     }
@@ -71,7 +73,7 @@
     /// A request id for a command of this machine's own.
     pub fn own_request(&mut self, mutant: &Mutant) -> RequestId {
         self.counted += 1;
-        match mutant.has(Mechanism::FreshRequestNames) {
+        match mutant.is_enabled(Mechanism::UniqueRequestIds) {
             true => RequestId(self.random.u128(1..)),
             false => RequestId(self.counted),
         }
@@ -83,29 +85,31 @@
         request_id: RequestId,
         reply: Reply,
         mutant: &Mutant,
-    ) -> Option<(Call, Answer)> {
+    ) -> Option<(Call, Response)> {
         let waiting = self.waiting.remove(&request_id)?;
-        let answer = match reply {
-            Reply::ConfigurationAccepted | Reply::ConfigurationKnown => Answer::Accepted,
-            Reply::ConfigurationConflict { .. } if !mutant.has(Mechanism::LoserRefused) => Answer::Accepted,
-            Reply::ConfigurationConflict { .. } => Answer::Conflict,
-            Reply::VersionNotHigher { .. } => Answer::NotHigher,
-            Reply::ConfigurationForgotten => Answer::Unavailable,
+        let response = match reply {
+            Reply::ConfigurationAccepted | Reply::ConfigurationKnown => Response::Accepted,
+            Reply::ConfigurationConflict { .. } if !mutant.is_enabled(Mechanism::ConflictRejected) => {
+                Response::Accepted
+            }
+            Reply::ConfigurationConflict { .. } => Response::Conflict,
+            Reply::VersionNotHigher { .. } => Response::NotHigher,
+            Reply::ConfigurationForgotten => Response::Unavailable,
             Reply::PlacementSet | Reply::PlacementConflict { .. } => return None,
             Reply::Retiring | Reply::RetireUnknown | Reply::RetireTooFew => return None,
         };
-        Some((waiting.call, answer))
+        Some((waiting.call, response))
     }
 
     /// The answer to a read that sees what it must.
-    pub fn read_ready(&mut self, request_id: RequestId, state: &ControlState) -> Option<(Call, Answer)> {
+    pub fn read_ready(&mut self, request_id: RequestId, state: &ControlState) -> Option<(Call, Response)> {
         let waiting = self.waiting.remove(&request_id)?;
         Some((waiting.call, current(state)))
     }
 
     /// Requests that have waited too long, with their calls.
     pub fn take_overdue(&mut self, now: u64) -> Vec<(RequestId, Call)> {
-        let overdue = |waiting: &Waiting| now.saturating_sub(waiting.since) >= PATIENCE;
+        let overdue = |waiting: &Waiting| now.saturating_sub(waiting.since) >= REQUEST_TIMEOUT;
         let late = self.waiting.iter().filter(|(_, waiting)| overdue(waiting));
         let late: Vec<_> = late.map(|(request_id, waiting)| (*request_id, waiting.call)).collect();
         self.waiting.retain(|_, waiting| !overdue(waiting));
@@ -113,8 +117,8 @@
     }
 }
 
-fn current(state: &ControlState) -> Answer {
+fn current(state: &ControlState) -> Response {
     let configuration = state.configuration();
     let held = (configuration.version > 0).then(|| Configuration::from_bytes(&configuration.json));
-    Answer::Current(held.flatten())
+    Response::Current(held.flatten())
 }
--- a/system/testing/simulation/src/plan.rs
+++ b/system/testing/simulation/src/plan.rs
@@ -1,234 +1,251 @@
-//! What one run does: its size, its load, its network, and its faults, drawn from a seed or placed by a test.
+//! The plan of one run: cluster size, load, network fault rates and faults, drawn from a seed or chosen by a test.
 
-use crate::fault::{Fault, PlannedFault, When};
+use crate::fault::{Fault, PlannedFault, Trigger};
+use crate::machine_id::MachineId;
 use crate::mechanism::Mutant;
-use crate::place::Place;
 use crate::{MILLISECOND, SECOND};
 use std::fmt;
 
-/// Faults of a drawn plan begin within this time after the founding.
+/// Faults of a random plan are injected within this time.
 const FAULTS_WITHIN: u64 = 6 * SECOND;
-/// Most faults of a drawn plan.
-const MOST_FAULTS: usize = 6;
-/// Fewest and most faults of a plan that is drawn harder, and within how long they begin.
-const HARDER_FAULTS: std::ops::RangeInclusive<usize> = 3..=9;
-const HARDER_WITHIN: u64 = 8 * SECOND;
-/// A long cut, as machines on the users' days meet it.
-const LONG_CUT: u64 = 20 * SECOND;
-
-/// How many of each.
+/// Greatest number of faults of a random plan.
+const MAX_FAULTS: usize = 6;
+/// Number of faults of a random plan with overlapping faults.
+const OVERLAPPING_FAULTS: std::ops::RangeInclusive<usize> = 3..=9;
+/// Overlapping faults are injected within this time.
+const OVERLAPPING_FAULTS_WITHIN: u64 = 8 * SECOND;
+/// A long partition, as the users' deployments have them.
+const LONG_PARTITION: u64 = 20 * SECOND;
+
+/// The number of machines of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct ClusterSize {
+    /// Core machines.
     pub cores: usize,
+    /// Stores.
     pub stores: usize,
+    /// Dispatchers.
     pub dispatchers: usize,
+    /// Operators.
     pub operators: usize,
-    /// Machines with a disk of each kind that may be lost at one time.
+    /// Disks of each kind that may be lost at the same time.
     pub tolerated_losses: u32,
 }
 
-impl Default for Shape {
+impl Default for ClusterSize {
     fn default() -> Self {
-        Shape { cores: 3, stores: 3, dispatchers: 2, operators: 2, tolerated_losses: 1 }
+        ClusterSize { cores: 3, stores: 3, dispatchers: 2, operators: 2, tolerated_losses: 1 }
     }
 }
 
-/// How the network misbehaves all the time; shares of messages, answers or connections.
+/// Permanent fault rates of the network, as fractions.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Noise {
-    /// Messages between core machines that come twice.
-    pub doubled: f64,
-    /// Messages between core machines, and calls of operators, that are held up for up to two seconds.
-    pub late: f64,
-    /// Answers to operators that are lost.
-    pub lost_answers: f64,
-    /// Messages on a connection that has ended that arrive still.
+pub struct FaultRates {
+    /// Messages between core machines that are duplicated.
+    pub duplicated: f64,
+    /// Messages between core machines, and calls of operators, that are delayed for up to two seconds.
+    pub delayed: f64,
+    /// Responses to operators that are lost.
+    pub lost_responses: f64,
+    /// Messages to dispatchers that arrive once more after their connection was closed.
     pub after_close: f64,
 }
 
-/// How much is asked.
+/// The load of operators and clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Longest pause of an operator between two orders (microseconds).
-    pub operator_pace: u64,
-    /// Pause of a dispatcher between two messages (microseconds).
-    pub message_every: u64,
+    /// Longest pause of an operator between two requests.
+    pub max_operator_pause: u64,
+    /// Pause of a dispatcher between two messages of its clients.
+    pub message_interval: u64,
 }
 
 impl Default for Load {
     fn default() -> Self {
-        Load { operator_pace: 400 * MILLISECOND, message_every: 150 * MILLISECOND }
+        Load { max_operator_pause: 400 * MILLISECOND, message_interval: 150 * MILLISECOND }
     }
 }
 
-/// What one run does.
+/// The plan of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Seed of everything random.
     pub seed: u64,
-    pub shape: Shape,
+    /// The number of machines.
+    pub cluster_size: ClusterSize,
+    /// The load.
     pub load: Load,
-    pub noise: Noise,
+    /// Permanent fault rates of the network.
+    pub fault_rates: FaultRates,
+    /// The faults to inject.
     pub faults: Vec<PlannedFault>,
+    /// Disabled mechanisms.
     pub mutant: Mutant,
-    /// After the last fault's end everything must be well again within this time (microseconds).
-    pub recovery: u64,
+    /// The system must have recovered within this time after the end of the last fault.
+    pub recovery_timeout: u64,
 }
 
 impl Plan {
-    /// No faults.
-    pub fn calm(seed: u64) -> Plan {
+    /// A plan without faults.
+    pub fn without_faults(seed: u64) -> Plan {
         Plan {
             seed,
-            shape: Shape::default(),
+            cluster_size: ClusterSize::default(),
             load: Load::default(),
-            noise: Noise::default(),
+            fault_rates: FaultRates::default(),
             faults: Vec::new(),
             mutant: Mutant::default(),
-            recovery: 15 * SECOND,
+            recovery_timeout: 15 * SECOND,
         }
     }
 
-    /// One more fault.
-    pub fn with(mut self, when: When, fault: Fault) -> Plan {
-        self.faults.push(PlannedFault { when, fault });
+    /// Adds a fault.
+    pub fn with(mut self, trigger: Trigger, fault: Fault) -> Plan {
+        self.faults.push(PlannedFault { trigger, fault });
         self
     }
 
-    /// The same plan with a mechanism switched off.
-    pub fn mutated(mut self, mutant: Mutant) -> Plan {
+    /// Replaces the set of disabled mechanisms.
+    pub fn with_mutant(mut self, mutant: Mutant) -> Plan {
         self.mutant = mutant;
         self
     }
 
-    /// A plan drawn from a seed, with more faults that overlap: halves, suspensions, slow disks, losses of power.
-    pub fn drawn_harder(seed: u64, from: u64) -> Plan {
+    /// A random plan with more faults, which overlap: partitions, suspensions, slow disks, power losses.
+    pub fn random_overlapping(seed: u64, from: u64) -> Plan {
         let mut random = fastrand::Rng::with_seed(seed ^ 0xface);
-        let mut plan = Plan::drawn(seed, from);
+        let mut plan = Plan::random(seed, from);
         plan.faults.clear();
-        let count = random.usize(HARDER_FAULTS);
-        plan.draw_faults(&mut random, count, from..from + HARDER_WITHIN, draw_harder_fault);
+        let count = random.usize(OVERLAPPING_FAULTS);
+        plan.add_random_faults(
+            &mut random,
+            count,
+            from..from + OVERLAPPING_FAULTS_WITHIN,
+            random_overlapping_fault,
+        );
         plan
     }
 
-    fn draw_faults(
+    fn add_random_faults(
         &mut self,
         random: &mut fastrand::Rng,
         count: usize,
         within: std::ops::Range<u64>,
-        draw: fn(&mut fastrand::Rng, &Shape) -> Fault,
+        draw: fn(&mut fastrand::Rng, &ClusterSize) -> Fault,
     ) {
         for _ in 0..count {
-            let fault = draw(random, &self.shape);
+            let fault = draw(random, &self.cluster_size);
             let at = random.u64(within.clone());
-            let when = if fault.takes_disk() && random.bool() { When::WhenWhole(at) } else { When::At(at) };
-            self.faults.push(PlannedFault { when, fault });
+            let trigger =
+                if fault.takes_disk() && random.bool() { Trigger::OnceComplete(at) } else { Trigger::At(at) };
+            self.faults.push(PlannedFault { trigger, fault });
         }
-        self.faults.sort_by_key(|planned| planned.when);
+        self.faults.sort_by_key(|planned| planned.trigger);
     }
 
-    /// A plan drawn from a seed. Faults strike at times after `from` (microseconds).
-    pub fn drawn(seed: u64, from: u64) -> Plan {
+    /// A random plan; its faults are injected after the true time `from`.
+    pub fn random(seed: u64, from: u64) -> Plan {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut plan = Plan::calm(seed);
-        plan.noise = Noise {
-            doubled: [0.0, 0.02][random.usize(0..2)],
-            late: [0.0, 0.0, 0.01][random.usize(0..3)],
-            lost_answers: [0.0, 0.1, 0.5][random.usize(0..3)],
+        let mut plan = Plan::without_faults(seed);
+        plan.fault_rates = FaultRates {
+            duplicated: [0.0, 0.02][random.usize(0..2)],
+            delayed: [0.0, 0.0, 0.01][random.usize(0..3)],
+            lost_responses: [0.0, 0.1, 0.5][random.usize(0..3)],
             after_close: [0.0, 0.5][random.usize(0..2)],
         };
-        plan.load.operator_pace = [60, 400, 1_500][random.usize(0..3)] * MILLISECOND;
-        let count = random.usize(1..=MOST_FAULTS);
-        plan.draw_faults(&mut random, count, from..from + FAULTS_WITHIN, draw_fault);
+        plan.load.max_operator_pause = [60, 400, 1_500][random.usize(0..3)] * MILLISECOND;
+        let count = random.usize(1..=MAX_FAULTS);
+        plan.add_random_faults(&mut random, count, from..from + FAULTS_WITHIN, random_fault);
         plan
     }
 }
 
-/// A fault of any kind at any machine.
-pub fn draw_fault(random: &mut fastrand::Rng, shape: &Shape) -> Fault {
-    let place = draw_place(random, shape);
-    let disk = draw_disk(random, shape);
-    let down = random.u64(50 * MILLISECOND..2 * SECOND);
-    let micros = match random.u8(0..6) {
-        0 => LONG_CUT,
+/// A random fault at a random machine.
+pub fn random_fault(random: &mut fastrand::Rng, cluster_size: &ClusterSize) -> Fault {
+    let machine_id = random_machine(random, cluster_size);
+    let disk = random_disk_machine(random, cluster_size);
+    let downtime = random.u64(50 * MILLISECOND..2 * SECOND);
+    let duration = match random.u8(0..6) {
+        0 => LONG_PARTITION,
         _ => random.u64(20 * MILLISECOND..3 * SECOND),
     };
     match random.u8(0..20) {
-        0 | 1 => Fault::Kill { place, down },
-        2 => Fault::PowerLoss { place, down },
-        3 => Fault::PowerLossOfAll { down },
-        4 | 5 => Fault::Wipe { place: disk, down },
-        6 | 7 => Fault::Replace { place: disk, down },
-        8 => Fault::Stop { place: disk, down },
-        9 | 10 => Fault::Freeze { place, micros },
-        11 => Fault::Suspend { place, micros },
-        12 | 13 => Fault::Isolate { place, micros },
-        14 => Fault::Split { places: draw_group(random, shape), micros },
-        15 => Fault::CutOneWay { from: place, to: draw_place(random, shape), micros },
-        16 => Fault::Mute { place, micros },
-        17 => Fault::Reset { place },
-        18 => Fault::SlowDisk { place: disk, micros },
-        _ => Fault::LoseAnswers { micros: micros.min(2 * SECOND) },
+        0 | 1 => Fault::Kill { machine_id, downtime },
+        2 => Fault::PowerLoss { machine_id, downtime },
+        3 => Fault::PowerLossOfAll { downtime },
+        4 | 5 => Fault::Wipe { machine_id: disk, downtime },
+        6 | 7 => Fault::Replace { machine_id: disk, downtime },
+        8 => Fault::Shutdown { machine_id: disk, downtime },
+        9 | 10 => Fault::Freeze { machine_id, duration },
+        11 => Fault::Suspend { machine_id, duration },
+        12 | 13 => Fault::Isolate { machine_id, duration },
+        14 => Fault::Partition { machine_ids: random_zone(random, cluster_size), duration },
+        15 => Fault::PartitionOneWay { from: machine_id, to: random_machine(random, cluster_size), duration },
+        16 => Fault::BlockOutbound { machine_id, duration },
+        17 => Fault::ResetConnections { machine_id },
+        18 => Fault::SlowDisk { machine_id: disk, duration },
+        _ => Fault::LoseResponses { duration: duration.min(2 * SECOND) },
     }
 }
 
-/// A fault of a kind that other draws bring seldom, or of any.
-fn draw_harder_fault(random: &mut fastrand::Rng, shape: &Shape) -> Fault {
-    let place = draw_place(random, shape);
-    let disk = draw_disk(random, shape);
-    let down = random.u64(50 * MILLISECOND..2 * SECOND);
-    let micros = random.u64(100 * MILLISECOND..6 * SECOND);
+/// A random fault, often of a kind that [`random_fault`] seldom returns.
+fn random_overlapping_fault(random: &mut fastrand::Rng, cluster_size: &ClusterSize) -> Fault {
+    let machine_id = random_machine(random, cluster_size);
+    let disk = random_disk_machine(random, cluster_size);
+    let downtime = random.u64(50 * MILLISECOND..2 * SECOND);
+    let duration = random.u64(100 * MILLISECOND..6 * SECOND);
     match random.u8(0..12) {
-        0 | 1 => Fault::Halves { places: draw_half(random, shape), micros },
-        2 | 3 => Fault::SlowDisk { place: disk, micros },
-        4 => Fault::Suspend { place, micros },
-        5 => Fault::PowerLossOfAll { down },
-        6 => Fault::PowerLoss { place: disk, down },
-        7 => Fault::Freeze { place, micros },
-        8 => Fault::WipeInDarkness { place: disk, down },
-        9 => Fault::Wipe { place: disk, down },
-        _ => draw_fault(random, shape),
+        0 | 1 => Fault::PartitionDisks { machine_ids: random_disk_group(random, cluster_size), duration },
+        2 | 3 => Fault::SlowDisk { machine_id: disk, duration },
+        4 => Fault::Suspend { machine_id, duration },
+        5 => Fault::PowerLossOfAll { downtime },
+        6 => Fault::PowerLoss { machine_id: disk, downtime },
+        7 => Fault::Freeze { machine_id, duration },
+        8 => Fault::WipeWithPowerLossOfOthers { machine_id: disk, downtime },
+        9 => Fault::Wipe { machine_id: disk, downtime },
+        _ => random_fault(random, cluster_size),
     }
 }
 
-/// Each machine with a disk on one side or the other.
-fn draw_half(random: &mut fastrand::Rng, shape: &Shape) -> Vec<Place> {
-    let cores = (0..shape.cores).map(Place::Core);
-    let stores = (0..shape.stores).map(Place::Store);
+/// A random side of a partition between the machines with disks.
+fn random_disk_group(random: &mut fastrand::Rng, cluster_size: &ClusterSize) -> Vec<MachineId> {
+    let cores = (0..cluster_size.cores).map(MachineId::Core);
+    let stores = (0..cluster_size.stores).map(MachineId::Store);
     cores.chain(stores).filter(|_| random.bool()).collect()
 }
 
-fn draw_place(random: &mut fastrand::Rng, shape: &Shape) -> Place {
+fn random_machine(random: &mut fastrand::Rng, cluster_size: &ClusterSize) -> MachineId {
     match random.u8(0..5) {
-        0 | 1 => Place::Core(random.usize(0..shape.cores)),
-        2 | 3 => Place::Store(random.usize(0..shape.stores)),
-        _ => Place::Dispatcher(random.usize(0..shape.dispatchers)),
+        0 | 1 => MachineId::Core(random.usize(0..cluster_size.cores)),
+        2 | 3 => MachineId::Store(random.usize(0..cluster_size.stores)),
+        _ => MachineId::Dispatcher(random.usize(0..cluster_size.dispatchers)),
     }
 }
 
-fn draw_disk(random: &mut fastrand::Rng, shape: &Shape) -> Place {
+fn random_disk_machine(random: &mut fastrand::Rng, cluster_size: &ClusterSize) -> MachineId {
     match random.bool() {
-        true => Place::Core(random.usize(0..shape.cores)),
-        false => Place::Store(random.usize(0..shape.stores)),
+        true => MachineId::Core(random.usize(0..cluster_size.cores)),
+        false => MachineId::Store(random.usize(0..cluster_size.stores)),
     }
 }
 
-/// One core machine with some of the others: a zone that is cut off.
-fn draw_group(random: &mut fastrand::Rng, shape: &Shape) -> Vec<Place> {
-    let mut group = vec![Place::Core(random.usize(0..shape.cores))];
+/// A random zone: a core machine, and possibly a store and a dispatcher.
+fn random_zone(random: &mut fastrand::Rng, cluster_size: &ClusterSize) -> Vec<MachineId> {
+    let mut group = vec![MachineId::Core(random.usize(0..cluster_size.cores))];
     if random.bool() {
-        group.push(Place::Store(random.usize(0..shape.stores)));
+        group.push(MachineId::Store(random.usize(0..cluster_size.stores)));
     }
     if random.bool() {
-        group.push(Place::Dispatcher(random.usize(0..shape.dispatchers)));
+        group.push(MachineId::Dispatcher(random.usize(0..cluster_size.dispatchers)));
     }
     group
 }
 
 impl fmt::Display for Plan {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(out, "seed {}, {:?}, {:?}", self.seed, self.load, self.noise)?;
+        writeln!(out, "seed {}, {:?}, {:?}", self.seed, self.load, self.fault_rates)?;
         for planned in &self.faults {
-            writeln!(out, "  {:?} {:?}", planned.when, planned.fault)?;
+            writeln!(out, "  {:?} {:?}", planned.trigger, planned.fault)?;
         }
         Ok(())
     }
--- a/system/testing/simulation/src/shrink.rs
+++ b/system/testing/simulation/src/shrink.rs
@@ -5,7 +5,7 @@
 use crate::violation::Violation;
 
 /// The failure with as few faults as still make the run fail; `play` plays a plan from its beginning.
-pub fn shrunk(failure: Failure, play: impl Fn(&Plan) -> Result<(), Violation>) -> Failure {
+pub fn shrink(failure: Failure, play: impl Fn(&Plan) -> Result<(), Violation>) -> Failure {
     let mut failure = failure;
     let mut index = failure.plan.faults.len();
     while index > 0 {
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -1,7 +1,7 @@
 //! A store machine: the true state machine in a shell like that of the system's program.
 
 use crate::clock::Clock;
-use crate::event::{Connection, Effect, Happening, Payload, Target};
+use crate::event::{Connection, Effect, Payload, ProcessInput, Target};
 use crate::mechanism::{Mechanism, Mutant};
 use crate::store_disk::StoreDisk;
 use crate::MILLISECOND;
@@ -14,9 +14,9 @@
 use std::net::SocketAddr;
 
 /// Pause between two heartbeats to the core (microseconds).
-const HEARTBEAT: u64 = 100 * MILLISECOND;
+const HEARTBEAT_INTERVAL: u64 = 100 * MILLISECOND;
 /// Pause between two tellings of shards that were filled (microseconds).
-const TELL_FILLED: u64 = 500 * MILLISECOND;
+const FILLED_REPORT_INTERVAL: u64 = 500 * MILLISECOND;
 
 /// What does not change while the machine lives.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default)]
 struct Filled {
     shards: BTreeSet<FilledShard>,
-    tell_at: u64,
+    report_at: u64,
 }
 
 /// The running process of a store.
@@ -65,7 +65,7 @@
 }
 
 /// Gives the process its happenings together with what it works on.
-pub struct StoreScene<'a> {
+pub struct StoreContext<'a> {
     /// Steady clock of the machine (microseconds).
     pub now: u64,
     /// True time, for ages on the disk (microseconds).
@@ -109,7 +109,7 @@
     }
 
     /// Addresses to which a connection is wanted.
-    pub fn wanted(&self) -> Vec<Target> {
+    pub fn missing_connections(&self) -> Vec<Target> {
         let cores = self.cores.iter().filter(|address| !self.to_cores.contains_key(address)).copied();
         let others = self.placement.stores.iter();
         let above =
@@ -135,71 +135,71 @@
     }
 
     /// Whether others have taken all its shards.
-    pub fn may_go(&self, now: u64) -> bool {
+    pub fn can_leave(&self, now: u64) -> bool {
         self.node.health(now / MILLISECOND).serving == 0
     }
 
     /// Takes one happening and does what follows.
-    pub fn handle(&mut self, scene: &mut StoreScene<'_>, happening: Happening) {
-        match happening {
-            Happening::Dialed { connection, target } => self.on_dialed(scene, connection, target),
-            Happening::Accepted { .. } => {}
-            Happening::Closed { connection } => self.on_closed(scene, connection),
-            Happening::Arrived { connection, payload } => self.on_payload(scene, connection, payload),
-            Happening::Synced => {
-                if let Some(ticket) = scene.disk.end_sync() {
-                    self.give(scene, Input::Synced { ticket });
+    pub fn handle(&mut self, context: &mut StoreContext<'_>, input: ProcessInput) {
+        match input {
+            ProcessInput::Connected { connection, target } => self.on_dialed(context, connection, target),
+            ProcessInput::Accepted { .. } => {}
+            ProcessInput::Closed { connection } => self.on_closed(context, connection),
+            ProcessInput::Received { connection, payload } => self.on_payload(context, connection, payload),
+            ProcessInput::Synced => {
+                if let Some(ticket) = context.disk.end_sync() {
+                    self.feed_node(context, Input::Synced { ticket });
                 }
             }
-            Happening::Tick => {}
-            Happening::Leaving => {
-                self.give(scene, Input::Leaving);
+            ProcessInput::Tick => {}
+            ProcessInput::ShutdownRequested => {
+                self.feed_node(context, Input::Leaving);
                 self.heartbeat_at = 0;
             }
-            Happening::Called { .. } => {}
+            ProcessInput::OperatorCall { .. } => {}
         }
-        self.tick(scene);
+        self.tick(context);
     }
 
-    fn tick(&mut self, scene: &mut StoreScene<'_>) {
-        let now_ms = scene.now / MILLISECOND;
+    fn tick(&mut self, context: &mut StoreContext<'_>) {
+        let now_ms = context.now / MILLISECOND;
         if self.node.next_deadline().is_some_and(|due| due <= now_ms) {
-            self.give(scene, Input::Tick);
+            self.feed_node(context, Input::Tick);
         }
-        if self.heartbeat_at > scene.now {
+        if self.heartbeat_at > context.now {
             return;
         }
-        self.heartbeat_at = scene.now + HEARTBEAT;
+        self.heartbeat_at = context.now + HEARTBEAT_INTERVAL;
         let health = Some(self.node.health(now_ms));
-        self.tell_cores(scene, &ToCore::Heartbeat { health });
-        if !self.filled.shards.is_empty() && scene.now >= self.filled.tell_at {
-            self.filled.tell_at = scene.now + TELL_FILLED;
+        self.send_to_cores(context, &ToCore::Heartbeat { health });
+        if !self.filled.shards.is_empty() && context.now >= self.filled.report_at {
+            self.filled.report_at = context.now + FILLED_REPORT_INTERVAL;
             let shards = self.filled.shards.iter().copied().collect();
-            self.tell_cores(scene, &ToCore::CaughtUp { shards });
+            self.send_to_cores(context, &ToCore::CaughtUp { shards });
         }
     }
 
-    fn tell_cores(&self, scene: &mut StoreScene<'_>, message: &ToCore) {
+    fn send_to_cores(&self, context: &mut StoreContext<'_>, message: &ToCore) {
         for connection in self.to_cores.values() {
             let payload = Payload::ToCore(message.clone());
-            scene.effects.push(Effect::Send { connection: *connection, payload });
+            context.effects.push(Effect::Send { connection: *connection, payload });
         }
     }
 
-    fn on_dialed(&mut self, scene: &mut StoreScene<'_>, connection: Connection, target: Target) {
+    fn on_dialed(&mut self, context: &mut StoreContext<'_>, connection: Connection, target: Target) {
         let Some(store) = target.store else {
             self.to_cores.insert(target.address, connection);
-            return self.register(scene, connection);
+            return self.register(context, connection);
         };
         self.dialed.insert(store, connection);
         let hello = BetweenStores::Hello { store: self.settings.id, epoch: Epoch::default() };
         for payload in [Payload::Addressed { store }, Payload::Stores(hello)] {
-            scene.effects.push(Effect::Send { connection, payload });
+            context.effects.push(Effect::Send { connection, payload });
         }
-        self.give(scene, Input::StoreConnected { store });
+        self.feed_node(context, Input::StoreConnected { store });
     }
 
-    fn register(&mut self, scene: &mut StoreScene<'_>, connection: Connection) {
+    fn register(&mut self, context: &mut StoreContext<'_>, connection: Connection) {
         let StoreSettings { id, name, zone, address, .. } = self.settings.clone();
         let registrant = Registrant::Store { id, name, zone, address: Address(address), bootstrap: false };
         let message = ToCore::Register {
@@ -207,68 +207,68 @@
             configuration_version: self.configuration_version,
             placement_epoch: self.placement.epoch.0,
         };
-        scene.effects.push(Effect::Send { connection, payload: Payload::ToCore(message) });
+        context.effects.push(Effect::Send { connection, payload: Payload::ToCore(message) });
     }
 
-    fn on_closed(&mut self, scene: &mut StoreScene<'_>, connection: Connection) {
+    fn on_closed(&mut self, context: &mut StoreContext<'_>, connection: Connection) {
         self.to_cores.retain(|_, open| *open != connection);
         let dialed = self.dialed.iter().find(|(_, open)| **open == connection).map(|(store, _)| *store);
         if let Some(store) = dialed {
             self.dialed.remove(&store);
-            self.give(scene, Input::StoreClosed { store });
+            self.feed_node(context, Input::StoreClosed { store });
         }
         match self.inbound.remove(&connection) {
             Some(Inbound::Dispatcher) => {
                 let connection = ConnectionId(connection.0);
-                self.give(scene, Input::DispatcherClosed { connection });
+                self.feed_node(context, Input::DispatcherClosed { connection });
             }
             Some(Inbound::Store { id }) if self.accepted.get(&id) == Some(&connection) => {
                 self.accepted.remove(&id);
-                self.give(scene, Input::StoreClosed { store: id });
+                self.feed_node(context, Input::StoreClosed { store: id });
             }
             _ => {}
         }
     }
 
-    fn on_payload(&mut self, scene: &mut StoreScene<'_>, connection: Connection, payload: Payload) {
+    fn on_payload(&mut self, context: &mut StoreContext<'_>, connection: Connection, payload: Payload) {
         let caller = self.inbound.get(&connection).copied();
         match (payload, caller) {
-            (Payload::FromCore(message), _) => self.on_core(scene, connection, message),
+            (Payload::FromCore(message), _) => self.on_core(context, connection, message),
             (Payload::Addressed { store }, None) if store == self.settings.id => {
                 self.inbound.insert(connection, Inbound::Caller);
             }
             (Payload::Stores(message), None) => {
                 let from = self.dialed.iter().find(|(_, open)| **open == connection).map(|(id, _)| *id);
                 if let Some(from) = from {
-                    self.give(scene, Input::Store { from, message });
+                    self.feed_node(context, Input::Store { from, message });
                 }
             }
             (Payload::Stores(BetweenStores::Hello { store, .. }), Some(_)) => {
                 self.inbound.insert(connection, Inbound::Store { id: store });
                 if let Some(before) = self.accepted.insert(store, connection) {
-                    scene.effects.push(Effect::Close { connection: before });
+                    context.effects.push(Effect::Close { connection: before });
                 }
-                self.give(scene, Input::StoreConnected { store });
+                self.feed_node(context, Input::StoreConnected { store });
             }
             (Payload::Stores(message), Some(Inbound::Store { id })) => {
-                self.give(scene, Input::Store { from: id, message });
+                self.feed_node(context, Input::Store { from: id, message });
             }
             (Payload::FromDispatcher(message), Some(_)) => {
                 self.inbound.insert(connection, Inbound::Dispatcher);
                 let connection = ConnectionId(connection.0);
-                self.give(scene, Input::Dispatcher { connection, message });
+                self.feed_node(context, Input::Dispatcher { connection, message });
             }
             // Meant for a store whose disk this machine had before.
-            _ => scene.effects.push(Effect::Close { connection }),
+            _ => context.effects.push(Effect::Close { connection }),
         }
     }
 
-    fn on_core(&mut self, scene: &mut StoreScene<'_>, connection: Connection, message: FromCore) {
+    fn on_core(&mut self, context: &mut StoreContext<'_>, connection: Connection, message: FromCore) {
         match message {
             FromCore::Placement { placement } if placement.epoch > self.placement.epoch => {
-                self.follow(scene, &placement);
+                self.reconcile_connections(context, &placement);
                 self.placement = placement.clone();
-                self.give(scene, Input::Placement(placement));
+                self.feed_node(context, Input::Placement(placement));
                 self.heartbeat_at = 0;
             }
             FromCore::Configuration { configuration } => {
@@ -281,13 +281,13 @@
                     }
                 }
             }
-            FromCore::Redirect => scene.effects.push(Effect::Close { connection }),
+            FromCore::Redirect => context.effects.push(Effect::Close { connection }),
             _ => {}
         }
     }
 
     /// Connections with stores of the placement alone, and tellings of shards that are still learnt.
-    fn follow(&mut self, scene: &mut StoreScene<'_>, placement: &Placement) {
+    fn reconcile_connections(&mut self, context: &mut StoreContext<'_>, placement: &Placement) {
         let old = self.placement.clone();
         let stays = |id: &StoreId| {
             let address = |placement: &Placement| placement.store(*id).map(|store| store.address);
@@ -297,54 +297,55 @@
             self.dialed.iter().filter(|(id, _)| !stays(id)).map(|(id, open)| (*id, *open)).collect();
         for (store, connection) in gone {
             self.dialed.remove(&store);
-            scene.effects.push(Effect::Close { connection });
-            self.give(scene, Input::StoreClosed { store });
+            context.effects.push(Effect::Close { connection });
+            self.feed_node(context, Input::StoreClosed { store });
         }
-        let me = self.settings.id;
+        let self_id = self.settings.id;
         self.filled.shards.retain(|filled| {
             let change = placement.shard(filled.shard).and_then(|entry| entry.change);
-            let learns = change.is_some_and(|change| change.joins == me && change.epoch == filled.change);
+            let learns =
+                change.is_some_and(|change| change.joins == self_id && change.epoch == filled.change);
             learns || filled.change > placement.epoch
         });
     }
 
-    fn give(&mut self, scene: &mut StoreScene<'_>, input: Input) {
+    fn feed_node(&mut self, context: &mut StoreContext<'_>, input: Input) {
         let joins = matches!(&input, Input::Store { message: BetweenStores::Promise { .. }, .. });
         let mut output = Vec::new();
-        self.node.handle(scene.now / MILLISECOND, input, &mut output);
+        self.node.handle(context.now / MILLISECOND, input, &mut output);
         for action in output {
-            self.carry_out(scene, action, joins);
+            self.carry_out(context, action, joins);
         }
     }
 
-    fn carry_out(&mut self, scene: &mut StoreScene<'_>, action: Output, joins: bool) {
+    fn carry_out(&mut self, context: &mut StoreContext<'_>, action: Output, joins: bool) {
         match action {
             Output::Append { ticket, record } => {
                 let is_message = matches!(record, DiskRecord::Message { .. });
-                let forgets = joins && is_message && !self.mutant.has(Mechanism::JoinAppended);
+                let forgets = joins && is_message && !self.mutant.is_enabled(Mechanism::MergeAppended);
                 if forgets {
                     // Counted as held, and on no disk.
-                    return self.give(scene, Input::Synced { ticket });
+                    return self.feed_node(context, Input::Synced { ticket });
                 }
-                scene.disk.append(scene.true_now, ticket, record);
-                scene.effects.push(Effect::Sync);
+                context.disk.append(context.true_now, ticket, record);
+                context.effects.push(Effect::Sync);
             }
             Output::ToDispatcher { connection, message } => {
                 let (connection, payload) = (Connection(connection.0), Payload::ToDispatcher(message));
-                scene.effects.push(Effect::Send { connection, payload });
+                context.effects.push(Effect::Send { connection, payload });
             }
             Output::ToStore { store, message } => {
                 let open = self.dialed.get(&store).or_else(|| self.accepted.get(&store));
                 if let Some(connection) = open.copied() {
-                    scene.effects.push(Effect::Send { connection, payload: Payload::Stores(message) });
+                    context.effects.push(Effect::Send { connection, payload: Payload::Stores(message) });
                 }
             }
             Output::CloseDispatcher { connection } => {
-                scene.effects.push(Effect::Close { connection: Connection(connection.0) });
+                context.effects.push(Effect::Close { connection: Connection(connection.0) });
             }
             Output::CaughtUp { filled } => {
                 self.filled.shards.insert(filled);
-                self.filled.tell_at = 0;
+                self.filled.report_at = 0;
                 self.heartbeat_at = 0;
             }
             // Found lying and put right: the dispatcher's own checks tell whether it was late.
--- a/system/testing/simulation/src/world/links.rs
+++ b/system/testing/simulation/src/world/connections.rs
@@ -1,53 +1,59 @@
 //! Connections between machines: opened, used, and ended.
 
 use super::event::Event;
-use super::{World, LATE, WATCH_EVERY};
+use super::{World, CHECK_INTERVAL, LONG_DELAY};
 use crate::control_machine::ControlMachine;
 use crate::core_machine::CoreProcess;
 use crate::dispatcher::Dispatcher;
-use crate::event::{Connection, Happening, Payload, Target};
-use crate::place::Place;
+use crate::event::{Connection, Payload, ProcessInput, Target};
+use crate::machine_id::MachineId;
 use crate::store_machine::StoreProcess;
 use crate::MILLISECOND;
 
 /// A connection on which nothing comes for so long is taken for lost.
-const LINK_SILENCE: u64 = 1_600 * MILLISECOND;
+const CONNECTION_TIMEOUT: u64 = 1_600 * MILLISECOND;
 /// Time in which the other end learns of a reset.
-const NOTICE: std::ops::Range<u64> = 500..3_000;
+const CLOSE_NOTICE: std::ops::Range<u64> = 500..3_000;
 /// Time in which it may learn where messages come late.
-const LATE_NOTICE: std::ops::Range<u64> = 3_000..1_500_000;
+const DELAYED_CLOSE_NOTICE: std::ops::Range<u64> = 3_000..1_500_000;
 /// Where messages straggle, ended connections are forgotten in every so many rounds.
-const FORGET_EVERY: u64 = 20;
+const FORGET_CLOSED_EVERY: u64 = 20;
 
 impl<M: ControlMachine> World<M> {
     pub(super) fn dial(&mut self) {
-        let places: Vec<Place> = self.machines.keys().copied().collect();
-        for place in places {
-            if !self.runs(place) {
+        let machine_ids: Vec<MachineId> = self.machines.keys().copied().collect();
+        for machine_id in machine_ids {
+            if !self.is_running(machine_id) {
                 continue;
             }
-            let wanted = match place {
-                Place::Core(index) => self.cores[index].process.as_ref().map(CoreProcess::wanted),
-                Place::Store(index) => self.stores[index].process.as_ref().map(StoreProcess::wanted),
-                Place::Dispatcher(index) => self.dispatchers[index].process.as_ref().map(Dispatcher::wanted),
-                Place::Operator(_) => None,
+            let targets = match machine_id {
+                MachineId::Core(index) => {
+                    self.cores[index].process.as_ref().map(CoreProcess::missing_connections)
+                }
+                MachineId::Store(index) => {
+                    self.stores[index].process.as_ref().map(StoreProcess::missing_connections)
+                }
+                MachineId::Dispatcher(index) => {
+                    self.dispatchers[index].process.as_ref().map(Dispatcher::missing_connections)
+                }
+                MachineId::Operator(_) => None,
             };
-            for target in wanted.unwrap_or_default() {
-                self.connect(place, target);
+            for target in targets.unwrap_or_default() {
+                self.connect(machine_id, target);
             }
         }
     }
 
-    pub(super) fn connect(&mut self, place: Place, target: Target) {
+    pub(super) fn connect(&mut self, machine_id: MachineId, target: Target) {
         let Some(acceptor) = self.at_address(target.address) else { return };
-        if !self.is_up(acceptor) || !self.network.can_talk(place, acceptor, self.now) {
+        if !self.is_up(acceptor) || !self.network.can_communicate(machine_id, acceptor, self.now) {
             return;
         }
-        let connection = self.network.open(place, acceptor);
-        self.give(place, Happening::Dialed { connection, target });
+        let connection = self.network.open(machine_id, acceptor);
+        self.deliver(machine_id, ProcessInput::Connected { connection, target });
     }
 
-    pub(super) fn send(&mut self, from: Place, connection: Connection, payload: Payload) {
+    pub(super) fn send(&mut self, from: MachineId, connection: Connection, payload: Payload) {
         let Some(link) = self.network.link(connection).copied() else { return };
         if !link.is_open_at(from) {
             return;
@@ -57,12 +63,12 @@
         if let Payload::Core { .. } = payload {
             return self.send_between_cores(at, connection, to, payload);
         }
-        if matches!(to, Place::Dispatcher(_)) && self.random.f64() < self.plan.noise.after_close {
-            let late = at + self.random.u64(LATE);
+        if matches!(to, MachineId::Dispatcher(_)) && self.random.f64() < self.plan.fault_rates.after_close {
+            let late = at + self.random.u64(LONG_DELAY);
             let payload = payload.clone();
-            self.schedule(late, Event::Arrive { connection, to, payload, straggles: true });
+            self.schedule(late, Event::Arrive { connection, to, payload, after_close: true });
         }
-        self.schedule(at, Event::Arrive { connection, to, payload, straggles: false });
+        self.schedule(at, Event::Arrive { connection, to, payload, after_close: false });
     }
 
     /// What core machines say to each other may come late or twice.
@@ -70,79 +76,80 @@
         &mut self,
         at: u64,
         connection: Connection,
-        to: Place,
+        to: MachineId,
         payload: Payload,
     ) {
-        let late = self.random.f64() < self.plan.noise.late;
-        let at = if late { at + self.random.u64(LATE) } else { at };
-        if self.random.f64() < self.plan.noise.doubled {
-            let again = at + self.random.u64(LATE);
+        let late = self.random.f64() < self.plan.fault_rates.delayed;
+        let at = if late { at + self.random.u64(LONG_DELAY) } else { at };
+        if self.random.f64() < self.plan.fault_rates.duplicated {
+            let again = at + self.random.u64(LONG_DELAY);
             let payload = payload.clone();
-            self.schedule(again, Event::Arrive { connection, to, payload, straggles: false });
+            self.schedule(again, Event::Arrive { connection, to, payload, after_close: false });
         }
-        self.schedule(at, Event::Arrive { connection, to, payload, straggles: false });
+        self.schedule(at, Event::Arrive { connection, to, payload, after_close: false });
     }
 
     pub(super) fn arrive(
         &mut self,
-        order: u64,
+        sequence: u64,
         connection: Connection,
-        to: Place,
+        to: MachineId,
         payload: Payload,
-        straggles: bool,
+        after_close: bool,
     ) {
         let Some(link) = self.network.link(connection).copied() else { return };
         let passes_at = self.network.passes_at(link.other(to), to, self.now);
         if passes_at > self.now {
-            let event = Event::Arrive { connection, to, payload, straggles };
-            self.events.insert((passes_at, order), event);
+            let event = Event::Arrive { connection, to, payload, after_close };
+            self.events.insert((passes_at, sequence), event);
             return;
         }
-        if link.is_open_at(to) == straggles || !self.is_up(to) {
+        if link.is_open_at(to) == after_close || !self.is_up(to) {
             return;
         }
         self.steps += 1;
-        self.give(to, Happening::Arrived { connection, payload });
+        self.deliver(to, ProcessInput::Received { connection, payload });
     }
 
     /// One end closes a connection.
-    pub(super) fn close(&mut self, place: Place, connection: Connection) {
-        self.schedule(self.now, Event::Closed { connection, at: place });
-        self.notice_closed(connection, place);
+    pub(super) fn close(&mut self, machine_id: MachineId, connection: Connection) {
+        self.schedule(self.now, Event::Closed { connection, at: machine_id });
+        self.notice_closed(connection, machine_id);
     }
 
     /// The other end than `place` learns that a connection is closed.
-    pub(crate) fn notice_closed(&mut self, connection: Connection, place: Place) {
+    pub(crate) fn notice_closed(&mut self, connection: Connection, machine_id: MachineId) {
         let Some(link) = self.network.link(connection).copied() else { return };
-        let late = self.random.f64() < self.plan.noise.late;
-        let after = self.random.u64(if late { LATE_NOTICE } else { NOTICE });
-        self.schedule(self.now + after, Event::Closed { connection, at: link.other(place) });
+        let late = self.random.f64() < self.plan.fault_rates.delayed;
+        let after = self.random.u64(if late { DELAYED_CLOSE_NOTICE } else { CLOSE_NOTICE });
+        self.schedule(self.now + after, Event::Closed { connection, at: link.other(machine_id) });
     }
 
-    pub(super) fn closed(&mut self, connection: Connection, at: Place) {
+    pub(super) fn closed(&mut self, connection: Connection, at: MachineId) {
         let Some(link) = self.network.link_mut(connection).filter(|link| link.is_open_at(at)) else { return };
         link.close_at(at);
-        self.give(at, Happening::Closed { connection });
+        self.deliver(at, ProcessInput::Closed { connection });
     }
 
     /// Ends connections on which nothing passes for long, and forgets those that have ended.
-    pub(super) fn drop_silent_links(&mut self) {
+    pub(super) fn close_blocked_connections(&mut self) {
         for connection in self.network.connections() {
             let Some(link) = self.network.link(connection).copied() else { continue };
             let (one, other) = (link.dialer, link.acceptor);
-            let blocked =
-                !self.network.can_talk(one, other, self.now) || !self.runs(one) || !self.runs(other);
+            let blocked = !self.network.can_communicate(one, other, self.now)
+                || !self.is_running(one)
+                || !self.is_running(other);
             let since = link.blocked_since.filter(|_| blocked).or(blocked.then_some(self.now));
             if let Some(link) = self.network.link_mut(connection) {
                 link.blocked_since = since;
             }
-            if since.is_some_and(|since| self.now - since >= LINK_SILENCE) {
+            if since.is_some_and(|since| self.now - since >= CONNECTION_TIMEOUT) {
                 self.notice_closed(connection, one);
                 self.notice_closed(connection, other);
             }
         }
-        let rounds = self.now / WATCH_EVERY;
-        if self.plan.noise.after_close == 0.0 || rounds.is_multiple_of(FORGET_EVERY) {
+        let rounds = self.now / CHECK_INTERVAL;
+        if self.plan.fault_rates.after_close == 0.0 || rounds.is_multiple_of(FORGET_CLOSED_EVERY) {
             self.network.forget_closed();
         }
     }
--- a/system/testing/simulation/src/world/event.rs
+++ b/system/testing/simulation/src/world/event.rs
@@ -1,8 +1,8 @@
 //! What is scheduled to happen in the world.
 
-use crate::event::{Call, Connection, Payload, Process};
-use crate::history::{Answer, Order};
-use crate::place::Place;
+use crate::event::{Call, Connection, Payload, ProcessId};
+use crate::history::{Request, Response};
+use crate::machine_id::MachineId;
 use millrudder_chain::PersistToken;
 
 #[derive(Clone, Debug)]
@@ -10,48 +10,48 @@
     /// What `straggles` arrives only on a connection that has ended.
     Arrive {
         connection: Connection,
-        to: Place,
+        to: MachineId,
         payload: Payload,
-        straggles: bool,
+        after_close: bool,
     },
     Closed {
         connection: Connection,
-        at: Place,
+        at: MachineId,
     },
     Synced {
-        process: Process,
+        process: ProcessId,
         token: Option<PersistToken>,
     },
     Tick {
-        process: Process,
+        process: ProcessId,
         at: u64,
     },
     Start {
-        place: Place,
+        machine_id: MachineId,
     },
     /// The process ends once the others can do without it, and at a time at the latest.
     End {
-        process: Process,
-        down: u64,
+        process: ProcessId,
+        downtime: u64,
         latest: u64,
     },
-    Strike(usize),
+    InjectFault(usize),
     Dial,
-    Watch,
+    CheckInvariants,
     OperatorTurn {
         operator: usize,
     },
     CallArrives {
         call: Call,
-        at: Place,
-        order: Order,
+        at: MachineId,
+        request: Request,
     },
-    AnswerArrives {
+    ResponseArrives {
         call: Call,
         operator: usize,
-        answer: Answer,
+        response: Response,
     },
-    CallSilent {
+    CallTimedOut {
         call: Call,
         operator: usize,
     },
@@ -59,11 +59,11 @@
 
 impl Event {
     /// The place that must not stand still for this event to happen.
-    pub(super) fn needs(&self) -> Option<Place> {
+    pub(super) fn needs(&self) -> Option<MachineId> {
         match self {
             Event::Arrive { to, .. } => Some(*to),
             Event::Closed { at, .. } | Event::CallArrives { at, .. } => Some(*at),
-            Event::Synced { process, .. } | Event::Tick { process, .. } => Some(process.place),
+            Event::Synced { process, .. } | Event::Tick { process, .. } => Some(process.machine_id),
             _ => None,
         }
     }
--- a/system/testing/simulation/src/world/mod.rs
+++ b/system/testing/simulation/src/world/mod.rs
@@ -1,8 +1,8 @@
 //! The simulated world: one event at a time, in the order of time.
 
-mod calls;
+mod connections;
 mod event;
-mod links;
+mod operator_calls;
 mod processes;
 
 use self::event::Event;
@@ -11,14 +11,14 @@
 use crate::control_machine::ControlMachine;
 use crate::core_machine::CoreMachine;
 use crate::dispatcher::Dispatcher;
-use crate::event::{Call, Process};
-use crate::fault::{Fault, PlannedFault, When};
-use crate::history::Order;
+use crate::event::{Call, ProcessId};
+use crate::fault::{Fault, PlannedFault, Trigger};
+use crate::history::Request;
+use crate::machine_id::MachineId;
 use crate::network::Network;
 use crate::operator::Operator;
-use crate::place::Place;
 use crate::plan::Plan;
-use crate::reachability::Learning;
+use crate::recovery::PropagationTracker;
 use crate::store_disk::StoreDisk;
 use crate::store_machine::StoreMachine;
 use crate::violation::Violation;
@@ -31,28 +31,28 @@
 use std::net::SocketAddr;
 
 /// Pause between two rounds in which connections are dialed.
-const DIAL_EVERY: u64 = 40 * MILLISECOND;
+const DIAL_INTERVAL: u64 = 40 * MILLISECOND;
 /// Pause between two looks whether a process that was told to stop may go.
-const LOOK_EVERY: u64 = 20 * MILLISECOND;
+const LEAVE_POLL_INTERVAL: u64 = 20 * MILLISECOND;
 /// Delay of what is held up.
-const LATE: std::ops::Range<u64> = 3_000..2_000_000;
+const LONG_DELAY: std::ops::Range<u64> = 3_000..2_000_000;
 /// Pause between two looks at what must hold of the whole.
-const WATCH_EVERY: u64 = 100 * MILLISECOND;
+const CHECK_INTERVAL: u64 = 100 * MILLISECOND;
 /// The largest difference of a clock's rate from true time, in parts per million.
 const CLOCK_RATE_PPM: u64 = 500;
 /// The founding must be done by then.
-const FOUNDED_WITHIN: u64 = 20 * SECOND;
+const BOOTSTRAP_TIMEOUT: u64 = 20 * SECOND;
 /// Names of the first disks of stores; each further disk of a machine has a higher one.
-const FIRST_STORE: u64 = 100;
+const FIRST_STORE_ID: u64 = 100;
 /// Faults that are planned for a step which has not come by then are left out.
-const STEPS_WITHIN: u64 = 10 * SECOND;
+const STEP_FAULT_TIMEOUT: u64 = 10 * SECOND;
 /// How long the last checks go on after all is well again.
-const AFTERWARDS: u64 = 400 * MILLISECOND;
+const FINAL_RUN: u64 = 400 * MILLISECOND;
 
 /// What is the same of every machine.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Machine {
-    pub life: u32,
+pub(crate) struct MachineState {
+    pub incarnation: u32,
     pub frozen_until: u64,
     pub slow_until: u64,
     pub sync_free_at: u64,
@@ -80,51 +80,53 @@
     pub(crate) stores: Vec<StoreMachine>,
     pub(crate) dispatchers: Vec<DispatcherMachine>,
     pub(crate) operators: Vec<Operator>,
-    pub(crate) machines: BTreeMap<Place, Machine>,
+    pub(crate) machines: BTreeMap<MachineId, MachineState>,
     pub(crate) network: Network,
     events: BTreeMap<(u64, u64), Event>,
-    order: u64,
-    calls: BTreeMap<Call, (usize, usize, Order)>,
+    sequence: u64,
+    calls: BTreeMap<Call, (usize, usize, Request)>,
     next_call: u64,
     pub now: u64,
     /// Deliveries and syncs so far.
     pub steps: u64,
-    pub events_played: u64,
+    pub processed_events: u64,
     pub checks: Checks,
-    pub(crate) learning: Learning,
+    pub(crate) propagation: PropagationTracker,
     /// The newest placement that any core machine has held.
     pub(crate) newest_placement: Placement,
-    pub(crate) lose_answers_until: u64,
-    struck: Vec<bool>,
+    pub(crate) lose_responses_until: u64,
+    injected: Vec<bool>,
     /// When the last fault ends.
     pub faults_end: u64,
     pub(crate) violation: Option<Violation>,
-    founding: bool,
+    bootstrapping: bool,
 }
 
 impl<M: ControlMachine> World<M> {
     /// A world in which nothing has happened yet.
     pub fn new(plan: Plan) -> World<M> {
         let mut random = fastrand::Rng::with_seed(plan.seed ^ 0x5eed);
-        let shape = plan.shape;
+        let cluster_size = plan.cluster_size;
         let mut clock = || Clock {
             offset: random.u64(0..1_000 * SECOND),
             rate_ppm: random.u64(0..CLOCK_RATE_PPM),
-            stood_still: 0,
+            stalled: 0,
         };
         let core =
             |clock| CoreMachine { process: None, disk: SimulatedDisk::default(), clock, lost_a_disk: false };
-        let cores = (0..shape.cores).map(|_| core(clock())).collect();
+        let cores = (0..cluster_size.cores).map(|_| core(clock())).collect();
         let store = |(index, clock)| StoreMachine {
             process: None,
             disk: StoreDisk::default(),
             clock,
-            id: StoreId(FIRST_STORE + index as u64),
+            id: StoreId(FIRST_STORE_ID + index as u64),
         };
-        let stores = (0..shape.stores).map(|index| store((index, clock()))).collect();
-        let dispatchers =
-            (0..shape.dispatchers).map(|_| DispatcherMachine { process: None, clock: clock() }).collect();
-        let operators = (0..shape.operators).map(|index| Operator::new(index, plan.load.operator_pace));
+        let stores = (0..cluster_size.stores).map(|index| store((index, clock()))).collect();
+        let dispatchers = (0..cluster_size.dispatchers)
+            .map(|_| DispatcherMachine { process: None, clock: clock() })
+            .collect();
+        let operators =
+            (0..cluster_size.operators).map(|index| Operator::new(index, plan.load.max_operator_pause));
         let operators = operators.collect();
         let mut world = World {
             random,
@@ -135,23 +137,23 @@
             machines: BTreeMap::new(),
             network: Network::default(),
             events: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             calls: BTreeMap::new(),
             next_call: 0,
             now: 0,
             steps: 0,
-            events_played: 0,
+            processed_events: 0,
             checks: Checks::default(),
-            learning: Learning::default(),
+            propagation: PropagationTracker::default(),
             newest_placement: Placement::default(),
-            lose_answers_until: 0,
-            struck: Vec::new(),
+            lose_responses_until: 0,
+            injected: Vec::new(),
             faults_end: 0,
             violation: None,
-            founding: true,
+            bootstrapping: true,
             plan,
         };
-        world.set_the_scene();
+        world.schedule_first_events();
         world
     }
 
@@ -159,15 +161,15 @@
     ///
     /// # Errors
     /// A promise was broken, or it was not founded in time.
-    pub fn founded(plan: Plan) -> Result<World<M>, Violation> {
+    pub fn bootstrapped(plan: Plan) -> Result<World<M>, Violation> {
         let mut world = World::new(Plan { faults: Vec::new(), ..plan.clone() });
-        while !world.is_well_since(0) {
-            if world.now > FOUNDED_WITHIN {
-                return Err(Violation::Stuck { what: "the founding is not done", at: world.now });
+        while !world.has_recovered_since(0) {
+            if world.now > BOOTSTRAP_TIMEOUT {
+                return Err(Violation::NotRecovered { what: "the bootstrapping is not done", at: world.now });
             }
-            world.run_until(world.now + WATCH_EVERY)?;
+            world.run_until(world.now + CHECK_INTERVAL)?;
         }
-        world.founding = false;
+        world.bootstrapping = false;
         world.resume(plan);
         Ok(world)
     }
@@ -175,15 +177,15 @@
     /// Goes on from here with other faults, load and chance.
     pub fn resume(&mut self, plan: Plan) {
         self.random = fastrand::Rng::with_seed(plan.seed ^ self.now);
-        self.struck = vec![false; plan.faults.len()];
+        self.injected = vec![false; plan.faults.len()];
         self.faults_end = self.now;
-        self.founding = false;
+        self.bootstrapping = false;
         for operator in &mut self.operators {
-            operator.pace = plan.load.operator_pace;
+            operator.max_pause = plan.load.max_operator_pause;
         }
         for (index, planned) in plan.faults.iter().enumerate() {
-            if let When::At(at) | When::WhenWhole(at) = planned.when {
-                self.schedule(at, Event::Strike(index));
+            if let Trigger::At(at) | Trigger::OnceComplete(at) = planned.trigger {
+                self.schedule(at, Event::InjectFault(index));
             }
         }
         self.plan = plan;
@@ -204,21 +206,24 @@
         }
     }
 
-    fn set_the_scene(&mut self) {
-        let shape = self.plan.shape;
-        let places = (0..shape.cores).map(Place::Core).chain((0..shape.stores).map(Place::Store));
-        let places: Vec<Place> = places.chain((0..shape.dispatchers).map(Place::Dispatcher)).collect();
-        for place in places {
-            self.machines.insert(place, Machine::default());
+    fn schedule_first_events(&mut self) {
+        let cluster_size = self.plan.cluster_size;
+        let machine_ids = (0..cluster_size.cores)
+            .map(MachineId::Core)
+            .chain((0..cluster_size.stores).map(MachineId::Store));
+        let machine_ids: Vec<MachineId> =
+            machine_ids.chain((0..cluster_size.dispatchers).map(MachineId::Dispatcher)).collect();
+        for machine_id in machine_ids {
+            self.machines.insert(machine_id, MachineState::default());
             let at = self.random.u64(0..100 * MILLISECOND);
-            self.schedule(at, Event::Start { place });
+            self.schedule(at, Event::Start { machine_id });
         }
         self.schedule(0, Event::Dial);
-        self.schedule(WATCH_EVERY, Event::Watch);
-        for operator in 0..shape.operators {
+        self.schedule(CHECK_INTERVAL, Event::CheckInvariants);
+        for operator in 0..cluster_size.operators {
             self.schedule(2 * SECOND, Event::OperatorTurn { operator });
         }
-        self.struck = vec![false; self.plan.faults.len()];
+        self.injected = vec![false; self.plan.faults.len()];
     }
 
     /// Plays the plan: all faults, the recovery after them, and the last checks.
@@ -226,46 +231,48 @@
     /// # Errors
     /// A promise was broken, or things were not well again in time.
     pub fn play(&mut self) -> Result<(), Violation> {
-        let latest = self.plan.faults.iter().filter_map(|planned| match planned.when {
-            When::At(at) | When::WhenWhole(at) => Some(at),
-            When::Step(_) => None,
+        let latest = self.plan.faults.iter().filter_map(|planned| match planned.trigger {
+            Trigger::At(at) | Trigger::OnceComplete(at) => Some(at),
+            Trigger::Step(_) => None,
         });
         let latest = latest.max().unwrap_or_default().max(self.now);
         while self.now <= latest {
-            self.run_until(self.now + WATCH_EVERY)?;
+            self.run_until(self.now + CHECK_INTERVAL)?;
         }
-        let given_up = self.now + STEPS_WITHIN;
-        while self.now < given_up && self.waits_for_step() {
-            self.run_until(self.now + WATCH_EVERY)?;
+        let deadline = self.now + STEP_FAULT_TIMEOUT;
+        while self.now < deadline && self.waits_for_step() {
+            self.run_until(self.now + CHECK_INTERVAL)?;
         }
         self.recover()?;
-        self.run_until(self.now + AFTERWARDS)?;
+        self.run_until(self.now + FINAL_RUN)?;
         self.checks.check_history()
     }
 
     /// Whether a fault has not struck that is planned for a step.
     fn waits_for_step(&self) -> bool {
-        let planned = self.plan.faults.iter().zip(&self.struck);
-        planned.into_iter().any(|(planned, struck)| !struck && matches!(planned.when, When::Step(_)))
+        let planned = self.plan.faults.iter().zip(&self.injected);
+        planned
+            .into_iter()
+            .any(|(planned, injected)| !injected && matches!(planned.trigger, Trigger::Step(_)))
     }
 
     /// Waits until all is well after the last fault.
     fn recover(&mut self) -> Result<(), Violation> {
         loop {
-            self.run_until(self.now + WATCH_EVERY)?;
+            self.run_until(self.now + CHECK_INTERVAL)?;
             let since = self.faults_end;
             if self.now >= since {
                 // Operators who hear nothing send nothing new, by which the system could show that it is well.
-                self.plan.noise.lost_answers = 0.0;
+                self.plan.fault_rates.lost_responses = 0.0;
             }
-            if self.now >= since && self.is_well_since(since) {
+            if self.now >= since && self.has_recovered_since(since) {
                 return Ok(());
             }
-            if self.now > since + self.plan.recovery {
-                let what = self.what_is_unwell(since).unwrap_or("unknown");
+            if self.now > since + self.plan.recovery_timeout {
+                let what = self.unrecovered_since(since).unwrap_or("unknown");
                 // What was answered wrongly tells more than that something hangs.
                 self.checks.check_history()?;
-                return Err(Violation::Stuck { what, at: self.now });
+                return Err(Violation::NotRecovered { what, at: self.now });
             }
         }
     }
@@ -284,23 +291,23 @@
     ///
     /// # Errors
     /// A promise was broken, or it takes longer than a recovery may.
-    pub fn run_until_made_up(&mut self) -> Result<(), Violation> {
-        let until = self.now + self.plan.recovery;
+    pub fn run_until_disk_restored(&mut self) -> Result<(), Violation> {
+        let until = self.now + self.plan.recovery_timeout;
         let mut lost = false;
         while self.step_before(until)? {
-            self.note_placement();
-            self.note_made_up_disks();
+            self.update_newest_placement();
+            self.update_restored_disks();
             let lacks = self.machines.values().any(|machine| machine.disk_lost);
             if lost && !lacks {
                 return Ok(());
             }
             lost |= lacks;
         }
-        Err(Violation::Stuck { what: "a lost disk is not made up for", at: self.now })
+        Err(Violation::NotRecovered { what: "a lost disk is not made up for", at: self.now })
     }
 
     /// Changes of the configuration that operators had acknowledged.
-    pub fn orders_accepted(&self) -> usize {
+    pub fn accepted_changes(&self) -> usize {
         self.operators.iter().map(Operator::accepted).sum()
     }
 
@@ -312,20 +319,22 @@
         let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= until) else {
             return Ok(false);
         };
-        let (at, order) = *entry.key();
+        let (at, sequence) = *entry.key();
         let event = entry.remove();
         self.now = self.now.max(at);
-        self.events_played += 1;
-        let thaws =
-            event.needs().and_then(|place| self.machines.get(&place)).map_or(0, |one| one.frozen_until);
+        self.processed_events += 1;
+        let thaws = event
+            .needs()
+            .and_then(|machine_id| self.machines.get(&machine_id))
+            .map_or(0, |one| one.frozen_until);
         if thaws > self.now {
-            self.events.insert((thaws, order), event);
+            self.events.insert((thaws, sequence), event);
             return Ok(true);
         }
         let steps = self.steps;
-        self.happen(order, event);
+        self.process_event(sequence, event);
         if self.steps != steps {
-            self.strike_at_step();
+            self.inject_at_step();
         }
         match self.violation.take() {
             Some(violation) => Err(violation),
@@ -333,137 +342,147 @@
         }
     }
 
-    pub(crate) fn schedule_start(&mut self, place: Place, at: u64) {
-        self.machine(place).starts_at = Some(at);
-        self.schedule(at, Event::Start { place });
+    pub(crate) fn schedule_start(&mut self, machine_id: MachineId, at: u64) {
+        self.machine(machine_id).starts_at = Some(at);
+        self.schedule(at, Event::Start { machine_id });
     }
 
-    pub(crate) fn schedule_end(&mut self, place: Place, at: u64, down: u64, latest: u64) {
-        let process = self.process_of(place);
-        self.schedule(at, Event::End { process, down, latest });
+    pub(crate) fn schedule_end(&mut self, machine_id: MachineId, at: u64, downtime: u64, latest: u64) {
+        let process = self.process_of(machine_id);
+        self.schedule(at, Event::End { process, downtime, latest });
     }
 
     /// A process that was told to stop ends.
-    fn end(&mut self, process: Process, down: u64, latest: u64) {
-        let place = process.place;
-        if self.process_of(place) != process || !self.is_up(place) {
+    fn end(&mut self, process: ProcessId, downtime: u64, latest: u64) {
+        let machine_id = process.machine_id;
+        if self.process_of(machine_id) != process || !self.is_up(machine_id) {
             return;
         }
-        if self.now < latest && !self.may_go(place) {
-            return self.schedule(self.now + LOOK_EVERY, Event::End { process, down, latest });
+        if self.now < latest && !self.can_leave(machine_id) {
+            return self.schedule(self.now + LEAVE_POLL_INTERVAL, Event::End { process, downtime, latest });
         }
-        self.strike(&Fault::Kill { place, down });
+        self.inject(&Fault::Kill { machine_id, downtime });
     }
 
-    fn may_go(&self, place: Place) -> bool {
-        let now = self.clock(place).local(self.now);
-        match place {
-            Place::Core(index) => self.cores[index].process.as_ref().is_some_and(|one| one.may_go(now)),
-            Place::Store(index) => self.stores[index].process.as_ref().is_some_and(|one| one.may_go(now)),
+    fn can_leave(&self, machine_id: MachineId) -> bool {
+        let now = self.clock(machine_id).local(self.now);
+        match machine_id {
+            MachineId::Core(index) => {
+                self.cores[index].process.as_ref().is_some_and(|one| one.can_leave(now))
+            }
+            MachineId::Store(index) => {
+                self.stores[index].process.as_ref().is_some_and(|one| one.can_leave(now))
+            }
             _ => true,
         }
     }
 
     fn schedule(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        self.events.insert((at.max(self.now), self.order), event);
+        self.sequence += 1;
+        self.events.insert((at.max(self.now), self.sequence), event);
     }
 
-    pub(crate) fn machine(&mut self, place: Place) -> &mut Machine {
-        self.machines.entry(place).or_default()
+    pub(crate) fn machine(&mut self, machine_id: MachineId) -> &mut MachineState {
+        self.machines.entry(machine_id).or_default()
     }
 
-    pub(crate) fn process_of(&self, place: Place) -> Process {
-        Process { place, life: self.machines.get(&place).map_or(0, |machine| machine.life) }
+    pub(crate) fn process_of(&self, machine_id: MachineId) -> ProcessId {
+        ProcessId {
+            machine_id,
+            incarnation: self.machines.get(&machine_id).map_or(0, |machine| machine.incarnation),
+        }
     }
 
     /// Whether a process runs at a place, frozen or not.
-    pub fn is_up(&self, place: Place) -> bool {
-        match place {
-            Place::Core(index) => self.cores[index].process.is_some(),
-            Place::Store(index) => self.stores[index].process.is_some(),
-            Place::Dispatcher(index) => self.dispatchers[index].process.is_some(),
-            Place::Operator(_) => true,
+    pub fn is_up(&self, machine_id: MachineId) -> bool {
+        match machine_id {
+            MachineId::Core(index) => self.cores[index].process.is_some(),
+            MachineId::Store(index) => self.stores[index].process.is_some(),
+            MachineId::Dispatcher(index) => self.dispatchers[index].process.is_some(),
+            MachineId::Operator(_) => true,
         }
     }
 
     /// Whether a process runs at a place and is not frozen.
-    pub(crate) fn runs(&self, place: Place) -> bool {
-        self.is_up(place) && self.machines.get(&place).is_some_and(|machine| machine.frozen_until <= self.now)
+    pub(crate) fn is_running(&self, machine_id: MachineId) -> bool {
+        self.is_up(machine_id)
+            && self.machines.get(&machine_id).is_some_and(|machine| machine.frozen_until <= self.now)
     }
 
-    pub(crate) fn address(&self, place: Place) -> SocketAddr {
-        place.address(self.machines.get(&place).map_or(0, |machine| machine.generation))
+    pub(crate) fn address(&self, machine_id: MachineId) -> SocketAddr {
+        machine_id.address(self.machines.get(&machine_id).map_or(0, |machine| machine.generation))
     }
 
-    fn at_address(&self, address: SocketAddr) -> Option<Place> {
-        self.machines.keys().copied().find(|place| self.address(*place) == address)
+    fn at_address(&self, address: SocketAddr) -> Option<MachineId> {
+        self.machines.keys().copied().find(|machine_id| self.address(*machine_id) == address)
     }
 
-    fn happen(&mut self, order: u64, event: Event) {
+    fn process_event(&mut self, sequence: u64, event: Event) {
         match event {
-            Event::Arrive { connection, to, payload, straggles } => {
-                self.arrive(order, connection, to, payload, straggles);
+            Event::Arrive { connection, to, payload, after_close } => {
+                self.arrive(sequence, connection, to, payload, after_close);
             }
             Event::Closed { connection, at } => self.closed(connection, at),
             Event::Synced { process, token } => self.synced(process, token),
             Event::Tick { process, at } => self.tick(process, at),
-            Event::Start { place } => self.start(place),
-            Event::End { process, down, latest } => self.end(process, down, latest),
-            Event::Strike(index) => self.strike_planned(index),
+            Event::Start { machine_id } => self.start(machine_id),
+            Event::End { process, downtime, latest } => self.end(process, downtime, latest),
+            Event::InjectFault(index) => self.inject_planned(index),
             Event::Dial => {
                 self.dial();
-                self.schedule(self.now + DIAL_EVERY, Event::Dial);
+                self.schedule(self.now + DIAL_INTERVAL, Event::Dial);
             }
-            Event::Watch => {
-                self.watch();
-                self.schedule(self.now + WATCH_EVERY, Event::Watch);
+            Event::CheckInvariants => {
+                self.check_invariants();
+                self.schedule(self.now + CHECK_INTERVAL, Event::CheckInvariants);
             }
             Event::OperatorTurn { operator } => self.operator_calls(operator),
-            Event::CallArrives { call, at, order } => self.call_arrives(call, at, order),
-            Event::AnswerArrives { call, operator, answer } => self.answer_arrives(call, operator, answer),
-            Event::CallSilent { call, operator } => self.call_silent(call, operator),
+            Event::CallArrives { call, at, request } => self.call_arrives(call, at, request),
+            Event::ResponseArrives { call, operator, response } => {
+                self.response_arrives(call, operator, response)
+            }
+            Event::CallTimedOut { call, operator } => self.call_timed_out(call, operator),
         }
     }
 
-    fn strike_planned(&mut self, index: usize) {
-        let PlannedFault { when, fault } = self.plan.faults[index].clone();
-        if matches!(when, When::WhenWhole(_)) && !self.is_whole() {
+    fn inject_planned(&mut self, index: usize) {
+        let PlannedFault { trigger, fault } = self.plan.faults[index].clone();
+        if matches!(trigger, Trigger::OnceComplete(_)) && !self.is_complete() {
             // Where it never becomes whole, the fault is left out.
-            if self.now < self.faults_end + self.plan.recovery {
-                self.schedule(self.now + 10 * MILLISECOND, Event::Strike(index));
+            if self.now < self.faults_end + self.plan.recovery_timeout {
+                self.schedule(self.now + 10 * MILLISECOND, Event::InjectFault(index));
                 self.faults_end = self.faults_end.max(self.now);
             }
             return;
         }
-        self.strike_once(index, &fault);
+        self.inject_once(index, &fault);
     }
 
-    fn strike_once(&mut self, index: usize, fault: &Fault) {
-        if std::mem::replace(&mut self.struck[index], true) {
+    fn inject_once(&mut self, index: usize, fault: &Fault) {
+        if std::mem::replace(&mut self.injected[index], true) {
             return;
         }
-        self.strike(fault);
+        self.inject(fault);
     }
 
-    fn strike_at_step(&mut self) {
+    fn inject_at_step(&mut self) {
         for index in 0..self.plan.faults.len() {
-            let PlannedFault { when, fault } = &self.plan.faults[index];
-            if *when == When::Step(self.steps) {
+            let PlannedFault { trigger, fault } = &self.plan.faults[index];
+            if *trigger == Trigger::Step(self.steps) {
                 let fault = fault.clone();
-                self.strike_once(index, &fault);
+                self.inject_once(index, &fault);
             }
         }
     }
 
-    fn watch(&mut self) {
-        self.drop_silent_links();
-        self.note_placement();
-        if self.founding {
+    fn check_invariants(&mut self) {
+        self.close_blocked_connections();
+        self.update_newest_placement();
+        if self.bootstrapping {
             return;
         }
-        self.note_made_up_disks();
-        let checked = self.check_learning().and_then(|()| self.check_messages());
+        self.update_restored_disks();
+        let checked = self.check_propagation().and_then(|()| self.check_messages());
         if let Err(violation) = checked {
             self.violation.get_or_insert(violation);
         }
