--- a/system/testing/simulation/src/world/processes.rs
+++ b/system/testing/simulation/src/world/processes.rs
@@ -4,61 +4,61 @@
 use super::World;
 use crate::clock::Clock;
 use crate::control_machine::ControlMachine;
-use crate::core_machine::{CoreMachine, CoreProcess, CoreScene, CoreSettings};
-use crate::dispatcher::{Dispatcher, DispatcherScene, DispatcherSettings};
-use crate::event::{Effect, Happening, Process};
-use crate::place::Place;
+use crate::core_machine::{CoreContext, CoreMachine, CoreProcess, CoreSettings};
+use crate::dispatcher::{Dispatcher, DispatcherContext, DispatcherSettings};
+use crate::event::{Effect, ProcessId, ProcessInput};
+use crate::machine_id::MachineId;
 use crate::store_disk::StoreDisk;
-use crate::store_machine::{StoreMachine, StoreProcess, StoreScene, StoreSettings};
+use crate::store_machine::{StoreContext, StoreMachine, StoreProcess, StoreSettings};
 use crate::MILLISECOND;
 use millrudder_chain::PersistToken;
 use millrudder_protocol::{DispatcherId, StoreId};
 use std::net::SocketAddr;
 
 /// Time of a sync.
-const SYNC: std::ops::Range<u64> = 1_500..6_000;
+const SYNC_TIME: std::ops::Range<u64> = 1_500..6_000;
 /// Time of a sync of a slow disk.
-const SLOW_SYNC: std::ops::Range<u64> = 50 * MILLISECOND..600 * MILLISECOND;
+const SLOW_SYNC_TIME: std::ops::Range<u64> = 50 * MILLISECOND..600 * MILLISECOND;
 /// How late a timer may go off.
-const LATENESS: std::ops::Range<u64> = 0..2_000;
+const TIMER_DELAY: std::ops::Range<u64> = 0..2_000;
 /// Between two disks of the same machine.
-const NEXT_DISK: u64 = 1_000;
+const DISK_ID_STEP: u64 = 1_000;
 
 impl<M: ControlMachine> World<M> {
-    pub(super) fn start(&mut self, place: Place) {
-        if self.is_up(place) {
+    pub(super) fn start(&mut self, machine_id: MachineId) {
+        if self.is_up(machine_id) {
             return;
         }
-        for connection in self.network.touching(place) {
-            if self.network.link(connection).is_some_and(|link| !link.is_open_at(place)) {
-                self.notice_closed(connection, place);
+        for connection in self.network.connections_of(machine_id) {
+            if self.network.link(connection).is_some_and(|link| !link.is_open_at(machine_id)) {
+                self.notice_closed(connection, machine_id);
             }
         }
         let (now, seed) = (self.now, self.random.u64(..));
-        let machine = self.machine(place);
-        machine.life += 1;
+        let machine = self.machine(machine_id);
+        machine.incarnation += 1;
         machine.tick_at = None;
         machine.sync_free_at = now;
         machine.starts_at = None;
-        match place {
-            Place::Core(index) => self.start_core(index, seed),
-            Place::Store(index) => self.start_store(index, seed),
-            Place::Dispatcher(index) => self.start_dispatcher(index, seed),
-            Place::Operator(_) => {}
+        match machine_id {
+            MachineId::Core(index) => self.start_core(index, seed),
+            MachineId::Store(index) => self.start_store(index, seed),
+            MachineId::Dispatcher(index) => self.start_dispatcher(index, seed),
+            MachineId::Operator(_) => {}
         }
-        self.give(place, Happening::Tick);
+        self.deliver(machine_id, ProcessInput::Tick);
     }
 
     pub(super) fn core_addresses(&self) -> Vec<SocketAddr> {
-        (0..self.cores.len()).map(|index| self.address(Place::Core(index))).collect()
+        (0..self.cores.len()).map(|index| self.address(MachineId::Core(index))).collect()
     }
 
     pub(super) fn start_core(&mut self, index: usize, seed: u64) {
         let settings = CoreSettings {
-            address: self.address(Place::Core(index)),
+            address: self.address(MachineId::Core(index)),
             seeds: self.core_addresses(),
             bootstrap: !self.cores[index].lost_a_disk,
-            tolerated_losses: self.plan.shape.tolerated_losses,
+            tolerated_losses: self.plan.cluster_size.tolerated_losses,
         };
         let (now, mutant) = (self.now, self.plan.mutant.clone());
         let core = &mut self.cores[index];
@@ -66,12 +66,12 @@
     }
 
     pub(super) fn start_store(&mut self, index: usize, seed: u64) {
-        let place = Place::Store(index);
+        let machine_id = MachineId::Store(index);
         let settings = StoreSettings {
             id: self.stores[index].id,
             name: format!("store-{index}"),
-            zone: place.zone(),
-            address: self.address(place),
+            zone: machine_id.zone(),
+            address: self.address(machine_id),
             seeds: self.core_addresses(),
         };
         let (now, mutant) = (self.now, self.plan.mutant.clone());
@@ -81,125 +81,125 @@
     }
 
     pub(super) fn start_dispatcher(&mut self, index: usize, seed: u64) {
-        let place = Place::Dispatcher(index);
-        let life = self.process_of(place).life;
+        let machine_id = MachineId::Dispatcher(index);
+        let incarnation = self.process_of(machine_id).incarnation;
         let settings = DispatcherSettings {
-            id: DispatcherId((index as u64 + 1) * NEXT_DISK + u64::from(life)),
+            id: DispatcherId((index as u64 + 1) * DISK_ID_STEP + u64::from(incarnation)),
             name: format!("dispatcher-{index}"),
-            zone: place.zone(),
+            zone: machine_id.zone(),
             seeds: self.core_addresses(),
-            message_every: self.plan.load.message_every,
+            message_interval: self.plan.load.message_interval,
         };
         let (now, mutant) = (self.now, self.plan.mutant.clone());
         let dispatcher = &mut self.dispatchers[index];
         let local = dispatcher.clock.local(now);
         dispatcher.process = Some(Dispatcher::start(settings, mutant, seed, local));
         self.checks.restarted(index);
-        self.learning.restarted(index, now);
+        self.propagation.restarted(index, now);
     }
 
     /// Another disk for a store machine.
     pub(crate) fn new_store_disk(&mut self, index: usize) {
         let store = &mut self.stores[index];
         store.disk = StoreDisk::default();
-        store.id = StoreId(store.id.0 + NEXT_DISK);
+        store.id = StoreId(store.id.0 + DISK_ID_STEP);
     }
 
-    pub(super) fn clock(&self, place: Place) -> Clock {
-        match place {
-            Place::Core(index) => self.cores[index].clock,
-            Place::Store(index) => self.stores[index].clock,
-            Place::Dispatcher(index) => self.dispatchers[index].clock,
-            Place::Operator(_) => Clock::default(),
+    pub(super) fn clock(&self, machine_id: MachineId) -> Clock {
+        match machine_id {
+            MachineId::Core(index) => self.cores[index].clock,
+            MachineId::Store(index) => self.stores[index].clock,
+            MachineId::Dispatcher(index) => self.dispatchers[index].clock,
+            MachineId::Operator(_) => Clock::default(),
         }
     }
 
     /// Hands a happening to the process at a place and carries out what it does.
-    pub(crate) fn give(&mut self, place: Place, happening: Happening) {
+    pub(crate) fn deliver(&mut self, machine_id: MachineId, input: ProcessInput) {
         let mut effects = Vec::new();
-        let now = self.clock(place).local(self.now);
-        match place {
-            Place::Core(index) => {
+        let now = self.clock(machine_id).local(self.now);
+        match machine_id {
+            MachineId::Core(index) => {
                 let CoreMachine { process, disk, clock, .. } = &mut self.cores[index];
                 let Some(process) = process else { return };
-                let stood_still = clock.stood_still;
-                process.handle(&mut CoreScene { now, stood_still, disk, effects: &mut effects }, happening);
+                let stalled = clock.stalled;
+                process.handle(&mut CoreContext { now, stalled, disk, effects: &mut effects }, input);
             }
-            Place::Store(index) => {
+            MachineId::Store(index) => {
                 let StoreMachine { process, disk, .. } = &mut self.stores[index];
                 let Some(process) = process else { return };
                 let true_now = self.now;
-                process.handle(&mut StoreScene { now, true_now, disk, effects: &mut effects }, happening);
+                process.handle(&mut StoreContext { now, true_now, disk, effects: &mut effects }, input);
             }
-            Place::Dispatcher(index) => {
-                let stood_still = self.dispatchers[index].clock.stood_still;
+            MachineId::Dispatcher(index) => {
+                let stalled = self.dispatchers[index].clock.stalled;
                 let Some(process) = &mut self.dispatchers[index].process else { return };
-                process.handle(&mut DispatcherScene { now, stood_still, effects: &mut effects }, happening);
+                process.handle(&mut DispatcherContext { now, stalled, effects: &mut effects }, input);
             }
-            Place::Operator(_) => return,
+            MachineId::Operator(_) => return,
         }
-        self.carry_out(place, effects);
-        self.arm(place);
+        self.carry_out(machine_id, effects);
+        self.arm(machine_id);
     }
 
-    pub(super) fn carry_out(&mut self, place: Place, effects: Vec<Effect>) {
+    pub(super) fn carry_out(&mut self, machine_id: MachineId, effects: Vec<Effect>) {
         let mut syncs = false;
         for effect in effects {
             match effect {
-                Effect::Send { connection, payload } => self.send(place, connection, payload),
-                Effect::Close { connection } => self.close(place, connection),
+                Effect::Send { connection, payload } => self.send(machine_id, connection, payload),
+                Effect::Close { connection } => self.close(machine_id, connection),
                 Effect::Sync => syncs = true,
-                Effect::Answer { call, answer } => self.send_answer(place, call, answer),
-                Effect::Seen(seen) => {
-                    if let Err(violation) = self.checks.seen(place, self.now, seen) {
+                Effect::Response { call, response } => self.send_response(machine_id, call, response),
+                Effect::Observe(observation) => {
+                    if let Err(violation) = self.checks.observe(machine_id, self.now, observation) {
                         self.violation.get_or_insert(violation);
                     }
                 }
             }
         }
         if syncs {
-            self.start_sync(place);
+            self.start_sync(machine_id);
         }
     }
 
-    pub(super) fn arm(&mut self, place: Place) {
-        let clock = self.clock(place);
+    pub(super) fn arm(&mut self, machine_id: MachineId) {
+        let clock = self.clock(machine_id);
         let local = clock.local(self.now);
-        let due = match place {
-            Place::Core(index) => self.cores[index].process.as_ref().map(|one| one.next_deadline(local)),
-            Place::Store(index) => self.stores[index].process.as_ref().map(StoreProcess::next_deadline),
-            Place::Dispatcher(index) => {
+        let due = match machine_id {
+            MachineId::Core(index) => self.cores[index].process.as_ref().map(|one| one.next_deadline(local)),
+            MachineId::Store(index) => self.stores[index].process.as_ref().map(StoreProcess::next_deadline),
+            MachineId::Dispatcher(index) => {
                 self.dispatchers[index].process.as_ref().map(Dispatcher::next_deadline)
             }
-            Place::Operator(_) => None,
+            MachineId::Operator(_) => None,
         };
         let Some(due) = due else { return };
         let due = clock.true_time(self.now, due);
-        let lateness = self.random.u64(LATENESS);
-        let machine = self.machine(place);
-        if machine.tick_at.is_some_and(|at| at <= due + LATENESS.end) {
+        let lateness = self.random.u64(TIMER_DELAY);
+        let machine = self.machine(machine_id);
+        if machine.tick_at.is_some_and(|at| at <= due + TIMER_DELAY.end) {
             return;
         }
         let at = due + lateness;
         machine.tick_at = Some(at);
-        let process = self.process_of(place);
+        let process = self.process_of(machine_id);
         self.schedule(at, Event::Tick { process, at });
     }
 
-    pub(super) fn tick(&mut self, process: Process, at: u64) {
-        let same = self.process_of(process.place) == process;
-        if same && self.machine(process.place).tick_at == Some(at) {
-            self.machine(process.place).tick_at = None;
-            self.give(process.place, Happening::Tick);
+    pub(super) fn tick(&mut self, process: ProcessId, at: u64) {
+        let same = self.process_of(process.machine_id) == process;
+        if same && self.machine(process.machine_id).tick_at == Some(at) {
+            self.machine(process.machine_id).tick_at = None;
+            self.deliver(process.machine_id, ProcessInput::Tick);
         }
     }
 
-    pub(super) fn start_sync(&mut self, place: Place) {
-        let slow = self.machine(place).slow_until > self.now;
-        let takes = self.random.u64(if slow { SLOW_SYNC } else { SYNC });
-        let token = match place {
-            Place::Core(index) => self.cores[index].disk.last_token(),
-            Place::Store(index) => {
+    pub(super) fn start_sync(&mut self, machine_id: MachineId) {
+        let slow = self.machine(machine_id).slow_until > self.now;
+        let takes = self.random.u64(if slow { SLOW_SYNC_TIME } else { SYNC_TIME });
+        let token = match machine_id {
+            MachineId::Core(index) => self.cores[index].disk.last_token(),
+            MachineId::Store(index) => {
                 if !self.stores[index].disk.start_sync() {
                     return;
                 }
@@ -208,39 +208,39 @@
             _ => return,
         };
         let now = self.now;
-        let machine = self.machine(place);
+        let machine = self.machine(machine_id);
         let at = machine.sync_free_at.max(now + takes);
         machine.sync_free_at = at;
-        let process = self.process_of(place);
+        let process = self.process_of(machine_id);
         self.schedule(at, Event::Synced { process, token });
     }
 
-    pub(super) fn synced(&mut self, process: Process, token: Option<PersistToken>) {
-        let place = process.place;
-        if self.process_of(place) != process || !self.is_up(place) {
+    pub(super) fn synced(&mut self, process: ProcessId, token: Option<PersistToken>) {
+        let machine_id = process.machine_id;
+        if self.process_of(machine_id) != process || !self.is_up(machine_id) {
             return;
         }
         self.steps += 1;
-        match (place, token) {
-            (Place::Core(index), Some(token)) => self.core_synced(index, token),
+        match (machine_id, token) {
+            (MachineId::Core(index), Some(token)) => self.core_synced(index, token),
             _ => {
-                self.give(place, Happening::Synced);
-                self.start_sync(place);
+                self.deliver(machine_id, ProcessInput::Synced);
+                self.start_sync(machine_id);
             }
         }
     }
 
     pub(super) fn core_synced(&mut self, index: usize, token: PersistToken) {
-        let place = Place::Core(index);
-        let now = self.clock(place).local(self.now);
+        let machine_id = MachineId::Core(index);
+        let now = self.clock(machine_id).local(self.now);
         let mut effects = Vec::new();
         let CoreMachine { process, disk, clock, .. } = &mut self.cores[index];
-        let stood_still = clock.stood_still;
+        let stalled = clock.stalled;
         disk.finish(token);
         if let Some(process) = process {
-            process.persisted(&mut CoreScene { now, stood_still, disk, effects: &mut effects }, token);
+            process.persisted(&mut CoreContext { now, stalled, disk, effects: &mut effects }, token);
         }
-        self.carry_out(place, effects);
-        self.arm(place);
+        self.carry_out(machine_id, effects);
+        self.arm(machine_id);
     }
 }
--- a/system/testing/simulation/tests/founding.rs
+++ b/system/testing/simulation/tests/bootstrap.rs
@@ -5,10 +5,11 @@
 use millrudder_simulation::world::World;
 
 #[test]
-fn a_calm_world_is_founded_and_serves() {
+fn a_world_without_faults_bootstraps_and_serves() {
     for seed in 0..8 {
-        let mut world = World::<ControlState>::founded(Plan::calm(seed)).expect("it is founded");
-        world.resume(Plan::calm(seed));
+        let mut world =
+            World::<ControlState>::bootstrapped(Plan::without_faults(seed)).expect("it is bootstrapped");
+        world.resume(Plan::without_faults(seed));
         world.play().unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
     }
 }
--- a/system/testing/simulation/tests/control/main.rs
+++ b/system/testing/simulation/tests/control/main.rs
@@ -2,11 +2,11 @@
 //!
 //! `SIMULATION_SEEDS=from..to` plays other seeds of the drawn runs, `SIMULATION_STRIDE=n` explores every n-th step only.
 
+mod consecutive_disk_losses;
+mod duplicate_requests;
 mod forgetful;
-mod point_1;
-mod point_2;
-mod point_3;
-mod point_4;
-mod point_5;
-mod random;
+mod partitioned_core;
+mod racing_updates;
+mod random_runs;
+mod restart_after_many_changes;
 mod support;
--- a/system/testing/simulation/tests/control/support.rs
+++ b/system/testing/simulation/tests/control/support.rs
@@ -2,11 +2,11 @@
 
 use millrudder_control_state::ControlState;
 use millrudder_simulation::control_machine::ControlMachine;
-use millrudder_simulation::explore::{Begins, Exploration, Failure};
-use millrudder_simulation::fault::{Fault, When};
+use millrudder_simulation::explore::{Exploration, ExplorationStart, Failure};
+use millrudder_simulation::fault::{Fault, Trigger};
 use millrudder_simulation::mechanism::{Mechanism, Mutant};
 use millrudder_simulation::plan::Plan;
-use millrudder_simulation::shrink::shrunk;
+use millrudder_simulation::shrink::shrink;
 use millrudder_simulation::violation::Violation;
 use millrudder_simulation::world::World;
 use std::collections::BTreeMap;
@@ -16,36 +16,37 @@
 /// Drawn runs are shared out to this many threads, unless `SIMULATION_THREADS` sets another number.
 pub const THREADS: usize = 4;
 /// Worlds that runs begin from.
-const FOUNDED: u64 = 8;
+const BOOTSTRAPPED_WORLDS: u64 = 8;
 /// Steps within which the faults of drawn runs are placed.
 const DRAWN_STEPS: u64 = 1_500;
 
 /// A founded world of three core machines, three stores, two dispatchers and two operators.
-pub fn founded(seed: u64) -> World {
-    World::<ControlState>::founded(Plan::calm(seed)).expect("a world without faults is founded")
+pub fn bootstrapped(seed: u64) -> World {
+    World::<ControlState>::bootstrapped(Plan::without_faults(seed))
+        .expect("a world without faults is bootstrapped")
 }
 
 /// Founded worlds to begin drawn runs from.
-pub fn some_founded() -> Vec<World> {
-    (0..FOUNDED).map(founded).collect()
+pub fn bootstrapped_worlds() -> Vec<World> {
+    (0..BOOTSTRAPPED_WORLDS).map(bootstrapped).collect()
 }
 
 /// Every step, unless the environment asks for fewer.
-pub fn stride(ordinary: usize) -> usize {
-    std::env::var("SIMULATION_STRIDE").ok().and_then(|text| text.parse().ok()).unwrap_or(ordinary)
+pub fn stride(default: usize) -> usize {
+    std::env::var("SIMULATION_STRIDE").ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 /// Seeds of the drawn runs.
-pub fn seeds(ordinary: impl Iterator<Item = u64>) -> Vec<u64> {
-    let Ok(text) = std::env::var("SIMULATION_SEEDS") else { return ordinary.collect() };
+pub fn seeds(default: impl Iterator<Item = u64>) -> Vec<u64> {
+    let Ok(text) = std::env::var("SIMULATION_SEEDS") else { return default.collect() };
     let (from, to) = text.split_once("..").expect("SIMULATION_SEEDS is from..to");
     let number = |text: &str| text.parse().expect("SIMULATION_SEEDS has two numbers");
     (number(from)..number(to)).collect()
 }
 
 /// Explores from a founded world.
-pub fn explore(plan: &Plan, faults: Vec<Fault>, window: u64, ordinary_stride: usize) -> Result<(), Failure> {
-    explore_from(&founded(plan.seed), plan, Begins::AtOnce, faults, window, ordinary_stride)
+pub fn explore(plan: &Plan, faults: Vec<Fault>, window: u64, default_stride: usize) -> Result<(), Failure> {
+    explore_from(&bootstrapped(plan.seed), plan, ExplorationStart::Immediate, faults, window, default_stride)
 }
 
 /// Explores once the first disk that the plan takes is made up for.
@@ -53,26 +54,33 @@
     plan: &Plan,
     faults: Vec<Fault>,
     window: u64,
-    ordinary_stride: usize,
+    default_stride: usize,
 ) -> Result<(), Failure> {
-    explore_from(&founded(plan.seed), plan, Begins::OnceMadeUp, faults, window, ordinary_stride)
+    explore_from(
+        &bootstrapped(plan.seed),
+        plan,
+        ExplorationStart::AfterDiskRestored,
+        faults,
+        window,
+        default_stride,
+    )
 }
 
 /// Explores from a world.
 pub fn explore_from<M>(
     world: &World<M>,
     plan: &Plan,
-    begins: Begins,
+    start: ExplorationStart,
     faults: Vec<Fault>,
     window: u64,
-    ordinary_stride: usize,
+    default_stride: usize,
 ) -> Result<(), Failure>
 where
     M: ControlMachine + Send + Sync,
     World<M>: Send + Sync,
 {
-    let stride = stride(ordinary_stride);
-    let exploration = Exploration { faults, begins, window, stride, threads: THREADS };
+    let stride = stride(default_stride);
+    let exploration = Exploration { faults, start, window, stride, threads: THREADS };
     let explored = exploration.explore(world, plan);
     println!("{} runs after {} steps", explored.runs, explored.steps);
     explored.failure.map_or(Ok(()), Err)
@@ -86,13 +94,13 @@
 }
 
 /// Two or three of the faults at drawn steps.
-pub fn drawn(worlds: &[World], plan: &Plan, menu: &[Fault], seed: u64) -> Plan {
+pub fn random_plan(worlds: &[World], plan: &Plan, menu: &[Fault], seed: u64) -> Plan {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut plan = Plan { seed, ..plan.clone() };
     let first = worlds[seed as usize % worlds.len()].steps;
     for _ in 0..random.usize(2..=3) {
         let fault = menu[random.usize(0..menu.len())].clone();
-        plan = plan.with(When::Step(first + 1 + random.u64(0..DRAWN_STEPS)), fault);
+        plan = plan.with(Trigger::Step(first + 1 + random.u64(0..DRAWN_STEPS)), fault);
     }
     plan
 }
@@ -124,18 +132,18 @@
     let failures = failures.into_inner().expect("no thread panics");
     println!("{} of {} runs failed", failures.len(), seeds.len());
     let first = failures.into_values().next();
-    first.map_or(Ok(()), |failure| Err(shrunk(failure, |plan| play(worlds, plan))))
+    first.map_or(Ok(()), |failure| Err(shrink(failure, |plan| play(worlds, plan))))
 }
 
 /// Ends the test with what is needed to repeat the failure.
-pub fn expect_kept(result: Result<(), Failure>) {
+pub fn expect_no_violation(result: Result<(), Failure>) {
     if let Err(Failure { plan, violation }) = result {
         panic!("{violation}\n{plan}");
     }
 }
 
 /// A scenario must fail without one of its mechanisms.
-pub fn expect_killed(result: Result<(), Failure>, mechanism: Mechanism) -> Violation {
+pub fn expect_violation(result: Result<(), Failure>, mechanism: Mechanism) -> Violation {
     match result {
         Err(failure) => {
             println!("without {mechanism:?}: {}", failure.violation);
@@ -147,5 +155,5 @@
 
 /// The plan without a mechanism.
 pub fn without(plan: &Plan, mechanism: Mechanism) -> Plan {
-    plan.clone().mutated(Mutant::without(mechanism))
+    plan.clone().with_mutant(Mutant::without(mechanism))
 }
