--- a/system/testing/simulation/src/checks.rs
+++ b/system/testing/simulation/src/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold at all times, checked from what machines were seen to do.
+//! Checks invariants on the observations of all processes.
 
 use crate::event::Observation;
 use crate::history::{History, Operation, Request, Response};
@@ -13,10 +13,10 @@
 use speedy::Readable;
 use std::collections::BTreeMap;
 
-/// What a core machine tells may be so much older than what was acknowledged last (microseconds): the longest time
-/// for which a confirmation by a majority allows serving, and the way of a message.
+/// Greatest staleness of a configuration that a core machine publishes, compared to the one acknowledged last: the
+/// greatest age of a confirmation by a quorum, and the delay of a message.
 pub const STALENESS_BOUND: u64 = (MAX_CONFIRMATION_AGE.as_millis() as u64 + 100) * MILLISECOND;
-/// A dispatcher that can reach a machine which is in touch with a majority learns of a version within this time.
+/// A dispatcher that can reach a core machine with a quorum gets an acknowledged configuration within this time.
 pub const PROPAGATION_BOUND: u64 = 6 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,25 +26,29 @@
     workers: (u64, u64),
 }
 
-/// The record of everything that was promised.
+/// Everything observed so far that an invariant is checked against.
 #[derive(Clone, Debug, Default)]
 pub struct Checks {
+    /// Requests of operators and the responses.
     pub history: History,
+    /// Acknowledged messages.
     pub messages: MessageLog,
     views: BTreeMap<Epoch, View>,
     committed: BTreeMap<u64, Vec<u8>>,
-    /// By which request each configuration came into force.
+    /// The request by which each configuration took effect.
     effects: BTreeMap<Vec<u8>, RequestId>,
-    /// Versions that were acknowledged, each higher than all before, with their times.
+    /// Acknowledged versions with their times, each higher than all before.
     acknowledged: Vec<(u64, u64)>,
     highest_fencing: u64,
     highest_act: u64,
     adopted: BTreeMap<usize, Adopted>,
-    pub leases: usize,
 }
 
 impl Checks {
-    /// Something was seen at a place at a true time.
+    /// Checks an observation of a process at true time `now`.
+    ///
+    /// # Errors
+    /// The invariant that the observation violates.
     pub fn observe(
         &mut self,
         machine_id: MachineId,
@@ -52,14 +56,13 @@
         observation: Observation,
     ) -> Result<(), Violation> {
         match observation {
-            Observation::ConfigurationPublished { version } => self.published(machine_id, now, version),
+            Observation::ConfigurationPublished { version } => self.check_published(machine_id, now, version),
             Observation::Committed { sequence, request_id, command, reply } => {
                 self.committed(sequence, request_id, command, reply)
             }
             Observation::ViewEntered { view } => self.view(view),
             Observation::LeaseGranted { fencing } => self.lease_granted(fencing.0),
             Observation::ActedAsLeaseHolder { fencing } => self.acted(machine_id, now, fencing.0),
-            Observation::Queried { .. } => Ok(()),
             Observation::Adopted { .. } => self.adopted(machine_id, observation),
             Observation::Accepted { id } => {
                 if let MachineId::Dispatcher(dispatcher) = machine_id {
@@ -78,7 +81,7 @@
         }
     }
 
-    /// A core machine answers an operator.
+    /// Records the response of a core machine to an operator.
     pub fn responded(&mut self, request: Request, response: Response, now: u64) {
         let Request::Put { configuration, .. } = request else { return };
         let highest = self.acknowledged.last().map_or(0, |(_, version)| *version);
@@ -87,18 +90,21 @@
         }
     }
 
-    /// The highest version acknowledged up to a time.
+    /// The highest version acknowledged up to a true time.
     pub fn acknowledged_at(&self, time: u64) -> u64 {
         let before = self.acknowledged.partition_point(|(at, _)| *at <= time);
         before.checked_sub(1).map_or(0, |index| self.acknowledged[index].1)
     }
 
-    /// When a version was first acknowledged that is as high as this.
+    /// When a version above this was first acknowledged.
     fn acknowledged_since(&self, version: u64) -> u64 {
         self.acknowledged.iter().find(|(_, known)| *known > version).map_or(0, |(at, _)| *at)
     }
 
-    /// Whether operators were answered rightly all the time.
+    /// Checks that the history of operators is linearizable.
+    ///
+    /// # Errors
+    /// [`Violation::NotLinearizable`].
     pub fn check_history(&self) -> Result<(), Violation> {
         let operations: &[Operation] = self.history.operations();
         if is_linearizable(operations) {
@@ -107,7 +113,7 @@
         Err(Violation::NotLinearizable { history: shrink(operations) })
     }
 
-    fn published(&self, machine: MachineId, now: u64, published: u64) -> Result<(), Violation> {
+    fn check_published(&self, machine: MachineId, now: u64, published: u64) -> Result<(), Violation> {
         let acknowledged = self.acknowledged_at(now.saturating_sub(STALENESS_BOUND));
         if published >= acknowledged {
             return Ok(());
@@ -142,7 +148,7 @@
             return Ok(());
         };
         let text = String::from_utf8_lossy(&configuration.json).into_owned();
-        // The reply to a request that comes twice is remembered; nothing is done a second time then.
+        // A duplicate of a request gets the remembered reply, and has no second effect.
         let first = *self.effects.entry(configuration.json).or_insert(request_id);
         match first == request_id {
             true => Ok(()),
@@ -156,7 +162,6 @@
             return Err(Violation::FencingNotIncreased { before, number });
         }
         self.highest_fencing = number;
-        self.leases += 1;
         Ok(())
     }
 
@@ -169,7 +174,7 @@
         Ok(())
     }
 
-    /// A dispatcher's process has begun afresh.
+    /// Handles a restart of a dispatcher's process, which adopts state from the beginning.
     pub fn restarted(&mut self, dispatcher: usize) {
         self.adopted.remove(&dispatcher);
     }
@@ -183,9 +188,9 @@
         let (configuration, placement, workers) = (*configuration, *placement, *workers);
         let now = Adopted { configuration, placement, workers };
         let Some(before) = self.adopted.insert(index, now) else { return Ok(()) };
-        let back =
+        let has_regressed =
             before.configuration > configuration || before.placement > placement || before.workers > workers;
-        if !back {
+        if !has_regressed {
             return Ok(());
         }
         let (before, now) = (format!("{before:?}"), format!("{now:?}"));
--- a/system/testing/simulation/src/control_machine.rs
+++ b/system/testing/simulation/src/control_machine.rs
@@ -1,12 +1,12 @@
-//! The replicated machine of the core, so that a test may wrap it with a fault.
+//! The replicated state machine of the core, as a trait so that a test can replace it by a faulty one.
 
 use millrudder_chain::Machine;
 use millrudder_control_state::{Command, ControlState, Reply};
 use std::fmt::Debug;
 
-/// A replicated machine that holds a [`ControlState`].
+/// A replicated state machine whose state is a [`ControlState`].
 pub trait ControlMachine: Machine<Command = Command, Reply = Reply> + Clone + Debug {
-    /// The state that it holds.
+    /// Its state.
     fn state(&self) -> &ControlState;
 }
 
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -1,4 +1,4 @@
-//! A core machine: the true node and placement manager in a shell like that of the system's program.
+//! A simulated core machine: the production node and placement manager in a shell like the production one.
 
 use crate::clock::Clock;
 use crate::control_machine::ControlMachine;
@@ -23,35 +23,34 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One role for all that one core machine does for all of them.
+/// The singleton role of the core machine that acts for all of them.
 const CONTROLLER: &str = "controller";
-/// Pause between two readings of the platform's list.
+/// Pause between two reads of the platform's worker list.
 const LIST_INTERVAL: u64 = 400 * MILLISECOND;
-/// Orders that have waited too long are looked for this often.
+/// Pause between two sweeps for requests that timed out.
 const SWEEP_INTERVAL: u64 = SECOND / 4;
-/// A checkpoint after records of this many bytes, so that hundreds of changes bring many.
+/// Records of this many bytes cause a checkpoint: few, so that hundreds of changes cause many checkpoints.
 const CHECKPOINT_BYTES: usize = 4 << 10;
-/// Commands kept in memory, so few that peers that were away need a snapshot.
+/// Commands retained in memory: so few that a peer that was down needs a snapshot.
 const RETAINED_ENTRIES: usize = 20;
 
-/// What does not change while the machine lives.
+/// Settings of a core process.
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
+    /// Its internal address.
     pub address: SocketAddr,
+    /// Addresses of all core machines.
     pub seeds: Vec<SocketAddr>,
-    /// The machine may take part in the founding of a core.
+    /// Whether the machine may bootstrap a core.
     pub bootstrap: bool,
+    /// Number of disks that may be lost at the same time.
     pub tolerated_losses: u32,
 }
 
-#[derive(Clone, Debug)]
-struct Registered {
-    registrant: Registrant,
-}
-
 /// The running process of a core machine.
 #[derive(Clone)]
 pub struct CoreProcess<M: ControlMachine> {
+    /// The production state machine of the core.
     pub node: CoreNode<M>,
     manager: PlacementManager,
     settings: CoreSettings,
@@ -62,7 +61,7 @@
     core_addresses: Vec<SocketAddr>,
     peers: BTreeMap<Connection, NodeId>,
     addresses: BTreeMap<NodeId, SocketAddr>,
-    registrants: BTreeMap<Connection, Registered>,
+    registrants: BTreeMap<Connection, Registrant>,
     workers: WorkerList,
     current_list: CurrentWorkerList,
     read_barrier: ReadBarrier,
@@ -72,29 +71,34 @@
     read_list_at: u64,
     sweep_at: u64,
     leaving: bool,
-    /// For how long the machine is known to have stood still in all (microseconds).
+    /// Total duration of the clock stalls handled so far.
     stalled: u64,
 }
 
-/// The read under way that confirms the state here.
+/// The linearizable read in flight that confirms the state of this machine.
 #[derive(Clone, Copy, Debug)]
 struct Confirming {
     request_id: RequestId,
     read: ReadNumber,
 }
 
-/// Gives the process its happenings together with what it works on.
+/// The environment in which a core process handles an input.
 pub struct CoreContext<'a> {
-    /// Steady clock of the machine (microseconds).
+    /// Reading of the machine's steady clock.
     pub now: u64,
-    /// By how much the time of day has run ahead of it, since it stood still (microseconds).
+    /// Total duration of the clock's stalls.
     pub stalled: u64,
+    /// The machine's disk.
     pub disk: &'a mut SimulatedDisk,
+    /// Receives the effects.
     pub effects: &'a mut Vec<Effect>,
 }
 
 impl<M: ControlMachine> CoreProcess<M> {
-    /// Starts on what the disk holds.
+    /// Starts a process with the contents of the disk.
+    ///
+    /// # Panics
+    /// The settings are invalid.
     pub fn start(settings: CoreSettings, mutant: Mutant, disk: &SimulatedDisk, seed: u64, now: u64) -> Self {
         let state = match mutant.is_enabled(Mechanism::RecordsReplayed) {
             true => disk.state(),
@@ -111,7 +115,10 @@
         let node = CoreNode::<M>::new(config, state, seed, now).expect("the settings fit together");
         let mut manager = PlacementManager::new(settings.tolerated_losses);
         let control_state = node.machine().state();
-        manager.handle(Instant::from_millis(now / MILLISECOND), PlacementInput::Committed(control_state.placement().clone()));
+        manager.handle(
+            Instant::from_millis(now / MILLISECOND),
+            PlacementInput::Committed(control_state.placement().clone()),
+        );
         let mut process = CoreProcess {
             manager,
             pending_requests: PendingRequests::new(seed),
@@ -138,33 +145,35 @@
         process
     }
 
-    /// Switches mechanisms off or on again.
+    /// Sets which mechanisms are disabled.
     pub fn set_mutant(&mut self, mutant: Mutant) {
         self.mutant = mutant;
     }
 
-    /// Addresses to which a connection is wanted.
+    /// Targets to which a connection is missing.
     pub fn missing_connections(&self) -> Vec<Target> {
         let others = self.core_addresses.iter().filter(|address| **address != self.settings.address);
         others.filter(|address| !self.dialed.contains_key(address)).copied().map(Target::core).collect()
     }
 
-    /// When a tick is due, by the machine's steady clock (microseconds).
+    /// When the next tick is due, by the machine's steady clock.
     pub fn next_deadline(&self, now: u64) -> u64 {
-        let manager = self.manager.next_deadline(Instant::from_millis(now / MILLISECOND)).map(|due| due.as_millis() * MILLISECOND);
+        let manager = self
+            .manager
+            .next_deadline(Instant::from_millis(now / MILLISECOND))
+            .map(|due| due.as_millis() * MILLISECOND);
         let read_barrier = self.read_barrier.next_deadline().map(|due| due.as_millis() * MILLISECOND);
         let shell = manager.into_iter().chain(read_barrier).chain([self.read_list_at, self.sweep_at]).min();
         self.node.next_deadline().min(shell.unwrap_or(u64::MAX))
     }
 
-    /// Takes one happening and does what follows.
+    /// Handles an input.
     pub fn handle(&mut self, context: &mut CoreContext<'_>, input: ProcessInput) {
         self.detect_clock_stall(context);
         match input {
             ProcessInput::Connected { connection, target } => {
                 self.on_dialed(context, connection, target.address)
             }
-            ProcessInput::Accepted { .. } => {}
             ProcessInput::Closed { connection } => self.on_closed(context, connection),
             ProcessInput::Received { connection, payload } => self.on_payload(context, connection, payload),
             ProcessInput::Synced => {}
@@ -179,14 +188,14 @@
         self.finish(context);
     }
 
-    /// Everything up to this write is durable.
+    /// Handles the completion of all writes up to `token`.
     pub fn persisted(&mut self, context: &mut CoreContext<'_>, token: millrudder_chain::PersistToken) {
         self.detect_clock_stall(context);
         self.node.handle(context.now, Input::Persisted { token });
         self.finish(context);
     }
 
-    /// After a standstill nothing that was confirmed before is known to be recent.
+    /// After a clock stall, confirmations from before it may be older than they appear.
     fn detect_clock_stall(&mut self, context: &mut CoreContext<'_>) {
         let before = std::mem::replace(&mut self.stalled, context.stalled);
         if context.stalled > before {
@@ -208,12 +217,12 @@
         !self.mutant.is_enabled(Mechanism::QuorumContact) || self.node.has_majority_contact(now)
     }
 
-    /// Whether the core can do without this process, which was told to end.
+    /// Whether this process, which got SIGTERM, has left the core.
     pub fn can_leave(&self, now: u64) -> bool {
         self.leaving && self.node.may_go(now)
     }
 
-    /// Gives the gate an input and does what it asks for.
+    /// Passes an input to the read barrier and applies its outputs.
     fn drive_barrier(&mut self, context: &mut CoreContext<'_>, input: BarrierInput) {
         let mut output = Vec::new();
         let contact = self.has_quorum_contact(context.now);
@@ -252,10 +261,10 @@
 
     fn start_confirming(&mut self, context: &mut CoreContext<'_>, read: ReadNumber) {
         if !self.mutant.is_enabled(Mechanism::QuorumContact) {
-            // Confirmed by nobody.
+            // The mutant completes the read without a confirmation.
             return self.drive_barrier(context, BarrierInput::ReadCompleted { read });
         }
-        let request_id = self.pending_requests.own_request(&self.mutant);
+        let request_id = self.pending_requests.next_request_id(&self.mutant);
         self.confirming = Some(Confirming { request_id, read });
         self.node.handle(context.now, Input::Read { request_id });
     }
@@ -287,7 +296,7 @@
         send_from_core(context, Connection(connection.0), &message);
     }
 
-    /// Whether this process acts as holder of the lease.
+    /// The fencing token if this process holds the controller's lease.
     pub fn holds(&self, now: u64) -> Option<FencingToken> {
         self.node.holds(now, &Role(CONTROLLER.to_owned()))
     }
@@ -341,7 +350,7 @@
             ToCore::Register { registrant, configuration_version, placement_epoch } => {
                 self.on_register(context, connection, registrant, configuration_version, placement_epoch);
             }
-            // The simulated machine vouches for nothing.
+            // The read barrier decides whether the state may be confirmed.
             ToCore::Ask { moment_ms } => {
                 let connection = ConnectionId(connection.0);
                 self.drive_barrier(
@@ -363,8 +372,8 @@
     }
 
     fn store(&self, connection: Connection) -> Option<StoreId> {
-        match self.registrants.get(&connection)?.registrant {
-            Registrant::Store { id, .. } => Some(id),
+        match self.registrants.get(&connection)? {
+            Registrant::Store { id, .. } => Some(*id),
             Registrant::Dispatcher { .. } => None,
         }
     }
@@ -379,13 +388,16 @@
     ) {
         if let Registrant::Store { id, name, zone, address, .. } = &registrant {
             let (name, zone) = (name.clone(), zone.clone());
-            self.manage(context, PlacementInput::Registered(Registration { id: *id, name, zone, address: *address }));
+            self.manage(
+                context,
+                PlacementInput::Registered(Registration { id: *id, name, zone, address: *address }),
+            );
         }
         let kind = match registrant {
             Registrant::Dispatcher { .. } => RegistrantKind::Dispatcher,
             Registrant::Store { .. } => RegistrantKind::Store,
         };
-        self.registrants.insert(connection, Registered { registrant });
+        self.registrants.insert(connection, registrant);
         let addresses = self.core_addresses();
         send_from_core(context, connection, &addresses);
         let workers = WorkerListVersion::default();
@@ -426,7 +438,7 @@
         self.adopt_own_list(context, list);
     }
 
-    /// Takes a list that this machine has read, and tells it to the other core machines too.
+    /// Adopts a worker list that this machine has read, and sends it to the other core machines.
     fn adopt_own_list(&mut self, context: &mut CoreContext<'_>, list: WorkerList) {
         let lease = self.holds(context.now).map(|fencing| fencing.0);
         let lease = lease.or(Some(list.fencing).filter(|_| !self.mutant.is_enabled(Mechanism::LeaseChecked)));
@@ -441,7 +453,7 @@
         self.publish_state(context);
     }
 
-    /// Reports this machine's present state to the gate, which has it told to whom it may concern.
+    /// Reports the versions of this machine's state to the read barrier, which decides to whom it is sent.
     fn publish_state(&mut self, context: &mut CoreContext<'_>) {
         let numbers = numbers(self.node.machine().state(), &self.workers);
         self.drive_barrier(context, BarrierInput::StateChanged(numbers));
@@ -450,7 +462,8 @@
     fn on_request(&mut self, context: &mut CoreContext<'_>, call: Call, request: Request) {
         let open = self.read_barrier.accepts_requests(Instant::from_millis(context.now / MILLISECOND));
         let state = self.node.machine().state();
-        let step = self.pending_requests.take(context.now, call, request, open, state, &self.mutant);
+        let step =
+            self.pending_requests.handle_request(context.now, call, request, open, state, &self.mutant);
         match step {
             RequestStep::Response(response) => context.effects.push(Effect::Response { call, response }),
             RequestStep::Submit { request_id, command } => {
@@ -465,13 +478,13 @@
 
     fn manage(&mut self, context: &mut CoreContext<'_>, input: PlacementInput) {
         if let Some(placement) = self.manager.handle(Instant::from_millis(context.now / MILLISECOND), input) {
-            let request_id = self.pending_requests.own_request(&self.mutant);
+            let request_id = self.pending_requests.next_request_id(&self.mutant);
             let command = Command::SetPlacement { placement };
             self.node.handle(context.now, Input::Submit { request_id, command });
         }
     }
 
-    /// Carries out what the node asks for, until nothing more comes.
+    /// Applies the node's outputs until there are none left.
     fn carry_out(&mut self, context: &mut CoreContext<'_>) {
         while let Some(output) = self.node.next_output() {
             match output {
@@ -498,7 +511,7 @@
                 Output::Replaced { .. } => self.follow_state(context),
                 Output::Reply { request_id, reply } => {
                     if let Some((call, response)) =
-                        self.pending_requests.replied(request_id, reply, &self.mutant)
+                        self.pending_requests.handle_reply(request_id, reply, &self.mutant)
                     {
                         context.effects.push(Effect::Response { call, response });
                     }
@@ -508,7 +521,6 @@
                     context.effects.push(Effect::Observe(Observation::ViewEntered { view }));
                     self.add_view_addresses();
                 }
-                // Contact is asked for where it counts.
                 Output::LeaseGranted { fencing, .. } => {
                     context.effects.push(Effect::Observe(Observation::LeaseGranted { fencing }));
                     self.on_lease(context, Some(fencing));
@@ -534,7 +546,7 @@
             return self.drive_barrier(context, BarrierInput::ReadCompleted { read: confirming.read });
         }
         if let Some((call, response)) =
-            self.pending_requests.read_ready(request_id, self.node.machine().state())
+            self.pending_requests.handle_read_ready(request_id, self.node.machine().state())
         {
             context.effects.push(Effect::Response { call, response });
         }
@@ -546,7 +558,7 @@
         }
     }
 
-    /// Something may have come into force.
+    /// Publishes the state, which may have changed.
     fn follow_state(&mut self, context: &mut CoreContext<'_>) {
         self.publish_state(context);
         let placement = self.node.machine().state().placement();
@@ -600,7 +612,7 @@
     }
 }
 
-/// The versions of a machine's state.
+/// The versions of a core machine's state.
 fn numbers(state: &ControlState, list: &WorkerList) -> StateVersions {
     StateVersions {
         configuration_version: state.configuration().version,
@@ -623,12 +635,15 @@
     send_from_core(context, connection, &FromCore::Configuration { configuration });
 }
 
-/// A core machine with its disk and clock, whether or not its process runs.
+/// A core machine: disk, clock, and the process while it runs.
 #[derive(Clone)]
 pub struct CoreMachine<M: ControlMachine> {
+    /// Its process; `None` while it is down.
     pub process: Option<CoreProcess<M>>,
+    /// Its disk.
     pub disk: SimulatedDisk,
+    /// Its steady clock.
     pub clock: Clock,
-    /// The machine had another disk before.
+    /// Whether the machine lost a disk before.
     pub lost_a_disk: bool,
 }
--- a/system/testing/simulation/src/dispatcher.rs
+++ b/system/testing/simulation/src/dispatcher.rs
@@ -1,4 +1,5 @@
-//! A model of a dispatcher: adopts what core machines tell, has messages kept by stores, runs what they grant.
+//! A model of a dispatcher: adopts the state that core machines publish, submits messages to stores, executes those that
+//! they lease to it.
 
 use crate::event::{Connection, Effect, Observation, Payload, ProcessInput, Target};
 use crate::mechanism::{Mechanism, Mutant};
@@ -13,31 +14,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Core machines to which a dispatcher keeps connections.
+/// Number of core machines to which a dispatcher is connected.
 const CORE_LINKS: usize = 2;
-/// Pause between two looks at what needs sending again.
+/// Pause between two polls for retries.
 const POLL_INTERVAL: u64 = 50 * MILLISECOND;
-/// Pause between two questions whether what is held is current.
+/// Pause between two staleness checks.
 const STALENESS_CHECK_INTERVAL: u64 = 400 * MILLISECOND;
-/// What has no answer is sent again after so long.
+/// A request without a response is retried after this time.
 const RETRY_INTERVAL: u64 = 250 * MILLISECOND;
-/// A client is given up after so long.
+/// A client gives up after this time.
 const CLIENT_TIMEOUT: u64 = 4_000 * MILLISECOND;
-/// A process that looks so much later than it wanted to has stood still, as `millrudder-delivery` judges it.
+/// A process that polls so much later than scheduled has stalled, as in `millrudder-delivery`.
 const STALL_THRESHOLD: u64 = 1_000 * MILLISECOND;
-/// For so long after that, what it reads may have been waiting for it meanwhile: it is given back and not run.
+/// For so long after a stall, messages may be stale when they are read: they are returned and not executed.
 const STALE_READ_WINDOW: u64 = 100 * MILLISECOND;
-/// Pause between two pings of a store.
+/// Pause between two pings to a store.
 const PING_INTERVAL: u64 = 1_000 * MILLISECOND;
 
-/// What does not change while the process lives.
+/// Settings of a dispatcher process.
 #[derive(Clone, Debug)]
 pub struct DispatcherSettings {
+    /// Its identity.
     pub id: DispatcherId,
+    /// Its name.
     pub name: String,
+    /// Its zone.
     pub zone: String,
+    /// Addresses of all core machines.
     pub seeds: Vec<SocketAddr>,
-    /// Pause between two messages of its clients (microseconds).
+    /// Pause between two messages of its clients.
     pub message_interval: u64,
 }
 
@@ -47,7 +52,7 @@
     sent: u64,
 }
 
-/// Where requests go on one connection.
+/// The requests in flight on one connection.
 #[derive(Clone, Debug, Default)]
 struct StoreLink {
     requests: BTreeMap<RequestNumber, MessageId>,
@@ -61,14 +66,14 @@
     mutant: Mutant,
     random: fastrand::Rng,
     connection_planner: ConnectionPlanner,
-    /// Core machines to be connected to, with the open connections.
+    /// Core machines to connect to, with the open connections.
     cores: BTreeMap<SocketAddr, Option<Connection>>,
     configuration: u64,
     placement: Placement,
     workers: WorkerList,
     stores: BTreeMap<StoreId, Connection>,
     links: BTreeMap<Connection, StoreLink>,
-    /// Which store each connection was opened to, also of those that have ended.
+    /// The store that each connection was opened to, closed ones included.
     owners: BTreeMap<Connection, StoreId>,
     pending: BTreeMap<MessageId, Pending>,
     reports: BTreeMap<(MessageId, LeaseToken), u64>,
@@ -78,28 +83,29 @@
     message_at: u64,
     ping_at: u64,
     ask_at: u64,
-    /// Grants that are read before this moment are given back.
+    /// Leases that are read before this time are returned.
     stale_until: u64,
-    /// For how long the machine is known to have stood still in all (microseconds).
+    /// Total duration of the clock stalls handled so far.
     stalled: u64,
-    /// Barriers that a store has not answered on the connection.
+    /// Barriers that were not reached yet, by connection.
     barriers: BTreeMap<Connection, u64>,
     last_barrier: u64,
-    /// Its clients send.
+    /// Whether its clients send messages.
     pub sending: bool,
 }
 
-/// Gives the process its happenings together with what it works on.
+/// The environment in which a dispatcher process handles an input.
 pub struct DispatcherContext<'a> {
-    /// Steady clock of the machine (microseconds).
+    /// Reading of the machine's steady clock.
     pub now: u64,
-    /// By how much the time of day has run ahead of it, since it stood still (microseconds).
+    /// Total duration of the clock's stalls.
     pub stalled: u64,
+    /// Receives the effects.
     pub effects: &'a mut Vec<Effect>,
 }
 
 impl Dispatcher {
-    /// Starts with nothing.
+    /// Starts a process without state.
     pub fn start(settings: DispatcherSettings, mutant: Mutant, seed: u64, now: u64) -> Self {
         let mut connection_planner = ConnectionPlanner::new(CORE_LINKS, seed);
         for address in &settings.seeds {
@@ -133,22 +139,22 @@
         }
     }
 
-    /// Switches mechanisms off or on again.
+    /// Sets which mechanisms are disabled.
     pub fn set_mutant(&mut self, mutant: Mutant) {
         self.mutant = mutant;
     }
 
-    /// Version of the configuration that it holds.
+    /// Version of the configuration that it has adopted.
     pub fn configuration(&self) -> u64 {
         self.configuration
     }
 
-    /// The placement that it holds.
+    /// The placement that it has adopted.
     pub fn placement(&self) -> &Placement {
         &self.placement
     }
 
-    /// Addresses to which a connection is wanted.
+    /// Targets to which a connection is missing.
     pub fn missing_connections(&self) -> Vec<Target> {
         let cores = self.cores.iter().filter(|(_, open)| open.is_none());
         let stores = self.placement.stores.iter().filter(|store| !self.stores.contains_key(&store.id));
@@ -156,12 +162,12 @@
         cores.chain(stores.map(|store| Target::store(store.address.0, store.id))).collect()
     }
 
-    /// When a tick is due (microseconds of its steady clock).
+    /// When the next tick is due, by the machine's steady clock.
     pub fn next_deadline(&self) -> u64 {
         self.poll_at
     }
 
-    /// Takes one happening and does what follows.
+    /// Handles an input.
     pub fn handle(&mut self, context: &mut DispatcherContext<'_>, input: ProcessInput) {
         if context.now > self.poll_at + STALL_THRESHOLD {
             self.stale_until = context.now + STALE_READ_WINDOW;
@@ -184,7 +190,8 @@
         }
     }
 
-    /// What comes from a store before it answers on the connection there is now may have lain unread.
+    /// Sends a barrier on each connection to a store: messages that arrive before it is reached may have been delayed by
+    /// a stall.
     fn send_barriers(&mut self, context: &mut DispatcherContext<'_>) {
         for connection in self.stores.values() {
             self.last_barrier += 1;
@@ -225,7 +232,7 @@
         }
     }
 
-    /// Leaves core machines that do not vouch for their state for others.
+    /// Moves connections from core machines that do not confirm their state to others.
     fn apply_connection_plan(&mut self, context: &mut DispatcherContext<'_>) {
         for step in self.connection_planner.poll(Instant::from_millis(context.now / MILLISECOND)) {
             match step {
@@ -386,12 +393,12 @@
         send(context, connection, FromDispatcher::Accept { request, id, message, lease: false });
     }
 
-    /// Clients that have waited long are gone; what became of their messages stays in doubt.
+    /// Drops clients that have given up; the outcome of their messages stays in doubt.
     fn drop_clients(&mut self, now: u64) {
         self.pending.retain(|_, pending| now - pending.first < CLIENT_TIMEOUT);
     }
 
-    /// The link to whose questions an answer belongs.
+    /// The link on which the request of a response was sent.
     fn request_link(&mut self, connection: Connection) -> Option<&mut StoreLink> {
         if self.mutant.is_enabled(Mechanism::ResponseOnSameConnection) {
             return self.links.get_mut(&connection);
@@ -436,7 +443,7 @@
         }
     }
 
-    /// Runs a message at once, unless its grant is of a primary before the present one, or may have waited unread.
+    /// Executes a message at once, unless its lease is of an earlier primary or may be stale.
     fn deliver(
         &mut self,
         context: &mut DispatcherContext<'_>,
@@ -444,8 +451,8 @@
         id: MessageId,
         token: LeaseToken,
     ) {
-        let since = self.placement.shard(id.shard).map(|shard| shard.term);
-        if since.is_some_and(|since| token.epoch() < since) {
+        let term = self.placement.shard(id.shard).map(|shard| shard.term);
+        if term.is_some_and(|term| token.epoch() < term) {
             return;
         }
         let in_doubt = context.now < self.stale_until || self.barriers.contains_key(&connection);
@@ -478,7 +485,7 @@
     }
 }
 
-/// Asks a core machine whether what is held here is current.
+/// Asks a core machine whether the adopted state is current.
 fn ask(context: &mut DispatcherContext<'_>, connection: Connection) {
     let message = ToCore::Ask { moment_ms: context.now / MILLISECOND };
     context.effects.push(Effect::Send { connection, payload: Payload::ToCore(message) });
@@ -488,7 +495,7 @@
     context.effects.push(Effect::Send { connection, payload: Payload::FromDispatcher(message) });
 }
 
-/// A message without an order key, to be run at once.
+/// A message without an order key, due at once.
 fn plain_message(id: MessageId) -> Message {
     Message {
         request_id: id.to_string(),
--- a/system/testing/simulation/src/event.rs
+++ b/system/testing/simulation/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a machine and what it does.
+//! Inputs and effects of simulated processes.
 
 use crate::history::{Request, Response};
 use crate::machine_id::MachineId;
@@ -9,45 +9,59 @@
 use millrudder_protocol::{MessageId, StoreId};
 use std::net::SocketAddr;
 
-/// Number of a connection; never used again.
+/// Identifies a connection; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Connection(pub u64);
 
-/// Number of one call of an operator; never used again.
+/// Identifies one call of an operator; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Call(pub u64);
 
-/// What travels on a connection.
+/// A message on a connection.
 #[derive(Clone, Debug)]
 pub enum Payload {
-    /// First on a connection between core machines.
+    /// The first message on a connection between core machines.
     Peer {
+        /// The sender's identity.
         id: NodeId,
+        /// The sender's address.
         address: String,
     },
+    /// A message between core nodes.
     Core {
+        /// The receiver's identity.
         to: NodeId,
+        /// The message.
         message: CoreMessage,
     },
+    /// A worker list that a core machine passes on to another.
     Workers {
+        /// The list.
         list: WorkerList,
     },
+    /// A message of a registrant to a core machine.
     ToCore(ToCore),
+    /// A message of a core machine to a registrant.
     FromCore(FromCore),
-    /// First on a connection to a store.
+    /// The first message on a connection to a store.
     Addressed {
+        /// The store that the connection is meant for.
         store: StoreId,
     },
+    /// A message between stores.
     Stores(BetweenStores),
+    /// A message of a dispatcher to a store.
     FromDispatcher(FromDispatcher),
+    /// A message of a store to a dispatcher.
     ToDispatcher(ToDispatcher),
 }
 
-/// Whom a connection is to reach.
+/// The target of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
+    /// The address to dial.
     pub address: SocketAddr,
-    /// The store that is meant, where a store is: another disk may answer at its address.
+    /// The store that is meant, if it is a store: another disk may respond at its address.
     pub store: Option<StoreId>,
 }
 
@@ -63,110 +77,136 @@
     }
 }
 
-/// Something happens to a machine.
+/// An input of a simulated process.
 #[derive(Clone, Debug)]
 pub enum ProcessInput {
-    /// A connection that this machine dialed is open.
+    /// A connection that this process dialed is open.
     Connected {
+        /// The connection.
         connection: Connection,
+        /// Its target.
         target: Target,
     },
-    /// Another machine has opened a connection to this one.
-    Accepted {
-        connection: Connection,
-    },
+    /// A connection was closed.
     Closed {
+        /// The connection.
         connection: Connection,
     },
+    /// A message arrived.
     Received {
+        /// The connection.
         connection: Connection,
+        /// The message.
         payload: Payload,
     },
-    /// The writes begun so far, up to the sync that ends now, are durable.
+    /// A sync completed: the writes that it covers are durable.
     Synced,
+    /// A timer expired.
     Tick,
-    /// SIGTERM.
+    /// The process got SIGTERM.
     ShutdownRequested,
-    /// An operator calls.
+    /// An operator sent a request.
     OperatorCall {
+        /// The call.
         call: Call,
+        /// The request.
         request: Request,
     },
 }
 
-/// Something that a machine does.
+/// An effect that a simulated process asks for.
 #[derive(Clone, Debug)]
 pub enum Effect {
+    /// Send a message.
     Send {
+        /// The connection.
         connection: Connection,
+        /// The message.
         payload: Payload,
     },
+    /// Close a connection.
     Close {
+        /// The connection.
         connection: Connection,
     },
-    /// Something was appended to the disk and is to be synced.
+    /// Sync what was appended to the disk.
     Sync,
-    /// Answers an operator.
+    /// Respond to an operator.
     Response {
+        /// The call.
         call: Call,
+        /// The response.
         response: Response,
     },
-    /// For the checks alone.
+    /// Report an observation to the checks.
     Observe(Observation),
 }
 
-/// What the checks see of a machine's doings.
+/// An observation of a process, for the checks.
 #[derive(Clone, Debug)]
 pub enum Observation {
-    /// A core machine told a registrant which configuration is in force.
+    /// A core machine sent the current configuration to a registrant.
     ConfigurationPublished {
+        /// Its version.
         version: u64,
     },
-    /// A core machine has a command applied.
+    /// A core machine applied a committed command.
     Committed {
+        /// Sequence number in the log.
         sequence: u64,
+        /// The request that submitted the command.
         request_id: RequestId,
+        /// The encoded command.
         command: Vec<u8>,
+        /// The result of the command.
         reply: Reply,
     },
+    /// A core machine entered a view.
     ViewEntered {
+        /// The view.
         view: View,
     },
+    /// A core machine was granted the controller's lease.
     LeaseGranted {
+        /// Its fencing token.
         fencing: FencingToken,
     },
-    /// A holder of the lease acted under this number.
+    /// A lease holder acted.
     ActedAsLeaseHolder {
+        /// The fencing token that it acted under.
         fencing: FencingToken,
     },
-    /// A dispatcher holds this now.
+    /// A dispatcher adopted state.
     Adopted {
+        /// Version of its configuration.
         configuration: u64,
+        /// Epoch of its placement.
         placement: u64,
+        /// Fencing token and number of its worker list.
         workers: (u64, u64),
     },
-    /// A dispatcher was told that a message is kept.
+    /// A message was acknowledged to a dispatcher as accepted.
     Accepted {
+        /// The message.
         id: MessageId,
     },
-    /// A dispatcher asked for a message that had been kept, and was told of it, or not.
-    Queried {
-        id: MessageId,
-        core_addresses: bool,
-    },
-    /// A dispatcher began to run a message.
+    /// A dispatcher started to execute a message.
     Executed {
+        /// The message.
         id: MessageId,
     },
-    /// A store said that the success of a run is kept.
+    /// A store acknowledged the success of an execution.
     Recorded {
+        /// The message.
         id: MessageId,
     },
 }
 
-/// Who is at a place and how often its process has started.
+/// Identifies a process: its machine, and the incarnation of the process there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessId {
+    /// The machine.
     pub machine_id: MachineId,
+    /// Number of starts and ends of the machine's process so far.
     pub incarnation: u32,
 }
--- a/system/testing/simulation/src/explore.rs
+++ b/system/testing/simulation/src/explore.rs
@@ -1,4 +1,4 @@
-//! Places faults after every single delivery and sync of a run.
+//! Exhaustive exploration: injects faults after every single delivery and sync of a run.
 
 use crate::control_machine::ControlMachine;
 use crate::fault::{Fault, PlannedFault, Trigger};
@@ -9,47 +9,55 @@
 use std::sync::Mutex;
 use std::thread;
 
-/// A run that failed, so that it can be repeated.
+/// A failed run, so that it can be reproduced.
 #[derive(Debug)]
 pub struct Failure {
+    /// The plan of the run.
     pub plan: Box<Plan>,
+    /// The violation that ended it.
     pub violation: Violation,
 }
 
-/// What was explored.
+/// The result of an exploration.
 #[derive(Debug, Default)]
 pub struct Explored {
-    /// Runs to their end.
+    /// Number of runs.
     pub runs: usize,
-    /// Steps after which a fault was placed.
+    /// Number of steps after which faults were injected.
     pub steps: usize,
-    /// The first failure that was found, if any.
+    /// The failure that was found first, if any.
     pub failure: Option<Failure>,
 }
 
-/// When the steps begin after which faults are placed.
+/// When the window of an exploration starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExplorationStart {
+    /// At once.
     Immediate,
-    /// As soon as no machine lacks what a lost disk held: the system takes the loss for made up.
+    /// As soon as a disk was lost and its data is restored.
     AfterDiskRestored,
 }
 
-/// How a run is explored.
+/// The settings of an exploration.
 #[derive(Clone, Debug)]
 pub struct Exploration {
-    /// Faults placed one at a time after each step.
+    /// Faults, of which one is injected after each step.
     pub faults: Vec<Fault>,
+    /// When the window starts.
     pub start: ExplorationStart,
-    /// Steps are counted within this time after the beginning (microseconds).
+    /// Length of the window.
     pub window: u64,
-    /// Only every so many steps, beginning with a drawn one.
+    /// Faults are injected after each step whose number is a multiple of this.
     pub stride: usize,
+    /// Number of threads.
     pub threads: usize,
 }
 
 impl Exploration {
-    /// Plays the plan from `world` on, and from each step on again with each fault.
+    /// Runs the plan from `world` on, and from each step of the window on once with each fault.
+    ///
+    /// # Panics
+    /// A thread panics.
     pub fn explore<M>(&self, world: &World<M>, plan: &Plan) -> Explored
     where
         M: ControlMachine + Send + Sync,
@@ -67,7 +75,7 @@
         self.play_all(&forks)
     }
 
-    /// The world after each step of the window.
+    /// Copies of the world after each step of the window.
     fn forks<M: ControlMachine>(&self, base: &mut World<M>) -> Result<Vec<World<M>>, Violation> {
         if self.start == ExplorationStart::AfterDiskRestored {
             base.run_until_disk_restored()?;
--- a/system/testing/simulation/src/fault.rs
+++ b/system/testing/simulation/src/fault.rs
@@ -5,7 +5,8 @@
 /// A fault of the simulated world.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is killed; an arbitrary prefix of its unsynced writes is lost. It restarts after the downtime.
+    /// The process is killed; an arbitrary suffix of the unsynced writes of a core machine is lost. It
+    /// restarts after the downtime.
     Kill {
         /// The machine.
         machine_id: MachineId,
--- a/system/testing/simulation/src/fault_injection.rs
+++ b/system/testing/simulation/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults strike.
+//! Injects faults into the world.
 
 use crate::control_machine::ControlMachine;
 use crate::event::ProcessInput;
@@ -9,15 +9,15 @@
 use crate::{MILLISECOND, SECOND};
 use millrudder_chain::SimulatedDisk;
 
-/// A process that was told to stop serves on for so long after the others can do without it (microseconds).
+/// A process that got SIGTERM continues to serve for so long.
 const SHUTDOWN_DELAY: u64 = 250 * MILLISECOND;
-/// The platform waits for so long before it ends a process that was told to stop.
+/// The platform kills a process so long after SIGTERM.
 const SHUTDOWN_GRACE: u64 = 6 * SECOND;
-/// A machine without power may come back so much later than planned.
+/// Greatest additional delay of a restart after a power loss.
 const MAX_RESTART_DELAY: u64 = 50 * MILLISECOND;
 
 impl<M: ControlMachine> World<M> {
-    /// Lets a fault happen now; one that takes a second disk before the first is made up for is left out.
+    /// Injects a fault now. One that would lose more disks at a time than are tolerated is skipped.
     pub fn inject(&mut self, fault: &Fault) {
         if fault.takes_disk() && !self.may_lose_disk(fault) {
             return;
@@ -46,7 +46,7 @@
                 self.machine(*machine_id).generation += 1;
                 self.wipe(*machine_id);
             }
-            Fault::Shutdown { machine_id, downtime } => self.stop(*machine_id, *downtime),
+            Fault::Shutdown { machine_id, downtime } => self.shut_down(*machine_id, *downtime),
             Fault::Freeze { machine_id, duration } => self.freeze(*machine_id, *duration),
             Fault::Suspend { machine_id, duration } => self.suspend(*machine_id, *duration),
             Fault::Isolate { machine_id, duration } => self.partition(&[*machine_id], *duration),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// All machines.
+    /// The ids of all machines.
     pub(crate) fn machine_ids(&self) -> Vec<MachineId> {
         self.machines.keys().copied().collect()
     }
@@ -78,7 +78,7 @@
         self.machine_ids().into_iter().filter(|machine_id| machine_id.has_disk()).collect()
     }
 
-    /// Disks of one kind are lost one at a time: as many as are tolerated.
+    /// Whether another disk of this kind may be lost before the lost ones are restored.
     fn may_lose_disk(&mut self, fault: &Fault) -> bool {
         let (Fault::Wipe { machine_id, .. }
         | Fault::WipeWithPowerLossOfOthers { machine_id, .. }
@@ -102,11 +102,11 @@
                 let kept = self.random.usize(0..=self.cores[index].disk.pending());
                 self.cores[index].disk.crash(kept);
             }
-            MachineId::Store(index) => self.stores[index].disk.process_died(),
+            MachineId::Store(index) => self.stores[index].disk.kill_process(),
             _ => {}
         }
         for connection in self.network.connections_of(machine_id) {
-            self.notice_closed(connection, machine_id);
+            self.notify_peer_closed(connection, machine_id);
         }
         self.schedule_start(machine_id, self.now + downtime);
     }
@@ -115,7 +115,7 @@
         self.end_process(machine_id);
         match machine_id {
             MachineId::Core(index) => self.cores[index].disk.crash(0),
-            MachineId::Store(index) => self.stores[index].disk.power_lost(),
+            MachineId::Store(index) => self.stores[index].disk.lose_power(),
             _ => {}
         }
         let later = self.random.u64(0..MAX_RESTART_DELAY);
@@ -143,17 +143,17 @@
         self.machine(machine_id).disk_lost = true;
         match machine_id {
             MachineId::Core(index) => {
-                let keeps_name = !self.plan.mutant.is_enabled(Mechanism::NewIdentityAfterWipe);
+                let keeps_identity = !self.plan.mutant.is_enabled(Mechanism::NewIdentityAfterWipe);
                 let core = &mut self.cores[index];
                 core.lost_a_disk = true;
-                let id = core.disk.state().map(|state| state.id).filter(|_| keeps_name);
+                let id = core.disk.state().map(|state| state.id).filter(|_| keeps_identity);
                 core.disk = id.map_or_else(SimulatedDisk::default, SimulatedDisk::with_identity);
             }
             MachineId::Store(index) => {
-                let keeps_name = !self.plan.mutant.is_enabled(Mechanism::CatchUpBeforeReplica);
+                let keeps_identity = !self.plan.mutant.is_enabled(Mechanism::CatchUpBeforeReplica);
                 let id = self.stores[index].id;
                 self.new_store_disk(index);
-                if keeps_name {
+                if keeps_identity {
                     self.stores[index].id = id;
                 }
             }
@@ -161,7 +161,7 @@
         }
     }
 
-    fn stop(&mut self, machine_id: MachineId, downtime: u64) {
+    fn shut_down(&mut self, machine_id: MachineId, downtime: u64) {
         let grace = match machine_id {
             MachineId::Core(_) | MachineId::Store(_)
                 if self.plan.mutant.is_enabled(Mechanism::GracefulLeave) =>
@@ -222,8 +222,8 @@
     fn reset(&mut self, machine_id: MachineId) {
         for connection in self.network.connections_of(machine_id) {
             let Some(link) = self.network.link(connection).copied() else { continue };
-            self.notice_closed(connection, link.dialer);
-            self.notice_closed(connection, link.acceptor);
+            self.notify_peer_closed(connection, link.dialer);
+            self.notify_peer_closed(connection, link.acceptor);
         }
     }
 }
--- a/system/testing/simulation/src/history.rs
+++ b/system/testing/simulation/src/history.rs
@@ -1,26 +1,27 @@
-//! What operators asked and what they were answered.
+//! The history of operators' requests and responses.
 
 use std::fmt;
 
-/// Name of a configuration's bytes: equal for equal bytes.
+/// Identifies the content of a configuration: equal for equal bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ContentId(pub u64);
 
 /// A configuration as an operator sends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Configuration {
-    /// Its own number.
+    /// Its version.
     pub version: u64,
+    /// Its content.
     pub body: ContentId,
 }
 
 impl Configuration {
-    /// The bytes that travel.
+    /// Encodes the configuration.
     pub fn bytes(&self) -> Vec<u8> {
         format!("{} {}", self.version, self.body.0).into_bytes()
     }
 
-    /// The configuration of these bytes.
+    /// Decodes a configuration; `None` if the bytes are none.
     pub fn from_bytes(bytes: &[u8]) -> Option<Configuration> {
         let text = std::str::from_utf8(bytes).ok()?;
         let (version, body) = text.split_once(' ')?;
@@ -28,18 +29,21 @@
     }
 }
 
-/// What an operator asks.
+/// A request of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Request {
-    /// Put a configuration into force on top of a version.
+    /// Replace the configuration if its current version is the expected one.
     Put {
+        /// The expected version.
         expected: u64,
+        /// The new configuration.
         configuration: Configuration,
     },
+    /// Read the current configuration.
     Get,
 }
 
-/// What a machine answers.
+/// The response of a core machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Response {
     /// 200 to a `Put`.
@@ -50,21 +54,22 @@
     NotHigher,
     /// 200 or 404 to a `Get`.
     Current(Option<Configuration>),
-    /// 5xx: nothing is said.
+    /// 5xx: the outcome is unknown.
     Unavailable,
 }
 
-/// One call of an operator.
+/// A request of an operator, with its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// Who asked.
+    /// The operator.
     pub operator: usize,
-    /// Which core machine was asked.
+    /// The core machine that was called.
     pub machine: usize,
+    /// The request.
     pub request: Request,
-    /// Place of the call among all calls and answers.
+    /// Position of the invocation in the order of all invocations and responses.
     pub invoked: u64,
-    /// Place of the answer, and what it said; nothing where no clear answer came.
+    /// Position of the response in that order, and the response; `None` without a definite one.
     pub responded: Option<(u64, Response)>,
 }
 
@@ -91,12 +96,12 @@
             Some((_, Response::Current(Some(Configuration { version, body })))) => {
                 write!(out, " -> {version} (body {})", body.0)
             }
-            Some((_, Response::Unavailable)) | None => write!(out, " -> no clear response"),
+            Some((_, Response::Unavailable)) | None => write!(out, " -> no definite response"),
         }
     }
 }
 
-/// All calls of a run, in the order in which they began.
+/// All operations of a run, in the order of their invocations.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     operations: Vec<Operation>,
@@ -104,14 +109,14 @@
 }
 
 impl History {
-    /// An operator calls. Gives the operation's index.
+    /// Records an invocation. Returns the operation's index.
     pub fn call(&mut self, operator: usize, machine: usize, request: Request) -> usize {
         let invoked = self.tick();
         self.operations.push(Operation { operator, machine, request, invoked, responded: None });
         self.operations.len() - 1
     }
 
-    /// An answer arrived; one that says nothing leaves the operation open.
+    /// Records a response; one without an outcome leaves the operation open.
     pub fn response(&mut self, index: usize, response: Response) {
         let at = self.tick();
         if response != Response::Unavailable {
@@ -119,7 +124,7 @@
         }
     }
 
-    /// The operations so far.
+    /// The operations so far, in the order of their invocations.
     pub fn operations(&self) -> &[Operation] {
         &self.operations
     }
--- a/system/testing/simulation/src/linearizability.rs
+++ b/system/testing/simulation/src/linearizability.rs
@@ -1,12 +1,14 @@
-//! Checks a history of operators against a versioned register with repeats.
+//! Checks that a history of operators is linearizable with respect to a versioned register (Herlihy, Wing, 1990), by the
+//! search of Wing and Gong with memoization of visited states (Lowe, 2017).
 //!
-//! A history is accepted if every answered operation can be given one moment between its call and its answer, and some
-//! of the unanswered ones a moment after their call, so that the register, worked in that order, answers the same.
+//! A history is accepted if there is a point between the invocation and the response of every operation with a
+//! response, and after the invocation of some of the others, such that the register responds the same when it applies
+//! the requests in that order.
 
 use crate::history::{Configuration, ContentId, Operation, Request, Response};
 use std::collections::{BTreeSet, HashSet};
 
-/// The specification: one configuration in force, and all that were ever accepted.
+/// The specification: the current configuration, and all that were ever accepted, of which a repeat is accepted again.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Register {
     current: Option<Configuration>,
@@ -18,7 +20,7 @@
         self.current.map_or(0, |current| current.version)
     }
 
-    /// What an order is answered now.
+    /// The response to a request now.
     fn response(&self, request: Request) -> Response {
         let Request::Put { expected, configuration } = request else {
             return Response::Current(self.current);
@@ -35,14 +37,14 @@
         Response::Accepted
     }
 
-    /// The configuration that an order puts into force now, if it does.
+    /// The configuration that a request would make current now, if any.
     fn effect(&self, request: Request) -> Option<Configuration> {
         let Request::Put { configuration, .. } = request else { return None };
-        let fresh = !self.accepted.contains(&configuration.body);
-        (fresh && self.response(request) == Response::Accepted).then_some(configuration)
+        let is_new = !self.accepted.contains(&configuration.body);
+        (is_new && self.response(request) == Response::Accepted).then_some(configuration)
     }
 
-    /// Works an order; gives what it answers.
+    /// Applies a request and returns the response.
     pub fn apply(&mut self, request: Request) -> Response {
         let response = self.response(request);
         if let Some(configuration) = self.effect(request) {
@@ -52,16 +54,16 @@
         response
     }
 
-    /// Whether the answer is one that the order may get here: where two refusals apply, either is right.
+    /// Whether a request may get this response now: where two rejections apply, either is allowed.
     fn allows(&self, request: Request, response: Response) -> bool {
-        let worked = self.response(request);
-        let Request::Put { configuration, .. } = request else { return worked == response };
+        let expected = self.response(request);
+        let Request::Put { configuration, .. } = request else { return expected == response };
         let not_higher = configuration.version <= self.version();
-        let either = worked == Response::Conflict && response == Response::NotHigher && not_higher;
-        worked == response || either
+        let either = expected == Response::Conflict && response == Response::NotHigher && not_higher;
+        expected == response || either
     }
 
-    /// Whether the operation may be next. One without an answer that would change nothing need not be.
+    /// Whether the operation may be next. One without a response that would change nothing need not be applied.
     fn admits(&self, operation: &Operation) -> bool {
         match operation.responded {
             Some((_, response)) => self.allows(operation.request, response),
@@ -70,11 +72,11 @@
     }
 }
 
-/// Which operations have been given their moment, one bit each.
+/// The set of operations that are linearized already, one bit each.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct LinearizedSet(Vec<u64>);
 
-/// Operations of one word of [`Done`].
+/// Operations of one word of [`LinearizedSet`].
 const WORD: usize = u64::BITS as usize;
 
 impl LinearizedSet {
@@ -93,15 +95,15 @@
     }
 }
 
-/// Bits are kept of answered operations alone: one without an answer is worked only where it changes the register,
-/// which then shows that it was.
+/// The search for a linearization. The set contains operations with a response only: one without is applied only where
+/// it changes the register, which then shows that it was.
 struct Search<'a> {
     operations: &'a [Operation],
     visited: HashSet<(LinearizedSet, Register)>,
 }
 
 impl Search<'_> {
-    /// The first answer among the operations that are left: whatever is next must have been called before it.
+    /// The first response of the remaining operations: the next one must have been invoked before it.
     fn horizon(&self, linearized: &LinearizedSet) -> Option<u64> {
         let left = self.operations.iter().enumerate().filter(|(index, _)| !linearized.has(*index));
         left.filter_map(|(_, operation)| operation.responded.map(|(at, _)| at)).min()
@@ -131,26 +133,26 @@
     }
 }
 
-/// Whether the history can have come from one register. Operations are in the order of their calls.
+/// Whether the history is linearizable. Operations are in the order of their invocations.
 pub fn is_linearizable(operations: &[Operation]) -> bool {
     let mut search = Search { operations, visited: HashSet::new() };
     search.explore(&LinearizedSet::none_of(operations.len()), &Register::default())
 }
 
-/// A short part of a history that is still not linearizable.
+/// A short part of a history that is not linearizable, which is not linearizable either.
 pub fn shrink(operations: &[Operation]) -> Vec<Operation> {
-    let mut kept = shortest_prefix(operations);
-    let mut index = kept.len();
+    let mut history = shortest_prefix(operations);
+    let mut index = history.len();
     while index > 0 {
         index -= 1;
-        if let Some(without) = weakened(&kept, index).filter(|less| !is_linearizable(less)) {
-            kept = without;
+        if let Some(without) = weakened(&history, index).filter(|less| !is_linearizable(less)) {
+            history = without;
         }
     }
-    kept
+    history
 }
 
-/// The history up to the first answer that cannot be.
+/// The history up to the first response that makes it not linearizable.
 fn shortest_prefix(operations: &[Operation]) -> Vec<Operation> {
     let mut answers: Vec<u64> =
         operations.iter().filter_map(|operation| operation.responded.map(|(at, _)| at)).collect();
@@ -168,8 +170,8 @@
     Operation { responded, ..*operation }
 }
 
-/// The history with less said by one operation: one that changes nothing is left out, others lose their answer; one
-/// without an answer is left out where nobody speaks of its bytes.
+/// The history with one operation weakened: one that changes nothing is dropped, others lose their response; one without
+/// a response is dropped if no other operation mentions its content.
 fn weakened(operations: &[Operation], index: usize) -> Option<Vec<Operation>> {
     let operation = operations[index];
     let mut less = operations.to_vec();
@@ -179,12 +181,12 @@
         }
         (Request::Put { .. }, Some(_)) => less[index].responded = None,
         (Request::Put { configuration, .. }, None) => {
-            let speaks = |other: &Operation| {
+            let mentions = |other: &Operation| {
                 matches!(other.request, Request::Put { configuration: named, .. } if named.body == configuration.body)
                     || matches!(other.responded, Some((_, Response::Current(Some(named)))) if named == configuration)
             };
             let others = operations.iter().enumerate().filter(|(other, _)| *other != index);
-            if others.map(|(_, other)| other).any(speaks) {
+            if others.map(|(_, other)| other).any(mentions) {
                 return None;
             }
             less.remove(index);
--- a/system/testing/simulation/src/message_log.rs
+++ b/system/testing/simulation/src/message_log.rs
@@ -40,9 +40,4 @@
     pub fn last_accepted(&self, dispatcher: usize) -> u64 {
         self.last.get(&dispatcher).copied().unwrap_or_default()
     }
-
-    /// The number of accepted messages.
-    pub fn count(&self) -> usize {
-        self.accepted.len()
-    }
 }
--- a/system/testing/simulation/src/network.rs
+++ b/system/testing/simulation/src/network.rs
@@ -1,28 +1,31 @@
-//! Connections between machines: in order and with a delay; cut, reset and opened again.
+//! The simulated network: connections with delays that deliver in order, and partitions.
 
 use crate::event::Connection;
 use crate::machine_id::MachineId;
 use std::collections::BTreeMap;
 
-/// Shortest and longest ordinary delay of a message (microseconds).
+/// Ordinary delay of a message.
 const DELAY: std::ops::Range<u64> = 300..2_500;
 
-/// One connection as its two ends see it.
+/// The state of a connection at its two ends.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
+    /// The machine that opened the connection.
     pub dialer: MachineId,
+    /// The machine that accepted it.
     pub acceptor: MachineId,
-    /// Each end has not learnt of its end yet.
+    /// Whether it is open at the dialer.
     pub dialer_open: bool,
+    /// Whether it is open at the acceptor.
     pub acceptor_open: bool,
-    /// Last arrival at the dialer and at the acceptor.
+    /// Time of the last arrival at the dialer and at the acceptor.
     last_arrival: [u64; 2],
-    /// Since when nothing passes in one direction at least.
+    /// Since when at least one direction is blocked.
     pub blocked_since: Option<u64>,
 }
 
 impl Link {
-    /// The other end.
+    /// The peer of a machine.
     pub fn other(&self, machine_id: MachineId) -> MachineId {
         if self.dialer == machine_id {
             self.acceptor
@@ -31,7 +34,7 @@
         }
     }
 
-    /// Whether the end at `place` takes this connection for open.
+    /// Whether the connection is open at the end of `machine_id`.
     pub fn is_open_at(&self, machine_id: MachineId) -> bool {
         if self.dialer == machine_id {
             self.dialer_open
@@ -40,7 +43,7 @@
         }
     }
 
-    /// The end at `place` has learnt that it is closed.
+    /// Closes the end of `machine_id`.
     pub fn close_at(&mut self, machine_id: MachineId) {
         if self.dialer == machine_id {
             self.dialer_open = false;
@@ -50,38 +53,38 @@
     }
 }
 
-/// All connections and cuts.
+/// All connections and partitions.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     links: BTreeMap<Connection, Link>,
     next: u64,
-    /// Nothing passes from the first to the second before this time.
+    /// Until when messages from the first machine to the second are blocked.
     partitions: BTreeMap<(MachineId, MachineId), u64>,
 }
 
 impl Network {
-    /// Cuts one direction until a time.
+    /// Blocks one direction until a time.
     pub fn partition(&mut self, from: MachineId, to: MachineId, until: u64) {
         let partitioned_until = self.partitions.entry((from, to)).or_default();
         *partitioned_until = until.max(*partitioned_until);
     }
 
-    /// When what is sent from one place passes to the other.
+    /// When a message from one machine is no longer blocked on its way to the other.
     pub fn passes_at(&self, from: MachineId, to: MachineId, now: u64) -> u64 {
         self.partitions.get(&(from, to)).copied().unwrap_or_default().max(now)
     }
 
-    /// Whether nothing passes from one place to the other now.
+    /// Whether messages from one machine to the other are blocked now.
     pub fn is_partitioned(&self, from: MachineId, to: MachineId, now: u64) -> bool {
         self.passes_at(from, to, now) > now
     }
 
-    /// Whether the two places can talk in both directions.
+    /// Whether the two machines can communicate in both directions.
     pub fn can_communicate(&self, one: MachineId, other: MachineId, now: u64) -> bool {
         !self.is_partitioned(one, other, now) && !self.is_partitioned(other, one, now)
     }
 
-    /// A new connection, open at both ends.
+    /// Opens a connection at both ends.
     pub fn open(&mut self, dialer: MachineId, acceptor: MachineId) -> Connection {
         self.next += 1;
         let link = Link {
@@ -96,32 +99,34 @@
         Connection(self.next)
     }
 
+    /// The state of a connection, until it is forgotten.
     pub fn link(&self, connection: Connection) -> Option<&Link> {
         self.links.get(&connection)
     }
 
+    /// The mutable state of a connection, until it is forgotten.
     pub fn link_mut(&mut self, connection: Connection) -> Option<&mut Link> {
         self.links.get_mut(&connection)
     }
 
-    /// Connections that some end takes for open.
+    /// All connections that are not forgotten yet.
     pub fn connections(&self) -> Vec<Connection> {
         self.links.keys().copied().collect()
     }
 
-    /// Connections that touch a place.
+    /// The connections of a machine.
     pub fn connections_of(&self, machine_id: MachineId) -> Vec<Connection> {
-        let connections_of =
+        let links =
             self.links.iter().filter(|(_, link)| link.dialer == machine_id || link.acceptor == machine_id);
-        connections_of.map(|(connection, _)| *connection).collect()
+        links.map(|(connection, _)| *connection).collect()
     }
 
-    /// Forgets connections that both ends have closed.
+    /// Forgets connections that are closed at both ends.
     pub fn forget_closed(&mut self) {
         self.links.retain(|_, link| link.dialer_open || link.acceptor_open);
     }
 
-    /// When something arrives that is sent now: never before what was sent earlier on the same connection.
+    /// When a message sent now arrives: never before one that was sent earlier on the same connection.
     pub fn arrival(
         &mut self,
         connection: Connection,
--- a/system/testing/simulation/src/operator.rs
+++ b/system/testing/simulation/src/operator.rs
@@ -1,41 +1,46 @@
-//! A model of an operator: puts configurations and repeats unchanged what got no clear answer, at any core machine.
+//! A model of an operator: updates the configuration, and retries requests without a definite response at any core
+//! machine.
 
 use crate::event::Call;
 use crate::history::{Configuration, ContentId, Request, Response};
 use crate::{MILLISECOND, SECOND};
 
-/// An operator moves on after this silence (microseconds).
+/// An operator retries a call without a response after this time.
 pub const CALL_TIMEOUT: u64 = SECOND;
-/// Shortest and longest pause before the same order goes to another machine.
+/// Pause before a retry at another machine.
 const RETRY_PAUSE: std::ops::Range<u64> = 50 * MILLISECOND..300 * MILLISECOND;
-/// Largest step between two versions.
+/// Greatest step between two versions.
 const MAX_VERSION_STEP: u64 = 3;
 
-/// One call that is not answered yet.
+/// A call without a response yet.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightCall {
+    /// The call.
     pub call: Call,
-    /// Place in the history.
+    /// Index of the operation in the history.
     pub operation: usize,
 }
 
-/// An operator at their desk.
+/// The state of one operator.
 #[derive(Clone, Debug)]
 pub struct Operator {
+    /// The operator's index.
     pub index: usize,
-    /// The version that this operator takes for current.
+    /// The version that this operator believes to be current.
     current: u64,
-    /// The order that is being repeated until it gets a clear answer.
+    /// The request that is retried until it gets a definite response.
     request: Option<Request>,
+    /// The call in flight.
     pub in_flight: Option<InFlightCall>,
-    /// Longest pause between two orders (microseconds).
+    /// Longest pause between two requests.
     pub max_pause: u64,
-    /// Orders that were accepted; one of them is repeated now and then.
+    /// Accepted updates; now and then one of them is sent again.
     accepted: Vec<Request>,
     bodies: u64,
 }
 
 impl Operator {
+    /// An operator that has sent nothing yet.
     pub fn new(index: usize, max_pause: u64) -> Self {
         Operator {
             index,
@@ -48,7 +53,7 @@
         }
     }
 
-    /// What to ask next: the order that has no clear answer yet, or a new one.
+    /// The next request: the one without a definite response yet, or a new one.
     pub fn next_request(&mut self, random: &mut fastrand::Rng) -> Request {
         let request = self.request.unwrap_or_else(|| self.draw(random));
         self.request = Some(request);
@@ -68,7 +73,7 @@
         }
     }
 
-    /// A clear answer ends the order; gives the pause before the next call.
+    /// Handles a response, of which a definite one ends the request. Returns the pause before the next call.
     pub fn responded(&mut self, response: Response, random: &mut fastrand::Rng) -> u64 {
         self.in_flight = None;
         let Some(request) = self.request else { return self.pause(random) };
@@ -81,7 +86,7 @@
                 }
             }
             (Request::Put { .. }, _) => {
-                // Somebody else was faster: look first what is current.
+                // Another operator was faster: read the current version first.
                 self.request = Some(Request::Get);
                 return random.u64(RETRY_PAUSE) / 8;
             }
@@ -94,13 +99,13 @@
         self.pause(random)
     }
 
-    /// The call has stayed silent; gives the pause before the same order is sent again.
+    /// Handles a call that timed out. Returns the pause before the retry.
     pub fn timed_out(&mut self, random: &mut fastrand::Rng) -> u64 {
         self.in_flight = None;
         random.u64(RETRY_PAUSE)
     }
 
-    /// Orders that were accepted so far.
+    /// The number of accepted updates.
     pub fn accepted(&self) -> usize {
         self.accepted.len()
     }
--- a/system/testing/simulation/src/pending_requests.rs
+++ b/system/testing/simulation/src/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The operator's orders that wait at a core machine, as the shell of the core keeps them.
+//! Operators' requests that are pending at a core machine, as in the production shell of the core.
 
 use crate::event::Call;
 use crate::history::{Configuration, Request, Response};
@@ -8,15 +8,26 @@
 use millrudder_protocol::control::ConfigurationText;
 use std::collections::BTreeMap;
 
-/// How long an order waits for the chain (microseconds).
+/// How long a request may wait for the chain.
 const REQUEST_TIMEOUT: u64 = 850_000;
 
-/// What an order needs before it can be answered.
+/// The next step of a request.
 #[derive(Clone, Debug)]
 pub enum RequestStep {
+    /// Send a response now.
     Response(Response),
-    Submit { request_id: RequestId, command: Command },
-    Read { request_id: RequestId },
+    /// Submit a command, whose reply is the response.
+    Submit {
+        /// The request id.
+        request_id: RequestId,
+        /// The command.
+        command: Command,
+    },
+    /// Start a linearizable read.
+    Read {
+        /// The request id.
+        request_id: RequestId,
+    },
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -25,21 +36,23 @@
     since: u64,
 }
 
-/// Orders by the request that they wait for.
+/// Pending requests of operators, by the request to the chain that they wait for.
 #[derive(Clone, Debug)]
 pub struct PendingRequests {
     random: fastrand::Rng,
-    counted: u128,
+    last_id: u128,
     waiting: BTreeMap<RequestId, Waiting>,
 }
 
 impl PendingRequests {
+    /// No pending requests; request ids are drawn from the seed.
     pub fn new(seed: u64) -> Self {
-        PendingRequests { random: fastrand::Rng::with_seed(seed), counted: 0, waiting: BTreeMap::new() }
+        PendingRequests { random: fastrand::Rng::with_seed(seed), last_id: 0, waiting: BTreeMap::new() }
     }
 
-    /// Takes an order. Every answer rests on the state, so that a machine that is not `open` gives none.
-    pub fn take(
+    /// Handles a request. Every response depends on the state, so that a machine whose read barrier is not `open` gives
+    /// none.
+    pub fn handle_request(
         &mut self,
         now: u64,
         call: Call,
@@ -65,22 +78,22 @@
     }
 
     fn wait(&mut self, now: u64, call: Call, mutant: &Mutant) -> RequestId {
-        let request_id = self.own_request(mutant);
+        let request_id = self.next_request_id(mutant);
         self.waiting.insert(request_id, Waiting { call, since: now });
         request_id
     }
 
-    /// A request id for a command of this machine's own.
-    pub fn own_request(&mut self, mutant: &Mutant) -> RequestId {
-        self.counted += 1;
+    /// A new request id.
+    pub fn next_request_id(&mut self, mutant: &Mutant) -> RequestId {
+        self.last_id += 1;
         match mutant.is_enabled(Mechanism::UniqueRequestIds) {
             true => RequestId(self.random.u128(1..)),
-            false => RequestId(self.counted),
+            false => RequestId(self.last_id),
         }
     }
 
-    /// The answer to the order that waited for this reply.
-    pub fn replied(
+    /// Returns the response to the request that waited for this reply.
+    pub fn handle_reply(
         &mut self,
         request_id: RequestId,
         reply: Reply,
@@ -101,13 +114,17 @@
         Some((waiting.call, response))
     }
 
-    /// The answer to a read that sees what it must.
-    pub fn read_ready(&mut self, request_id: RequestId, state: &ControlState) -> Option<(Call, Response)> {
+    /// Returns the response to the request that waited for this linearizable read.
+    pub fn handle_read_ready(
+        &mut self,
+        request_id: RequestId,
+        state: &ControlState,
+    ) -> Option<(Call, Response)> {
         let waiting = self.waiting.remove(&request_id)?;
         Some((waiting.call, current(state)))
     }
 
-    /// Requests that have waited too long, with their calls.
+    /// Removes the requests that have timed out, and returns them with their calls.
     pub fn take_overdue(&mut self, now: u64) -> Vec<(RequestId, Call)> {
         let overdue = |waiting: &Waiting| now.saturating_sub(waiting.since) >= REQUEST_TIMEOUT;
         let late = self.waiting.iter().filter(|(_, waiting)| overdue(waiting));
@@ -119,6 +136,6 @@
 
 fn current(state: &ControlState) -> Response {
     let configuration = state.configuration();
-    let held = (configuration.version > 0).then(|| Configuration::from_bytes(&configuration.json));
-    Response::Current(held.flatten())
+    let configuration = (configuration.version > 0).then(|| Configuration::from_bytes(&configuration.json));
+    Response::Current(configuration.flatten())
 }
--- a/system/testing/simulation/src/recovery.rs
+++ b/system/testing/simulation/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What must hold of the whole: who is in touch with whom, who has learnt what, what is well again.
+//! Checks of the cluster as a whole: propagation of the configuration, no lost messages, recovery after faults.
 
 use crate::checks::PROPAGATION_BOUND;
 use crate::control_machine::ControlMachine;
@@ -9,47 +9,47 @@
 use millrudder_protocol::StoreId;
 use std::collections::BTreeMap;
 
-/// Since when each dispatcher could reach a machine that is in touch with a majority (true time, microseconds).
+/// Since when each dispatcher has been able to reach a core machine with a quorum (true time).
 #[derive(Clone, Debug, Default)]
 pub struct PropagationTracker {
     since: BTreeMap<usize, u64>,
 }
 
 impl PropagationTracker {
-    /// A dispatcher's process has begun afresh.
+    /// Handles a restart of a dispatcher's process.
     pub fn restarted(&mut self, dispatcher: usize, now: u64) {
         self.since.insert(dispatcher, now);
     }
 }
 
 impl<M: ControlMachine> World<M> {
-    /// Core machines that run, hold state, and can talk with a majority of such machines.
+    /// Core machines that run, have their data, and can communicate with a quorum of such machines.
     fn cores_with_quorum(&self) -> Vec<usize> {
-        let counts = |index: &usize| {
+        let is_available = |index: &usize| {
             let machine_id = MachineId::Core(*index);
             self.is_running(machine_id)
                 && !self.machines.get(&machine_id).is_some_and(|machine| machine.disk_lost)
         };
-        let good: Vec<usize> = (0..self.cores.len()).filter(counts).collect();
+        let available: Vec<usize> = (0..self.cores.len()).filter(is_available).collect();
         let majority = self.cores.len() / 2 + 1;
-        let in_touch = |index: &usize| {
-            let talks = |other: &&usize| {
+        let has_quorum = |index: &usize| {
+            let can_reach = |other: &&usize| {
                 self.network.can_communicate(MachineId::Core(*index), MachineId::Core(**other), self.now)
             };
-            good.iter().filter(talks).count() >= majority
+            available.iter().filter(can_reach).count() >= majority
         };
-        let candidates: Vec<usize> = good.iter().copied().filter(in_touch).collect();
-        // A majority must talk among itself, not just each with somebody.
-        let complete = |index: &usize| {
-            let talks = |other: &&usize| {
+        let candidates: Vec<usize> = available.iter().copied().filter(has_quorum).collect();
+        // The members of a quorum must be able to communicate with each other.
+        let is_in_quorum = |index: &usize| {
+            let can_reach = |other: &&usize| {
                 self.network.can_communicate(MachineId::Core(*index), MachineId::Core(**other), self.now)
             };
-            candidates.iter().filter(talks).count() >= majority
+            candidates.iter().filter(can_reach).count() >= majority
         };
-        candidates.iter().copied().filter(complete).collect()
+        candidates.iter().copied().filter(is_in_quorum).collect()
     }
 
-    /// Each dispatcher that could learn for long enough holds what had been acknowledged before.
+    /// Checks that each dispatcher that could reach a quorum for long enough has the acknowledged configuration.
     pub(crate) fn check_propagation(&mut self) -> Result<(), Violation> {
         let cores = self.cores_with_quorum();
         for index in 0..self.dispatchers.len() {
@@ -79,8 +79,8 @@
         Ok(())
     }
 
-    /// Notes the newest placement that any core machine has held: those that hold it may all be down at times, and a
-    /// machine that was cut off before still has an earlier one.
+    /// Records the newest placement of any core machine: all machines that have it may be down at times, and one that was
+    /// partitioned has an earlier one.
     pub(crate) fn update_newest_placement(&mut self) {
         let processes = self.cores.iter().filter_map(|core| core.process.as_ref());
         let placements = processes.map(|process| process.node.machine().state().placement());
@@ -94,7 +94,7 @@
         self.stores.iter().position(|store| store.id == id)
     }
 
-    /// A primary that serves under the newest placement knows every accepted message of its shards.
+    /// Checks that a primary that serves under the newest placement knows every accepted message of its shards.
     pub(crate) fn check_messages(&self) -> Result<(), Violation> {
         let placement = &self.newest_placement;
         for id in self.checks.messages.accepted_ids() {
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    /// Notes which lost disks are made up for: the machine that has the new one is a full member again.
+    /// Records which lost disks are restored: their machines are full members again.
     pub(crate) fn update_restored_disks(&mut self) {
         let cores_complete = self.cores_are_complete();
         let stores_complete = self.stores_are_complete();
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Every core machine runs and has caught up in a view of all.
+    /// Whether every core machine runs and has caught up in a view of all.
     fn cores_are_complete(&self) -> bool {
         let ids: Option<Vec<NodeId>> =
             self.cores.iter().map(|core| Some(core.process.as_ref()?.node.id())).collect();
@@ -138,7 +138,8 @@
         })
     }
 
-    /// Every store runs, and the newest placement, which all have adopted, has every shard on as many as wanted.
+    /// Whether every store runs, and the newest placement, which all have adopted, has every shard on the target number
+    /// of replicas.
     fn stores_are_complete(&self) -> bool {
         let placement = &self.newest_placement;
         if placement.epoch.0 == 0 {
@@ -163,32 +164,32 @@
         filled && adopted
     }
 
-    /// Everything runs, is a member, and is filled.
+    /// Whether every process runs, every core machine is a member, and every shard has its replicas.
     pub fn is_complete(&self) -> bool {
         let all_run = self.machines.keys().all(|machine_id| self.is_running(*machine_id));
         all_run && self.cores_are_complete() && self.stores_are_complete()
     }
 
-    /// Everything is whole, and serves again what was asked after a time.
+    /// Whether the cluster is complete, and has served requests that came after a true time.
     pub fn has_recovered_since(&self, since: u64) -> bool {
         self.unrecovered_since(since).is_none()
     }
 
-    /// What is not well, or has not been served since a time.
+    /// A condition of [`World::has_recovered_since`] that does not hold.
     pub(crate) fn unrecovered_since(&self, since: u64) -> Option<&'static str> {
         let served = |index: usize| self.checks.messages.last_accepted(index) > since;
         let newest = self.checks.acknowledged_at(self.now);
-        let learnt = |index: usize| {
+        let has_newest = |index: usize| {
             self.dispatchers[index].process.as_ref().is_some_and(|one| one.configuration() >= newest)
         };
         let dispatchers = || 0..self.dispatchers.len();
         let checks: [(&'static str, bool); 6] = [
             ("a process does not run", self.machines.keys().all(|machine_id| self.is_running(*machine_id))),
-            ("a core machine is no member that has caught up", self.cores_are_complete()),
-            ("a shard is not on as many live disks as target_replicas", self.stores_are_complete()),
-            ("no order is acknowledged", newest > self.checks.acknowledged_at(since)),
-            ("a dispatcher lacks the newest configuration", dispatchers().all(learnt)),
-            ("a dispatcher gets no message accepted", dispatchers().all(served)),
+            ("a core machine is not a member that has caught up", self.cores_are_complete()),
+            ("a shard has fewer live replicas than its target", self.stores_are_complete()),
+            ("no update is acknowledged", newest > self.checks.acknowledged_at(since)),
+            ("a dispatcher does not have the newest configuration", dispatchers().all(has_newest)),
+            ("a dispatcher has no message accepted", dispatchers().all(served)),
         ];
         checks.into_iter().find(|(_, well)| !well).map(|(what, _)| what)
     }
--- a/system/testing/simulation/src/shrink.rs
+++ b/system/testing/simulation/src/shrink.rs
@@ -1,10 +1,10 @@
-//! Drops the faults that a failure does not need.
+//! Shrinks the plan of a failed run.
 
 use crate::explore::Failure;
 use crate::plan::Plan;
 use crate::violation::Violation;
 
-/// The failure with as few faults as still make the run fail; `play` plays a plan from its beginning.
+/// Drops the faults that the failure does not need; `play` runs a plan from its beginning.
 pub fn shrink(failure: Failure, play: impl Fn(&Plan) -> Result<(), Violation>) -> Failure {
     let mut failure = failure;
     let mut index = failure.plan.faults.len();
--- a/system/testing/simulation/src/store_disk.rs
+++ b/system/testing/simulation/src/store_disk.rs
@@ -8,27 +8,29 @@
 
 #[derive(Clone, Debug)]
 struct Appended {
-    /// True time (microseconds).
+    /// When it was appended (true time).
     at: u64,
     ticket: Ticket,
     record: DiskRecord,
 }
 
-/// What one store has on its disk.
+/// The disk of one store.
 #[derive(Clone, Debug, Default)]
 pub struct StoreDisk {
     records: Vec<Appended>,
+    /// Number of synced records.
     synced: usize,
-    /// Records that the sync under way covers.
+    /// Number of records that are synced once the sync in progress ends.
     syncing: Option<usize>,
 }
 
 impl StoreDisk {
+    /// Appends a record at true time `at`.
     pub fn append(&mut self, at: u64, ticket: Ticket, record: DiskRecord) {
         self.records.push(Appended { at, ticket, record });
     }
 
-    /// Starts a sync of everything appended so far; false if one is under way or nothing is there to sync.
+    /// Starts a sync of all records appended so far; false if one is in progress or all are synced.
     pub fn start_sync(&mut self) -> bool {
         if self.syncing.is_some() || self.synced == self.records.len() {
             return false;
@@ -37,25 +39,25 @@
         true
     }
 
-    /// The sync under way is done; gives the last ticket that it covers.
+    /// Ends the sync in progress. Returns the last ticket that it covers.
     pub fn end_sync(&mut self) -> Option<Ticket> {
         self.synced = self.syncing.take()?;
         self.records[..self.synced].last().map(|appended| appended.ticket)
     }
 
-    /// The process died; everything written is still there.
-    pub fn process_died(&mut self) {
+    /// Ends the process; all appended records survive.
+    pub fn kill_process(&mut self) {
         self.syncing = None;
         self.synced = self.records.len();
     }
 
-    /// Power was lost, and with it what was not synced.
-    pub fn power_lost(&mut self) {
+    /// Loses power, and with it the records that were not synced.
+    pub fn lose_power(&mut self) {
         self.syncing = None;
         self.records.truncate(self.synced);
     }
 
-    /// What a process finds that starts at true time `now` (microseconds).
+    /// The records that a process recovers which starts at true time `now`.
     pub fn recover(&self, now: u64) -> Vec<Recovered> {
         let age_ms = |at: u64| now.saturating_sub(at) / crate::MILLISECOND;
         let recovered =
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -13,25 +13,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Pause between two heartbeats to the core (microseconds).
+/// Pause between two heartbeats to the core.
 const HEARTBEAT_INTERVAL: u64 = 100 * MILLISECOND;
-/// Pause between two tellings of shards that were filled (microseconds).
+/// Pause between two reports of shards that have caught up.
 const FILLED_REPORT_INTERVAL: u64 = 500 * MILLISECOND;
 
-/// What does not change while the machine lives.
+/// Settings of a store process.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
+    /// Identity of its disk.
     pub id: StoreId,
+    /// Its name.
     pub name: String,
+    /// Its zone.
     pub zone: String,
+    /// Its internal address.
     pub address: SocketAddr,
+    /// Addresses of all core machines.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Who is at the other end of a connection that was opened to this store.
+/// The peer of a connection that was opened to this store.
 #[derive(Clone, Copy, Debug)]
 enum Inbound {
-    /// It means this store, and has not said more.
+    /// A peer that means this store, and has not identified itself yet.
     Caller,
     Dispatcher,
     Store {
@@ -39,7 +44,7 @@
     },
 }
 
-/// Shards that this store was filled with, told until the placement has it as their replica.
+/// Shards that this store has caught up with, reported until the placement has it as their replica.
 #[derive(Clone, Debug, Default)]
 struct Filled {
     shards: BTreeSet<FilledShard>,
@@ -49,6 +54,7 @@
 /// The running process of a store.
 #[derive(Clone)]
 pub struct StoreProcess {
+    /// The production state machine of the store.
     pub node: StoreNode,
     settings: StoreSettings,
     mutant: Mutant,
@@ -57,25 +63,28 @@
     placement: Placement,
     configuration_version: u64,
     inbound: BTreeMap<Connection, Inbound>,
-    /// Connections to stores that this one opened, and those that others opened.
+    /// Connections to stores that this one opened.
     dialed: BTreeMap<StoreId, Connection>,
+    /// Connections that other stores opened.
     accepted: BTreeMap<StoreId, Connection>,
     filled: Filled,
     heartbeat_at: u64,
 }
 
-/// Gives the process its happenings together with what it works on.
+/// The environment in which a store process handles an input.
 pub struct StoreContext<'a> {
-    /// Steady clock of the machine (microseconds).
+    /// Reading of the machine's steady clock.
     pub now: u64,
-    /// True time, for ages on the disk (microseconds).
+    /// True time, for the ages of records on the disk.
     pub true_now: u64,
+    /// The machine's disk.
     pub disk: &'a mut StoreDisk,
+    /// Receives the effects.
     pub effects: &'a mut Vec<Effect>,
 }
 
 impl StoreProcess {
-    /// Starts on what the disk holds.
+    /// Starts a process with the records of the disk.
     pub fn start(
         settings: StoreSettings,
         mutant: Mutant,
@@ -103,12 +112,12 @@
         }
     }
 
-    /// Switches mechanisms off or on again.
+    /// Sets which mechanisms are disabled.
     pub fn set_mutant(&mut self, mutant: Mutant) {
         self.mutant = mutant;
     }
 
-    /// Addresses to which a connection is wanted.
+    /// Targets to which a connection is missing.
     pub fn missing_connections(&self) -> Vec<Target> {
         let cores = self.cores.iter().filter(|address| !self.to_cores.contains_key(address)).copied();
         let others = self.placement.stores.iter();
@@ -117,7 +126,7 @@
         cores.map(Target::core).chain(above.map(|store| Target::store(store.address.0, store.id))).collect()
     }
 
-    /// When a tick is due, by the machine's steady clock (microseconds).
+    /// When the next tick is due, by the machine's steady clock.
     pub fn next_deadline(&self) -> u64 {
         let node = self.node.next_deadline().map(|due| due * MILLISECOND);
         self.heartbeat_at.min(node.unwrap_or(u64::MAX))
@@ -134,16 +143,15 @@
         self.node.health(now / MILLISECOND).serving as usize == led
     }
 
-    /// Whether others have taken all its shards.
+    /// Whether other stores have taken over all its shards.
     pub fn can_leave(&self, now: u64) -> bool {
         self.node.health(now / MILLISECOND).serving == 0
     }
 
-    /// Takes one happening and does what follows.
+    /// Handles an input.
     pub fn handle(&mut self, context: &mut StoreContext<'_>, input: ProcessInput) {
         match input {
             ProcessInput::Connected { connection, target } => self.on_dialed(context, connection, target),
-            ProcessInput::Accepted { .. } => {}
             ProcessInput::Closed { connection } => self.on_closed(context, connection),
             ProcessInput::Received { connection, payload } => self.on_payload(context, connection, payload),
             ProcessInput::Synced => {
@@ -258,7 +266,7 @@
                 let connection = ConnectionId(connection.0);
                 self.feed_node(context, Input::Dispatcher { connection, message });
             }
-            // Meant for a store whose disk this machine had before.
+            // Meant for an earlier disk of this machine.
             _ => context.effects.push(Effect::Close { connection }),
         }
     }
@@ -286,7 +294,7 @@
         }
     }
 
-    /// Connections with stores of the placement alone, and tellings of shards that are still learnt.
+    /// Closes connections to stores that left the placement, and drops reports of shards that it no longer needs.
     fn reconcile_connections(&mut self, context: &mut StoreContext<'_>, placement: &Placement) {
         let old = self.placement.clone();
         let stays = |id: &StoreId| {
@@ -324,7 +332,7 @@
                 let is_message = matches!(record, DiskRecord::Message { .. });
                 let forgets = joins && is_message && !self.mutant.is_enabled(Mechanism::MergeAppended);
                 if forgets {
-                    // Counted as held, and on no disk.
+                    // The mutant acknowledges what is on no disk.
                     return self.feed_node(context, Input::Synced { ticket });
                 }
                 context.disk.append(context.true_now, ticket, record);
@@ -348,17 +356,19 @@
                 self.filled.report_at = 0;
                 self.heartbeat_at = 0;
             }
-            // Found lying and put right: the dispatcher's own checks tell whether it was late.
             Output::Stray { .. } | Output::Released { .. } => {}
         }
     }
 }
 
-/// A store machine with its disk and clock, whether or not its process runs.
+/// A store machine: disk, clock, and the process while it runs.
 #[derive(Clone)]
 pub struct StoreMachine {
+    /// Its process; `None` while it is down.
     pub process: Option<StoreProcess>,
+    /// Its disk.
     pub disk: StoreDisk,
+    /// Its steady clock.
     pub clock: Clock,
     /// Identity of the disk.
     pub id: StoreId,
--- a/system/testing/simulation/src/world/connections.rs
+++ b/system/testing/simulation/src/world/connections.rs
@@ -1,4 +1,4 @@
-//! Connections between machines: opened, used, and ended.
+//! Connections between machines: dialing, sending, closing.
 
 use super::event::Event;
 use super::{World, CHECK_INTERVAL, LONG_DELAY};
@@ -10,13 +10,13 @@
 use crate::store_machine::StoreProcess;
 use crate::MILLISECOND;
 
-/// A connection on which nothing comes for so long is taken for lost.
+/// A connection that is blocked for this time is closed at both ends.
 const CONNECTION_TIMEOUT: u64 = 1_600 * MILLISECOND;
-/// Time in which the other end learns of a reset.
+/// Delay until the peer notices that a connection is closed.
 const CLOSE_NOTICE: std::ops::Range<u64> = 500..3_000;
-/// Time in which it may learn where messages come late.
+/// The same where messages are delayed.
 const DELAYED_CLOSE_NOTICE: std::ops::Range<u64> = 3_000..1_500_000;
-/// Where messages straggle, ended connections are forgotten in every so many rounds.
+/// Where messages arrive after the close, closed connections are forgotten in every so many rounds only.
 const FORGET_CLOSED_EVERY: u64 = 20;
 
 impl<M: ControlMachine> World<M> {
@@ -71,7 +71,7 @@
         self.schedule(at, Event::Arrive { connection, to, payload, after_close: false });
     }
 
-    /// What core machines say to each other may come late or twice.
+    /// Sends a message between core machines, which may be delayed or duplicated.
     pub(super) fn send_between_cores(
         &mut self,
         at: u64,
@@ -111,14 +111,14 @@
         self.deliver(to, ProcessInput::Received { connection, payload });
     }
 
-    /// One end closes a connection.
+    /// Closes a connection at one end.
     pub(super) fn close(&mut self, machine_id: MachineId, connection: Connection) {
         self.schedule(self.now, Event::Closed { connection, at: machine_id });
-        self.notice_closed(connection, machine_id);
+        self.notify_peer_closed(connection, machine_id);
     }
 
-    /// The other end than `place` learns that a connection is closed.
-    pub(crate) fn notice_closed(&mut self, connection: Connection, machine_id: MachineId) {
+    /// Schedules that the peer of `machine_id` notices that a connection is closed.
+    pub(crate) fn notify_peer_closed(&mut self, connection: Connection, machine_id: MachineId) {
         let Some(link) = self.network.link(connection).copied() else { return };
         let late = self.random.f64() < self.plan.fault_rates.delayed;
         let after = self.random.u64(if late { DELAYED_CLOSE_NOTICE } else { CLOSE_NOTICE });
@@ -131,7 +131,7 @@
         self.deliver(at, ProcessInput::Closed { connection });
     }
 
-    /// Ends connections on which nothing passes for long, and forgets those that have ended.
+    /// Closes connections that were blocked for long, and forgets those that are closed at both ends.
     pub(super) fn close_blocked_connections(&mut self) {
         for connection in self.network.connections() {
             let Some(link) = self.network.link(connection).copied() else { continue };
@@ -144,8 +144,8 @@
                 link.blocked_since = since;
             }
             if since.is_some_and(|since| self.now - since >= CONNECTION_TIMEOUT) {
-                self.notice_closed(connection, one);
-                self.notice_closed(connection, other);
+                self.notify_peer_closed(connection, one);
+                self.notify_peer_closed(connection, other);
             }
         }
         let rounds = self.now / CHECK_INTERVAL;
--- a/system/testing/simulation/src/world/event.rs
+++ b/system/testing/simulation/src/world/event.rs
@@ -1,13 +1,14 @@
-//! What is scheduled to happen in the world.
+//! Scheduled events of the world.
 
 use crate::event::{Call, Connection, Payload, ProcessId};
 use crate::history::{Request, Response};
 use crate::machine_id::MachineId;
 use millrudder_chain::PersistToken;
 
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// What `straggles` arrives only on a connection that has ended.
+    /// A message arrives; one with `after_close` only if the connection is closed by then.
     Arrive {
         connection: Connection,
         to: MachineId,
@@ -29,7 +30,7 @@
     Start {
         machine_id: MachineId,
     },
-    /// The process ends once the others can do without it, and at a time at the latest.
+    /// The process ends once it has left, or at the latest time.
     End {
         process: ProcessId,
         downtime: u64,
@@ -58,8 +59,8 @@
 }
 
 impl Event {
-    /// The place that must not stand still for this event to happen.
-    pub(super) fn needs(&self) -> Option<MachineId> {
+    /// The machine that handles this event, which waits while the machine is frozen.
+    pub(super) fn handled_by(&self) -> Option<MachineId> {
         match self {
             Event::Arrive { to, .. } => Some(*to),
             Event::Closed { at, .. } | Event::CallArrives { at, .. } => Some(*at),
--- a/system/testing/simulation/src/world/mod.rs
+++ b/system/testing/simulation/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated world: one event at a time, in the order of time.
+//! The simulated world: processes events one at a time, in the order of true time.
 
 mod connections;
 mod event;
@@ -30,36 +30,36 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Pause between two rounds in which connections are dialed.
+/// Pause between two rounds of dialing.
 const DIAL_INTERVAL: u64 = 40 * MILLISECOND;
-/// Pause between two looks whether a process that was told to stop may go.
+/// Pause between two polls whether a process that got SIGTERM has left.
 const LEAVE_POLL_INTERVAL: u64 = 20 * MILLISECOND;
-/// Delay of what is held up.
+/// Additional delay of a delayed message.
 const LONG_DELAY: std::ops::Range<u64> = 3_000..2_000_000;
-/// Pause between two looks at what must hold of the whole.
+/// Pause between two checks of the cluster as a whole.
 const CHECK_INTERVAL: u64 = 100 * MILLISECOND;
-/// The largest difference of a clock's rate from true time, in parts per million.
+/// Greatest deviation of a clock's rate from true time, in parts per million.
 const CLOCK_RATE_PPM: u64 = 500;
-/// The founding must be done by then.
+/// The cluster must have bootstrapped by then.
 const BOOTSTRAP_TIMEOUT: u64 = 20 * SECOND;
-/// Names of the first disks of stores; each further disk of a machine has a higher one.
+/// Identity of the first disk of store 0; those of the other stores follow.
 const FIRST_STORE_ID: u64 = 100;
-/// Faults that are planned for a step which has not come by then are left out.
+/// A fault whose step is not reached within this time is skipped.
 const STEP_FAULT_TIMEOUT: u64 = 10 * SECOND;
-/// How long the last checks go on after all is well again.
+/// How long a run continues after the recovery.
 const FINAL_RUN: u64 = 400 * MILLISECOND;
 
-/// What is the same of every machine.
+/// State that machines of every kind have.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MachineState {
     pub incarnation: u32,
     pub frozen_until: u64,
     pub slow_until: u64,
     pub sync_free_at: u64,
-    /// Count of replacements by a machine at another address.
+    /// Number of replacements by a machine at another address.
     pub generation: u8,
     tick_at: Option<u64>,
-    /// A disk of it was lost and is not made up for yet.
+    /// Whether it lost a disk that is not restored yet.
     pub disk_lost: bool,
     pub starts_at: Option<u64>,
 }
@@ -71,9 +71,10 @@
     pub clock: Clock,
 }
 
-/// The world of one run; its replicated machine may be a test's own.
+/// The world of one run. `M` is the replicated state machine of the core.
 #[derive(Clone)]
 pub struct World<M: ControlMachine = ControlState> {
+    /// The plan of the run.
     pub plan: Plan,
     pub(crate) random: fastrand::Rng,
     pub(crate) cores: Vec<CoreMachine<M>>,
@@ -86,13 +87,16 @@
     sequence: u64,
     calls: BTreeMap<Call, (usize, usize, Request)>,
     next_call: u64,
+    /// True time.
     pub now: u64,
-    /// Deliveries and syncs so far.
+    /// Number of deliveries and syncs so far.
     pub steps: u64,
+    /// Number of events processed so far.
     pub processed_events: u64,
+    /// The observations so far.
     pub checks: Checks,
     pub(crate) propagation: PropagationTracker,
-    /// The newest placement that any core machine has held.
+    /// The newest placement of any core machine so far.
     pub(crate) newest_placement: Placement,
     pub(crate) lose_responses_until: u64,
     injected: Vec<bool>,
@@ -103,7 +107,7 @@
 }
 
 impl<M: ControlMachine> World<M> {
-    /// A world in which nothing has happened yet.
+    /// A world before its first event.
     pub fn new(plan: Plan) -> World<M> {
         let mut random = fastrand::Rng::with_seed(plan.seed ^ 0x5eed);
         let cluster_size = plan.cluster_size;
@@ -157,15 +161,18 @@
         world
     }
 
-    /// A world whose core and placement are founded and that has served its first messages.
+    /// A world that has bootstrapped, and has served its first requests.
     ///
     /// # Errors
-    /// A promise was broken, or it was not founded in time.
+    /// An invariant was violated, or the bootstrap timed out.
     pub fn bootstrapped(plan: Plan) -> Result<World<M>, Violation> {
         let mut world = World::new(Plan { faults: Vec::new(), ..plan.clone() });
         while !world.has_recovered_since(0) {
             if world.now > BOOTSTRAP_TIMEOUT {
-                return Err(Violation::NotRecovered { what: "the bootstrapping is not done", at: world.now });
+                return Err(Violation::NotRecovered {
+                    what: "the cluster has not bootstrapped",
+                    at: world.now,
+                });
             }
             world.run_until(world.now + CHECK_INTERVAL)?;
         }
@@ -174,7 +181,7 @@
         Ok(world)
     }
 
-    /// Goes on from here with other faults, load and chance.
+    /// Continues from here with another plan.
     pub fn resume(&mut self, plan: Plan) {
         self.random = fastrand::Rng::with_seed(plan.seed ^ self.now);
         self.injected = vec![false; plan.faults.len()];
@@ -226,10 +233,10 @@
         self.injected = vec![false; self.plan.faults.len()];
     }
 
-    /// Plays the plan: all faults, the recovery after them, and the last checks.
+    /// Runs the plan: injects all faults, awaits the recovery, and checks the history.
     ///
     /// # Errors
-    /// A promise was broken, or things were not well again in time.
+    /// An invariant was violated, or the recovery timed out.
     pub fn play(&mut self) -> Result<(), Violation> {
         let latest = self.plan.faults.iter().filter_map(|planned| match planned.trigger {
             Trigger::At(at) | Trigger::OnceComplete(at) => Some(at),
@@ -248,7 +255,7 @@
         self.checks.check_history()
     }
 
-    /// Whether a fault has not struck that is planned for a step.
+    /// Whether a fault that is planned for a step was not injected yet.
     fn waits_for_step(&self) -> bool {
         let planned = self.plan.faults.iter().zip(&self.injected);
         planned
@@ -256,13 +263,13 @@
             .any(|(planned, injected)| !injected && matches!(planned.trigger, Trigger::Step(_)))
     }
 
-    /// Waits until all is well after the last fault.
+    /// Runs until the cluster has recovered from the last fault.
     fn recover(&mut self) -> Result<(), Violation> {
         loop {
             self.run_until(self.now + CHECK_INTERVAL)?;
             let since = self.faults_end;
             if self.now >= since {
-                // Operators who hear nothing send nothing new, by which the system could show that it is well.
+                // Operators without responses send no new requests, which the recovery is checked by.
                 self.plan.fault_rates.lost_responses = 0.0;
             }
             if self.now >= since && self.has_recovered_since(since) {
@@ -270,51 +277,51 @@
             }
             if self.now > since + self.plan.recovery_timeout {
                 let what = self.unrecovered_since(since).unwrap_or("unknown");
-                // What was answered wrongly tells more than that something hangs.
+                // A wrong response is the better explanation of a run that does not recover.
                 self.checks.check_history()?;
                 return Err(Violation::NotRecovered { what, at: self.now });
             }
         }
     }
 
-    /// Plays until a time (microseconds).
+    /// Runs until a true time.
     ///
     /// # Errors
-    /// A promise was broken.
+    /// An invariant was violated.
     pub fn run_until(&mut self, until: u64) -> Result<(), Violation> {
         while self.step_before(until)? {}
         self.now = self.now.max(until);
         Ok(())
     }
 
-    /// Plays until a disk was lost and is made up for, event by event.
+    /// Runs until a disk was lost and is restored.
     ///
     /// # Errors
-    /// A promise was broken, or it takes longer than a recovery may.
+    /// An invariant was violated, or the recovery timed out.
     pub fn run_until_disk_restored(&mut self) -> Result<(), Violation> {
         let until = self.now + self.plan.recovery_timeout;
-        let mut lost = false;
+        let mut was_lost = false;
         while self.step_before(until)? {
             self.update_newest_placement();
             self.update_restored_disks();
-            let lacks = self.machines.values().any(|machine| machine.disk_lost);
-            if lost && !lacks {
+            let is_missing = self.machines.values().any(|machine| machine.disk_lost);
+            if was_lost && !is_missing {
                 return Ok(());
             }
-            lost |= lacks;
+            was_lost |= is_missing;
         }
-        Err(Violation::NotRecovered { what: "a lost disk is not made up for", at: self.now })
+        Err(Violation::NotRecovered { what: "a lost disk is not restored", at: self.now })
     }
 
-    /// Changes of the configuration that operators had acknowledged.
+    /// Number of updates that were acknowledged to operators.
     pub fn accepted_changes(&self) -> usize {
         self.operators.iter().map(Operator::accepted).sum()
     }
 
-    /// Plays one event, if there is one up to a time; false if there is none.
+    /// Processes the next event if it is due by a true time; returns whether it was.
     ///
     /// # Errors
-    /// A promise was broken.
+    /// An invariant was violated.
     pub fn step_before(&mut self, until: u64) -> Result<bool, Violation> {
         let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= until) else {
             return Ok(false);
@@ -323,12 +330,12 @@
         let event = entry.remove();
         self.now = self.now.max(at);
         self.processed_events += 1;
-        let thaws = event
-            .needs()
+        let frozen_until = event
+            .handled_by()
             .and_then(|machine_id| self.machines.get(&machine_id))
             .map_or(0, |one| one.frozen_until);
-        if thaws > self.now {
-            self.events.insert((thaws, sequence), event);
+        if frozen_until > self.now {
+            self.events.insert((frozen_until, sequence), event);
             return Ok(true);
         }
         let steps = self.steps;
@@ -352,7 +359,7 @@
         self.schedule(at, Event::End { process, downtime, latest });
     }
 
-    /// A process that was told to stop ends.
+    /// Ends a process that got SIGTERM once it has left, or at the latest time.
     fn end(&mut self, process: ProcessId, downtime: u64, latest: u64) {
         let machine_id = process.machine_id;
         if self.process_of(machine_id) != process || !self.is_up(machine_id) {
@@ -393,7 +400,7 @@
         }
     }
 
-    /// Whether a process runs at a place, frozen or not.
+    /// Whether a machine's process runs, frozen or not.
     pub fn is_up(&self, machine_id: MachineId) -> bool {
         match machine_id {
             MachineId::Core(index) => self.cores[index].process.is_some(),
@@ -403,7 +410,7 @@
         }
     }
 
-    /// Whether a process runs at a place and is not frozen.
+    /// Whether a machine's process runs and is not frozen.
     pub(crate) fn is_running(&self, machine_id: MachineId) -> bool {
         self.is_up(machine_id)
             && self.machines.get(&machine_id).is_some_and(|machine| machine.frozen_until <= self.now)
@@ -448,7 +455,7 @@
     fn inject_planned(&mut self, index: usize) {
         let PlannedFault { trigger, fault } = self.plan.faults[index].clone();
         if matches!(trigger, Trigger::OnceComplete(_)) && !self.is_complete() {
-            // Where it never becomes whole, the fault is left out.
+            // If the cluster never becomes complete, the fault is skipped.
             if self.now < self.faults_end + self.plan.recovery_timeout {
                 self.schedule(self.now + 10 * MILLISECOND, Event::InjectFault(index));
                 self.faults_end = self.faults_end.max(self.now);
--- a/system/testing/simulation/src/world/operator_calls.rs
+++ b/system/testing/simulation/src/world/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and the answers to them.
+//! Calls of operators to core machines, and the responses.
 
 use super::event::Event;
 use super::{World, LONG_DELAY};
@@ -8,7 +8,7 @@
 use crate::machine_id::MachineId;
 use crate::operator::{self, InFlightCall};
 
-/// Way of a call or an answer between an operator and a machine.
+/// Delay of a call or a response between an operator and a machine.
 const CALL_DELAY: std::ops::Range<u64> = 300..3_000;
 
 impl<M: ControlMachine> World<M> {
@@ -34,11 +34,10 @@
         }
     }
 
-    pub(super) fn send_response(&mut self, from: MachineId, call: Call, response: Response) {
+    pub(super) fn send_response(&mut self, call: Call, response: Response) {
         let Some((operator, _, request)) = self.calls.get(&call).copied() else { return };
         let lost =
             self.now < self.lose_responses_until || self.random.f64() < self.plan.fault_rates.lost_responses;
-        let _ = from;
         if lost {
             return;
         }
--- a/system/testing/simulation/src/world/processes.rs
+++ b/system/testing/simulation/src/world/processes.rs
@@ -1,4 +1,4 @@
-//! Processes at their places: starting, happenings and their effects, ticks and syncs.
+//! Processes of machines: starts, inputs and their effects, timers and syncs.
 
 use super::event::Event;
 use super::World;
@@ -15,13 +15,13 @@
 use millrudder_protocol::{DispatcherId, StoreId};
 use std::net::SocketAddr;
 
-/// Time of a sync.
+/// Duration of a sync.
 const SYNC_TIME: std::ops::Range<u64> = 1_500..6_000;
-/// Time of a sync of a slow disk.
+/// Duration of a sync of a slow disk.
 const SLOW_SYNC_TIME: std::ops::Range<u64> = 50 * MILLISECOND..600 * MILLISECOND;
-/// How late a timer may go off.
+/// Delay of a timer.
 const TIMER_DELAY: std::ops::Range<u64> = 0..2_000;
-/// Between two disks of the same machine.
+/// Difference between the identities of two disks of the same machine.
 const DISK_ID_STEP: u64 = 1_000;
 
 impl<M: ControlMachine> World<M> {
@@ -31,7 +31,7 @@
         }
         for connection in self.network.connections_of(machine_id) {
             if self.network.link(connection).is_some_and(|link| !link.is_open_at(machine_id)) {
-                self.notice_closed(connection, machine_id);
+                self.notify_peer_closed(connection, machine_id);
             }
         }
         let (now, seed) = (self.now, self.random.u64(..));
@@ -98,7 +98,7 @@
         self.propagation.restarted(index, now);
     }
 
-    /// Another disk for a store machine.
+    /// Gives a store machine an empty disk with a new identity.
     pub(crate) fn new_store_disk(&mut self, index: usize) {
         let store = &mut self.stores[index];
         store.disk = StoreDisk::default();
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Hands a happening to the process at a place and carries out what it does.
+    /// Delivers an input to a machine's process and applies its effects.
     pub(crate) fn deliver(&mut self, machine_id: MachineId, input: ProcessInput) {
         let mut effects = Vec::new();
         let now = self.clock(machine_id).local(self.now);
@@ -149,7 +149,7 @@
                 Effect::Send { connection, payload } => self.send(machine_id, connection, payload),
                 Effect::Close { connection } => self.close(machine_id, connection),
                 Effect::Sync => syncs = true,
-                Effect::Response { call, response } => self.send_response(machine_id, call, response),
+                Effect::Response { call, response } => self.send_response(call, response),
                 Effect::Observe(observation) => {
                     if let Err(violation) = self.checks.observe(machine_id, self.now, observation) {
                         self.violation.get_or_insert(violation);
--- a/system/testing/simulation/tests/control/consecutive_disk_losses.rs
+++ b/system/testing/simulation/tests/control/consecutive_disk_losses.rs
@@ -1,4 +1,4 @@
-//! A second loss right after a repair, a replacement or a departure: what is left is a majority that has everything.
+//! A second disk is lost right after a repair, a replacement or a shutdown: the remaining quorum has all data.
 
 use crate::support::{
     bootstrapped_worlds, expect_no_violation, expect_violation, explore, explore_after_repair, play_seeds,
@@ -12,8 +12,9 @@
 use millrudder_simulation::violation::Violation;
 use millrudder_simulation::{MILLISECOND, SECOND};
 
-/// The first loss strikes so long after the founding.
+/// When the first disk is lost.
 const FIRST: u64 = 3 * SECOND;
+/// How long a machine that loses its disk is down.
 const DOWN: u64 = 400 * MILLISECOND;
 
 fn plan() -> Plan {
@@ -26,13 +27,13 @@
     plan().with(Trigger::At(FIRST), fault)
 }
 
-/// The loss of each machine of a kind but one.
+/// The loss of the disk of each machine of a kind but one.
 fn losses_but(kind: impl Fn(usize) -> MachineId, spared: usize) -> Vec<Fault> {
     let others = (0..3).filter(|index| *index != spared).map(kind);
     others.map(|machine_id| Fault::Wipe { machine_id, downtime: DOWN }).collect()
 }
 
-/// A machine is lost for good, another takes its place, and then a further one is lost.
+/// A machine is replaced, and once its data is restored another loses its disk.
 fn after_replacement(
     kind: impl Fn(usize) -> MachineId + Copy,
     mutate: impl Fn(Plan) -> Plan,
@@ -44,7 +45,7 @@
     Ok(())
 }
 
-/// A machine is down for a while or told to stop, and at any step of that another loses its disk.
+/// A machine restarts or shuts down, and at any step meanwhile another loses its disk.
 fn around_absence(
     kind: impl Fn(usize) -> MachineId + Copy,
     first_fault: impl Fn(MachineId) -> Fault,
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn consecutive_disk_losses_core_around_a_departure() {
+fn consecutive_disk_losses_core_around_a_shutdown() {
     expect_no_violation(around_absence(MachineId::Core, |machine_id| Fault::Shutdown {
         machine_id,
         downtime: 900 * MILLISECOND,
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn consecutive_disk_losses_store_around_a_departure() {
+fn consecutive_disk_losses_store_around_a_shutdown() {
     expect_no_violation(around_absence(MachineId::Store, |machine_id| Fault::Shutdown {
         machine_id,
         downtime: 900 * MILLISECOND,
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn consecutive_disk_losses_fails_where_an_empty_store_counts_as_the_one_before() {
+fn consecutive_disk_losses_fails_where_an_empty_store_keeps_its_identity() {
     let mutate = |plan: Plan| without(&plan, Mechanism::CatchUpBeforeReplica);
     let violation =
         expect_violation(after_replacement(MachineId::Store, mutate), Mechanism::CatchUpBeforeReplica);
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn consecutive_disk_losses_fails_where_an_empty_core_machine_keeps_its_name() {
+fn consecutive_disk_losses_fails_where_an_empty_core_machine_keeps_its_identity() {
     let mutate = |plan: Plan| without(&plan, Mechanism::NewIdentityAfterWipe);
     let violation =
         expect_violation(after_replacement(MachineId::Core, mutate), Mechanism::NewIdentityAfterWipe);
--- a/system/testing/simulation/tests/control/duplicate_requests.rs
+++ b/system/testing/simulation/tests/control/duplicate_requests.rs
@@ -1,4 +1,4 @@
-//! No answer goes to another caller, and no call takes effect twice after silence or a reset.
+//! No response reaches another caller, and no request takes effect twice after a time-out or a reset.
 
 use crate::support::{
     bootstrapped_worlds, expect_no_violation, expect_violation, explore, play_seeds, random_plan, seeds,
@@ -11,7 +11,7 @@
 use millrudder_simulation::plan::{FaultRates, Load, Plan};
 use millrudder_simulation::MILLISECOND;
 
-/// Messages and orders without rest, on connections whose last messages straggle in after their end.
+/// Messages and requests with short pauses, on connections whose last messages arrive after the close.
 fn plan() -> Plan {
     let mut plan = Plan::without_faults(5);
     plan.load = Load { max_operator_pause: 20 * MILLISECOND, message_interval: 10 * MILLISECOND };
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn duplicate_requests_fails_where_names_of_requests_are_used_again() {
+fn duplicate_requests_fails_where_request_ids_are_reused() {
     let mutant = without(&plan(), Mechanism::UniqueRequestIds);
     let violation = expect_violation(at_every_step(&mutant, 4), Mechanism::UniqueRequestIds);
     println!("{violation}");
--- a/system/testing/simulation/tests/control/forgetful.rs
+++ b/system/testing/simulation/tests/control/forgetful.rs
@@ -1,11 +1,11 @@
-//! A replicated machine whose snapshots leave out which configurations were accepted before the one in force.
+//! A replicated state machine whose snapshots omit which configurations were accepted before the current one.
 
 use millrudder_chain::{Machine, RestoreError, Sequence};
 use millrudder_control_state::{Command, ControlState, Reply};
 use millrudder_simulation::control_machine::ControlMachine;
 use speedy::{Readable, Writable};
 
-/// Replays, after a restore, the placements and the last configuration alone.
+/// After a restore it knows the placements and the last configuration only.
 #[derive(Clone, Debug, Default)]
 pub struct Forgetful {
     state: ControlState,
--- a/system/testing/simulation/tests/control/main.rs
+++ b/system/testing/simulation/tests/control/main.rs
@@ -1,6 +1,7 @@
-//! The whole control side under faults: the five points, at every step, and drawn runs.
+//! The control side under faults: five scenarios with faults at every step, and random runs.
 //!
-//! `SIMULATION_SEEDS=from..to` plays other seeds of the drawn runs, `SIMULATION_STRIDE=n` explores every n-th step only.
+//! `SIMULATION_SEEDS=from..to` runs other seeds of the random runs, `SIMULATION_STRIDE=n` explores every n-th step only,
+//! `SIMULATION_THREADS=n` sets the number of threads of random runs.
 
 mod consecutive_disk_losses;
 mod duplicate_requests;
--- a/system/testing/simulation/tests/control/partitioned_core.rs
+++ b/system/testing/simulation/tests/control/partitioned_core.rs
@@ -1,5 +1,4 @@
-//! A control machine was cut off for some twenty seconds: it hands out nothing old, refuses nothing wrongly, confirms
-//! nothing.
+//! A partitioned core machine publishes no stale state, rejects no request wrongly and acknowledges none.
 
 use crate::support::{
     bootstrapped_worlds, expect_no_violation, expect_violation, explore, play_seeds, random_plan, seeds,
@@ -13,11 +12,12 @@
 use millrudder_simulation::violation::Violation;
 use millrudder_simulation::{MILLISECOND, SECOND};
 
-/// A cut as the users saw it, and one that is long enough for every time-out.
+/// A partition as the users' deployments have it.
 const LONG: u64 = 20 * SECOND;
+/// A partition that is longer than every time-out.
 const ENOUGH: u64 = 5 * SECOND;
 
-/// Operators that go on all the time at every machine, and lose answers; a dispatcher that starts anew meanwhile.
+/// Operators with short pauses, a fifth of whose responses are lost.
 fn plan() -> Plan {
     let mut plan = Plan::without_faults(1);
     plan.load = Load { max_operator_pause: 150 * MILLISECOND, ..Load::default() };
@@ -25,12 +25,13 @@
     plan
 }
 
+/// Restarts a dispatcher meanwhile.
 fn with_restart(plan: Plan) -> Plan {
     let restart = Fault::Kill { machine_id: MachineId::Dispatcher(0), downtime: 100 * MILLISECOND };
     plan.with(Trigger::At(6 * SECOND), restart)
 }
 
-/// Each core machine, alone and with a dispatcher that sees no other, cut off in both directions or in one, or frozen.
+/// Each core machine, alone or with a dispatcher that reaches no other, partitioned in both directions or one, or frozen.
 fn partitions(duration: u64) -> Vec<Fault> {
     let of_machine = |index: usize| {
         let machine_id = MachineId::Core(index);
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn partitioned_core_fails_without_majority_contact() {
+fn partitioned_core_fails_without_quorum_contact() {
     let mutant = without(&with_restart(plan()), Mechanism::QuorumContact);
     let violation = expect_violation(at_every_step(&mutant, ENOUGH, 2), Mechanism::QuorumContact);
     assert!(
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn partitioned_core_fails_where_an_order_is_confirmed_before_it_is_committed() {
+fn partitioned_core_fails_where_an_update_is_acknowledged_before_it_is_committed() {
     let mutant = without(&plan(), Mechanism::CommitBeforeResponse);
     let violation = expect_violation(at_every_step(&mutant, ENOUGH, 2), Mechanism::CommitBeforeResponse);
     assert!(
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn partitioned_core_fails_where_old_state_is_adopted() {
+fn partitioned_core_fails_where_older_state_is_adopted() {
     let mut plan = without(&with_restart(plan()), Mechanism::OnlyNewerAdopted);
     plan.fault_rates.after_close = 1.0;
     let violation = expect_violation(at_every_step(&plan, ENOUGH, 2), Mechanism::OnlyNewerAdopted);
--- a/system/testing/simulation/tests/control/racing_updates.rs
+++ b/system/testing/simulation/tests/control/racing_updates.rs
@@ -1,4 +1,4 @@
-//! Two operators race on one version and repeat what got no answer: one of them wins, and repeats are never refused.
+//! Two operators race to update one version and retry without a response: one wins, and retries are never rejected.
 
 use crate::support::{
     bootstrapped_worlds, expect_no_violation, expect_violation, explore, play_seeds, random_plan, seeds,
@@ -12,7 +12,7 @@
 use millrudder_simulation::violation::Violation;
 use millrudder_simulation::{MILLISECOND, SECOND};
 
-/// Operators that race without rest; a third of all answers is lost.
+/// Operators almost without pauses, a third of whose responses are lost.
 fn plan() -> Plan {
     let mut plan = Plan::without_faults(2);
     plan.load = Load { max_operator_pause: 10 * MILLISECOND, ..Load::default() };
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn racing_updates_fails_where_the_loser_is_confirmed() {
+fn racing_updates_fails_where_a_conflict_is_acknowledged() {
     let mutant = without(&plan(), Mechanism::ConflictRejected);
     let violation = expect_violation(at_every_step(&mutant, 2), Mechanism::ConflictRejected);
     assert!(matches!(violation, Violation::NotLinearizable { .. }), "{violation}");
@@ -67,7 +67,7 @@
 fn racing_updates_fails_where_syncs_are_not_awaited() {
     let mutant = without(&plan(), Mechanism::SyncBeforePersisted);
     let power = vec![Fault::PowerLossOfAll { downtime: 300 * MILLISECOND }];
-    // An order is lost only where it is acknowledged before any of the disks has it: that takes a long look.
+    // An update is lost only if it is acknowledged before any disk has it: that takes a long window.
     let failed = explore(&mutant, power, SECOND, 1);
     let violation = expect_violation(failed, Mechanism::SyncBeforePersisted);
     assert!(!matches!(violation, Violation::NotRecovered { .. }), "{violation}");
--- a/system/testing/simulation/tests/control/random_runs.rs
+++ b/system/testing/simulation/tests/control/random_runs.rs
@@ -1,13 +1,13 @@
-//! Drawn runs of every kind of fault.
+//! Random runs with every kind of fault.
 
 use crate::support::{bootstrapped_worlds, expect_no_violation, play, play_seeds, seeds};
 use millrudder_simulation::plan::Plan;
 
-/// Seeds of the ordinary test run.
+/// Seeds of a test run by default.
 const DEFAULT_SEEDS: std::ops::Range<u64> = 0..400;
-/// The same of the runs that are drawn harder.
+/// The same for runs with overlapping faults.
 const OVERLAPPING: std::ops::Range<u64> = 0..200;
-/// Seeds that broke a promise once; each ordinary run plays them, too.
+/// Seeds that violated an invariant once; each test run by default includes them.
 const REGRESSION_SEEDS: [u64; 13] =
     [526, 2184, 3007, 5777, 20172, 30226, 41914, 100198, 103991, 114834, 127310, 127683, 134290];
 
--- a/system/testing/simulation/tests/control/restart_after_many_changes.rs
+++ b/system/testing/simulation/tests/control/restart_after_many_changes.rs
@@ -1,4 +1,4 @@
-//! After hundreds of changes a restarted member catches up, and leads nothing before.
+//! After hundreds of changes a restarted member catches up before it serves.
 
 use crate::forgetful::Forgetful;
 use crate::support::{
@@ -15,10 +15,10 @@
 use millrudder_simulation::world::World;
 use millrudder_simulation::{MILLISECOND, SECOND};
 
-/// Changes before the faults.
+/// Number of changes before the faults.
 const CHANGES: usize = 300;
 
-/// A storm of changes of which one answer in five is lost.
+/// Frequent changes, a fifth of whose responses are lost.
 fn plan() -> Plan {
     let mut plan = Plan::without_faults(4);
     plan.load = Load { max_operator_pause: 4 * MILLISECOND, message_interval: SECOND };
@@ -26,11 +26,11 @@
     plan
 }
 
-/// A world in which hundreds of changes have been made.
+/// Runs the world until hundreds of changes were acknowledged.
 fn after_changes<M: ControlMachine>(mut world: World<M>, plan: &Plan) -> World<M> {
     world.resume(plan.clone());
     while world.accepted_changes() < CHANGES {
-        world.run_until(world.now + 100 * MILLISECOND).expect("nothing breaks without faults");
+        world.run_until(world.now + 100 * MILLISECOND).expect("no invariant is violated without faults");
     }
     world
 }
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn restart_after_many_changes_fails_where_snapshots_lack_what_was_accepted() {
-    let world = World::<Forgetful>::bootstrapped(Plan::without_faults(4)).expect("it is bootstrapped");
+fn restart_after_many_changes_fails_where_snapshots_omit_accepted_configurations() {
+    let world = World::<Forgetful>::bootstrapped(Plan::without_faults(4)).expect("it bootstraps");
     let violation = expect_violation(at_every_step(world, &plan(), 4), Mechanism::DigestsInSnapshot);
     assert!(
         matches!(violation, Violation::NotLinearizable { .. } | Violation::DuplicateEffect { .. }),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn restart_after_many_changes_fails_where_a_member_leads_with_its_last_checkpoint() {
+fn restart_after_many_changes_fails_where_records_since_the_checkpoint_are_not_replayed() {
     let mutant = without(&plan(), Mechanism::RecordsReplayed);
     expect_violation(at_every_step(bootstrapped(4), &mutant, 4), Mechanism::RecordsReplayed);
 }
--- a/system/testing/simulation/tests/control/support.rs
+++ b/system/testing/simulation/tests/control/support.rs
@@ -1,4 +1,4 @@
-//! Worlds to begin from, explorations and drawn runs, and how a failure is told.
+//! Bootstrapped worlds, explorations and random runs, and how a failure is reported.
 
 use millrudder_control_state::ControlState;
 use millrudder_simulation::control_machine::ControlMachine;
@@ -13,30 +13,30 @@
 use std::sync::Mutex;
 use std::thread;
 
-/// Drawn runs are shared out to this many threads, unless `SIMULATION_THREADS` sets another number.
+/// Random runs use this many threads, unless `SIMULATION_THREADS` sets another number.
 pub const THREADS: usize = 4;
-/// Worlds that runs begin from.
+/// Number of worlds that runs start from.
 const BOOTSTRAPPED_WORLDS: u64 = 8;
-/// Steps within which the faults of drawn runs are placed.
+/// Steps within which the faults of random plans are injected.
 const DRAWN_STEPS: u64 = 1_500;
 
-/// A founded world of three core machines, three stores, two dispatchers and two operators.
+/// A bootstrapped world of the default cluster size.
 pub fn bootstrapped(seed: u64) -> World {
     World::<ControlState>::bootstrapped(Plan::without_faults(seed))
-        .expect("a world without faults is bootstrapped")
+        .expect("a world without faults bootstraps")
 }
 
-/// Founded worlds to begin drawn runs from.
+/// Bootstrapped worlds that random runs start from.
 pub fn bootstrapped_worlds() -> Vec<World> {
     (0..BOOTSTRAPPED_WORLDS).map(bootstrapped).collect()
 }
 
-/// Every step, unless the environment asks for fewer.
+/// The stride of explorations, unless the environment sets another.
 pub fn stride(default: usize) -> usize {
     std::env::var("SIMULATION_STRIDE").ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Seeds of the drawn runs.
+/// Seeds of the random runs, unless the environment sets others.
 pub fn seeds(default: impl Iterator<Item = u64>) -> Vec<u64> {
     let Ok(text) = std::env::var("SIMULATION_SEEDS") else { return default.collect() };
     let (from, to) = text.split_once("..").expect("SIMULATION_SEEDS is from..to");
@@ -44,12 +44,12 @@
     (number(from)..number(to)).collect()
 }
 
-/// Explores from a founded world.
+/// Explores from a bootstrapped world.
 pub fn explore(plan: &Plan, faults: Vec<Fault>, window: u64, default_stride: usize) -> Result<(), Failure> {
     explore_from(&bootstrapped(plan.seed), plan, ExplorationStart::Immediate, faults, window, default_stride)
 }
 
-/// Explores once the first disk that the plan takes is made up for.
+/// Explores from when the first disk that the plan loses is restored.
 pub fn explore_after_repair(
     plan: &Plan,
     faults: Vec<Fault>,
@@ -86,14 +86,14 @@
     explored.failure.map_or(Ok(()), Err)
 }
 
-/// A plan that is played from one of the founded worlds.
+/// Runs a plan from one of the bootstrapped worlds.
 pub fn play(worlds: &[World], plan: &Plan) -> Result<(), Violation> {
     let mut world = worlds[plan.seed as usize % worlds.len()].clone();
     world.resume(plan.clone());
     world.play()
 }
 
-/// Two or three of the faults at drawn steps.
+/// Two or three of the faults at random steps.
 pub fn random_plan(worlds: &[World], plan: &Plan, menu: &[Fault], seed: u64) -> Plan {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut plan = Plan { seed, ..plan.clone() };
@@ -105,7 +105,7 @@
     plan
 }
 
-/// Plays plans by seed on several threads, all of them, and tells each that fails; gives the first failure, shrunk.
+/// Runs the plan of each seed on several threads and prints each failure; returns the one of the lowest seed, shrunk.
 pub fn play_seeds(
     worlds: &[World],
     seeds: Vec<u64>,
@@ -115,10 +115,10 @@
     let threads = std::env::var("SIMULATION_THREADS").ok().and_then(|text| text.parse().ok());
     let threads: u64 = threads.unwrap_or(THREADS as u64);
     thread::scope(|scope| {
-        for share in 0..threads {
+        for thread in 0..threads {
             let (seeds, plan_of, failures) = (&seeds, &plan_of, &failures);
             scope.spawn(move || {
-                for seed in seeds.iter().copied().filter(|seed| seed % threads == share) {
+                for seed in seeds.iter().copied().filter(|seed| seed % threads == thread) {
                     let plan = Box::new(plan_of(seed));
                     if let Err(violation) = play(worlds, &plan) {
                         println!("seed {seed}: {violation}");
@@ -135,25 +135,25 @@
     first.map_or(Ok(()), |failure| Err(shrink(failure, |plan| play(worlds, plan))))
 }
 
-/// Ends the test with what is needed to repeat the failure.
+/// Fails the test with what is needed to reproduce the failure.
 pub fn expect_no_violation(result: Result<(), Failure>) {
     if let Err(Failure { plan, violation }) = result {
         panic!("{violation}\n{plan}");
     }
 }
 
-/// A scenario must fail without one of its mechanisms.
+/// Checks that a scenario failed without one of its mechanisms; returns the violation.
 pub fn expect_violation(result: Result<(), Failure>, mechanism: Mechanism) -> Violation {
     match result {
         Err(failure) => {
             println!("without {mechanism:?}: {}", failure.violation);
             failure.violation
         }
-        Ok(()) => panic!("the scenario does not notice that {mechanism:?} is off"),
+        Ok(()) => panic!("the scenario does not detect that {mechanism:?} is disabled"),
     }
 }
 
-/// The plan without a mechanism.
+/// The plan with a mechanism disabled.
 pub fn without(plan: &Plan, mechanism: Mechanism) -> Plan {
     plan.clone().with_mutant(Mutant::without(mechanism))
 }
