--- a/system/testing/simulation/src/history.rs
+++ b/system/testing/simulation/src/history.rs
@@ -1,47 +1,51 @@
-//! What operators asked and what they were answered.
+//! The history of operators' requests and responses.
 
 use std::fmt;
 
-/// Name of a configuration's bytes: equal for equal bytes.
+/// Identifies the content of a configuration: equal for equal bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Body(pub u64);
+pub struct ContentId(pub u64);
 
 /// A configuration as an operator sends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Configuration {
-    /// Its own number.
+    /// Its version.
     pub version: u64,
-    pub body: Body,
+    /// Its content.
+    pub body: ContentId,
 }
 
 impl Configuration {
-    /// The bytes that travel.
+    /// Encodes the configuration.
     pub fn bytes(&self) -> Vec<u8> {
         format!("{} {}", self.version, self.body.0).into_bytes()
     }
 
-    /// The configuration of these bytes.
+    /// Decodes a configuration; `None` if the bytes are none.
     pub fn from_bytes(bytes: &[u8]) -> Option<Configuration> {
         let text = std::str::from_utf8(bytes).ok()?;
         let (version, body) = text.split_once(' ')?;
-        Some(Configuration { version: version.parse().ok()?, body: Body(body.parse().ok()?) })
+        Some(Configuration { version: version.parse().ok()?, body: ContentId(body.parse().ok()?) })
     }
 }
 
-/// What an operator asks.
+/// A request of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Order {
-    /// Put a configuration into force on top of a version.
+pub enum Request {
+    /// Replace the configuration if its current version is the expected one.
     Put {
+        /// The expected version.
         expected: u64,
+        /// The new configuration.
         configuration: Configuration,
     },
+    /// Read the current configuration.
     Get,
 }
 
-/// What a machine answers.
+/// The response of a core machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Answer {
+pub enum Response {
     /// 200 to a `Put`.
     Accepted,
     /// 412: another version is current.
@@ -50,53 +54,54 @@
     NotHigher,
     /// 200 or 404 to a `Get`.
     Current(Option<Configuration>),
-    /// 5xx: nothing is said.
+    /// 5xx: the outcome is unknown.
     Unavailable,
 }
 
-/// One call of an operator.
+/// A request of an operator, with its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// Who asked.
+    /// The operator.
     pub operator: usize,
-    /// Which core machine was asked.
+    /// The core machine that was called.
     pub machine: usize,
-    pub order: Order,
-    /// Place of the call among all calls and answers.
-    pub called: u64,
-    /// Place of the answer, and what it said; nothing where no clear answer came.
-    pub answered: Option<(u64, Answer)>,
+    /// The request.
+    pub request: Request,
+    /// Position of the invocation in the order of all invocations and responses.
+    pub invoked: u64,
+    /// Position of the response in that order, and the response; `None` without a definite one.
+    pub responded: Option<(u64, Response)>,
 }
 
 impl fmt::Display for Operation {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "[{:>5} ", self.called)?;
-        match self.answered {
+        write!(out, "[{:>5} ", self.invoked)?;
+        match self.responded {
             Some((at, _)) => write!(out, "{at:>5}]")?,
             None => write!(out, "  ...]")?,
         }
         write!(out, " operator {} at core {}: ", self.operator, self.machine)?;
-        match self.order {
-            Order::Get => write!(out, "Get")?,
-            Order::Put { expected, configuration } => {
+        match self.request {
+            Request::Get => write!(out, "Get")?,
+            Request::Put { expected, configuration } => {
                 let Configuration { version, body } = configuration;
                 write!(out, "Put {version} (body {}) on {expected}", body.0)?;
             }
         }
-        match self.answered {
-            Some((_, Answer::Accepted)) => write!(out, " -> accepted"),
-            Some((_, Answer::Conflict)) => write!(out, " -> conflict"),
-            Some((_, Answer::NotHigher)) => write!(out, " -> not higher"),
-            Some((_, Answer::Current(None))) => write!(out, " -> nothing"),
-            Some((_, Answer::Current(Some(Configuration { version, body })))) => {
+        match self.responded {
+            Some((_, Response::Accepted)) => write!(out, " -> accepted"),
+            Some((_, Response::Conflict)) => write!(out, " -> conflict"),
+            Some((_, Response::NotHigher)) => write!(out, " -> not higher"),
+            Some((_, Response::Current(None))) => write!(out, " -> nothing"),
+            Some((_, Response::Current(Some(Configuration { version, body })))) => {
                 write!(out, " -> {version} (body {})", body.0)
             }
-            Some((_, Answer::Unavailable)) | None => write!(out, " -> no clear answer"),
+            Some((_, Response::Unavailable)) | None => write!(out, " -> no definite response"),
         }
     }
 }
 
-/// All calls of a run, in the order in which they began.
+/// All operations of a run, in the order of their invocations.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     operations: Vec<Operation>,
@@ -104,22 +109,22 @@
 }
 
 impl History {
-    /// An operator calls. Gives the operation's index.
-    pub fn call(&mut self, operator: usize, machine: usize, order: Order) -> usize {
-        let called = self.tick();
-        self.operations.push(Operation { operator, machine, order, called, answered: None });
+    /// Records an invocation. Returns the operation's index.
+    pub fn call(&mut self, operator: usize, machine: usize, request: Request) -> usize {
+        let invoked = self.tick();
+        self.operations.push(Operation { operator, machine, request, invoked, responded: None });
         self.operations.len() - 1
     }
 
-    /// An answer arrived; one that says nothing leaves the operation open.
-    pub fn answer(&mut self, index: usize, answer: Answer) {
+    /// Records a response; one without an outcome leaves the operation open.
+    pub fn response(&mut self, index: usize, response: Response) {
         let at = self.tick();
-        if answer != Answer::Unavailable {
-            self.operations[index].answered.get_or_insert((at, answer));
+        if response != Response::Unavailable {
+            self.operations[index].responded.get_or_insert((at, response));
         }
     }
 
-    /// The operations so far.
+    /// The operations so far, in the order of their invocations.
     pub fn operations(&self) -> &[Operation] {
         &self.operations
     }
