--- a/system/runtime/node/src/core/bootstrap.rs
+++ b/system/runtime/node/src/core/bootstrap.rs
@@ -75,7 +75,7 @@
     let view = state.as_ref().and_then(|state| state.view());
     let bootstrap_members = Some(founders.len()).filter(|_| !founders.is_empty());
     config.minimum_members =
-        settings.smallest_core(view.map(|view| view.members.len()).or(bootstrap_members));
+        settings.min_core_members(view.map(|view| view.members.len()).or(bootstrap_members));
     config.voters = voters(settings);
     config.roles = vec![controller::role()];
     config.lease = LeaseConfig::default();
--- a/system/runtime/node/src/edge/front/submission.rs
+++ b/system/runtime/node/src/edge/front/submission.rs
@@ -101,7 +101,7 @@
         service: route.service.to_string(),
         priority: route.priority,
         target_start_ms: route.target_start.as_millis() as u32,
-        max_attempts: route.attempts().get(),
+        max_attempts: route.max_attempts().get(),
         retention_ms: route.retention.as_millis() as u32,
         headers: forwarded_headers(&request.headers),
         body: request.body.to_vec(),
--- a/system/state/configuration/examples/generate.rs
+++ b/system/state/configuration/examples/generate.rs
@@ -4,11 +4,11 @@
 
 use std::path::Path;
 
-/// Whole numbers that must be there.
-const WHOLE: &[&str] = &["Configuration.version"];
+/// Required integers.
+const INTEGERS: &[&str] = &["Configuration.version"];
 
-/// Whole numbers that may be absent.
-const OPTIONAL_WHOLE: &[&str] = &[
+/// Optional integers.
+const OPTIONAL_INTEGERS: &[&str] = &[
     "Route.priority",
     "Route.max_retries",
     "Backend.max_conns",
@@ -19,18 +19,18 @@
 /// Lists of messages.
 const OBJECTS: &[&str] = &["Configuration.routes", "Configuration.backends"];
 
-/// Messages that may be absent.
+/// Optional messages.
 const OPTIONAL_OBJECT: &[&str] = &["Configuration.limits"];
 
-/// How a field is read, and the fields that are read so.
+/// Attributes for deserialization, and the fields that get them.
 const READ_WITH: &[(&str, &[&str])] = &[
-    ("#[serde(deserialize_with = \"crate::number::whole\")]", WHOLE),
-    ("#[serde(default, deserialize_with = \"crate::number::optional_whole\")]", OPTIONAL_WHOLE),
+    ("#[serde(deserialize_with = \"crate::number::integer\")]", INTEGERS),
+    ("#[serde(default, deserialize_with = \"crate::number::optional_integer\")]", OPTIONAL_INTEGERS),
     ("#[serde(deserialize_with = \"crate::object::objects\")]", OBJECTS),
     ("#[serde(default, deserialize_with = \"crate::object::optional_object\")]", OPTIONAL_OBJECT),
 ];
 
-/// The types as Rust code.
+/// Generates the types as Rust code.
 ///
 /// # Errors
 /// The description of the messages cannot be compiled.
--- a/system/state/configuration/src/check.rs
+++ b/system/state/configuration/src/check.rs
@@ -1,18 +1,18 @@
-//! Checks of single fields.
+//! Validation of single fields.
 
 use crate::error::{ConfigurationError, Item, PathKey};
 use std::time::Duration;
 
-/// Longest span that is accepted, so that sums with a clock's reading stay within its range.
-const LONGEST: Duration = Duration::from_secs(10 * 365 * 24 * 60 * 60);
+/// Maximum duration that is accepted, so that sums with a clock's reading stay within its range.
+const MAX_DURATION: Duration = Duration::from_secs(10 * 365 * 24 * 60 * 60);
 
-/// Milliseconds in a second.
+/// Milliseconds per second.
 pub(crate) const MILLISECONDS: f64 = 1_000.0;
 
-/// Seconds in a second.
+/// Seconds per second.
 pub(crate) const SECONDS: f64 = 1.0;
 
-/// Checks fields of one item of the configuration.
+/// Validates fields of one item of the configuration.
 pub(crate) struct Checker {
     item: Item,
 }
@@ -23,50 +23,50 @@
     }
 
     /// A number that is not negative.
-    pub(crate) fn amount(&self, key: &'static str, value: f64) -> Result<f64, ConfigurationError> {
+    pub(crate) fn non_negative(&self, key: &'static str, value: f64) -> Result<f64, ConfigurationError> {
         if !value.is_finite() || value < 0.0 {
             return Err(ConfigurationError::OutOfRange { item: self.item.clone(), key, value });
         }
         Ok(value)
     }
 
-    /// A span of `value` units, of which `per_second` make a second.
-    pub(crate) fn span(
+    /// A duration of `value` units, of which `per_second` make a second.
+    pub(crate) fn duration(
         &self,
         key: &'static str,
         value: f64,
         per_second: f64,
     ) -> Result<Duration, ConfigurationError> {
-        let amount = self.amount(key, value)?;
-        Duration::try_from_secs_f64(amount / per_second)
+        let units = self.non_negative(key, value)?;
+        Duration::try_from_secs_f64(units / per_second)
             .ok()
-            .filter(|span| *span <= LONGEST)
+            .filter(|duration| *duration <= MAX_DURATION)
             .ok_or_else(|| ConfigurationError::OutOfRange { item: self.item.clone(), key, value })
     }
 
-    /// A span as above that is longer than 0.
-    pub(crate) fn positive_span(
+    /// A duration as above that is longer than 0.
+    pub(crate) fn positive_duration(
         &self,
         key: &'static str,
         value: f64,
         per_second: f64,
     ) -> Result<Duration, ConfigurationError> {
-        let span = self.span(key, value, per_second)?;
-        if span.is_zero() {
+        let duration = self.duration(key, value, per_second)?;
+        if duration.is_zero() {
             return Err(ConfigurationError::Zero { item: self.item.clone(), key });
         }
-        Ok(span)
+        Ok(duration)
     }
 
-    /// A span as above, or the default where none is given.
-    pub(crate) fn span_or(
+    /// A duration as above, or the default where none is given.
+    pub(crate) fn duration_or(
         &self,
         key: &'static str,
         value: Option<f64>,
         per_second: f64,
         default: Duration,
     ) -> Result<Duration, ConfigurationError> {
-        value.map_or(Ok(default), |value| self.span(key, value, per_second))
+        value.map_or(Ok(default), |value| self.duration(key, value, per_second))
     }
 
     /// A path that starts with `/`.
--- a/system/state/configuration/src/configuration.rs
+++ b/system/state/configuration/src/configuration.rs
@@ -1,4 +1,4 @@
-//! A whole configuration, checked.
+//! A complete, validated configuration.
 
 use crate::digest::ConfigurationDigest;
 use crate::error::ConfigurationError;
@@ -13,14 +13,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Most routes of a configuration: far above what deployments have, so that a spoilt body cannot fill the memory.
-const MOST_ROUTES: usize = 65_536;
+/// Maximum number of routes: far above what deployments have, so that an invalid body cannot exhaust the memory.
+const MAX_ROUTES: usize = 65_536;
 
-/// Most services of a configuration, for the same reason.
-const MOST_SERVICES: usize = 65_536;
+/// Maximum number of services, for the same reason.
+const MAX_SERVICES: usize = 65_536;
 
-/// Everything the operator sets. Names of routes and of services are unique, every route's service is there, and
-/// no two routes have the same host and prefix.
+/// The operator's configuration. Names of routes and of services are unique, every route's service exists, and no two
+/// routes have the same host and prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
     version: ConfigurationVersion,
@@ -31,8 +31,8 @@
 }
 
 impl Configuration {
-    /// Reads the body as the operator sent it and checks all but the version, for which
-    /// [`check_successor`](crate::check_successor) is there. The caller bounds the body's length.
+    /// Parses the body as the operator sent it and validates everything but the version, for which there is
+    /// [`check_successor`](crate::check_successor). The caller limits the body's length.
     ///
     /// # Errors
     /// The configuration is invalid.
@@ -51,17 +51,17 @@
         })
     }
 
-    /// The configuration's number.
+    /// The configuration's version.
     pub fn version(&self) -> ConfigurationVersion {
         self.version
     }
 
-    /// The digest of the body from which it was read.
+    /// The digest of the body from which it was parsed.
     pub fn digest(&self) -> ConfigurationDigest {
         self.digest
     }
 
-    /// Limits on what a client may send.
+    /// Limits on requests of clients.
     pub fn limits(&self) -> &RequestLimits {
         &self.limits
     }
@@ -81,20 +81,27 @@
         self.services.values()
     }
 
-    /// The service of that name; always there for [`Route::service`] of this configuration's routes.
+    /// The service of that name; always `Some` for [`Route::service`] of this configuration's routes.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 }
 
-/// The routes read so far, by host and prefix.
-type Places = BTreeMap<(HostName, Box<str>), RouteName>;
+/// What a route matches.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct RouteMatch {
+    host: HostName,
+    path_prefix: Box<str>,
+}
+
+/// Names of the routes parsed so far, by what they match.
+type NamesByMatch = BTreeMap<RouteMatch, RouteName>;
 
 fn services(
     backends: Vec<messages::Backend>,
 ) -> Result<BTreeMap<ServiceName, Arc<Service>>, ConfigurationError> {
-    if backends.len() > MOST_SERVICES {
-        return Err(ConfigurationError::TooManyServices { count: backends.len(), most: MOST_SERVICES });
+    if backends.len() > MAX_SERVICES {
+        return Err(ConfigurationError::TooManyServices { count: backends.len(), max: MAX_SERVICES });
     }
     let mut services = BTreeMap::new();
     for backend in backends {
@@ -111,15 +118,15 @@
     messages: Vec<messages::Route>,
     services: &BTreeMap<ServiceName, Arc<Service>>,
 ) -> Result<BTreeMap<RouteName, Arc<Route>>, ConfigurationError> {
-    if messages.len() > MOST_ROUTES {
-        return Err(ConfigurationError::TooManyRoutes { count: messages.len(), most: MOST_ROUTES });
+    if messages.len() > MAX_ROUTES {
+        return Err(ConfigurationError::TooManyRoutes { count: messages.len(), max: MAX_ROUTES });
     }
     let mut routes = BTreeMap::new();
-    let mut places = Places::new();
+    let mut names_by_match = NamesByMatch::new();
     for message in messages {
         let route = Arc::new(Route::try_from(message)?);
         check_service(&route, services)?;
-        check_place(&route, &mut places)?;
+        check_match(&route, &mut names_by_match)?;
         let earlier = routes.insert(route.name.clone(), route);
         if let Some(earlier) = earlier {
             return Err(ConfigurationError::DuplicateRoute(earlier.name.clone()));
@@ -139,10 +146,10 @@
     Ok(())
 }
 
-fn check_place(route: &Route, places: &mut Places) -> Result<(), ConfigurationError> {
-    let place = (route.host.clone(), route.path_prefix.clone());
-    let Some(first) = places.insert(place, route.name.clone()) else { return Ok(()) };
-    Err(ConfigurationError::SamePlace {
+fn check_match(route: &Route, names_by_match: &mut NamesByMatch) -> Result<(), ConfigurationError> {
+    let route_match = RouteMatch { host: route.host.clone(), path_prefix: route.path_prefix.clone() };
+    let Some(first) = names_by_match.insert(route_match, route.name.clone()) else { return Ok(()) };
+    Err(ConfigurationError::DuplicateMatch {
         first,
         second: route.name.clone(),
         host: route.host.clone(),
--- a/system/state/configuration/src/error.rs
+++ b/system/state/configuration/src/error.rs
@@ -21,7 +21,7 @@
     Limits,
 }
 
-/// A field that holds a path.
+/// A field with a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum PathKey {
     /// `pathPrefix` of a route.
@@ -35,27 +35,27 @@
 /// Why a configuration is invalid.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// The body is no text.
+    /// The body is not UTF-8.
     #[error("the body is no UTF-8")]
     NotUtf8(#[from] Utf8Error),
-    /// The body is no JSON, is cut short, goes on after its end, lacks a field, or has one of another kind.
+    /// The body is not JSON, is truncated, continues after its end, lacks a field, or has one of another type.
     #[error("the body cannot be read in full: {0}")]
     Unreadable(#[from] serde_json::Error),
     /// There are more routes than are accepted.
-    #[error("{count} routes are too many, {most} are the most")]
+    #[error("{count} routes are too many, {max} are the most")]
     TooManyRoutes {
-        /// How many there are.
+        /// Their number.
         count: usize,
-        /// The most that are accepted.
-        most: usize,
+        /// The maximum.
+        max: usize,
     },
     /// There are more services than are accepted.
-    #[error("{count} services are too many, {most} are the most")]
+    #[error("{count} services are too many, {max} are the most")]
     TooManyServices {
-        /// How many there are.
+        /// Their number.
         count: usize,
-        /// The most that are accepted.
-        most: usize,
+        /// The maximum.
+        max: usize,
     },
     /// A route or service has an empty name.
     #[error("{0}: the name is empty")]
@@ -71,12 +71,12 @@
     UnknownService {
         /// The route.
         route: RouteName,
-        /// What it names.
+        /// The unknown service.
         service: ServiceName,
     },
     /// Two routes have the same host and prefix.
     #[error("routes {first} and {second} both have the host {host} and the prefix {path_prefix}")]
-    SamePlace {
+    DuplicateMatch {
         /// The route that comes first in the configuration.
         first: RouteName,
         /// The other.
@@ -96,7 +96,7 @@
         item: Item,
         /// The field.
         key: PathKey,
-        /// What it holds.
+        /// Its value.
         path: Box<str>,
     },
     /// A number that must be above 0 is not.
@@ -107,24 +107,24 @@
         /// The field.
         key: &'static str,
     },
-    /// A number is below 0 or too large to be meant.
+    /// A number is below 0 or implausibly large.
     #[error("{item}: {key} cannot be {value}")]
     OutOfRange {
         /// The route or service, or the limits.
         item: Item,
         /// The field.
         key: &'static str,
-        /// What it holds.
+        /// Its value.
         value: f64,
     },
-    /// The endpoint of a service is no address with a port.
+    /// The endpoint of a service is not an address with a port.
     #[error("service {service}: staticEndpoint {endpoint:?} is no address with a port")]
     Endpoint {
         /// The service.
         service: ServiceName,
-        /// What is given.
+        /// The endpoint as written.
         endpoint: Box<str>,
-        /// What is wrong with it.
+        /// Why it is invalid.
         #[source]
         source: AddrParseError,
     },
--- a/system/state/configuration/src/host.rs
+++ b/system/state/configuration/src/host.rs
@@ -1,4 +1,4 @@
-//! Host names as they are compared: in small letters, without port and without the dot of the root.
+//! Host names in the form in which they are compared: lower case, without port and without the dot of the root.
 
 use derive_more::{Deref, Display};
 use std::borrow::{Borrow, Cow};
@@ -9,9 +9,9 @@
 pub struct HostName(Box<str>);
 
 impl HostName {
-    /// The host in a name or in the value of a `Host` header; none if nothing is left without the port.
+    /// The host in a name or in the value of a `Host` header; `None` if nothing is left without the port.
     pub fn new(text: &str) -> Option<Self> {
-        let host = comparable(text);
+        let host = normalize(text);
         (!host.is_empty()).then(|| Self(host.into()))
     }
 }
@@ -22,8 +22,8 @@
     }
 }
 
-/// The part of `host` that is compared; copied only if it has capital letters.
-pub(crate) fn comparable(host: &str) -> Cow<'_, str> {
+/// The normalized form of `host`; copied only if it has capital letters.
+pub(crate) fn normalize(host: &str) -> Cow<'_, str> {
     let named = without_port(host);
     let named = named.strip_suffix('.').unwrap_or(named);
     if named.bytes().any(|byte| byte.is_ascii_uppercase()) {
--- a/system/state/configuration/src/lib.rs
+++ b/system/state/configuration/src/lib.rs
@@ -1,9 +1,9 @@
 //! The operator's configuration: routes, services and limits.
 //!
-//! The operator sends a whole configuration as JSON. [`Configuration::from_json`] reads and checks it;
-//! [`check_successor`] compares versions; [`RouteTable`] finds the route of a request. What is stored and sent to
-//! other processes is the body as it arrived, so that it can be told from another one by its
-//! [`ConfigurationDigest`] and given back unchanged; every reader parses it again.
+//! The operator sends a complete configuration as JSON. [`Configuration::from_json`] parses and validates it;
+//! [`check_successor`] compares versions; [`RouteTable`] looks up the route of a request. Processes store and send the body
+//! as it arrived, so that its [`ConfigurationDigest`] identifies it and it can be returned unchanged; every reader parses
+//! it again.
 //!
 //! ```
 //! use millrudder_configuration::{Configuration, ConfigurationError, RouteTable};
--- a/system/state/configuration/src/limits.rs
+++ b/system/state/configuration/src/limits.rs
@@ -1,20 +1,20 @@
-//! Limits on what a client may send.
+//! Limits on requests of clients.
 
 use crate::check::{Checker, MILLISECONDS};
 use crate::error::{ConfigurationError, Item};
 use crate::messages;
 use std::time::Duration;
 
-/// Bounds on the requests of clients. What the configuration leaves out has the value of [`Default`].
+/// Limits on requests of clients. Fields that are absent from the configuration have the value of [`Default`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
     /// Request line and headers together, in bytes.
     pub max_header_bytes: u64,
     /// Body, in bytes.
     pub max_body_bytes: u64,
-    /// From the first byte of a request to the end of its headers.
+    /// Time from the first byte of a request to the end of its headers.
     pub header_timeout: Duration,
-    /// Between two requests on a connection.
+    /// Time between two requests on a connection.
     pub idle_timeout: Duration,
 }
 
@@ -35,14 +35,14 @@
     fn try_from(message: messages::Limits) -> Result<Self, ConfigurationError> {
         let check = Checker::new(Item::Limits);
         let default = Self::default();
-        let span = |key, value: Option<f64>, default| {
-            value.map_or(Ok(default), |value| check.positive_span(key, value, MILLISECONDS))
+        let duration = |key, value: Option<f64>, default| {
+            value.map_or(Ok(default), |value| check.positive_duration(key, value, MILLISECONDS))
         };
         Ok(Self {
             max_header_bytes: message.max_header_bytes.unwrap_or(default.max_header_bytes),
             max_body_bytes: message.max_body_bytes.unwrap_or(default.max_body_bytes),
-            header_timeout: span("headerTimeoutMs", message.header_timeout_ms, default.header_timeout)?,
-            idle_timeout: span("idleTimeoutMs", message.idle_timeout_ms, default.idle_timeout)?,
+            header_timeout: duration("headerTimeoutMs", message.header_timeout_ms, default.header_timeout)?,
+            idle_timeout: duration("idleTimeoutMs", message.idle_timeout_ms, default.idle_timeout)?,
         })
     }
 }
--- a/system/state/configuration/src/messages.rs
+++ b/system/state/configuration/src/messages.rs
@@ -1,5 +1,5 @@
-//! The configuration as it is written: generated from `proto/configuration.proto`, read from JSON.
+//! The configuration as it is written: generated from `proto/configuration.proto`, deserialized from JSON.
 //!
-//! Nothing is checked here but that the JSON has every field that is not `optional`, each of its kind.
+//! Deserialization requires every field that is not `optional`, each of its type; nothing else is validated here.
 
 include!("generated/millrudder.configuration.v1.rs");
--- a/system/state/configuration/src/object.rs
+++ b/system/state/configuration/src/object.rs
@@ -1,4 +1,4 @@
-//! JSON objects. What serde derives for a struct would also take an array of its fields' values.
+//! JSON objects. What serde derives for a struct would also accept an array of its fields' values.
 
 use serde::de::value::MapAccessDeserializer;
 use serde::de::{MapAccess, Visitor};
@@ -6,10 +6,10 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-/// A value that is read from an object only.
+/// A value that is deserialized from an object only.
 pub(crate) struct Object<T>(pub T);
 
-/// Reads an array of objects.
+/// Deserializes an array of objects.
 pub(crate) fn objects<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -19,7 +19,7 @@
     Ok(objects.into_iter().map(|object| object.0).collect())
 }
 
-/// Reads an object or null.
+/// Deserializes an object or null.
 pub(crate) fn optional_object<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
--- a/system/state/configuration/src/service.rs
+++ b/system/state/configuration/src/service.rs
@@ -10,10 +10,10 @@
 /// Path of the health check where none is given.
 const DEFAULT_HEALTH_CHECK_PATH: &str = "/health";
 
-/// Connections that a worker accepts where the number is absent or 0: few, since it resets those beyond.
+/// Connections that a worker accepts, where the number is absent or 0: few, since it resets those beyond its limit.
 const DEFAULT_CONNECTIONS: NonZeroU32 = NonZeroU32::new(16).unwrap();
 
-/// A service: workers, or a single endpoint, that can do the same requests.
+/// A service: workers, or a single endpoint, that handle the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Unique in a configuration.
@@ -22,11 +22,11 @@
     pub health_check_path: Box<str>,
     /// Connections that one worker accepts, over all its callers.
     pub max_connections: NonZeroU32,
-    /// Requests a second over all dispatchers, above 0; none where there is no bound.
+    /// Rate limit: requests per second over all dispatchers, above 0; `None` where there is none.
     pub rate_per_second: Option<f64>,
-    /// Whether the service answers a repeated request with its first success.
+    /// Whether the service is idempotent: it answers a repeated request with its first success.
     pub idempotent: bool,
-    /// The only endpoint; none where workers come from the platform's list.
+    /// The only endpoint; `None` where workers are discovered from the platform's list.
     pub static_endpoint: Option<SocketAddr>,
 }
 
@@ -38,7 +38,7 @@
         let check = Checker::new(Item::Service(name.clone()));
         let path = message.health_check_path.filter(|path| !path.is_empty());
         let path = path.unwrap_or_else(|| DEFAULT_HEALTH_CHECK_PATH.to_owned());
-        let rate = check.amount("ratePerS", message.rate_per_s.unwrap_or(0.0))?;
+        let rate = check.non_negative("ratePerS", message.rate_per_s.unwrap_or(0.0))?;
         let connections = message.max_conns.and_then(NonZeroU32::new);
         Ok(Self {
             static_endpoint: endpoint(&name, message.static_endpoint)?,
--- a/system/state/configuration/src/table.rs
+++ b/system/state/configuration/src/table.rs
@@ -1,12 +1,12 @@
-//! Finding the route of a request.
+//! Lookup of a request's route.
 
 use crate::configuration::Configuration;
-use crate::host::{comparable, HostName};
+use crate::host::{normalize, HostName};
 use crate::route::Route;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The routes of one configuration, arranged for finding. It does not change; share it by `Arc`.
+/// The routes of one configuration, indexed for lookup. It is immutable; share it by `Arc`.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     hosts: BTreeMap<HostName, HostRoutes>,
@@ -23,12 +23,11 @@
         Self { hosts: hosts.collect() }
     }
 
-    /// The route of a request: that of its host with the longest prefix its path starts with.
+    /// The route of a request: the one of its host with the longest prefix of its path.
     ///
-    /// `host` is the `Host` header, of which port and case do not matter; `path` may carry a query, which is not
-    /// looked at.
+    /// `host` is the `Host` header, whose port and case are ignored; `path` may have a query, which is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let routes = self.hosts.get(&*comparable(host))?;
+        let routes = self.hosts.get(&*normalize(host))?;
         let end = path.find('?').unwrap_or(path.len());
         routes.find(&path[..end])
     }
@@ -43,7 +42,7 @@
 #[derive(Clone, Debug)]
 struct Entry {
     route: Arc<Route>,
-    /// The entry with the longest prefix that this entry's prefix starts with.
+    /// The entry with the longest proper prefix of this entry's prefix.
     shorter: Option<usize>,
 }
 
@@ -58,15 +57,15 @@
         host
     }
 
-    /// Whatever sorts between a prefix of `path` and `path` itself starts with that prefix. So the last entry that
-    /// sorts up to `path` is the one sought, or has it among its shorter ones.
+    /// Everything that sorts between a prefix of `path` and `path` itself starts with that prefix. So the last entry that
+    /// sorts up to `path` is the result, or has it in its chain of shorter ones.
     fn find(&self, path: &str) -> Option<&Arc<Route>> {
         let following = self.entries.partition_point(|entry| *entry.route.path_prefix <= *path);
         let found = self.longest_from(following.checked_sub(1), path)?;
         Some(&self.entries[found].route)
     }
 
-    /// The first prefix of `path` from `start` on towards shorter ones.
+    /// The first prefix of `path` in the chain of shorter ones that begins at `start`.
     fn longest_from(&self, start: Option<usize>, path: &str) -> Option<usize> {
         let mut candidate = start;
         while let Some(index) = candidate {
--- a/system/state/configuration/src/version.rs
+++ b/system/state/configuration/src/version.rs
@@ -11,7 +11,7 @@
 pub struct ConfigurationVersion(pub u64);
 
 impl ConfigurationVersion {
-    /// What stands for the version while there is no configuration yet.
+    /// Stands for the version before the first configuration.
     pub const NONE: Self = Self(0);
 }
 
@@ -25,7 +25,7 @@
     pub new: ConfigurationVersion,
 }
 
-/// Whether a configuration with the version `new` may follow one with the version `current`.
+/// Checks whether a configuration with the version `new` may follow one with the version `current`.
 ///
 /// # Errors
 /// `new` is not higher than `current`.
--- a/system/state/configuration/tests/generated.rs
+++ b/system/state/configuration/tests/generated.rs
@@ -4,7 +4,7 @@
 mod generator;
 
 #[test]
-fn committed_types_are_up_to_date() {
+fn generated_types_are_up_to_date() {
     let committed = include_str!("../src/generated/millrudder.configuration.v1.rs");
     assert!(
         generator::generate().unwrap() == committed,
--- a/system/state/configuration/tests/invalid.rs
+++ b/system/state/configuration/tests/invalid.rs
@@ -8,14 +8,14 @@
 use support::{read, thin, whole};
 
 /// The error for the whole configuration with the value at `pointer` replaced.
-fn refused(pointer: &str, value: Value) -> ConfigurationError {
+fn error_with(pointer: &str, value: Value) -> ConfigurationError {
     let mut spoilt = whole();
     *spoilt.pointer_mut(pointer).expect("the field is there") = value;
     read(&spoilt).expect_err("the configuration is invalid")
 }
 
 #[test]
-fn cut_short_anywhere_it_is_refused() {
+fn a_body_truncated_anywhere_is_rejected() {
     let body = serde_json::to_vec(&whole()).unwrap();
     for length in 0..body.len() {
         let read = Configuration::from_json(&body[..length]);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn whatever_follows_the_end_is_refused() {
+fn anything_after_the_end_is_rejected() {
     let body = serde_json::to_string(&whole()).unwrap();
     assert!(Configuration::from_json(format!(" {body}\r\n").as_bytes()).is_ok());
     for more in ["}", "{}", "x", "\0", ",", &body] {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_text_are_refused() {
+fn bytes_that_are_not_utf8_are_rejected() {
     let mut body = serde_json::to_vec(&whole()).unwrap();
     assert!(matches!(Configuration::from_json(b"\xff\xfe{}"), Err(ConfigurationError::NotUtf8(_))));
     let inside = body.len() / 2;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn required_fields_must_be_there_and_not_null() {
+fn required_fields_must_be_present_and_not_null() {
     let fields = [
         ("", vec!["version", "routes", "backends"]),
         ("/routes/0", vec!["name", "hostname", "pathPrefix", "backend", "timeoutMs"]),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn fields_of_another_kind_are_refused() {
+fn fields_of_another_type_are_rejected() {
     let spoilt = [
         ("/version", json!("7")),
         ("/version", json!(-7)),
@@ -80,13 +80,13 @@
         ("/limits/maxBodyBytes", json!(-1)),
     ];
     for (pointer, value) in spoilt {
-        let error = refused(pointer, value.clone());
+        let error = error_with(pointer, value.clone());
         assert!(matches!(error, ConfigurationError::Unreadable(_)), "{pointer} {value}: {error}");
     }
 }
 
 #[test]
-fn arrays_in_the_place_of_objects_are_refused() {
+fn arrays_instead_of_objects_are_rejected() {
     let arrays = [
         ("", json!([7, [], [], null])),
         ("/routes/0", json!(["r", "h", "/", null, 500, null, null, "hives", null, null, null, null, null])),
@@ -94,20 +94,20 @@
         ("/limits", json!([null, null, null, null])),
     ];
     for (pointer, array) in arrays {
-        let error = refused(pointer, array);
+        let error = error_with(pointer, array);
         assert!(matches!(error, ConfigurationError::Unreadable(_)), "{pointer}: {error}");
     }
 }
 
 #[test]
-fn a_field_given_twice_is_refused() {
+fn a_duplicate_field_is_rejected() {
     let body = serde_json::to_string(&thin()).unwrap();
     let twice = body.replacen('{', r#"{"version":2,"#, 1);
     assert!(matches!(Configuration::from_json(twice.as_bytes()), Err(ConfigurationError::Unreadable(_))));
 }
 
 #[test]
-fn numbers_beyond_any_number_are_refused() {
+fn numbers_out_of_floating_point_range_are_rejected() {
     let body = serde_json::to_string(&thin()).unwrap();
     for number in ["1e999", "NaN", "Infinity", "-", "0x10"] {
         let spoilt = body.replace("500", number);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn deep_nesting_is_refused_and_does_no_harm() {
+fn deep_nesting_is_rejected_without_a_stack_overflow() {
     let body = format!("{}{}", "[".repeat(1_000_000), "]".repeat(1_000_000));
     assert!(Configuration::from_json(body.as_bytes()).is_err());
     let ignored = format!(r#"{{"x": {body}}}"#);
@@ -125,35 +125,35 @@
 }
 
 #[test]
-fn route_to_an_unknown_service_is_refused() {
-    let error = refused("/routes/1/backend", json!("cellar"));
+fn a_route_to_an_unknown_service_is_rejected() {
+    let error = error_with("/routes/1/backend", json!("cellar"));
     assert!(matches!(&error, ConfigurationError::UnknownService { route, service }
         if &**route == "r-file" && &**service == "cellar"));
     assert_eq!(error.to_string(), "route r-file: there is no service cellar");
 }
 
 #[test]
-fn two_routes_at_one_place_are_refused() {
+fn two_routes_with_one_host_and_prefix_are_rejected() {
     for host in ["bees.example", "BEES.example", "bees.example.", "bees.example:80"] {
         let mut spoilt = whole();
         spoilt["routes"][1]["hostname"] = json!(host);
         spoilt["routes"][1]["pathPrefix"] = json!("/post/");
         let read = read(&spoilt);
-        assert!(matches!(read, Err(ConfigurationError::SamePlace { .. })), "{host}");
+        assert!(matches!(read, Err(ConfigurationError::DuplicateMatch { .. })), "{host}");
     }
 }
 
 #[test]
-fn timeouts_of_zero_are_refused() {
+fn timeouts_of_zero_are_rejected() {
     for zero in [json!(0), json!(0.0), json!(-0.0)] {
-        let error = refused("/routes/0/timeoutMs", zero);
+        let error = error_with("/routes/0/timeoutMs", zero);
         assert!(matches!(error, ConfigurationError::Zero { key: "timeoutMs", .. }), "{error}");
     }
-    assert!(matches!(refused("/limits/idleTimeoutMs", json!(0)), ConfigurationError::Zero { .. }));
+    assert!(matches!(error_with("/limits/idleTimeoutMs", json!(0)), ConfigurationError::Zero { .. }));
 }
 
 #[test]
-fn numbers_out_of_range_are_refused() {
+fn numbers_out_of_range_are_rejected() {
     let spoilt = [
         ("/routes/0/timeoutMs", json!(-5)),
         ("/routes/0/timeoutMs", json!(1e300)),
@@ -164,42 +164,45 @@
         ("/limits/headerTimeoutMs", json!(-3)),
     ];
     for (pointer, value) in spoilt {
-        let error = refused(pointer, value);
+        let error = error_with(pointer, value);
         assert!(matches!(error, ConfigurationError::OutOfRange { .. }), "{pointer}: {error}");
     }
 }
 
 #[test]
-fn names_must_be_there_once() {
-    assert!(matches!(refused("/routes/0/name", json!("")), ConfigurationError::EmptyName(_)));
-    assert!(matches!(refused("/backends/0/name", json!("")), ConfigurationError::EmptyName(_)));
-    assert!(matches!(refused("/routes/1/name", json!("r-post")), ConfigurationError::DuplicateRoute(_)));
-    assert!(matches!(refused("/backends/1/name", json!("hives")), ConfigurationError::DuplicateService(_)));
+fn names_must_be_unique_and_not_empty() {
+    assert!(matches!(error_with("/routes/0/name", json!("")), ConfigurationError::EmptyName(_)));
+    assert!(matches!(error_with("/backends/0/name", json!("")), ConfigurationError::EmptyName(_)));
+    assert!(matches!(error_with("/routes/1/name", json!("r-post")), ConfigurationError::DuplicateRoute(_)));
+    assert!(matches!(
+        error_with("/backends/1/name", json!("hives")),
+        ConfigurationError::DuplicateService(_)
+    ));
 }
 
 #[test]
-fn hosts_and_paths_must_be_usable() {
+fn hosts_and_paths_must_be_valid() {
     for host in ["", ":80", "."] {
-        assert!(matches!(refused("/routes/0/hostname", json!(host)), ConfigurationError::EmptyHost(_)));
+        assert!(matches!(error_with("/routes/0/hostname", json!(host)), ConfigurationError::EmptyHost(_)));
     }
     for path in ["", "post/", "http://bees.example/"] {
-        let error = refused("/routes/0/pathPrefix", json!(path));
+        let error = error_with("/routes/0/pathPrefix", json!(path));
         assert!(matches!(error, ConfigurationError::Path { .. }), "{path:?}: {error}");
     }
-    let health = refused("/backends/0/healthCheckPath", json!("health"));
+    let health = error_with("/backends/0/healthCheckPath", json!("health"));
     assert!(matches!(health, ConfigurationError::Path { .. }));
 }
 
 #[test]
 fn endpoints_must_be_addresses_with_a_port() {
     for endpoint in ["", "172.16.0.3", "partner.example:80", "172.16.0.300:80", "172.16.0.3:80000"] {
-        let error = refused("/backends/1/staticEndpoint", json!(endpoint));
+        let error = error_with("/backends/1/staticEndpoint", json!(endpoint));
         assert!(matches!(error, ConfigurationError::Endpoint { .. }), "{endpoint:?}: {error}");
     }
 }
 
 #[test]
-fn more_routes_than_any_deployment_has_are_refused() {
+fn too_many_routes_are_rejected() {
     let route = |number: usize| {
         json!({"name": format!("r{number}"), "hostname": "h", "pathPrefix": format!("/{number}"),
                "backend": "hives", "timeoutMs": 5})
--- a/system/state/configuration/tests/reading.rs
+++ b/system/state/configuration/tests/reading.rs
@@ -1,4 +1,4 @@
-//! What valid configurations are read as.
+//! Parsing of valid configurations.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use support::{read, thin, whole};
 
 #[test]
-fn routes_have_their_units() {
+fn routes_are_converted_to_typed_units() {
     let configuration = read(&whole()).unwrap();
     let expected = Route {
         name: RouteName::from("r-file"),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn services_have_their_units() {
+fn services_are_converted_to_typed_units() {
     let configuration = read(&whole()).unwrap();
     let expected = Service {
         name: ServiceName::from("nest"),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn limits_have_their_units() {
+fn limits_are_converted_to_typed_units() {
     let expected = RequestLimits {
         max_header_bytes: 8192,
         max_body_bytes: 100_000,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_is_left_out_has_defaults() {
+fn absent_fields_have_defaults() {
     let configuration = read(&thin()).unwrap();
     let route = configuration.route(&RouteName::from("r")).unwrap();
     assert_eq!(route.kind, RouteKind::Deferred);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn null_is_as_absent_for_what_may_be_left_out() {
+fn null_is_as_absent_for_optional_fields() {
     let mut nulls = thin();
     for key in
         ["routeType", "targetLatencyMs", "targetStartMs", "priority", "maxRetries", "fifo", "retentionS"]
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn fields_of_other_contracts_are_ignored() {
+fn unknown_fields_are_ignored() {
     let mut more = whole();
     more["operator"] = json!({"name": "x", "deep": [[[1e300]]]});
     more["routes"][0]["weights"] = json!([{"backend": "elsewhere", "weight": 0}]);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn numbers_may_be_written_with_a_point() {
+fn integers_may_be_written_with_a_point() {
     let mut other = whole();
     other["version"] = json!(7.0);
     other["routes"][0]["timeoutMs"] = json!(2000.0);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn other_kinds_of_routes_keep_their_name() {
+fn routes_of_another_kind_keep_its_name() {
     let mut other = whole();
     other["routes"][0]["routeType"] = json!("stream");
     let configuration = read(&other).unwrap();
@@ -127,11 +127,11 @@
 }
 
 #[test]
-fn a_message_is_tried_at_least_once() {
+fn a_message_gets_at_least_one_attempt() {
     let mut none = whole();
     none["routes"][0]["maxRetries"] = json!(0);
     let configuration = read(&none).unwrap();
-    let attempts = |name| configuration.route(&RouteName::from(name)).unwrap().attempts().get();
+    let attempts = |name| configuration.route(&RouteName::from(name)).unwrap().max_attempts().get();
     assert_eq!((attempts("r-post"), attempts("r-file")), (1, 3));
 }
 
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn digest_tells_bodies_apart_by_their_bytes() {
+fn digests_differ_for_different_bytes() {
     let body = serde_json::to_vec(&whole()).unwrap();
     let spaced = serde_json::to_vec_pretty(&whole()).unwrap();
     let digest = |body: &[u8]| Configuration::from_json(body).unwrap().digest();
--- a/system/state/configuration/tests/support/mod.rs
+++ b/system/state/configuration/tests/support/mod.rs
@@ -36,7 +36,7 @@
     })
 }
 
-/// Only what must be there.
+/// Only the required fields.
 pub fn thin() -> Value {
     json!({
         "version": 1,
--- a/system/state/configuration/tests/table.rs
+++ b/system/state/configuration/tests/table.rs
@@ -1,4 +1,4 @@
-//! Which route a request belongs to.
+//! Lookup of the route of a request.
 
 mod support;
 
@@ -8,18 +8,18 @@
 use support::{read, thin};
 
 /// A configuration with a route for each host and prefix, named by both.
-fn configuration(places: &[(&str, &str)]) -> Configuration {
+fn configuration(matches: &[(&str, &str)]) -> Configuration {
     let route = |(host, prefix): &(&str, &str)| {
         json!({"name": format!("{host}{prefix}"), "hostname": host, "pathPrefix": prefix, "backend": "hives",
                "timeoutMs": 500})
     };
     let mut value = thin();
-    value["routes"] = places.iter().map(route).collect();
+    value["routes"] = matches.iter().map(route).collect();
     read(&value).unwrap()
 }
 
-fn table(places: &[(&str, &str)]) -> RouteTable {
-    RouteTable::new(&configuration(places))
+fn table(matches: &[(&str, &str)]) -> RouteTable {
+    RouteTable::new(&configuration(matches))
 }
 
 fn found(table: &RouteTable, host: &str, path: &str) -> Option<String> {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn longest_prefix_of_the_host_is_found() {
+fn the_longest_prefix_of_the_host_wins() {
     let table =
         table(&[("a", "/"), ("a", "/post/"), ("a", "/post/late/"), ("a", "/quick"), ("b", "/post/x")]);
     let expected = [
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_no_prefix_starts_is_not_found() {
+fn a_path_without_a_matching_prefix_has_no_route() {
     let table = table(&[("a", "/post/"), ("b", "/")]);
     for (host, path) in [("a", "/"), ("a", "/post"), ("a", ""), ("a", "*"), ("c", "/post/"), ("", "/post/")] {
         assert_eq!(found(&table, host, path), None, "{host} {path}");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn query_is_not_looked_at() {
+fn the_query_is_ignored() {
     let table = table(&[("a", "/post"), ("a", "/post/late")]);
     assert_eq!(found(&table, "a", "/post?to=/late").as_deref(), Some("a/post"));
     assert_eq!(found(&table, "a", "/post/late?x=1").as_deref(), Some("a/post/late"));
@@ -85,8 +85,8 @@
         prefixes in proptest::collection::btree_set("/[ab/]{0,5}", 0..16),
         paths in proptest::collection::vec("/[ab/c]{0,8}", 1..16),
     ) {
-        let places: Vec<_> = prefixes.iter().map(|prefix| ("h", prefix.as_str())).collect();
-        let table = table(&places);
+        let matches: Vec<_> = prefixes.iter().map(|prefix| ("h", prefix.as_str())).collect();
+        let table = table(&matches);
         for path in &paths {
             let starting = prefixes.iter().filter(|prefix| path.starts_with(prefix.as_str()));
             let longest = starting.max_by_key(|prefix| prefix.len());
--- a/system/state/configuration/tests/version.rs
+++ b/system/state/configuration/tests/version.rs
@@ -6,7 +6,7 @@
 use speedy::{Readable, Writable};
 
 #[test]
-fn only_higher_versions_follow() {
+fn only_a_higher_version_may_follow() {
     let version = ConfigurationVersion;
     assert_eq!(check_successor(ConfigurationVersion::NONE, version(1)), Ok(()));
     assert_eq!(check_successor(version(5), version(9)), Ok(()));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn version_is_read_from_a_header() {
+fn a_version_parses_from_a_header() {
     assert_eq!("17".parse(), Ok(ConfigurationVersion(17)));
     for text in ["", "x", "-1", "1.0", "18446744073709551616"] {
         assert!(text.parse::<ConfigurationVersion>().is_err(), "{text}");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn identifiers_come_back_from_the_wire() {
+fn identifiers_decode_to_the_same() {
     let version = ConfigurationVersion(u64::MAX);
     assert_eq!(ConfigurationVersion::read_from_buffer(&version.write_to_vec().unwrap()).unwrap(), version);
     let digest = ConfigurationDigest::of(b"body");
@@ -37,6 +37,6 @@
 }
 
 #[test]
-fn digest_stays_the_same_over_releases() {
+fn the_digest_is_stable_across_releases() {
     assert_eq!(ConfigurationDigest::of(b"").to_string(), "99aa06d3014798d86001c324468d497f");
 }
--- a/system/state/settings/src/bounds.rs
+++ b/system/state/settings/src/bounds.rs
@@ -1,49 +1,49 @@
-//! The figures by which the system's rules are judged.
+//! Limits by which the system's rules are judged.
 
 use crate::document::BoundsDocument;
 use crate::values::{Milliseconds, Seconds};
 use std::time::Duration;
 
-/// Figures of the rules in force.
+/// Limits by which the system's rules are judged, as the platform sets them. Not all of them matter to the system itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How far the list from which callers of `control` choose machines lags behind.
+    /// Maximum lag of the list from which callers of `control` choose machines.
     pub seed_lag: Duration,
-    /// After a worker's end, its address may belong to another service this much later.
+    /// Earliest time after a worker's end at which its address may belong to another service.
     pub address_reuse: Duration,
-    /// A machine counts as in touch after this much time without trouble.
+    /// Time without a fault after which a machine counts as connected.
     pub liveness: Duration,
-    /// An operator's order is acknowledged within this while the core is stable.
+    /// Time in which an operator's request is acknowledged while the core is stable.
     pub acknowledgement: Duration,
-    /// A machine that has returned or started counts as lost for this long.
+    /// Time for which a machine that has recovered or started still counts as lost: it must catch up meanwhile.
     pub catch_up: Duration,
-    /// No delivery reaches a worker later than this after it is known as draining or gone.
+    /// Time after a worker is listed as draining or gone after which no delivery may reach it.
     pub drain: Duration,
-    /// From SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// A request that was read may be dropped during planned work within this after its last byte.
+    /// Time after the last byte of a request in which it may be lost in planned maintenance.
     pub loss_slack: Duration,
-    /// An acknowledged configuration is in force everywhere after this.
+    /// Time after which an acknowledged configuration is in force everywhere.
     pub configuration_apply: Duration,
-    /// After a version's effect was seen, older behaviour is tolerated for this long.
+    /// Time for which older behaviour is tolerated after a version's effect was seen.
     pub rollback_slack: Duration,
-    /// An unstable core stretches the bound on configurations by at most this.
+    /// Maximum by which an unstable core extends the limit on configurations.
     pub maximum_skew: Duration,
-    /// Traffic is served again this long after the machines return from a final fault.
+    /// Time after the machines recover from the last fault after which traffic is served again.
     pub recovery: Duration,
-    /// Accepted messages get this long after the end of traffic.
+    /// Time after the end of traffic in which accepted messages are completed.
     pub completion: Duration,
-    /// State and body of a message are answered for this long after its end.
+    /// Time after a message's end for which its state and body can be queried.
     pub status_ttl: Duration,
-    /// A call-back is due within this after the success.
+    /// Time after the success in which a call-back is due.
     pub callback_timeout: Duration,
-    /// What the platform calls the visibility of messages.
+    /// The platform's visibility time-out of messages.
     pub visibility: Duration,
-    /// A delayed message may run at most this much before its delay is over.
+    /// Maximum by which a delayed message may run early.
     pub early_tolerance: Duration,
-    /// The window over which a service's rate is summed.
+    /// Window over which a service's rate is measured.
     pub ceiling_window: Duration,
-    /// Factor by which the rate may be exceeded in a window.
+    /// Factor by which the rate may exceed the limit in a window.
     pub origin_overage: f64,
 }
 
@@ -95,7 +95,7 @@
             visibility: milliseconds(document.visibility_ms, default.visibility),
             early_tolerance: milliseconds(document.early_tolerance_ms, default.early_tolerance),
             ceiling_window: seconds(document.ceiling_window_s, default.ceiling_window),
-            origin_overage: document.origin_overage.map_or(default.origin_overage, |amount| amount.0),
+            origin_overage: document.origin_overage.map_or(default.origin_overage, |factor| factor.0),
         }
     }
 }
--- a/system/state/settings/src/difference.rs
+++ b/system/state/settings/src/difference.rs
@@ -1,12 +1,12 @@
-//! What changed between two readings of a settings file.
+//! The difference between two versions of a settings file.
 
 use crate::settings::Settings;
 use derive_more::Display;
 
-/// A key at the top of the file, displayed as it is written there.
+/// A top-level key of the file, displayed as it is written there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 #[display(rename_all = "camelCase")]
-#[allow(missing_docs, reason = "each stands for the field of the same name of `Settings`")]
+#[allow(missing_docs, reason = "each is the key of the field of the same name of `Settings`")]
 pub enum SettingsKey {
     NodeName,
     Role,
@@ -52,6 +52,6 @@
         (SettingsKey::Bounds, old.bounds != new.bounds),
         (SettingsKey::CloudApi, old.cloud_api != new.cloud_api),
     ];
-    let differing = compared.into_iter().filter(|(_, differs)| *differs);
+    let differing = compared.into_iter().filter(|(_, is_different)| *is_different);
     differing.map(|(key, _)| key).collect()
 }
--- a/system/state/settings/src/document.rs
+++ b/system/state/settings/src/document.rs
@@ -1,9 +1,9 @@
-//! The file as it is written: every key may be absent or empty, names are those of the platform.
+//! The file as it is written: every key may be absent or empty, and has the platform's name.
 
 use crate::names::{NodeName, Region, Zone};
 use crate::ports::PortRange;
 use crate::settings::Serves;
-use crate::values::{Amount, Interval, Megabytes, Milliseconds, Seconds};
+use crate::values::{Megabytes, Milliseconds, NonNegative, PositiveMilliseconds, Seconds};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -28,7 +28,7 @@
     pub counts_for_quorum: Option<bool>,
     pub limits: Option<LimitsDocument>,
     pub data_dir: Option<PathBuf>,
-    pub heartbeat_ms: Option<Interval>,
+    pub heartbeat_ms: Option<PositiveMilliseconds>,
     pub fault_tolerance: Option<FaultToleranceDocument>,
     pub bounds: Option<BoundsDocument>,
     pub cloud_api: Option<CloudApiDocument>,
@@ -47,11 +47,11 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct LimitsDocument {
-    pub cpu_share: Option<Amount>,
-    pub cores: Option<Amount>,
+    pub cpu_share: Option<NonNegative>,
+    pub cores: Option<NonNegative>,
     pub memory_mb: Option<Megabytes>,
     pub max_fds: Option<u32>,
-    pub link_mbps: Option<Amount>,
+    pub link_mbps: Option<NonNegative>,
     pub disk_mb: Option<Megabytes>,
 }
 
@@ -86,7 +86,7 @@
     pub visibility_ms: Option<Milliseconds>,
     pub early_tolerance_ms: Option<Milliseconds>,
     pub ceiling_window_s: Option<Seconds>,
-    pub origin_overage: Option<Amount>,
+    pub origin_overage: Option<NonNegative>,
 }
 
 /// `cloudApi`.
@@ -94,6 +94,6 @@
 #[serde(rename_all = "camelCase")]
 pub(crate) struct CloudApiDocument {
     pub address: Option<SocketAddr>,
-    pub rate_per_s: Option<Amount>,
+    pub rate_per_s: Option<NonNegative>,
     pub max_lag_ms: Option<Milliseconds>,
 }
--- a/system/state/settings/src/error.rs
+++ b/system/state/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a settings file, and where.
+//! Errors in a settings file, and their locations.
 
 use crate::settings::Serves;
 use miette::Diagnostic;
@@ -15,18 +15,18 @@
     pub column: u64,
 }
 
-/// Where in a settings file something stands or is missing.
+/// Location of a setting in a file, also of a missing one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct SettingLocation {
     /// The file as it was named by the caller.
     pub file: PathBuf,
-    /// None where the key is absent.
+    /// Position of the value; `None` where the key is absent.
     pub position: Option<Position>,
     /// The key with those above it, joined by dots; empty for the whole file.
     pub key: String,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for SettingLocation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.file.display())?;
         if let Some(position) = self.position {
@@ -39,17 +39,17 @@
     }
 }
 
-/// A problem found by the YAML reader; its text is one line without the position, which [`Place`] holds.
+/// An error of the YAML parser. Its text is one line without the position, which [`SettingLocation`] has.
 #[derive(Debug)]
-pub struct YamlProblem(Box<serde_saphyr::Error>);
+pub struct YamlError(Box<serde_saphyr::Error>);
 
-impl From<serde_saphyr::Error> for YamlProblem {
+impl From<serde_saphyr::Error> for YamlError {
     fn from(error: serde_saphyr::Error) -> Self {
         Self(Box::new(error))
     }
 }
 
-impl fmt::Display for YamlProblem {
+impl fmt::Display for YamlError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = self.0.without_snippet().to_string();
         let end = text.rfind(" at line ").unwrap_or(text.len());
@@ -58,56 +58,56 @@
     }
 }
 
-impl std::error::Error for YamlProblem {}
+impl std::error::Error for YamlError {}
 
 /// Why settings cannot be used.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SettingsError {
-    /// The file cannot be read at all.
+    /// The file cannot be read.
     #[error("{}: cannot be read", file.display())]
     #[diagnostic(code(settings::unreadable), help("the variable MILLRUDDER_SETTINGS names the file"))]
     Unreadable {
         /// The file as it was named by the caller.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         #[source]
         source: std::io::Error,
     },
     /// The file is too long to be settings.
-    #[error("{}: {bytes} bytes are too many for settings, {most} are the most", file.display())]
+    #[error("{}: {bytes} bytes are too many for settings, {max} are the most", file.display())]
     #[diagnostic(code(settings::too_long))]
     TooLong {
         /// The file as it was named by the caller.
         file: PathBuf,
         /// Its length in bytes.
         bytes: u64,
-        /// The most that is read, in bytes.
-        most: u64,
+        /// The maximum, in bytes.
+        max: u64,
     },
-    /// The text is no YAML, or a value is of the wrong kind or out of range.
-    #[error("{place}: {problem}")]
+    /// The text is not YAML, or a value has the wrong type or is out of range.
+    #[error("{location}: {source}")]
     #[diagnostic(code(settings::value))]
     Value {
-        /// Where it stands.
-        place: Place,
-        /// What the YAML reader found.
+        /// Location of the value.
+        location: SettingLocation,
+        /// The parser's error.
         #[source]
-        problem: YamlProblem,
+        source: YamlError,
     },
     /// A key that has no default is absent or empty.
-    #[error("{place}: missing")]
+    #[error("{location}: missing")]
     #[diagnostic(code(settings::missing), help("this key has no default"))]
     Missing {
-        /// Which key.
-        place: Place,
+        /// Location of the key.
+        location: SettingLocation,
     },
-    /// The role serves something for which an address or folder is missing.
-    #[error("{place}: missing, and the role serves {serves}")]
+    /// An address or folder is missing that the role needs for what it serves.
+    #[error("{location}: missing, and the role serves {serves}")]
     #[diagnostic(code(settings::serves), help("add the key, or take the entry from `serves`"))]
     NeededToServe {
-        /// The key that is missing.
-        place: Place,
-        /// What cannot be served without it.
+        /// Location of the missing key.
+        location: SettingLocation,
+        /// What the role serves.
         serves: Serves,
     },
 }
--- a/system/state/settings/src/lib.rs
+++ b/system/state/settings/src/lib.rs
@@ -1,9 +1,9 @@
 //! Settings of one process of the system.
 //!
-//! The platform starts every process with a YAML file that is named by the variable [`VARIABLE`]. [`Settings`] is
-//! that file read, checked and typed: keys that are not known are ignored, keys that are absent or empty get
-//! their default, and whatever cannot be used is a [`SettingsError`] that names file, line and key. Reading is
-//! repeated when the file changes; [`difference`] then tells which keys changed.
+//! The platform starts every process with a YAML file that the environment variable [`VARIABLE`] names. [`Settings`] is
+//! that file parsed, validated and typed: unknown keys are ignored, absent or empty keys get their default, and an
+//! invalid value is a [`SettingsError`] that names file, line and key. The embedder reads the file again when it changes;
+//! [`difference`] then lists the changed keys.
 //!
 //! ```
 //! use millrudder_settings::{Serves, Settings};
@@ -38,7 +38,7 @@
 
 pub use bounds::Bounds;
 pub use difference::{difference, SettingsKey};
-pub use error::{Place, Position, SettingsError, YamlProblem};
+pub use error::{Position, SettingLocation, SettingsError, YamlError};
 pub use limits::Limits;
 pub use names::{NodeName, Region, Zone};
 pub use ports::{PortRange, PortRangeError};
--- a/system/state/settings/src/names.rs
+++ b/system/state/settings/src/names.rs
@@ -1,4 +1,4 @@
-//! Names of machines and places. None is empty after [`crate::Settings::parse`].
+//! Names of machines, zones and regions. None is empty after [`crate::Settings::parse`].
 
 millrudder_names::text_types! {
     /// A machine, such as `edge-pasig-hall-1`; unique in a deployment, kept when the machine is replaced.
--- a/system/state/settings/src/ports.rs
+++ b/system/state/settings/src/ports.rs
@@ -1,4 +1,4 @@
-//! The ports that are free for the processes of the system to talk to each other.
+//! The range of ports for connections between the processes of the system.
 
 use serde::Deserialize;
 use std::ops::RangeInclusive;
@@ -12,10 +12,10 @@
     last: u16,
 }
 
-/// Why two numbers are no range of ports.
+/// Why numbers are not a range of ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PortRangeError {
-    /// Port 0 stands for "any" and cannot be told to others.
+    /// Port 0 stands for "any" and cannot be given to others.
     #[error("port 0 cannot be used")]
     Zero,
     /// The range is empty.
@@ -59,7 +59,7 @@
         self.last
     }
 
-    /// How many ports there are; never 0.
+    /// Number of ports; never 0.
     pub fn count(self) -> usize {
         usize::from(self.last - self.first) + 1
     }
@@ -78,7 +78,7 @@
 impl TryFrom<Vec<u16>> for PortRange {
     type Error = PortRangeError;
 
-    /// The range that a list of its first and last port gives.
+    /// A range from a list of its first and last port.
     fn try_from(ports: Vec<u16>) -> Result<Self, PortRangeError> {
         match *ports {
             [first, last] => Self::new(first, last),
--- a/system/state/settings/src/reader.rs
+++ b/system/state/settings/src/reader.rs
@@ -1,17 +1,20 @@
-//! From the text of a settings file to checked settings.
+//! Parsing and validation of a settings file.
 
 use crate::document::Document;
-use crate::error::{Place, Position, SettingsError, YamlProblem};
+use crate::error::{Position, SettingLocation, SettingsError, YamlError};
 use crate::settings::{CloudApi, Serves, Settings};
 use serde_saphyr::Location;
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::Duration;
 
-/// Time between signs of life when the file names none.
+/// Interval of heartbeats when the file names none.
 const DEFAULT_HEARTBEAT: Duration = Duration::from_millis(1_000);
 
-/// Reads the text of a file; `file` is its name for errors.
+/// Parses the text of a file; `file` is its name for errors.
+///
+/// # Errors
+/// The text is not YAML, or a value has the wrong type or is out of range.
 pub(crate) fn read_document(text: &str, file: &Path) -> Result<Document, SettingsError> {
     let mut key = String::new();
     let options = serde_saphyr::options! { with_snippet: false };
@@ -24,23 +27,23 @@
     read.map_err(|error| {
         let position = error.location().and_then(position);
         let key = if key == "." { String::new() } else { key };
-        let place = Place { file: file.to_owned(), position, key };
-        SettingsError::Value { place, problem: YamlProblem::from(error) }
+        let location = SettingLocation { file: file.to_owned(), position, key };
+        SettingsError::Value { location, source: YamlError::from(error) }
     })
 }
 
 fn position(location: Location) -> Option<Position> {
-    let known = location.line() > 0;
-    known.then(|| Position { line: location.line(), column: location.column() })
+    let is_known = location.line() > 0;
+    is_known.then(|| Position { line: location.line(), column: location.column() })
 }
 
-/// Turns the document into settings; knows the file for errors.
-pub(crate) struct Reader<'a> {
+/// Validates a document.
+pub(crate) struct Validator<'a> {
     file: &'a Path,
 }
 
-impl<'a> Reader<'a> {
-    /// `file`: its name for errors.
+impl<'a> Validator<'a> {
+    /// A validator of the document in `file`, which errors name.
     pub(crate) fn new(file: &'a Path) -> Self {
         Self { file }
     }
@@ -48,22 +51,22 @@
     /// The settings that the document gives.
     ///
     /// # Errors
-    /// As for [`Settings::parse`], but for what is no YAML.
+    /// As for [`Settings::parse`], except errors of the parser.
     pub(crate) fn settings(&self, document: Document) -> Result<Settings, SettingsError> {
         let zones = document.zones.unwrap_or_default();
-        let zone = self.name(document.zone, "zone")?;
+        let zone = self.required_name(document.zone, "zone")?;
         let region = document.region.or_else(|| zones.get(&zone).cloned());
         let settings = Settings {
-            node_name: self.name(document.node_name, "nodeName")?,
+            node_name: self.required_name(document.node_name, "nodeName")?,
             role: document.role.unwrap_or_default(),
             machine_class: document.machine_class.unwrap_or_default(),
             serves: document.serves.map(BTreeSet::from_iter).unwrap_or_default(),
-            ip: self.present(document.ip, "ip")?,
+            ip: self.required(document.ip, "ip")?,
             zone,
-            region: self.present(region, "region")?,
+            region: self.required(region, "region")?,
             zones,
             bind: document.bind_addrs.unwrap_or_default().into(),
-            ephemeral_ports: self.present(document.ephemeral_ports, "ephemeralPorts")?,
+            ephemeral_ports: self.required(document.ephemeral_ports, "ephemeralPorts")?,
             seeds: document.seeds.unwrap_or_default(),
             bootstrap: document.bootstrap.unwrap_or(false),
             counts_for_quorum: document.counts_for_quorum.unwrap_or(false),
@@ -78,32 +81,52 @@
         Ok(settings)
     }
 
-    fn place(&self, key: &str) -> Place {
-        Place { file: self.file.to_owned(), position: None, key: key.to_owned() }
+    fn location(&self, key: &str) -> SettingLocation {
+        SettingLocation { file: self.file.to_owned(), position: None, key: key.to_owned() }
     }
 
-    fn present<T>(&self, value: Option<T>, key: &str) -> Result<T, SettingsError> {
-        value.ok_or_else(|| SettingsError::Missing { place: self.place(key) })
+    fn required<T>(&self, value: Option<T>, key: &str) -> Result<T, SettingsError> {
+        value.ok_or_else(|| SettingsError::Missing { location: self.location(key) })
     }
 
-    fn name<T: AsRef<str>>(&self, value: Option<T>, key: &str) -> Result<T, SettingsError> {
-        let named = value.filter(|name| !name.as_ref().is_empty());
-        self.present(named, key)
+    fn required_name<T: AsRef<str>>(&self, value: Option<T>, key: &str) -> Result<T, SettingsError> {
+        let name = value.filter(|name| !name.as_ref().is_empty());
+        self.required(name, key)
     }
 
+    /// Checks that everything that the role serves has its addresses and folder.
     fn check_serves(&self, settings: &Settings) -> Result<(), SettingsError> {
-        let needed = [
-            (Serves::Edge, "bindAddrs.front", settings.bind.front.is_some()),
-            (Serves::Edge, "bindAddrs.readiness", settings.bind.readiness.is_some()),
-            (Serves::Control, "bindAddrs.controlPlane", settings.bind.control_plane.is_some()),
-            (Serves::Control, "dataDir", settings.data_dir.is_some()),
-            (Serves::Storage, "dataDir", settings.data_dir.is_some()),
+        let bind = &settings.bind;
+        let requirements = [
+            Requirement::new(Serves::Edge, "bindAddrs.front", bind.front.is_some()),
+            Requirement::new(Serves::Edge, "bindAddrs.readiness", bind.readiness.is_some()),
+            Requirement::new(Serves::Control, "bindAddrs.controlPlane", bind.control_plane.is_some()),
+            Requirement::new(Serves::Control, "dataDir", settings.data_dir.is_some()),
+            Requirement::new(Serves::Storage, "dataDir", settings.data_dir.is_some()),
         ];
-        let missing =
-            |&&(serves, _, given): &&(Serves, &str, bool)| settings.serves.contains(&serves) && !given;
-        match needed.iter().find(missing) {
+        let missing = requirements.into_iter().find(|requirement| requirement.is_missing(&settings.serves));
+        match missing {
             None => Ok(()),
-            Some(&(serves, key, _)) => Err(SettingsError::NeededToServe { place: self.place(key), serves }),
+            Some(Requirement { serves, key, .. }) => {
+                Err(SettingsError::NeededToServe { location: self.location(key), serves })
+            }
         }
     }
 }
+
+/// A key without which a role cannot serve something.
+struct Requirement {
+    serves: Serves,
+    key: &'static str,
+    is_given: bool,
+}
+
+impl Requirement {
+    fn new(serves: Serves, key: &'static str, is_given: bool) -> Self {
+        Self { serves, key, is_given }
+    }
+
+    fn is_missing(&self, serves: &BTreeSet<Serves>) -> bool {
+        serves.contains(&self.serves) && !self.is_given
+    }
+}
--- a/system/state/settings/src/settings.rs
+++ b/system/state/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process, checked.
+//! The validated settings of a process.
 
 use crate::bounds::Bounds;
 use crate::document::{BindAddressesDocument, CloudApiDocument, FaultToleranceDocument};
@@ -6,7 +6,7 @@
 use crate::limits::Limits;
 use crate::names::{NodeName, Region, Zone};
 use crate::ports::PortRange;
-use crate::reader::{read_document, Reader};
+use crate::reader::{read_document, Validator};
 use derive_more::Display;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,29 +16,30 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Variable that names the settings file of a process.
+/// Environment variable that names the settings file of a process.
 pub const VARIABLE: &str = "MILLRUDDER_SETTINGS";
 
-/// Longest file that is read, in bytes: settings take a few thousand, and a wrong path may name anything.
-const LONGEST_FILE_BYTES: u64 = 1 << 20;
+/// Maximum length of a file, in bytes: settings take a few thousand, and a wrong path may name anything.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// Calls to the platform's list a second, over all processes, when the file names none: safe for a short list.
+/// Rate limit of calls to the platform's worker list, per second by all processes together, when the file names none: safe
+/// for a short list.
 const DEFAULT_CALLS_PER_SECOND: f64 = 10.0;
 
-/// How far the platform's list lags when the file names nothing.
+/// Maximum lag of the platform's worker list when the file names none.
 const DEFAULT_LIST_LAG: Duration = Duration::from_millis(1_000);
 
-/// Machines that may be lost at one time when the file does not tell: data lies on two disks.
+/// Machines that may be lost at one time when the file names no number: data is on two disks.
 const DEFAULT_TOLERATED_MACHINES: u32 = 1;
 
-/// What a role serves to callers from outside, or, for storage, that its machine keeps data.
+/// What a role serves: callers from outside, or, for storage, data on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Display)]
 #[serde(rename_all = "lowercase")]
 #[display(rename_all = "lowercase")]
 pub enum Serves {
     /// Clients.
     Edge,
-    /// Nobody outside; data is kept on the machine's disk.
+    /// Nobody outside; the machine's disk stores data.
     Storage,
     /// Workers and the operator.
     Control,
@@ -49,13 +50,13 @@
 pub struct BindAddresses {
     /// Requests of clients.
     pub front: Option<SocketAddr>,
-    /// The platform's question whether the process is ready.
+    /// The platform's readiness checks.
     pub readiness: Option<SocketAddr>,
     /// The operator's API.
     pub control_plane: Option<SocketAddr>,
 }
 
-/// What may be lost at one time while every rule is kept.
+/// Losses at one time that the system must tolerate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultTolerance {
     /// Machines that count for a quorum.
@@ -66,18 +67,18 @@
     pub regions: u32,
 }
 
-/// The platform's list of workers.
+/// The platform's API that lists workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CloudApi {
-    /// Where it is called.
+    /// Its address.
     pub address: SocketAddr,
-    /// Calls a second that all processes together may make.
+    /// Rate limit: calls per second by all processes together.
     pub calls_per_second: f64,
-    /// How far the list lags behind at most.
+    /// Maximum lag of the list behind the workers' true state.
     pub maximum_lag: Duration,
 }
 
-/// Settings of one process, read and checked.
+/// Validated settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The machine's name.
@@ -98,7 +99,7 @@
     pub zones: BTreeMap<Zone, Region>,
     /// Addresses for callers from outside.
     pub bind: BindAddresses,
-    /// Ports for talk between the processes of the system, free on every machine.
+    /// Ports for connections between the processes of the system, free on every machine.
     pub ephemeral_ports: PortRange,
     /// `controlPlane` addresses of a few machines, possibly stale.
     pub seeds: Vec<SocketAddr>,
@@ -106,30 +107,32 @@
     pub bootstrap: bool,
     /// Whether this machine is among those that [`FaultTolerance::machines`] speaks of.
     pub counts_for_quorum: bool,
-    /// What the process may use.
+    /// Resources that the process may use.
     pub limits: Limits,
     /// Folder for data; none on machines without a disk.
     pub data_dir: Option<PathBuf>,
-    /// Time between signs of life; above 0.
+    /// Interval of heartbeats; above 0.
     pub heartbeat: Duration,
-    /// What may be lost at one time.
+    /// Losses at one time that the system must tolerate.
     pub fault_tolerance: FaultTolerance,
-    /// Figures of the rules in force.
+    /// Limits by which the system's rules are judged.
     pub bounds: Bounds,
-    /// The platform's list of workers, if there is one.
+    /// The platform's API that lists workers, if there is one.
     pub cloud_api: Option<CloudApi>,
 }
 
 impl Settings {
-    /// Members of the smallest core that may go on alone: one more than may be lost, so that what is acknowledged
-    /// outlives each loss. A core that was founded with fewer, `members` of them, stays as it is; how many machines
-    /// answer at the moment must not count.
-    pub fn smallest_core(&self, members: Option<usize>) -> usize {
-        let wanted = self.fault_tolerance.machines as usize + 1;
-        members.map_or(wanted, |members| wanted.min(members.max(1)))
+    /// Minimum number of members with which the core may continue: one more than may be lost, so that what is
+    /// acknowledged survives each loss.
+    ///
+    /// `members` is the number of members of an existing core. One that was bootstrapped with fewer stays as it is. The
+    /// number of machines that respond at present must not be passed here.
+    pub fn min_core_members(&self, members: Option<usize>) -> usize {
+        let target = self.fault_tolerance.machines as usize + 1;
+        members.map_or(target, |members| target.min(members.max(1)))
     }
 
-    /// Reads and checks a file. It blocks: not for tasks of an executor.
+    /// Reads and validates a file. It blocks, and so is not for tasks of an executor.
     ///
     /// # Errors
     /// The file cannot be read or is too long, and as for [`Settings::parse`].
@@ -138,14 +141,14 @@
         Self::parse(&text, file)
     }
 
-    /// Checks the text of a file; `file` is its name for errors.
+    /// Validates the text of a file; `file` is its name for errors.
     ///
     /// # Errors
-    /// The text is no YAML, a key without a default is missing, a value cannot be used, or something that the
-    /// role serves lacks its address or folder.
+    /// The text is not YAML, a key without a default is missing, a value is invalid, or something that the role serves
+    /// lacks its address or folder.
     pub fn parse(text: &str, file: &Path) -> Result<Self, SettingsError> {
         let document = read_document(text, file)?;
-        Reader::new(file).settings(document)
+        Validator::new(file).settings(document)
     }
 }
 
@@ -153,10 +156,10 @@
     let unreadable = |source| SettingsError::Unreadable { file: file.to_owned(), source };
     let opened = File::open(file).map_err(unreadable)?;
     let mut text = String::new();
-    opened.take(LONGEST_FILE_BYTES + 1).read_to_string(&mut text).map_err(unreadable)?;
+    opened.take(MAX_FILE_BYTES + 1).read_to_string(&mut text).map_err(unreadable)?;
     let bytes = text.len() as u64;
-    if bytes > LONGEST_FILE_BYTES {
-        return Err(SettingsError::TooLong { file: file.to_owned(), bytes, most: LONGEST_FILE_BYTES });
+    if bytes > MAX_FILE_BYTES {
+        return Err(SettingsError::TooLong { file: file.to_owned(), bytes, max: MAX_FILE_BYTES });
     }
     Ok(text)
 }
@@ -178,10 +181,10 @@
 }
 
 impl CloudApi {
-    /// None where no address is given, as when the key is empty.
+    /// `None` where no address is given, as when the key is empty.
     pub(crate) fn from_document(document: CloudApiDocument) -> Option<Self> {
         let address = document.address?;
-        let rate = document.rate_per_s.map(|amount| amount.0).filter(|rate| *rate > 0.0);
+        let rate = document.rate_per_s.map(|rate| rate.0).filter(|rate| *rate > 0.0);
         let lag = document.max_lag_ms.map(|lag| lag.0);
         Some(Self {
             address,
--- a/system/state/settings/src/values.rs
+++ b/system/state/settings/src/values.rs
@@ -1,11 +1,11 @@
-//! Scalars of the file that carry a unit or a range in their key's name.
+//! Numbers of the file, with their units and ranges.
 
 use serde::Deserialize;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest span that is accepted, so that sums with a clock's reading stay within its range.
-const LONGEST: Duration = Duration::from_secs(10 * 365 * 24 * 60 * 60);
+/// Maximum duration that is accepted, so that sums with a clock's reading stay within its range.
+const MAX_DURATION: Duration = Duration::from_secs(10 * 365 * 24 * 60 * 60);
 
 /// Bytes in the megabyte of `memoryMb` and `diskMb`: the smaller reading, so that what is planned also fits.
 const BYTES_PER_MEGABYTE: f64 = 1_000_000.0;
@@ -13,7 +13,7 @@
 /// A finite number that is not negative.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(try_from = "f64")]
-pub(crate) struct Amount(pub f64);
+pub(crate) struct NonNegative(pub f64);
 
 /// Megabytes, as bytes.
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -30,12 +30,12 @@
 #[serde(try_from = "f64")]
 pub(crate) struct Milliseconds(pub Duration);
 
-/// Milliseconds, above 0.
+/// Milliseconds above 0, whole or fractional.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(try_from = "f64")]
-pub(crate) struct Interval(pub Duration);
+pub(crate) struct PositiveMilliseconds(pub Duration);
 
-/// Why a number is not usable.
+/// Why a number is invalid.
 #[derive(Clone, Copy, Debug, Error)]
 pub(crate) enum NumberError {
     #[error("{0} is not a number of 0 or more")]
@@ -46,7 +46,7 @@
     TooLong(f64),
 }
 
-impl TryFrom<f64> for Amount {
+impl TryFrom<f64> for NonNegative {
     type Error = NumberError;
 
     fn try_from(number: f64) -> Result<Self, NumberError> {
@@ -61,7 +61,7 @@
     type Error = NumberError;
 
     fn try_from(number: f64) -> Result<Self, NumberError> {
-        let megabytes = Amount::try_from(number)?;
+        let megabytes = NonNegative::try_from(number)?;
         Ok(Self((megabytes.0 * BYTES_PER_MEGABYTE) as u64))
     }
 }
@@ -82,7 +82,7 @@
     }
 }
 
-impl TryFrom<f64> for Interval {
+impl TryFrom<f64> for PositiveMilliseconds {
     type Error = NumberError;
 
     fn try_from(number: f64) -> Result<Self, NumberError> {
@@ -94,11 +94,11 @@
     }
 }
 
-/// The span of `number` units, of which `per_second` make a second.
+/// The duration of `number` units, of which `per_second` make a second.
 fn duration(number: f64, per_second: f64) -> Result<Duration, NumberError> {
-    let amount = Amount::try_from(number)?;
-    Duration::try_from_secs_f64(amount.0 / per_second)
+    let units = NonNegative::try_from(number)?;
+    Duration::try_from_secs_f64(units.0 / per_second)
         .ok()
-        .filter(|duration| *duration <= LONGEST)
+        .filter(|duration| *duration <= MAX_DURATION)
         .ok_or(NumberError::TooLong(number))
 }
--- a/system/state/settings/tests/arbitrary.rs
+++ b/system/state/settings/tests/arbitrary.rs
@@ -1,4 +1,4 @@
-//! Whatever a file holds, reading it ends in settings or in an error that names the file.
+//! Whatever a file contains, parsing it gives settings or an error that names the file.
 
 use millrudder_settings::Settings;
 use proptest::prelude::*;
@@ -44,9 +44,9 @@
     }
 }
 
-/// Files that are small and would be large, or deep, once read.
+/// Small files that would be large, or deep, once parsed.
 #[test]
-fn files_that_unfold_end_in_an_error() {
+fn files_that_expand_give_an_error() {
     let aliases = (1..30).map(|level| {
         let before = level - 1;
         format!(
--- a/system/state/settings/tests/difference.rs
+++ b/system/state/settings/tests/difference.rs
@@ -1,4 +1,4 @@
-//! Which keys changed between two readings.
+//! The changed keys between two versions of a file.
 
 use millrudder_settings::{difference, Settings, SettingsKey};
 use std::path::Path;
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn equal_settings_differ_in_nothing() {
-    let written_otherwise = format!("{TEXT}limits: {{}}\nunknown: 1\n");
-    assert_eq!(difference(&parse(TEXT), &parse(&written_otherwise)), []);
+fn equal_settings_have_no_difference() {
+    let with_other_text = format!("{TEXT}limits: {{}}\nunknown: 1\n");
+    assert_eq!(difference(&parse(TEXT), &parse(&with_other_text)), []);
 }
 
 #[test]
-fn each_changed_key_is_listed_as_the_file_writes_it() {
+fn changed_keys_are_listed_as_in_the_file() {
     let changes = [
         ("keeper-1", "keeper-2", SettingsKey::NodeName, "nodeName"),
         ("10.1.0.40", "10.1.0.41", SettingsKey::Ip, "ip"),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn several_changes_come_in_the_order_of_the_file() {
+fn changed_keys_are_listed_in_the_order_of_the_file() {
     let changed = TEXT.replace("3000", "2000").replace("keeper-1", "keeper-9");
     let keys = difference(&parse(TEXT), &parse(&changed));
     assert_eq!(keys, [SettingsKey::NodeName, SettingsKey::Bounds]);
--- a/system/state/settings/tests/ports.rs
+++ b/system/state/settings/tests/ports.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn ranges_that_are_none_say_why() {
+fn invalid_ranges_have_typed_errors() {
     assert_eq!(PortRange::new(0, 4), Err(PortRangeError::Zero));
     assert_eq!(PortRange::new(5, 4), Err(PortRangeError::Reversed { first: 5, last: 4 }));
     assert_eq!(PortRange::try_from(vec![1, 2, 3]), Err(PortRangeError::NotTwo { count: 3 }));
--- a/system/state/settings/tests/settings.rs
+++ b/system/state/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files, whole and thin, and what is made of spoilt ones.
+//! Complete and minimal settings files, and errors in invalid ones.
 
 use millrudder_settings::{BindAddresses, Bounds, FaultTolerance, Limits, Serves, Settings, SettingsError};
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 
 const FILE: &str = "local.yaml";
 
-const THIN: &str = "\
+const MINIMAL: &str = "\
 nodeName: edge-1
 ip: 10.1.0.40
 zone: north
@@ -14,7 +14,7 @@
 ephemeralPorts: [7001, 7004]
 ";
 
-const WHOLE: &str = r#"
+const COMPLETE: &str = r#"
 nodeName: "keeper-north-1"
 role: "keeper"
 machineClass: "core"
@@ -72,22 +72,22 @@
     Settings::parse(text, Path::new(FILE))
 }
 
-fn refused(text: &str) -> String {
-    parse(text).expect_err("the settings are spoilt").to_string()
+fn error_of(text: &str) -> String {
+    parse(text).expect_err("the settings are invalid").to_string()
 }
 
-fn thin_with(more: &str) -> String {
-    format!("{THIN}{more}\n")
+fn minimal_with(more: &str) -> String {
+    format!("{MINIMAL}{more}\n")
 }
 
-fn thin_without(key: &str) -> String {
-    let kept = THIN.lines().filter(|line| !line.starts_with(key));
-    kept.map(|line| format!("{line}\n")).collect()
+fn minimal_without(key: &str) -> String {
+    let lines = MINIMAL.lines().filter(|line| !line.starts_with(key));
+    lines.map(|line| format!("{line}\n")).collect()
 }
 
 #[test]
-fn whole_file_is_read_and_unknown_keys_are_ignored() {
-    let settings = parse(WHOLE).unwrap();
+fn a_complete_file_is_parsed_and_unknown_keys_are_ignored() {
+    let settings = parse(COMPLETE).unwrap();
     assert_eq!(&*settings.node_name, "keeper-north-1");
     assert_eq!(settings.serves, [Serves::Control, Serves::Edge].into());
     assert_eq!(settings.zones.len(), 2);
@@ -103,10 +103,10 @@
 }
 
 #[test]
-fn limits_come_in_bytes() {
-    let limits = parse(WHOLE).unwrap().limits;
+fn limits_are_converted_to_bytes() {
+    let limits = parse(COMPLETE).unwrap().limits;
     let expected = Limits {
-        cpu_share: 0.6,
+        cpu_fraction: 0.6,
         cores: 2.0,
         memory_bytes: 256_000_000,
         file_descriptors: 4096,
@@ -118,7 +118,7 @@
 
 #[test]
 fn bounds_that_are_given_replace_their_defaults() {
-    let bounds = parse(WHOLE).unwrap().bounds;
+    let bounds = parse(COMPLETE).unwrap().bounds;
     let expected = Bounds {
         seed_lag: Duration::from_secs(4),
         catch_up: Duration::from_millis(7_500),
@@ -134,8 +134,8 @@
 fn absent_and_empty_keys_get_defaults() {
     let empty = "role:\nserves:\nzones: null\nbindAddrs: ~\nseeds:\nbootstrap:\nlimits:\ndataDir: \"\"\n\
                  heartbeatMs:\nfaultTolerance:\nbounds: {drainMs: null}\ncloudApi: {address:}";
-    let absent = parse(THIN).unwrap();
-    assert_eq!(absent, parse(&thin_with(empty)).unwrap());
+    let absent = parse(MINIMAL).unwrap();
+    assert_eq!(absent, parse(&minimal_with(empty)).unwrap());
     assert_eq!(absent.bind, BindAddresses::default());
     assert_eq!((absent.bootstrap, absent.counts_for_quorum, absent.data_dir), (false, false, None));
     assert_eq!((absent.limits, absent.bounds), (Limits::default(), Bounds::default()));
@@ -144,23 +144,23 @@
 }
 
 #[test]
-fn region_may_come_from_the_zones() {
-    let text = thin_without("region") + "zones: {north: hill, south: sea}\n";
+fn the_region_defaults_to_that_of_the_zone() {
+    let text = minimal_without("region") + "zones: {north: hill, south: sea}\n";
     assert_eq!(&*parse(&text).unwrap().region, "hill");
 }
 
 #[test]
-fn missing_keys_are_named() {
+fn errors_name_missing_keys() {
     for key in ["nodeName", "ip", "zone", "region", "ephemeralPorts"] {
-        assert_eq!(refused(&thin_without(key)), format!("local.yaml: key {key}: missing"));
+        assert_eq!(error_of(&minimal_without(key)), format!("local.yaml: key {key}: missing"));
     }
-    let empty_name = THIN.replace("edge-1", "\"\"");
-    assert_eq!(refused(&empty_name), "local.yaml: key nodeName: missing");
+    let empty_name = MINIMAL.replace("edge-1", "\"\"");
+    assert_eq!(error_of(&empty_name), "local.yaml: key nodeName: missing");
 }
 
 #[test]
-fn spoilt_values_are_named_by_line_and_key() {
-    let spoilt = [
+fn errors_name_line_and_key_of_invalid_values() {
+    let invalid = [
         ("seeds: ['10.0.0.1:1', 'nowhere']", "'nowhere'", "seeds[1]"),
         ("bounds: {drainMs: -5}", "-5", "bounds.drainMs"),
         ("bounds: {drainMs: .nan}", ".nan", "bounds.drainMs"),
@@ -171,8 +171,8 @@
         ("bootstrap: perhaps", "perhaps", "bootstrap"),
         ("cloudApi: {address: 'x'}", "'x'", "cloudApi.address"),
     ];
-    for (line, value, key) in spoilt {
-        let text = refused(&thin_with(line));
+    for (line, value, key) in invalid {
+        let text = error_of(&minimal_with(line));
         let column = line.find(value).unwrap() + 1;
         let start = format!("local.yaml:6:{column}: key {key}: ");
         assert!(text.starts_with(&start), "{line}: {text}");
@@ -181,73 +181,76 @@
 }
 
 #[test]
-fn heartbeat_of_zero_is_refused() {
-    assert_eq!(refused(&thin_with("heartbeatMs: 0")), "local.yaml:6:14: key heartbeatMs: must be above 0");
+fn a_heartbeat_interval_of_zero_is_rejected() {
+    assert_eq!(
+        error_of(&minimal_with("heartbeatMs: 0")),
+        "local.yaml:6:14: key heartbeatMs: must be above 0"
+    );
 }
 
 #[test]
 fn ports_must_be_a_range() {
     for ports in ["[7004, 7001]", "[0, 9]", "[7001]", "[7001, 7002, 7003]", "[]"] {
-        let text = refused(&THIN.replace("[7001, 7004]", ports));
+        let text = error_of(&MINIMAL.replace("[7001, 7004]", ports));
         assert!(text.starts_with("local.yaml:5:17: key ephemeralPorts: "), "{ports}: {text}");
     }
-    let text = refused(&THIN.replace("7004", "70040"));
+    let text = error_of(&MINIMAL.replace("7004", "70040"));
     assert!(text.starts_with("local.yaml:5:24: key ephemeralPorts"), "{text}");
-    assert_eq!(parse(&THIN.replace("7004", "7001")).unwrap().ephemeral_ports.count(), 1);
+    assert_eq!(parse(&MINIMAL.replace("7004", "7001")).unwrap().ephemeral_ports.count(), 1);
 }
 
 #[test]
-fn what_is_served_needs_its_addresses_and_folder() {
-    let needed = [
+fn serving_needs_addresses_and_a_folder() {
+    let requirements = [
         ("serves: [edge]", "bindAddrs.front", "edge"),
         ("serves: [edge]\nbindAddrs: {front: '10.0.0.1:1'}", "bindAddrs.readiness", "edge"),
         ("serves: [control]\ndataDir: /d", "bindAddrs.controlPlane", "control"),
         ("serves: [control]\nbindAddrs: {controlPlane: '10.0.0.1:1'}", "dataDir", "control"),
         ("serves: [storage]", "dataDir", "storage"),
     ];
-    for (lines, key, serves) in needed {
+    for (lines, key, serves) in requirements {
         let expected = format!("local.yaml: key {key}: missing, and the role serves {serves}");
-        assert_eq!(refused(&thin_with(lines)), expected);
+        assert_eq!(error_of(&minimal_with(lines)), expected);
     }
 }
 
 #[test]
-fn what_is_no_settings_file_is_refused_in_one_line() {
+fn errors_are_one_line() {
     for text in ["", "# nothing\n", "- a\n- b\n", "{", "nodeName: [", "just words", "a: 1\na: 2\n", "\u{0}"] {
-        let message = refused(text);
+        let message = error_of(text);
         assert!(message.starts_with("local.yaml"), "{message}");
         assert!(!message.contains('\n'), "{message}");
     }
-    let twice = refused(&thin_with("zone: south"));
+    let twice = error_of(&minimal_with("zone: south"));
     assert!(twice.starts_with("local.yaml:6:1"), "{twice}");
 }
 
 #[test]
-fn files_are_read_and_unreadable_ones_named() {
+fn files_are_read_and_errors_name_unreadable_ones() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = folder.join("settings.yaml");
-    std::fs::write(&file, WHOLE).unwrap();
-    assert_eq!(Settings::load(&file).unwrap(), parse(WHOLE).unwrap());
+    std::fs::write(&file, COMPLETE).unwrap();
+    assert_eq!(Settings::load(&file).unwrap(), parse(COMPLETE).unwrap());
 
     let absent = folder.join("absent.yaml");
     assert!(matches!(Settings::load(&absent), Err(SettingsError::Unreadable { file, .. }) if file == absent));
 }
 
 #[test]
-fn files_that_cannot_be_settings_are_not_read_whole() {
+fn files_over_the_maximum_length_are_rejected() {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("long.yaml");
     std::fs::write(&file, "#".repeat((1 << 20) + 10)).unwrap();
-    assert!(matches!(Settings::load(&file), Err(SettingsError::TooLong { most: 1_048_576, .. })));
+    assert!(matches!(Settings::load(&file), Err(SettingsError::TooLong { max: 1_048_576, .. })));
 }
 
 #[test]
-fn the_smallest_core_outlives_the_losses_however_few_machines_answer() {
-    let mut settings = parse(THIN).unwrap();
+fn the_minimum_core_survives_the_tolerated_losses() {
+    let mut settings = parse(MINIMAL).unwrap();
     settings.fault_tolerance.machines = 1;
-    assert_eq!(settings.smallest_core(None), 2);
-    assert_eq!(settings.smallest_core(Some(3)), 2);
+    assert_eq!(settings.min_core_members(None), 2);
+    assert_eq!(settings.min_core_members(Some(3)), 2);
     settings.fault_tolerance.machines = 2;
-    assert_eq!(settings.smallest_core(Some(5)), 3);
-    assert_eq!(settings.smallest_core(Some(1)), 1, "it was founded by one machine");
-    assert_eq!(settings.smallest_core(Some(0)), 1);
+    assert_eq!(settings.min_core_members(Some(5)), 3);
+    assert_eq!(settings.min_core_members(Some(1)), 1, "it was bootstrapped by one machine");
+    assert_eq!(settings.min_core_members(Some(0)), 1);
 }
