--- a/system/runtime/node/src/core/worker_list_reader.rs
+++ b/system/runtime/node/src/core/worker_list_reader.rs
@@ -7,9 +7,10 @@
 use http::header::RETRY_AFTER;
 use http::uri::PathAndQuery;
 use http::{HeaderMap, StatusCode};
+use millrudder_clock::Instant;
 use millrudder_discovery::{
-    difference, Call, CallFailure, Instance, InstanceState, ListReader, Pace, Page, ReaderInput,
-    ReaderOutput, Round,
+    difference, Call, CallFailure, Instance, InstanceState, ListReader, ListSnapshot, Page, PollSchedule,
+    ReaderInput, ReaderOutput,
 };
 use millrudder_protocol::control::{WorkerEntry, WorkerList, WorkerState};
 use millrudder_protocol::Address;
@@ -33,7 +34,7 @@
     events: UnboundedSender<Event>,
     seed: u64,
     address: Option<SocketAddr>,
-    pace: Pace,
+    schedule: PollSchedule,
     active: Option<ActiveReader>,
 }
 
@@ -49,7 +50,7 @@
     /// A reader that is not active; `seed` is the seed of its random choices.
     pub fn new(settings: &Settings, client: Client, seed: u64, events: UnboundedSender<Event>) -> Self {
         let address = settings.cloud_api.as_ref().map(|api| api.address);
-        WorkerListReader { client, events, seed, address, pace: pace(settings), active: None }
+        WorkerListReader { client, events, seed, address, schedule: poll_schedule(settings), active: None }
     }
 
     /// The lease was granted with this fencing token, or is lost.
@@ -73,9 +74,9 @@
     }
 
     fn activate(&self, now_ms: u64, fencing: u64) -> ActiveReader {
-        let now = Duration::from_millis(now_ms);
+        let now = Instant::from_millis(now_ms);
         ActiveReader {
-            reader: ListReader::new(self.pace.clone(), self.seed, now),
+            reader: ListReader::new(self.schedule.clone(), self.seed, now),
             read: millrudder_discovery::WorkerList::default(),
             published: WorkerList { fencing, ..WorkerList::default() },
         }
@@ -84,16 +85,16 @@
     /// Adopts settings that were read again.
     pub fn configure(&mut self, settings: &Settings) {
         self.address = settings.cloud_api.as_ref().map(|api| api.address);
-        self.pace = pace(settings);
+        self.schedule = poll_schedule(settings);
         if let Some(active) = &mut self.active {
-            active.reader.set_pace(self.pace.clone());
+            active.reader.set_schedule(self.schedule.clone());
         }
     }
 
     /// When [`WorkerListReader::tick`] is due, in milliseconds of the owner's clock.
     pub fn next_deadline(&self) -> Option<u64> {
         let active = self.active.as_ref().filter(|_| self.address.is_some())?;
-        Some(active.reader.next_deadline().as_millis() as u64 + 1)
+        Some(active.reader.next_deadline().as_millis() + 1)
     }
 
     /// Acts on the time.
@@ -107,16 +108,16 @@
             CallEvent::Answered { call, page } => ReaderInput::Answered { call, page },
             CallEvent::Failed { call, failure } => ReaderInput::Failed { call, failure },
         };
-        let round = self.handle(now_ms, input)?;
+        let snapshot = self.handle(now_ms, input)?;
         let active = self.active.as_mut()?;
         let is_first = active.published.number == 0;
-        let is_unchanged = difference(&active.read, &round.list).is_empty();
+        let is_unchanged = difference(&active.read, &snapshot.list).is_empty();
         if is_unchanged && !is_first {
             return None;
         }
-        active.published.workers = round.list.iter().map(entry).collect();
+        active.published.workers = snapshot.list.iter().map(entry).collect();
         active.published.number += 1;
-        active.read = round.list;
+        active.read = snapshot.list;
         let published = active.published.clone();
         if published.fencing == WorkerListVersion::WITHOUT_LEASE {
             self.active = None;
@@ -124,15 +125,15 @@
         Some(published)
     }
 
-    fn handle(&mut self, now_ms: u64, input: ReaderInput) -> Option<Round> {
+    fn handle(&mut self, now_ms: u64, input: ReaderInput) -> Option<ListSnapshot> {
         let address = self.address?;
-        let output = self.active.as_mut()?.reader.handle(Duration::from_millis(now_ms), input)?;
+        let output = self.active.as_mut()?.reader.handle(Instant::from_millis(now_ms), input)?;
         match output {
             ReaderOutput::Fetch(call) => {
                 self.fetch(address, &call);
                 None
             }
-            ReaderOutput::Complete(round) => Some(round),
+            ReaderOutput::Complete(snapshot) => Some(snapshot),
             ReaderOutput::Abandoned(reason) => {
                 log::warn!(error:? = reason; "worker list not read");
                 None
@@ -155,9 +156,9 @@
     }
 }
 
-fn pace(settings: &Settings) -> Pace {
+fn poll_schedule(settings: &Settings) -> PollSchedule {
     let api = settings.cloud_api.as_ref();
-    Pace {
+    PollSchedule {
         calls_per_second: api.map_or(1.0, |api| api.calls_per_second),
         maximum_lag: api.map_or(Duration::from_secs(1), |api| api.maximum_lag),
         drain: settings.bounds.drain,
@@ -168,9 +169,9 @@
 fn page(fetched: Result<Fetched, FetchError>) -> Result<Page, CallFailure> {
     let fetched = fetched.map_err(|_| CallFailure::Unavailable)?;
     match fetched.status {
-        StatusCode::OK => Page::from_json(&fetched.body).map_err(|_| CallFailure::Unreadable),
+        StatusCode::OK => Page::from_json(&fetched.body).map_err(|_| CallFailure::InvalidPage),
         StatusCode::TOO_MANY_REQUESTS => {
-            Err(CallFailure::OverRate { retry_after: retry_after(&fetched.headers) })
+            Err(CallFailure::RateLimited { retry_after: retry_after(&fetched.headers) })
         }
         _ => Err(CallFailure::Unavailable),
     }
@@ -192,6 +193,6 @@
             InstanceState::Ready => WorkerState::Ready,
             InstanceState::Draining => WorkerState::Draining,
         },
-        warm_up_left_ms: instance.cold_left.as_millis() as u32,
+        warm_up_left_ms: instance.warm_up_left.as_millis() as u32,
     }
 }
--- a/system/state/discovery/src/address.rs
+++ b/system/state/discovery/src/address.rs
@@ -1,15 +1,16 @@
-//! The address of a worker, in a form that can be sent.
+//! The address of a worker, with its encoding in messages.
 
 use derive_more::{Deref, Display, From};
 use serde::Deserialize;
 use speedy::{Context, Readable, Reader, Writable, Writer};
 use std::net::SocketAddr;
 
-/// Where a worker takes requests. It may belong to another worker later: the identity is the instance's id.
+/// Where a worker listens. The address may belong to another worker later; [`InstanceId`](crate::InstanceId) is the
+/// identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deref, Deserialize, Display, From)]
 pub struct WorkerAddress(pub SocketAddr);
 
-/// How an address is sent.
+/// The encoding of an address.
 #[derive(Readable, Writable)]
 enum WireAddress {
     V4 { octets: [u8; 4], port: u16 },
--- a/system/state/discovery/src/backoff.rs
+++ b/system/state/discovery/src/backoff.rs
@@ -1,14 +1,14 @@
-//! Time to wait after failures.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
-/// Wait after the first failure, before jitter.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
+/// Backoff after the first failure, before jitter.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest wait before jitter: news is needed soon after the platform is back.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_600);
+/// Maximum backoff before jitter: the list is needed soon after the platform has recovered.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
 
-/// Waits that double with each failure in a row, with jitter from a seed.
+/// A backoff that doubles with each consecutive failure, with jitter from a seed.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     random: fastrand::Rng,
@@ -20,13 +20,13 @@
         Self { random: fastrand::Rng::with_seed(seed), failures: 0 }
     }
 
-    /// The wait after one more failure: between half and all of the doubled time.
+    /// The backoff after another failure: between half and all of the doubled time.
     pub(crate) fn after_failure(&mut self) -> Duration {
         let factor = 2u32.saturating_pow(self.failures);
-        let whole = FIRST_WAIT.saturating_mul(factor).min(LONGEST_WAIT);
+        let maximum = INITIAL_BACKOFF.saturating_mul(factor).min(MAX_BACKOFF);
         self.failures = self.failures.saturating_add(1);
         let jitter = self.random.f64() / 2.0;
-        whole.mul_f64(0.5 + jitter)
+        maximum.mul_f64(0.5 + jitter)
     }
 
     pub(crate) fn reset(&mut self) {
--- a/system/state/discovery/src/call.rs
+++ b/system/state/discovery/src/call.rs
@@ -1,19 +1,19 @@
-//! Calls to the list.
+//! Calls of the platform's API.
 
 use crate::page::PageToken;
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Tells the calls of one reader apart, so that an answer that comes late is not taken for another.
+/// Identifies a call of one reader, so that a late answer is not taken for that of another call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
 /// A call to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Goes into the input that tells the outcome.
+    /// Goes into the input that reports the outcome.
     pub id: CallId,
-    /// The page wanted; none for the first.
+    /// The requested page; `None` for the first.
     pub page_token: Option<PageToken>,
 }
 
@@ -29,11 +29,11 @@
     }
 }
 
-/// Appends `text` with all but the unreserved characters of URLs escaped.
+/// Appends `text` with all but the unreserved characters (RFC 3986, section 2.3) escaped.
 fn escape(text: &str, target: &mut String) {
     for byte in text.bytes() {
-        let unreserved = byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
-        if unreserved {
+        let is_unreserved = byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
+        if is_unreserved {
             target.push(char::from(byte));
         } else {
             write!(target, "%{byte:02X}").expect("writing to a string does not fail");
@@ -41,16 +41,16 @@
     }
 }
 
-/// Why a call brought no page.
+/// Why a call returned no page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The platform answered 429.
-    OverRate {
+    /// The platform answered 429 (Too Many Requests).
+    RateLimited {
         /// From the header `Retry-After`.
         retry_after: Option<Duration>,
     },
     /// No connection, no answer, or another status than 200 and 429.
     Unavailable,
-    /// The answer is no page.
-    Unreadable,
+    /// The answer is not a valid page.
+    InvalidPage,
 }
--- a/system/state/discovery/src/difference.rs
+++ b/system/state/discovery/src/difference.rs
@@ -1,24 +1,24 @@
-//! What changed between two lists.
+//! The difference between two lists.
 
 use crate::instance::{Instance, InstanceId, InstanceState};
 use crate::list::WorkerList;
 use speedy::{Readable, Writable};
 
-/// A change of the list. A worker is the same as long as its id is: when its address is taken over, the change
-/// is one worker gone and another added.
+/// A change of the list. A worker is identified by its id: when another one takes over its address, one worker is gone and
+/// another is added.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum WorkerChange {
-    /// It is no longer in the list.
+    /// It is not in the list any more.
     Gone(InstanceId),
     /// It was ready and is draining now.
     Draining(InstanceId),
-    /// Anything else about it changed, but for the time it stays slow, which runs down by itself.
+    /// Anything else about it changed, except the remaining time of its warm-up, which runs down by itself.
     Changed(Instance),
     /// It is new; it may be draining already.
     Added(Instance),
 }
 
-/// The changes that turn `old` into `new`: first what ends deliveries, last what is new.
+/// The changes that turn `old` into `new`: first those that end deliveries, last the additions.
 pub fn difference(old: &WorkerList, new: &WorkerList) -> Vec<WorkerChange> {
     let (mut gone, mut draining, mut changed) = (Vec::new(), Vec::new(), Vec::new());
     for before in old.iter() {
@@ -26,10 +26,10 @@
             gone.push(WorkerChange::Gone(before.id.clone()));
             continue;
         };
-        if began_to_drain(before, after) {
+        if has_begun_to_drain(before, after) {
             draining.push(WorkerChange::Draining(before.id.clone()));
         }
-        if changed_otherwise(before, after) {
+        if has_other_change(before, after) {
             changed.push(WorkerChange::Changed(after.clone()));
         }
     }
@@ -38,12 +38,12 @@
     gone.into_iter().chain(draining).chain(changed).chain(added).collect()
 }
 
-fn began_to_drain(before: &Instance, after: &Instance) -> bool {
+fn has_begun_to_drain(before: &Instance, after: &Instance) -> bool {
     before.state == InstanceState::Ready && after.state == InstanceState::Draining
 }
 
-fn changed_otherwise(before: &Instance, after: &Instance) -> bool {
-    let state = if began_to_drain(before, after) { after.state } else { before.state };
-    let expected = Instance { state, cold_left: after.cold_left, ..before.clone() };
+fn has_other_change(before: &Instance, after: &Instance) -> bool {
+    let state = if has_begun_to_drain(before, after) { after.state } else { before.state };
+    let expected = Instance { state, warm_up_left: after.warm_up_left, ..before.clone() };
     expected != *after
 }
--- a/system/state/discovery/src/instance.rs
+++ b/system/state/discovery/src/instance.rs
@@ -1,4 +1,4 @@
-//! One worker as the platform lists it.
+//! A worker as the platform lists it.
 
 use crate::address::WorkerAddress;
 use millrudder_configuration::ServiceName;
@@ -7,14 +7,14 @@
 use speedy::{Readable, Writable};
 use std::time::Duration;
 
-/// Longest time after its start for which a worker is taken to be slow, so that sums stay in range.
-const LONGEST_COLD: Duration = Duration::from_secs(24 * 60 * 60);
+/// Maximum remaining warm-up that is accepted, so that sums stay in range.
+const MAX_WARM_UP: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// `state` of a worker that takes requests.
 const READY: &str = "ready";
 
 millrudder_names::text_types! {
-    /// Identity of a worker; each of its starts has a new one.
+    /// Identity of a worker; each start has a new one.
     pub struct InstanceId;
 
     /// Version of a worker's software.
@@ -24,9 +24,9 @@
 /// Whether a worker takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Readable, Writable)]
 pub enum InstanceState {
-    /// It does.
+    /// It takes requests.
     Ready,
-    /// It is about to end and must get no more. Any state that is not known is read as this one.
+    /// It shuts down and must get no more requests. Unknown states are read as this one.
     Draining,
 }
 
@@ -44,41 +44,41 @@
     /// Its identity.
     #[serde(rename = "instanceId")]
     pub id: InstanceId,
-    /// The service it belongs to.
+    /// Its service.
     #[serde(rename = "backend", deserialize_with = "service")]
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Where it listens.
     pub address: WorkerAddress,
     /// Its zone.
     pub zone: Zone,
     /// Version of its software; empty if not listed.
     #[serde(default)]
     pub version: SoftwareVersion,
-    /// Requests it handles at a time; at least 1.
-    #[serde(default = "least_capacity", deserialize_with = "capacity")]
+    /// Requests that it handles at one time; at least 1.
+    #[serde(default = "min_capacity", deserialize_with = "capacity")]
     pub capacity: u32,
     /// Whether it takes requests.
     pub state: InstanceState,
-    /// For this long after the list was read it stays slow from its start.
-    #[serde(rename = "coldLeftMs", default, deserialize_with = "cold_left")]
-    pub cold_left: Duration,
+    /// Remaining time, from the reading of the list, for which it is warming up after its start.
+    #[serde(rename = "coldLeftMs", default, deserialize_with = "warm_up_left")]
+    pub warm_up_left: Duration,
 }
 
 fn service<'de, D: Deserializer<'de>>(deserializer: D) -> Result<ServiceName, D::Error> {
     String::deserialize(deserializer).map(ServiceName::from)
 }
 
-fn least_capacity() -> u32 {
+fn min_capacity() -> u32 {
     1
 }
 
 fn capacity<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u32, D::Error> {
     let capacity = u32::deserialize(deserializer)?;
-    Ok(capacity.max(least_capacity()))
+    Ok(capacity.max(min_capacity()))
 }
 
-fn cold_left<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
+fn warm_up_left<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let milliseconds = f64::deserialize(deserializer)?;
-    let left = Duration::try_from_secs_f64(milliseconds.max(0.0) / 1_000.0).unwrap_or(LONGEST_COLD);
-    Ok(left.min(LONGEST_COLD))
+    let left = Duration::try_from_secs_f64(milliseconds.max(0.0) / 1_000.0).unwrap_or(MAX_WARM_UP);
+    Ok(left.min(MAX_WARM_UP))
 }
--- a/system/state/discovery/src/lib.rs
+++ b/system/state/discovery/src/lib.rs
@@ -1,28 +1,30 @@
-//! The platform's list of workers: its pages, and a state machine that reads it whole at a bearable rate.
+//! Worker discovery: the pages of the platform's list of workers, and a state machine that reads the complete list at a
+//! limited rate.
 //!
-//! [`ListReader`] does no input or output. Its owner passes events and the time, carries out the calls that it
-//! asks for, and gets a [`WorkerList`] after each round; [`difference`] tells what changed between two of them.
+//! [`ListReader`] does no I/O. Its embedder passes inputs with readings of one steady clock, makes the calls that the reader
+//! asks for, and gets a [`ListSnapshot`] after each read; [`difference`] compares two lists.
 //!
 //! ```
-//! use millrudder_discovery::{CallFailure, ListReader, Pace, Page, ReaderInput, ReaderOutput};
+//! use millrudder_discovery::{CallFailure, ListReader, PollSchedule, Page, ReaderInput, ReaderOutput};
+//! use millrudder_clock::Instant;
 //! use std::time::Duration;
 //!
-//! let pace = Pace {
+//! let schedule = PollSchedule {
 //!     calls_per_second: 40.0,
 //!     maximum_lag: Duration::from_millis(800),
 //!     drain: Duration::from_secs(3),
 //!     economy: 1.0,
 //! };
-//! let start = Duration::ZERO;
-//! let mut reader = ListReader::new(pace, 7, start);
+//! let start = Instant::ORIGIN;
+//! let mut reader = ListReader::new(schedule, 7, start);
 //! let Some(ReaderOutput::Fetch(call)) = reader.handle(start, ReaderInput::Tick) else { panic!("it is due") };
 //! assert_eq!(call.target(), "/instances");
 //!
 //! let page = Page::from_json(br#"{"instances": [], "nextToken": null}"#)?;
 //! let output = reader.handle(start, ReaderInput::Answered { call: call.id, page });
-//! let Some(ReaderOutput::Complete(round)) = output else { panic!("it was the last page") };
-//! assert!(round.list.is_empty());
-//! assert_eq!(reader.next_deadline(), Duration::from_secs(1));
+//! let Some(ReaderOutput::Complete(snapshot)) = output else { panic!("it was the last page") };
+//! assert!(snapshot.list.is_empty());
+//! assert_eq!(reader.next_deadline(), start + Duration::from_secs(1));
 //! # Ok::<(), millrudder_discovery::PageError>(())
 //! ```
 #![forbid(unsafe_code)]
@@ -33,8 +35,8 @@
 mod difference;
 mod instance;
 mod list;
-mod pace;
 mod page;
+mod poll_schedule;
 mod reader;
 
 pub use address::WorkerAddress;
@@ -42,6 +44,6 @@
 pub use difference::{difference, WorkerChange};
 pub use instance::{Instance, InstanceId, InstanceState, SoftwareVersion};
 pub use list::WorkerList;
-pub use pace::Pace;
 pub use page::{Page, PageError, PageToken};
-pub use reader::{AbandonReason, ListReader, ReaderInput, ReaderOutput, Round};
+pub use poll_schedule::PollSchedule;
+pub use reader::{AbandonReason, ListReader, ListSnapshot, ReaderInput, ReaderOutput};
--- a/system/state/discovery/src/list.rs
+++ b/system/state/discovery/src/list.rs
@@ -1,23 +1,23 @@
-//! The whole list.
+//! The complete list.
 
 use crate::difference::WorkerChange;
 use crate::instance::{Instance, InstanceId, InstanceState};
 use speedy::{Context, Readable, Reader, Writable, Writer};
 use std::collections::BTreeMap;
 
-/// All workers at one time, by id. It is sent as the sequence of its workers.
+/// All workers at one time, by id. It is encoded as the sequence of its workers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerList {
     workers: BTreeMap<InstanceId, Instance>,
 }
 
 impl WorkerList {
-    /// How many workers there are.
+    /// Number of workers.
     pub fn len(&self) -> usize {
         self.workers.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no workers.
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty()
     }
@@ -37,8 +37,7 @@
         self.workers.insert(instance.id.clone(), instance);
     }
 
-    /// Makes a change that [`difference`](crate::difference) told. One for a worker that is not there is without
-    /// effect.
+    /// Applies a change as [`difference`](crate::difference) returns it. A change of an unknown worker has no effect.
     pub fn apply(&mut self, change: &WorkerChange) {
         match change {
             WorkerChange::Gone(id) => {
--- a/system/state/discovery/src/reader.rs
+++ b/system/state/discovery/src/reader.rs
@@ -1,111 +1,112 @@
-//! Reads the whole list, page by page, again and again.
+//! State machine that polls the complete list, page by page.
 
 use crate::backoff::Backoff;
 use crate::call::{Call, CallFailure, CallId};
 use crate::list::WorkerList;
-use crate::pace::Pace;
 use crate::page::{Page, PageToken};
+use crate::poll_schedule::PollSchedule;
+use millrudder_clock::Instant;
 use std::time::Duration;
 
-/// A call without an answer is given up after this long; answers take milliseconds.
+/// Time-out of a call; answers take milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Longest wait that the platform may ask for: beyond it, drains would go unseen for too long.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Maximum backoff that the platform may ask for: beyond it, draining workers would go unseen for too long.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Most pages of a round: tokens that lead in a circle end there.
-const MOST_PAGES: u32 = 1_000;
+/// Maximum number of pages of a read: page tokens that form a cycle end there.
+const MAX_PAGES: u32 = 1_000;
 
-/// Most workers of a list, so that a spoilt list cannot fill the memory.
-const MOST_WORKERS: usize = 100_000;
+/// Maximum number of workers of a list, so that an invalid list cannot exhaust the memory.
+const MAX_WORKERS: usize = 100_000;
 
-/// What happens to the reader. A call is known by the id of its [`Call`]; what concerns another call than the
-/// one under way is ignored.
+/// Inputs of the reader. A call is identified by the id of its [`Call`]; inputs for another call than the one in flight are
+/// ignored.
 #[derive(Clone, Debug)]
 pub enum ReaderInput {
-    /// [`ListReader::next_deadline`] has come. Earlier ones do no harm.
+    /// [`ListReader::next_deadline`] is reached. Earlier ticks are ignored.
     Tick,
-    /// A call brought a page.
+    /// A call returned a page.
     Answered {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// What it brought.
+        /// The page.
         page: Page,
     },
-    /// A call brought none.
+    /// A call failed.
     Failed {
-        /// Which call.
+        /// The call.
         call: CallId,
         /// Why.
         failure: CallFailure,
     },
 }
 
-/// What the reader's owner has to do or to know.
+/// Outputs of the reader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReaderOutput {
-    /// Make this call. There is never more than one under way; an earlier one may be cancelled.
+    /// Make this call. At most one is in flight; an earlier one may be cancelled.
     Fetch(Call),
-    /// The whole list was read.
-    Complete(Round),
-    /// A round was given up and will be begun anew after a wait.
+    /// The complete list was read.
+    Complete(ListSnapshot),
+    /// A read was abandoned; the next one begins after a backoff.
     Abandoned(AbandonReason),
 }
 
-/// A list that was read whole.
+/// A list that was read completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Round {
+pub struct ListSnapshot {
     /// The list.
     pub list: WorkerList,
-    /// Time of the first call: what the platform listed before it is in the list.
-    pub started_at: Duration,
+    /// Time of the first call: the list is no older than this.
+    pub started_at: Instant,
 }
 
-/// Why a round was given up.
+/// Why a read was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonReason {
     /// A call failed.
     Failed(CallFailure),
-    /// A call had no answer in time.
+    /// A call timed out.
     TimedOut,
-    /// There are more pages or workers than can be.
+    /// There are more pages or workers than the maximum.
     TooLong,
 }
 
-/// Reads the list in rounds. All times are those of one steady clock, counted from any fixed point.
+/// Reads the list at the interval of its [`PollSchedule`]; see the crate's documentation.
 #[derive(Debug)]
 pub struct ListReader {
-    pace: Pace,
+    schedule: PollSchedule,
     backoff: Backoff,
     state: State,
     next_call: CallId,
-    /// No call is made before, so that the rate is kept over the rounds.
-    call_not_before: Duration,
+    /// Earliest time of the next call, so that the rate limit holds across reads.
+    call_not_before: Instant,
 }
 
 #[derive(Debug)]
 enum State {
-    /// Between two rounds.
-    Idle { until: Duration },
-    /// Within a round, before the call for a further page.
-    Spacing { reading: Reading, token: PageToken, until: Duration },
-    /// A call is under way.
-    Calling { reading: Reading, call: CallId, deadline: Duration },
+    /// Between two reads.
+    Idle { until: Instant },
+    /// Within a read, before the call for another page.
+    BetweenPages { read: ReadInProgress, token: PageToken, until: Instant },
+    /// A call is in flight.
+    Calling { read: ReadInProgress, call: CallId, deadline: Instant },
 }
 
-/// What a round has read so far.
+/// The pages read so far.
 #[derive(Debug)]
-struct Reading {
-    started_at: Duration,
+struct ReadInProgress {
+    started_at: Instant,
     pages: u32,
     list: WorkerList,
 }
 
 impl ListReader {
-    /// A reader that begins its first round at `now`. `seed` decides the jitter of its waits.
-    pub fn new(pace: Pace, seed: u64, now: Duration) -> Self {
+    /// A reader that begins its first read at `now`. `seed` determines the jitter of its backoff.
+    pub fn new(schedule: PollSchedule, seed: u64, now: Instant) -> Self {
         Self {
-            pace,
+            schedule,
             backoff: Backoff::new(seed),
             state: State::Idle { until: now },
             next_call: CallId(0),
@@ -113,111 +114,111 @@
         }
     }
 
-    /// Replaces the pace, as after a change of the settings; it holds from the next call or round on.
-    pub fn set_pace(&mut self, pace: Pace) {
-        self.pace = pace;
+    /// Replaces the schedule, as after a change of the settings; it applies from the next call or read on.
+    pub fn set_schedule(&mut self, schedule: PollSchedule) {
+        self.schedule = schedule;
     }
 
     /// When [`ReaderInput::Tick`] is due.
-    pub fn next_deadline(&self) -> Duration {
+    pub fn next_deadline(&self) -> Instant {
         match self.state {
-            State::Idle { until } | State::Spacing { until, .. } => until,
+            State::Idle { until } | State::BetweenPages { until, .. } => until,
             State::Calling { deadline, .. } => deadline,
         }
     }
 
-    /// Takes an event at the time `now`.
-    pub fn handle(&mut self, now: Duration, input: ReaderInput) -> Option<ReaderOutput> {
+    /// Handles one input at the time `now`.
+    pub fn handle(&mut self, now: Instant, input: ReaderInput) -> Option<ReaderOutput> {
         match input {
             ReaderInput::Tick => self.tick(now),
             ReaderInput::Answered { call, page } => {
-                let reading = self.take_reading(call)?;
-                self.answered(now, reading, page)
+                let read = self.take_read(call)?;
+                self.handle_page(now, read, page)
             }
             ReaderInput::Failed { call, failure } => {
-                self.take_reading(call)?;
-                Some(self.failed(now, failure))
+                self.take_read(call)?;
+                Some(self.handle_failure(now, failure))
             }
         }
     }
 
-    fn tick(&mut self, now: Duration) -> Option<ReaderOutput> {
+    fn tick(&mut self, now: Instant) -> Option<ReaderOutput> {
         if now < self.next_deadline() {
             return None;
         }
         let state = std::mem::replace(&mut self.state, State::Idle { until: now });
         let output = match state {
-            State::Idle { .. } => self.call(now, Reading::new(now), None),
-            State::Spacing { reading, token, .. } => self.call(now, reading, Some(token)),
+            State::Idle { .. } => self.call(now, ReadInProgress::new(now), None),
+            State::BetweenPages { read, token, .. } => self.call(now, read, Some(token)),
             State::Calling { .. } => self.abandon(now, AbandonReason::TimedOut, Duration::ZERO),
         };
         Some(output)
     }
 
-    /// What was read in the round of that call, if it is the one under way.
-    fn take_reading(&mut self, answered: CallId) -> Option<Reading> {
-        let under_way = matches!(self.state, State::Calling { call, .. } if call == answered);
-        if !under_way {
+    /// The read of that call, if it is the one in flight.
+    fn take_read(&mut self, answered: CallId) -> Option<ReadInProgress> {
+        let is_in_flight = matches!(self.state, State::Calling { call, .. } if call == answered);
+        if !is_in_flight {
             return None;
         }
         let until = self.next_deadline();
         match std::mem::replace(&mut self.state, State::Idle { until }) {
-            State::Calling { reading, .. } => Some(reading),
-            State::Idle { .. } | State::Spacing { .. } => None,
+            State::Calling { read, .. } => Some(read),
+            State::Idle { .. } | State::BetweenPages { .. } => None,
         }
     }
 
-    fn call(&mut self, now: Duration, reading: Reading, page_token: Option<PageToken>) -> ReaderOutput {
+    fn call(&mut self, now: Instant, read: ReadInProgress, page_token: Option<PageToken>) -> ReaderOutput {
         let id = self.next_call;
         self.next_call = CallId(id.0 + 1);
-        self.call_not_before = now + self.pace.call_gap();
-        self.state = State::Calling { reading, call: id, deadline: now + CALL_TIMEOUT };
+        self.call_not_before = now + self.schedule.call_interval();
+        self.state = State::Calling { read, call: id, deadline: now + CALL_TIMEOUT };
         ReaderOutput::Fetch(Call { id, page_token })
     }
 
-    fn answered(&mut self, now: Duration, mut reading: Reading, page: Page) -> Option<ReaderOutput> {
-        reading.pages += 1;
-        reading.list.extend(page.instances);
-        if reading.list.len() > MOST_WORKERS {
+    fn handle_page(&mut self, now: Instant, mut read: ReadInProgress, page: Page) -> Option<ReaderOutput> {
+        read.pages += 1;
+        read.list.extend(page.instances);
+        if read.list.len() > MAX_WORKERS {
             return Some(self.abandon(now, AbandonReason::TooLong, Duration::ZERO));
         }
         match page.next_token {
-            None => Some(self.complete(now, reading)),
-            Some(_) if reading.pages >= MOST_PAGES => {
+            None => Some(self.complete(now, read)),
+            Some(_) if read.pages >= MAX_PAGES => {
                 Some(self.abandon(now, AbandonReason::TooLong, Duration::ZERO))
             }
             Some(token) => {
-                self.state = State::Spacing { reading, token, until: self.call_not_before };
+                self.state = State::BetweenPages { read, token, until: self.call_not_before };
                 self.tick(now)
             }
         }
     }
 
-    fn complete(&mut self, now: Duration, reading: Reading) -> ReaderOutput {
+    fn complete(&mut self, now: Instant, read: ReadInProgress) -> ReaderOutput {
         self.backoff.reset();
-        let next = reading.started_at + self.pace.interval(reading.pages);
+        let next = read.started_at + self.schedule.read_interval(read.pages);
         self.state = State::Idle { until: next.max(self.call_not_before).max(now) };
-        ReaderOutput::Complete(Round { list: reading.list, started_at: reading.started_at })
+        ReaderOutput::Complete(ListSnapshot { list: read.list, started_at: read.started_at })
     }
 
-    fn failed(&mut self, now: Duration, failure: CallFailure) -> ReaderOutput {
-        let least = match failure {
-            CallFailure::OverRate { retry_after } => retry_after.unwrap_or_default().min(LONGEST_RETRY_AFTER),
-            CallFailure::Unavailable | CallFailure::Unreadable => Duration::ZERO,
+    fn handle_failure(&mut self, now: Instant, failure: CallFailure) -> ReaderOutput {
+        let min_backoff = match failure {
+            CallFailure::RateLimited { retry_after } => retry_after.unwrap_or_default().min(MAX_RETRY_AFTER),
+            CallFailure::Unavailable | CallFailure::InvalidPage => Duration::ZERO,
         };
-        self.abandon(now, AbandonReason::Failed(failure), least)
+        self.abandon(now, AbandonReason::Failed(failure), min_backoff)
     }
 
-    /// Begins anew after the back-off, `least` at least.
-    fn abandon(&mut self, now: Duration, reason: AbandonReason, least: Duration) -> ReaderOutput {
-        let wait = self.backoff.after_failure().max(least);
-        self.state = State::Idle { until: (now + wait).max(self.call_not_before) };
+    /// Ends the read; the next one begins after a backoff of at least `min_backoff`.
+    fn abandon(&mut self, now: Instant, reason: AbandonReason, min_backoff: Duration) -> ReaderOutput {
+        let backoff = self.backoff.after_failure().max(min_backoff);
+        self.state = State::Idle { until: (now + backoff).max(self.call_not_before) };
         ReaderOutput::Abandoned(reason)
     }
 }
 
-impl Reading {
-    fn new(started_at: Duration) -> Self {
+impl ReadInProgress {
+    fn new(started_at: Instant) -> Self {
         Self { started_at, pages: 0, list: WorkerList::default() }
     }
 }
--- a/system/state/discovery/tests/difference.rs
+++ b/system/state/discovery/tests/difference.rs
@@ -1,4 +1,4 @@
-//! What changed between two lists.
+//! The difference between two lists.
 
 mod support;
 
@@ -21,24 +21,24 @@
 }
 
 #[test]
-fn equal_lists_differ_in_nothing() {
+fn equal_lists_have_no_difference() {
     assert_eq!(changes(&[worker(1), worker(2)], &[worker(2), worker(1)]), []);
 }
 
 #[test]
-fn life_of_a_worker_is_told() {
+fn a_worker_is_added_drains_and_is_gone() {
     let ready = [worker(1)];
     assert_eq!(changes(&[], &ready), [WorkerChange::Added(worker(1))]);
-    let leaving = [draining(worker(1))];
-    assert_eq!(changes(&ready, &leaving), [WorkerChange::Draining(worker(1).id)]);
-    assert_eq!(changes(&leaving, &leaving), []);
-    assert_eq!(changes(&leaving, &[]), [WorkerChange::Gone(worker(1).id)]);
+    let draining_list = [draining(worker(1))];
+    assert_eq!(changes(&ready, &draining_list), [WorkerChange::Draining(worker(1).id)]);
+    assert_eq!(changes(&draining_list, &draining_list), []);
+    assert_eq!(changes(&draining_list, &[]), [WorkerChange::Gone(worker(1).id)]);
     assert_eq!(changes(&ready, &[]), [WorkerChange::Gone(worker(1).id)]);
-    assert_eq!(changes(&[], &leaving), [WorkerChange::Added(draining(worker(1)))]);
+    assert_eq!(changes(&[], &draining_list), [WorkerChange::Added(draining(worker(1)))]);
 }
 
 #[test]
-fn address_taken_over_is_one_gone_and_another_added() {
+fn a_worker_with_the_address_of_another_replaces_it() {
     let successor = Instance { address: worker(1).address, ..worker(2) };
     let expected = [WorkerChange::Gone(worker(1).id), WorkerChange::Added(successor.clone())];
     assert_eq!(changes(&[worker(1)], &[successor]), expected);
@@ -62,20 +62,20 @@
 }
 
 #[test]
-fn time_running_down_is_no_change() {
-    let cold = |seconds| Instance { cold_left: Duration::from_secs(seconds), ..worker(1) };
+fn the_remaining_warm_up_is_no_change() {
+    let cold = |seconds| Instance { warm_up_left: Duration::from_secs(seconds), ..worker(1) };
     assert_eq!(changes(&[cold(5)], &[cold(4)]), []);
 }
 
 #[test]
-fn drain_with_another_change_is_told_as_both() {
+fn draining_and_another_change_are_both_listed() {
     let after = draining(Instance { capacity: 1, ..worker(1) });
     let expected = [WorkerChange::Draining(worker(1).id), WorkerChange::Changed(after.clone())];
     assert_eq!(changes(&[worker(1)], &[after]), expected);
 }
 
 #[test]
-fn what_ends_deliveries_comes_first() {
+fn changes_that_end_deliveries_come_first() {
     let old = [worker(1), worker(2), worker(3)];
     let new = [draining(worker(1)), Instance { capacity: 9, ..worker(2) }, worker(0)];
     let kinds: Vec<_> = changes(&old, &new).iter().map(std::mem::discriminant).collect();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn changes_for_unknown_workers_are_without_effect() {
+fn changes_of_unknown_workers_have_no_effect() {
     let mut workers = list(&[worker(1)]);
     workers.apply(&WorkerChange::Draining(worker(2).id));
     workers.apply(&WorkerChange::Gone(worker(3).id));
@@ -119,7 +119,7 @@
     }
 
     #[test]
-    fn lists_come_back_from_the_wire(list in any_list()) {
+    fn lists_decode_to_the_same(list in any_list()) {
         let bytes = list.write_to_vec().unwrap();
         prop_assert_eq!(WorkerList::read_from_buffer(&bytes).unwrap(), list);
     }
--- a/system/state/discovery/tests/page.rs
+++ b/system/state/discovery/tests/page.rs
@@ -9,7 +9,7 @@
 use speedy::{Readable, Writable};
 use std::time::Duration;
 
-const WHOLE: &str = r#"{
+const COMPLETE: &str = r#"{
     "instances": [{
         "backend": "hives", "address": "10.9.0.9:8080", "zone": "north", "version": "v1", "capacity": 6,
         "state": "ready", "coldLeftMs": 1500, "instanceId": "i-1", "later": {"a": []}
@@ -33,58 +33,58 @@
         version: SoftwareVersion::from("v1"),
         capacity: 6,
         state: InstanceState::Ready,
-        cold_left: Duration::from_millis(1_500),
+        warm_up_left: Duration::from_millis(1_500),
     }
 }
 
 #[test]
-fn whole_page_is_read() {
-    let page = parse(WHOLE);
+fn a_complete_page_is_parsed() {
+    let page = parse(COMPLETE);
     assert_eq!(page.instances, [expected()]);
     assert_eq!(page.next_token, Some(PageToken::from("p-50")));
 }
 
 #[test]
-fn what_may_be_left_out_has_defaults() {
+fn absent_fields_have_defaults() {
     let version = SoftwareVersion::default();
-    let least = Instance { version, capacity: 1, cold_left: Duration::ZERO, ..expected() };
+    let least = Instance { version, capacity: 1, warm_up_left: Duration::ZERO, ..expected() };
     assert_eq!(parse(THIN).instances, [least]);
     assert_eq!(parse(THIN).next_token, None);
 }
 
 #[test]
-fn last_pages_have_no_token() {
+fn the_last_page_has_no_token() {
     for token in ["null", "\"\""] {
-        assert_eq!(parse(&WHOLE.replace("\"p-50\"", token)).next_token, None, "{token}");
+        assert_eq!(parse(&COMPLETE.replace("\"p-50\"", token)).next_token, None, "{token}");
     }
 }
 
 #[test]
 fn only_ready_workers_are_ready() {
     for state in ["draining", "starting", "READY", ""] {
-        let page = parse(&WHOLE.replace("\"ready\"", &format!("\"{state}\"")));
+        let page = parse(&COMPLETE.replace("\"ready\"", &format!("\"{state}\"")));
         assert_eq!(page.instances[0].state, InstanceState::Draining, "{state}");
     }
 }
 
 #[test]
-fn numbers_out_of_range_are_brought_into_it() {
-    let cold = |text: &str| parse(&WHOLE.replace("1500", text)).instances[0].cold_left;
+fn numbers_out_of_range_are_clamped() {
+    let cold = |text: &str| parse(&COMPLETE.replace("1500", text)).instances[0].warm_up_left;
     assert_eq!(cold("-5"), Duration::ZERO);
     assert_eq!(cold("0.5"), Duration::from_micros(500));
     assert_eq!(cold("1e300"), Duration::from_secs(86_400));
-    assert_eq!(parse(&WHOLE.replace("\"capacity\": 6", "\"capacity\": 0")).instances[0].capacity, 1);
+    assert_eq!(parse(&COMPLETE.replace("\"capacity\": 6", "\"capacity\": 0")).instances[0].capacity, 1);
 }
 
 #[test]
-fn spoilt_pages_are_refused() {
+fn invalid_pages_are_rejected() {
     let without = |key: &str| THIN.replace(key, "other");
     let mut spoilt: Vec<String> =
         ["backend", "address", "zone", "state", "instanceId", "instances"].map(without).into();
     spoilt.extend(["", "[]", "null", "{", "{}"].map(str::to_owned));
     spoilt.push(THIN.replace("10.9.0.9:8080", "10.9.0.9"));
     spoilt.push(format!("{THIN}x"));
-    spoilt.push(WHOLE.replace("6,", "-6,"));
+    spoilt.push(COMPLETE.replace("6,", "-6,"));
     for text in spoilt {
         assert!(Page::from_json(text.as_bytes()).is_err(), "{text}");
     }
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn instances_come_back_from_the_wire() {
+fn instances_decode_to_the_same() {
     for address in ["10.9.0.9:8080", "[fd00::1]:80"] {
         let instance = Instance { address: WorkerAddress(address.parse().unwrap()), ..expected() };
         let bytes = instance.write_to_vec().unwrap();
@@ -117,16 +117,16 @@
     fn bytes_changed_anywhere_never_panic(
         changes in proptest::collection::vec((any::<proptest::sample::Index>(), any::<u8>()), 1..4)
     ) {
-        let mut body = WHOLE.as_bytes().to_vec();
+        let mut body = COMPLETE.as_bytes().to_vec();
         for (index, byte) in changes {
-            let place = index.index(body.len());
-            body[place] = byte;
+            let position = index.index(body.len());
+            body[position] = byte;
         }
         let _ = Page::from_json(&body);
     }
 
     #[test]
-    fn garbage_from_the_wire_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
+    fn garbage_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
         let _ = Instance::read_from_buffer(&bytes);
     }
 }
--- a/system/state/discovery/tests/support/mod.rs
+++ b/system/state/discovery/tests/support/mod.rs
@@ -15,6 +15,6 @@
         version: SoftwareVersion::from("v1"),
         capacity: 6,
         state: InstanceState::Ready,
-        cold_left: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     }
 }
