--- a/system/runtime/transport/src/connection.rs
+++ b/system/runtime/transport/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: reading, writing, keep-alives, the end.
+//! One connection: reading, writing, keep-alives, closing.
 
 use crate::outbox::Outbox;
 use millrudder_protocol::frame::{self, Content, FrameError};
@@ -10,40 +10,48 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// An idle end says that it lives this often.
-const KEEP_ALIVE_EVERY: Duration = Duration::from_millis(500);
-/// A peer that is silent for so long is taken for gone: three keep-alives.
-const SILENCE: Duration = Duration::from_millis(1600);
-/// Bytes asked of the socket at a time.
+/// A connection on which nothing is sent carries a keep-alive this often.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// A peer of which nothing was received for this long, three keep-alives, is taken for lost.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Bytes that are read from the socket at a time.
 const READ_BYTES: usize = 16 << 10;
-/// A buffer that grew beyond this for one large message is given back.
-const KEPT_BYTES: usize = 64 << 10;
+/// A buffer that grew beyond this, in bytes, for one large message is freed.
+const MAX_RETAINED_BYTES: usize = 64 << 10;
 
 /// Why a connection ended.
 #[derive(Debug, thiserror::Error)]
 pub enum CloseReason {
+    /// The peer closed it.
     #[error("the peer closed the connection")]
-    Peer,
+    ClosedByPeer,
+    /// The outbox was closed at this end.
     #[error("this end closed the connection")]
-    Local,
-    #[error("the peer was silent")]
-    Silent,
+    ClosedLocally,
+    /// Nothing was received in time, not even a keep-alive.
+    #[error("the peer was unresponsive")]
+    PeerUnresponsive,
+    /// What was received is not a frame with a message of the expected type.
     #[error(transparent)]
     Frame(#[from] FrameError),
+    /// Reading, writing or a socket option failed.
     #[error("connection failed: {0}")]
     Io(#[from] io::Error),
 }
 
-/// What happens on a connection.
+/// An event on a connection.
 #[derive(Debug)]
 pub enum LinkEvent<M> {
+    /// It is open: the first event.
     Opened,
+    /// A message was received.
     Message(M),
-    /// Nothing comes after it.
+    /// It has ended: the last event.
     Closed(CloseReason),
 }
 
-/// Carries `stream` until it ends, and says why it did. `deliver` gets each message.
+/// Drives the connection on `stream` until it ends, and returns why it did. `deliver` gets each message; what is put into
+/// `outbox` is sent. The outbox is closed at the end.
 pub async fn run<M, F>(stream: TcpStream, outbox: &Outbox, mut deliver: F) -> CloseReason
 where
     M: for<'a> Readable<'a, LittleEndian>,
@@ -69,9 +77,9 @@
     let mut buffer: Vec<u8> = Vec::with_capacity(READ_BYTES);
     loop {
         buffer.reserve(READ_BYTES);
-        match timeout(SILENCE, reader.read_buf(&mut buffer)).await {
-            Err(_) => return CloseReason::Silent,
-            Ok(Ok(0)) => return CloseReason::Peer,
+        match timeout(RECEIVE_TIMEOUT, reader.read_buf(&mut buffer)).await {
+            Err(_) => return CloseReason::PeerUnresponsive,
+            Ok(Ok(0)) => return CloseReason::ClosedByPeer,
             Ok(Ok(_)) => {}
             Ok(Err(error)) => return CloseReason::Io(error),
         }
@@ -81,6 +89,7 @@
     }
 }
 
+/// Delivers all whole frames and leaves the rest in the buffer.
 fn drain<M, F>(buffer: &mut Vec<u8>, deliver: &mut F) -> Result<(), FrameError>
 where
     M: for<'a> Readable<'a, LittleEndian>,
@@ -94,7 +103,7 @@
         }
     }
     buffer.drain(..start);
-    if buffer.is_empty() && buffer.capacity() > KEPT_BYTES {
+    if buffer.is_empty() && buffer.capacity() > MAX_RETAINED_BYTES {
         *buffer = Vec::with_capacity(READ_BYTES);
     }
     Ok(())
@@ -102,12 +111,12 @@
 
 async fn write(mut writer: OwnedWriteHalf, outbox: &Outbox) -> CloseReason {
     let mut buffer = Vec::new();
-    let mut keep_alive_at = Instant::now() + KEEP_ALIVE_EVERY;
+    let mut keep_alive_at = Instant::now() + KEEP_ALIVE_INTERVAL;
     loop {
         outbox.take(&mut buffer);
         if buffer.is_empty() {
             if outbox.is_closed() {
-                return CloseReason::Local;
+                return CloseReason::ClosedLocally;
             }
             if tokio::time::timeout_at(keep_alive_at, outbox.changed()).await.is_ok() {
                 continue;
@@ -117,8 +126,8 @@
         if let Err(error) = writer.write_all(&buffer).await {
             return CloseReason::Io(error);
         }
-        keep_alive_at = Instant::now() + KEEP_ALIVE_EVERY;
-        if buffer.capacity() > KEPT_BYTES {
+        keep_alive_at = Instant::now() + KEEP_ALIVE_INTERVAL;
+        if buffer.capacity() > MAX_RETAINED_BYTES {
             buffer = Vec::new();
         }
     }
--- a/system/runtime/transport/src/dialer.rs
+++ b/system/runtime/transport/src/dialer.rs
@@ -1,8 +1,8 @@
-//! Keeps one connection to an address.
+//! Keeps a connection to an address open.
 
+use crate::connect_backoff::ConnectBackoff;
 use crate::connection::{run, LinkEvent};
 use crate::outbox::Outbox;
-use crate::tries::Tries;
 use speedy::{LittleEndian, Readable};
 use std::cell::RefCell;
 use std::io;
@@ -20,7 +20,8 @@
 }
 
 impl Dialer {
-    /// Starts to connect to `address`. `report` gets each connection's events, with its outbox.
+    /// Starts to connect to `address`, again and again until it is dropped. `report` gets each connection's events, with its
+    /// outbox.
     pub fn start<M, F>(address: SocketAddr, mut report: F) -> Self
     where
         M: for<'a> Readable<'a, LittleEndian> + 'static,
@@ -29,17 +30,17 @@
         let current = Rc::new(RefCell::new(Outbox::default()));
         let slot = Rc::clone(&current);
         let task = tokio::task::spawn_local(async move {
-            let mut tries = Tries::default();
+            let mut backoff = ConnectBackoff::default();
             loop {
-                let began = Instant::now();
-                let connected = once(address, tries.patience(), &slot, &mut report).await;
-                sleep(tries.ended(connected, began.elapsed())).await;
+                let started = Instant::now();
+                let was_connected = connect_once(address, backoff.timeout(), &slot, &mut report).await;
+                sleep(backoff.attempt_ended(was_connected, started.elapsed())).await;
             }
         });
         Dialer { current, task }
     }
 
-    /// Where to put messages for the connection that is open now; closed while there is none.
+    /// The outbox of the connection that is open now, or of the last one, which is closed.
     pub fn outbox(&self) -> Outbox {
         self.current.borrow().clone()
     }
@@ -52,10 +53,10 @@
     }
 }
 
-/// One connection, from its opening to its end; false if there was none.
-async fn once<M, F>(
+/// Drives one connection from its opening to its end; false if it did not open.
+async fn connect_once<M, F>(
     address: SocketAddr,
-    patience: Duration,
+    connect_timeout: Duration,
     slot: &Rc<RefCell<Outbox>>,
     report: &mut F,
 ) -> bool
@@ -63,7 +64,7 @@
     M: for<'a> Readable<'a, LittleEndian>,
     F: FnMut(&Outbox, LinkEvent<M>),
 {
-    let stream = match connect(address, patience).await {
+    let stream = match connect(address, connect_timeout).await {
         Ok(stream) => stream,
         Err(error) => {
             log::debug!(address:%, error:%; "connection attempt failed");
@@ -79,8 +80,8 @@
     true
 }
 
-async fn connect(address: SocketAddr, patience: Duration) -> io::Result<TcpStream> {
-    match timeout(patience, TcpStream::connect(address)).await {
+async fn connect(address: SocketAddr, connect_timeout: Duration) -> io::Result<TcpStream> {
+    match timeout(connect_timeout, TcpStream::connect(address)).await {
         Ok(result) => result,
         Err(_) => Err(io::ErrorKind::TimedOut.into()),
     }
--- a/system/runtime/transport/src/lib.rs
+++ b/system/runtime/transport/src/lib.rs
@@ -1,16 +1,24 @@
 //! Framed connections between the system's processes, on a single-threaded runtime.
 //!
-//! [`connection::run`] carries one connection: it decodes what arrives, writes what was put into the connection's
-//! [`Outbox`], sends keep-alives while there is nothing to say, and ends the connection when the peer is silent.
-//! [`dialer::Dialer`] keeps one connection to an address and opens it anew when it ends; [`listener::accept`] takes
-//! connections in. All of them report through a callback; whoever owns the state puts these events into its queue.
+//! [`connection::run`] drives one connection: it decodes the messages that arrive, writes those that were put into the
+//! connection's [`Outbox`], sends keep-alives while there are none, and closes the connection when the peer is
+//! unresponsive. [`dialer::Dialer`] keeps one connection to an address and opens it anew when it ends;
+//! [`listener::accept`] accepts connections. All of them report [`LinkEvent`]s through a callback.
+//!
+//! **Guarantees.** On one connection messages arrive in the order in which they were sent, whole and checked by a checksum;
+//! after the first that is damaged nothing more is read. A connection ends on both sides, within about two seconds when
+//! the peer's machine vanishes. Nothing is retransmitted on the next connection: which messages a peer has received
+//! before the end is not known.
+//!
+//! **The embedding program** must run inside a [`tokio::task::LocalSet`], and its callbacks must not block: whoever owns the
+//! state puts the events into its queue. It must repeat what matters when a connection is opened.
 
+pub mod connect_backoff;
 pub mod connection;
 pub mod dialer;
 pub mod listener;
 mod outbox;
 mod socket;
-pub mod tries;
 
 pub use connection::{CloseReason, LinkEvent};
 pub use outbox::{Outbox, SendError};
--- a/system/runtime/transport/src/listener.rs
+++ b/system/runtime/transport/src/listener.rs
@@ -1,4 +1,4 @@
-//! Takes connections in.
+//! Accepts connections.
 
 use crate::connection::{run, LinkEvent};
 use crate::outbox::Outbox;
@@ -8,10 +8,13 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Pause after a failed accept (no descriptors left): other connections may end meanwhile.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff after a failed accept (no file descriptors left): other connections may end meanwhile.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Accepts until dropped; for each connection `open` makes what reports its events.
+/// Accepts connections until it is dropped; for each, `open` makes the callback that gets its events.
+///
+/// A connection's task outlives the listener: it ends with its connection, which the embedding program can close by its
+/// outbox.
 pub async fn accept<M, O, F>(listener: TcpListener, mut open: O)
 where
     M: for<'a> Readable<'a, LittleEndian> + 'static,
@@ -23,7 +26,7 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 log::warn!(error:%; "accepting a connection failed");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
         };
--- a/system/runtime/transport/tests/pieces.rs
+++ b/system/runtime/transport/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Frames in any pieces, and any bytes, on a connection of an internal port.
+//! Frames split at any offsets, and random bytes, on a connection to an internal port.
 
 use millrudder_protocol::frame;
 use millrudder_protocol::store::{FromDispatcher, QueryAnswer, ToDispatcher};
@@ -13,9 +13,9 @@
 
 /// Each case opens a connection.
 const CASES: u32 = 64;
-const MOST_MESSAGES: usize = 6;
-const MOST_BODY_BYTES: usize = 40_000;
-const MOST_CUTS: usize = 10;
+const MAX_MESSAGES: usize = 6;
+const MAX_BODY_BYTES: usize = 40_000;
+const MAX_SPLITS: usize = 10;
 
 /// What arrived on a connection up to its end.
 #[derive(Debug, PartialEq)]
@@ -24,14 +24,14 @@
     ends: usize,
 }
 
-fn play(pieces: Vec<Vec<u8>>) -> Arrived {
+fn play(chunks: Vec<Vec<u8>>) -> Arrived {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let (address, seen) = listen().await;
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.set_nodelay(true).unwrap();
-        for piece in pieces {
-            if stream.write_all(&piece).await.is_err() {
+        for chunk in chunks {
+            if stream.write_all(&chunk).await.is_err() {
                 break;
             }
             tokio::task::yield_now().await;
@@ -66,7 +66,7 @@
 
 fn message() -> impl Strategy<Value = ToDispatcher> {
     let state =
-        (any::<u64>(), prop::collection::vec(any::<u8>(), 0..MOST_BODY_BYTES)).prop_map(|(request, body)| {
+        (any::<u64>(), prop::collection::vec(any::<u8>(), 0..MAX_BODY_BYTES)).prop_map(|(request, body)| {
             ToDispatcher::State { request: RequestNumber(request), answer: QueryAnswer::Body { body } }
         });
     let withdrawn = (any::<u16>(), any::<u64>()).prop_map(|(shard, unique)| {
@@ -76,39 +76,39 @@
     prop_oneof![state, withdrawn, Just(ToDispatcher::Pong)]
 }
 
-/// The frames of these messages, a keep-alive after each, cut at these places.
-fn pieces(messages: &[ToDispatcher], cuts: &[usize]) -> Vec<Vec<u8>> {
+/// The frames of these messages, a keep-alive after each, split at these offsets.
+fn chunks(messages: &[ToDispatcher], splits: &[usize]) -> Vec<Vec<u8>> {
     let mut bytes = Vec::new();
     for message in messages {
         frame::encode(message, &mut bytes).unwrap();
         bytes.extend_from_slice(&frame::KEEP_ALIVE);
     }
-    let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
-    cuts.extend([0, bytes.len()]);
-    cuts.sort_unstable();
-    cuts.windows(2).map(|cut| bytes[cut[0]..cut[1]].to_vec()).collect()
+    let mut splits: Vec<usize> = splits.iter().map(|split| split % (bytes.len() + 1)).collect();
+    splits.extend([0, bytes.len()]);
+    splits.sort_unstable();
+    splits.windows(2).map(|split| bytes[split[0]..split[1]].to_vec()).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: CASES, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn frames_in_any_pieces_are_the_same_messages(
-        messages in prop::collection::vec(message(), 0..=MOST_MESSAGES),
-        cuts in prop::collection::vec(any::<usize>(), 0..=MOST_CUTS),
+    fn frames_are_decoded_however_they_are_split(
+        messages in prop::collection::vec(message(), 0..=MAX_MESSAGES),
+        splits in prop::collection::vec(any::<usize>(), 0..=MAX_SPLITS),
     ) {
-        prop_assert_eq!(play(pieces(&messages, &cuts)), Arrived { messages, ends: 1 });
+        prop_assert_eq!(play(chunks(&messages, &splits)), Arrived { messages, ends: 1 });
     }
 
     #[test]
-    fn what_follows_a_damaged_frame_is_not_read(
-        messages in prop::collection::vec(message(), 1..=MOST_MESSAGES),
+    fn nothing_is_read_after_a_damaged_frame(
+        messages in prop::collection::vec(message(), 1..=MAX_MESSAGES),
         damaged in any::<prop::sample::Index>(),
         bit in 0..8_u32,
     ) {
-        let mut bytes = pieces(&messages, &[]).concat();
-        let at = damaged.index(bytes.len());
-        bytes[at] ^= 1 << bit;
+        let mut bytes = chunks(&messages, &[]).concat();
+        let position = damaged.index(bytes.len());
+        bytes[position] ^= 1 << bit;
         let arrived = play(vec![bytes]);
         // Damage to a keep-alive's checksum, which says nothing, is passed over.
         prop_assert!(arrived.messages.len() <= messages.len());
@@ -116,7 +116,7 @@
     }
 
     #[test]
-    fn any_bytes_end_the_connection_without_a_message(
+    fn random_bytes_close_the_connection_without_a_message(
         bytes in prop::collection::vec(any::<u8>(), 0..4_000),
     ) {
         prop_assert_eq!(play(vec![bytes]), Arrived { messages: Vec::new(), ends: 1 });
--- a/system/runtime/transport/tests/links.rs
+++ b/system/runtime/transport/tests/links.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_closed_connection_is_opened_anew() {
+fn a_closed_connection_is_reopened() {
     on_one_thread(async {
         let (address, mut server) = listen().await;
         let (_dialer, mut client) = dial(address);
@@ -63,21 +63,21 @@
 }
 
 #[test]
-fn garbage_ends_the_connection() {
+fn garbage_closes_the_connection() {
     on_one_thread(async {
         let (address, mut server) = listen().await;
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(&[0xff; 64]).await.unwrap();
         assert!(matches!(server.recv().await.unwrap().1, LinkEvent::Opened));
         assert!(matches!(server.recv().await.unwrap().1, LinkEvent::Closed(_)));
-        let mut rest = Vec::new();
-        let end = stream.read_to_end(&mut rest).await;
-        assert!(end.is_err() || rest.is_empty());
+        let mut remaining = Vec::new();
+        let end = stream.read_to_end(&mut remaining).await;
+        assert!(end.is_err() || remaining.is_empty());
     });
 }
 
 #[test]
-fn a_dropped_dialer_ends_its_connection() {
+fn a_dropped_dialer_closes_its_connection() {
     on_one_thread(async {
         let (address, mut server) = listen().await;
         let (dialer, mut client) = dial(address);
