--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -13,6 +13,7 @@
 use millrudder_transport::{LinkEvent, Outbox};
 
 impl CoreHost {
+    /// Handles an event on a connection that another process opened.
     pub(super) fn handle_inbound(&mut self, inbound: InboundEvent<ToCorePort>) {
         let InboundEvent { connection, outbox, event } = inbound;
         let connection = ConnectionId(connection);
--- a/system/runtime/node/src/edge/host/clients.rs
+++ b/system/runtime/node/src/edge/host/clients.rs
@@ -12,6 +12,7 @@
 use tokio::sync::oneshot;
 
 impl EdgeHost {
+    /// Passes a client's message to intake, and keeps the client waiting for the outcome.
     pub(super) fn handle_submission(
         &mut self,
         submitted: ClientMessage,
--- a/system/runtime/node/src/edge/host/control.rs
+++ b/system/runtime/node/src/edge/host/control.rs
@@ -12,6 +12,7 @@
 use std::sync::Arc;
 
 impl EdgeHost {
+    /// Handles a message of a core machine; parts of the state that are not newer than those adopted are dropped.
     pub(super) fn handle_core(&mut self, message: FromCore) {
         let adopted = self.control.adopted();
         match message {
--- a/system/runtime/node/src/edge/host/stores.rs
+++ b/system/runtime/node/src/edge/host/stores.rs
@@ -11,6 +11,7 @@
 use std::sync::Arc;
 
 impl EdgeHost {
+    /// Handles an event on the connection to a store.
     pub(super) fn handle_store_link(&mut self, store: StoreId, event: LinkEvent<ToDispatcher>) {
         match event {
             LinkEvent::Opened => {
--- a/system/runtime/node/src/storage/host/control.rs
+++ b/system/runtime/node/src/storage/host/control.rs
@@ -15,6 +15,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl StoreHost {
+    /// Handles a message of a core machine; parts of the state that are not newer than those adopted are dropped.
     pub(super) fn handle_core(&mut self, message: FromCore) {
         let adopted = self.control.adopted();
         match message {
--- a/system/runtime/node/src/storage/host/inbound.rs
+++ b/system/runtime/node/src/storage/host/inbound.rs
@@ -9,6 +9,7 @@
 use millrudder_transport::{LinkEvent, Outbox};
 
 impl StoreHost {
+    /// Handles an event on a connection that another process opened.
     pub(super) fn handle_inbound(&mut self, inbound: InboundEvent<ToStore>) {
         let InboundEvent { connection, outbox, event } = inbound;
         let connection = ConnectionId(connection);
@@ -75,6 +76,7 @@
         }
     }
 
+    /// Sends to a dispatcher, if its connection is still there.
     pub(super) fn send_to_dispatcher(&self, connection: ConnectionId, message: &ToDispatcher) {
         if let Some(outbox) = self.outboxes.get(&connection) {
             // One whose connection is closed learns by that that nothing more comes.
@@ -82,6 +84,7 @@
         }
     }
 
+    /// Closes a connection that another process opened.
     pub(super) fn close_connection(&self, connection: ConnectionId) {
         if let Some(outbox) = self.outboxes.get(&connection) {
             outbox.close();
--- a/system/runtime/node/tests/system/answers.rs
+++ b/system/runtime/node/tests/system/answers.rs
@@ -3,7 +3,7 @@
 //! `tests/golden/answers.txt` holds each answer as it comes on the connection; names of messages, which are drawn at
 //! random, stand there as `{message}`.
 
-use crate::cluster::{Cluster, Shape};
+use crate::cluster::{Cluster, ClusterSize};
 use millrudder_system_standins::{ConfigurationBuilder, Route, Service};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 const TITLE: &str = "=== ";
 const MESSAGE_ID: &str = "x-message-id: ";
 
-/// Sends one request on a connection of its own; the whole answer.
+/// Sends one request on a connection of its own; the complete answer.
 async fn answer(to: SocketAddr, line: &str, headers: &[&str], body: &str) -> String {
     let mut request = format!("{line} HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\n");
     for header in headers {
@@ -89,7 +89,7 @@
 
 #[tokio::test]
 async fn answers_keep_their_bytes() {
-    let cluster = Cluster::start(Shape::WHOLE).await;
+    let cluster = Cluster::start(ClusterSize::FULL).await;
     let configuration = ConfigurationBuilder::new(1)
         .service(Service::listed("plain"))
         .route(Route::plain("plain", HOST, "/plain/", "plain"))
--- a/system/runtime/node/tests/system/cluster/load.rs
+++ b/system/runtime/node/tests/system/cluster/load.rs
@@ -8,12 +8,12 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Between two messages of one sender.
-const PAUSE: Duration = Duration::from_millis(15);
+/// Time between two messages of one sender.
+const SEND_INTERVAL: Duration = Duration::from_millis(15);
 /// Order keys of one sender.
 const KEYS: usize = 5;
 
-/// Senders that go on until they are told to end: one at each dispatcher, on a fifo route and one without order.
+/// Senders that go on until they are stopped: one at each dispatcher, on a fifo route and one without order.
 pub struct Load {
     senders: Vec<JoinHandle<()>>,
     shared: Rc<Shared>,
@@ -50,7 +50,7 @@
         self.shared.sent.borrow().len()
     }
 
-    /// Waits until so many further messages were accepted.
+    /// Waits until this many more messages were accepted.
     pub async fn accepts(&self, messages: usize) {
         let wanted = self.accepted() + messages;
         let reached = eventually(BOUND, || self.accepted() >= wanted).await;
@@ -80,12 +80,12 @@
         let mut number = 0;
         while !shared.ends.get() {
             let message = self.message(number);
-            // Refusals and silence are part of the trouble; what was accepted counts.
+            // Rejections and time-outs belong to the fault; what was accepted counts.
             if let Ok(Reception::Accepted { named }) = self.client.send(self.front, &message).await {
                 shared.sent.borrow_mut().push(Sent::new(message, named, self.front));
             }
             number += 1;
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(SEND_INTERVAL).await;
         }
     }
 
@@ -109,8 +109,8 @@
         }
     }
 
-    /// No message has run with success more than once, but for those that a dispatcher took elsewhere because a store
-    /// was slow: these may have run at both, which a busy machine brings about.
+    /// No message was executed successfully more than once, but for those that a dispatcher withdrew because a store was
+    /// slow: these may have been executed twice, which happens on a busy machine.
     pub fn none_repeated(&self, sent: &[Sent]) {
         let mut repeated = self.ledger.repeats_of_successes();
         repeated.retain(|id| sent.iter().any(|sent| sent.accepted.message.request_id == *id));
@@ -118,12 +118,12 @@
         assert!(repeated.len() <= withdrawn, "{repeated:?} ran twice, {withdrawn} were withdrawn");
     }
 
-    /// A message has run so often; twice as often at the most where messages were taken elsewhere.
+    /// A message was executed `times` times; at most twice as often where messages were withdrawn.
     pub fn ran(&self, sent: &Sent, times: usize) {
         let id = &sent.accepted.message.request_id;
         let runs = self.ledger.runs_of(id).len();
-        let most = if self.withdrawn() > 0 { 2 * times } else { times };
-        assert!((times..=most).contains(&runs), "{id} ran {runs} times, not {times}");
+        let max_runs = if self.withdrawn() > 0 { 2 * times } else { times };
+        assert!((times..=max_runs).contains(&runs), "{id} ran {runs} times, not {times}");
     }
 
     /// Attempts that dispatchers gave up because a store was slow.
--- a/system/runtime/node/tests/system/cluster/log.rs
+++ b/system/runtime/node/tests/system/cluster/log.rs
@@ -1,6 +1,6 @@
 //! What the processes write to their logs of the state that they agree on.
 
-use super::{Cluster, Part, BOUND};
+use super::{Cluster, ClusterProcess, BOUND};
 use millrudder_protocol::StoreId;
 use millrudder_system_standins::{eventually, Machine, Role};
 
@@ -65,15 +65,16 @@
     }
 
     /// Waits until all core machines are members of the core's view.
-    pub async fn core_is_whole(&self) {
-        let machines = self.parts_of(Role::Core).into_iter().map(|part| &self.machines[part.machine]);
+    pub async fn core_is_complete(&self) {
+        let machines =
+            self.processes_of(Role::Core).into_iter().map(|process| &self.machines[process.machine]);
         let addresses: Vec<String> = machines.map(internal_address).collect();
-        let whole = eventually(BOUND, || {
+        let complete = eventually(BOUND, || {
             let views = self.core_lines(ViewLine::read);
             let newest = views.iter().max_by_key(|view| view.epoch);
             newest.is_some_and(|view| addresses.iter().all(|address| view.members.contains(address)))
         });
-        assert!(whole.await.is_ok(), "a core machine is not in the view");
+        assert!(complete.await.is_ok(), "a core machine is not in the view");
     }
 
     fn placements(&self) -> Vec<PlacementLine> {
@@ -83,21 +84,21 @@
     }
 
     /// The identity of a store's disk.
-    pub fn store_id(&self, part: Part) -> StoreId {
-        let lines = self.log_of(part);
+    pub fn store_id(&self, process: ClusterProcess) -> StoreId {
+        let lines = self.log_of(process);
         let id = lines.iter().rev().find_map(|line| value(line, "store opened", "store_id"));
         let id = id.and_then(|id| u64::from_str_radix(id, 16).ok());
-        StoreId(id.unwrap_or_else(|| panic!("{} does not tell its identity", self.name_of(part))))
+        StoreId(id.unwrap_or_else(|| panic!("{} does not log its identity", self.name_of(process))))
     }
 
     /// Lines with a text that the dispatchers have written.
     pub fn edge_lines(&self, text: &str) -> usize {
-        let logs = self.parts_of(Role::Edge).into_iter().map(|part| self.log_of(part));
+        let logs = self.processes_of(Role::Edge).into_iter().map(|process| self.log_of(process));
         logs.flatten().filter(|line| line.contains(text)).count()
     }
 
     fn core_lines<T>(&self, read: impl Fn(&str) -> Option<T>) -> Vec<T> {
-        let logs = self.parts_of(Role::Core).into_iter().map(|part| self.log_of(part));
+        let logs = self.processes_of(Role::Core).into_iter().map(|process| self.log_of(process));
         logs.flatten().filter_map(|line| read(&line)).collect()
     }
 }
--- a/system/runtime/node/tests/system/cluster/messages.rs
+++ b/system/runtime/node/tests/system/cluster/messages.rs
@@ -15,15 +15,15 @@
     pub front: SocketAddr,
 }
 
-/// Before a message is sent once more.
-const TRY_AGAIN: Duration = Duration::from_millis(300);
-/// Tries of one message within [`BOUND`], at the most.
-const MOST_TRIES: usize = 100;
+/// Backoff before a message is sent again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
+/// Most attempts of one message within [`BOUND`].
+const MAX_ATTEMPTS: usize = 100;
 
-/// The ids of a message's tries: on a busy machine the first one may be left without a clear answer.
-fn try_ids(id: &RequestId) -> Vec<RequestId> {
-    let further = (1..MOST_TRIES).map(|number| RequestId::new(format!("{id}-try-{number}")));
-    std::iter::once(id.clone()).chain(further).collect()
+/// The ids of a message's attempts: on a busy machine the first one may get no clear answer.
+fn attempt_ids(id: &RequestId) -> Vec<RequestId> {
+    let retries = (1..MAX_ATTEMPTS).map(|number| RequestId::new(format!("{id}-try-{number}")));
+    std::iter::once(id.clone()).chain(retries).collect()
 }
 
 impl Sent {
@@ -34,11 +34,11 @@
 }
 
 impl Cluster {
-    /// Sends a message to a dispatcher until it is accepted; each try has an id of its own, as [`try_ids`] has them.
+    /// Sends a message to a dispatcher until it is accepted; each attempt has an id of its own, as [`attempt_ids`] has them.
     pub async fn accept(&self, front: SocketAddr, message: &Message) -> Sent {
-        let mut ids = try_ids(&message.request_id).into_iter();
+        let mut ids = attempt_ids(&message.request_id).into_iter();
         let accepted = eventually_some(BOUND, async || {
-            let attempt = message.as_try(ids.next().expect("a try is accepted"));
+            let attempt = message.as_try(ids.next().expect("an attempt is accepted"));
             match self.client.send_until_accepted(&[front], &attempt).await {
                 Ok(Submission::Accepted(accepted)) => Some(*accepted),
                 Ok(Submission::Refused(
@@ -46,7 +46,7 @@
                 )) => panic!("{} is answered with {refused:?}", message.request_id),
                 Ok(Submission::Refused(_)) | Err(_) => {
                     // As a client that heeds `Retry-After` would.
-                    tokio::time::sleep(TRY_AGAIN).await;
+                    tokio::time::sleep(RETRY_INTERVAL).await;
                     None
                 }
             }
@@ -78,14 +78,14 @@
         assert_eq!(status.state, MessageState::Completed, "{request}");
         let signatures = self.ledger.signatures_of(request);
         assert!(
-            status.signature.as_ref().is_some_and(|told| signatures.contains(told)),
-            "{request} is told with {:?}, its successes have {signatures:?}",
+            status.signature.as_ref().is_some_and(|signature| signatures.contains(signature)),
+            "{request} has the signature {:?}, its successes have {signatures:?}",
             status.signature
         );
     }
 
-    /// What was answered to a message holds: it ends where it was accepted, and never runs where it was not taken.
-    pub async fn ends_as_promised(&self, message: &Message, reception: Reception, front: SocketAddr) {
+    /// The answer to a message holds: it completes if it was accepted, and is never executed if it was rejected.
+    pub async fn ends_as_acknowledged(&self, message: &Message, reception: Reception, front: SocketAddr) {
         match reception {
             Reception::Accepted { named } => {
                 let sent = Sent::new(message.clone(), named, front);
@@ -100,9 +100,9 @@
         }
     }
 
-    /// A worker's behaviour towards all tries of a message.
+    /// A worker's behaviour towards all attempts of a message.
     pub fn script(&self, worker: &Worker, id: &str, behaviour: Behaviour) {
-        for id in try_ids(&id.into()) {
+        for id in attempt_ids(&id.into()) {
             worker.script().on_request(id, behaviour);
         }
     }
@@ -118,7 +118,7 @@
     }
 
     /// Waits until a dispatcher gives the bytes of a message, and compares them with what was sent.
-    pub async fn body_is_kept(&self, front: SocketAddr, sent: &Sent) {
+    pub async fn body_is_stored(&self, front: SocketAddr, sent: &Sent) {
         let message = &sent.accepted.message;
         let bytes = eventually_some(BOUND, async || {
             match self.client.body(front, &message.host, &sent.accepted.message_id).await {
--- a/system/runtime/node/tests/system/cluster/mod.rs
+++ b/system/runtime/node/tests/system/cluster/mod.rs
@@ -1,14 +1,14 @@
-//! A whole system on loopback: the built program in all its roles, and stand-ins for everything outside it.
+//! A complete system on loopback: the built program in all its roles, and stand-ins for everything outside it.
 
 mod load;
 mod log;
 mod messages;
-mod places;
+mod permits;
 mod scenarios;
 
 pub use load::{Load, LoadPlan};
 pub use messages::Sent;
-use places::Place;
+use permits::ClusterPermit;
 pub use scenarios::{run_together, Scenario};
 
 use millrudder_system_standins::{
@@ -23,7 +23,7 @@
 
 /// Generous: what does not come within it on a busy machine does not come at all.
 pub const BOUND: Duration = Duration::from_secs(30);
-/// A busy machine may not run a process for so long.
+/// A busy machine may not schedule a process for this long.
 const STALL: Duration = Duration::from_secs(2);
 /// Files here are in memory: other programs' writes to the disk hold no process up.
 const MEMORY_FOLDER: &str = "/dev/shm";
@@ -32,21 +32,21 @@
 /// The program.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_millrudder-system");
 
-/// Dispatchers tell what they have withdrawn.
+/// Dispatchers log which messages they have withdrawn.
 const LOG_LEVELS: &str = "info,millrudder_system::edge=debug";
 
-/// How many machines of each class; they take turns in the three zones.
+/// How many machines of each class; they are spread over the three zones in turn.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct ClusterSize {
     pub core: usize,
     pub storage: usize,
     pub edge: usize,
     pub tolerated_losses: u32,
 }
 
-impl Shape {
+impl ClusterSize {
     /// Tolerates the loss of any one machine, with a dispatcher in each zone.
-    pub const WHOLE: Shape = Shape { core: 3, storage: 3, edge: 3, tolerated_losses: 1 };
+    pub const FULL: ClusterSize = ClusterSize { core: 3, storage: 3, edge: 3, tolerated_losses: 1 };
 
     fn plans(self) -> Vec<MachinePlan> {
         let zone = |number: usize| ZONES[number % ZONES.len()];
@@ -59,8 +59,8 @@
 
 /// One process of the system, as the fixture knows it: a role on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
-    /// The machine's place in the list.
+pub struct ClusterProcess {
+    /// Index of the machine in the list.
     pub machine: usize,
     pub role: Role,
 }
@@ -74,19 +74,19 @@
     pub client: Client,
     pub ledger: Ledger,
     _folder: TempDir,
-    _place: Place,
+    _permit: ClusterPermit,
 }
 
 impl Cluster {
-    /// Starts all processes; no configuration is in force yet.
-    pub async fn start(shape: Shape) -> Self {
-        let place = Place::take().await;
+    /// Starts all processes; no configuration is active yet.
+    pub async fn start(size: ClusterSize) -> Self {
+        let permit = ClusterPermit::acquire().await;
         let folder = folder();
         let platform = Platform::start(PlatformPlan::default()).await.unwrap();
-        let tolerance = FaultTolerance { machines: shape.tolerated_losses, ..FaultTolerance::default() };
+        let tolerance = FaultTolerance { machines: size.tolerated_losses, ..FaultTolerance::default() };
         let writer = SettingsWriter::new(folder.path(), platform.address());
         let mut writer = writer.with_fault_tolerance(tolerance);
-        let machines = writer.write(&shape.plans()).unwrap();
+        let machines = writer.write(&size.plans()).unwrap();
         let processes = ProcessGroup::new(PROGRAM).with_variable("RUST_LOG", LOG_LEVELS);
         let operator = operator_of(&machines);
         let (client, ledger) = (Client::new(), Ledger::new());
@@ -98,21 +98,21 @@
             client,
             ledger,
             _folder: folder,
-            _place: place,
+            _permit: permit,
         };
         cluster.start_all();
         cluster
     }
 
     /// Starts all processes with a first configuration, and waits until every dispatcher is ready.
-    pub async fn configured(shape: Shape, configuration: &ConfigurationBuilder) -> Self {
-        let cluster = Cluster::start(shape).await;
+    pub async fn configured(size: ClusterSize, configuration: &ConfigurationBuilder) -> Self {
+        let cluster = Cluster::start(size).await;
         cluster.configure(configuration).await;
         cluster
     }
 
-    /// Settings of every machine as after the first start of the whole system.
-    pub fn no_longer_founds(&mut self) {
+    /// Settings of every machine as after the first start of the system.
+    pub fn disable_bootstrap(&mut self) {
         for machine in &mut self.machines {
             machine.rewrite(|settings| settings.bootstrap = false).unwrap();
         }
@@ -126,50 +126,50 @@
     }
 
     /// Every process, those that do not run now included.
-    pub fn parts(&self) -> Vec<Part> {
+    pub fn all_processes(&self) -> Vec<ClusterProcess> {
         let roles = self.machines.iter().map(|machine| roles_of(&machine.settings.serves));
-        let parts = roles.enumerate().flat_map(|(machine, roles)| {
-            let part = move |role| Part { machine, role };
-            roles.into_iter().map(part)
+        let processes = roles.enumerate().flat_map(|(machine, roles)| {
+            let process = move |role| ClusterProcess { machine, role };
+            roles.into_iter().map(process)
         });
-        parts.collect()
+        processes.collect()
     }
 
     /// The processes of one role.
-    pub fn parts_of(&self, role: Role) -> Vec<Part> {
-        let mut parts = self.parts();
-        parts.retain(|part| part.role == role);
-        parts
+    pub fn processes_of(&self, role: Role) -> Vec<ClusterProcess> {
+        let mut processes = self.all_processes();
+        processes.retain(|process| process.role == role);
+        processes
     }
 
     /// Starts every process that is not running.
     pub fn start_all(&mut self) {
-        for part in self.parts() {
-            if !self.is_running(part) {
-                self.start_part(part);
+        for process in self.all_processes() {
+            if !self.is_running(process) {
+                self.start_process(process);
             }
         }
     }
 
     /// Starts a process.
-    pub fn start_part(&mut self, part: Part) {
-        let name = self.name_of(part);
-        let settings = self.machines[part.machine].settings_path();
-        self.processes.start(&name, part.role, settings).unwrap();
+    pub fn start_process(&mut self, process: ClusterProcess) {
+        let name = self.name_of(process);
+        let settings = self.machines[process.machine].settings_path();
+        self.processes.start(&name, process.role, settings).unwrap();
     }
 
-    pub fn is_running(&mut self, part: Part) -> bool {
-        self.processes.is_running(&self.name_of(part))
+    pub fn is_running(&mut self, process: ClusterProcess) -> bool {
+        self.processes.is_running(&self.name_of(process))
     }
 
     /// What a process is called.
-    pub fn name_of(&self, part: Part) -> ProcessName {
-        ProcessName::new(format!("{} {}", self.machines[part.machine].node_name(), part.role))
+    pub fn name_of(&self, process: ClusterProcess) -> ProcessName {
+        ProcessName::new(format!("{} {}", self.machines[process.machine].node_name(), process.role))
     }
 
     /// What a process has written.
-    pub fn log_of(&self, part: Part) -> Vec<String> {
-        self.processes.log(&self.name_of(part)).map_or_else(Vec::new, |log| log.lines())
+    pub fn log_of(&self, process: ClusterProcess) -> Vec<String> {
+        self.processes.log(&self.name_of(process)).map_or_else(Vec::new, |log| log.lines())
     }
 
     /// The addresses that clients are sent to.
@@ -182,7 +182,7 @@
         self.machines.iter().filter_map(Machine::control_plane).collect()
     }
 
-    /// Waits until every dispatcher says that it is ready.
+    /// Waits until every dispatcher is ready.
     pub async fn all_ready(&self) {
         for machine in &self.machines {
             let Some(address) = machine.readiness() else { continue };
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Waits until a dispatcher says no more that it is ready.
+    /// Waits until a dispatcher is no longer ready.
     pub async fn becomes_unready(&self, readiness: SocketAddr) {
         let unready = eventually_some(BOUND, async || (!self.client.is_ready(readiness).await).then_some(()));
         assert!(unready.await.is_ok(), "{readiness} is still ready");
@@ -228,48 +228,48 @@
     }
 
     /// Signals a process.
-    pub fn signal(&mut self, part: Part, signal: ProcessSignal) {
-        self.processes.signal(&self.name_of(part), signal).unwrap();
+    pub fn signal(&mut self, process: ClusterProcess, signal: ProcessSignal) {
+        self.processes.signal(&self.name_of(process), signal).unwrap();
     }
 
     /// Kills a process and waits for its end.
-    pub fn kill(&mut self, part: Part) {
-        self.processes.kill(&self.name_of(part)).unwrap();
+    pub fn kill(&mut self, process: ClusterProcess) {
+        self.processes.kill(&self.name_of(process)).unwrap();
     }
 
     /// Kills every process, and waits for their ends.
     pub fn kill_all(&mut self) {
         self.processes.signal_all(ProcessSignal::Kill).unwrap();
-        for part in self.parts() {
-            self.kill(part);
+        for process in self.all_processes() {
+            self.kill(process);
         }
     }
 
     /// Kills a process and empties its disk.
-    pub fn lose_disk(&mut self, part: Part) {
-        self.kill(part);
-        self.machines[part.machine].wipe_disk().unwrap();
+    pub fn lose_disk(&mut self, process: ClusterProcess) {
+        self.kill(process);
+        self.machines[process.machine].wipe_disk().unwrap();
     }
 
     /// Waits for the end of a process, as long as the platform does after SIGTERM and as this machine may stall.
-    pub async fn exit_within_grace(&mut self, part: Part) -> ExitStatus {
-        let grace = Duration::from_secs_f64(self.machines[part.machine].settings.bounds.grace_s);
-        let name = self.name_of(part);
+    pub async fn exit_within_grace(&mut self, process: ClusterProcess) -> ExitStatus {
+        let grace = Duration::from_secs_f64(self.machines[process.machine].settings.bounds.grace_s);
+        let name = self.name_of(process);
         self.processes.wait_for_exit(&name, grace + STALL).await.unwrap()
     }
 
     /// Waits until a process writes a line with this text, or has written one.
-    pub async fn writes(&self, part: Part, text: &str) {
-        let written = || self.log_of(part).iter().any(|line| line.contains(text));
+    pub async fn writes(&self, process: ClusterProcess, text: &str) {
+        let written = || self.log_of(process).iter().any(|line| line.contains(text));
         let written = eventually(BOUND, written).await;
-        assert!(written.is_ok(), "{} does not write: {text}", self.name_of(part));
+        assert!(written.is_ok(), "{} does not write: {text}", self.name_of(process));
     }
 
     /// Prints what all processes have written.
     fn print_logs(&self) {
-        for part in self.parts() {
-            println!("--- {}", self.name_of(part));
-            for line in self.log_of(part) {
+        for process in self.all_processes() {
+            println!("--- {}", self.name_of(process));
+            for line in self.log_of(process) {
                 println!("{line}");
             }
         }
--- a/system/runtime/node/tests/system/command_line.rs
+++ b/system/runtime/node/tests/system/command_line.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn help_and_version_are_told() {
+fn help_and_version_are_printed() {
     let help = run(&["--help"], None);
     assert!(help.status.success());
     for word in ["edge", "storage", "core", "check", "--settings", "--without", "MILLRUDDER_SETTINGS"] {
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn a_command_line_that_is_not_understood_is_refused() {
-    for (arguments, told) in [
+fn an_unknown_command_line_is_rejected() {
+    for (arguments, message) in [
         (&[][..], "no command"),
         (&["door"][..], "door"),
         (&["edge", "core"][..], "core"),
@@ -60,12 +60,12 @@
     ] {
         let output = run(arguments, None);
         assert_eq!(output.status.code(), Some(CANNOT_SERVE), "{arguments:?}");
-        assert!(stderr(&output).contains(told), "{arguments:?}: {}", stderr(&output));
+        assert!(stderr(&output).contains(message), "{arguments:?}: {}", stderr(&output));
     }
 }
 
 #[test]
-fn check_names_the_machine_whose_settings_are_sound() {
+fn check_names_the_machine_with_valid_settings() {
     let (_folder, machines) = machines();
     for machine in &machines {
         let path = machine.settings_path();
@@ -92,28 +92,28 @@
 }
 
 #[test]
-fn spoilt_settings_are_refused_with_file_and_key() {
+fn invalid_settings_are_rejected_with_file_and_key() {
     let (_folder, machines) = machines();
     let path = machines[0].settings_path();
-    let sound = fs::read_to_string(path).unwrap();
-    for (spoilt, key) in [
-        (with_line(&sound, "ip:", "ip: no-address"), "ip"),
-        (with_line(&sound, "bootstrap:", "bootstrap: perhaps"), "bootstrap"),
-        (with_line(&sound, "nodeName:", ""), "nodeName"),
-        (with_line(&sound, "ephemeralPorts:", "ephemeralPorts: [7, 5, 3]\nignored:"), "ephemeralPorts"),
-        (with_line(&sound, "  graceS:", "  graceS: -1"), "bounds.graceS"),
-        (with_line(&sound, "  front:", ""), "bindAddrs.front"),
-        (sound[..sound.len() / 2].to_owned() + "\n\t: [", ""),
+    let valid = fs::read_to_string(path).unwrap();
+    for (invalid, key) in [
+        (with_line(&valid, "ip:", "ip: no-address"), "ip"),
+        (with_line(&valid, "bootstrap:", "bootstrap: perhaps"), "bootstrap"),
+        (with_line(&valid, "nodeName:", ""), "nodeName"),
+        (with_line(&valid, "ephemeralPorts:", "ephemeralPorts: [7, 5, 3]\nignored:"), "ephemeralPorts"),
+        (with_line(&valid, "  graceS:", "  graceS: -1"), "bounds.graceS"),
+        (with_line(&valid, "  front:", ""), "bindAddrs.front"),
+        (valid[..valid.len() / 2].to_owned() + "\n\t: [", ""),
         ("\u{0}\u{1} no YAML".to_owned(), ""),
         (String::new(), "missing"),
     ] {
-        fs::write(path, &spoilt).unwrap();
+        fs::write(path, &invalid).unwrap();
         for arguments in ["check", "edge"] {
             let output = run(&[arguments], Some(path));
-            let told = stderr(&output).replace('\n', "");
-            assert_eq!(output.status.code(), Some(CANNOT_SERVE), "{key}: {told}");
-            assert!(told.contains(path.file_name().unwrap().to_str().unwrap()), "{key}: {told}");
-            assert!(told.contains(key), "{key}: {told}");
+            let message = stderr(&output).replace('\n', "");
+            assert_eq!(output.status.code(), Some(CANNOT_SERVE), "{key}: {message}");
+            assert!(message.contains(path.file_name().unwrap().to_str().unwrap()), "{key}: {message}");
+            assert!(message.contains(key), "{key}: {message}");
         }
     }
 }
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn an_address_that_is_taken_is_named() {
+fn an_address_in_use_is_named() {
     let (_folder, machines) = machines();
     let front = machines[0].front().unwrap();
     let _taken = std::net::TcpListener::bind(front).unwrap();
--- a/system/runtime/node/tests/system/configuration.rs
+++ b/system/runtime/node/tests/system/configuration.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration: taken once, refused rightly, in force everywhere.
 
-use crate::cluster::{run_together, Cluster, Scenario, Sent, Shape, BOUND};
+use crate::cluster::{run_together, Cluster, ClusterSize, Scenario, Sent, BOUND};
 use millrudder_system_standins::{
     eventually, eventually_some, Behaviour, Configuration, ConfigurationBuilder, ConfigurationVersion,
     Defect, Message, MessageState, Operator, PutOutcome, Reception, Route, Service, WorkerPlan,
@@ -28,10 +28,10 @@
 /// Messages that wait behind others of their key heed a new configuration: they end with their route, or go where their
 /// route leads by now.
 #[tokio::test]
-async fn messages_that_wait_follow_their_routes() {
+async fn waiting_messages_follow_their_routes() {
     let ordered = |name| route(name).fifo().with_timeout(BOUND);
     let first = first_configuration().route(ordered("dropped")).route(ordered("moved"));
-    let cluster = Rc::new(Cluster::configured(Shape::WHOLE, &first).await);
+    let cluster = Rc::new(Cluster::configured(ClusterSize::FULL, &first).await);
     let records = cluster.worker(WorkerPlan::new("records", "i-records")).await;
     let _archive = cluster.worker(WorkerPlan::new("archive", "i-archive")).await;
     records.work_gate().hold();
@@ -57,7 +57,7 @@
     let first = first_configuration();
     let archived = |name| Route { backend: "archive".into(), ..route(name) };
     let first = first.route(archived("dropped")).route(archived("moved"));
-    let cluster = Rc::new(Cluster::configured(Shape::WHOLE, &first).await);
+    let cluster = Rc::new(Cluster::configured(ClusterSize::FULL, &first).await);
     let _records = cluster.worker(WorkerPlan::new("records", "i-records")).await;
     let waiting =
         vec![wait_on(&cluster, "dropped", "dropped").await, wait_on(&cluster, "moved", "moved").await];
@@ -86,7 +86,7 @@
 
 async fn ends_with_its_route(cluster: Rc<Cluster>, dropped: Sent) {
     assert_eq!(cluster.end(&dropped).await.state, MessageState::DeadLetter);
-    cluster.body_is_kept(cluster.fronts()[1], &dropped).await;
+    cluster.body_is_stored(cluster.fronts()[1], &dropped).await;
     assert_eq!(cluster.ledger.arrivals_of(&dropped.accepted.message.request_id).len(), 0);
 }
 
@@ -97,8 +97,8 @@
 }
 
 #[tokio::test]
-async fn configurations_are_taken_once_and_come_into_force_everywhere() {
-    let cluster = Cluster::start(Shape::WHOLE).await;
+async fn a_configuration_is_committed_once_and_applied_everywhere() {
+    let cluster = Cluster::start(ClusterSize::FULL).await;
     let first = first_configuration();
     nothing_is_in_force_before_the_first(&cluster, &first).await;
     taken_though_answers_are_lost(&cluster, &first.build().unwrap()).await;
@@ -233,28 +233,28 @@
 
 async fn time_outs_change(cluster: &Cluster, change: &ConfigurationBuilder, before: u64) {
     let worker = cluster.worker(WorkerPlan { capacity: 8, ..WorkerPlan::new("records", "i-records") }).await;
-    cluster.script(&worker, "silent-at-first", Behaviour::StaySilent);
+    cluster.script(&worker, "unresponsive-at-first", Behaviour::StaySilent);
     let change = change.clone().route(route("births").with_timeout(SHORT_TIMEOUT)).route(route("divorces"));
     assert_eq!(cluster.put(&change.build().unwrap(), before).await, PutOutcome::Taken);
     for front in cluster.fronts() {
         route_comes_into_force(cluster, front, "/divorces/").await;
     }
-    let message = Message::new(HOST, "/births/", "silent-at-first");
+    let message = Message::new(HOST, "/births/", "unresponsive-at-first");
     let sent = cluster.accept(cluster.fronts()[1], &message).await;
     let id = &sent.accepted.message.request_id;
     // The former time-out is as long as the bound.
     let repeated = eventually(BOUND / 2, || cluster.ledger.arrivals_of(id).len() >= 2).await;
     assert!(repeated.is_ok(), "the new time-out is not in force");
-    cluster.script(&worker, "silent-at-first", Behaviour::Succeed);
+    cluster.script(&worker, "unresponsive-at-first", Behaviour::Succeed);
     cluster.completed(&sent).await;
 }
 
 /// Waits until a dispatcher takes messages on a path.
 async fn route_comes_into_force(cluster: &Cluster, front: SocketAddr, path: &str) {
-    let mut tries = 0;
+    let mut attempts = 0;
     let is_there = eventually_some(BOUND, async || {
-        tries += 1;
-        let reception = offer(cluster, front, path, &format!("try-{tries}")).await;
+        attempts += 1;
+        let reception = offer(cluster, front, path, &format!("attempt-{attempts}")).await;
         matches!(reception, Reception::Accepted { .. }).then_some(())
     });
     assert!(is_there.await.is_ok(), "the route {path} is not in force at {front}");
--- a/system/runtime/node/tests/system/passing_on.rs
+++ b/system/runtime/node/tests/system/forwarding.rs
@@ -1,7 +1,7 @@
 //! What a worker gets is what the sender sent: method, target, headers and body, byte by byte, from the dispatcher that
 //! took the message as from a store.
 
-use crate::cluster::{Cluster, Shape, BOUND};
+use crate::cluster::{Cluster, ClusterSize, BOUND};
 use http::{HeaderMap, HeaderName, HeaderValue};
 use millrudder_system_standins::{
     eventually, Arrival, BodyHash, ConfigurationBuilder, ProcessSignal, RawConnection, Role, Route, Service,
@@ -13,12 +13,12 @@
 use std::net::SocketAddr;
 
 const HOST: &str = "boye61.example";
-const SMALL: Shape = Shape { core: 1, storage: 1, edge: 1, tolerated_losses: 0 };
+const SMALL: ClusterSize = ClusterSize { core: 1, storage: 1, edge: 1, tolerated_losses: 0 };
 /// Requests that a store hands back, and requests that the dispatcher still has.
 const REQUESTS: usize = 60;
-const MOST_HEADERS: usize = 6;
-const MOST_BODY_BYTES: usize = 2_000;
-const MOST_KEY_BYTES: usize = 128;
+const MAX_HEADERS: usize = 6;
+const MAX_BODY_BYTES: usize = 2_000;
+const MAX_KEY_BYTES: usize = 128;
 /// Headers of the request that are the dispatcher's to set or to leave out.
 const OWN: [&str; 9] = [
     "host",
@@ -94,8 +94,8 @@
     }
 }
 
-fn letters(most: usize) -> impl Strategy<Value = String> {
-    prop::collection::vec(prop::sample::select(b"abcXYZ019-_".to_vec()), 1..=most)
+fn letters(max_length: usize) -> impl Strategy<Value = String> {
+    prop::collection::vec(prop::sample::select(b"abcXYZ019-_".to_vec()), 1..=max_length)
         .prop_map(|bytes| String::from_utf8(bytes).unwrap())
 }
 
@@ -108,13 +108,13 @@
 /// A key of an ordered route: visible characters with spaces among them.
 fn order_key() -> impl Strategy<Value = Vec<u8>> {
     let byte = prop_oneof![4 => 0x21..=0x7e_u8, 1 => Just(b' ')];
-    prop::collection::vec(byte, 1..=MOST_KEY_BYTES)
+    prop::collection::vec(byte, 1..=MAX_KEY_BYTES)
         .prop_map(|bytes| bytes.trim_ascii().to_vec())
         .prop_filter("not empty", |bytes| !bytes.is_empty())
 }
 
 /// What may stand behind the route's prefix: nothing is decoded, joined or left out.
-fn rest_of_target() -> impl Strategy<Value = String> {
+fn target_suffix() -> impl Strategy<Value = String> {
     let piece = prop::sample::select(vec![
         "a", "B", "7", "/", "//", "/../", "/./", "%2e%2E", "%2F", "%00", "%", ";x=1", "?", "?a=b", "&&", "=",
         "+", "~", "'", "(", "*", "!", "@", ":", ",", "$",
@@ -126,12 +126,12 @@
     let method =
         prop::sample::select(vec!["POST", "PUT", "PATCH", "DELETE", "GET", "OPTIONS", "PURGE", "post"]);
     let other = (letters(12).prop_map(|name| format!("X-T-{name}")), value());
-    let headers = prop::collection::vec(other, 0..MOST_HEADERS);
+    let headers = prop::collection::vec(other, 0..MAX_HEADERS);
     let ordered = (Just("/ordered/"), order_key().prop_map(|key| vec![key]));
     let plain = (Just("/plain/"), prop::collection::vec(value(), 0..3));
     let keyed = prop_oneof![ordered, plain];
-    let body = prop::collection::vec(any::<u8>(), 0..MOST_BODY_BYTES);
-    (method, keyed, rest_of_target(), headers, body, any::<bool>()).prop_map(
+    let body = prop::collection::vec(any::<u8>(), 0..MAX_BODY_BYTES);
+    (method, keyed, target_suffix(), headers, body, any::<bool>()).prop_map(
         |(method, (prefix, keys), rest, mut headers, body, chunked)| {
             headers.extend(keys.into_iter().map(|key| ("X-Order-Key".to_owned(), key)));
             let (method, target) = (method.to_owned(), format!("{prefix}{rest}"));
@@ -162,9 +162,9 @@
 }
 
 #[tokio::test]
-async fn workers_get_what_was_sent() {
+async fn workers_receive_what_was_sent() {
     let mut cluster = Cluster::configured(SMALL, &configuration()).await;
-    let edge = cluster.parts_of(Role::Edge)[0];
+    let edge = cluster.processes_of(Role::Edge)[0];
     let front = cluster.fronts()[0];
     let all = requests();
     let (through_a_store, at_once) = all.split_at(REQUESTS / 2);
@@ -175,7 +175,7 @@
     // Another process has none of these messages itself.
     cluster.signal(edge, ProcessSignal::Terminate);
     cluster.exit_within_grace(edge).await;
-    cluster.start_part(edge);
+    cluster.start_process(edge);
     cluster.all_ready().await;
     let _worker = cluster.worker(WorkerPlan { capacity: 8, ..WorkerPlan::new("records", "i-1") }).await;
     for sent in at_once {
@@ -192,7 +192,7 @@
 
 /// Of these, a worker could only get something else than was sent, or two readers could take two things for it.
 #[tokio::test]
-async fn what_cannot_be_passed_on_as_sent_is_refused() {
+async fn requests_that_cannot_be_forwarded_unchanged_are_rejected() {
     let cluster = Cluster::configured(SMALL, &configuration()).await;
     let _worker = cluster.worker(WorkerPlan::new("records", "i-1")).await;
     let head = |target: &str, headers: &str| {
@@ -204,10 +204,7 @@
         head("/ordered/a", "X-Request-Id: r\r\nX-Order-Key: a\r\nX-Order-Key: b\r\n"),
         head("/ordered/a", "X-Request-Id: r\r\nX-Order-Key: \r\n"),
         head("/ordered/a", "X-Request-Id: r\r\nX-Order-Key: \u{e9}\r\n"),
-        head(
-            "/ordered/a",
-            &format!("X-Request-Id: r\r\nX-Order-Key: {}\r\n", "k".repeat(MOST_KEY_BYTES + 1)),
-        ),
+        head("/ordered/a", &format!("X-Request-Id: r\r\nX-Order-Key: {}\r\n", "k".repeat(MAX_KEY_BYTES + 1))),
         head("/ordered/a", "X-Request-Id: r\r\nX-Delay-Ms: 1\r\nX-Delay-Ms: 2\r\n"),
         head("/ordered/a", "X-Request-Id: \r\n"),
     ];
--- a/system/runtime/node/tests/system/hostile.rs
+++ b/system/runtime/node/tests/system/hostile.rs
@@ -1,6 +1,6 @@
 //! Input that no caller should send, on every port: it ends in a clear error or a close, and service goes on.
 
-use crate::cluster::{Cluster, Part, Shape, BOUND};
+use crate::cluster::{Cluster, ClusterProcess, ClusterSize, BOUND};
 use millrudder_protocol::frame::{self, Content};
 use millrudder_protocol::store::{FromDispatcher, ToDispatcher, ToStore};
 use millrudder_protocol::{DispatcherId, Epoch, StoreId};
@@ -12,15 +12,15 @@
 
 const HOST: &str = "boye61.example";
 /// Bodies that attacks send are longer.
-const MOST_BODY_BYTES: u64 = 100_000;
+const MAX_BODY_BYTES: u64 = 100_000;
 /// One machine of each class.
-const SMALL: Shape = Shape { core: 1, storage: 1, edge: 1, tolerated_losses: 0 };
+const SMALL: ClusterSize = ClusterSize { core: 1, storage: 1, edge: 1, tolerated_losses: 0 };
 /// Internal ports by role, counted from the first free one of the machine.
 const STORAGE_PORT: u16 = 1;
 const CORE_PORT: u16 = 2;
 
 fn configuration() -> ConfigurationBuilder {
-    let limits = Limits { header_timeout_ms: 1_000, max_body_bytes: MOST_BODY_BYTES, ..Limits::default() };
+    let limits = Limits { header_timeout_ms: 1_000, max_body_bytes: MAX_BODY_BYTES, ..Limits::default() };
     ConfigurationBuilder::new(1).limits(limits).service(Service::listed("records")).route(Route::plain(
         "records",
         HOST,
@@ -29,13 +29,13 @@
     ))
 }
 
-fn internal(cluster: &Cluster, part: Part) -> Option<SocketAddr> {
-    let offset = match part.role {
+fn internal(cluster: &Cluster, process: ClusterProcess) -> Option<SocketAddr> {
+    let offset = match process.role {
         Role::Edge => return None,
         Role::Storage => STORAGE_PORT,
         Role::Core => CORE_PORT,
     };
-    let settings = &cluster.machines[part.machine].settings;
+    let settings = &cluster.machines[process.machine].settings;
     Some(SocketAddr::new(settings.ip, settings.ephemeral_ports.first + offset))
 }
 
@@ -53,8 +53,8 @@
         attack_with_all(control, "/Config.Put"),
         attack_internal_ports(&cluster),
     );
-    for part in cluster.parts() {
-        assert!(cluster.is_running(part), "{} has ended", cluster.name_of(part));
+    for process in cluster.all_processes() {
+        assert!(cluster.is_running(process), "{} has ended", cluster.name_of(process));
     }
     let sent = cluster.accept(front, &Message::new(HOST, "/records/", "after-all")).await;
     cluster.completed(&sent).await;
@@ -66,7 +66,7 @@
 
 /// Two framings, of which a server might heed one and its neighbour the other, and a request within the body.
 #[tokio::test]
-async fn a_request_within_another_never_runs() {
+async fn a_smuggled_request_is_never_executed() {
     let cluster = Cluster::configured(SMALL, &configuration()).await;
     let _worker = cluster.worker(WorkerPlan::new("records", "i-records")).await;
     let front = cluster.fronts()[0];
@@ -117,7 +117,7 @@
 }
 
 async fn attack_internal_ports(cluster: &Cluster) {
-    for address in cluster.parts().into_iter().filter_map(|part| internal(cluster, part)) {
+    for address in cluster.all_processes().into_iter().filter_map(|process| internal(cluster, process)) {
         for (what, bytes) in garbage() {
             let mut connection = RawConnection::open(address).await.unwrap();
             // The other end may have closed before all was written.
@@ -151,9 +151,9 @@
 
 /// A machine whose disk was lost is another store at the same address: it must not answer for the one before.
 #[tokio::test]
-async fn a_store_answers_only_what_is_meant_for_it() {
+async fn a_store_answers_only_messages_addressed_to_it() {
     let cluster = Cluster::configured(SMALL, &configuration()).await;
-    let store = cluster.parts_of(Role::Storage)[0];
+    let store = cluster.processes_of(Role::Storage)[0];
     let address = internal(&cluster, store).unwrap();
     let id = cluster.store_id(store);
     let hello = ToStore::Dispatcher {
--- a/system/runtime/node/tests/system/main.rs
+++ b/system/runtime/node/tests/system/main.rs
@@ -1,13 +1,13 @@
-//! The program as a whole: real processes on loopback, with stand-ins for everything outside the system.
+//! The complete program: real processes on loopback, with stand-ins for everything outside the system.
 
 mod answers;
 mod cluster;
 mod command_line;
 mod configuration;
-mod contact;
+mod forwarding;
 mod hostile;
 mod messages;
-mod passing_on;
+mod quorum;
 mod recovery;
 mod retirement;
 mod stops;
--- a/system/runtime/node/tests/system/messages.rs
+++ b/system/runtime/node/tests/system/messages.rs
@@ -1,6 +1,6 @@
-//! What becomes of messages in a whole system that is well.
+//! Messages in a complete, healthy system.
 
-use crate::cluster::{run_together, Cluster, Scenario, Sent, Shape, BOUND};
+use crate::cluster::{run_together, Cluster, ClusterSize, Scenario, Sent, BOUND};
 use millrudder_system_standins::{
     eventually, Behaviour, BodyReply, Callback, CallbackReceiver, ConfigurationBuilder, IdempotentTable,
     Message, MessageId, MessageState, MessageStatus, NotExecuted, ReceiverBehaviour, ReceiverPlan, Reception,
@@ -17,7 +17,7 @@
 /// The services are apart, so that what a scenario scripts at its worker meets no other scenario's messages.
 fn configuration(endpoint: &Worker) -> ConfigurationBuilder {
     let mut configuration = ConfigurationBuilder::new(1);
-    for service in ["plain", "ordered", "failing", "called", "held", "shared"] {
+    for service in ["plain", "ordered", "failing", "called", "queued", "shared"] {
         configuration = configuration.service(Service::listed(service));
     }
     configuration
@@ -27,7 +27,7 @@
         .route(route("ordered").fifo())
         .route(route("failing").with_max_retries(MAX_RETRIES))
         .route(route("called").callback())
-        .route(route("held").with_timeout(BOUND))
+        .route(route("queued").with_timeout(BOUND))
         .route(route("shared"))
         .route(route("endpoint"))
         .route(Route {
@@ -48,7 +48,7 @@
 
 #[tokio::test]
 async fn messages_reach_their_ends() {
-    let cluster = Cluster::start(Shape::WHOLE).await;
+    let cluster = Cluster::start(ClusterSize::FULL).await;
     let plan = WorkerPlan { capacity: 16, ..WorkerPlan::new("endpoint", "i-endpoint") };
     let endpoint = Worker::start(plan, cluster.ledger.clone()).await.unwrap();
     cluster.configure(&configuration(&endpoint)).await;
@@ -58,8 +58,11 @@
     ];
     let cluster = Rc::new(cluster);
     run_together(vec![
-        Scenario::new("accepted, run and told at every dispatcher", accept_run_and_tell(cluster.clone())),
-        Scenario::new("passed on as it was sent", pass_on(cluster.clone())),
+        Scenario::new(
+            "accepted, executed and reported at every dispatcher",
+            accept_execute_and_report(cluster.clone()),
+        ),
+        Scenario::new("passed on as it was sent", forward(cluster.clone())),
         Scenario::new("order of a key", keep_order(cluster.clone())),
         Scenario::new("delay", delay(cluster.clone())),
         Scenario::new("failed attempts and dead letters", fail(cluster.clone())),
@@ -72,7 +75,7 @@
     .await;
 }
 
-async fn accept_run_and_tell(cluster: Rc<Cluster>) {
+async fn accept_execute_and_report(cluster: Rc<Cluster>) {
     for (number, front) in cluster.fronts().into_iter().enumerate() {
         let sent = cluster.accept(front, &message("/plain/run", &format!("run-{number}"))).await;
         for other in cluster.fronts() {
@@ -87,7 +90,7 @@
     assert_eq!(reply, StatusReply::Unknown);
 }
 
-async fn pass_on(cluster: Rc<Cluster>) {
+async fn forward(cluster: Rc<Cluster>) {
     let chunked = Message {
         target: "/plain/as/sent?of=zi72&empty=&%20=%2F".to_owned(),
         ..message("/plain/", "sent-in-chunks").with_body(vec![b'x'; 100_000]).in_chunks(7_000)
@@ -155,11 +158,11 @@
 
     assert_eq!(cluster.end(always).await.state, MessageState::DeadLetter);
     cluster.ran(always, MAX_RETRIES as usize);
-    cluster.body_is_kept(cluster.other_front(always.front), always).await;
+    cluster.body_is_stored(cluster.other_front(always.front), always).await;
 
     assert_eq!(cluster.end(refused).await.state, MessageState::DeadLetter);
     cluster.ran(refused, 1);
-    cluster.body_is_kept(cluster.other_front(refused.front), refused).await;
+    cluster.body_is_stored(cluster.other_front(refused.front), refused).await;
 
     // Being turned away is no attempt, however often it happens.
     let id = &turned_away.accepted.message.request_id;
@@ -173,7 +176,7 @@
 async fn call_back(cluster: Rc<Cluster>) {
     let worker = cluster.worker(WorkerPlan::new("called", "i-called")).await;
     cluster.script(&worker, "called-dead", Behaviour::RefuseForGood);
-    let mut troubled = Vec::new();
+    let mut faulty = Vec::new();
     for (id, behaviour) in [
         ("called-failing", ReceiverBehaviour::Fail),
         ("called-silent", ReceiverBehaviour::StaySilent),
@@ -181,30 +184,30 @@
     ] {
         let receiver = CallbackReceiver::start(ReceiverPlan { max_connections: 4 }).await.unwrap();
         receiver.script().always(behaviour);
-        troubled.push((send_with_callback(&cluster, id, &receiver).await, receiver));
+        faulty.push((send_with_callback(&cluster, id, &receiver).await, receiver));
     }
-    for (sent, receiver) in &troubled {
+    for (sent, receiver) in &faulty {
         let id = &sent.accepted.message.request_id;
         let called = eventually(BOUND, || !receiver.callbacks_of(id).is_empty()).await;
         assert!(called.is_ok(), "{id} is not called back");
     }
-    // Receivers that have trouble keep no other receiver's call-backs waiting.
+    // Faulty receivers delay no other receiver's call-backs.
     let well = CallbackReceiver::start(ReceiverPlan::default()).await.unwrap();
     let completed = send_with_callback(&cluster, "called-well", &well).await;
-    is_told(&cluster, &completed, &well).await;
+    is_notified(&cluster, &completed, &well).await;
     let dead = send_with_callback(&cluster, "called-dead", &well).await;
-    is_told(&cluster, &dead, &well).await;
-    let told = well.callbacks_of(&dead.accepted.message.request_id);
-    assert_eq!(told[0].status.as_ref().unwrap().state, MessageState::DeadLetter);
-    assert_eq!(told[0].path, "/done/called-dead");
+    is_notified(&cluster, &dead, &well).await;
+    let callbacks = well.callbacks_of(&dead.accepted.message.request_id);
+    assert_eq!(callbacks[0].status.as_ref().unwrap().state, MessageState::DeadLetter);
+    assert_eq!(callbacks[0].path, "/done/called-dead");
 
-    for (sent, receiver) in &troubled {
+    for (sent, receiver) in &faulty {
         let id = &sent.accepted.message.request_id;
         let repeated = eventually(BOUND, || receiver.callbacks_of(id).len() >= 2).await;
         assert!(repeated.is_ok(), "the call-back of {id} is not repeated");
         assert!(!receiver.has_accepted(id));
         receiver.script().always(ReceiverBehaviour::Accept);
-        is_told(&cluster, sent, receiver).await;
+        is_notified(&cluster, sent, receiver).await;
     }
 }
 
@@ -214,7 +217,7 @@
 }
 
 /// Waits until a receiver has taken a message's call-back; all that it got of the message tell its end.
-async fn is_told(cluster: &Cluster, sent: &Sent, receiver: &CallbackReceiver) {
+async fn is_notified(cluster: &Cluster, sent: &Sent, receiver: &CallbackReceiver) {
     let id = &sent.accepted.message.request_id;
     let taken = eventually(BOUND, || receiver.has_accepted(id)).await;
     assert!(taken.is_ok(), "the call-back of {id} is not taken");
@@ -222,16 +225,16 @@
     let callbacks = receiver.callbacks_of(id);
     let signatures = cluster.ledger.signatures_of(id);
     let tells_end = |callback: &Callback| {
-        let told = callback.status.as_ref();
-        told.is_some_and(|told| told.state == status.state && is_signed(told, &signatures))
+        let reported = callback.status.as_ref();
+        reported.is_some_and(|reported| reported.state == status.state && is_signed(reported, &signatures))
     };
     assert!(callbacks.iter().all(tells_end), "{callbacks:?} tell another end than {status:?}");
 }
 
 /// An end without success has no signature, or an empty one.
-fn is_signed(told: &MessageStatus, signatures: &[String]) -> bool {
-    let signature = told.signature.clone().unwrap_or_default();
-    match told.state {
+fn is_signed(reported: &MessageStatus, signatures: &[String]) -> bool {
+    let signature = reported.signature.clone().unwrap_or_default();
+    match reported.state {
         MessageState::Completed => signatures.contains(&signature),
         _ => signature.is_empty(),
     }
@@ -239,20 +242,20 @@
 
 async fn bytes_of_queued(cluster: Rc<Cluster>) {
     // There is no worker yet, so the messages wait.
-    let sent = cluster.accept(cluster.fronts()[0], &message("/held/", "held-without-worker")).await;
+    let sent = cluster.accept(cluster.fronts()[0], &message("/queued/", "queued-without-worker")).await;
     for front in cluster.fronts() {
-        cluster.body_is_kept(front, &sent).await;
+        cluster.body_is_stored(front, &sent).await;
         let status = cluster.status_at(front, &sent).await;
         assert!(status.is_none_or(|status| status.state == MessageState::Queued), "it cannot have ended");
     }
-    let worker = cluster.worker(WorkerPlan::new("held", "i-held")).await;
+    let worker = cluster.worker(WorkerPlan::new("queued", "i-queued")).await;
     cluster.completed(&sent).await;
 
     // A message that is running has not ended either.
     worker.work_gate().hold();
-    let running = cluster.accept(cluster.fronts()[1], &message("/held/", "held-running")).await;
+    let running = cluster.accept(cluster.fronts()[1], &message("/queued/", "queued-running")).await;
     eventually(BOUND, || worker.running() == 1).await.unwrap();
-    cluster.body_is_kept(cluster.other_front(running.front), &running).await;
+    cluster.body_is_stored(cluster.other_front(running.front), &running).await;
     worker.work_gate().release();
     cluster.completed(&running).await;
 
@@ -293,9 +296,9 @@
         cluster.completed(sent).await;
     }
     // As the rules count, with what is tolerated.
-    let most = (CEILING * WINDOW.as_secs_f64() * 1.1) as usize + 5;
+    let limit = (CEILING * WINDOW.as_secs_f64() * 1.1) as usize + 5;
     let within = cluster.ledger.busiest_window(&"endpoint".into(), WINDOW);
-    assert!(within <= most, "{within} arrivals within {WINDOW:?}, {most} are the most");
+    assert!(within <= limit, "{within} arrivals within {WINDOW:?}, {limit} is the limit");
 }
 
 async fn refuse(cluster: Rc<Cluster>) {
--- a/system/runtime/node/tests/system/contact.rs
+++ b/system/runtime/node/tests/system/quorum.rs
@@ -1,6 +1,6 @@
 //! A core machine that has lost the others: it neither hands its state out nor answers orders from it.
 
-use crate::cluster::{Cluster, Shape, BOUND};
+use crate::cluster::{Cluster, ClusterSize, BOUND};
 use millrudder_system_standins::{
     eventually, eventually_some, AttemptFailure, Configuration, ConfigurationBuilder, ConfigurationVersion,
     Operator, OperatorPlan, OrderError, PutOutcome, Role, Route, Service,
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 /// For so long answers are asked for.
-const ASKED_FOR: Duration = Duration::from_millis(1500);
+const OPERATOR_TIMEOUT: Duration = Duration::from_millis(1500);
 
-const SHAPE: Shape = Shape { core: 3, storage: 3, edge: 1, tolerated_losses: 1 };
+const SIZE: ClusterSize = ClusterSize { core: 3, storage: 3, edge: 1, tolerated_losses: 1 };
 
 fn configuration() -> ConfigurationBuilder {
     let route = Route::plain("births", "huno84.example", "/births/", "records");
@@ -19,15 +19,15 @@
 }
 
 #[tokio::test]
-async fn without_a_majority_nothing_is_told() {
+async fn a_core_machine_without_quorum_sends_and_answers_nothing() {
     let configuration = configuration();
-    let mut cluster = Cluster::configured(SHAPE, &configuration).await;
+    let mut cluster = Cluster::configured(SIZE, &configuration).await;
     cluster.core_agrees(&configuration.build().unwrap()).await;
-    let alone = cut_off(&mut cluster);
+    let alone = isolate_one(&mut cluster);
     orders_are_not_answered(alone, &configuration).await;
-    let dispatcher = cluster.parts_of(Role::Edge)[0];
+    let dispatcher = cluster.processes_of(Role::Edge)[0];
     cluster.kill(dispatcher);
-    cluster.start_part(dispatcher);
+    cluster.start_process(dispatcher);
     let refused = || refused_since_start(&cluster.log_of(dispatcher));
     assert!(eventually(BOUND, refused).await.is_ok(), "the dispatcher is not sent away");
     let readiness = cluster.machines[dispatcher.machine].readiness().unwrap();
@@ -47,8 +47,8 @@
 }
 
 /// Kills all core machines but one, and tells where that one serves the operator.
-fn cut_off(cluster: &mut Cluster) -> SocketAddr {
-    let core = cluster.parts_of(Role::Core);
+fn isolate_one(cluster: &mut Cluster) -> SocketAddr {
+    let core = cluster.processes_of(Role::Core);
     let alone = cluster.machines[core[0].machine].control_plane().unwrap();
     for other in &core[1..] {
         cluster.kill(*other);
@@ -61,18 +61,18 @@
     put_is_not_answered(alone, &accepted.build().unwrap(), 0).await;
     put_is_not_answered(alone, &accepted.clone().with_version(7).build().unwrap(), 1).await;
     put_is_not_answered(alone, &accepted.clone().with_version(2).build().unwrap(), 3).await;
-    let read = patient(alone).get().await;
+    let read = retrying_operator(alone).get().await;
     let read = read.map(|answer| answer.answer.status);
-    assert_promises_nothing(read.map_err(last_failure), "Config.Get");
+    assert_unacknowledged(read.map_err(last_failure), "Config.Get");
 }
 
 async fn put_is_not_answered(alone: SocketAddr, configuration: &Configuration, if_version: u64) {
-    let outcome = patient(alone).put(configuration, ConfigurationVersion(if_version)).await;
-    assert_promises_nothing(outcome.map_err(last_failure), "Config.Put");
+    let outcome = retrying_operator(alone).put(configuration, ConfigurationVersion(if_version)).await;
+    assert_unacknowledged(outcome.map_err(last_failure), "Config.Put");
 }
 
-fn patient(alone: SocketAddr) -> Operator {
-    Operator::with_plan(vec![alone], OperatorPlan { give_up: ASKED_FOR, ..OperatorPlan::default() })
+fn retrying_operator(alone: SocketAddr) -> Operator {
+    Operator::with_plan(vec![alone], OperatorPlan { give_up: OPERATOR_TIMEOUT, ..OperatorPlan::default() })
 }
 
 fn last_failure(error: OrderError) -> AttemptFailure {
@@ -82,8 +82,8 @@
     }
 }
 
-/// An answer came within the operator's second of silence, and said neither yes nor no.
-fn assert_promises_nothing<T: std::fmt::Debug>(outcome: Result<T, AttemptFailure>, order: &str) {
+/// An answer came within the operator's time-out, and was neither an acknowledgement nor a rejection.
+fn assert_unacknowledged<T: std::fmt::Debug>(outcome: Result<T, AttemptFailure>, order: &str) {
     match outcome {
         Err(AttemptFailure::Status { status }) if status >= 500 => {}
         other => panic!("{order} at a machine without a majority: {other:?}"),
@@ -92,9 +92,9 @@
 
 /// The same order at two machines at once, as after a lost answer: taken once, acknowledged twice.
 #[tokio::test]
-async fn an_order_at_two_machines_at_once_is_acknowledged_twice() {
+async fn a_request_sent_to_two_core_machines_is_acknowledged_by_both() {
     let first = configuration();
-    let cluster = Cluster::configured(SHAPE, &first).await;
+    let cluster = Cluster::configured(SIZE, &first).await;
     let addresses = cluster.control_planes();
     for round in 0..5 {
         let next = first.clone().with_version(10 + round).build().unwrap();
--- a/system/runtime/node/tests/system/recovery.rs
+++ b/system/runtime/node/tests/system/recovery.rs
@@ -1,6 +1,6 @@
 //! What is left after all processes were killed, and after disks were lost.
 
-use crate::cluster::{Cluster, Sent, Shape};
+use crate::cluster::{Cluster, ClusterSize, Sent};
 use millrudder_system_standins::{
     Behaviour, Configuration, ConfigurationBuilder, Message, MessageState, PutOutcome, Role, Route, Service,
     Worker, WorkerPlan,
@@ -32,9 +32,9 @@
     sent
 }
 
-async fn bytes_are_kept(cluster: &Cluster, sent: &[Sent]) {
+async fn bodies_are_stored(cluster: &Cluster, sent: &[Sent]) {
     for sent in sent {
-        cluster.body_is_kept(cluster.other_front(sent.front), sent).await;
+        cluster.body_is_stored(cluster.other_front(sent.front), sent).await;
     }
 }
 
@@ -43,14 +43,14 @@
 }
 
 /// Messages that have ended, that are dead, that wait; and a configuration that was just acknowledged.
-struct Kept {
+struct StoredMessages {
     completed: Vec<Sent>,
     dead: Sent,
     waiting: Vec<Sent>,
     configuration: Configuration,
 }
 
-impl Kept {
+impl StoredMessages {
     async fn make(cluster: &Cluster) -> Self {
         let worker = cluster.worker(WorkerPlan::new("records", "i-records")).await;
         cluster.script(&worker, "dead-0", Behaviour::RefuseForGood);
@@ -63,8 +63,8 @@
         // Nobody can run these yet.
         let waiting = send(cluster, "/archive/", "waiting", 12).await;
         // A core machine that was slow counts as lost until it is back in the view.
-        cluster.core_is_whole().await;
-        Kept { completed, dead, waiting, configuration }
+        cluster.core_is_complete().await;
+        StoredMessages { completed, dead, waiting, configuration }
     }
 
     async fn is_there(&self, cluster: &Cluster) {
@@ -72,22 +72,22 @@
         cluster.all_ready().await;
         cluster.all_completed(&self.completed).await;
         assert_eq!(cluster.end(&self.dead).await.state, MessageState::DeadLetter);
-        cluster.body_is_kept(cluster.other_front(self.dead.front), &self.dead).await;
-        bytes_are_kept(cluster, &self.waiting).await;
+        cluster.body_is_stored(cluster.other_front(self.dead.front), &self.dead).await;
+        bodies_are_stored(cluster, &self.waiting).await;
     }
 }
 
-/// Killed at the same moment right after an acceptance, the whole system comes back with all that it acknowledged.
+/// Killed at the same moment right after an acceptance, the system comes back with all that it acknowledged.
 #[tokio::test]
-async fn all_that_was_acknowledged_survives_a_kill_of_everything() {
-    let mut cluster = Cluster::configured(Shape::WHOLE, &configuration()).await;
-    let kept = Kept::make(&cluster).await;
+async fn acknowledged_messages_survive_a_kill_of_all_processes() {
+    let mut cluster = Cluster::configured(ClusterSize::FULL, &configuration()).await;
+    let stored = StoredMessages::make(&cluster).await;
     cluster.kill_all();
-    cluster.no_longer_founds();
+    cluster.disable_bootstrap();
     cluster.start_all();
-    kept.is_there(&cluster).await;
+    stored.is_there(&cluster).await;
     let _worker = archive_worker(&cluster).await;
-    cluster.all_completed(&kept.waiting).await;
+    cluster.all_completed(&stored.waiting).await;
     assert_eq!(cluster.ledger.order_violations(MAX_RETRIES), []);
     let next = configuration().with_version(3).build().unwrap();
     assert_eq!(cluster.put(&next, 2).await, PutOutcome::Taken);
@@ -96,22 +96,23 @@
 /// The same with the disks of a store and a core machine lost; and then those of the others in turn, each once the ones
 /// before were filled.
 #[tokio::test]
-async fn lost_disks_are_filled_again() {
-    let mut cluster = Cluster::configured(Shape::WHOLE, &configuration()).await;
-    let kept = Kept::make(&cluster).await;
-    cluster.no_longer_founds();
+async fn lost_disks_are_refilled() {
+    let mut cluster = Cluster::configured(ClusterSize::FULL, &configuration()).await;
+    let stored = StoredMessages::make(&cluster).await;
+    cluster.disable_bootstrap();
     cluster.kill_all();
-    for (store, core) in cluster.parts_of(Role::Storage).into_iter().zip(cluster.parts_of(Role::Core)) {
+    for (store, core) in cluster.processes_of(Role::Storage).into_iter().zip(cluster.processes_of(Role::Core))
+    {
         let before = cluster.placement();
         cluster.lose_disk(store);
         cluster.lose_disk(core);
         cluster.start_all();
-        kept.is_there(&cluster).await;
+        stored.is_there(&cluster).await;
         cluster.fills_replicas(before).await;
-        cluster.core_is_whole().await;
+        cluster.core_is_complete().await;
     }
     // In the end only what was filled could tell of these.
     let _worker = archive_worker(&cluster).await;
-    cluster.all_completed(&kept.waiting).await;
+    cluster.all_completed(&stored.waiting).await;
     assert_eq!(cluster.ledger.order_violations(MAX_RETRIES), []);
 }
--- a/system/runtime/node/tests/system/stops.rs
+++ b/system/runtime/node/tests/system/stops.rs
@@ -1,6 +1,6 @@
 //! Processes that are stopped, and processes that are lost, under load.
 
-use crate::cluster::{Cluster, Load, LoadPlan, Shape, BOUND};
+use crate::cluster::{Cluster, ClusterSize, Load, LoadPlan, BOUND};
 use millrudder_system_standins::{
     eventually, ConfigurationBuilder, Message, MessageState, ProcessSignal, PutOutcome, RawConnection, Role,
     Route, Service, Worker, WorkerPlan,
@@ -10,7 +10,7 @@
 const HOST: &str = "boye61.example";
 const MAX_RETRIES: u32 = 4;
 const LOAD: LoadPlan = LoadPlan { host: HOST, fifo_path: "/ordered/", plain_path: "/plain/" };
-/// Messages that are accepted before, during and after each trouble.
+/// Messages that are accepted before, during and after each fault.
 const SOME: usize = 30;
 /// Names of the loads during the loss of each core machine.
 const LOST_CORE: [&str; 3] = ["lost-core-1", "lost-core-2", "lost-core-3"];
@@ -33,13 +33,13 @@
     workers
 }
 
-/// One dispatcher: what it runs when it is told to stop is finished, and told by its successor.
+/// One dispatcher: the deliveries in flight at its SIGTERM are finished, and reported by its successor.
 #[tokio::test]
-async fn a_dispatcher_that_is_stopped_finishes_what_it_runs() {
-    let shape = Shape { edge: 1, ..Shape::WHOLE };
-    let mut cluster = Cluster::configured(shape, &configuration()).await;
+async fn a_stopped_dispatcher_finishes_deliveries_in_flight() {
+    let size = ClusterSize { edge: 1, ..ClusterSize::FULL };
+    let mut cluster = Cluster::configured(size, &configuration()).await;
     let worker = cluster.worker(WorkerPlan::new("records", "i-1")).await;
-    let edge = cluster.parts_of(Role::Edge)[0];
+    let edge = cluster.processes_of(Role::Edge)[0];
     let front = cluster.fronts()[0];
     worker.work_gate().hold();
     let running = cluster.accept(front, &Message::new(HOST, "/long/", "running")).await;
@@ -53,20 +53,20 @@
     worker.work_gate().release();
     assert_eq!(cluster.exit_within_grace(edge).await.code(), Some(0));
 
-    cluster.start_part(edge);
+    cluster.start_process(edge);
     cluster.all_ready().await;
     cluster.completed(&running).await;
     cluster.none_repeated(&[running]);
     let late = late.expect("a dispatcher that stops still answers");
-    cluster.ends_as_promised(&Message::new(HOST, "/long/", "late"), late, front).await;
+    cluster.ends_as_acknowledged(&Message::new(HOST, "/long/", "late"), late, front).await;
 }
 
 /// All at once: each says that it is not ready while it still has work, serves who comes meanwhile, and ends in order.
 #[tokio::test]
-async fn dispatchers_that_are_stopped_together_are_not_ready_any_more() {
-    let mut cluster = Cluster::configured(Shape::WHOLE, &configuration()).await;
+async fn dispatchers_stopped_together_become_unready() {
+    let mut cluster = Cluster::configured(ClusterSize::FULL, &configuration()).await;
     let worker = cluster.worker(WorkerPlan { capacity: 16, ..WorkerPlan::new("records", "i-1") }).await;
-    let edges = cluster.parts_of(Role::Edge);
+    let edges = cluster.processes_of(Role::Edge);
     worker.work_gate().hold();
     let mut running = Vec::new();
     for (number, front) in cluster.fronts().into_iter().enumerate() {
@@ -84,27 +84,27 @@
     let mut late = Vec::new();
     for (number, front) in cluster.fronts().into_iter().enumerate() {
         let message = Message::new(HOST, "/long/", format!("late-{number}"));
-        let reception = cluster.client.send(front, &message).await.expect("a whole answer");
+        let reception = cluster.client.send(front, &message).await.expect("a complete answer");
         late.push((message, reception, front));
     }
     worker.work_gate().release();
     for edge in &edges {
         assert_eq!(cluster.exit_within_grace(*edge).await.code(), Some(0));
-        cluster.start_part(*edge);
+        cluster.start_process(*edge);
     }
     cluster.all_ready().await;
     cluster.all_completed(&running).await;
     for (message, reception, front) in late {
-        cluster.ends_as_promised(&message, reception, front).await;
+        cluster.ends_as_acknowledged(&message, reception, front).await;
     }
 }
 
 /// Its store does not answer, and its client would wait for longer than the dispatcher may stay.
 #[tokio::test]
-async fn a_request_that_outlasts_its_dispatcher_gets_a_whole_answer() {
-    let shape = Shape { core: 1, storage: 1, edge: 1, tolerated_losses: 0 };
-    let mut cluster = Cluster::configured(shape, &configuration()).await;
-    let (edge, store) = (cluster.parts_of(Role::Edge)[0], cluster.parts_of(Role::Storage)[0]);
+async fn a_request_unfinished_at_shutdown_gets_a_complete_answer() {
+    let size = ClusterSize { core: 1, storage: 1, edge: 1, tolerated_losses: 0 };
+    let mut cluster = Cluster::configured(size, &configuration()).await;
+    let (edge, store) = (cluster.processes_of(Role::Edge)[0], cluster.processes_of(Role::Storage)[0]);
     let front = cluster.fronts()[0];
     cluster.signal(store, ProcessSignal::Stop);
     let head = format!(
@@ -123,11 +123,11 @@
 
 /// A run that outlasts what a stopping dispatcher may wait for is not lost with it.
 #[tokio::test]
-async fn a_run_that_outlasts_its_dispatcher_is_delivered_again() {
-    let mut cluster = Cluster::configured(Shape::WHOLE, &configuration()).await;
+async fn a_delivery_unfinished_at_shutdown_is_redelivered() {
+    let mut cluster = Cluster::configured(ClusterSize::FULL, &configuration()).await;
     let worker = cluster.worker(WorkerPlan::new("records", "i-1")).await;
     worker.work_gate().hold();
-    let edges = cluster.parts_of(Role::Edge);
+    let edges = cluster.processes_of(Role::Edge);
     let front = cluster.machines[edges[0].machine].front().unwrap();
     let sent = cluster.accept(front, &Message::new(HOST, "/long/", "outlasting")).await;
     eventually(BOUND, || worker.running() == 1).await.unwrap();
@@ -142,11 +142,11 @@
 
 /// What runs at a dispatcher that freezes or is killed is delivered again by another one.
 #[tokio::test]
-async fn what_a_lost_dispatcher_was_running_is_delivered_again() {
-    let shape = Shape { edge: 2, ..Shape::WHOLE };
-    let mut cluster = Cluster::configured(shape, &configuration()).await;
+async fn deliveries_of_a_lost_dispatcher_are_redelivered() {
+    let size = ClusterSize { edge: 2, ..ClusterSize::FULL };
+    let mut cluster = Cluster::configured(size, &configuration()).await;
     let worker = cluster.worker(WorkerPlan::new("records", "i-1")).await;
-    let edges = cluster.parts_of(Role::Edge);
+    let edges = cluster.processes_of(Role::Edge);
     let (lost, other) = (edges[0], edges[1]);
     for signal in [ProcessSignal::Stop, ProcessSignal::Kill] {
         // Alone, it is the one that runs the message.
@@ -158,7 +158,7 @@
         let id = &sent.accepted.message.request_id;
         eventually(BOUND, || cluster.ledger.runs_of(id).len() == 1).await.unwrap();
 
-        cluster.start_part(other);
+        cluster.start_process(other);
         cluster.all_ready().await;
         cluster.signal(lost, signal);
         let again = eventually(BOUND, || cluster.ledger.runs_of(id).len() >= 2).await;
@@ -176,22 +176,22 @@
     }
 }
 
-/// Settings that change: spoilt ones leave the process as it was.
+/// Settings that change: invalid ones leave the process as it was.
 #[tokio::test]
-async fn settings_are_read_again_when_told() {
-    let mut cluster = Cluster::configured(Shape::WHOLE, &configuration()).await;
+async fn settings_are_reloaded_on_sighup() {
+    let mut cluster = Cluster::configured(ClusterSize::FULL, &configuration()).await;
     let _workers = workers(&cluster).await;
     for (role, name) in [(Role::Edge, "edge"), (Role::Storage, "storage"), (Role::Core, "core")] {
-        let part = cluster.parts_of(role)[0];
-        let path = cluster.machines[part.machine].settings_path().to_owned();
-        let sound = std::fs::read_to_string(&path).unwrap();
+        let process = cluster.processes_of(role)[0];
+        let path = cluster.machines[process.machine].settings_path().to_owned();
+        let valid = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, "nodeName: [").unwrap();
-        cluster.signal(part, ProcessSignal::HangUp);
-        cluster.writes(part, "settings not reloaded").await;
-        std::fs::write(&path, sound).unwrap();
-        cluster.signal(part, ProcessSignal::HangUp);
-        cluster.writes(part, "settings reloaded").await;
-        assert!(cluster.is_running(part));
+        cluster.signal(process, ProcessSignal::HangUp);
+        cluster.writes(process, "settings not reloaded").await;
+        std::fs::write(&path, valid).unwrap();
+        cluster.signal(process, ProcessSignal::HangUp);
+        cluster.writes(process, "settings reloaded").await;
+        assert!(cluster.is_running(process));
         let message = Message::new(HOST, "/plain/", format!("after the {name}'s"));
         let sent = cluster.accept(cluster.fronts()[0], &message).await;
         cluster.completed(&sent).await;
@@ -200,10 +200,10 @@
 
 /// Every dispatcher in turn: nothing is lost, repeated, or out of order.
 #[tokio::test]
-async fn dispatchers_that_are_stopped_in_turn_lose_nothing() {
+async fn a_rolling_restart_of_dispatchers_loses_nothing() {
     LocalSet::new()
         .run_until(async {
-            let mut cluster = Cluster::configured(Shape::WHOLE, &configuration()).await;
+            let mut cluster = Cluster::configured(ClusterSize::FULL, &configuration()).await;
             let _workers = workers(&cluster).await;
             stop_dispatchers_in_turn(&mut cluster).await;
         })
@@ -212,10 +212,10 @@
 
 /// A store in order, frozen and by force, and then each core machine: nothing is lost or out of order.
 #[tokio::test]
-async fn stores_and_core_machines_that_are_lost_lose_nothing() {
+async fn lost_stores_and_core_machines_lose_no_message() {
     LocalSet::new()
         .run_until(async {
-            let mut cluster = Cluster::configured(Shape::WHOLE, &configuration()).await;
+            let mut cluster = Cluster::configured(ClusterSize::FULL, &configuration()).await;
             let _workers = workers(&cluster).await;
             stop_a_store(&mut cluster).await;
             freeze_a_store(&mut cluster).await;
@@ -229,10 +229,10 @@
 async fn stop_dispatchers_in_turn(cluster: &mut Cluster) {
     let load = Load::start(cluster, &LOAD, "dispatchers");
     load.accepts(SOME).await;
-    for edge in cluster.parts_of(Role::Edge) {
+    for edge in cluster.processes_of(Role::Edge) {
         cluster.signal(edge, ProcessSignal::Terminate);
         assert_eq!(cluster.exit_within_grace(edge).await.code(), Some(0));
-        cluster.start_part(edge);
+        cluster.start_process(edge);
         cluster.all_ready().await;
     }
     load.accepts(SOME).await;
@@ -244,13 +244,13 @@
 
 /// Planned work too.
 async fn stop_a_store(cluster: &mut Cluster) {
-    let store = cluster.parts_of(Role::Storage)[0];
+    let store = cluster.processes_of(Role::Storage)[0];
     let load = Load::start(cluster, &LOAD, "stopped-store");
     load.accepts(SOME).await;
     cluster.signal(store, ProcessSignal::Terminate);
     assert_eq!(cluster.exit_within_grace(store).await.code(), Some(0));
     load.accepts(SOME).await;
-    cluster.start_part(store);
+    cluster.start_process(store);
     load.accepts(SOME).await;
     let sent = load.end().await;
     cluster.all_completed(&sent).await;
@@ -260,7 +260,7 @@
 
 /// The store that was stopped before: no second one is away while it catches up.
 async fn freeze_a_store(cluster: &mut Cluster) {
-    let store = cluster.parts_of(Role::Storage)[0];
+    let store = cluster.processes_of(Role::Storage)[0];
     let load = Load::start(cluster, &LOAD, "frozen-store");
     load.accepts(SOME).await;
     cluster.signal(store, ProcessSignal::Stop);
@@ -274,12 +274,12 @@
 
 /// The store that was stopped before: no second one is away while it catches up.
 async fn lose_a_store(cluster: &mut Cluster) {
-    let store = cluster.parts_of(Role::Storage)[0];
+    let store = cluster.processes_of(Role::Storage)[0];
     let load = Load::start(cluster, &LOAD, "lost-store");
     load.accepts(SOME).await;
     cluster.kill(store);
     load.accepts(SOME).await;
-    cluster.start_part(store);
+    cluster.start_process(store);
     load.accepts(SOME).await;
     let sent = load.end().await;
     cluster.all_completed(&sent).await;
@@ -288,17 +288,17 @@
 
 /// The core goes on with the others, also where the lost machine did what only one does.
 async fn lose_core_machines_in_turn(cluster: &mut Cluster) {
-    for (number, core) in cluster.parts_of(Role::Core).into_iter().enumerate() {
+    for (number, core) in cluster.processes_of(Role::Core).into_iter().enumerate() {
         let load = Load::start(cluster, &LOAD, LOST_CORE[number]);
         cluster.kill(core);
         let before = number as u64 + 1;
         let change = configuration().with_version(before + 1).build().unwrap();
         assert_eq!(cluster.put(&change, before).await, PutOutcome::Taken);
         load.accepts(SOME).await;
-        cluster.start_part(core);
+        cluster.start_process(core);
         cluster.core_agrees(&change).await;
         // While it is away, no other one may be lost.
-        cluster.core_is_whole().await;
+        cluster.core_is_complete().await;
         let sent = load.end().await;
         cluster.all_completed(&sent).await;
         assert_eq!(cluster.ledger.order_violations(MAX_RETRIES), []);
--- a/system/runtime/node/tests/system/workers.rs
+++ b/system/runtime/node/tests/system/workers.rs
@@ -1,6 +1,6 @@
 //! Workers that come, go and misbehave.
 
-use crate::cluster::{run_together, Cluster, Scenario, Sent, Shape, BOUND};
+use crate::cluster::{run_together, Cluster, ClusterSize, Scenario, Sent, BOUND};
 use millrudder_system_standins::{
     eventually, eventually_some, Behaviour, ConfigurationBuilder, Disposition, Message, NotExecuted,
     PlatformMode, Route, Service, Worker, WorkerPlan,
@@ -38,7 +38,7 @@
 
 #[tokio::test]
 async fn workers_come_and_go() {
-    let cluster = Rc::new(Cluster::configured(Shape::WHOLE, &configuration()).await);
+    let cluster = Rc::new(Cluster::configured(ClusterSize::FULL, &configuration()).await);
     run_together(vec![
         Scenario::new("draining", drain(cluster.clone())),
         Scenario::new("another worker at the address", replace(cluster.clone())),
@@ -122,12 +122,12 @@
     let instance = crashing.instance().clone();
     drop(crashing);
     // It stays on the list for a while yet.
-    let _other = cluster.worker(plan("crashed", "i-sound")).await;
+    let _other = cluster.worker(plan("crashed", "i-healthy")).await;
     cluster.all_completed(&sent).await;
     assert!(cluster.platform.remove(&instance));
 }
 
-/// Answers that are cut, lost, late or doubled are never taken for the whole answer to another message.
+/// Answers that are truncated, lost, late or repeated are never taken for the complete answer to another message.
 async fn misbehave(cluster: Rc<Cluster>) {
     let worker = cluster.worker(plan("answering", "i-answering")).await;
     let script = worker.script();
