--- a/balancer/control/tests/control.rs
+++ b/balancer/control/tests/control.rs
@@ -138,7 +138,7 @@
 
 /// Keeps whoever asks waiting until it is opened.
 #[derive(Default)]
-struct Gate {
+struct AdmissionGate {
     state: Mutex<GateState>,
     opened: Condvar,
 }
@@ -150,7 +150,7 @@
     is_open: bool,
 }
 
-impl Gate {
+impl AdmissionGate {
     fn pass(&self) {
         let mut state = self.state.lock().unwrap();
         state.inside += 1;
@@ -169,8 +169,8 @@
 fn only_so_many_are_answered_at_once_and_the_rest_is_closed_on() {
     const CALLERS: usize = 100;
     let folder = Folder::new();
-    let gate = Arc::new(Gate::default());
-    let held = Arc::clone(&gate);
+    let admission_gate = Arc::new(AdmissionGate::default());
+    let held = Arc::clone(&admission_gate);
     let _control = Control::open(&folder.socket(), move |Question::Status| {
         held.pass();
         Answer::Status(status())
@@ -188,13 +188,13 @@
         assert!(Instant::now() < end, "{} are kept", callers.len());
         callers.retain(|stream| !is_closed(stream));
     }
-    gate.open();
+    admission_gate.open();
     for stream in &mut callers {
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
         assert!(answer.contains("serving"), "{answer}");
     }
-    let most_inside = gate.state.lock().unwrap().most_inside;
+    let most_inside = admission_gate.state.lock().unwrap().most_inside;
     assert!((1..=MOST_CONNECTIONS).contains(&most_inside), "{most_inside}");
 }
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -19,8 +19,8 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::shutdown::Stopping;
 use millrudder_exchange::{
-    Answer, Ask, AttemptEnd, AttemptId, Carried, Exchange, Failure, HopId, Inbox, Job, JobNews, JobState,
-    LoadReport, MapNews, Message, Neighbour, Order, Parcel, Progress, Reply, Ticket,
+    Answer, AttemptEnd, AttemptId, Exchange, Failure, HopId, Inbox, Job, JobNews, JobState, LoadReport,
+    MapNews, Message, Order, OrderResult, PeerProcess, PeerRequest, Progress, Reply, Ticket, Transfer,
 };
 use retune::Dropped;
 pub use retune::{Newer, Tuned};
@@ -54,7 +54,7 @@
     transport_map: TransportMap,
     /// Of the map that is held.
     generation: Option<u64>,
-    neighbour: Neighbour,
+    peer_process: PeerProcess,
     newer: Newer,
     dropped: Dropped,
     counters: Arc<Counters>,
@@ -67,7 +67,7 @@
     pub exchange: Exchange,
     pub next_hops: W,
     pub transport_map: TransportMap,
-    pub neighbour: Neighbour,
+    pub peer_process: PeerProcess,
     pub newer: Newer,
     pub counters: Arc<Counters>,
     pub stopping: Stopping,
@@ -76,7 +76,7 @@
 
 impl<W: Way> Dispatch<W> {
     pub fn new(config: &Config, around: Around<W>) -> Self {
-        let Around { exchange, next_hops, transport_map, neighbour, newer, counters, stopping, clock } =
+        let Around { exchange, next_hops, transport_map, peer_process, newer, counters, stopping, clock } =
             around;
         let settings = config.settings.clone();
         let dropped_stay = settings.rules.unlisted_stay_open;
@@ -91,7 +91,7 @@
             next_hops,
             transport_map,
             generation: None,
-            neighbour,
+            peer_process,
             newer,
             dropped: Dropped::default(),
             counters,
@@ -171,7 +171,7 @@
             Message::Discovery(address) => self.transport_map.turn_to(address),
             Message::Stop => self.on_stop(),
             Message::Ordered(asked) => asked.carry_out(|order| self.on_order(order)),
-            Message::Asked(ask) => self.on_ask(ask),
+            Message::PeerRequest(ask) => self.on_ask(ask),
             Message::Nudge => {}
         }
     }
@@ -201,23 +201,23 @@
         self.feed(mr::Event::Settings { settings: Box::new(settings), from });
     }
 
-    fn on_ask(&mut self, ask: Ask) {
+    fn on_ask(&mut self, ask: PeerRequest) {
         match ask {
-            Ask::Export(give) => {
+            PeerRequest::Export(give) => {
                 let (map, hops) = (self.hops.lines(), self.hops.names());
                 let legacy = Legacy::new(self.generation, map, hops, &self.names, self.balancer.export());
                 let _ = give.send(legacy.encode());
             }
-            Ask::UnderWay(give) => {
+            PeerRequest::UnderWay(give) => {
                 let _ = give.send((self.jobs.ids(), self.next_hops.keep_a_part()));
             }
-            Ask::Landed { hop, job, attempt } => {
+            PeerRequest::Landed { hop, job, attempt } => {
                 let Some(worker) = self.hops.find(&hop) else { return };
                 let mut actions = Vec::new();
                 self.balancer.foreign_ended(worker, job, attempt, &mut actions);
                 self.act_all(actions);
             }
-            Ask::Gone => {
+            PeerRequest::Gone => {
                 let mut actions = Vec::new();
                 self.balancer.foreign_gone(&mut actions);
                 self.act_all(actions);
@@ -239,7 +239,7 @@
         self.feed(mr::Event::List { kind, entries });
     }
 
-    fn on_order(&mut self, order: &Order) -> Carried {
+    fn on_order(&mut self, order: &Order) -> OrderResult {
         let (name, on) = match order {
             Order::Disable(name) => (name, true),
             Order::Enable(name) => (name, false),
@@ -251,7 +251,7 @@
     }
 
     fn on_submitted(&mut self, ticket: Ticket, job: Arc<Job>, reply: Reply) {
-        if self.jobs.find(&job.trace_id).is_some() || self.neighbour.is_theirs(&job.trace_id) {
+        if self.jobs.find(&job.trace_id).is_some() || self.peer_process.is_theirs(&job.trace_id) {
             // Two live jobs of one id could not be told apart in call-backs.
             self.counters.answered_failed.add();
             reply.give(Answer::Failed(Failure::Repeated));
@@ -264,7 +264,7 @@
             return;
         }
         self.counters.taken.add();
-        self.tell_neighbour(|| Parcel::Began(job.trace_id.clone()));
+        self.tell_neighbour(|| Transfer::Began(job.trace_id.clone()));
         let request = translate::request(&self.names, ticket, &job);
         self.timers.arm(job.deadline, Due::Deadline(ticket));
         reply.note(|progress| progress.accepted = true);
@@ -276,7 +276,7 @@
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
         if entry.reply.take_owed().is_some() {
             let job = entry.job.clone();
-            self.tell_neighbour(|| Parcel::Ended(job.trace_id.clone()));
+            self.tell_neighbour(|| Transfer::Ended(job.trace_id.clone()));
             self.counters.withdrawn.add();
             self.queued.push_back(mr::Event::Lapsed { id: ticket });
             self.hold_back(ticket);
@@ -288,8 +288,8 @@
     /// A call-back: matched by the job's id and the next hop's name, and dropped if it fits no live attempt.
     fn on_news(&mut self, news: JobNews) {
         self.counters.news.add();
-        if self.neighbour.is_open() && self.jobs.find(&news.trace_id).is_none() {
-            let passed = news.body.map(|body| self.neighbour.put(Parcel::News(body)));
+        if self.peer_process.is_open() && self.jobs.find(&news.trace_id).is_none() {
+            let passed = news.body.map(|body| self.peer_process.put(Transfer::News(body)));
             if matches!(passed, Some(Ok(()))) {
                 self.counters.news_passed_on.add();
             } else {
@@ -377,7 +377,7 @@
     /// Counts an outcome and queues it for the module.
     fn book(&mut self, attempt: AttemptId, settled: &Settled, outcome: mr::Outcome, load: Option<mr::Load>) {
         translate::count(&self.counters, outcome);
-        self.tell_neighbour(|| Parcel::Landed {
+        self.tell_neighbour(|| Transfer::Landed {
             hop: self.hops.name(settled.hop),
             job: attempt.ticket,
             attempt: attempt.number,
@@ -394,9 +394,9 @@
     }
 
     /// Of what both processes of an upgrade have to know. It may be lost with the other process, never delay this one.
-    fn tell_neighbour(&self, parcel: impl FnOnce() -> Parcel) {
-        if self.neighbour.is_open() {
-            let _ = self.neighbour.put(parcel());
+    fn tell_neighbour(&self, parcel: impl FnOnce() -> Transfer) {
+        if self.peer_process.is_open() {
+            let _ = self.peer_process.put(parcel());
         }
     }
 
@@ -412,7 +412,7 @@
         let Some(entry) = self.jobs.get_mut(ticket) else { return false };
         let Some(reply) = entry.reply.take_owed() else { return false };
         let job = entry.job.clone();
-        self.tell_neighbour(|| Parcel::Ended(job.trace_id.clone()));
+        self.tell_neighbour(|| Transfer::Ended(job.trace_id.clone()));
         match answer {
             Answer::Served { .. } => self.counters.answered_served.add(),
             Answer::Defer { .. } => self.counters.answered_deferred.add(),
--- a/balancer/core/src/dispatch/orders.rs
+++ b/balancer/core/src/dispatch/orders.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::next_hop::{Hop, Stop};
-use millrudder_exchange::{Awaited, Front, HopState, MapEntry, Verbatim};
+use millrudder_exchange::{Front, HopState, MapEntry, OrderHandle, Verbatim};
 use std::collections::BTreeSet;
 use std::sync::Mutex;
 
@@ -152,7 +152,7 @@
             exchange,
             next_hops: net.clone(),
             transport_map: TransportMap::unheard(clock),
-            neighbour: Neighbour::default(),
+            peer_process: PeerProcess::default(),
             newer: Newer::default(),
             counters: Arc::default(),
             stopping: Stopping::new(3_000.0),
@@ -278,7 +278,7 @@
             Order::Disable(name)
         };
         self.tell(format!("{order:?}"));
-        let (asked, _awaited) = Awaited::new(order);
+        let (asked, _awaited) = OrderHandle::new(order);
         self.take(Message::Ordered(asked));
     }
 
--- a/balancer/core/src/next_hop/mod.rs
+++ b/balancer/core/src/next_hop/mod.rs
@@ -7,7 +7,7 @@
 
 use millrudder_exchange::clock::{span, Clock};
 use millrudder_exchange::counters::Counters;
-use millrudder_exchange::{AttemptId, Exchange, HopId, Job, Neighbour};
+use millrudder_exchange::{AttemptId, Exchange, HopId, Job, PeerProcess};
 use millrudder_wire::socket::Cut;
 use pool::Pool;
 use std::collections::HashMap;
@@ -149,11 +149,11 @@
     pub fn new(
         limits: pool::Limits,
         exchange: Exchange,
-        neighbour: Neighbour,
+        peer_process: PeerProcess,
         counters: Arc<Counters>,
         clock: Clock,
     ) -> Self {
-        let pool = Pool::new(limits, neighbour, counters.clone(), clock);
+        let pool = Pool::new(limits, peer_process, counters.clone(), clock);
         NextHops(Arc::new(Shared { pool, waiting: Mutex::default(), exchange, counters, clock }))
     }
 
--- a/balancer/core/src/next_hop/pool.rs
+++ b/balancer/core/src/next_hop/pool.rs
@@ -3,7 +3,7 @@
 use super::Hop;
 use millrudder_exchange::clock::{span, Clock};
 use millrudder_exchange::counters::Counters;
-use millrudder_exchange::{HopId, Neighbour};
+use millrudder_exchange::{HopId, PeerProcess};
 use millrudder_wire::socket::Socket;
 use std::collections::BTreeMap;
 use std::io;
@@ -110,7 +110,7 @@
     idle: Mutex<IdleLimit>,
     /// The times in it change with the settings.
     limits: Mutex<Limits>,
-    neighbour: Neighbour,
+    peer_process: PeerProcess,
     open: Arc<AtomicUsize>,
     /// By next hop, the latest used last: it is used next, so that the others grow old and go.
     kept: Mutex<BTreeMap<HopId, Vec<Kept>>>,
@@ -119,10 +119,10 @@
 }
 
 impl Pool {
-    pub fn new(limits: Limits, neighbour: Neighbour, counters: Arc<Counters>, clock: Clock) -> Self {
+    pub fn new(limits: Limits, peer_process: PeerProcess, counters: Arc<Counters>, clock: Clock) -> Self {
         let idle = Mutex::new(IdleLimit { learnt: f64::INFINITY, at: 0.0 });
         let (limits, open, kept) = (Mutex::new(limits), Arc::default(), Mutex::default());
-        Pool { idle, limits, neighbour, open, kept, counters, clock }
+        Pool { idle, limits, peer_process, open, kept, counters, clock }
     }
 
     pub fn limits(&self) -> Limits {
@@ -195,7 +195,7 @@
 
     /// What the other process of an upgrade may hold is not ours.
     fn most(&self) -> usize {
-        self.limits().connections.saturating_sub(self.neighbour.next_hops()).max(1)
+        self.limits().connections.saturating_sub(self.peer_process.next_hops()).max(1)
     }
 
     /// From now on at most so many are open here as are now, and half of all: the rest is the other process's.
@@ -203,7 +203,7 @@
         let most = (self.limits().connections / 2).max(1);
         while self.open.load(Ordering::Relaxed) > most && self.drop_oldest() {}
         let part = self.open.load(Ordering::Relaxed).clamp(LEAST_PART.min(most), most);
-        self.neighbour.share(self.neighbour.inbound(), self.limits().connections - part);
+        self.peer_process.share(self.peer_process.inbound(), self.limits().connections - part);
         part
     }
 
--- a/balancer/core/src/next_hop/pool/tests.rs
+++ b/balancer/core/src/next_hop/pool/tests.rs
@@ -8,7 +8,7 @@
     (
         Pool::new(
             Limits { connections, connect_timeout: 5000.0, conn_idle, call_off_grace: 0.0, rest: 60_000.0 },
-            Neighbour::default(),
+            PeerProcess::default(),
             counters.clone(),
             clock,
         ),
--- a/balancer/core/src/next_hop/tests.rs
+++ b/balancer/core/src/next_hop/tests.rs
@@ -24,7 +24,7 @@
     let clock = Clock::start();
     let limits =
         Limits { connections: 4, connect_timeout: 60_000.0, conn_idle: 1e9, call_off_grace, rest: 60_000.0 };
-    let hops = NextHops::new(limits, exchange, Neighbour::default(), Arc::default(), clock);
+    let hops = NextHops::new(limits, exchange, PeerProcess::default(), Arc::default(), clock);
     let verbatim = Verbatim {
         method: "POST".to_owned(),
         target: "/api".to_owned(),
--- a/balancer/dispatcher/src/reload.rs
+++ b/balancer/dispatcher/src/reload.rs
@@ -8,7 +8,7 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{Advice, Exchange, Gate, Message};
+use millrudder_exchange::{AdmissionGate, Advice, Exchange, Message};
 use slog::Logger;
 use std::path::PathBuf;
 
@@ -18,7 +18,7 @@
     pub settings: Option<PathBuf>,
     /// What the program was started with.
     pub running: Settings,
-    pub gate: Gate,
+    pub admission_gate: AdmissionGate,
     pub threshold: Threshold,
     /// Where new settings go: the core, the fronts, the planned stop.
     pub newer: Newer,
@@ -63,7 +63,7 @@
     /// Applies what can change; names what waits for the next start.
     fn apply(&self, newer: &Settings) -> Vec<String> {
         self.threshold.set(newer.log.level);
-        self.gate.set_weights(&newer.weights());
+        self.admission_gate.set_weights(&newer.weights());
         self.running.waiting(newer).into_iter().map(str::to_owned).collect()
     }
 }
--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -14,7 +14,7 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{Advice, Core, Drain, Exchange, Gate, Neighbour, Standing};
+use millrudder_exchange::{AdmissionGate, Advice, Core, Drain, Exchange, PeerProcess, PeerRole};
 use millrudder_front_grpc::GrpcFront;
 use millrudder_front_http::{Listen, SenderSide};
 use millrudder_front_operators as operators;
@@ -64,7 +64,7 @@
     let inherited = inherited.map_err(StartError::InheritedListener)?;
     let met = config.meeting.as_deref().and_then(|path| upgrade::meet(path, clock, &log));
     let legacy = met.as_ref().and_then(|met| read_legacy(&met.state.core, &log));
-    let neighbour = Neighbour::default();
+    let peer_process = PeerProcess::default();
     let drain = Drain::default();
     if met.as_ref().is_some_and(|met| met.state.drained) {
         drain.begin(clock.now());
@@ -74,14 +74,14 @@
     let (exchange, inbox) = Exchange::new();
     let shares = config.budget.share_out(&settings);
     let capacity = Capacity { places: shares.places, bytes: shares.bodies };
-    let gate = Gate::new(capacity, &shares.weights, clock);
+    let admission_gate = AdmissionGate::new(capacity, &shares.weights, clock);
     let (newer, classes) = (Newer::default(), Classes::new(config.classes()));
     let advice = Advice::new(config.settings.limits.retry_after);
     let reload = files.map(|(source, file)| Reload {
         source,
         settings: file,
         running: settings.clone(),
-        gate: gate.clone(),
+        admission_gate: admission_gate.clone(),
         threshold,
         newer: newer.clone(),
         classes: classes.clone(),
@@ -99,7 +99,7 @@
         call_off_grace: CALL_OFF_GRACE_MS,
         rest: REST_MS,
     };
-    let next_hops = NextHops::new(limits, exchange.clone(), neighbour.clone(), counters.clone(), clock);
+    let next_hops = NextHops::new(limits, exchange.clone(), peer_process.clone(), counters.clone(), clock);
     let (generation, known) = match &legacy {
         Some(legacy) => (legacy.generation(), Some(legacy.map())),
         None => config.known.clone().map(|list| (Some(list.generation), Some(list.news))).unwrap_or_default(),
@@ -114,11 +114,11 @@
     );
     let core = Core {
         exchange: exchange.clone(),
-        gate,
+        admission_gate,
         counters: counters.clone(),
         stopping: stopping.clone(),
         drain,
-        neighbour: neighbour.clone(),
+        peer_process: peer_process.clone(),
         serving: Arc::default(),
         clock,
         classes,
@@ -131,7 +131,7 @@
         exchange: exchange.clone(),
         next_hops,
         transport_map: map,
-        neighbour: neighbour.clone(),
+        peer_process: peer_process.clone(),
         newer,
         counters,
         stopping,
@@ -149,7 +149,7 @@
     let listen = settings.fronts.http.listen.map_or(config.listen, |address| address.0);
     let opens = inherited.map_or(Listen::At(listen), Listen::On);
     // A new process listens, and accepts once the old one has laid that down.
-    neighbour.accept(met.is_none());
+    peer_process.accept(met.is_none());
     sender.open(opens).map_err(|source| StartError::Listen { address: listen, source })?;
     // What cannot be opened ends the start before a running process lays anything down.
     let grpc = match (settings.fronts.grpc, shares.grpc) {
@@ -191,7 +191,7 @@
 struct Doorway(SenderSide);
 
 impl upgrade::Front for Doorway {
-    fn adopt(&self, stream: TcpStream, standing: Standing) {
+    fn adopt(&self, stream: TcpStream, standing: PeerRole) {
         self.0.adopt(stream, standing);
     }
 
--- a/balancer/dispatcher/src/status.rs
+++ b/balancer/dispatcher/src/status.rs
@@ -3,7 +3,7 @@
 use crate::cli;
 use crate::error::StartError;
 use millrudder_control::{ask, Answer, Control, Question, Status};
-use millrudder_exchange::{Core, Gate};
+use millrudder_exchange::{AdmissionGate, Core};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -14,12 +14,14 @@
 pub fn open(path: &Path, core: &Core) -> Result<Control, StartError> {
     let (core, start) = (core.clone(), core.clock.now());
     let answer = move |Question::Status| {
-        let places = |gate: &Gate| gate.fronts().iter().map(|front| gate.usage(*front).places).sum();
+        let places = |admission_gate: &AdmissionGate| {
+            admission_gate.fronts().iter().map(|front| admission_gate.usage(*front).places).sum()
+        };
         Answer::Status(Status {
             process: std::process::id(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             phase: if core.stopping.has_begun() { "stopping" } else { "serving" }.to_owned(),
-            jobs_owed: places(&core.gate),
+            jobs_owed: places(&core.admission_gate),
             age_ms: (core.clock.now() - start) as u64,
         })
     };
--- a/balancer/exchange/src/gate.rs
+++ b/balancer/exchange/src/admission_gate.rs
@@ -7,7 +7,7 @@
 
 /// Every front holds a copy. A front that is not in use has no weight and so no share.
 #[derive(Clone)]
-pub struct Gate {
+pub struct AdmissionGate {
     admission: Arc<Mutex<Admission>>,
     fronts: Arc<[Front]>,
     clock: Clock,
@@ -15,15 +15,15 @@
 
 /// One job's place; given back when dropped.
 pub struct Permit {
-    gate: Gate,
+    admission_gate: AdmissionGate,
     held: Option<Held>,
 }
 
-impl Gate {
+impl AdmissionGate {
     /// `weights`: the fronts in use, each with its weight.
     pub fn new(capacity: Capacity, weights: &[(Front, u32)], clock: Clock) -> Self {
         let numbers: Vec<u32> = weights.iter().map(|(_, weight)| *weight).collect();
-        Gate {
+        AdmissionGate {
             admission: Arc::new(Mutex::new(Admission::new(capacity, &numbers))),
             fronts: weights.iter().map(|(front, _)| *front).collect(),
             clock,
@@ -36,7 +36,7 @@
     /// What is lacking, and when to come back.
     pub fn enter(&self, front: Front, bytes: usize) -> Result<Permit, Refused> {
         let held = self.admission().take(self.number(front), bytes as u64, self.clock.now())?;
-        Ok(Permit { gate: self.clone(), held: Some(held) })
+        Ok(Permit { admission_gate: self.clone(), held: Some(held) })
     }
 
     /// New weights for the fronts in use; others are passed over.
@@ -68,8 +68,8 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         if let Some(held) = self.held.take() {
-            let now = self.gate.clock.now();
-            self.gate.admission().give_back(held, now);
+            let now = self.admission_gate.clock.now();
+            self.admission_gate.admission().give_back(held, now);
         }
     }
 }
--- a/balancer/exchange/src/meeting/tests.rs
+++ b/balancer/exchange/src/exchange/tests.rs
@@ -1,6 +1,7 @@
-//! Unit tests of `meeting`.
+//! Unit tests of `exchange`.
 
 use super::*;
+use crate::job::{Front, Verbatim};
 
 fn job() -> Job {
     Job {
--- a/balancer/exchange/src/front.rs
+++ b/balancer/exchange/src/front.rs
@@ -4,7 +4,7 @@
 use crate::counters::Counters;
 use crate::intake::Classes;
 use crate::shutdown::Stopping;
-use crate::{Drain, Exchange, Gate, Neighbour};
+use crate::{AdmissionGate, Drain, Exchange, PeerProcess};
 use slog::Logger;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 #[derive(Clone)]
 pub struct Core {
     pub exchange: Exchange,
-    pub gate: Gate,
+    pub admission_gate: AdmissionGate,
     pub counters: Arc<Counters>,
     pub stopping: Stopping,
     /// Clients are sent away.
     pub drain: Drain,
     /// The other process of an upgrade.
-    pub neighbour: Neighbour,
+    pub peer_process: PeerProcess,
     /// Jobs can come in.
     pub serving: Arc<AtomicBool>,
     pub clock: Clock,
--- a/balancer/exchange/src/lib.rs
+++ b/balancer/exchange/src/lib.rs
@@ -1,13 +1,21 @@
-//! The bottom of the workspace: where fronts and the core meet (`meeting`), the rules that every front keeps
-//! (`intake`), the door that they share (`gate`), and the clock, the counters and the planned stop.
+//! What the fronts and the core of the dispatcher share.
+//!
+//! - [`Exchange`]: the queue of the dispatch coroutine; fronts submit [`Job`]s and get [`Answer`]s.
+//! - [`intake`]: the rules by which every front accepts jobs; [`AdmissionGate`]: the admission that they share.
+//! - [`PeerProcess`]: the other process of an upgrade; [`Order`]: what operators order.
+//! - [`clock`], [`counters`], [`Drain`], [`shutdown`].
 
+mod admission_gate;
+mod attempt;
 mod drain;
+mod exchange;
 mod front;
-mod gate;
-mod meeting;
-mod neighbour;
-mod orders;
+mod job;
+mod message;
+mod operator_order;
+mod peer_process;
 mod progress;
+mod transport_map;
 
 pub mod clock;
 pub mod counters;
@@ -15,10 +23,14 @@
 pub mod rate;
 pub mod shutdown;
 
+pub use admission_gate::{AdmissionGate, Permit};
+pub use attempt::{AttemptEnd, AttemptId, JobNews, JobState, LoadReport};
 pub use drain::Drain;
+pub use exchange::{Exchange, Inbox};
 pub use front::{Advice, Core};
-pub use gate::{Gate, Permit};
-pub use meeting::*;
-pub use neighbour::{Ask, Neighbour, Parcel, Standing};
-pub use orders::{Asked, Awaited, Carried, Order};
+pub use job::{Answer, Failure, Front, Job, Reply, Ticket, Verbatim};
+pub use message::Message;
+pub use operator_order::{Order, OrderHandle, OrderResult, PendingOrder};
+pub use peer_process::{PeerProcess, PeerRequest, PeerRole, Transfer};
 pub use progress::Progress;
+pub use transport_map::{HopId, HopState, MapEntry, MapNews};
--- a/balancer/exchange/src/orders.rs
+++ b/balancer/exchange/src/operator_order.rs
@@ -11,14 +11,14 @@
 }
 
 /// What became of it: refused with the reason.
-pub type Carried = Result<(), &'static str>;
+pub type OrderResult = Result<(), &'static str>;
 
 #[derive(Default)]
 enum State {
     #[default]
-    Asked,
+    PendingOrder,
     GivenUp,
-    Carried(Carried),
+    OrderResult(OrderResult),
 }
 
 type Shared = Arc<Mutex<State>>;
@@ -28,43 +28,43 @@
 }
 
 /// The core's end of an order.
-pub struct Asked {
+pub struct PendingOrder {
     order: Order,
     state: Shared,
 }
 
-impl Asked {
+impl PendingOrder {
     /// Carries it out, unless its caller has given it up.
-    pub fn carry_out(self, act: impl FnOnce(&Order) -> Carried) {
+    pub fn carry_out(self, act: impl FnOnce(&Order) -> OrderResult) {
         let mut state = lock(&self.state);
-        if matches!(*state, State::Asked) {
-            *state = State::Carried(act(&self.order));
+        if matches!(*state, State::PendingOrder) {
+            *state = State::OrderResult(act(&self.order));
         }
     }
 }
 
 /// The caller's end.
-pub struct Awaited(Shared);
+pub struct OrderHandle(Shared);
 
-impl Awaited {
-    pub fn new(order: Order) -> (Asked, Self) {
+impl OrderHandle {
+    pub fn new(order: Order) -> (PendingOrder, Self) {
         let state = Shared::default();
-        (Asked { order, state: state.clone() }, Awaited(state))
+        (PendingOrder { order, state: state.clone() }, OrderHandle(state))
     }
 
     /// None as long as it is neither carried out nor refused.
-    pub fn look(&self) -> Option<Carried> {
+    pub fn look(&self) -> Option<OrderResult> {
         match *lock(&self.0) {
-            State::Carried(carried) => Some(carried),
+            State::OrderResult(carried) => Some(carried),
             _ => None,
         }
     }
 
     /// Waits no longer: what has not been carried out by now never is.
-    pub fn give_up(self) -> Option<Carried> {
+    pub fn give_up(self) -> Option<OrderResult> {
         let mut state = lock(&self.0);
         match *state {
-            State::Carried(carried) => Some(carried),
+            State::OrderResult(carried) => Some(carried),
             _ => {
                 *state = State::GivenUp;
                 None
--- a/balancer/exchange/src/orders/tests.rs
+++ b/balancer/exchange/src/operator_order/tests.rs
@@ -1,10 +1,10 @@
-//! Unit tests of `orders`.
+//! Unit tests of `operator_order`.
 
 use super::*;
 
 #[test]
 fn an_order_is_carried_out_once_or_never() {
-    let (asked, awaited) = Awaited::new(Order::Disable("s-1".to_owned()));
+    let (asked, awaited) = OrderHandle::new(Order::Disable("s-1".to_owned()));
     assert_eq!(awaited.look(), None);
     asked.carry_out(|order| match order {
         Order::Disable(id) if id == "s-1" => Err("seen"),
@@ -12,7 +12,7 @@
     });
     assert_eq!((awaited.look(), awaited.give_up()), (Some(Err("seen")), Some(Err("seen"))));
     // Told "fail" and carried out all the same, a ban would stand that nobody knows of.
-    let (asked, awaited) = Awaited::new(Order::Enable("s-1".to_owned()));
+    let (asked, awaited) = OrderHandle::new(Order::Enable("s-1".to_owned()));
     assert_eq!(awaited.give_up(), None);
     asked.carry_out(|_| panic!("given up"));
 }
--- a/balancer/exchange/src/neighbour.rs
+++ b/balancer/exchange/src/peer_process.rs
@@ -8,11 +8,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// What waits to go over at most: connections are bounded by descriptors, call-backs by their senders' patience.
-const MOST_PARCELS: usize = 4_096;
+const MAX_TRANSFERS: usize = 4_096;
 
 /// What a connection's peer has proved to be by a valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum PeerRole {
     Stranger,
     /// A next hop with call-backs, or a watcher of this program.
     Caller,
@@ -20,9 +20,9 @@
     Client,
 }
 
-pub enum Parcel {
+pub enum Transfer {
     /// A connection between two requests.
-    Connection(TcpStream, Standing),
+    Connection(TcpStream, PeerRole),
     /// A call-back whose job is not here, as it came.
     News(Vec<u8>),
     /// Jobs of this process, by their clients' ids.
@@ -40,7 +40,7 @@
 
 /// Shared by all that act on it.
 #[derive(Clone, Default)]
-pub struct Neighbour(Arc<Inner>);
+pub struct PeerProcess(Arc<Inner>);
 
 #[derive(Default)]
 struct Inner {
@@ -50,7 +50,7 @@
     open: AtomicBool,
     /// ... connections too.
     takes_connections: AtomicBool,
-    parcels: Mutex<VecDeque<Parcel>>,
+    parcels: Mutex<VecDeque<Transfer>>,
     /// Ids under way there.
     theirs: Mutex<HashSet<String>>,
     /// What the other holds, or may, of the descriptors meant for inbound connections and for next hops.
@@ -58,7 +58,7 @@
     next_hops: AtomicUsize,
 }
 
-impl Neighbour {
+impl PeerProcess {
     pub fn accepts(&self) -> bool {
         !self.0.parked.load(Ordering::Acquire)
     }
@@ -97,22 +97,22 @@
     ///
     /// # Errors
     /// There is no other process, or too much waits for it: the parcel comes back.
-    pub fn put(&self, parcel: Parcel) -> Result<(), Parcel> {
+    pub fn put(&self, parcel: Transfer) -> Result<(), Transfer> {
         let mut parcels = self.parcels();
-        if !self.is_open() || parcels.len() >= MOST_PARCELS {
+        if !self.is_open() || parcels.len() >= MAX_TRANSFERS {
             return Err(parcel);
         }
         parcels.push_back(parcel);
         Ok(())
     }
 
-    pub fn take(&self) -> Option<Parcel> {
+    pub fn take(&self) -> Option<Transfer> {
         self.parcels().pop_front()
     }
 
     /// Connections that wait to go over: their descriptors are still here.
     pub fn waiting_connections(&self) -> usize {
-        self.parcels().iter().filter(|p| matches!(p, Parcel::Connection(..))).count()
+        self.parcels().iter().filter(|p| matches!(p, Transfer::Connection(..))).count()
     }
 
     pub fn is_empty(&self) -> bool {
@@ -145,7 +145,7 @@
         self.0.next_hops.load(Ordering::Acquire)
     }
 
-    fn parcels(&self) -> MutexGuard<'_, VecDeque<Parcel>> {
+    fn parcels(&self) -> MutexGuard<'_, VecDeque<Transfer>> {
         self.0.parcels.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -155,7 +155,7 @@
 }
 
 /// What the other process's side asks of the core.
-pub enum Ask {
+pub enum PeerRequest {
     /// All that a successor needs, in the core's own form.
     Export(std::sync::mpsc::Sender<Vec<u8>>),
     /// Ids of the jobs that are owed, and the descriptors held for next hops.
--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -23,7 +23,7 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::rate::Limiter;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{Core, Drain, Neighbour};
+use millrudder_exchange::{Core, Drain, PeerProcess};
 use proto::jobs_server::JobsServer;
 use service::JobsService;
 use slog::Logger;
@@ -60,7 +60,7 @@
     counters: Arc<Counters>,
     stopping: Stopping,
     drain: Drain,
-    neighbour: Neighbour,
+    peer_process: PeerProcess,
     clock: Clock,
     limits: GrpcLimits,
     door: Arc<Door>,
@@ -161,7 +161,7 @@
         counters: core.counters.clone(),
         stopping: core.stopping.clone(),
         drain: core.drain.clone(),
-        neighbour: core.neighbour.clone(),
+        peer_process: core.peer_process.clone(),
         clock: core.clock,
         limits,
         door,
@@ -215,11 +215,11 @@
         }
     };
     loop {
-        match (&listens, shared.neighbour.accepts(), &address) {
+        match (&listens, shared.peer_process.accepts(), &address) {
             (Some(listener), true, _) => {
                 accepted = true;
                 let place_moves = async {
-                    while shared.neighbour.accepts() {
+                    while shared.peer_process.accepts() {
                         tokio::time::sleep(span(PLACE_MS)).await;
                     }
                 };
@@ -284,7 +284,7 @@
             set_health(health, serves).await;
         }
         // Clients of a process that has laid its place down find the new one; calls under way are answered here.
-        let moved = shared.neighbour.is_open() && !shared.neighbour.accepts();
+        let moved = shared.peer_process.is_open() && !shared.peer_process.accepts();
         let closing = shared.stopping.grace_is_over(now) || shared.drain.is_noticed(now) || moved;
         shared.door.sweep(shared.limits.idle_time.ms(), closing, now, &shared.counters);
     }
--- a/balancer/fronts/grpc/src/service.rs
+++ b/balancer/fronts/grpc/src/service.rs
@@ -91,7 +91,7 @@
             core.counters.turned_away.add();
             return Err(status::refused("the dispatcher stops", None));
         }
-        let permit = core.gate.enter(Front::Grpc, job.verbatim.body.len()).map_err(|refused| {
+        let permit = core.admission_gate.enter(Front::Grpc, job.verbatim.body.len()).map_err(|refused| {
             core.counters.turned_away.add();
             let advice = Some(refused.retry_after).filter(|_| core.advice.is_allowed());
             status::refused("no room now, try again", advice)
--- a/balancer/fronts/grpc/tests/grpc/front.rs
+++ b/balancer/fronts/grpc/tests/grpc/front.rs
@@ -18,11 +18,11 @@
     let left = job.deadline - began;
     assert!((29_000.0..60_000.0).contains(&left), "{left}");
     assert_eq!((job.trace_id.as_str(), job.verbatim.body.as_slice()), ("a", &b"body"[..]));
-    assert_eq!(rig.gate.usage(job.front).places, 1);
+    assert_eq!(rig.admission_gate.usage(job.front).places, 1);
     reply.give(served("made here"));
     let (answer, mut client) = asked.await.unwrap();
     assert_eq!(answer.unwrap().into_inner().result, b"made here");
-    until("the place is free again", || rig.gate.usage(job.front).places == 0);
+    until("the place is free again", || rig.admission_gate.usage(job.front).places == 0);
     // Without a timeout the class's limit holds, and an id is made.
     let began = rig.clock.now();
     let asked = tokio::spawn(async move { client.submit(request("")).await });
@@ -139,7 +139,7 @@
     call.abort();
     assert_eq!(rig.withdrawn(), ticket);
     reply.give(served("too late"));
-    until("its place is free", || rig.gate.usage(job.front).places == 0);
+    until("its place is free", || rig.admission_gate.usage(job.front).places == 0);
     // The same while events flow.
     let call = tokio::spawn(async move { second.follow(request("b")).await });
     let (ticket, _, reply) = rig.job();
--- a/balancer/fronts/grpc/tests/grpc/peers.rs
+++ b/balancer/fronts/grpc/tests/grpc/peers.rs
@@ -70,7 +70,7 @@
     raw.send(&frame(kind::DATA, 0, 1, &[0, 0, 0]));
     assert_eq!(raw.until(kind::HEADERS).0, 1);
     rig.until_counted("grpc_too_slow 4");
-    assert!(rig.nothing_came() && rig.gate.usage(Front::Grpc).places == 0);
+    assert!(rig.nothing_came() && rig.admission_gate.usage(Front::Grpc).places == 0);
     raw.send(&call(3, &prost::Message::encode_to_vec(&request("a"))));
     rig.job().2.give(served("made"));
     assert!(raw.until(kind::DATA).1.ends_with(b"made"));
@@ -85,7 +85,7 @@
     rig.job().2.give(served(&"x".repeat(50_000)));
     assert_eq!(raw.until(kind::RST_STREAM).0, 1);
     rig.until_counted("grpc_stalled 1");
-    until("no place is held", || rig.gate.usage(Front::Grpc).places == 0);
+    until("no place is held", || rig.admission_gate.usage(Front::Grpc).places == 0);
     serves(&rig);
 }
 
@@ -195,7 +195,7 @@
         raw.send(bytes);
     });
     // Some of the spoilt ones were whole calls all the same; all of them are withdrawn again.
-    until("no place is held", || rig.gate.usage(Front::Grpc).places == 0);
+    until("no place is held", || rig.admission_gate.usage(Front::Grpc).places == 0);
     let mut served_whole = 0;
     millrudder_testing::cuts(26, &session, |parts| {
         if served_whole == 40 {
--- a/balancer/fronts/grpc/tests/grpc/rig.rs
+++ b/balancer/fronts/grpc/tests/grpc/rig.rs
@@ -8,7 +8,7 @@
 use millrudder_exchange::intake::{Class, Classes};
 use millrudder_exchange::shutdown::Stopping;
 use millrudder_exchange::{
-    Advice, Answer, Core, Drain, Exchange, Front, Gate, Job, Message, Neighbour, Reply, Ticket,
+    AdmissionGate, Advice, Answer, Core, Drain, Exchange, Front, Job, Message, PeerProcess, Reply, Ticket,
 };
 use millrudder_front_grpc::proto::jobs_client::JobsClient;
 use millrudder_front_grpc::proto::SubmitRequest;
@@ -33,7 +33,7 @@
 pub struct Rig {
     pub address: SocketAddr,
     pub counters: Arc<Counters>,
-    pub gate: Gate,
+    pub admission_gate: AdmissionGate,
     pub stopping: Stopping,
     pub drain: Drain,
     pub clock: Clock,
@@ -63,14 +63,14 @@
         let (clock, counters) = (Clock::start(), Arc::new(Counters::default()));
         let (stopping, drain) = (Stopping::new(5_000.0), Drain::default());
         let capacity = Capacity { places: 16, bytes: 1 << 20 };
-        let gate = Gate::new(capacity, &[(Front::Grpc, 1)], clock);
+        let admission_gate = AdmissionGate::new(capacity, &[(Front::Grpc, 1)], clock);
         let core = Core {
             exchange,
-            gate: gate.clone(),
+            admission_gate: admission_gate.clone(),
             counters: counters.clone(),
             stopping: stopping.clone(),
             drain: drain.clone(),
-            neighbour: Neighbour::default(),
+            peer_process: PeerProcess::default(),
             serving: Arc::default(),
             clock,
             classes: Classes::new(vec![Class {
@@ -85,7 +85,16 @@
         let grpc = settings.fronts.grpc.unwrap();
         let budget = GrpcBudget { connections, buffers: 1 << 20 };
         let front = GrpcFront::open(grpc.listen.0, false, grpc.limits, budget, core).unwrap();
-        Rig { address: front.address(), counters, gate, stopping, drain, clock, seen, _front: front }
+        Rig {
+            address: front.address(),
+            counters,
+            admission_gate,
+            stopping,
+            drain,
+            clock,
+            seen,
+            _front: front,
+        }
     }
 
     pub fn next(&self) -> Seen {
--- a/balancer/fronts/http/src/connection.rs
+++ b/balancer/fronts/http/src/connection.rs
@@ -4,7 +4,7 @@
 use super::intake::{self, Intake, Refusal};
 use super::{answer, call_back, Shared};
 use may::net::TcpStream;
-use millrudder_exchange::{Answer, Failure, Front, Job, Parcel, Reply, Standing};
+use millrudder_exchange::{Answer, Failure, Front, Job, PeerRole, Reply, Transfer};
 use millrudder_wire::http::{self, Decoder, Request};
 use millrudder_wire::socket::{Got, Socket};
 use std::io;
@@ -44,7 +44,7 @@
 }
 
 impl Connection {
-    pub fn new(stream: TcpStream, standing: Standing, shared: &Arc<Shared>) -> io::Result<Self> {
+    pub fn new(stream: TcpStream, standing: PeerRole, shared: &Arc<Shared>) -> io::Result<Self> {
         let socket = Socket::new(stream)?;
         let began = shared.clock.now();
         let pass = shared.doors.enter(socket.waker(), began);
@@ -129,13 +129,13 @@
     /// To the other process of an upgrade, which takes it up where it stands: nothing of a request has been read.
     /// What comes meanwhile waits in the socket.
     fn pass_on(&self) -> bool {
-        let neighbour = &self.shared.neighbour;
-        if !neighbour.takes_connections() {
+        let peer_process = &self.shared.peer_process;
+        if !peer_process.takes_connections() {
             return false;
         }
         let standing = self.shared.doors.standing(&self.pass);
-        let parcel = self.socket.to_pass_on().map(|stream| Parcel::Connection(stream, standing));
-        parcel.is_ok_and(|parcel| neighbour.put(parcel).is_ok())
+        let parcel = self.socket.to_pass_on().map(|stream| Transfer::Connection(stream, standing));
+        parcel.is_ok_and(|parcel| peer_process.put(parcel).is_ok())
     }
 
     fn read(&mut self) -> io::Result<Got> {
@@ -174,7 +174,7 @@
             }
             Ok(Intake::News(body)) => {
                 if call_back::take(&self.shared, body) {
-                    self.shared.doors.proved(&self.pass, Standing::Caller);
+                    self.shared.doors.proved(&self.pass, PeerRole::Caller);
                 }
                 self.reply(keep, answer::no_content)
             }
@@ -188,7 +188,7 @@
             let advice = (!self.shared.stopping.has_begun()).then_some(CROWDED_RETRY_MS);
             return self.turn_away(advice, false);
         }
-        let permit = match self.shared.gate.enter(Front::Http, job.verbatim.body.len()) {
+        let permit = match self.shared.admission_gate.enter(Front::Http, job.verbatim.body.len()) {
             Ok(permit) => permit,
             Err(refused) => {
                 return self.turn_away(Some(refused.retry_after), keep);
@@ -232,7 +232,7 @@
     }
 
     fn give(&mut self, answer: &Answer, keep: bool) -> io::Result<()> {
-        self.shared.doors.proved(&self.pass, Standing::Client);
+        self.shared.doors.proved(&self.pass, PeerRole::Client);
         self.shared.doors.holds(&self.pass, self.decoder.held());
         // Its client has somewhere else to go.
         let keep = keep && !self.shared.drain.is_on();
@@ -248,7 +248,7 @@
     /// Writes an answer; an error tells that the connection is at its end.
     fn reply(&mut self, keep: bool, write: impl FnOnce(bool) -> Vec<u8>) -> io::Result<()> {
         let ends = self.shared.stopping.grace_is_over(self.shared.clock.now());
-        let close = !keep || ends && !self.shared.neighbour.takes_connections();
+        let close = !keep || ends && !self.shared.peer_process.takes_connections();
         self.write(&write(close))?;
         if close {
             self.socket.end();
--- a/balancer/fronts/http/src/doors.rs
+++ b/balancer/fronts/http/src/doors.rs
@@ -6,7 +6,7 @@
 use may::io::WaitIoWaker;
 use millrudder_config::Budget;
 use millrudder_exchange::counters::Counters;
-use millrudder_exchange::{Neighbour, Standing};
+use millrudder_exchange::{PeerProcess, PeerRole};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -41,20 +41,20 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct State {
     pub doing: Doing,
-    pub standing: Standing,
+    pub standing: PeerRole,
     pub opened: f64,
     pub since: f64,
 }
 
 impl State {
     fn new(now: f64) -> Self {
-        State { doing: Doing::Idle, standing: Standing::Stranger, opened: now, since: now }
+        State { doing: Doing::Idle, standing: PeerRole::Stranger, opened: now, since: now }
     }
 
     /// When it has had its time. Idle connections of peers that are known stay.
     pub fn limit(&self) -> f64 {
         match (self.doing, self.standing) {
-            (Doing::Idle | Doing::Reading, Standing::Stranger) => self.opened + REQUEST_MS,
+            (Doing::Idle | Doing::Reading, PeerRole::Stranger) => self.opened + REQUEST_MS,
             (Doing::Reading, _) => self.since + REQUEST_MS,
             (Doing::Writing, _) => self.since + WRITE_MS,
             (Doing::Lingering, _) => self.since + LINGER_MS,
@@ -67,9 +67,9 @@
         let stalled = now - self.since > STALLED_MS;
         match (self.doing, self.standing) {
             (Doing::Waiting, _) => None,
-            (Doing::Lingering, _) | (Doing::Idle | Doing::Reading, Standing::Stranger) => Some(0),
-            (Doing::Idle, Standing::Caller) => Some(1),
-            (Doing::Idle, Standing::Client) => Some(2),
+            (Doing::Lingering, _) | (Doing::Idle | Doing::Reading, PeerRole::Stranger) => Some(0),
+            (Doing::Idle, PeerRole::Caller) => Some(1),
+            (Doing::Idle, PeerRole::Client) => Some(2),
             (Doing::Reading | Doing::Writing, _) => stalled.then_some(3),
         }
     }
@@ -96,7 +96,7 @@
 
 pub struct Doors {
     budget: Budget,
-    neighbour: Neighbour,
+    peer_process: PeerProcess,
     open: Mutex<Open>,
 }
 
@@ -128,13 +128,13 @@
 }
 
 impl Doors {
-    pub fn new(budget: Budget, neighbour: Neighbour) -> Self {
-        Doors { budget, neighbour, open: Mutex::default() }
+    pub fn new(budget: Budget, peer_process: PeerProcess) -> Self {
+        Doors { budget, peer_process, open: Mutex::default() }
     }
 
     /// What the other process of an upgrade holds is not ours.
     fn ours(&self, of: usize) -> usize {
-        of.saturating_sub(self.neighbour.inbound()).max(1)
+        of.saturating_sub(self.peer_process.inbound()).max(1)
     }
 
     pub fn count(&self) -> usize {
@@ -147,8 +147,8 @@
         open.doors.values().filter(|d| d.state.doing == Doing::Idle).for_each(|d| d.waker.wakeup());
     }
 
-    pub fn standing(&self, pass: &Pass) -> Standing {
-        self.open().doors.get(&pass.number).map_or(Standing::Stranger, |d| d.state.standing)
+    pub fn standing(&self, pass: &Pass) -> PeerRole {
+        self.open().doors.get(&pass.number).map_or(PeerRole::Stranger, |d| d.state.standing)
     }
 
     pub fn enter(&self, waker: WaitIoWaker, now: f64) -> Pass {
@@ -176,7 +176,7 @@
         open.waiting += usize::from(doing == Doing::Waiting);
     }
 
-    pub fn proved(&self, pass: &Pass, standing: Standing) {
+    pub fn proved(&self, pass: &Pass, standing: PeerRole) {
         if let Some(door) = self.open().doors.get_mut(&pass.number) {
             door.state.standing = door.state.standing.max(standing);
         }
@@ -195,7 +195,7 @@
     /// call-backs and, where it has proved nothing yet, for clients that have.
     pub fn is_crowded(&self, pass: &Pass) -> bool {
         let open = self.open();
-        let stranger = open.doors.get(&pass.number).is_none_or(|d| d.state.standing == Standing::Stranger);
+        let stranger = open.doors.get(&pass.number).is_none_or(|d| d.state.standing == PeerRole::Stranger);
         let share = if stranger { STRANGERS_SHARE } else { 1.0 };
         open.waiting as f64 >= self.ours(self.budget.inbound_jobs) as f64 * share
     }
@@ -233,14 +233,14 @@
     /// Ends those of clients, and of peers that may be, that have been idle since this time or longer.
     pub fn end_idle_clients(&self, since: f64) {
         let idle = |d: &&Door| {
-            d.state.doing == Doing::Idle && d.state.standing != Standing::Caller && d.state.since <= since
+            d.state.doing == Doing::Idle && d.state.standing != PeerRole::Caller && d.state.since <= since
         };
         self.open().doors.values().filter(idle).for_each(Door::end);
     }
 
     /// A connection is open on which a job may come.
     pub fn has_clients(&self) -> bool {
-        self.open().doors.values().any(|d| d.state.standing != Standing::Caller)
+        self.open().doors.values().any(|d| d.state.standing != PeerRole::Caller)
     }
 
     pub fn busy(&self) -> usize {
--- a/balancer/fronts/http/src/lib.rs
+++ b/balancer/fronts/http/src/lib.rs
@@ -20,7 +20,7 @@
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::rate::Limiter;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{Advice, Core, Drain, Exchange, Gate, Neighbour, Standing};
+use millrudder_exchange::{AdmissionGate, Advice, Core, Drain, Exchange, PeerProcess, PeerRole};
 use millrudder_wire::descriptor;
 use slog::Logger;
 use std::io::ErrorKind;
@@ -46,11 +46,11 @@
     counters: Arc<Counters>,
     stopping: Stopping,
     drain: Drain,
-    neighbour: Neighbour,
+    peer_process: PeerProcess,
     clock: Clock,
     doors: Doors,
     classes: Classes,
-    gate: Gate,
+    admission_gate: AdmissionGate,
     advice: Advice,
     log: Logger,
     /// For the log of bad call-backs, so that a broken next hop cannot flood it.
@@ -70,18 +70,28 @@
 
 impl SenderSide {
     pub fn new(budget: Budget, core: Core) -> Self {
-        let doors = Doors::new(budget, core.neighbour.clone());
+        let doors = Doors::new(budget, core.peer_process.clone());
         let (bad_news, bad_accepts) = (Limiter::default(), Limiter::default());
         let Core {
-            exchange, gate, counters, stopping, drain, neighbour, clock, classes, advice, log, ..
+            exchange,
+            admission_gate,
+            counters,
+            stopping,
+            drain,
+            peer_process,
+            clock,
+            classes,
+            advice,
+            log,
+            ..
         } = core;
         SenderSide(Arc::new(Shared {
             exchange,
-            gate,
+            admission_gate,
             counters,
             stopping,
             drain,
-            neighbour,
+            peer_process,
             clock,
             doors,
             classes,
@@ -105,7 +115,7 @@
     }
 
     /// A connection between two requests that another process has served so far.
-    pub fn adopt(&self, stream: std::net::TcpStream, standing: Standing) {
+    pub fn adopt(&self, stream: std::net::TcpStream, standing: PeerRole) {
         if let Ok(stream) = descriptor::stream(stream) {
             admit(stream, standing, &self.0);
         }
@@ -134,7 +144,7 @@
 
 fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
     loop {
-        if !shared.neighbour.accepts() {
+        if !shared.peer_process.accepts() {
             may::coroutine::sleep(span(PARKED_MS));
             continue;
         }
@@ -144,7 +154,7 @@
         }
         // Not may's own `accept`: blocked in it, a process that has laid its place down would take one more.
         match listener.inner().accept().and_then(|(stream, _)| descriptor::stream(stream)) {
-            Ok(stream) => admit(stream, Standing::Stranger, shared),
+            Ok(stream) => admit(stream, PeerRole::Stranger, shared),
             Err(error) if error.kind() == ErrorKind::WouldBlock => drop(listener.wait_io()),
             Err(error) => {
                 shared.counters.accept_errors.add();
@@ -164,7 +174,7 @@
         may::coroutine::sleep(span(WATCH_MS));
         let now = shared.clock.now();
         shared.doors.end_overdue(&shared.counters, now);
-        if shared.neighbour.takes_connections() {
+        if shared.peer_process.takes_connections() {
             shared.doors.wake_idle();
         }
         if !shared.doors.has_clients() {
@@ -181,7 +191,7 @@
 
 /// The connection counts against the budget from here on, not from when its coroutine first runs: many may be
 /// accepted in between.
-fn admit(stream: TcpStream, standing: Standing, shared: &Arc<Shared>) {
+fn admit(stream: TcpStream, standing: PeerRole, shared: &Arc<Shared>) {
     shared.counters.connections_in.add();
     if let Ok(connection) = Connection::new(stream, standing, shared) {
         may::go!(move || connection.serve());
--- a/balancer/fronts/http/src/tests.rs
+++ b/balancer/fronts/http/src/tests.rs
@@ -4,7 +4,7 @@
 use super::intake::{route, Intake, Refusal};
 use millrudder_config::Budget;
 use millrudder_exchange::intake::Class;
-use millrudder_exchange::{Answer, Failure, Job, JobState, Neighbour, Standing};
+use millrudder_exchange::{Answer, Failure, Job, JobState, PeerProcess, PeerRole};
 use millrudder_testing::garbage;
 use millrudder_wire::http::{Decoder, Request, Response};
 use millrudder_wire::socket::Socket;
@@ -125,14 +125,14 @@
     }
 }
 
-fn state(doing: Doing, standing: Standing, since: f64) -> State {
+fn state(doing: Doing, standing: PeerRole, since: f64) -> State {
     State { doing, standing, opened: since, since }
 }
 
 #[test]
 fn room_is_made_by_strangers_first_and_never_by_one_that_waits() {
     // Hundreds that connect and say nothing must not end the kept connections of usual clients.
-    use {Doing::*, Standing::*};
+    use {Doing::*, PeerRole::*};
     let pick = |doors: &[State]| first_to_leave(doors.iter().copied(), 10_000.0);
     let waits = state(Waiting, Stranger, 0.0);
     let idle = state(Idle, Client, 10.0);
@@ -155,7 +155,7 @@
 #[test]
 fn every_wait_on_a_peer_has_its_end_but_that_of_a_known_idle_one() {
     // A bad client is owed an error or a close within 3 s of connecting, however slowly it sends.
-    use {Doing::*, Standing::*};
+    use {Doing::*, PeerRole::*};
     let first = State { opened: 1_000.0, since: 2_900.0, ..state(Reading, Stranger, 0.0) };
     assert!(first.limit() < 4_000.0 - 500.0 && state(Idle, Stranger, 1_000.0).limit() < 4_000.0 - 500.0);
     for doing in [Reading, Writing, Lingering] {
@@ -173,7 +173,7 @@
         let socket = Socket::connect(listener.local_addr().unwrap(), Duration::from_secs(60)).unwrap();
         let doors = Doors::new(
             Budget { inbound: 9, inbound_jobs: 4, next_hops: 1, buffers: 100 },
-            Neighbour::default(),
+            PeerProcess::default(),
         );
         let [first, second, known] = [(); 3].map(|()| doors.enter(socket.waker(), 0.0));
         assert!(doors.holds(&first, 80) && !doors.holds(&second, 30));
@@ -181,7 +181,7 @@
         doors.leave(&first);
         assert!(doors.holds(&second, 90));
         // Three jobs are here: a stranger's next is deferred, a known client's is not; silent ones do not count.
-        doors.proved(&known, Standing::Client);
+        doors.proved(&known, PeerRole::Client);
         let waits = [(); 3].map(|()| doors.enter(socket.waker(), 0.0));
         assert!(!doors.is_crowded(&second));
         waits.iter().for_each(|pass| doors.now_doing(pass, Doing::Waiting, 1.0));
--- a/balancer/fronts/operators/src/lib.rs
+++ b/balancer/fronts/operators/src/lib.rs
@@ -7,7 +7,7 @@
 mod talk;
 
 pub use call::{parse, BadCall, Call, LINE_LIMIT};
-use millrudder_exchange::{Awaited, Core, Order, Parcel};
+use millrudder_exchange::{Core, Order, OrderHandle, Transfer};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -26,7 +26,7 @@
     stream: TcpStream,
     talk: Talk,
     /// What it has ordered, until that is carried out.
-    order: Option<(Order, Awaited)>,
+    order: Option<(Order, OrderHandle)>,
 }
 
 /// Binds the address; `open` answers there.
@@ -167,12 +167,12 @@
             Call::Drain => {
                 core.counters.drains.add();
                 core.drain.begin(now);
-                let _ = core.neighbour.put(Parcel::Drain(true));
+                let _ = core.peer_process.put(Transfer::Drain(true));
                 self.answer(Ok(()), core, now);
             }
             Call::Undrain => {
                 core.drain.end();
-                let _ = core.neighbour.put(Parcel::Drain(false));
+                let _ = core.peer_process.put(Transfer::Drain(false));
                 self.answer(Ok(()), core, now);
             }
             Call::Disable(id) => self.order(Order::Disable(id), core),
@@ -194,7 +194,7 @@
         };
         if carried.is_ok() {
             // Another process of an upgrade has to know as well; there is none most of the time.
-            let _ = core.neighbour.put(Parcel::Ordered(order));
+            let _ = core.peer_process.put(Transfer::Ordered(order));
         }
         self.answer(carried, core, now);
     }
--- a/balancer/upgrade/src/giver.rs
+++ b/balancer/upgrade/src/giver.rs
@@ -2,7 +2,7 @@
 
 use crate::{Link, Shell, TICK};
 use millrudder_exchange::clock::span;
-use millrudder_exchange::{Ask, Message as Inbound};
+use millrudder_exchange::{Message as Inbound, PeerRequest};
 use millrudder_handover::{Action, Event, Giver, GiverPhase, Limits, Message, State};
 use std::io::{self, ErrorKind};
 use std::os::unix::net::UnixListener;
@@ -54,9 +54,9 @@
             return Err(ErrorKind::TimedOut.into());
         };
         // Before the state is written out: what happens from then on goes over too.
-        shell.neighbour().open();
+        shell.peer_process().open();
         let (give, given) = channel();
-        shell.core.exchange.ask(Ask::Export(give));
+        shell.core.exchange.ask(PeerRequest::Export(give));
         let core = given.recv_timeout(EXPORT).map_err(|e| io::Error::new(ErrorKind::TimedOut, e))?;
         let state = State { core, drained: shell.core.drain.is_on() };
         let now = shell.core.clock.now();
@@ -73,7 +73,7 @@
         let _ = self.handle(Event::PeerDied);
         self.shell.part();
         // Also where the machine never saw the place laid down: between this process's word and its own.
-        self.shell.neighbour().accept(true);
+        self.shell.peer_process().accept(true);
         self.shell.core.stopping.succeed(false);
         slog::warn!(self.shell.log(), "upgrade: the successor has gone"; "why" => self.giver.reason());
     }
@@ -97,7 +97,7 @@
         }
         self.shell.send_parcels(&self.link, true)?;
         let held = self.held();
-        if self.shell.neighbour().takes_connections() && held < self.told {
+        if self.shell.peer_process().takes_connections() && held < self.told {
             self.told = held;
             self.link.send(&Message::Held { inbound: held }, None)?;
         }
@@ -106,9 +106,9 @@
 
     /// Before the baton is said to be down: nothing more is accepted, so what is held from here on only becomes less.
     fn lay_down(&mut self) -> io::Result<()> {
-        self.shell.neighbour().accept(false);
+        self.shell.peer_process().accept(false);
         let (give, given) = channel();
-        self.shell.core.exchange.ask(Ask::UnderWay(give));
+        self.shell.core.exchange.ask(PeerRequest::UnderWay(give));
         let (under_way, next_hops) =
             given.recv_timeout(EXPORT).map_err(|e| io::Error::new(ErrorKind::TimedOut, e))?;
         self.giver.set_under_way(under_way);
@@ -118,7 +118,7 @@
     }
 
     fn held(&self) -> usize {
-        self.shell.front.inbound() + self.shell.neighbour().waiting_connections()
+        self.shell.front.inbound() + self.shell.peer_process().waiting_connections()
     }
 
     fn handle(&mut self, event: Event) -> io::Result<()> {
@@ -128,14 +128,14 @@
     }
 
     fn act(&mut self, actions: Vec<Action>) -> io::Result<()> {
-        let neighbour = self.shell.neighbour();
+        let peer_process = self.shell.peer_process();
         for action in actions {
             match action {
                 Action::Send(message) => self.link.send(&message, None)?,
-                Action::StopAccepting => neighbour.accept(false),
+                Action::StopAccepting => peer_process.accept(false),
                 Action::Accept => {
-                    neighbour.accept(true);
-                    neighbour.take_connections(false);
+                    peer_process.accept(true);
+                    peer_process.take_connections(false);
                     self.shell.core.stopping.succeed(false);
                 }
                 // The platform has said so already, or it says it in a moment.
@@ -146,7 +146,7 @@
         }
         // The new process accepts: connections go there, and this one ends when it has none and owes nothing.
         if matches!(self.giver.phase(), GiverPhase::Probation | GiverPhase::Draining) {
-            neighbour.take_connections(true);
+            peer_process.take_connections(true);
             self.shell.core.stopping.succeed(true);
         }
         Ok(())
@@ -156,7 +156,7 @@
 /// What still waits to go over gets its time when this process ends.
 pub fn flush(shell: &Shell, limit_ms: f64) {
     let end = Instant::now() + span(limit_ms);
-    while !shell.neighbour().is_empty() && Instant::now() < end {
+    while !shell.peer_process().is_empty() && Instant::now() < end {
         std::thread::sleep(TICK);
     }
     std::thread::sleep(TICK);
--- a/balancer/upgrade/src/giver/tests.rs
+++ b/balancer/upgrade/src/giver/tests.rs
@@ -6,7 +6,7 @@
 use millrudder_exchange::clock::Clock;
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{Advice, Core, Exchange, Gate, Inbox, Standing};
+use millrudder_exchange::{AdmissionGate, Advice, Core, Exchange, Inbox, PeerRole};
 use millrudder_handover::VERSION;
 use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
@@ -15,7 +15,7 @@
 struct NoFront;
 
 impl Front for NoFront {
-    fn adopt(&self, _: TcpStream, _: Standing) {}
+    fn adopt(&self, _: TcpStream, _: PeerRole) {}
     fn take_news(&self, _: &[u8]) {}
     fn inbound(&self) -> usize {
         0
@@ -26,11 +26,11 @@
     let ((exchange, inbox), clock) = (Exchange::new(), Clock::start());
     let core = Core {
         exchange,
-        gate: Gate::new(Capacity { places: 1, bytes: 1 }, &[], clock),
+        admission_gate: AdmissionGate::new(Capacity { places: 1, bytes: 1 }, &[], clock),
         counters: Arc::default(),
         stopping: Stopping::new(1_000.0),
         drain: Default::default(),
-        neighbour: Default::default(),
+        peer_process: Default::default(),
         serving: Arc::default(),
         clock,
         classes: Classes::new(Vec::new()),
@@ -54,17 +54,17 @@
     let mut parked = false;
     while let Ok(message) = inbox.recv_timeout(Duration::from_secs(60)) {
         match message {
-            Inbound::Asked(Ask::Export(give)) => {
+            Inbound::PeerRequest(PeerRequest::Export(give)) => {
                 give.send(Vec::new()).unwrap();
                 there.send(&Message::Checked, None).unwrap();
                 there.send(&Message::Ready, None).unwrap();
             }
             // The core is stuck: what it was asked for is dropped.
-            Inbound::Asked(Ask::UnderWay(_)) => parked = !shell.core.neighbour.accepts(),
-            Inbound::Asked(Ask::Gone) => break,
+            Inbound::PeerRequest(PeerRequest::UnderWay(_)) => parked = !shell.core.peer_process.accepts(),
+            Inbound::PeerRequest(PeerRequest::Gone) => break,
             _ => {}
         }
     }
     session.join().unwrap();
-    assert!(parked && shell.core.neighbour.accepts());
+    assert!(parked && shell.core.peer_process.accepts());
 }
--- a/balancer/upgrade/src/lib.rs
+++ b/balancer/upgrade/src/lib.rs
@@ -2,7 +2,7 @@
 //! and says that it serves only then.
 //!
 //! The two sides are package `handover`'s state machines; `giver` and `taker` carry out what they say, `link` carries
-//! messages and descriptors. Fronts and core are reached through the exchange and its `Neighbour`. Whatever goes wrong
+//! messages and descriptors. Fronts and core are reached through the exchange and its `PeerProcess`. Whatever goes wrong
 //! here ends in each process that is alive serving.
 
 mod giver;
@@ -11,7 +11,7 @@
 
 pub use giver::flush;
 use link::{Heard, Link};
-use millrudder_exchange::{Ask, Core, Neighbour, Order, Parcel, Standing};
+use millrudder_exchange::{Core, Order, PeerProcess, PeerRequest, PeerRole, Transfer};
 use millrudder_handover::{Call, Message, Was};
 use slog::Logger;
 use std::io;
@@ -29,7 +29,7 @@
 /// The front whose connections go over.
 pub trait Front: Send + Sync {
     /// A connection between two requests.
-    fn adopt(&self, stream: TcpStream, standing: Standing);
+    fn adopt(&self, stream: TcpStream, standing: PeerRole);
     /// A call-back that reached the other process.
     fn take_news(&self, body: &[u8]);
     /// Descriptors held by inbound connections.
@@ -65,8 +65,8 @@
 }
 
 impl Shell {
-    fn neighbour(&self) -> &Neighbour {
-        &self.core.neighbour
+    fn peer_process(&self) -> &PeerProcess {
+        &self.core.peer_process
     }
 
     fn log(&self) -> &Logger {
@@ -75,21 +75,21 @@
 
     /// Sends what waits to go over.
     fn send_parcels(&self, link: &Link, giver: bool) -> io::Result<()> {
-        while let Some(parcel) = self.neighbour().take() {
+        while let Some(parcel) = self.peer_process().take() {
             match parcel {
-                Parcel::Connection(stream, standing) => {
+                Transfer::Connection(stream, standing) => {
                     self.core.counters.connections_passed_on.add();
                     link.send(&Message::Connection { was: was(standing) }, Some(stream.as_fd()))?;
                 }
-                Parcel::News(body) => link.send(&Message::CallBack(Call { number: 0, body }), None)?,
-                Parcel::Ordered(Order::Disable(id)) => link.send(&Message::Ban { id, on: true }, None)?,
-                Parcel::Ordered(Order::Enable(id)) => link.send(&Message::Ban { id, on: false }, None)?,
-                Parcel::Drain(on) => link.send(&Message::Drain { on }, None)?,
+                Transfer::News(body) => link.send(&Message::CallBack(Call { number: 0, body }), None)?,
+                Transfer::Ordered(Order::Disable(id)) => link.send(&Message::Ban { id, on: true }, None)?,
+                Transfer::Ordered(Order::Enable(id)) => link.send(&Message::Ban { id, on: false }, None)?,
+                Transfer::Drain(on) => link.send(&Message::Drain { on }, None)?,
                 // Only the one that ends tells of its jobs.
                 _ if !giver => {}
-                Parcel::Began(id) => link.send(&Message::Began { id }, None)?,
-                Parcel::Ended(id) => link.send(&Message::Ended { id }, None)?,
-                Parcel::Landed { hop, job, attempt } => {
+                Transfer::Began(id) => link.send(&Message::Began { id }, None)?,
+                Transfer::Ended(id) => link.send(&Message::Ended { id }, None)?,
+                Transfer::Landed { hop, job, attempt } => {
                     link.send(&Message::Landed { worker: hop, job, attempt }, None)?;
                 }
             }
@@ -107,17 +107,17 @@
             (Message::Connection { .. }, None) => {}
             (Message::CallBack(call), _) => self.front.take_news(&call.body),
             (Message::Ban { id, on }, _) => {
-                // Carried out before any job that waits; an id unknown here has no worker here.
+                // OrderResult out before any job that waits; an id unknown here has no worker here.
                 let order = if on { Order::Disable(id) } else { Order::Enable(id) };
                 drop(self.core.exchange.order(order));
             }
             (Message::Drain { on: true }, _) => self.core.drain.begin(self.core.clock.now()),
             (Message::Drain { on: false }, _) => self.core.drain.end(),
             (Message::Landed { worker, job, attempt }, _) => {
-                self.core.exchange.ask(Ask::Landed { hop: worker, job, attempt });
+                self.core.exchange.ask(PeerRequest::Landed { hop: worker, job, attempt });
             }
             (Message::Held { inbound }, _) => {
-                self.neighbour().share(inbound, self.neighbour().next_hops());
+                self.peer_process().share(inbound, self.peer_process().next_hops());
             }
             (message, _) => return Some(message),
         }
@@ -126,23 +126,23 @@
 
     /// The other process is gone.
     fn part(&self) {
-        self.neighbour().close();
-        self.core.exchange.ask(Ask::Gone);
+        self.peer_process().close();
+        self.core.exchange.ask(PeerRequest::Gone);
     }
 }
 
-fn was(standing: Standing) -> Was {
+fn was(standing: PeerRole) -> Was {
     match standing {
-        Standing::Stranger => Was::Stranger,
-        Standing::Caller => Was::Caller,
-        Standing::Client => Was::Client,
+        PeerRole::Stranger => Was::Stranger,
+        PeerRole::Caller => Was::Caller,
+        PeerRole::Client => Was::Client,
     }
 }
 
-fn standing(was: Was) -> Standing {
+fn standing(was: Was) -> PeerRole {
     match was {
-        Was::Stranger => Standing::Stranger,
-        Was::Caller => Standing::Caller,
-        Was::Client => Standing::Client,
+        Was::Stranger => PeerRole::Stranger,
+        Was::Caller => PeerRole::Caller,
+        Was::Client => PeerRole::Client,
     }
 }
--- a/balancer/upgrade/src/taker.rs
+++ b/balancer/upgrade/src/taker.rs
@@ -100,8 +100,8 @@
     /// # Errors
     /// There is no thread to be had.
     pub fn take_over(self, shell: Shell) -> std::io::Result<()> {
-        shell.neighbour().accept(false);
-        shell.neighbour().open();
+        shell.peer_process().accept(false);
+        shell.peer_process().open();
         std::thread::Builder::new().name("upgrade".to_owned()).spawn(move || self.run(&shell))?;
         Ok(())
     }
@@ -150,11 +150,11 @@
         let Some(message) = shell.take(heard) else { return };
         match &message {
             Message::Commit { under_way, inbound, next_hops } => {
-                under_way.iter().for_each(|id| shell.neighbour().their_job(id.clone()));
-                shell.neighbour().share(*inbound, *next_hops);
+                under_way.iter().for_each(|id| shell.peer_process().their_job(id.clone()));
+                shell.peer_process().share(*inbound, *next_hops);
             }
-            Message::Began { id } => shell.neighbour().their_job(id.clone()),
-            Message::Ended { id } => shell.neighbour().their_job_ended(id),
+            Message::Began { id } => shell.peer_process().their_job(id.clone()),
+            Message::Ended { id } => shell.peer_process().their_job_ended(id),
             _ => {}
         }
         self.taker.handle(Event::Message(message), shell.core.clock.now(), out);
@@ -166,10 +166,10 @@
                 Action::Send(message) => self.link.send(&message, None)?,
                 Action::Accept => {
                     slog::info!(shell.log(), "upgrade: this process accepts");
-                    shell.neighbour().accept(true);
+                    shell.peer_process().accept(true);
                     shell.core.now_serves();
                 }
-                Action::StopAccepting => shell.neighbour().accept(false),
+                Action::StopAccepting => shell.peer_process().accept(false),
                 _ => {}
             }
         }
