--- a/coordination/chain/src/lib.rs
+++ b/coordination/chain/src/lib.rs
@@ -69,23 +69,22 @@
 #![forbid(unsafe_code)]
 
 mod config;
-mod contact;
 mod durable;
 mod entry;
-mod link;
 mod log;
 mod machine;
 mod message;
 mod node;
-mod reads;
+mod quorum_contact;
+mod read_confirmation;
 mod replica;
+mod replication_progress;
 mod replies;
 mod simulated_disk;
 mod store;
 mod transfer;
 
 pub use config::{ConfigError, CoreConfig};
-pub use contact::{ProcessTimestamp, TimestampEcho};
 pub use durable::{DurableState, Record, Snapshot};
 pub use entry::{Entry, Position, RequestId, Sequence};
 pub use log::Log;
@@ -95,4 +94,5 @@
 pub use millrudder_view::{DetectorConfig, Epoch, Member, NodeId, View};
 pub use node::{CoreNode, Input, Output, PersistToken, StartError};
 pub use simulated_disk::{DiskWrite, SimulatedDisk};
+pub use quorum_contact::{ProcessTimestamp, TimestampEcho};
 pub use transfer::{SnapshotChunk, SnapshotId, MAX_SNAPSHOT_BYTES};
--- a/coordination/chain/src/node/contact.rs
+++ b/coordination/chain/src/node/contact.rs
@@ -5,7 +5,7 @@
 use millrudder_view::NodeId;
 
 use super::{CoreNode, Output};
-use crate::contact::Own;
+use crate::quorum_contact::Own;
 use crate::{Heartbeat, Machine};
 
 impl<M: Machine> CoreNode<M> {
--- a/coordination/chain/src/node/messages.rs
+++ b/coordination/chain/src/node/messages.rs
@@ -4,7 +4,7 @@
 use millrudder_view::{Epoch, NodeId, ViewMessage};
 
 use super::CoreNode;
-use crate::reads::Reader;
+use crate::read_confirmation::Reader;
 use crate::{CoreMessage, Machine, Record};
 
 impl<M: Machine> CoreNode<M> {
--- a/coordination/chain/src/node/mod.rs
+++ b/coordination/chain/src/node/mod.rs
@@ -1,16 +1,16 @@
 //! The whole core node as one state machine.
 
-mod campaign;
+mod catch_up;
 mod contact;
-mod departure;
-mod filling;
-mod lag;
+mod departures;
+mod disk_lag;
+mod leases;
 mod messages;
 mod outbox;
 mod peers;
-mod reconfigure;
 mod requests;
-mod wanted;
+mod target_view;
+mod view_change;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,12 +18,12 @@
 use millrudder_view::{Bootstrap, Detector, Member, NodeId, Step, View, ViewAgreement};
 use thiserror::Error;
 
-use self::lag::DiskLag;
+use self::disk_lag::DiskLag;
 use self::outbox::{Effect, Outbox};
 use self::peers::PeerStatus;
 use self::requests::{PendingRead, PendingSubmit};
-use crate::contact::QuorumContact;
-use crate::reads::Confirmations;
+use crate::quorum_contact::QuorumContact;
+use crate::read_confirmation::Confirmations;
 use crate::replica::{Replica, ReplicaLimits, ReplicaOutput};
 use crate::store::{KeptLog, Store};
 use crate::{
--- a/coordination/chain/src/node/requests.rs
+++ b/coordination/chain/src/node/requests.rs
@@ -4,7 +4,7 @@
 use speedy::{Readable, Writable};
 
 use super::{CoreNode, Output};
-use crate::reads::Reader;
+use crate::read_confirmation::Reader;
 use crate::store::Applied;
 use crate::{CoreMessage, Machine, NodeId, RequestId, Sequence};
 
--- a/coordination/chain/src/replica/mod.rs
+++ b/coordination/chain/src/replica/mod.rs
@@ -1,16 +1,16 @@
 //! One node's part in the chain of the present view.
 
-mod feeding;
-mod installing;
-mod progress;
+mod commit;
+mod replication;
 mod sealing;
+mod snapshot_install;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use millrudder_view::{Epoch, NodeId, View};
 use speedy::Readable;
 
-use crate::link::Link;
+use crate::replication_progress::Link;
 use crate::store::{Applied, Store};
 use crate::transfer::{IncomingSnapshot, OutgoingSnapshot};
 use crate::{AppendBatch, CoreMessage, Entry, Machine, Position, Record, RequestId, Sequence};
--- a/coordination/chain/src/replica/feeding.rs
+++ b/coordination/chain/src/replica/replication.rs
@@ -3,7 +3,7 @@
 use millrudder_view::NodeId;
 
 use super::Replica;
-use crate::link::Link;
+use crate::replication_progress::Link;
 use crate::{AppendBatch, CoreMessage, Entry, Machine, Position, Sequence};
 
 /// Bytes of entries that may be under way to one node; a single larger one goes alone.
--- a/coordination/chain/src/replica/installing.rs
+++ b/coordination/chain/src/replica/snapshot_install.rs
@@ -3,7 +3,7 @@
 use millrudder_view::NodeId;
 
 use super::{Replica, ReplicaOutput};
-use crate::link::Link;
+use crate::replication_progress::Link;
 use crate::transfer::{IncomingSnapshot, OutgoingSnapshot, Transfer, MAX_SNAPSHOT_BYTES};
 use crate::{CoreMessage, InstallSnapshotChunk, Machine, Record, Sequence, Snapshot, SnapshotId};
 
--- a/coordination/chain/tests/cores/simulator/host.rs
+++ b/coordination/chain/tests/cores/simulator/host.rs
@@ -2,8 +2,8 @@
 
 use millrudder_chain::CoreNode;
 
-use super::ledger::Ledger;
 use millrudder_chain::SimulatedDisk;
+use super::value_table::Ledger;
 
 /// One machine with its process, if that runs.
 #[derive(Default)]
--- a/coordination/chain/tests/cores/simulator/mod.rs
+++ b/coordination/chain/tests/cores/simulator/mod.rs
@@ -2,12 +2,12 @@
 
 pub mod checker;
 mod clients;
+mod fault_injection;
 pub mod faults;
 pub mod history;
 mod host;
-pub mod ledger;
 pub mod network;
 mod outputs;
 pub mod plan;
-mod strikes;
+pub mod value_table;
 pub mod world;
--- a/coordination/chain/tests/cores/simulator/world.rs
+++ b/coordination/chain/tests/cores/simulator/world.rs
@@ -10,9 +10,9 @@
 use super::faults::Fault;
 use super::history::History;
 use super::host::Host;
-use super::ledger::Ledger;
 use super::network::Network;
 use super::plan::Plan;
+use super::value_table::Ledger;
 
 /// Pause between two rounds in which machines find each other, in microseconds.
 const DISCOVERY_MICROS: u64 = 250_000;
--- a/coordination/chain/tests/decoders.rs
+++ b/coordination/chain/tests/decoders.rs
@@ -1,17 +1,17 @@
 //! Bytes that no node has written: states, records and messages with damage are refused, or taken without harm.
 
-mod text;
+mod concat_machine;
 
 use std::collections::VecDeque;
 use std::sync::OnceLock;
 
+use concat_machine::{address, Text};
 use millrudder_chain::{
     CoreConfig, CoreMessage, CoreNode, DurableState, Input, NodeId, Output, Record, RequestId,
 };
 use proptest::prelude::*;
 use proptest::sample::Index;
 use speedy::{Readable, Writable};
-use text::{address, Text};
 
 const CASES: u32 = 2_000;
 const STEP_MICROS: u64 = 20_000;
--- a/coordination/chain/tests/node/filling.rs
+++ b/coordination/chain/tests/node/catch_up.rs
@@ -3,7 +3,7 @@
 use millrudder_chain::{NodeId, RequestId};
 
 use crate::cluster::{config, Cluster, SECOND, STEP_MICROS};
-use crate::text::address;
+use crate::concat_machine::address;
 
 /// A core of three that has gone on without the third machine, which is back with its disk and gets no commands.
 fn with_a_member_that_is_behind() -> (Cluster, NodeId) {
--- a/coordination/chain/tests/node/cluster.rs
+++ b/coordination/chain/tests/node/cluster.rs
@@ -4,7 +4,7 @@
 
 use millrudder_chain::{CoreConfig, CoreMessage, CoreNode, DurableState, Input, NodeId, Output, RequestId};
 
-use crate::text::{address, Text};
+use crate::concat_machine::{address, Text};
 
 /// Time goes on in steps of this many microseconds.
 pub const STEP_MICROS: u64 = 20_000;
--- a/coordination/chain/tests/node/main.rs
+++ b/coordination/chain/tests/node/main.rs
@@ -1,8 +1,8 @@
 //! One core node or a few, on a network that loses nothing.
 
+mod catch_up;
 mod cluster;
-mod filling;
+#[path = "../concat_machine/mod.rs"]
+mod concat_machine;
 mod serving;
-#[path = "../text/mod.rs"]
-mod text;
 mod voters;
--- a/coordination/chain/tests/node/serving.rs
+++ b/coordination/chain/tests/node/serving.rs
@@ -5,7 +5,7 @@
 };
 
 use crate::cluster::{config, Cluster, SECOND};
-use crate::text::{address, Text};
+use crate::concat_machine::{address, Text};
 
 #[test]
 fn a_core_of_one_serves_alone() {
--- a/coordination/chain/tests/node/voters.rs
+++ b/coordination/chain/tests/node/voters.rs
@@ -7,7 +7,7 @@
 use millrudder_view::{Ballot, ViewMessage};
 
 use crate::cluster::{config, Cluster, SECOND, STEP_MICROS};
-use crate::text::address;
+use crate::concat_machine::address;
 
 #[test]
 fn a_spare_follows_a_full_core_and_takes_the_place_of_a_lost_member() {
--- a/coordination/chain/tests/transfer.rs
+++ b/coordination/chain/tests/transfer.rs
@@ -1,14 +1,14 @@
 //! The transfer of a large state to a node that is far behind: parts, losses, damage, changes of view, restarts.
 
-mod text;
+mod concat_machine;
 
 use std::collections::BTreeMap;
 
+use concat_machine::{address, Text};
 use millrudder_chain::{
     CoreConfig, CoreMessage, CoreNode, DurableState, Input, InstallSnapshotChunk, NodeId, Output, RequestId,
     Sequence, SnapshotChunk, SnapshotId, MAX_SNAPSHOT_BYTES,
 };
-use text::{address, Text};
 
 /// Time goes on in steps of this many microseconds; a message takes one step.
 const STEP_MICROS: u64 = 5_000;
--- a/coordination/view/src/lib.rs
+++ b/coordination/view/src/lib.rs
@@ -22,16 +22,16 @@
 
 mod acceptor;
 mod agreement;
+mod bootstrap;
 mod detector;
-mod foundation;
 mod identity;
 mod message;
 mod proposer;
 
 pub use acceptor::AcceptedView;
 pub use agreement::{Envelope, Step, ViewAgreement, ViewState};
+pub use bootstrap::Bootstrap;
 pub use detector::{Detector, DetectorConfig, DetectorConfigError};
-pub use foundation::Bootstrap;
 pub use identity::{Ballot, Epoch, Member, NodeId, View};
 pub use message::{ViewMessage, ViewRecord};
 pub use proposer::TargetView;
