--- a/coordination/chain/src/durable.rs
+++ b/coordination/chain/src/durable.rs
@@ -1,4 +1,5 @@
-//! What a node keeps on its disk.
+//! The durable state of a node: records, snapshots, and the state that they fold into. The order of fields and variants
+//! is their form on disk.
 
 use millrudder_lease::{LeaseRecord, VoterState};
 use millrudder_view::{Epoch, NodeId, View, ViewRecord, ViewState};
@@ -12,7 +13,7 @@
 pub struct Snapshot {
     /// The last command that is contained.
     pub position: Position,
-    /// The machine's own bytes; empty for a machine to which nothing was applied.
+    /// [`Machine::snapshot`](crate::Machine::snapshot); empty for a machine to which nothing was applied.
     pub machine: Vec<u8>,
     pub(crate) replies: Replies,
 }
@@ -21,17 +22,38 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Record {
     /// The node has drawn its identity.
-    Identity { id: NodeId },
+    Identity {
+        /// The identity.
+        id: NodeId,
+    },
     /// A step of the agreement on views.
     View(ViewRecord),
-    /// Commands were taken, and all up to `committed` are known to be committed.
-    Appended { entries: Vec<Entry>, committed: Sequence, complete: bool },
-    /// The replicated state was replaced.
-    Installed { snapshot: Snapshot, complete: bool },
-    /// The node left the view: its commands after `committed` are void.
-    Left { committed: Sequence },
+    /// Commands were appended to the log.
+    Appended {
+        /// The commands.
+        entries: Vec<Entry>,
+        /// The last command that is known to be committed.
+        committed: Sequence,
+        /// Whether the node holds every command committed in earlier views.
+        complete: bool,
+    },
+    /// The replicated state was replaced by a snapshot.
+    SnapshotInstalled {
+        /// The snapshot.
+        snapshot: Snapshot,
+        /// Whether the node holds every command committed in earlier views.
+        complete: bool,
+    },
+    /// The commands that are not committed were dropped, since the chain may not hold them.
+    UncommittedDropped {
+        /// The last command that is known to be committed.
+        committed: Sequence,
+    },
     /// The node takes part in the chain of this epoch no more: what its log lacks can never be committed in it.
-    Sealed { epoch: Epoch },
+    Sealed {
+        /// The epoch.
+        epoch: Epoch,
+    },
     /// A step of the voter for leases.
     Lease(LeaseRecord),
 }
@@ -58,8 +80,8 @@
             Record::Identity { id } => self.id = *id,
             Record::View(record) => self.view.apply(record),
             Record::Appended { entries, committed, complete } => self.append(entries, *committed, *complete),
-            Record::Installed { snapshot, complete } => self.install(snapshot, *complete),
-            Record::Left { committed } => self.leave(*committed),
+            Record::SnapshotInstalled { snapshot, complete } => self.install(snapshot, *complete),
+            Record::UncommittedDropped { committed } => self.drop_uncommitted(*committed),
             Record::Sealed { epoch } => self.sealed = *epoch,
             Record::Lease(record) => self.lease.apply(record),
         }
@@ -95,7 +117,7 @@
         self.complete |= complete;
     }
 
-    fn leave(&mut self, committed: Sequence) {
+    fn drop_uncommitted(&mut self, committed: Sequence) {
         self.committed = self.committed.max(committed);
         self.log.truncate_after(self.committed);
         self.complete = false;
--- a/coordination/chain/src/entry.rs
+++ b/coordination/chain/src/entry.rs
@@ -1,9 +1,9 @@
-//! Commands in the order that the head has given them.
+//! Commands in the replicated order, which the head assigns.
 
 use millrudder_view::{Epoch, NodeId};
 use speedy::{Readable, Writable};
 
-/// Place of a command in the replicated order; the first command has number 1.
+/// Index of a command in the replicated order; the first command has number 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Sequence(pub u64);
 
@@ -14,16 +14,16 @@
     }
 }
 
-/// A caller's name for one command or read; a command sent again under the same name runs once.
+/// Identity of one command or read, given by its caller; a command submitted again under the same identity runs once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct RequestId(pub u128);
 
-/// A place in the replicated order together with the epoch in which it was assigned.
+/// An index in the replicated order together with the epoch in which it was assigned.
 ///
 /// Two logs that agree on a position agree on every entry up to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Position {
-    /// Place in the order.
+    /// Index in the order.
     pub sequence: Sequence,
     /// Epoch of the head that assigned it.
     pub epoch: Epoch,
@@ -32,9 +32,9 @@
 /// One command of the replicated order.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Entry {
-    /// Its place.
+    /// Its position.
     pub position: Position,
-    /// The caller's name for it.
+    /// The request that it was submitted with.
     pub request_id: RequestId,
     /// The node at which it was submitted.
     pub origin: NodeId,
--- a/coordination/chain/src/lib.rs
+++ b/coordination/chain/src/lib.rs
@@ -1,27 +1,28 @@
 //! Chain-replicated state over an agreed membership view, for a small core of machines.
 //!
-//! [`CoreNode`] is one state machine to embed: it founds the core, replicates the commands of a [`Machine`] down
-//! the chain of the present view, replaces silent members, brings back those that return, confirms linearizable
-//! reads, and campaigns for leader leases. It does no I/O: the embedding program passes [`Input`]s with the time
-//! of its steady clock and carries out the [`Output`]s.
+//! [`CoreNode`] is one state machine to embed: it bootstraps the core, replicates the commands of a [`Machine`] down the
+//! chain of the present view (chain replication: van Renesse, Schneider, 2004), replaces unreachable members, readmits
+//! those that return, confirms linearizable reads, and campaigns for leader leases. It does no I/O: the embedder passes
+//! [`Input`]s with readings of its steady clock and carries out the [`Output`]s.
 //!
 //! A command is committed once every member of the view has made it durable. No message leaves a node before every
 //! record issued earlier is durable, so that no peer ever sees what a crash could take back.
 //!
-//! What the embedding program must do:
+//! What the embedder must do:
 //!
 //! - Append the record of each [`Output::Persist`] to a journal in the order given, and report the token with
 //!   [`Input::Persisted`] once it is synced; one report covers all earlier tokens. At the next start fold the
 //!   journal with [`DurableState::apply`] over the last [`Output::Checkpoint`].
 //! - Carry messages with the identity of sender and recipient, protected by a checksum, and hand a message in only
 //!   where the recipient's identity is the own one: another disk may answer at an old address. Messages may be
-//!   lost, late, doubled or reordered.
-//! - Tell others the own [`CoreNode::id`] only once the first record is durable, and pass on theirs with
-//!   [`Input::PeerSeen`]. Only nodes that can be members of the core are to be passed on.
-//! - Handle [`Input::Tick`] at [`CoreNode::next_deadline`], and look at [`CoreNode::holds`] directly before each
-//!   act of a role: a process that did not run for a while has lost its lease before it hears of that.
+//!   lost, delayed, duplicated or reordered.
+//! - Pass on the own [`CoreNode::id`] to others only once the first record is durable, and hand in theirs with
+//!   [`Input::PeerSeen`]. Only nodes that can be members of the core are to be handed in.
+//! - Handle [`Input::Tick`] at [`CoreNode::next_deadline`], and ask [`CoreNode::holds`] directly before each
+//!   act of a role: the lease of a process that was paused expires before [`Output::LeaseLost`] tells.
 //!
 //! ```
+//! use millrudder_clock::Instant;
 //! use millrudder_chain::{CoreConfig, CoreNode, Input, Machine, Output, RequestId, RestoreError, Sequence};
 //!
 //! #[derive(Default)]
@@ -47,17 +48,18 @@
 //! }
 //!
 //! let mut config = CoreConfig::new("127.0.0.1:9000");
-//! config.founders = vec!["127.0.0.1:9000".to_owned()];
+//! config.bootstrap_addresses = vec!["127.0.0.1:9000".to_owned()];
 //! config.minimum_members = 1;
-//! let mut node: CoreNode<Counter> = CoreNode::new(config, None, 42, 0).expect("a good configuration");
+//! let mut node: CoreNode<Counter> = CoreNode::new(config, None, 42, Instant::ORIGIN).expect("a good configuration");
 //!
 //! let mut replies = Vec::new();
-//! node.handle(1_000, Input::Submit { request_id: RequestId(1), command: 5 });
+//! node.handle(Instant::from_millis(1), Input::Submit { request_id: RequestId(1), command: 5 });
 //! for step in 1..100 {
-//!     node.handle(step * 100_000, Input::Tick);
+//!     let now = Instant::from_millis(step * 100);
+//!     node.handle(now, Input::Tick);
 //!     while let Some(output) = node.next_output() {
 //!         match output {
-//!             Output::Persist { token, .. } => node.handle(step * 100_000, Input::Persisted { token }),
+//!             Output::Persist { token, .. } => node.handle(now, Input::Persisted { token }),
 //!             Output::Reply { reply, .. } => replies.push(reply),
 //!             _ => {}
 //!         }
@@ -93,6 +95,6 @@
 pub use millrudder_lease::{FencingToken, LeaseConfig, Role};
 pub use millrudder_view::{DetectorConfig, Epoch, Member, NodeId, View};
 pub use node::{CoreNode, Input, Output, PersistToken, StartError};
-pub use simulated_disk::{DiskWrite, SimulatedDisk};
 pub use quorum_contact::{ProcessTimestamp, TimestampEcho};
+pub use simulated_disk::{DiskWrite, SimulatedDisk};
 pub use transfer::{SnapshotChunk, SnapshotId, MAX_SNAPSHOT_BYTES};
--- a/coordination/chain/src/log.rs
+++ b/coordination/chain/src/log.rs
@@ -1,4 +1,4 @@
-//! Entries of the replicated order that a node holds, from just after a base position.
+//! The log: a run of entries of the replicated order after a base position.
 
 use std::collections::BTreeMap;
 
@@ -64,7 +64,7 @@
         self.entries.iter().skip(usize::try_from(skipped).unwrap_or(usize::MAX))
     }
 
-    /// Appends an entry that follows the end; any other is ignored.
+    /// Appends an entry that follows the end, and returns whether it does; any other is ignored.
     pub fn append(&mut self, entry: Entry) -> bool {
         let follows = entry.position.sequence == self.end().sequence.next();
         if follows {
@@ -75,8 +75,8 @@
 
     /// Drops the entries after `sequence`.
     pub fn truncate_after(&mut self, sequence: Sequence) {
-        let kept = sequence.0.saturating_sub(self.base.sequence.0);
-        self.entries.truncate(usize::try_from(kept).unwrap_or(usize::MAX));
+        let retained = sequence.0.saturating_sub(self.base.sequence.0);
+        self.entries.truncate(usize::try_from(retained).unwrap_or(usize::MAX));
     }
 
     /// Drops the entries up to `sequence`, which becomes the base. The cost grows with the entries that remain.
@@ -88,7 +88,7 @@
         self.base = base;
     }
 
-    /// Requests of the entries after `sequence`, with their places.
+    /// Requests of the entries after `sequence`, with their indices.
     pub fn requests_after(&self, sequence: Sequence) -> BTreeMap<RequestId, Sequence> {
         let entries = self.entries_after(sequence);
         entries.map(|entry| (entry.request_id, entry.position.sequence)).collect()
--- a/coordination/chain/src/machine.rs
+++ b/coordination/chain/src/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine that the embedding program brings.
+//! The interface of the replicated state machine.
 
 use std::fmt::Debug;
 
@@ -19,15 +19,19 @@
 pub trait Machine: Default {
     /// A change of the state.
     type Command: Clone + Debug + for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian>;
-    /// What the change answers; kept for a bounded number of requests, so it should be small.
+    /// The result of a command. Retained for a bounded number of requests, so it should be small.
     type Reply: Clone + Debug + for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian>;
 
     /// Applies a committed command.
     fn apply(&mut self, sequence: Sequence, command: &Self::Command) -> Self::Reply;
 
-    /// The whole state as bytes.
+    /// Encodes the whole state.
     fn snapshot(&self) -> Vec<u8>;
 
     /// Rebuilds the state from the bytes of [`snapshot`](Machine::snapshot).
+    ///
+    /// # Errors
+    ///
+    /// [`RestoreError::Unreadable`] if the bytes are not such a snapshot.
     fn restore(snapshot: &[u8]) -> Result<Self, RestoreError>;
 }
--- a/coordination/chain/src/message.rs
+++ b/coordination/chain/src/message.rs
@@ -9,31 +9,31 @@
     Entry, Position, ProcessTimestamp, RequestId, Sequence, SnapshotChunk, SnapshotId, TimestampEcho,
 };
 
-/// Sent to every peer at a fixed pace. Its fields repeat what a lost message may have said.
+/// Sent to every peer at a fixed interval. Its fields repeat what a lost message may have said.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Heartbeat {
     /// Epoch of the sender's view.
     pub epoch: Epoch,
     /// Address of the sender.
     pub address: String,
-    /// The moment at which this was made.
-    pub stamp: ProcessTimestamp,
-    /// Peers that the sender hears, each with its newest stamp.
-    pub heard: Vec<TimestampEcho>,
+    /// The sender's clock when this was made.
+    pub timestamp: ProcessTimestamp,
+    /// Peers whose heartbeats arrive at the sender, each with its newest timestamp.
+    pub timestamp_echoes: Vec<TimestampEcho>,
     /// End of the sender's durable log.
-    pub end: Position,
+    pub log_end: Position,
     /// The last command that the sender knows to be committed.
     pub committed: Sequence,
     /// Whether the sender has caught up with its predecessor in this view.
-    pub synced: bool,
+    pub is_caught_up: bool,
     /// Whether the sender holds every command that was committed before this view.
-    pub complete: bool,
+    pub is_complete: bool,
     /// Whether the sender votes in its view and has accepted no later one.
-    pub vouches: bool,
-    /// Whether the sender is about to end.
-    pub leaving: bool,
+    pub confirms_epoch: bool,
+    /// Whether the sender shuts down.
+    pub is_leaving: bool,
     /// Whether the sender's disk is too slow for a member.
-    pub lagging: bool,
+    pub is_disk_lagging: bool,
 }
 
 /// Commands for the next node of the chain.
@@ -47,79 +47,141 @@
     pub entries: Vec<Entry>,
     /// The last command that the sender knows to be committed.
     pub committed: Sequence,
-    /// Once the receiver holds the commands up to here, it holds every committed command.
+    /// A receiver whose log reaches this command holds every committed command.
     pub complete_at: Sequence,
-    /// Whether the sender has sealed the epoch, and feeds the receiver ahead of the next view.
+    /// Whether the sender has sealed the epoch, and brings up the receiver ahead of the next view.
     pub sealed: bool,
 }
 
-/// A part of the replicated state.
+/// A chunk of a snapshot of the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct InstallSnapshotChunk {
     /// Epoch of the chain.
     pub epoch: Epoch,
-    /// The part.
-    pub part: SnapshotChunk,
-    /// Once the receiver holds the commands up to here, it holds every committed command.
+    /// The chunk.
+    pub chunk: SnapshotChunk,
+    /// A receiver whose log reaches this command holds every committed command.
     pub complete_at: Sequence,
-    /// Whether the sender has sealed the epoch, and feeds the receiver ahead of the next view.
+    /// Whether the sender has sealed the epoch, and brings up the receiver ahead of the next view.
     pub sealed: bool,
     /// The end of the receiver's log, where the sender's log has another command or none.
-    pub differs_at: Option<Position>,
+    pub conflict_at: Option<Position>,
 }
 
-/// A message between two core nodes.
+/// A message between two core nodes. The order of the variants, and of their fields, is their form on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum CoreMessage {
-    /// Sign of life and of progress.
+    /// The sender is up, and how far it is.
     Heartbeat(Heartbeat),
     /// Agreement on views.
     View(ViewMessage),
     /// Commands, from a member to the next one or from the tail to a learner.
     Append(AppendBatch),
-    /// A part of the replicated state, for a node that is too far behind.
-    Install(InstallSnapshotChunk),
-    /// The sender holds this many bytes from the start of a snapshot that is being sent to it.
-    InstallReceived { epoch: Epoch, id: SnapshotId, received: u64 },
-    /// The sender holds commands up to `end` durably, and those up to `committed` are committed.
-    Appended { epoch: Epoch, end: Position, committed: Sequence },
-    /// The sender's log ends at `end`, before the commands that it was sent.
-    Gap { epoch: Epoch, end: Position },
+    /// A chunk of a snapshot, for a node that is too far behind.
+    InstallSnapshot(InstallSnapshotChunk),
+    /// How far the sender has received a snapshot.
+    SnapshotReceived {
+        /// Epoch of the chain.
+        epoch: Epoch,
+        /// The snapshot.
+        id: SnapshotId,
+        /// Bytes received from the start without a gap.
+        received: u64,
+    },
+    /// The sender's log is durable up to `end`.
+    Appended {
+        /// Epoch of the chain.
+        epoch: Epoch,
+        /// End of the log.
+        end: Position,
+        /// The last command that the sender knows to be committed.
+        committed: Sequence,
+    },
+    /// The sender lacks the commands before those that it was sent.
+    Gap {
+        /// Epoch of the chain.
+        epoch: Epoch,
+        /// End of the sender's log.
+        end: Position,
+    },
     /// A command for the head.
-    Submit { request_id: RequestId, command: Vec<u8> },
+    Submit {
+        /// The request.
+        request_id: RequestId,
+        /// The encoded command.
+        command: Vec<u8>,
+    },
     /// The reply to a command.
-    Answer { request_id: RequestId, reply: Vec<u8> },
-    /// Asks the tail how far a linearizable read must look.
-    ReadIndex { epoch: Epoch, request_id: RequestId },
-    /// A read sees everything it must once the reader has applied commands up to `sequence`.
-    ReadIndexed { request_id: RequestId, sequence: Sequence },
+    Reply {
+        /// The request.
+        request_id: RequestId,
+        /// The encoded reply.
+        reply: Vec<u8>,
+    },
+    /// Asks the tail for the read index of a linearizable read.
+    ReadIndex {
+        /// Epoch of the chain.
+        epoch: Epoch,
+        /// The request.
+        request_id: RequestId,
+    },
+    /// The read index: the reader must have applied the commands up to `sequence`.
+    ReadIndexed {
+        /// The request.
+        request_id: RequestId,
+        /// The read index.
+        sequence: Sequence,
+    },
     /// The tail asks whether its epoch is current.
-    ConfirmEpoch { epoch: Epoch, round: u64 },
+    ConfirmEpoch {
+        /// The epoch.
+        epoch: Epoch,
+        /// Number of the attempt.
+        attempt: u64,
+    },
     /// The epoch was current at the sender.
-    EpochConfirmed { epoch: Epoch, round: u64 },
+    EpochConfirmed {
+        /// The epoch.
+        epoch: Epoch,
+        /// Number of the attempt.
+        attempt: u64,
+    },
     /// Asks a voter of the present view for a lease.
-    LeaseRequest { epoch: Epoch, request: LeaseRequest },
+    LeaseRequest {
+        /// The epoch.
+        epoch: Epoch,
+        /// The request.
+        request: LeaseRequest,
+    },
     /// A voter's answer.
-    LeaseAnswer { epoch: Epoch, answer: LeaseAnswer },
-    /// The holder of a lease gives it back.
-    LeaseReleased { release: LeaseRelease },
+    LeaseAnswer {
+        /// The epoch.
+        epoch: Epoch,
+        /// The answer.
+        answer: LeaseAnswer,
+    },
+    /// The holder of a lease releases it.
+    LeaseReleased {
+        /// The release.
+        release: LeaseRelease,
+    },
 }
 
-/// Why bytes are not a message.
+/// Why bytes cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// They do not follow the format.
+    /// They do not follow the format, or go beyond one message.
     #[error("the bytes are not a message between core nodes")]
     Unreadable,
 }
 
 impl CoreMessage {
-    /// Epoch within which alone the message counts, if there is one.
+    /// The only epoch in which the message counts, if there is one.
     pub(crate) fn epoch(&self) -> Option<Epoch> {
         match self {
             CoreMessage::Append(batch) => Some(batch.epoch),
-            CoreMessage::Install(install) => Some(install.epoch),
-            CoreMessage::InstallReceived { epoch, .. }
+            CoreMessage::InstallSnapshot(install) => Some(install.epoch),
+            CoreMessage::SnapshotReceived { epoch, .. }
             | CoreMessage::Appended { epoch, .. }
             | CoreMessage::Gap { epoch, .. }
             | CoreMessage::ReadIndex { epoch, .. }
@@ -131,15 +193,19 @@
         }
     }
 
-    /// The message as bytes.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         self.write_to_vec().unwrap_or_default()
     }
 
-    /// Reads a message; bytes beyond it are an error.
+    /// Decodes a message.
+    ///
+    /// # Errors
+    ///
+    /// [`MessageError::Unreadable`] if the bytes are not exactly one message.
     pub fn decode(bytes: &[u8]) -> Result<CoreMessage, MessageError> {
         let message = CoreMessage::read_from_buffer(bytes).map_err(|_| MessageError::Unreadable)?;
-        // Encoding is canonical, so a different length shows bytes beyond the message.
+        // Encoding is canonical, so a different length reveals bytes beyond the message.
         match Writable::<speedy::LittleEndian>::bytes_needed(&message) {
             Ok(length) if length == bytes.len() => Ok(message),
             _ => Err(MessageError::Unreadable),
--- a/coordination/chain/src/node/disk_lag.rs
+++ b/coordination/chain/src/node/disk_lag.rs
@@ -1,48 +1,50 @@
 //! Whether this node's disk keeps up with what a member has to write.
 
+use std::time::Duration;
+
+use millrudder_clock::Instant;
+
 use super::PersistToken;
 
-/// A record that is not durable after so long (microseconds) shows a disk on which a chain would wait.
-const TOO_LONG_MICROS: u64 = 300_000;
-/// A process that looks this long (microseconds) after its last look stood still itself: reports of its disk wait unread.
-const STOOD_STILL_MICROS: u64 = 200_000;
-/// A disk that was too slow counts as such for so long (microseconds), since a disk at rest shows nothing.
-const REMEMBERED_MICROS: u64 = 3_000_000;
+/// A record that is not durable after so long shows a disk that would hold up the chain.
+const SLOW_RECORD: Duration = Duration::from_millis(300);
+/// A process without an input for so long was paused itself: reports of its disk wait unread.
+const PAUSED: Duration = Duration::from_millis(200);
+/// A disk that was too slow counts as such for so long, since an idle disk shows nothing.
+const MEMORY: Duration = Duration::from_secs(3);
 
 /// How long the oldest record that is not durable has waited.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DiskLag {
-    waiting: Option<Waiting>,
-    looked_at: u64,
-    slow_until: u64,
+    oldest: Option<PendingRecord>,
+    updated_at: Instant,
+    lagging_until: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
-    for_record: PersistToken,
-    since: u64,
+struct PendingRecord {
+    token: PersistToken,
+    since: Instant,
 }
 
 impl DiskLag {
-    /// Notes how far the disk is, to be called at each input.
-    pub(super) fn look(&mut self, now: u64, issued: PersistToken, on_disk: PersistToken) {
-        let stood_still = now.saturating_sub(self.looked_at) >= STOOD_STILL_MICROS;
-        self.looked_at = now;
-        if stood_still {
-            self.waiting = None;
+    /// Notes how far the disk is; to be called at each input.
+    pub(super) fn update(&mut self, now: Instant, issued: PersistToken, durable: PersistToken) {
+        let was_paused = now - self.updated_at >= PAUSED;
+        self.updated_at = now;
+        if was_paused {
+            self.oldest = None;
         }
-        if let Some(waiting) = self.waiting {
-            if now.saturating_sub(waiting.since) >= TOO_LONG_MICROS {
-                self.slow_until = now + REMEMBERED_MICROS;
-            }
+        if self.oldest.is_some_and(|record| now - record.since >= SLOW_RECORD) {
+            self.lagging_until = now + MEMORY;
         }
-        let still = self.waiting.filter(|waiting| waiting.for_record > on_disk);
-        let next = Waiting { for_record: PersistToken(on_disk.0 + 1), since: now };
-        self.waiting = still.or((issued > on_disk).then_some(next));
+        let still_pending = self.oldest.filter(|record| record.token > durable);
+        let next = PendingRecord { token: PersistToken(durable.0 + 1), since: now };
+        self.oldest = still_pending.or((issued > durable).then_some(next));
     }
 
-    /// Whether the disk is, or was of late, too slow for a member.
-    pub(super) fn is_lagging(&self, now: u64) -> bool {
-        now < self.slow_until
+    /// Whether the disk is, or was recently, too slow for a member.
+    pub(super) fn is_lagging(&self, now: Instant) -> bool {
+        now < self.lagging_until
     }
 }
--- a/coordination/chain/src/node/leases.rs
+++ b/coordination/chain/src/node/leases.rs
@@ -1,94 +1,196 @@
-//! Leases of the roles for which a node campaigns.
+//! Leases of the roles for which a node campaigns, and its votes for others.
 
-use millrudder_lease::{HolderEvent, HolderId, LeaseAnswer, LeaseRelease, Role, VoterId};
+use millrudder_clock::Instant;
+use millrudder_lease::{
+    FencingToken, Holder, HolderEvent, HolderId, LeaseAnswer, LeaseConfig, LeaseRelease, LeaseRequest, Role,
+    Vote, Voter, VoterId, VoterState,
+};
 use millrudder_view::{Epoch, NodeId, View};
 
 use super::{CoreNode, Output};
-use crate::{CoreMessage, Machine};
+use crate::{CoreMessage, Machine, Record};
 
-impl<M: Machine> CoreNode<M> {
-    /// Counts votes of the voters of `view` from now on.
+/// A change in the possession of a role.
+pub(super) struct LeaseChange {
+    role: Role,
+    event: HolderEvent,
+}
+
+/// What follows for one role from the passing of time.
+pub(super) struct PolledLease {
+    change: Option<LeaseChange>,
+    /// To be sent to all voters.
+    request: Option<LeaseRequest>,
+}
+
+/// Which leases a node may ask for.
+#[derive(Clone, Copy)]
+pub(super) struct Eligibility {
+    can_renew: bool,
+    can_claim: bool,
+}
+
+/// The holders of this node's roles, and its voter.
+#[derive(Clone, Debug)]
+pub(super) struct Leases {
+    voter: Voter,
+    holders: Vec<Holder>,
+    /// The view whose voters are counted.
+    entered: Option<View>,
+}
+
+impl Leases {
+    /// Continues with the voter's durable state; `random` gives each holder its seed.
+    pub(super) fn new(
+        config: &LeaseConfig,
+        roles: &[Role],
+        state: VoterState,
+        random: &mut fastrand::Rng,
+        now: Instant,
+    ) -> Leases {
+        let holders = roles.iter().map(|role| Holder::new(config, role.clone(), random.u64(..)));
+        Leases { voter: Voter::new(config, state, now), holders: holders.collect(), entered: None }
+    }
+
+    /// The disk has never been used, so that no earlier process can have voted.
+    pub(super) fn skip_grace_period(&mut self) {
+        self.voter.skip_grace_period();
+    }
+
+    /// The durable state of the voter.
+    pub(super) fn voter_state(&self) -> &VoterState {
+        self.voter.state()
+    }
+
+    /// Token of a role, while it is held.
+    pub(super) fn fencing_token(&self, now: Instant, role: &Role) -> Option<FencingToken> {
+        self.holders.iter().find(|holder| holder.role() == role)?.fencing_token(now)
+    }
+
+    /// When the next holder has to be polled.
+    pub(super) fn next_deadline(&self) -> Option<Instant> {
+        self.holders.iter().filter_map(Holder::next_deadline).min()
+    }
+
+    /// Counts grants of the voters of `view` from now on.
     ///
-    /// Voters that stay the same remember whom they have granted a role, so that nothing need be withheld. This is
+    /// Voters that stay the same remember to whom they have granted a role, so that no grace period is needed. This is
     /// known only from one epoch to the next: in between others may have voted.
-    pub(super) fn enter_voters(&mut self, now: u64, view: &View) {
-        let same = self
+    pub(super) fn enter_view(&mut self, now: Instant, view: &View) {
+        let has_same_voters = self
             .entered
             .as_ref()
-            .is_some_and(|before| before.epoch.next() == view.epoch && before.has_voters_of(view));
-        if view.epoch > Epoch::FOUNDING && !same {
-            self.voter.voters_changed(now);
+            .is_some_and(|before| before.epoch.next() == view.epoch && before.has_same_voters(view));
+        if view.epoch > Epoch::FIRST && !has_same_voters {
+            self.voter.handle_voters_changed(now);
         }
         self.entered = Some(view.clone());
         for holder in &mut self.holders {
-            holder.voters_changed(view.majority(), view.epoch.0);
+            holder.set_voters(view.majority(), view.epoch.0);
         }
     }
 
-    /// Renews what is held. A role is claimed anew only by a node that holds what its chain holds: a member that has
-    /// just come back would lead with old state.
-    pub(super) fn poll_leases(&mut self, now: u64) {
-        for index in 0..self.holders.len() {
-            let step = self.holders[index].poll(now);
-            let role = self.holders[index].role().clone();
-            self.lease_event(&role, step.event);
-            let campaigns = self.may_campaign(now, index);
-            let Some(request) = step.request.filter(|_| campaigns) else {
-                continue;
-            };
-            let epoch = self.agreement.epoch();
-            for to in self.voters() {
-                self.send_at_once(to, CoreMessage::LeaseRequest { epoch, request: request.clone() });
+    fn poll(&mut self, now: Instant, eligibility: Eligibility) -> Vec<PolledLease> {
+        let poll = |holder: &mut Holder| {
+            let step = holder.poll(now);
+            let change = step.event.map(|event| LeaseChange { role: holder.role().clone(), event });
+            let is_eligible = if holder.is_held(now) { eligibility.can_renew } else { eligibility.can_claim };
+            PolledLease { change, request: step.request.filter(|_| is_eligible) }
+        };
+        self.holders.iter_mut().map(poll).collect()
+    }
+
+    fn release_all(&mut self, now: Instant) -> Vec<LeaseRelease> {
+        self.holders.iter_mut().filter_map(|holder| holder.release(now)).collect()
+    }
+
+    fn handle_request(&mut self, now: Instant, from: NodeId, request: &LeaseRequest) -> Vote {
+        self.voter.handle_request(now, HolderId(from.0), request)
+    }
+
+    fn handle_release(&mut self, now: Instant, from: NodeId, release: &LeaseRelease) {
+        self.voter.handle_release(HolderId(from.0), release);
+        let concerned = self.holders.iter_mut().filter(|holder| *holder.role() == release.role);
+        concerned.for_each(|holder| holder.handle_release(now));
+    }
+
+    fn handle_answer(&mut self, now: Instant, from: NodeId, answer: &LeaseAnswer) -> Option<LeaseChange> {
+        let holder = self.holders.iter_mut().find(|holder| holder.role() == answer.role())?;
+        let event = holder.handle_answer(now, VoterId(from.0), answer).event?;
+        Some(LeaseChange { role: answer.role().clone(), event })
+    }
+}
+
+impl<M: Machine> CoreNode<M> {
+    /// Renews active leases, and claims others.
+    pub(super) fn poll_leases(&mut self, now: Instant) {
+        let eligibility = self.lease_eligibility();
+        for polled in self.leases.poll(now, eligibility) {
+            self.report_lease(polled.change);
+            if let Some(request) = polled.request {
+                self.send_lease_request(&request);
             }
         }
     }
 
-    /// Whoever has not caught up would act on old state; a holder goes on while it catches up after a change of view.
-    fn may_campaign(&self, now: u64, index: usize) -> bool {
-        let ready = self.is_in_step() || self.holders[index].is_held(now);
-        self.agreement.is_voter() && !self.leaving && ready
+    /// A role is claimed only by a node that has caught up: a member that has just returned would act on stale state. A
+    /// holder renews its lease while it catches up after a change of view.
+    fn lease_eligibility(&self) -> Eligibility {
+        let can_renew = self.agreement.is_voter() && !self.departures.is_leaving();
+        Eligibility { can_renew, can_claim: can_renew && self.is_caught_up() }
     }
 
-    /// Gives every lease back, so that others need not wait for its end.
-    pub(super) fn release_leases(&mut self, now: u64) {
-        for index in 0..self.holders.len() {
-            let Some(release) = self.holders[index].release(now) else {
-                continue;
-            };
-            let (role, fencing) = (release.role.clone(), release.fencing);
-            self.outbox.push(Output::LeaseLost { role, fencing });
+    fn send_lease_request(&mut self, request: &LeaseRequest) {
+        let epoch = self.agreement.epoch();
+        for to in self.voters() {
+            self.send_immediately(to, CoreMessage::LeaseRequest { epoch, request: request.clone() });
+        }
+    }
+
+    /// Releases every lease, so that others need not wait until it expires.
+    pub(super) fn release_leases(&mut self, now: Instant) {
+        for release in self.leases.release_all(now) {
+            let LeaseRelease { role, fencing_token } = release.clone();
+            self.outbox.push(Output::LeaseLost { role, fencing_token });
             for to in self.voters() {
                 self.send(to, CoreMessage::LeaseReleased { release: release.clone() });
             }
         }
     }
 
-    pub(super) fn on_lease_released(&mut self, now: u64, from: NodeId, release: &LeaseRelease) {
-        self.voter.release(HolderId(from.0), release);
-        let concerned = self.holders.iter_mut().filter(|holder| *holder.role() == release.role);
-        concerned.for_each(|holder| holder.released(now));
+    pub(super) fn handle_lease_request(
+        &mut self,
+        now: Instant,
+        from: NodeId,
+        epoch: Epoch,
+        request: &LeaseRequest,
+    ) {
+        if !self.confirms_epoch() {
+            return;
+        }
+        let vote = self.leases.handle_request(now, from, request);
+        if let Some(record) = vote.record {
+            self.outbox.persist(Record::Lease(record));
+        }
+        self.send(from, CoreMessage::LeaseAnswer { epoch, answer: vote.answer });
     }
 
-    pub(super) fn on_lease_answer(&mut self, now: u64, from: VoterId, answer: &LeaseAnswer) {
-        let Some(holder) = self.holders.iter_mut().find(|holder| holder.role() == answer.role()) else {
-            return;
-        };
-        let event = holder.answer(now, from, answer).event;
-        self.lease_event(&answer.role().clone(), event);
+    pub(super) fn handle_lease_released(&mut self, now: Instant, from: NodeId, release: &LeaseRelease) {
+        self.leases.handle_release(now, from, release);
     }
 
-    pub(super) fn voters(&self) -> Vec<NodeId> {
-        self.agreement.view().into_iter().flat_map(View::voter_ids).collect()
+    pub(super) fn handle_lease_answer(&mut self, now: Instant, from: NodeId, answer: &LeaseAnswer) {
+        let change = self.leases.handle_answer(now, from, answer);
+        self.report_lease(change);
     }
 
-    fn lease_event(&mut self, role: &Role, event: Option<HolderEvent>) {
-        let role = role.clone();
-        match event {
-            Some(HolderEvent::Granted { fencing }) => {
-                self.outbox.push(Output::LeaseGranted { role, fencing })
-            }
-            Some(HolderEvent::Lost { fencing }) => self.outbox.push(Output::LeaseLost { role, fencing }),
-            None => {}
-        }
+    fn report_lease(&mut self, change: Option<LeaseChange>) {
+        let Some(LeaseChange { role, event }) = change else {
+            return;
+        };
+        self.outbox.push(match event {
+            HolderEvent::Granted { fencing_token } => Output::LeaseGranted { role, fencing_token },
+            HolderEvent::Lost { fencing_token } => Output::LeaseLost { role, fencing_token },
+        });
     }
 }
--- a/coordination/chain/src/node/outbox.rs
+++ b/coordination/chain/src/node/outbox.rs
@@ -6,7 +6,7 @@
 use speedy::Writable;
 
 use super::{Output, PersistToken};
-use crate::replica::DurableMark;
+use crate::replica::DurableWatermark;
 use crate::{CoreMessage, Machine, Record};
 
 /// What happens once earlier records are durable.
@@ -15,7 +15,7 @@
     /// A message leaves.
     Send { to: NodeId, message: CoreMessage },
     /// The replica learns that its records are durable.
-    Mark(DurableMark),
+    Watermark(DurableWatermark),
 }
 
 impl Effect {
@@ -28,7 +28,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct DeferredEffect {
     after: PersistToken,
     effect: Effect,
 }
@@ -37,10 +37,10 @@
 #[derive(Clone, Debug)]
 pub(super) struct Outbox<M: Machine> {
     outputs: VecDeque<Output<M::Command, M::Reply>>,
-    held: VecDeque<Held>,
+    deferred: VecDeque<DeferredEffect>,
     /// Messages that rest on no record but that of the identity.
-    urgent: VecDeque<Effect>,
-    /// The record of the identity, where this process has drawn it.
+    immediate: VecDeque<Effect>,
+    /// The record of the identity, if this process has drawn it.
     identity: PersistToken,
     issued: PersistToken,
     durable: PersistToken,
@@ -51,8 +51,8 @@
     pub(super) fn new() -> Outbox<M> {
         Outbox {
             outputs: VecDeque::new(),
-            held: VecDeque::new(),
-            urgent: VecDeque::new(),
+            deferred: VecDeque::new(),
+            immediate: VecDeque::new(),
             identity: PersistToken(0),
             issued: PersistToken(0),
             durable: PersistToken(0),
@@ -76,7 +76,7 @@
         self.outputs.push_back(Output::Persist { token: self.issued, record });
     }
 
-    /// Issues the record of an identity that was drawn just now: no message leaves before it is durable.
+    /// Issues the record of an identity that was just drawn: no message leaves before it is durable.
     pub(super) fn persist_identity(&mut self, id: NodeId) {
         self.persist(Record::Identity { id });
         self.identity = self.issued;
@@ -88,7 +88,7 @@
     }
 
     /// The newest record that is durable.
-    pub(super) fn on_disk(&self) -> PersistToken {
+    pub(super) fn durable(&self) -> PersistToken {
         self.durable
     }
 
@@ -96,41 +96,40 @@
         self.bytes_since_checkpoint
     }
 
-    pub(super) fn checkpoint_issued(&mut self) {
+    pub(super) fn reset_bytes_since_checkpoint(&mut self) {
         self.bytes_since_checkpoint = 0;
     }
 
-    /// Lets `effect` happen once everything issued so far is durable.
+    /// Defers `effect` until everything issued so far is durable.
     ///
-    /// A heartbeat takes the place of an earlier one to the same peer, so that a disk that hangs does not pile up
-    /// signs of life from the past.
-    pub(super) fn after_issued(&mut self, effect: Effect) {
+    /// A heartbeat replaces an earlier one to the same peer, so that a hanging disk does not pile up stale heartbeats.
+    pub(super) fn defer(&mut self, effect: Effect) {
         if let Some(to) = effect.heartbeat_to() {
-            self.held.retain(|held| held.effect.heartbeat_to() != Some(to));
+            self.deferred.retain(|deferred| deferred.effect.heartbeat_to() != Some(to));
         }
-        self.held.push_back(Held { after: self.issued, effect });
+        self.deferred.push_back(DeferredEffect { after: self.issued, effect });
     }
 
-    /// Lets a message leave without waiting for the disk, since it says nothing that a crash could make untrue. A disk
-    /// that is slow must not hold up those who ask whether the view is current.
-    pub(super) fn at_once(&mut self, to: NodeId, message: CoreMessage) {
-        self.urgent.push_back(Effect::Send { to, message });
+    /// Sends a message without waiting for the disk, since it says nothing that a crash could make untrue. A slow disk
+    /// must not delay those who ask whether the view is current.
+    pub(super) fn send_immediately(&mut self, to: NodeId, message: CoreMessage) {
+        self.immediate.push_back(Effect::Send { to, message });
     }
 
-    /// Everything up to `token` is durable.
-    pub(super) fn durable(&mut self, token: PersistToken) {
+    /// Every record up to `token` is durable.
+    pub(super) fn handle_persisted(&mut self, token: PersistToken) {
         self.durable = token.min(self.issued).max(self.durable);
     }
 
     /// The next effect that need not wait any more.
     pub(super) fn next_effect(&mut self) -> Option<Effect> {
         if self.identity <= self.durable {
-            if let Some(effect) = self.urgent.pop_front() {
+            if let Some(effect) = self.immediate.pop_front() {
                 return Some(effect);
             }
         }
-        let ready = self.held.front().is_some_and(|held| held.after <= self.durable);
-        let held = if ready { self.held.pop_front() } else { None };
-        held.map(|held| held.effect)
+        let is_ready = self.deferred.front().is_some_and(|deferred| deferred.after <= self.durable);
+        let deferred = if is_ready { self.deferred.pop_front() } else { None };
+        deferred.map(|deferred| deferred.effect)
     }
 }
--- /dev/null
+++ b/coordination/chain/src/node/output.rs
@@ -0,0 +1,85 @@
+//! Outputs of the node.
+
+use millrudder_lease::{FencingToken, Role};
+use millrudder_view::{NodeId, View};
+
+use crate::{CoreMessage, DurableState, Record, RequestId, Sequence};
+
+/// Number of an issued record; a higher one is issued later.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct PersistToken(pub u64);
+
+/// What a [`CoreNode`](crate::CoreNode) asks of its embedder.
+#[derive(Clone, Debug)]
+pub enum Output<Command, Reply> {
+    /// Send a message; it may be lost, delayed or duplicated.
+    Send {
+        /// The recipient.
+        to: NodeId,
+        /// The message.
+        message: CoreMessage,
+    },
+    /// Append a record to the journal, then report [`Input::Persisted`](crate::Input::Persisted). One report may cover
+    /// several records.
+    Persist {
+        /// Number of the record.
+        token: PersistToken,
+        /// The record.
+        record: Record,
+    },
+    /// Replace the journal up to and including the record of `token` by this state.
+    Checkpoint {
+        /// The newest record that is contained.
+        token: PersistToken,
+        /// The state.
+        state: Box<DurableState>,
+    },
+    /// A command was committed; given in order at every node that follows the state.
+    Committed {
+        /// Index in the replicated order.
+        sequence: Sequence,
+        /// Identity of the request.
+        request_id: RequestId,
+        /// The command.
+        command: Command,
+        /// Its result.
+        reply: Reply,
+    },
+    /// The whole state was replaced by a snapshot from a peer.
+    SnapshotInstalled {
+        /// The last command that is contained.
+        sequence: Sequence,
+    },
+    /// The reply to a command submitted here.
+    Reply {
+        /// Identity of the request.
+        request_id: RequestId,
+        /// The reply.
+        reply: Reply,
+    },
+    /// A read sees what it must in [`CoreNode::machine`](crate::CoreNode::machine).
+    ReadReady {
+        /// Identity of the request.
+        request_id: RequestId,
+    },
+    /// A newer view is in force.
+    ViewChanged(View),
+    /// This node holds a role from now on.
+    LeaseGranted {
+        /// The role.
+        role: Role,
+        /// Token of the lease.
+        fencing_token: FencingToken,
+    },
+    /// This node must not exercise a role any more.
+    LeaseLost {
+        /// The role.
+        role: Role,
+        /// Token of the lease.
+        fencing_token: FencingToken,
+    },
+    /// [`CoreNode::has_quorum_contact`](crate::CoreNode::has_quorum_contact) has become true.
+    QuorumContactGained,
+    /// [`CoreNode::has_quorum_contact`](crate::CoreNode::has_quorum_contact) has become false.
+    QuorumContactLost,
+}
--- a/coordination/chain/src/node/peers.rs
+++ b/coordination/chain/src/node/peers.rs
@@ -1,71 +1,139 @@
-//! Peers of a node: heartbeats, addresses, and the foundation.
+//! Peers of a node: heartbeats, addresses, and the bootstrap of the first view.
 
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use millrudder_clock::Instant;
 use millrudder_view::{Epoch, Member, NodeId, ViewMessage};
 
 use super::CoreNode;
 use crate::{CoreMessage, Heartbeat, Machine};
 
-/// A peer outside the view is forgotten after this silence (microseconds); it makes itself known when it returns.
-const FORGET_AFTER_MICROS: u64 = 60_000_000;
+/// A peer outside the view that is not seen for so long is removed; it makes itself known when it returns.
+const REMOVE_AFTER: Duration = Duration::from_secs(60);
 
 /// What a peer last said of itself.
 #[derive(Clone, Debug)]
-pub(super) struct PeerStatus {
-    pub(super) address: String,
-    pub(super) heard: Vec<NodeId>,
+struct PeerStatus {
+    address: String,
+    /// The peers whose heartbeats arrive at it.
+    hears: Vec<NodeId>,
     /// The epoch in which it said that it has caught up with its predecessor.
-    pub(super) synced_in: Option<Epoch>,
+    caught_up_in: Option<Epoch>,
     /// The epoch in which it said that it holds every command that was committed before.
-    pub(super) complete_in: Option<Epoch>,
-    /// Its disk is too slow for a member, as it said.
-    pub(super) lagging: bool,
-    pub(super) last_seen: u64,
+    complete_in: Option<Epoch>,
+    is_disk_lagging: bool,
+    last_seen: Instant,
 }
 
-impl<M: Machine> CoreNode<M> {
-    pub(super) fn on_peer_seen(&mut self, now: u64, id: NodeId, address: String) {
-        // An earlier disk of this machine may still be told of under this node's address.
-        if id == self.id || address == self.config.address {
-            return;
-        }
-        self.foundation.peer_seen(id, &address);
-        let is_new = !self.peers.contains_key(&id);
+/// The known peers by identity.
+#[derive(Clone, Debug, Default)]
+pub(super) struct PeerTable {
+    peers: BTreeMap<NodeId, PeerStatus>,
+}
+
+impl PeerTable {
+    pub(super) fn contains(&self, id: NodeId) -> bool {
+        self.peers.contains_key(&id)
+    }
+
+    pub(super) fn ids(&self) -> impl Iterator<Item = NodeId> + '_ {
+        self.peers.keys().copied()
+    }
+
+    pub(super) fn address(&self, id: NodeId) -> Option<&str> {
+        self.peers.get(&id).map(|peer| peer.address.as_str())
+    }
+
+    /// The peers with their addresses, as members of a view.
+    pub(super) fn as_members(&self) -> impl Iterator<Item = Member> + '_ {
+        self.peers.iter().map(|(id, peer)| Member { id: *id, address: peer.address.clone() })
+    }
+
+    /// Whether a peer has said that it has caught up in `epoch`.
+    pub(super) fn is_caught_up_in(&self, id: NodeId, epoch: Epoch) -> bool {
+        self.peers.get(&id).is_some_and(|peer| peer.caught_up_in == Some(epoch))
+    }
+
+    /// Whether a peer has said that it is complete in `epoch`.
+    pub(super) fn is_complete_in(&self, id: NodeId, epoch: Epoch) -> bool {
+        self.peers.get(&id).is_some_and(|peer| peer.complete_in == Some(epoch))
+    }
+
+    /// Whether a peer has said that its disk is too slow for a member.
+    pub(super) fn is_disk_lagging(&self, id: NodeId) -> bool {
+        self.peers.get(&id).is_some_and(|peer| peer.is_disk_lagging)
+    }
+
+    /// Whether `from` has said that heartbeats of `to` arrive at it.
+    pub(super) fn hears(&self, from: NodeId, to: NodeId) -> bool {
+        self.peers.get(&from).is_some_and(|peer| peer.hears.contains(&to))
+    }
+
+    /// Notes that a peer answers at an address. Returns whether it is new.
+    fn observe(&mut self, now: Instant, id: NodeId, address: String) -> bool {
+        let is_new = !self.contains(id);
         let peer = self.peers.entry(id).or_insert_with(|| PeerStatus {
             address: String::new(),
-            heard: Vec::new(),
-            synced_in: None,
+            hears: Vec::new(),
+            caught_up_in: None,
             complete_in: None,
-            lagging: false,
+            is_disk_lagging: false,
             last_seen: now,
         });
         peer.address = address;
         peer.last_seen = now;
-        if is_new {
+        is_new
+    }
+
+    fn handle_heartbeat(&mut self, from: NodeId, heartbeat: &Heartbeat) {
+        if let Some(peer) = self.peers.get_mut(&from) {
+            peer.caught_up_in = heartbeat.is_caught_up.then_some(heartbeat.epoch);
+            peer.is_disk_lagging = heartbeat.is_disk_lagging;
+            peer.complete_in = heartbeat.is_complete.then_some(heartbeat.epoch);
+            peer.hears = heartbeat.timestamp_echoes.iter().map(|echo| echo.peer).collect();
+        }
+    }
+
+    /// Removes peers that were not seen for a long time, but for those to `retain`.
+    fn remove_stale(&mut self, now: Instant, retain: impl Fn(NodeId) -> bool) {
+        self.peers.retain(|id, peer| retain(*id) || now - peer.last_seen < REMOVE_AFTER);
+    }
+}
+
+impl<M: Machine> CoreNode<M> {
+    pub(super) fn handle_peer_seen(&mut self, now: Instant, id: NodeId, address: String) {
+        // An earlier disk of this machine may still be known to others under this node's address.
+        if id == self.id || address == self.config.address {
+            return;
+        }
+        self.bootstrap.add_peer(id, &address);
+        if self.peers.observe(now, id, address) {
             self.send_heartbeat(now, id);
-            self.poll_foundation(now);
+            self.poll_bootstrap(now);
         }
     }
 
-    pub(super) fn poll_foundation(&mut self, now: u64) {
-        let step = self.foundation.poll(&mut self.agreement);
+    pub(super) fn poll_bootstrap(&mut self, now: Instant) {
+        let step = self.bootstrap.poll(&mut self.agreement);
         self.take_step(now, step);
     }
 
-    pub(super) fn on_founding_agreed(&mut self, now: u64, from: NodeId, members: Vec<Member>) {
-        let step = self.foundation.handle(&mut self.agreement, from, members);
+    pub(super) fn handle_bootstrap_agreed(&mut self, now: Instant, from: NodeId, members: Vec<Member>) {
+        let step = self.bootstrap.handle(&mut self.agreement, from, members);
         self.take_step(now, step);
     }
 
     /// Sends a heartbeat to everybody, whether or not the disk keeps up.
-    pub(super) fn send_heartbeats(&mut self, now: u64) {
+    pub(super) fn send_heartbeats(&mut self, now: Instant) {
         for id in self.heartbeat_targets() {
             self.send_heartbeat(now, id);
         }
     }
 
-    /// Tells everybody of a view that was just entered, once it is recorded: others have heard of it then, too, and
-    /// count what is said within it.
-    pub(super) fn announce_view(&mut self, now: u64) {
+    /// Announces a view that was just entered by heartbeats, once it is recorded: the others have learned of it then,
+    /// too, and count what is said within it.
+    pub(super) fn announce_view(&mut self, now: Instant) {
         for id in self.heartbeat_targets() {
             let heartbeat = self.heartbeat(now);
             self.send(id, CoreMessage::Heartbeat(heartbeat));
@@ -74,74 +142,73 @@
 
     fn heartbeat_targets(&self) -> Vec<NodeId> {
         let voters = self.voters().into_iter();
-        let mut targets: Vec<NodeId> = voters.chain(self.peers.keys().copied()).collect();
+        let mut targets: Vec<NodeId> = voters.chain(self.peers.ids()).collect();
         targets.sort();
         targets.dedup();
         targets.retain(|id| *id != self.id);
         targets
     }
 
-    /// What the disk is still to be told of is said later, as it were to be unsaid after a crash.
-    fn send_heartbeat(&mut self, now: u64, to: NodeId) {
+    /// While the log on disk is being replaced, what a heartbeat says could be untrue after a crash, so that it waits.
+    fn send_heartbeat(&mut self, now: Instant, to: NodeId) {
         let heartbeat = CoreMessage::Heartbeat(self.heartbeat(now));
-        match self.replica.end_on_disk() {
-            Some(_) => self.send_at_once(to, heartbeat),
+        match self.replica.durable_end() {
+            Some(_) => self.send_immediately(to, heartbeat),
             None => self.send(to, heartbeat),
         }
     }
 
-    fn heartbeat(&self, now: u64) -> Heartbeat {
+    fn heartbeat(&self, now: Instant) -> Heartbeat {
         Heartbeat {
             epoch: self.agreement.epoch(),
             address: self.config.address.clone(),
-            stamp: self.contact.stamp(now),
-            heard: self.contact.echo(self.detector.heard(now)),
-            end: self.replica.end_on_disk().unwrap_or_else(|| self.replica.end()),
+            timestamp: self.contact.timestamp(now),
+            timestamp_echoes: self.contact.echoes(self.detector.heard_peers(now)),
+            log_end: self.replica.durable_end().unwrap_or_else(|| self.replica.end()),
             committed: self.replica.committed(),
-            synced: self.replica.is_synced(),
-            complete: self.replica.is_complete_on_disk(),
-            vouches: self.may_vouch(),
-            leaving: self.leaving,
-            lagging: self.lag.is_lagging(now),
+            is_caught_up: self.replica.is_caught_up(),
+            is_complete: self.replica.is_durably_complete(),
+            confirms_epoch: self.confirms_epoch(),
+            is_leaving: self.departures.is_leaving(),
+            is_disk_lagging: self.disk_lag.is_lagging(now),
         }
     }
 
-    pub(super) fn on_heartbeat(&mut self, now: u64, from: NodeId, heartbeat: Heartbeat) {
-        let hears_us = heartbeat.heard.iter().any(|heard| heard.peer == self.id);
-        self.detector.heartbeat(now, from, hears_us);
-        self.note_contact(from, &heartbeat);
-        if heartbeat.leaving {
-            self.detector.leaving(from);
-        }
-        self.on_peer_seen(now, from, heartbeat.address);
-        if let Some(peer) = self.peers.get_mut(&from) {
-            peer.synced_in = heartbeat.synced.then_some(heartbeat.epoch);
-            peer.lagging = heartbeat.lagging;
-            peer.complete_in = heartbeat.complete.then_some(heartbeat.epoch);
-            peer.heard = heartbeat.heard.iter().map(|heard| heard.peer).collect();
+    pub(super) fn handle_heartbeat(&mut self, now: Instant, from: NodeId, heartbeat: Heartbeat) {
+        let hears_us = heartbeat.timestamp_echoes.iter().any(|echo| echo.peer == self.id);
+        self.detector.handle_heartbeat(now, from, hears_us);
+        self.collect_contact_evidence(from, &heartbeat);
+        if heartbeat.is_leaving {
+            self.detector.mark_leaving(from);
         }
-        if heartbeat.leaving {
+        self.handle_peer_seen(now, from, heartbeat.address.clone());
+        self.peers.handle_heartbeat(from, &heartbeat);
+        if heartbeat.is_leaving {
             self.consider_view(now);
         }
+        self.compare_epochs(now, from, &heartbeat);
+    }
+
+    /// Brings whoever knows the older view up to date; in the same view the heartbeat acknowledges the sender's log.
+    fn compare_epochs(&mut self, now: Instant, from: NodeId, heartbeat: &Heartbeat) {
         let epoch = self.agreement.epoch();
         if heartbeat.epoch < epoch {
-            let step = self.agreement.on_query(from, heartbeat.epoch);
+            let step = self.agreement.handle_query(from, heartbeat.epoch);
             self.take_step(now, step);
         } else if heartbeat.epoch > epoch {
             self.send(from, CoreMessage::View(ViewMessage::Query { known: epoch }));
         } else if epoch != Epoch::NONE {
-            self.replica.acknowledged(now, from, heartbeat.end, heartbeat.committed);
-            if !heartbeat.synced {
-                self.replica.sync(from);
+            self.replica.handle_ack(now, from, heartbeat.log_end, heartbeat.committed);
+            if !heartbeat.is_caught_up {
+                self.replica.confirm_caught_up(from);
             }
         }
     }
 
-    pub(super) fn forget_peers(&mut self, now: u64) {
+    pub(super) fn remove_stale_peers(&mut self, now: Instant) {
         let view = self.agreement.view();
-        let in_view = |id: &NodeId| view.is_some_and(|view| view.is_voter(*id));
-        self.peers.retain(|id, peer| in_view(id) || now.saturating_sub(peer.last_seen) < FORGET_AFTER_MICROS);
+        self.peers.remove_stale(now, |id| view.is_some_and(|view| view.is_voter(id)));
         let peers = &self.peers;
-        self.contact.forget(|id| !peers.contains_key(&id));
+        self.contact.retain_peers(|id| peers.contains(id));
     }
 }
--- a/coordination/chain/src/node/target_view.rs
+++ b/coordination/chain/src/node/target_view.rs
@@ -1,154 +1,161 @@
-//! What the next view should be: who votes, and who keeps the state.
+//! What the next view should be: who votes, and who holds the state.
 //!
-//! Voters change one at a time, and only by one in the place of another that is lost or about to go, or by one more
-//! until the wanted number is reached: the loss of a machine alone takes nobody's vote, nor does the wish to take one
-//! out, since the next loss would then end the core. Members are the voters that
-//! are there. One that is about to go stays a member until enough others hold the state.
+//! Voters change one at a time, and only by a replacement for one that is unreachable or departs, or by one more until
+//! the configured number is reached: the loss of a machine alone takes nobody's vote, nor does its decommissioning, since
+//! the next loss would then end the core. Members are the voters that are reachable. One that departs stays a member
+//! until enough others hold the state.
 
+use millrudder_clock::Instant;
 use millrudder_view::{Member, NodeId, TargetView, View};
 
 use super::CoreNode;
 use crate::Machine;
 
-/// A learner may be this many commands behind when it is admitted; the chain brings it up.
+/// A learner may be so many commands behind when it is admitted; the chain brings it up.
 const ADMISSIBLE_LAG: u64 = 64;
 
 impl<M: Machine> CoreNode<M> {
-    /// The view that this node would have, which is the present one while no majority of voters is there.
-    pub(super) fn wanted_view(&self, now: u64, view: &View) -> TargetView {
-        let present = view.voters.iter().filter(|voter| !self.is_lost(now, voter.id)).count();
-        if present < view.majority() {
-            return self.wanted(view.voters.clone(), view.members.clone());
+    /// The view that this node would propose, which is the present one while no majority of voters is reachable.
+    pub(super) fn target_view(&self, now: Instant, view: &View) -> TargetView {
+        let reachable = view.voters.iter().filter(|voter| !self.is_unreachable(now, voter.id)).count();
+        if reachable < view.majority() {
+            return self.with_completeness(view.voters.clone(), view.members.clone());
         }
         let mut members = self.members_that_stay(now, view);
-        self.fill_up(now, view, &mut members);
+        self.add_needed_voters(now, view, &mut members);
         if let Some(newcomer) = self.newcomer(now, view, &members) {
             return self.with_newcomer(now, view, members, newcomer);
         }
-        self.wanted(view.voters.clone(), members)
+        self.with_completeness(view.voters.clone(), members)
     }
 
-    /// Whether a node is silent or does not hear this one.
-    pub(super) fn is_lost(&self, now: u64, id: NodeId) -> bool {
-        id != self.id && self.detector.is_lost(now, id)
+    /// Whether a node is not heard, or does not hear this one.
+    pub(super) fn is_unreachable(&self, now: Instant, id: NodeId) -> bool {
+        id != self.id && self.detector.is_unreachable(now, id)
     }
 
-    /// Whether a node is about to end, or is to be taken out.
+    /// Whether a node shuts down or is decommissioned.
     pub(super) fn is_departing(&self, id: NodeId) -> bool {
-        let leaving = if id == self.id { self.leaving } else { self.detector.is_leaving(id) };
-        leaving || self.excluded.contains(&id)
+        let leaving = if id == self.id { self.departures.is_leaving() } else { self.detector.is_leaving(id) };
+        leaving || self.departures.is_decommissioned(id)
     }
 
-    /// Whether a node should be no member where others can be: it departs, or its disk does not keep up.
-    fn is_dispensable(&self, now: u64, id: NodeId) -> bool {
+    /// Whether a node should be no member where another can be: it departs, or its disk does not keep up.
+    fn should_be_replaced(&self, now: Instant, id: NodeId) -> bool {
         let lagging = match id == self.id {
-            true => self.lag.is_lagging(now),
-            false => self.peers.get(&id).is_some_and(|peer| peer.lagging),
+            true => self.disk_lag.is_lagging(now),
+            false => self.peers.is_disk_lagging(id),
         };
         lagging || self.is_departing(id)
     }
 
-    /// Whether a member has said, within the present epoch, that it holds what its predecessor holds.
-    pub(super) fn is_synced_member(&self, id: NodeId) -> bool {
+    /// Whether a member has said, within the present epoch, that it has caught up with its predecessor.
+    pub(super) fn is_caught_up_member(&self, id: NodeId) -> bool {
         if id == self.id {
-            return self.replica.is_synced();
+            return self.replica.is_caught_up();
         }
-        self.peers.get(&id).is_some_and(|peer| peer.synced_in == Some(self.agreement.epoch()))
+        self.peers.is_caught_up_in(id, self.agreement.epoch())
     }
 
-    /// The members that are there, without those about to go as far as enough others hold the state.
-    fn members_that_stay(&self, now: u64, view: &View) -> Vec<Member> {
-        let there = |member: &&Member| !self.is_lost(now, member.id);
-        let mut members: Vec<Member> = view.members.iter().filter(there).cloned().collect();
-        let mut successors = members.iter().filter(|member| !self.is_dispensable(now, member.id));
-        if !successors.all(|member| self.is_synced_member(member.id)) {
+    /// The members that are reachable, without those to be replaced as far as enough others hold the state.
+    fn members_that_stay(&self, now: Instant, view: &View) -> Vec<Member> {
+        let is_reachable = |member: &&Member| !self.is_unreachable(now, member.id);
+        let mut members: Vec<Member> = view.members.iter().filter(is_reachable).cloned().collect();
+        let mut staying = members.iter().filter(|member| !self.should_be_replaced(now, member.id));
+        if !staying.all(|member| self.is_caught_up_member(member.id)) {
             return members;
         }
-        let departing: Vec<NodeId> =
-            members.iter().map(|member| member.id).filter(|id| self.is_dispensable(now, *id)).collect();
+        let replaced: Vec<NodeId> =
+            members.iter().map(|member| member.id).filter(|id| self.should_be_replaced(now, *id)).collect();
         let spare = members.len().saturating_sub(self.config.minimum_members);
-        let going: Vec<NodeId> = departing.into_iter().rev().take(spare).collect();
-        members.retain(|member| !going.contains(&member.id));
+        let removed: Vec<NodeId> = replaced.into_iter().rev().take(spare).collect();
+        members.retain(|member| !removed.contains(&member.id));
         members
     }
 
-    /// Adds voters that are there, however far behind, where too few members are left to keep the state; those about
-    /// to go only if nobody else is left.
-    fn fill_up(&self, now: u64, view: &View, members: &mut Vec<Member>) {
+    /// Adds reachable voters, however far behind, where too few members are left to hold the state; those to be replaced
+    /// only if nobody else is left.
+    fn add_needed_voters(&self, now: Instant, view: &View, members: &mut Vec<Member>) {
         let outside = view.voters.iter().filter(|voter| !view.contains(voter.id));
-        let there = outside.filter(|voter| !self.is_lost(now, voter.id));
-        let (departing, staying): (Vec<&Member>, Vec<&Member>) =
-            there.partition(|voter| self.is_dispensable(now, voter.id));
-        for voter in staying.into_iter().chain(departing) {
-            let needed = members.len() < self.config.minimum_members;
-            if needed && self.is_connected(voter.id, members) {
+        let reachable = outside.filter(|voter| !self.is_unreachable(now, voter.id));
+        let (replaced, staying): (Vec<&Member>, Vec<&Member>) =
+            reachable.partition(|voter| self.should_be_replaced(now, voter.id));
+        for voter in staying.into_iter().chain(replaced) {
+            let is_needed = members.len() < self.config.minimum_members;
+            if is_needed && self.is_connected(voter.id, members) {
                 members.push(voter.clone());
             }
         }
     }
 
-    /// A node that can become a member: a voter first, else one that can also take over a vote. Where too few would
-    /// keep the state it may be any number of commands behind, as it is filled before the view changes.
-    fn newcomer(&self, now: u64, view: &View, members: &[Member]) -> Option<Member> {
-        let outside = self.peers.iter().filter(|(id, _)| !members.iter().any(|member| member.id == **id));
+    /// A node that can become a member: a voter first, else one that can also take over a vote. Where too few would hold
+    /// the state it may be any number of commands behind, as it is brought up before the view changes.
+    fn newcomer(&self, now: Instant, view: &View, members: &[Member]) -> Option<Member> {
+        let outside =
+            self.peers.as_members().filter(|peer| !members.iter().any(|member| member.id == peer.id));
         let is_short = members.len() < self.config.minimum_members;
-        let admissible =
-            outside.filter(|(id, _)| self.is_there(now, **id, members) && (is_short || self.is_close(**id)));
-        let learners: Vec<Member> =
-            admissible.map(|(id, peer)| Member { id: *id, address: peer.address.clone() }).collect();
+        let is_candidate =
+            |peer: &Member| self.is_admissible(now, peer.id, members) && (is_short || self.is_close(peer.id));
+        let learners: Vec<Member> = outside.filter(is_candidate).collect();
         if let Some(voter) = learners.iter().find(|learner| view.is_voter(learner.id)) {
             return Some(voter.clone());
         }
         let replaced = self.replaceable_voters(now, view, members);
-        let in_place = |learner: &&Member| replaced.iter().any(|voter| voter.address == learner.address);
-        let has_room = view.voters.len() < self.config.voters || !replaced.is_empty();
-        let preferred = learners.iter().find(in_place).or(learners.first());
-        preferred.filter(|_| has_room).cloned()
+        let same_address = |learner: &&Member| replaced.iter().any(|voter| voter.address == learner.address);
+        let has_vacancy = view.voters.len() < self.config.voters || !replaced.is_empty();
+        let preferred = learners.iter().find(same_address).or(learners.first());
+        preferred.filter(|_| has_vacancy).cloned()
     }
 
-    fn with_newcomer(&self, now: u64, view: &View, mut members: Vec<Member>, newcomer: Member) -> TargetView {
+    fn with_newcomer(
+        &self,
+        now: Instant,
+        view: &View,
+        mut members: Vec<Member>,
+        newcomer: Member,
+    ) -> TargetView {
         let mut voters = view.voters.clone();
         if !view.is_voter(newcomer.id) {
             let replaced = self.replaceable_voters(now, view, &members);
-            let in_place = replaced.iter().find(|voter| voter.address == newcomer.address);
-            let gone = in_place.or(replaced.first()).map(|voter| voter.id);
-            match voters.iter_mut().find(|voter| Some(voter.id) == gone) {
-                Some(place) => *place = newcomer.clone(),
+            let same_address = replaced.iter().find(|voter| voter.address == newcomer.address);
+            let replaced_id = same_address.or(replaced.first()).map(|voter| voter.id);
+            match voters.iter_mut().find(|voter| Some(voter.id) == replaced_id) {
+                Some(voter) => *voter = newcomer.clone(),
                 None => voters.push(newcomer.clone()),
             }
         }
         members.push(newcomer);
-        self.wanted(voters, members)
+        self.with_completeness(voters, members)
     }
 
-    fn wanted(&self, voters: Vec<Member>, members: Vec<Member>) -> TargetView {
+    /// The target with what is known of the completeness of its members.
+    fn with_completeness(&self, voters: Vec<Member>, members: Vec<Member>) -> TargetView {
         let complete = members.iter().map(|member| member.id).filter(|id| self.is_complete(*id));
         let complete = complete.collect();
         TargetView { complete, ..TargetView::new(voters, members) }
     }
 
-    /// Voters that are lost or about to go, and are to be no members.
-    fn replaceable_voters(&self, now: u64, view: &View, members: &[Member]) -> Vec<Member> {
+    /// Voters that are unreachable or to be replaced, and are to be no members.
+    fn replaceable_voters(&self, now: Instant, view: &View, members: &[Member]) -> Vec<Member> {
         let outside = view.voters.iter().filter(|voter| !members.contains(voter));
-        let replaceable =
-            outside.filter(|voter| self.is_lost(now, voter.id) || self.is_dispensable(now, voter.id));
+        let replaceable = outside
+            .filter(|voter| self.is_unreachable(now, voter.id) || self.should_be_replaced(now, voter.id));
         replaceable.cloned().collect()
     }
 
+    /// Whether a learner is so little behind that the chain can bring it up.
     fn is_close(&self, learner: NodeId) -> bool {
         self.replica.lag_of(learner).is_some_and(|lag| lag <= ADMISSIBLE_LAG)
     }
 
-    fn is_there(&self, now: u64, learner: NodeId, members: &[Member]) -> bool {
-        let stays = self.detector.is_steady(now, learner) && !self.is_dispensable(now, learner);
-        stays && self.is_connected(learner, members)
+    fn is_admissible(&self, now: Instant, learner: NodeId, members: &[Member]) -> bool {
+        let is_suitable = self.detector.is_stable(now, learner) && !self.should_be_replaced(now, learner);
+        is_suitable && self.is_connected(learner, members)
     }
 
-    /// Whether a node and each of `members` say that they hear each other.
+    /// Whether a node and each of `members` have said that they hear each other.
     fn is_connected(&self, id: NodeId, members: &[Member]) -> bool {
-        let hears =
-            |from: NodeId, to: NodeId| self.peers.get(&from).is_some_and(|peer| peer.heard.contains(&to));
         let mut others = members.iter().map(|member| member.id).filter(|other| *other != self.id);
-        others.all(|other| hears(other, id) && hears(id, other))
+        others.all(|other| self.peers.hears(other, id) && self.peers.hears(id, other))
     }
 }
--- a/coordination/chain/src/node/view_change.rs
+++ b/coordination/chain/src/node/view_change.rs
@@ -1,75 +1,137 @@
 //! When a node proposes another view, and what it does when one is decided.
 
-use millrudder_view::TargetView;
+use std::time::Duration;
+
+use millrudder_clock::Instant;
+use millrudder_view::{Step, TargetView};
 
 use super::{CoreNode, Output};
-use crate::Machine;
+use crate::{CoreMessage, Machine, Record};
 
-/// The n-th survivor in chain order waits n times this long before it proposes, so that attempts rarely collide.
-const PROPOSAL_STEP_MICROS: u64 = 60_000;
-/// Shortest and longest pause before the next attempt of the same node, the second in a row.
-const PROPOSAL_PAUSE_MICROS: std::ops::Range<u64> = 150_000..400_000;
-/// The pause doubles so often at most. An attempt ends the one before: voters whose disks are slow need time for both
+/// The member at index `n` of the target waits `n` times so long before its first proposal, so that proposals rarely
+/// collide.
+const PROPOSAL_STAGGER: Duration = Duration::from_millis(60);
+/// Shortest pause before the next attempt of the same node.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// The first pause is shorter than this.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(400);
+/// The pause doubles so often at most. An attempt aborts the one before: voters with slow disks need time for both
 /// phases.
-const PROPOSAL_DOUBLINGS: u32 = 3;
+const MAX_PAUSE_DOUBLINGS: u32 = 3;
+/// Interval between two checks whether the nodes that are brought up are complete.
+const CATCH_UP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// When the next attempt to change the view is due, with a random backoff between attempts.
+#[derive(Clone, Debug)]
+pub(super) struct ProposalTimer {
+    due: Option<Instant>,
+    /// Attempts since the view last changed, as far as they lengthen the pause.
+    attempts: u32,
+    random: fastrand::Rng,
+}
+
+impl ProposalTimer {
+    /// Nothing is due.
+    pub(super) fn new(random: fastrand::Rng) -> ProposalTimer {
+        ProposalTimer { due: None, attempts: 0, random }
+    }
+
+    /// When the next attempt or check is due.
+    pub(super) fn next_deadline(&self) -> Option<Instant> {
+        self.due
+    }
+
+    /// The view is as it should be, or has changed.
+    fn reset(&mut self) {
+        self.due = None;
+        self.attempts = 0;
+    }
+
+    /// Whether an attempt is due. The first one after a reset becomes due after `initial_delay`.
+    fn is_due(&mut self, now: Instant, initial_delay: Duration) -> bool {
+        match self.due {
+            Some(due) => now >= due,
+            None => {
+                self.due = Some(now + initial_delay);
+                false
+            }
+        }
+    }
+
+    /// An attempt starts now; those that fail follow each other less and less often.
+    fn start_attempt(&mut self, now: Instant) {
+        let range = MIN_RETRY_PAUSE.as_micros() as u64..MAX_RETRY_PAUSE.as_micros() as u64;
+        let pause = Duration::from_micros(self.random.u64(range) << self.attempts);
+        self.attempts = (self.attempts + 1).min(MAX_PAUSE_DOUBLINGS);
+        self.due = Some(now + pause);
+    }
+
+    /// The attempt has to wait for nodes that are brought up.
+    fn defer_attempt(&mut self, now: Instant) {
+        self.due = Some(now + CATCH_UP_CHECK_INTERVAL);
+    }
+}
 
 impl<M: Machine> CoreNode<M> {
+    /// Carries out a step of the agreement on views, and enters a newer view if one was decided.
+    pub(super) fn take_step(&mut self, now: Instant, step: Step) {
+        if let Some(record) = step.record {
+            self.outbox.persist(Record::View(record));
+        }
+        for envelope in step.messages {
+            self.send(envelope.to, CoreMessage::View(envelope.message));
+        }
+        if self.agreement.epoch() > self.replica.epoch() {
+            self.enter_view(now);
+        }
+    }
+
     /// Takes part in the newest decided view.
-    pub(super) fn enter_view(&mut self, now: u64) {
+    pub(super) fn enter_view(&mut self, now: Instant) {
         let Some(view) = self.agreement.view().cloned() else {
             return;
         };
         self.replica.activate(now, &view);
-        self.contact.view_changed(view.epoch);
+        self.contact.enter_epoch(view.epoch);
         for id in view.voter_ids().filter(|id| *id != self.id) {
             self.detector.watch(now, id);
         }
-        self.enter_voters(now, &view);
-        self.proposal_due = None;
-        self.attempts = 0;
+        self.leases.enter_view(now, &view);
+        self.proposals.reset();
         self.take_replica_outputs();
         self.restart_requests(now);
         self.announce_view(now);
         self.outbox.push(Output::ViewChanged(view));
     }
 
-    /// Proposes another view when members are silent or about to go, or when the tail can admit a learner.
-    pub(super) fn consider_view(&mut self, now: u64) {
+    /// Proposes another view when members are unreachable or leave, or when a learner can be admitted.
+    pub(super) fn consider_view(&mut self, now: Instant) {
         let Some(view) = self.agreement.view().cloned().filter(|_| self.agreement.is_member()) else {
             return;
         };
-        let wanted = self.wanted_view(now, &view);
-        let settled = wanted.is(&view) && !self.agreement.is_fenced() && !self.replica.is_sealed();
-        if settled || wanted.members.len() < self.config.minimum_members {
-            self.proposal_due = None;
-            self.attempts = 0;
+        let target = self.target_view(now, &view);
+        let is_reached =
+            target.matches(&view) && !self.agreement.has_accepted_next_view() && !self.replica.is_sealed();
+        if is_reached || target.members.len() < self.config.minimum_members {
+            self.proposals.reset();
             return self.agreement.abandon();
         }
-        let Some(due) = self.proposal_due else {
-            self.proposal_due = Some(now + self.first_pause(&wanted));
-            return;
-        };
-        if now < due {
+        let initial_delay = self.initial_proposal_delay(&target);
+        if !self.proposals.is_due(now, initial_delay) {
             return;
         }
-        if self.has_enough_complete(&wanted) {
-            self.proposal_due = Some(now + self.next_pause());
-            let step = self.agreement.propose(wanted);
+        if self.has_enough_complete(&target) {
+            self.proposals.start_attempt(now);
+            let step = self.agreement.propose(target);
             return self.take_step(now, step);
         }
-        self.fill_ahead(now, &wanted);
-    }
-
-    /// Attempts that lead to nothing follow each other less and less often.
-    fn next_pause(&mut self) -> u64 {
-        let pause = self.random.u64(PROPOSAL_PAUSE_MICROS) << self.attempts;
-        self.attempts = (self.attempts + 1).min(PROPOSAL_DOUBLINGS);
-        pause
+        self.proposals.defer_attempt(now);
+        self.catch_up_ahead(now, &target);
     }
 
-    /// Whoever is to go proposes last.
-    fn first_pause(&self, wanted: &TargetView) -> u64 {
-        let place = wanted.members.iter().position(|member| member.id == self.id);
-        place.unwrap_or(wanted.members.len()) as u64 * PROPOSAL_STEP_MICROS
+    /// Nodes that are to be removed propose last.
+    fn initial_proposal_delay(&self, target: &TargetView) -> Duration {
+        let index = target.members.iter().position(|member| member.id == self.id);
+        PROPOSAL_STAGGER * index.unwrap_or(target.members.len()) as u32
     }
 }
--- a/coordination/chain/src/read_confirmation.rs
+++ b/coordination/chain/src/read_confirmation.rs
@@ -1,4 +1,5 @@
-//! Linearizable reads: the tail confirms with a majority that its epoch is current.
+//! Linearizable reads at the tail: a read index counts once a majority has confirmed that the epoch is current (read
+//! index: Ongaro, Ousterhout, 2014).
 
 use std::collections::BTreeSet;
 
@@ -6,81 +7,87 @@
 
 use crate::{RequestId, Sequence};
 
-/// A read that waits at the tail.
+/// A read that waits at the tail for its read index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Reader {
     pub(crate) origin: NodeId,
     pub(crate) request_id: RequestId,
 }
 
-/// A confirmed round: its readers must look up to `sequence`.
+/// Reads whose epoch was confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ConfirmedReads {
     pub(crate) readers: Vec<Reader>,
+    /// Their read index.
     pub(crate) sequence: Sequence,
 }
 
 #[derive(Clone, Debug)]
-struct Round {
+struct Attempt {
     readers: Vec<Reader>,
     sequence: Sequence,
     confirmed_by: BTreeSet<NodeId>,
 }
 
-/// Rounds of confirmation at the tail, one at a time; reads that come meanwhile share the next one.
+/// Confirmations of the epoch at the tail, one attempt at a time; reads that arrive meanwhile share the next one.
 #[derive(Clone, Debug)]
-pub(crate) struct Confirmations {
+pub(crate) struct ReadConfirmations {
     number: u64,
-    round: Option<Round>,
+    attempt: Option<Attempt>,
     waiting: Vec<Reader>,
 }
 
-impl Confirmations {
-    /// `first_round` is drawn at random, so that late confirmations of an earlier process never count.
-    pub(crate) fn new(first_round: u64) -> Confirmations {
-        Confirmations { number: first_round, round: None, waiting: Vec::new() }
+impl ReadConfirmations {
+    /// `first_number` is drawn at random, so that late confirmations for an earlier process never count.
+    pub(crate) fn new(first_number: u64) -> ReadConfirmations {
+        ReadConfirmations { number: first_number, attempt: None, waiting: Vec::new() }
     }
 
-    /// Forgets everything: the view has changed, and the readers ask again.
+    /// Drops everything: the view has changed, and the readers ask again.
     pub(crate) fn reset(&mut self) {
-        self.round = None;
+        self.attempt = None;
         self.waiting.clear();
     }
 
-    /// Takes a read.
+    /// Adds a read to the next attempt.
     pub(crate) fn add(&mut self, reader: Reader) {
         if !self.waiting.contains(&reader) {
             self.waiting.push(reader);
         }
     }
 
-    /// Number of the round that is under way.
-    pub(crate) fn under_way(&self) -> Option<u64> {
-        self.round.as_ref().map(|_| self.number)
+    /// Number of the attempt in flight.
+    pub(crate) fn in_flight(&self) -> Option<u64> {
+        self.attempt.as_ref().map(|_| self.number)
     }
 
-    /// Starts a round for the waiting reads, if none is under way. Returns its number.
+    /// Starts an attempt for the waiting reads, if none is in flight. Returns its number.
     pub(crate) fn start(&mut self, committed: Sequence) -> Option<u64> {
-        if self.round.is_some() || self.waiting.is_empty() {
+        if self.attempt.is_some() || self.waiting.is_empty() {
             return None;
         }
         self.number = self.number.wrapping_add(1);
         let readers = std::mem::take(&mut self.waiting);
-        self.round = Some(Round { readers, sequence: committed, confirmed_by: BTreeSet::new() });
+        self.attempt = Some(Attempt { readers, sequence: committed, confirmed_by: BTreeSet::new() });
         Some(self.number)
     }
 
-    /// Counts a confirmation. Returns the reads once `majority` members have confirmed.
-    pub(crate) fn confirm(&mut self, from: NodeId, number: u64, majority: usize) -> Option<ConfirmedReads> {
+    /// Counts a confirmation. Returns the reads once `majority` voters have confirmed.
+    pub(crate) fn handle_confirmation(
+        &mut self,
+        from: NodeId,
+        number: u64,
+        majority: usize,
+    ) -> Option<ConfirmedReads> {
         if number != self.number {
             return None;
         }
-        let round = self.round.as_mut()?;
-        round.confirmed_by.insert(from);
-        if round.confirmed_by.len() < majority {
+        let attempt = self.attempt.as_mut()?;
+        attempt.confirmed_by.insert(from);
+        if attempt.confirmed_by.len() < majority {
             return None;
         }
-        let round = self.round.take()?;
-        Some(ConfirmedReads { readers: round.readers, sequence: round.sequence })
+        let attempt = self.attempt.take()?;
+        Some(ConfirmedReads { readers: attempt.readers, sequence: attempt.sequence })
     }
 }
--- a/coordination/chain/src/replica/mod.rs
+++ b/coordination/chain/src/replica/mod.rs
@@ -1,80 +1,74 @@
-//! One node's part in the chain of the present view.
+//! One node's part in the chain of the present view (chain replication: van Renesse, Schneider, 2004).
+//!
+//! Commands go from the head to the tail. Each node sends them to its receivers: the next member of the chain, or the
+//! learners at the tail.
 
 mod commit;
+mod durability;
 mod replication;
 mod sealing;
 mod snapshot_install;
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
+use millrudder_clock::Instant;
 use millrudder_view::{Epoch, NodeId, View};
 use speedy::Readable;
 
-use crate::replication_progress::Link;
+use self::durability::Durability;
+pub(crate) use self::durability::DurableWatermark;
+use crate::replication_progress::ReplicationProgress;
 use crate::store::{Applied, Store};
 use crate::transfer::{IncomingSnapshot, OutgoingSnapshot};
 use crate::{AppendBatch, CoreMessage, Entry, Machine, Position, Record, RequestId, Sequence};
 
-/// What a replica asks of the node around it, in this order.
+/// What a replica asks of the node that embeds it, in this order.
 #[derive(Clone, Debug)]
 pub(crate) enum ReplicaOutput<M: Machine> {
     /// To be made durable before anything that follows.
     Persist(Record),
-    /// [`Replica::durable`] is to be called once everything before is durable.
-    WhenDurable(DurableMark),
+    /// [`Replica::handle_durable`] is to be called once everything before is durable.
+    WhenDurable(DurableWatermark),
     /// A message.
     Send { to: NodeId, message: CoreMessage },
     /// The state was replaced by a snapshot.
-    Replaced { sequence: Sequence },
+    SnapshotInstalled { sequence: Sequence },
     /// A command was committed.
     Applied(Applied<M>),
 }
 
-/// End of the log at the time when a record was issued.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct DurableMark {
-    sequence: Sequence,
-    generation: u64,
-    complete: bool,
-}
-
-/// Sizes and times of a replica.
+/// Sizes and durations of a replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplicaLimits {
     pub(crate) batch_bytes: usize,
-    /// Microseconds.
-    pub(crate) retry_after: u64,
+    /// What was not acknowledged is sent again after so long.
+    pub(crate) retry_after: Duration,
 }
 
 /// A member of the chain, or a learner that follows the tail.
 #[derive(Clone, Debug)]
 pub(crate) struct Replica<M: Machine> {
-    me: NodeId,
+    local_id: NodeId,
     limits: ReplicaLimits,
     view: View,
     store: Store<M>,
-    /// Whether this node holds every command committed in earlier views (durable).
-    complete: bool,
-    /// The same, as the disk has it.
-    complete_on_disk: bool,
+    durability: Durability,
     /// Whether this node has caught up with its predecessor in this view.
-    synced: bool,
+    caught_up: bool,
     /// The newest epoch that this node has sealed (durable).
     sealed: Epoch,
-    /// Whom a node that has sealed the epoch feeds ahead of the next view.
-    filling: BTreeSet<NodeId>,
-    /// Where the predecessor said that this node is complete.
-    sync_target: Option<Sequence>,
-    /// What a fed node must hold to be complete.
+    /// Whom a node that has sealed the epoch brings up ahead of the next view.
+    catch_up_targets: BTreeSet<NodeId>,
+    /// This node has caught up with its predecessor once its log is durable up to here.
+    caught_up_at: Option<Sequence>,
+    /// What a receiver must hold to be complete.
     complete_at: Sequence,
-    /// Commands up to here are durable in this node's log.
-    persisted: Sequence,
-    /// Grows when the log loses entries, so that older marks do not count.
-    generation: u64,
-    links: BTreeMap<NodeId, Link>,
-    /// The snapshot that is sent to fed nodes that need one, as long as the log goes on from it.
+    /// The receivers.
+    progress: BTreeMap<NodeId, ReplicationProgress>,
+    /// The snapshot that is sent to receivers that need one, as long as the log goes on from it.
     outgoing: Option<OutgoingSnapshot>,
-    /// What has come of a snapshot.
+    /// The snapshot that is being received.
     incoming: Option<IncomingSnapshot>,
     /// Requests at the head that are not committed yet.
     pending: BTreeSet<RequestId>,
@@ -84,28 +78,25 @@
 impl<M: Machine> Replica<M> {
     /// Continues with what was on the disk.
     pub(crate) fn new(
-        me: NodeId,
+        local_id: NodeId,
         limits: ReplicaLimits,
         store: Store<M>,
         complete: bool,
         sealed: Epoch,
     ) -> Replica<M> {
-        let persisted = store.log.end().sequence;
+        let durability = Durability::restored(store.log().end().sequence, complete);
         Replica {
-            me,
+            local_id,
             limits,
             view: View::default(),
             store,
-            complete,
-            complete_on_disk: complete,
-            synced: false,
+            durability,
+            caught_up: false,
             sealed,
-            filling: BTreeSet::new(),
-            sync_target: None,
+            catch_up_targets: BTreeSet::new(),
+            caught_up_at: None,
             complete_at: Sequence::default(),
-            persisted,
-            generation: 0,
-            links: BTreeMap::new(),
+            progress: BTreeMap::new(),
             outgoing: None,
             incoming: None,
             pending: BTreeSet::new(),
@@ -117,103 +108,107 @@
         &self.store
     }
 
+    /// Whether this node holds every command committed in earlier views.
     pub(crate) fn is_complete(&self) -> bool {
-        self.complete
+        self.durability.is_complete()
     }
 
-    pub(crate) fn is_complete_on_disk(&self) -> bool {
-        self.complete_on_disk
+    /// The same, as far as it is durable.
+    pub(crate) fn is_durably_complete(&self) -> bool {
+        self.durability.is_durably_complete()
     }
 
-    /// End of the log as the disk has it; none while what the disk holds is being replaced.
-    pub(crate) fn end_on_disk(&self) -> Option<Position> {
-        self.store.log.position_at(self.persisted)
+    /// End of the durable log; none while the log on disk is being replaced.
+    pub(crate) fn durable_end(&self) -> Option<Position> {
+        self.store.log().position_at(self.durability.durable_through())
     }
 
-    pub(crate) fn is_synced(&self) -> bool {
-        self.synced
+    /// Whether this node has caught up with its predecessor in the present view.
+    pub(crate) fn is_caught_up(&self) -> bool {
+        self.caught_up
     }
 
+    /// The newest epoch that this node has sealed.
     pub(crate) fn sealed(&self) -> Epoch {
         self.sealed
     }
 
+    /// Epoch of the present view.
     pub(crate) fn epoch(&self) -> Epoch {
         self.view.epoch
     }
 
+    /// End of the log.
     pub(crate) fn end(&self) -> Position {
-        self.store.log.end()
+        self.store.log().end()
     }
 
+    /// The last command that this node knows to be committed.
     pub(crate) fn committed(&self) -> Sequence {
         self.store.applied().sequence
     }
 
     pub(super) fn is_member(&self) -> bool {
-        self.view.contains(self.me)
+        self.view.contains(self.local_id)
     }
 
     pub(super) fn is_head(&self) -> bool {
-        self.view.head() == Some(self.me)
+        self.view.head() == Some(self.local_id)
     }
 
     pub(crate) fn is_tail(&self) -> bool {
-        self.view.tail() == Some(self.me)
+        self.view.tail() == Some(self.local_id)
     }
 
-    /// What was asked for since the last call.
+    /// The outputs since the last call.
     pub(crate) fn take_outputs(&mut self) -> Vec<ReplicaOutput<M>> {
         std::mem::take(&mut self.outputs)
     }
 
     /// Starts the chain of a newer view.
-    pub(crate) fn activate(&mut self, now: u64, view: &View) {
+    pub(crate) fn activate(&mut self, now: Instant, view: &View) {
         self.view = view.clone();
-        self.links.clear();
-        self.filling.clear();
-        self.store.keep_after(None);
+        self.progress.clear();
+        self.catch_up_targets.clear();
+        self.store.retain_after(None);
         self.pending.clear();
-        self.synced = false;
-        self.sync_target = None;
-        // What was taken ahead of the next view is kept by a node that starts again before that is decided.
+        self.caught_up = false;
+        self.caught_up_at = None;
+        // A node that restarts before the next view is decided retains what it received ahead of it.
         if self.is_sealed() {
             return;
         }
-        if !self.is_member() || !self.complete {
+        if !self.is_member() || !self.durability.is_complete() {
             self.drop_uncommitted();
         }
         if self.is_head() {
-            self.lead(now);
+            self.start_as_head(now);
         }
     }
 
-    /// The head has nobody to catch up with; what it holds goes down the chain again.
-    fn lead(&mut self, now: u64) {
-        self.pending = self.store.log.requests_after(self.committed()).into_keys().collect();
-        self.become_complete(Vec::new());
-        self.become_synced(now);
+    /// The head has no predecessor to catch up with; its log goes down the chain again.
+    fn start_as_head(&mut self, now: Instant) {
+        self.pending = self.store.log().requests_after(self.committed()).into_keys().collect();
+        self.mark_complete(Vec::new());
+        self.mark_caught_up(now);
     }
 
-    /// Outside the view, and by a member that is yet to be filled, nothing but committed commands may be kept: what
-    /// goes beyond them may differ from what the chain holds.
+    /// A node outside the view, and a member that is not complete, retains committed commands only: the chain may hold
+    /// others beyond them.
     fn drop_uncommitted(&mut self) {
         let loses_entries = self.end().sequence > self.committed();
-        if !loses_entries && !self.complete {
+        if !loses_entries && !self.durability.is_complete() {
             return;
         }
         self.store.drop_uncommitted();
-        self.complete = false;
-        self.complete_on_disk = false;
-        self.generation += 1;
-        self.persisted = Sequence::default();
-        self.persist(Record::Left { committed: self.committed() });
+        self.durability.handle_entries_dropped();
+        self.persist(Record::UncommittedDropped { committed: self.committed() });
     }
 
-    /// Takes a command at the head. Returns false at any other node.
+    /// Appends a command at the head. Returns false at any other node.
     pub(crate) fn submit(
         &mut self,
-        now: u64,
+        now: Instant,
         origin: NodeId,
         request_id: RequestId,
         command: Vec<u8>,
@@ -222,7 +217,7 @@
             return false;
         }
         if let Some(reply) = self.store.reply(request_id).map(<[u8]>::to_vec) {
-            self.send(origin, CoreMessage::Answer { request_id, reply });
+            self.send(origin, CoreMessage::Reply { request_id, reply });
             return true;
         }
         if self.pending.contains(&request_id) || M::Command::read_from_buffer(&command).is_err() {
@@ -231,19 +226,19 @@
         let position = Position { sequence: self.end().sequence.next(), epoch: self.epoch() };
         let entry = Entry { position, request_id, origin, command };
         self.pending.insert(request_id);
-        self.store.log.append(entry.clone());
+        self.store.append(entry.clone());
         self.persist_entries(vec![entry]);
-        self.feed_all(now);
+        self.replicate_to_all(now);
         true
     }
 
-    /// Takes commands from the node that feeds this one.
-    pub(crate) fn append(&mut self, now: u64, from: NodeId, batch: AppendBatch) {
-        if !self.takes_from(from, batch.sealed) {
+    /// Appends commands from the node before this one.
+    pub(crate) fn handle_append(&mut self, now: Instant, from: NodeId, batch: AppendBatch) {
+        if !self.accepts_from(from, batch.sealed) {
             return;
         }
         self.join_seal(batch.sealed);
-        if !self.store.log.contains(batch.previous) {
+        if !self.store.log().contains(batch.previous) {
             return self.report_gap(from);
         }
         let agreed = Sequence(batch.previous.sequence.0.saturating_add(batch.entries.len() as u64));
@@ -251,60 +246,64 @@
             return self.acknowledge(from);
         };
         for entry in &fresh {
-            self.store.log.append(entry.clone());
+            self.store.append(entry.clone());
         }
         self.commit(now, batch.committed.min(agreed));
-        self.reach(now, fresh, batch.complete_at);
-        self.feed_all(now);
+        self.record_entries(now, fresh, batch.complete_at);
+        self.replicate_to_all(now);
         self.acknowledge(from);
     }
 
-    /// A node says that it holds commands up to `end`, and that those up to `committed` are committed.
-    pub(crate) fn acknowledged(&mut self, now: u64, from: NodeId, end: Position, committed: Sequence) {
-        if self.feeds(from) {
-            let link = self.links.entry(from).or_insert_with(|| Link::new(end, now));
-            link.acknowledged(end, now);
-            // A log that went on otherwise has been cut back to where both agree.
-            if !self.store.log.contains(link.end) && self.store.log.contains(end) {
-                *link = Link::new(end, now);
+    /// The log of `from` is durable up to `end`, and it knows commands up to `committed` to be committed.
+    pub(crate) fn handle_ack(&mut self, now: Instant, from: NodeId, end: Position, committed: Sequence) {
+        if self.is_sender_to(from) {
+            let progress = self.progress.entry(from).or_insert_with(|| ReplicationProgress::new(end, now));
+            progress.handle_ack(end, now);
+            // A log with other entries has been truncated to where both agree.
+            if !self.store.log().contains(progress.acked) && self.store.log().contains(end) {
+                *progress = ReplicationProgress::new(end, now);
             }
-            self.feed_all(now);
+            self.replicate_to_all(now);
         }
-        if self.believes(from) {
+        if self.accepts_commit_point_of(from) {
             self.commit(now, committed);
         }
     }
 
-    /// A fed node's log ends at `end`, before the commands that it was sent.
-    pub(crate) fn gap(&mut self, now: u64, from: NodeId, end: Position) {
-        if let Some(link) = self.links.get_mut(&from) {
-            link.gap(now, self.limits.retry_after);
+    /// The log of a receiver ends at `end`, before the commands that it was sent.
+    pub(crate) fn handle_gap(&mut self, now: Instant, from: NodeId, end: Position) {
+        if let Some(progress) = self.progress.get_mut(&from) {
+            progress.handle_gap(now, self.limits.retry_after);
         }
-        self.acknowledged(now, from, end, Sequence::default());
+        self.handle_ack(now, from, end, Sequence::default());
     }
 
-    /// Sends again what was not acknowledged, and forgets learners that are gone.
-    pub(crate) fn tick(&mut self, now: u64, is_gone: impl Fn(NodeId) -> bool) {
+    /// Sends again what was not acknowledged, and removes learners that are gone.
+    pub(crate) fn handle_tick(&mut self, now: Instant, is_gone: impl Fn(NodeId) -> bool) {
         let view = &self.view;
-        self.links.retain(|id, _| view.contains(*id) || !is_gone(*id));
-        for link in self.links.values_mut() {
-            link.rewind_if_stalled(now, self.limits.retry_after);
+        self.progress.retain(|id, _| view.contains(*id) || !is_gone(*id));
+        for progress in self.progress.values_mut() {
+            progress.rewind_if_stalled(now, self.limits.retry_after);
         }
-        self.drop_useless_snapshot();
-        self.feed_all(now);
+        self.drop_unusable_snapshot();
+        self.replicate_to_all(now);
     }
 
-    /// Whether the own log is known to agree with that of `from`, so that its commit point holds here too.
-    fn believes(&self, from: NodeId) -> bool {
+    /// Whether the own log is known to agree with that of `from`, so that its commit point counts here too.
+    fn accepts_commit_point_of(&self, from: NodeId) -> bool {
         match self.is_member() {
-            true => self.view.successor(self.me) == Some(from) || (self.synced && self.view.contains(from)),
+            true => {
+                self.view.successor(self.local_id) == Some(from)
+                    || (self.caught_up && self.view.contains(from))
+            }
             false => self.view.tail() == Some(from),
         }
     }
 
-    fn is_fed_by(&self, from: NodeId) -> bool {
+    /// Whether `from` sends commands to this node along the chain.
+    fn is_receiver_of(&self, from: NodeId) -> bool {
         match self.is_member() {
-            true => self.view.predecessor(self.me) == Some(from),
+            true => self.view.predecessor(self.local_id) == Some(from),
             false => self.view.contains(from),
         }
     }
@@ -314,8 +313,8 @@
         let end = self.end().sequence;
         let agrees = |entry: &Entry| {
             entry.position.sequence > end
-                || entry.position.sequence < self.store.log.base().sequence
-                || self.store.log.contains(entry.position)
+                || entry.position.sequence < self.store.log().base().sequence
+                || self.store.log().contains(entry.position)
         };
         if !entries.iter().all(agrees) {
             return None;
--- a/coordination/chain/src/replica/sealing.rs
+++ b/coordination/chain/src/replica/sealing.rs
@@ -1,4 +1,4 @@
-//! Sealing an epoch: its commands are fixed, so that nodes can be filled ahead of the next view.
+//! Sealing an epoch: its commands are fixed, so that nodes can be brought up ahead of the next view.
 //!
 //! A view must begin with enough members that hold every committed command, or the loss of one of them could take the
 //! only copy. Where too few are left, a member that holds everything takes no more commands in its epoch. As a commit
@@ -7,36 +7,37 @@
 
 use std::collections::BTreeSet;
 
+use millrudder_clock::Instant;
 use millrudder_view::{Epoch, NodeId};
 
 use super::Replica;
 use crate::{Machine, Position, Record, Sequence};
 
 impl<M: Machine> Replica<M> {
-    /// Whether this node takes part in the chain of the present epoch no more.
+    /// Whether this node has left the chain of the present epoch by sealing it.
     pub(crate) fn is_sealed(&self) -> bool {
         self.view.epoch != Epoch::NONE && self.sealed == self.view.epoch
     }
 
-    /// Whether this node feeds others ahead of the next view.
-    pub(super) fn is_filling(&self) -> bool {
-        self.is_sealed() && self.complete && !self.filling.is_empty()
+    /// Whether this node brings up others ahead of the next view.
+    pub(super) fn is_catching_up_targets(&self) -> bool {
+        self.is_sealed() && self.durability.is_complete() && !self.catch_up_targets.is_empty()
     }
 
-    /// Seals the epoch, and feeds `nodes` all that this node holds. Does nothing at a node that may lack commands.
-    pub(crate) fn fill(&mut self, now: u64, nodes: BTreeSet<NodeId>) {
-        if !self.complete || !self.is_member() {
+    /// Seals the epoch, and brings up `nodes` with all that this node holds. Does nothing at a node that may lack commands.
+    pub(crate) fn catch_up(&mut self, now: Instant, nodes: BTreeSet<NodeId>) {
+        if !self.durability.is_complete() || !self.is_member() {
             return;
         }
         self.seal();
-        if self.filling != nodes {
-            self.links.clear();
-            self.filling = nodes;
+        if self.catch_up_targets != nodes {
+            self.progress.clear();
+            self.catch_up_targets = nodes;
         }
-        self.feed_all(now);
+        self.replicate_to_all(now);
     }
 
-    /// Joins the sender's seal before anything is taken from it: what comes may go beyond what other members hold.
+    /// Joins the sender's seal before anything is appended: its log may go beyond what other members hold.
     pub(super) fn join_seal(&mut self, sealed: bool) {
         if sealed {
             self.seal();
@@ -50,16 +51,16 @@
         }
     }
 
-    /// Whether commands are taken from a node: along the chain, or, ahead of the next view, from a member that has
-    /// sealed the epoch by a node that lacks commands.
-    pub(super) fn takes_from(&self, from: NodeId, sealed: bool) -> bool {
+    /// Whether commands are accepted from a node: along the chain, or, ahead of the next view, by a node that lacks
+    /// commands from a member that has sealed the epoch.
+    pub(super) fn accepts_from(&self, from: NodeId, sealed: bool) -> bool {
         match sealed {
-            true => !self.complete && self.view.contains(from),
-            false => !self.is_sealed() && self.is_fed_by(from),
+            true => !self.durability.is_complete() && self.view.contains(from),
+            false => !self.is_sealed() && self.is_receiver_of(from),
         }
     }
 
-    /// What a fed node must hold to hold every committed command.
+    /// What a receiver must hold to hold every committed command.
     pub(super) fn complete_at(&self) -> Sequence {
         match self.is_sealed() {
             true => self.end().sequence,
@@ -67,19 +68,19 @@
         }
     }
 
-    /// The end of a fed node's log, if this node's log has another command there or none.
-    pub(super) fn differs_at(&self, end: Position) -> Option<Position> {
-        let log = &self.store.log;
+    /// The end of a receiver's log, if this node's log has another command there or none.
+    pub(super) fn conflict_at(&self, end: Position) -> Option<Position> {
+        let log = self.store.log();
         let differs = end.sequence > log.base().sequence && !log.contains(end);
         differs.then_some(end)
     }
 
-    /// What a node was fed ahead of a view, by another node than the one that feeds it now, may go beyond what that one
-    /// holds. It is dropped as soon as the feeding node, which holds all that was committed, says so.
-    pub(super) fn drop_what_differs(&mut self, differs_at: Option<Position>) {
-        let is_new_in_chain = self.is_member() && !self.is_sealed() && self.sync_target.is_none();
-        let is_being_filled = self.is_sealed() && !self.complete;
-        if (is_new_in_chain || is_being_filled) && differs_at == Some(self.end()) {
+    /// What a node received ahead of a view, from another node than its present sender, may go beyond what that one
+    /// holds. It is dropped as soon as the sender, which holds all that was committed, reports the conflict.
+    pub(super) fn drop_conflicting(&mut self, conflict_at: Option<Position>) {
+        let is_new_in_chain = self.is_member() && !self.is_sealed() && self.caught_up_at.is_none();
+        let is_brought_up = self.is_sealed() && !self.durability.is_complete();
+        if (is_new_in_chain || is_brought_up) && conflict_at == Some(self.end()) {
             self.drop_uncommitted();
         }
     }
--- a/coordination/chain/src/replica/snapshot_install.rs
+++ b/coordination/chain/src/replica/snapshot_install.rs
@@ -1,22 +1,23 @@
-//! Replacing the whole state of a node that is too far behind, in parts.
+//! Replacing the whole state of a node that is too far behind by a snapshot.
 
+use millrudder_clock::Instant;
 use millrudder_view::NodeId;
 
 use super::{Replica, ReplicaOutput};
-use crate::replication_progress::Link;
+use crate::replication_progress::ReplicationProgress;
 use crate::transfer::{IncomingSnapshot, OutgoingSnapshot, Transfer, MAX_SNAPSHOT_BYTES};
 use crate::{CoreMessage, InstallSnapshotChunk, Machine, Record, Sequence, Snapshot, SnapshotId};
 
 impl<M: Machine> Replica<M> {
-    /// Begins to send a snapshot: the one that is under way to others if the log goes on from it, else a new one.
-    pub(super) fn begin_transfer(&mut self, link: &mut Link) {
-        self.drop_useless_snapshot();
-        let at_hand = self.outgoing.as_ref().filter(|outgoing| outgoing.id.position >= link.end);
-        let id = match at_hand {
+    /// Begins to send a snapshot: the one that is sent to others if the log goes on from it, else a new one.
+    pub(super) fn begin_transfer(&mut self, progress: &mut ReplicationProgress) {
+        self.drop_unusable_snapshot();
+        let reusable = self.outgoing.as_ref().filter(|outgoing| outgoing.id.position >= progress.acked);
+        let id = match reusable {
             Some(outgoing) => outgoing.id,
             None => self.take_snapshot(),
         };
-        link.transfer = Some(Transfer::new(id));
+        progress.transfer = Some(Transfer::new(id));
     }
 
     fn take_snapshot(&mut self) -> SnapshotId {
@@ -26,91 +27,102 @@
         id
     }
 
-    /// Forgets the snapshot at hand once the log does not go on from it any more.
-    pub(super) fn drop_useless_snapshot(&mut self) {
-        let log = &self.store.log;
+    /// Drops the snapshot once the log does not go on from it any more.
+    pub(super) fn drop_unusable_snapshot(&mut self) {
+        let log = self.store.log();
         self.outgoing = self.outgoing.take().filter(|outgoing| log.contains(outgoing.id.position));
     }
 
-    /// Sends as many parts as may be under way. A transfer whose snapshot is not at hand any more begins anew.
-    pub(super) fn send_parts(&mut self, to: NodeId, link: &mut Link) {
-        let current = |outgoing: &&OutgoingSnapshot| link.transfer.is_some_and(|it| it.id == outgoing.id);
+    /// Sends as many chunks as may be in flight. A transfer whose snapshot was dropped begins anew.
+    pub(super) fn send_chunks(&mut self, to: NodeId, progress: &mut ReplicationProgress) {
+        let current = |outgoing: &&OutgoingSnapshot| progress.transfer.is_some_and(|it| it.id == outgoing.id);
         if self.outgoing.as_ref().filter(current).is_none() {
-            self.begin_transfer(link);
+            self.begin_transfer(progress);
         }
-        let Some(mut transfer) = link.transfer else {
+        let Some(mut transfer) = progress.transfer else {
             return;
         };
-        while transfer.may_send(self.limits.batch_bytes) {
+        while transfer.can_send(self.limits.batch_bytes) {
             let Some(outgoing) = &self.outgoing else {
                 return;
             };
-            let part = outgoing.part(transfer.sent, self.limits.batch_bytes);
-            transfer.sent += part.bytes.len() as u64;
+            let chunk = outgoing.chunk(transfer.sent, self.limits.batch_bytes);
+            transfer.sent += chunk.bytes.len() as u64;
             let install = InstallSnapshotChunk {
                 epoch: self.epoch(),
-                part,
+                chunk,
                 complete_at: self.complete_at(),
                 sealed: self.is_sealed(),
-                differs_at: self.differs_at(link.end),
+                conflict_at: self.conflict_at(progress.acked),
             };
-            self.send(to, CoreMessage::Install(install));
+            self.send(to, CoreMessage::InstallSnapshot(install));
         }
-        link.transfer = Some(transfer);
+        progress.transfer = Some(transfer);
     }
 
-    /// A fed node holds the first bytes of a snapshot.
-    pub(crate) fn install_received(&mut self, now: u64, from: NodeId, id: SnapshotId, received: u64) {
-        let Some(link) = self.links.get_mut(&from) else {
+    /// A receiver has the first `received` bytes of a snapshot.
+    pub(crate) fn handle_snapshot_received(
+        &mut self,
+        now: Instant,
+        from: NodeId,
+        id: SnapshotId,
+        received: u64,
+    ) {
+        let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        let Some(transfer) = link.transfer.as_mut().filter(|transfer| transfer.id == id) else {
+        let Some(transfer) = progress.transfer.as_mut().filter(|transfer| transfer.id == id) else {
             return;
         };
-        if transfer.received(received) {
-            link.progress_at = now;
-            self.feed_all(now);
+        if transfer.handle_received(received) {
+            progress.progress_at = now;
+            self.replicate_to_all(now);
         }
     }
 
-    /// Takes a part of the whole state from the node that feeds this one.
-    pub(crate) fn install(&mut self, now: u64, from: NodeId, install: InstallSnapshotChunk) {
-        let InstallSnapshotChunk { part, complete_at, sealed, differs_at, .. } = install;
-        if !self.takes_from(from, sealed) {
+    /// Adds a chunk of a snapshot from the node before this one, and installs the snapshot once it is complete.
+    pub(crate) fn handle_install(&mut self, now: Instant, from: NodeId, install: InstallSnapshotChunk) {
+        let InstallSnapshotChunk { chunk, complete_at, sealed, conflict_at, .. } = install;
+        if !self.accepts_from(from, sealed) {
             return;
         }
         self.join_seal(sealed);
-        let position = part.id.position;
-        self.drop_what_differs(differs_at);
-        let held = self.store.log.contains(position);
-        let older = position.sequence < self.committed();
-        if held || older || part.id.length > MAX_SNAPSHOT_BYTES {
+        let position = chunk.id.position;
+        self.drop_conflicting(conflict_at);
+        let is_known = self.store.log().contains(position);
+        let is_older = position.sequence < self.committed();
+        if is_known || is_older || chunk.id.length > MAX_SNAPSHOT_BYTES {
             self.incoming = None;
             return self.acknowledge(from);
         }
-        let same = self.incoming.take().filter(|incoming| incoming.id == part.id);
-        let mut incoming = same.unwrap_or_else(|| IncomingSnapshot::new(part.id));
-        incoming.take(part);
-        if incoming.is_whole() {
-            return self.install_whole(now, from, incoming.decode(), complete_at);
+        let same = self.incoming.take().filter(|incoming| incoming.id == chunk.id);
+        let mut incoming = same.unwrap_or_else(|| IncomingSnapshot::new(chunk.id));
+        incoming.add_chunk(chunk);
+        if incoming.is_complete() {
+            return self.install_snapshot(now, from, incoming.decode(), complete_at);
         }
         let (epoch, id, received) = (self.epoch(), incoming.id, incoming.received());
         self.incoming = Some(incoming);
-        self.send(from, CoreMessage::InstallReceived { epoch, id, received });
+        self.send(from, CoreMessage::SnapshotReceived { epoch, id, received });
     }
 
-    fn install_whole(&mut self, now: u64, from: NodeId, snapshot: Option<Snapshot>, complete_at: Sequence) {
-        // Bytes that are not what was promised are sent anew after a pause without progress.
+    fn install_snapshot(
+        &mut self,
+        now: Instant,
+        from: NodeId,
+        snapshot: Option<Snapshot>,
+        complete_at: Sequence,
+    ) {
+        // Bytes with a wrong digest are sent anew after a pause without progress.
         let Some(snapshot) = snapshot.filter(|snapshot| self.store.install(snapshot).is_ok()) else {
             return self.acknowledge(from);
         };
-        self.generation += 1;
-        self.persisted = Sequence::default();
+        self.durability.handle_log_replaced();
         let sequence = snapshot.position.sequence;
-        self.persist(Record::Installed { snapshot, complete: self.complete });
-        self.outputs.push(ReplicaOutput::Replaced { sequence });
-        self.reach(now, Vec::new(), complete_at);
-        self.feed_all(now);
+        self.persist(Record::SnapshotInstalled { snapshot, complete: self.durability.is_complete() });
+        self.outputs.push(ReplicaOutput::SnapshotInstalled { sequence });
+        self.record_entries(now, Vec::new(), complete_at);
+        self.replicate_to_all(now);
         self.acknowledge(from);
     }
 }
--- a/coordination/chain/src/replication_progress.rs
+++ b/coordination/chain/src/replication_progress.rs
@@ -1,33 +1,37 @@
-//! The link from a node to one that it feeds: the next member of the chain, or a learner at the tail.
+//! Progress of the replication from this node to another one: the next member of the chain, or a learner.
+
+use std::time::Duration;
+
+use millrudder_clock::Instant;
 
 use crate::transfer::Transfer;
 use crate::{Position, Sequence};
 
-/// Between two rewinds for a gap lies at least this share of the pause before an unanswered message is sent again.
-const GAP_SHARE: u64 = 16;
+/// Commands are sent again for a gap at most once in this fraction of the pause before an unanswered message is retried.
+const GAP_RETRIES_PER_PAUSE: u32 = 16;
 
-/// How far a fed node is.
+/// How far one receiver has been brought up.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Link {
-    /// End of the fed node's durable log, as it last said.
-    pub(crate) end: Position,
+pub(crate) struct ReplicationProgress {
+    /// End of the receiver's durable log, as it last acknowledged.
+    pub(crate) acked: Position,
     /// Commands up to here were sent.
     pub(crate) sent: Sequence,
     /// The commit point that was sent last.
     pub(crate) committed_sent: Sequence,
-    /// When it last made progress, or something was sent to it while nothing was outstanding (microseconds).
-    pub(crate) progress_at: u64,
-    /// A snapshot is being sent and the fed node has not reached it yet.
+    /// When the receiver last made progress, or something was sent to it while nothing was in flight.
+    pub(crate) progress_at: Instant,
+    /// The snapshot that is being sent, until the receiver has installed it.
     pub(crate) transfer: Option<Transfer>,
-    /// When commands were sent again last (microseconds).
-    rewound_at: u64,
+    /// When commands were sent again last.
+    rewound_at: Instant,
 }
 
-impl Link {
-    pub(crate) fn new(end: Position, now: u64) -> Link {
-        Link {
-            end,
-            sent: end.sequence,
+impl ReplicationProgress {
+    pub(crate) fn new(acked: Position, now: Instant) -> ReplicationProgress {
+        ReplicationProgress {
+            acked,
+            sent: acked.sequence,
             committed_sent: Sequence::default(),
             progress_at: now,
             transfer: None,
@@ -35,43 +39,43 @@
         }
     }
 
-    /// Notes that the fed node holds commands up to `end`.
-    pub(crate) fn acknowledged(&mut self, end: Position, now: u64) {
-        let installed = self.transfer.is_some_and(|transfer| transfer.id.position == end);
-        if end.sequence <= self.end.sequence && !installed {
+    /// Notes that the receiver's durable log ends at `end`.
+    pub(crate) fn handle_ack(&mut self, end: Position, now: Instant) {
+        let is_installed = self.transfer.is_some_and(|transfer| transfer.id.position == end);
+        if end.sequence <= self.acked.sequence && !is_installed {
             return;
         }
-        self.end = end;
-        self.sent = if installed { end.sequence } else { self.sent.max(end.sequence) };
+        self.acked = end;
+        self.sent = if is_installed { end.sequence } else { self.sent.max(end.sequence) };
         self.progress_at = now;
         self.transfer = self.transfer.filter(|transfer| end.sequence < transfer.id.position.sequence);
     }
 
-    /// The fed node cannot take what it got, since it lacks the commands before: they are sent again at once.
-    pub(crate) fn gap(&mut self, now: u64, retry_after: u64) {
-        let rested = now.saturating_sub(self.rewound_at) >= retry_after / GAP_SHARE;
-        if rested && self.transfer.is_none() {
+    /// The receiver lacks the commands before those that it got: they are sent again, unless they just were.
+    pub(crate) fn handle_gap(&mut self, now: Instant, retry_after: Duration) {
+        let may_rewind = now - self.rewound_at >= retry_after / GAP_RETRIES_PER_PAUSE;
+        if may_rewind && self.transfer.is_none() {
             self.rewind(now);
         }
     }
 
-    fn rewind(&mut self, now: u64) {
-        self.sent = self.end.sequence;
+    fn rewind(&mut self, now: Instant) {
+        self.sent = self.acked.sequence;
         self.transfer = self.transfer.map(|transfer| Transfer::new(transfer.id));
         self.progress_at = now;
         self.rewound_at = now;
     }
 
-    /// Where the fed node's log will end once a snapshot under way is installed.
+    /// Where the receiver's log will end once a snapshot in flight is installed.
     pub(crate) fn base(&self) -> Position {
-        self.transfer.map_or(self.end, |transfer| transfer.id.position)
+        self.transfer.map_or(self.acked, |transfer| transfer.id.position)
     }
 
     /// Sends everything after the acknowledged end again if nothing was acknowledged for `retry_after`. Of a snapshot
-    /// the start goes out again: the answer to it tells what the fed node holds.
-    pub(crate) fn rewind_if_stalled(&mut self, now: u64, retry_after: u64) {
-        let outstanding = self.sent > self.end.sequence || self.transfer.is_some();
-        if outstanding && now.saturating_sub(self.progress_at) >= retry_after {
+    /// the start is sent again: the answer to it tells what the receiver has.
+    pub(crate) fn rewind_if_stalled(&mut self, now: Instant, retry_after: Duration) {
+        let is_in_flight = self.sent > self.acked.sequence || self.transfer.is_some();
+        if is_in_flight && now - self.progress_at >= retry_after {
             self.rewind(now);
         }
     }
--- a/coordination/chain/src/store.rs
+++ b/coordination/chain/src/store.rs
@@ -1,4 +1,4 @@
-//! The replicated state of one node: machine, remembered replies and log.
+//! The replicated state of one node: machine, retained replies and log.
 
 use millrudder_view::NodeId;
 use speedy::{Readable, Writable};
@@ -23,32 +23,32 @@
     machine: M,
     replies: Replies,
     applied: Position,
-    pub(crate) log: Log,
-    /// Bytes of the committed commands that the log still has.
+    log: Log,
+    /// Bytes of the committed commands in the log.
     committed_bytes: usize,
-    kept: KeptLog,
+    retention: LogRetention,
     /// A peer that is being brought up lacks the commands after this one.
-    needed_after: Option<Sequence>,
+    peer_needs_after: Option<Sequence>,
 }
 
-/// While a peer is being brought up, this many times as much of the log stays in memory.
-const KEPT_FOR_PEERS: usize = 8;
+/// While a peer is being brought up, so many times as much of the log is retained in memory.
+const PEER_RETENTION_FACTOR: usize = 8;
 
-/// How much of the committed log stays in memory to bring up peers without a snapshot.
+/// How much of the committed log is retained in memory to bring up peers without a snapshot.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct KeptLog {
+pub(crate) struct LogRetention {
     pub(crate) entries: usize,
     pub(crate) bytes: usize,
 }
 
-impl KeptLog {
-    fn holds(self, entries: u64, bytes: usize) -> bool {
+impl LogRetention {
+    fn allows(self, entries: u64, bytes: usize) -> bool {
         entries <= self.entries as u64 && bytes <= self.bytes
     }
 
-    fn scaled(self, numerator: usize, denominator: usize) -> KeptLog {
+    fn scaled(self, numerator: usize, denominator: usize) -> LogRetention {
         let scale = |number: usize| number.saturating_mul(numerator) / denominator;
-        KeptLog { entries: scale(self.entries), bytes: scale(self.bytes) }
+        LogRetention { entries: scale(self.entries), bytes: scale(self.bytes) }
     }
 }
 
@@ -58,16 +58,16 @@
         snapshot: &Snapshot,
         log: &Log,
         committed: Sequence,
-        kept: KeptLog,
+        retention: LogRetention,
     ) -> Result<Store<M>, RestoreError> {
         let mut store = Store {
-            machine: restored(snapshot)?,
+            machine: restore_machine(snapshot)?,
             replies: snapshot.replies.clone(),
             applied: snapshot.position,
             log: log.clone(),
             committed_bytes: 0,
-            kept,
-            needed_after: None,
+            retention,
+            peer_needs_after: None,
         };
         store.commit(committed);
         Ok(store)
@@ -82,7 +82,17 @@
         self.applied
     }
 
-    /// The encoded reply to a committed request, while it is remembered.
+    /// The log.
+    pub(crate) fn log(&self) -> &Log {
+        &self.log
+    }
+
+    /// Appends an entry to the log.
+    pub(crate) fn append(&mut self, entry: Entry) {
+        self.log.append(entry);
+    }
+
+    /// The encoded reply to a committed request, while it is retained.
     pub(crate) fn reply(&self, request_id: RequestId) -> Option<&[u8]> {
         self.replies.get(request_id)
     }
@@ -105,12 +115,12 @@
 
     /// Replaces everything by a snapshot.
     pub(crate) fn install(&mut self, snapshot: &Snapshot) -> Result<(), RestoreError> {
-        self.machine = restored(snapshot)?;
+        self.machine = restore_machine(snapshot)?;
         self.replies = snapshot.replies.clone();
         self.applied = snapshot.position;
         self.log = Log::after(snapshot.position);
         self.committed_bytes = 0;
-        self.needed_after = None;
+        self.peer_needs_after = None;
         Ok(())
     }
 
@@ -144,33 +154,34 @@
             None => self.machine.apply(sequence, &command),
         };
         let encoded_reply = earlier.unwrap_or_else(|| reply.write_to_vec().unwrap_or_default());
-        self.replies.remember(entry.request_id, encoded_reply.clone());
+        self.replies.insert(entry.request_id, encoded_reply.clone());
         let Entry { request_id, origin, .. } = entry;
         Some(Applied { sequence, request_id, origin, command, reply, encoded_reply })
     }
 
-    /// Keeps the commands after `sequence` for a peer that is being brought up, as far as the bound allows.
-    pub(crate) fn keep_after(&mut self, sequence: Option<Sequence>) {
-        self.needed_after = sequence;
+    /// Retains the commands after `sequence` for a peer that is being brought up, as far as the bound allows.
+    pub(crate) fn retain_after(&mut self, sequence: Option<Sequence>) {
+        self.peer_needs_after = sequence;
     }
 
-    /// Drops the oldest committed commands once the log holds more than it should. What a peer lacks stays, until it
-    /// is so much that the peer is better served by a snapshot.
+    /// Drops the oldest committed commands once the log exceeds its retention. What a peer lacks is retained until it is
+    /// so much that a snapshot is cheaper.
     ///
-    /// A quarter more than needed goes at a time, so that the cost of a commit stays constant on average.
+    /// A quarter more than needed is dropped at a time, so that the amortized cost of a commit is constant.
     fn trim(&mut self) {
         let first = self.log.base().sequence.0;
         let mut remaining = self.applied.sequence.0.saturating_sub(first);
-        if self.kept.holds(remaining, self.committed_bytes) {
+        if self.retention.allows(remaining, self.committed_bytes) {
             return;
         }
-        let goal = self.kept.scaled(3, 4);
-        if !self.kept.scaled(KEPT_FOR_PEERS, 1).holds(remaining, self.committed_bytes) {
-            self.needed_after = None;
+        let goal = self.retention.scaled(3, 4);
+        if !self.retention.scaled(PEER_RETENTION_FACTOR, 1).allows(remaining, self.committed_bytes) {
+            self.peer_needs_after = None;
         }
-        let end = self.needed_after.map_or(self.applied.sequence, |needed| needed.min(self.applied.sequence));
+        let end =
+            self.peer_needs_after.map_or(self.applied.sequence, |needed| needed.min(self.applied.sequence));
         let mut through = first;
-        while through < end.0 && !goal.holds(remaining, self.committed_bytes) {
+        while through < end.0 && !goal.allows(remaining, self.committed_bytes) {
             let Some(entry) = self.log.get(Sequence(through + 1)) else {
                 break;
             };
@@ -184,7 +195,7 @@
     }
 }
 
-fn restored<M: Machine>(snapshot: &Snapshot) -> Result<M, RestoreError> {
+fn restore_machine<M: Machine>(snapshot: &Snapshot) -> Result<M, RestoreError> {
     if snapshot.position == Position::default() {
         return Ok(M::default());
     }
--- a/coordination/chain/src/transfer.rs
+++ b/coordination/chain/src/transfer.rs
@@ -1,7 +1,7 @@
-//! A snapshot on its way to another node: cut into parts that each fit a message, and put together again.
+//! Transfer of a snapshot to another node in chunks that each fit a message.
 //!
-//! A transfer goes on where it stood after lost messages and after a change of view, as long as the same snapshot is
-//! sent: the receiver keeps the part that it holds, and answers the first part with how far it is.
+//! A transfer resumes after lost messages and after a change of view, as long as the same snapshot is sent: the receiver
+//! retains the bytes that it has, and answers the first chunk with how far it is.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,12 +11,13 @@
 
 use crate::{Position, Snapshot};
 
-/// Encoded snapshots are not larger, in bytes; a receiver takes no part of one that says it is.
+/// Encoded snapshots are not larger, in bytes; a receiver rejects the chunks of one that claims to be.
 pub const MAX_SNAPSHOT_BYTES: u64 = 32 << 20;
-/// Parts under way at the most; one after each pause without progress, and one more for each answer.
-const PARTS_IN_FLIGHT: u64 = 4;
+/// Limit of the window of chunks in flight: it starts at one after each pause without progress, and grows by one with
+/// each answer.
+const MAX_CHUNKS_IN_FLIGHT: u64 = 4;
 
-/// Names the encoded form of a snapshot.
+/// Identity of the encoded form of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct SnapshotId {
     /// The last command that is contained.
@@ -27,14 +28,14 @@
     pub length: u64,
 }
 
-/// Some bytes of an encoded snapshot.
+/// A chunk of an encoded snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct SnapshotChunk {
-    /// The whole that this is a part of.
+    /// The snapshot.
     pub id: SnapshotId,
-    /// Bytes before this part.
+    /// Offset of the chunk in bytes.
     pub offset: u64,
-    /// The part itself.
+    /// The bytes of the chunk.
     pub bytes: Vec<u8>,
 }
 
@@ -53,23 +54,23 @@
         OutgoingSnapshot { id, encoded: encoded.into() }
     }
 
-    /// The part after `offset`, of `most` bytes or less.
-    pub(crate) fn part(&self, offset: u64, most: usize) -> SnapshotChunk {
+    /// The chunk at `offset`, of at most `max_bytes` bytes.
+    pub(crate) fn chunk(&self, offset: u64, max_bytes: usize) -> SnapshotChunk {
         let from = usize::try_from(offset).map_or(self.encoded.len(), |from| from.min(self.encoded.len()));
-        let to = from.saturating_add(most).min(self.encoded.len());
+        let to = from.saturating_add(max_bytes).min(self.encoded.len());
         SnapshotChunk { id: self.id, offset, bytes: self.encoded[from..to].to_vec() }
     }
 }
 
-/// How far a snapshot has been sent to one node.
+/// Progress of the transfer of a snapshot to one node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Transfer {
     pub(crate) id: SnapshotId,
-    /// Bytes that the receiver has said it holds.
+    /// Bytes that the receiver has acknowledged.
     received: u64,
     /// Bytes sent.
     pub(crate) sent: u64,
-    /// Parts that may be under way.
+    /// Limit of the chunks in flight.
     window: u64,
 }
 
@@ -78,21 +79,21 @@
         Transfer { id, received: 0, sent: 0, window: 1 }
     }
 
-    /// Whether another part of `part_bytes` may be sent.
-    pub(crate) fn may_send(&self, part_bytes: usize) -> bool {
-        let under_way = self.sent.saturating_sub(self.received);
-        self.sent < self.id.length && under_way < self.window.saturating_mul(part_bytes as u64)
+    /// Whether another chunk of `chunk_bytes` may be sent.
+    pub(crate) fn can_send(&self, chunk_bytes: usize) -> bool {
+        let in_flight = self.sent.saturating_sub(self.received);
+        self.sent < self.id.length && in_flight < self.window.saturating_mul(chunk_bytes as u64)
     }
 
-    /// The receiver holds the first `received` bytes. Returns whether that is news.
-    pub(crate) fn received(&mut self, received: u64) -> bool {
+    /// The receiver has the first `received` bytes. Returns whether that is progress.
+    pub(crate) fn handle_received(&mut self, received: u64) -> bool {
         let received = received.min(self.id.length);
         if received <= self.received {
             return false;
         }
         self.received = received;
         self.sent = self.sent.max(received);
-        self.window = (self.window + 1).min(PARTS_IN_FLIGHT);
+        self.window = (self.window + 1).min(MAX_CHUNKS_IN_FLIGHT);
         true
     }
 }
@@ -102,7 +103,7 @@
 pub(crate) struct IncomingSnapshot {
     pub(crate) id: SnapshotId,
     bytes: Vec<u8>,
-    /// Parts that came before their turn, by offset; no more than may be under way.
+    /// Chunks that arrived out of order, by offset; no more than may be in flight.
     early: BTreeMap<u64, Vec<u8>>,
 }
 
@@ -111,33 +112,33 @@
         IncomingSnapshot { id, bytes: Vec::new(), early: BTreeMap::new() }
     }
 
-    /// Bytes held from the start.
+    /// Bytes received from the start without a gap.
     pub(crate) fn received(&self) -> u64 {
         self.bytes.len() as u64
     }
 
-    /// Takes a part. Of those that come before their turn the nearest are kept.
-    pub(crate) fn take(&mut self, part: SnapshotChunk) {
-        let end = part.offset.saturating_add(part.bytes.len() as u64);
-        if part.id != self.id || end > self.id.length || part.offset < self.received() {
+    /// Adds a chunk. Of those that arrive out of order the nearest are retained.
+    pub(crate) fn add_chunk(&mut self, chunk: SnapshotChunk) {
+        let end = chunk.offset.saturating_add(chunk.bytes.len() as u64);
+        if chunk.id != self.id || end > self.id.length || chunk.offset < self.received() {
             return;
         }
-        self.early.insert(part.offset, part.bytes);
+        self.early.insert(chunk.offset, chunk.bytes);
         while let Some(next) = self.early.remove(&self.received()) {
             self.bytes.extend_from_slice(&next);
         }
         let received = self.received();
         self.early.retain(|offset, _| *offset > received);
-        if self.early.len() as u64 > PARTS_IN_FLIGHT {
+        if self.early.len() as u64 > MAX_CHUNKS_IN_FLIGHT {
             self.early.pop_last();
         }
     }
 
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.received() == self.id.length
     }
 
-    /// The snapshot, if the bytes are those that were promised.
+    /// The snapshot, if the bytes have the announced digest and position.
     pub(crate) fn decode(&self) -> Option<Snapshot> {
         if xxh3_128(&self.bytes) != self.id.digest {
             return None;
--- a/coordination/chain/tests/concat_machine/mod.rs
+++ b/coordination/chain/tests/concat_machine/mod.rs
@@ -1,8 +1,8 @@
-//! A replicated machine for tests, and where its nodes are.
+//! A replicated machine for tests, and the addresses of its nodes.
 
 use millrudder_chain::{Machine, RestoreError, Sequence};
 
-/// Joins all texts.
+/// Concatenates all texts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Text(pub String);
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Where the node at a place answers.
-pub fn address(place: usize) -> String {
-    format!("10.0.0.{place}:9000")
+/// Address of the node at `index`.
+pub fn address(index: usize) -> String {
+    format!("10.0.0.{index}:9000")
 }
--- a/coordination/chain/tests/cores/recovery.rs
+++ b/coordination/chain/tests/cores/recovery.rs
@@ -4,20 +4,20 @@
 use crate::simulator::plan::Plan;
 use crate::simulator::world::World;
 
-/// The fault strikes when the core has long been founded (microseconds).
+/// The fault fault_injection when the core has long been founded (microseconds).
 const FAULT_AT: u64 = 4_000_000;
 const SECOND: u64 = 1_000_000;
-/// Several seeds, so that each machine's place in the chain and each moment of a heartbeat comes up.
+/// Several seeds, so that each machine's position in the chain and each moment of a heartbeat comes up.
 const SEEDS: std::ops::Range<u64> = 0..12;
 
 fn played(seed: u64, fault: Fault) -> World {
     let mut world = World::new(Plan::with_fault(seed, FAULT_AT, fault));
-    world.run_until(FAULT_AT + 8 * SECOND).expect("no promise is broken");
+    world.run_until(FAULT_AT + 8 * SECOND).expect("no invariant is broken");
     world
 }
 
 fn assert_replaced_within(world: &World, micros: u64) {
-    let replaced = world.history.first_view_of(2, FAULT_AT).expect("the silent machine is replaced");
+    let replaced = world.history.first_view_of(2, FAULT_AT).expect("the lost machine is replaced");
     assert!(replaced - FAULT_AT <= micros, "replaced after {} us", replaced - FAULT_AT);
 }
 
@@ -25,7 +25,7 @@
 fn writes_are_answered_within_thirty_milliseconds_in_calm() {
     let mut world =
         World::new(Plan::with_fault(1, FAULT_AT, Fault::Kill { machine: 0, down_micros: SECOND }));
-    world.run_until(FAULT_AT).expect("no promise is broken");
+    world.run_until(FAULT_AT).expect("no invariant is broken");
     let longest =
         world.history.longest_wait(2 * SECOND..FAULT_AT - SECOND / 10).expect("writes were answered");
     assert!(longest < 30_000, "{longest} us");
@@ -35,10 +35,10 @@
 fn an_idle_core_sends_little() {
     let mut world =
         World::new(Plan::with_fault(1, FAULT_AT, Fault::Kill { machine: 0, down_micros: SECOND }));
-    world.run_until(950_000).expect("no promise is broken");
+    world.run_until(950_000).expect("no invariant is broken");
     assert_eq!(world.members_known(), vec![3, 3, 3]);
     let before = world.history.messages;
-    world.run_until(1_000_000).expect("no promise is broken");
+    world.run_until(1_000_000).expect("no invariant is broken");
     // Three nodes send two heartbeats in each 100 ms; two candidates and a holder of the lease ask now and then.
     assert!(world.history.messages - before <= 12, "{} messages in 50 ms", world.history.messages - before);
 }
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_member_that_says_it_stops_is_replaced_at_once() {
+fn a_leaving_member_is_replaced_at_once() {
     for seed in SEEDS {
         let machine = seed as usize % 3;
         let world = played(seed, Fault::Stop { machine, down_micros: 2 * SECOND });
@@ -86,7 +86,7 @@
         let stop = Fault::Stop { machine: stopped, down_micros: SECOND };
         plan.add_fault(FAULT_AT + 50_000 * (seed + 1), stop);
         let mut world = World::new(plan);
-        world.run_until(FAULT_AT + 8 * SECOND).expect("no promise is broken");
+        world.run_until(FAULT_AT + 8 * SECOND).expect("no invariant is broken");
         assert_eq!(world.members_known(), vec![3, 3, 3], "seed {seed}");
     }
 }
@@ -101,18 +101,18 @@
 }
 
 #[test]
-fn a_cut_in_one_direction_ends_in_a_view_that_can_talk() {
+fn a_one_way_partition_ends_in_a_connected_view() {
     for seed in SEEDS {
         let from = seed as usize % 3;
         let to = (from + 1 + seed as usize / 3 % 2) % 3;
-        let world = played(seed, Fault::CutOneWay { from, to, micros: 3 * SECOND });
+        let world = played(seed, Fault::PartitionOneWay { from, to, micros: 3 * SECOND });
         assert_replaced_within(&world, 2 * SECOND);
         assert_eq!(world.members_known(), vec![3, 3, 3]);
     }
 }
 
 #[test]
-fn all_killed_at_once_go_on_where_they_were() {
+fn a_core_recovers_after_power_loss_of_all() {
     for seed in SEEDS {
         let world = played(seed, Fault::PowerLossOfAll { down_micros: SECOND });
         let after = FAULT_AT + SECOND + SECOND / 2;
@@ -130,7 +130,7 @@
 
 /// Two of three machines are there all the time, but never the same two: the first comes back just before another goes.
 #[test]
-fn a_member_that_goes_before_another_is_admitted_again_does_not_end_the_core() {
+fn a_member_lost_before_another_is_readmitted_does_not_end_the_core() {
     for seed in SEEDS {
         let first = seed as usize % 3;
         let second = (first + 1 + seed as usize / 3 % 2) % 3;
@@ -140,35 +140,35 @@
         let again = FAULT_AT + down_micros + 100_000 + seed * 60_000;
         let gone = match seed % 2 {
             0 => Fault::Kill { machine: second, down_micros: 8 * SECOND },
-            _ => Fault::WipeDiskIfBorne { machine: second, down_micros: 8 * SECOND },
+            _ => Fault::WipeDiskIfTolerated { machine: second, down_micros: 8 * SECOND },
         };
         plan.add_fault(again, gone);
         let mut world = World::new(plan);
-        world.run_until(again + 8 * SECOND).expect("no promise is broken");
+        world.run_until(again + 8 * SECOND).expect("no invariant is broken");
         assert_serves(&world, again + 2 * SECOND..again + 8 * SECOND, seed);
-        world.run_until(again + 14 * SECOND).expect("no promise is broken");
+        world.run_until(again + 14 * SECOND).expect("no invariant is broken");
         assert_eq!(world.members_known(), vec![3, 3, 3], "seed {seed}");
     }
 }
 
-/// One machine is told to stop, and the disk of another is lost within milliseconds of the view without the first.
+/// One machine shuts down, and the disk of another is lost within milliseconds of the view without the first.
 #[test]
-fn a_disk_lost_right_after_the_view_without_a_leaving_member_is_borne() {
+fn a_disk_lost_right_after_a_member_left_is_tolerated() {
     for seed in SEEDS {
         let stopped = seed as usize % 3;
         let lost = (stopped + 1 + seed as usize / 3 % 2) % 3;
         let stop = Fault::Stop { machine: stopped, down_micros: 20 * SECOND };
         let mut plan = Plan::with_fault(seed, FAULT_AT, stop);
         let lost_at = FAULT_AT + 10_000 * (seed + 1);
-        plan.add_fault(lost_at, Fault::WipeDiskIfBorne { machine: lost, down_micros: SECOND });
+        plan.add_fault(lost_at, Fault::WipeDiskIfTolerated { machine: lost, down_micros: SECOND });
         let mut world = World::new(plan);
-        world.run_until(lost_at + 8 * SECOND).expect("no promise is broken");
+        world.run_until(lost_at + 8 * SECOND).expect("no invariant is broken");
         assert_serves(&world, lost_at + 3 * SECOND..lost_at + 8 * SECOND, seed);
     }
 }
 
 #[test]
-fn a_member_whose_disk_is_slow_leaves_the_chain_and_keeps_its_vote() {
+fn a_member_with_a_slow_disk_leaves_the_chain_and_keeps_its_vote() {
     for seed in SEEDS {
         let machine = seed as usize % 3;
         let world = played(seed, Fault::SlowDisk { machine, micros: 6 * SECOND });
--- a/coordination/chain/tests/cores/simulation.rs
+++ b/coordination/chain/tests/cores/simulation.rs
@@ -1,4 +1,4 @@
-//! Seeded simulation of whole cores under faults. `CORE_SEEDS=from..to` plays other seeds.
+//! Seeded simulation of entire cores under faults. `CORE_SEEDS=from..to` plays other seeds.
 
 use std::ops::Range;
 use std::thread;
@@ -9,7 +9,7 @@
 
 /// Seeds of the ordinary test run.
 const ORDINARY_SEEDS: Range<u64> = 0..200;
-/// Seeds that broke a promise once; both kinds of plan play them in each ordinary run.
+/// Seeds that broke an invariant once; both kinds of plan play them in each ordinary run.
 const FOUND_SEEDS: [u64; 11] =
     [8627, 53222, 57797, 101475, 101600, 105283, 107553, 109563, 111972, 219461, 254008];
 /// Seeds are shared out to this many threads; each seed is played by one.
@@ -72,32 +72,33 @@
     }
 }
 
-fn play_share(share: u64, plan: fn(u64) -> Plan) -> Totals {
+fn play_seeds_of(thread_index: u64, plan: fn(u64) -> Plan) -> Totals {
     let mut totals = Totals::default();
-    for seed in seeds().into_iter().filter(|seed| seed % THREADS == share) {
+    for seed in seeds().into_iter().filter(|seed| seed % THREADS == thread_index) {
         totals.add(play(plan(seed)));
     }
     totals
 }
 
 #[test]
-fn cores_keep_their_promises_under_faults() {
+fn cores_uphold_their_invariants_under_faults() {
     play_all(Plan::drawn);
 }
 
 #[test]
-fn cores_keep_their_promises_while_losses_follow_each_other_closely() {
-    play_all(Plan::of_close_losses);
+fn cores_uphold_their_invariants_under_close_losses() {
+    play_all(Plan::with_close_losses);
 }
 
 fn play_all(plan: fn(u64) -> Plan) {
     let mut totals = Totals::default();
     thread::scope(|scope| {
-        let shares: Vec<_> = (0..THREADS).map(|share| scope.spawn(move || play_share(share, plan))).collect();
-        for share in shares {
-            totals.add(share.join().expect("a share of the seeds is played"));
+        let threads: Vec<_> =
+            (0..THREADS).map(|thread_index| scope.spawn(move || play_seeds_of(thread_index, plan))).collect();
+        for thread in threads {
+            totals.add(thread.join().expect("the seeds are played"));
         }
     });
     println!("{totals:?}");
-    assert_eq!(totals.failed, 0, "seeds that broke a promise");
+    assert_eq!(totals.failed, 0, "seeds that broke an invariant");
 }
--- a/coordination/chain/tests/cores/simulator/checker.rs
+++ b/coordination/chain/tests/cores/simulator/checker.rs
@@ -4,14 +4,14 @@
 
 use millrudder_chain::{Epoch, FencingToken, RequestId, Sequence, View};
 
-/// A broken promise.
+/// A broken invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     TwoViewsInOneEpoch {
         first: View,
         second: View,
     },
-    CommittedTwoCommandsAtOnePlace {
+    TwoCommandsAtOneSequence {
         sequence: u64,
         first: u64,
         second: u64,
@@ -27,7 +27,7 @@
         second: u64,
     },
     StaleRead {
-        wanted: u64,
+        expected: u64,
         seen: u64,
     },
     AcknowledgedWriteLost {
@@ -37,7 +37,7 @@
         first: usize,
         second: usize,
     },
-    FencingNotHigher {
+    FencingTokenNotHigher {
         before: FencingToken,
         now: FencingToken,
     },
@@ -47,7 +47,7 @@
     /// A node with contact lacks a command that was acknowledged before its state can have been that old.
     OlderThanClaimed {
         machine: usize,
-        wanted: u64,
+        expected: u64,
         seen: u64,
     },
     Stuck {
@@ -66,13 +66,13 @@
 pub struct Checker {
     views: BTreeMap<Epoch, View>,
     committed: BTreeMap<u64, u64>,
-    places: BTreeMap<u64, u64>,
+    sequences: BTreeMap<u64, u64>,
     acknowledged: BTreeMap<u64, u64>,
-    /// The highest place acknowledged so far, by time.
+    /// The highest sequence acknowledged so far, by time.
     acknowledged_at: BTreeMap<u64, u64>,
     reads: BTreeMap<RequestId, ReadOperation>,
     observed: u64,
-    highest_fencing: FencingToken,
+    highest_fencing_token: FencingToken,
     pub finished_reads: usize,
     pub granted_leases: usize,
     pub claims: usize,
@@ -82,9 +82,9 @@
     /// A machine claims that its state, which ends at `seen`, holds all that was acknowledged before `as_of`.
     pub fn claimed(&mut self, machine: usize, as_of: u64, seen: u64) -> Result<(), Violation> {
         self.claims += 1;
-        let wanted = self.acknowledged_at.range(..as_of).next_back().map_or(0, |(_, highest)| *highest);
-        if seen < wanted {
-            return Err(Violation::OlderThanClaimed { machine, wanted, seen });
+        let expected = self.acknowledged_at.range(..as_of).next_back().map_or(0, |(_, highest)| *highest);
+        if seen < expected {
+            return Err(Violation::OlderThanClaimed { machine, expected, seen });
         }
         Ok(())
     }
@@ -108,11 +108,11 @@
         let sequence = sequence.0;
         let first = *self.committed.entry(sequence).or_insert(value);
         if first != value {
-            return Err(Violation::CommittedTwoCommandsAtOnePlace { sequence, first, second: value });
+            return Err(Violation::TwoCommandsAtOneSequence { sequence, first, second: value });
         }
-        let place = *self.places.entry(value).or_insert(reply);
-        if place != reply {
-            return Err(Violation::AppliedTwice { value, first: place, second: reply });
+        let first = *self.sequences.entry(value).or_insert(reply);
+        if first != reply {
+            return Err(Violation::AppliedTwice { value, first, second: reply });
         }
         Ok(())
     }
@@ -137,18 +137,21 @@
             return Ok(());
         };
         if seen < read.floor {
-            return Err(Violation::StaleRead { wanted: read.floor, seen });
+            return Err(Violation::StaleRead { expected: read.floor, seen });
         }
         self.observed = self.observed.max(seen);
         self.finished_reads += 1;
         Ok(())
     }
 
-    pub fn lease_granted(&mut self, fencing: FencingToken) -> Result<(), Violation> {
-        if fencing <= self.highest_fencing {
-            return Err(Violation::FencingNotHigher { before: self.highest_fencing, now: fencing });
+    pub fn lease_granted(&mut self, fencing_token: FencingToken) -> Result<(), Violation> {
+        if fencing_token <= self.highest_fencing_token {
+            return Err(Violation::FencingTokenNotHigher {
+                before: self.highest_fencing_token,
+                now: fencing_token,
+            });
         }
-        self.highest_fencing = fencing;
+        self.highest_fencing_token = fencing_token;
         self.granted_leases += 1;
         Ok(())
     }
--- a/coordination/chain/tests/cores/simulator/fault_injection.rs
+++ b/coordination/chain/tests/cores/simulator/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults strike.
+//! Injects the faults of a plan.
 
 use millrudder_chain::Input;
 
@@ -7,11 +7,11 @@
 use super::world::{EventKind, World};
 use millrudder_chain::SimulatedDisk;
 
-/// Pause between two looks whether it may end earlier.
-const STOP_LOOK_MICROS: u64 = 20_000;
+/// Interval between two checks whether a stopping process can leave.
+const STOP_CHECK_MICROS: u64 = 20_000;
 
 impl World {
-    pub(super) fn strike(&mut self, fault: Fault) {
+    pub(super) fn inject(&mut self, fault: Fault) {
         self.armed = None;
         match fault {
             Fault::Kill { machine, down_micros } => self.kill(machine, down_micros),
@@ -29,8 +29,8 @@
                 (0..self.hosts.len()).for_each(|machine| self.lose_power(machine, down_micros));
             }
             Fault::WipeDisk { machine, down_micros } => self.wipe(machine, down_micros),
-            Fault::WipeDiskIfBorne { machine, down_micros } => {
-                if self.bears_loss_of_disk(machine) {
+            Fault::WipeDiskIfTolerated { machine, down_micros } => {
+                if self.tolerates_loss_of_disk(machine) {
                     self.wipe(machine, down_micros);
                 }
             }
@@ -42,13 +42,13 @@
                 self.wipe(machine, down_micros);
             }
             Fault::Freeze { machine, micros } => self.hosts[machine].frozen_until = self.now + micros,
-            Fault::CutOneWay { from, to, micros } => {
-                self.network.cut(from, to);
+            Fault::PartitionOneWay { from, to, micros } => {
+                self.network.partition(from, to);
                 self.schedule(self.now + micros, EventKind::Heal);
             }
-            Fault::CutBothWays { one, other, micros } => {
-                self.network.cut(one, other);
-                self.network.cut(other, one);
+            Fault::PartitionBothWays { one, other, micros } => {
+                self.network.partition(one, other);
+                self.network.partition(other, one);
                 self.schedule(self.now + micros, EventKind::Heal);
             }
             Fault::Isolate { machine, micros } => self.isolate(machine, micros),
@@ -56,30 +56,30 @@
         }
     }
 
-    /// A process that was told to stop ends as soon as it may.
+    /// A process that shuts down ends as soon as it can leave.
     pub(super) fn stopping(&mut self, machine: usize, process: u64, until: u64, down_micros: u64) {
         let host = &self.hosts[machine];
         let clock = host.clock(self.now);
         let Some(node) = host.node.as_ref().filter(|_| host.process == process) else {
             return;
         };
-        if self.now >= until || node.may_go(clock) {
+        if self.now >= until || node.can_leave(clock) {
             return self.kill(machine, down_micros);
         }
         let again = EventKind::Stopping { machine, process, until, down_micros };
-        self.schedule(self.now + STOP_LOOK_MICROS, again);
+        self.schedule(self.now + STOP_CHECK_MICROS, again);
     }
 
-    /// Whether everything acknowledged is also kept elsewhere, and a majority of voters has its disks, without that of
+    /// Whether everything acknowledged is also durable elsewhere, and a majority of voters has its disks, without that of
     /// `machine`.
-    pub(super) fn bears_loss_of_disk(&self, machine: usize) -> bool {
+    pub(super) fn tolerates_loss_of_disk(&self, machine: usize) -> bool {
         let others = || self.hosts.iter().enumerate().filter(|(other, _)| *other != machine);
         let views = others().filter_map(|(_, host)| host.node.as_ref()?.view());
         let Some(view) = views.max_by_key(|view| view.epoch).cloned() else {
             return false;
         };
         let holds = |host: &Host| {
-            host.node.as_ref().is_some_and(|node| node.is_in_step() && node.epoch() == view.epoch)
+            host.node.as_ref().is_some_and(|node| node.is_caught_up() && node.epoch() == view.epoch)
         };
         let voters = others().filter_map(|(_, host)| host.disk.id()).filter(|id| view.is_voter(*id));
         others().any(|(_, host)| holds(host)) && voters.count() >= view.majority()
@@ -87,8 +87,8 @@
 
     fn kill(&mut self, machine: usize, down_micros: u64) {
         let pending = self.hosts[machine].disk.pending();
-        let kept = self.random.usize(0..=pending);
-        self.stop(machine, kept, down_micros);
+        let survivors = self.random.usize(0..=pending);
+        self.stop(machine, survivors, down_micros);
     }
 
     fn lose_power(&mut self, machine: usize, down_micros: u64) {
@@ -101,20 +101,20 @@
         self.hosts[machine].wiped = true;
     }
 
-    fn stop(&mut self, machine: usize, kept: usize, down_micros: u64) {
+    fn stop(&mut self, machine: usize, surviving_writes: usize, down_micros: u64) {
         let host = &mut self.hosts[machine];
         host.node = None;
         host.process += 1;
         host.frozen_until = 0;
-        host.disk.crash(kept);
+        host.disk.crash(surviving_writes);
         let extra = self.random.u64(0..100_000);
         self.schedule(self.now + down_micros + extra, EventKind::Start { machine });
     }
 
     fn isolate(&mut self, machine: usize, micros: u64) {
         for other in 0..self.hosts.len() {
-            self.network.cut(machine, other);
-            self.network.cut(other, machine);
+            self.network.partition(machine, other);
+            self.network.partition(other, machine);
         }
         self.schedule(self.now + micros, EventKind::Heal);
     }
--- a/coordination/chain/tests/cores/simulator/faults.rs
+++ b/coordination/chain/tests/cores/simulator/faults.rs
@@ -1,6 +1,6 @@
-//! Faults that a plan lets happen.
+//! Faults of the simulated world.
 
-/// A process that was told to stop ends after this many microseconds at the latest.
+/// A process that shuts down ends after this many microseconds at the latest.
 pub const STOP_MICROS: u64 = 5_000_000;
 
 /// A fault of the simulated world.
@@ -8,9 +8,9 @@
 pub enum Fault {
     /// The process ends; what was written may or may not be there. It starts again after a while.
     Kill { machine: usize, down_micros: u64 },
-    /// Power is lost: only what is durable is kept.
+    /// Power is lost: only what is durable survives.
     PowerLoss { machine: usize, down_micros: u64 },
-    /// The process tells the others that it ends, and ends a little later.
+    /// The process shuts down: it announces that it leaves, and ends a little later.
     Stop { machine: usize, down_micros: u64 },
     /// Every process ends at the same moment.
     KillAll { down_micros: u64 },
@@ -18,26 +18,26 @@
     PowerLossOfAll { down_micros: u64 },
     /// The disk is lost; the machine starts with an empty one.
     WipeDisk { machine: usize, down_micros: u64 },
-    /// The same at any moment at which it can be borne; else nothing happens.
-    WipeDiskIfBorne { machine: usize, down_micros: u64 },
+    /// The same if the core tolerates it at that moment; else nothing happens.
+    WipeDiskIfTolerated { machine: usize, down_micros: u64 },
     /// The disk is lost and every other machine loses power.
     WipeDiskWithPowerLossOfOthers { machine: usize, down_micros: u64 },
-    /// Two disks are lost; borne by cores that may lose two machines.
+    /// Two disks are lost; only for cores that tolerate the loss of two machines.
     WipeTwoDisks { machines: [usize; 2], down_micros: u64 },
     /// The process does not run for a while.
     Freeze { machine: usize, micros: u64 },
     /// Messages in one direction are lost.
-    CutOneWay { from: usize, to: usize, micros: u64 },
+    PartitionOneWay { from: usize, to: usize, micros: u64 },
     /// Messages in both directions are lost.
-    CutBothWays { one: usize, other: usize, micros: u64 },
-    /// A machine is cut off from all others.
+    PartitionBothWays { one: usize, other: usize, micros: u64 },
+    /// A machine is partitioned from all others.
     Isolate { machine: usize, micros: u64 },
     /// Writes take long.
     SlowDisk { machine: usize, micros: u64 },
 }
 
 impl Fault {
-    /// Whether the fault takes a disk, which is borne only while everything else is well.
+    /// Whether the fault takes a disk, which is tolerated only while everything else is healthy.
     pub fn takes_disk(&self) -> bool {
         matches!(
             self,
@@ -67,12 +67,12 @@
             | Fault::KillAll { down_micros }
             | Fault::PowerLossOfAll { down_micros }
             | Fault::WipeDisk { down_micros, .. }
-            | Fault::WipeDiskIfBorne { down_micros, .. }
+            | Fault::WipeDiskIfTolerated { down_micros, .. }
             | Fault::WipeTwoDisks { down_micros, .. }
             | Fault::WipeDiskWithPowerLossOfOthers { down_micros, .. } => *down_micros,
             Fault::Freeze { micros, .. }
-            | Fault::CutOneWay { micros, .. }
-            | Fault::CutBothWays { micros, .. }
+            | Fault::PartitionOneWay { micros, .. }
+            | Fault::PartitionBothWays { micros, .. }
             | Fault::Isolate { micros, .. }
             | Fault::SlowDisk { micros, .. } => *micros,
         }
--- a/coordination/chain/tests/cores/simulator/history.rs
+++ b/coordination/chain/tests/cores/simulator/history.rs
@@ -18,7 +18,7 @@
     /// Microseconds of true time.
     pub at: u64,
     /// Whether the node had caught up with its chain.
-    pub in_step: bool,
+    pub caught_up: bool,
 }
 
 /// Times of views, writes and messages, in microseconds of true time.
--- a/coordination/chain/tests/cores/simulator/host.rs
+++ b/coordination/chain/tests/cores/simulator/host.rs
@@ -1,14 +1,14 @@
 //! One machine: disk, clock and process.
 
-use millrudder_chain::CoreNode;
+use millrudder_chain::{CoreNode, SimulatedDisk};
+use millrudder_clock::Instant;
 
-use millrudder_chain::SimulatedDisk;
-use super::value_table::Ledger;
+use super::value_table::ValueTable;
 
 /// One machine with its process, if that runs.
 #[derive(Default)]
 pub struct Host {
-    pub node: Option<CoreNode<Ledger>>,
+    pub node: Option<CoreNode<ValueTable>>,
     pub disk: SimulatedDisk,
     pub process: u64,
     pub clock_offset: u64,
@@ -22,12 +22,12 @@
 
 impl Host {
     /// The machine's steady clock at a true time.
-    pub fn clock(&self, now: u64) -> u64 {
-        self.clock_offset + now + now / 1_000_000 * self.clock_rate_ppm
+    pub fn clock(&self, now: u64) -> Instant {
+        Instant::from_micros(self.clock_offset + now + now / 1_000_000 * self.clock_rate_ppm)
     }
 
     /// True time at which the machine's steady clock will show `local`, or a little later.
-    pub fn true_time(&self, now: u64, local: u64) -> u64 {
-        now + local.saturating_sub(self.clock(now))
+    pub fn true_time(&self, now: u64, local: Instant) -> u64 {
+        now + (local - self.clock(now)).as_micros() as u64
     }
 }
--- a/coordination/chain/tests/cores/simulator/outputs.rs
+++ b/coordination/chain/tests/cores/simulator/outputs.rs
@@ -47,9 +47,9 @@
                 self.history.views.push(ViewEntered { at: self.now, view: view.clone() });
                 self.checker.view(&view, self.plan.minimum_members)
             }
-            Output::LeaseGranted { fencing, .. } => self.lease_granted(machine, fencing),
+            Output::LeaseGranted { fencing_token, .. } => self.lease_granted(machine, fencing_token),
             Output::LeaseLost { .. }
-            | Output::Replaced { .. }
+            | Output::SnapshotInstalled { .. }
             | Output::QuorumContactGained
             | Output::QuorumContactLost => Ok(()),
         };
@@ -58,7 +58,7 @@
         }
     }
 
-    fn lease_granted(&mut self, machine: usize, fencing: FencingToken) -> Result<(), Violation> {
+    fn lease_granted(&mut self, machine: usize, fencing_token: FencingToken) -> Result<(), Violation> {
         let role = Role("reader".to_owned());
         for (other, host) in self.hosts.iter().enumerate() {
             let holds = host.node.as_ref().and_then(|node| node.holds(host.clock(self.now), &role));
@@ -66,9 +66,9 @@
                 return Err(Violation::TwoHolders { first: other, second: machine });
             }
         }
-        let in_step = self.is_in_step(machine);
-        self.history.grants.push(Grant { at: self.now, in_step });
-        self.checker.lease_granted(fencing)
+        let caught_up = self.is_caught_up(machine);
+        self.history.grants.push(Grant { at: self.now, caught_up });
+        self.checker.lease_granted(fencing_token)
     }
 
     fn transmit(&mut self, from: usize, to: NodeId, message: CoreMessage) {
--- a/coordination/chain/tests/cores/simulator/plan.rs
+++ b/coordination/chain/tests/cores/simulator/plan.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedFault {
     pub at: u64,
-    /// Strike not at that time, but directly after the first acknowledgement from then on.
+    /// Injected not at that time, but directly after the first acknowledgement from then on.
     pub after_acknowledgement: bool,
     pub fault: Fault,
 }
@@ -24,8 +24,8 @@
     pub calm_after: u64,
     /// Shortest and longest pause between two requests of the clients, in microseconds.
     pub client_pause: std::ops::Range<u64>,
-    /// Committed commands that a node keeps in memory.
-    pub kept_entries: usize,
+    /// Committed commands that a node retains in memory.
+    pub retained_entries: usize,
     /// Bytes of entries or of a snapshot in one message.
     pub batch_bytes: usize,
 }
@@ -33,8 +33,8 @@
 /// Pauses of clients who are in no hurry.
 const CLIENT_MICROS: std::ops::Range<u64> = 5_000..100_000;
 /// Small, so that snapshots are needed often ...
-const KEPT_ENTRIES: usize = 20;
-/// ... and go out in many parts.
+const RETAINED_ENTRIES: usize = 20;
+/// ... and are sent in many chunks.
 const BATCH_BYTES: usize = 1 << 10;
 
 /// Faults start when the core can have been founded.
@@ -43,13 +43,13 @@
 /// A machine counts as lost for this long after its return; a disk is taken only when none counts as lost.
 const CATCH_UP_MICROS: u64 = 4_500_000;
 
-/// A fault that waits for an acknowledgement mostly strikes within this time.
+/// A fault that waits for an acknowledgement mostly fault_injection within this time.
 const ACKNOWLEDGED_WITHIN_MICROS: u64 = 200_000;
 
 impl Plan {
     /// Three machines on a good network, with one fault.
     pub fn with_fault(seed: u64, at: u64, fault: Fault) -> Plan {
-        let network = NetworkFaults { loss: 0.0, doubled: 0.0, late: 0.0 };
+        let network = NetworkFaults { loss: 0.0, duplicated: 0.0, delayed: 0.0 };
         let faults = vec![PlannedFault { at, after_acknowledgement: false, fault }];
         Plan {
             seed,
@@ -59,7 +59,7 @@
             faults,
             calm_after: at,
             client_pause: CLIENT_MICROS,
-            kept_entries: KEPT_ENTRIES,
+            retained_entries: RETAINED_ENTRIES,
             batch_bytes: BATCH_BYTES,
         }
     }
@@ -92,8 +92,8 @@
         }
         let network = NetworkFaults {
             loss: [0.0, 0.01, 0.05][random.usize(0..3)],
-            doubled: [0.0, 0.02][random.usize(0..2)],
-            late: [0.0, 0.0, 0.005][random.usize(0..3)],
+            duplicated: [0.0, 0.02][random.usize(0..2)],
+            delayed: [0.0, 0.0, 0.005][random.usize(0..3)],
         };
         Plan {
             seed,
@@ -103,16 +103,16 @@
             faults,
             calm_after,
             client_pause: CLIENT_MICROS,
-            kept_entries: KEPT_ENTRIES,
+            retained_entries: RETAINED_ENTRIES,
             batch_bytes: BATCH_BYTES,
         }
     }
 }
 
 impl Plan {
-    /// A plan in which losses follow each other closely: disks are lost whenever that can be borne, and machines are
-    /// stopped, killed and cut off meanwhile.
-    pub fn of_close_losses(seed: u64) -> Plan {
+    /// A plan in which losses follow each other closely: disks are lost whenever that is tolerated, and machines are
+    /// stopped, killed and partitioned meanwhile.
+    pub fn with_close_losses(seed: u64) -> Plan {
         let mut plan = Plan::drawn(seed);
         let mut random = fastrand::Rng::with_seed(seed ^ 0xc105e);
         plan.faults.retain(|planned| !planned.fault.takes_disk());
@@ -120,7 +120,7 @@
             let machine = random.usize(0..plan.machines);
             let down_micros = random.u64(50_000..1_500_000);
             let at = random.u64(FIRST_FAULT_MICROS..plan.calm_after);
-            plan.add_fault(at, Fault::WipeDiskIfBorne { machine, down_micros });
+            plan.add_fault(at, Fault::WipeDiskIfTolerated { machine, down_micros });
         }
         plan
     }
@@ -140,8 +140,8 @@
         5 => Fault::WipeDisk { machine, down_micros },
         6 => Fault::WipeDiskWithPowerLossOfOthers { machine, down_micros },
         7 | 8 => Fault::Freeze { machine, micros },
-        9 => Fault::CutOneWay { from: machine, to: other, micros },
-        10 => Fault::CutBothWays { one: machine, other, micros },
+        9 => Fault::PartitionOneWay { from: machine, to: other, micros },
+        10 => Fault::PartitionBothWays { one: machine, other, micros },
         11 => Fault::Isolate { machine, micros },
         12 => Fault::Stop { machine, down_micros },
         _ => Fault::SlowDisk { machine, micros },
--- a/coordination/chain/tests/cores/simulator/value_table.rs
+++ b/coordination/chain/tests/cores/simulator/value_table.rs
@@ -1,11 +1,11 @@
-//! The replicated machine of the simulation: an ordered list of the entries written so far.
+//! The replicated machine of the simulation: an ordered table of the values written so far.
 
 use millrudder_chain::{Machine, RestoreError, Sequence};
 use speedy::{Readable, Writable};
 
 /// Remembers at which sequence each value was written first, and how often each was applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct Ledger {
+pub struct ValueTable {
     pub values: Vec<Written>,
 }
 
@@ -15,7 +15,7 @@
     pub sequence: u64,
 }
 
-impl Ledger {
+impl ValueTable {
     pub fn contains(&self, value: u64) -> bool {
         self.values.iter().any(|written| written.value == value)
     }
@@ -25,7 +25,7 @@
     }
 }
 
-impl Machine for Ledger {
+impl Machine for ValueTable {
     type Command = u64;
     type Reply = u64;
 
@@ -35,10 +35,10 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        self.write_to_vec().expect("a ledger can be written")
+        self.write_to_vec().expect("a table can be written")
     }
 
-    fn restore(snapshot: &[u8]) -> Result<Ledger, RestoreError> {
-        Ledger::read_from_buffer(snapshot).map_err(|_| RestoreError::Unreadable)
+    fn restore(snapshot: &[u8]) -> Result<ValueTable, RestoreError> {
+        ValueTable::read_from_buffer(snapshot).map_err(|_| RestoreError::Unreadable)
     }
 }
--- a/coordination/chain/tests/cores/simulator/world.rs
+++ b/coordination/chain/tests/cores/simulator/world.rs
@@ -12,7 +12,7 @@
 use super::host::Host;
 use super::network::Network;
 use super::plan::Plan;
-use super::value_table::Ledger;
+use super::value_table::ValueTable;
 
 /// Pause between two rounds in which machines find each other, in microseconds.
 const DISCOVERY_MICROS: u64 = 250_000;
@@ -62,7 +62,7 @@
     pub(super) random: fastrand::Rng,
     pub(super) hosts: Vec<Host>,
     pub(super) network: Network,
-    /// Strikes directly after the next acknowledgement.
+    /// Injected directly after the next acknowledgement.
     pub(super) armed: Option<Fault>,
     pub(super) events: BinaryHeap<Reverse<(u64, u64)>>,
     pub(super) queued: BTreeMap<u64, Event>,
@@ -103,11 +103,11 @@
             violation: None,
             plan,
         };
-        world.set_the_scene();
+        world.schedule_plan();
         world
     }
 
-    fn set_the_scene(&mut self) {
+    fn schedule_plan(&mut self) {
         for machine in 0..self.plan.machines {
             let at = self.random.u64(0..300_000);
             self.schedule(at, EventKind::Start { machine });
@@ -146,8 +146,8 @@
     }
 
     /// Whether the node at `machine` is a member and holds what the chain of its view holds.
-    pub fn is_in_step(&self, machine: usize) -> bool {
-        self.hosts[machine].node.as_ref().is_some_and(CoreNode::is_in_step)
+    pub fn is_caught_up(&self, machine: usize) -> bool {
+        self.hosts[machine].node.as_ref().is_some_and(CoreNode::is_caught_up)
     }
 
     pub(super) fn schedule(&mut self, at: u64, event: EventKind) {
@@ -202,7 +202,7 @@
             EventKind::Stopping { machine, process, until, down_micros } => {
                 self.stopping(machine, process, until, down_micros);
             }
-            EventKind::Fault(fault) => self.strike(fault),
+            EventKind::Fault(fault) => self.inject(fault),
             EventKind::ArmFault(fault) => self.armed = Some(fault),
             EventKind::Heal => self.network.heal(),
             EventKind::Client => self.client(),
@@ -223,10 +223,10 @@
         config.voters = self.plan.machines;
         config.roles = vec![Role("reader".to_owned())];
         config.checkpoint_bytes = 4 << 10;
-        config.kept_entries = self.plan.kept_entries;
+        config.retained_entries = self.plan.retained_entries;
         config.batch_bytes = self.plan.batch_bytes;
         if !self.hosts[machine].wiped {
-            config.founders = (0..self.plan.machines.min(3)).map(World::address).collect();
+            config.bootstrap_addresses = (0..self.plan.machines.min(3)).map(World::address).collect();
         }
         let seed = self.random.u64(..);
         let host = &mut self.hosts[machine];
@@ -255,14 +255,14 @@
         self.arm(machine);
     }
 
-    /// What a machine says of the age of its state is true.
+    /// Checks what a machine claims of the age of its state.
     fn check_claim(&mut self, machine: usize) {
         let host = &self.hosts[machine];
         let Some(node) = &host.node else {
             return;
         };
         let clock = host.clock(self.now);
-        let Some(age) = node.state_age(clock).filter(|_| node.has_majority_contact(clock)) else {
+        let Some(age) = node.state_age(clock).filter(|_| node.has_quorum_contact(clock)) else {
             return;
         };
         // A clock that runs fast shows more than true time, so that the age is at least the true one.
@@ -300,7 +300,8 @@
 
     /// `machine` learns which node runs at `peer`, if they can talk and the node's identity is durable.
     fn introduce(&mut self, peer: usize, machine: usize) {
-        let connected = !self.network.is_cut(peer, machine) && !self.network.is_cut(machine, peer);
+        let connected =
+            !self.network.is_partitioned(peer, machine) && !self.network.is_partitioned(machine, peer);
         let Some(id) = self.hosts[peer].disk.id() else {
             return;
         };
@@ -315,11 +316,12 @@
 
     /// After the calm every machine is a member again and holds everything that was acknowledged.
     fn check_recovery(&self) -> Result<(), Violation> {
-        let nodes: Vec<&CoreNode<Ledger>> = self.hosts.iter().filter_map(|host| host.node.as_ref()).collect();
+        let nodes: Vec<&CoreNode<ValueTable>> =
+            self.hosts.iter().filter_map(|host| host.node.as_ref()).collect();
         if nodes.len() < self.hosts.len() {
             return Err(Violation::Stuck { what: "a process does not run" });
         }
-        let members = |node: &CoreNode<Ledger>| node.view().map_or(0, |view| view.members.len());
+        let members = |node: &CoreNode<ValueTable>| node.view().map_or(0, |view| view.members.len());
         if nodes.iter().any(|node| members(node) < self.hosts.len()) {
             return Err(Violation::Stuck { what: "a machine is not a member again" });
         }
--- a/coordination/chain/tests/cores/storm.rs
+++ b/coordination/chain/tests/cores/storm.rs
@@ -1,4 +1,4 @@
-//! A member that returns in the midst of a storm of changes.
+//! A member that returns under a heavy load of writes.
 
 use crate::simulator::faults::Fault;
 use crate::simulator::network::NetworkFaults;
@@ -6,15 +6,15 @@
 use crate::simulator::world::World;
 
 const SECOND: u64 = 1_000_000;
-/// The storm has gone on for a while when the fault strikes (microseconds).
+/// The storm has gone on for a while when the fault fault_injection (microseconds).
 const FAULT_AT: u64 = 3 * SECOND;
 /// Longest time from a machine's return until it holds everything and takes part (microseconds).
 const CATCH_UP_MICROS: u64 = 4_500_000;
 /// How often a machine that comes back is looked at (microseconds).
-const LOOK_MICROS: u64 = 10_000;
+const CHECK_MICROS: u64 = 10_000;
 /// A process starts up to this much later than planned (microseconds).
 const LATE_START_MICROS: u64 = 100_000;
-/// What a message has beside its entries or its part of a snapshot.
+/// What a message has beside its entries or its chunk of a snapshot.
 const MESSAGE_OVERHEAD_BYTES: usize = 128;
 const SEEDS: std::ops::Range<u64> = 0..24;
 
@@ -26,7 +26,7 @@
     let mut plan = Plan::with_fault(seed, FAULT_AT, fault);
     plan.client_pause = pause;
     // As with commands of 100 KB beside a log of 1 MiB.
-    plan.kept_entries = 10;
+    plan.retained_entries = 10;
     plan
 }
 
@@ -40,13 +40,13 @@
     ]
 }
 
-/// Plays until the machine is in step again; returns how long after its return that was.
+/// Plays until the machine has caught up again; returns how long after its return that was.
 fn time_to_catch_up(world: &mut World, machine: usize, returns_at: u64) -> u64 {
-    world.run_until(returns_at).expect("no promise is broken");
+    world.run_until(returns_at).expect("no invariant is broken");
     let mut at = returns_at;
-    while !world.is_in_step(machine) && at < returns_at + 2 * CATCH_UP_MICROS {
-        at += LOOK_MICROS;
-        world.run_until(at).expect("no promise is broken");
+    while !world.is_caught_up(machine) && at < returns_at + 2 * CATCH_UP_MICROS {
+        at += CHECK_MICROS;
+        world.run_until(at).expect("no invariant is broken");
     }
     at - returns_at
 }
@@ -56,14 +56,18 @@
     let mut world = World::new(storm(seed, pause, fault));
     let returns_at = FAULT_AT + fault.micros() + LATE_START_MICROS;
     let took = time_to_catch_up(&mut world, machine, returns_at);
-    assert!(took <= CATCH_UP_MICROS, "seed {seed}, {fault:?}: in step after {took} us");
-    let early =
-        world.history.grants.iter().filter(|grant| grant.at > FAULT_AT && !grant.in_step).collect::<Vec<_>>();
-    assert!(early.is_empty(), "seed {seed}, {fault:?}: leases before their holders were in step: {early:?}");
+    assert!(took <= CATCH_UP_MICROS, "seed {seed}, {fault:?}: caught up after {took} us");
+    let early = world
+        .history
+        .grants
+        .iter()
+        .filter(|grant| grant.at > FAULT_AT && !grant.caught_up)
+        .collect::<Vec<_>>();
+    assert!(early.is_empty(), "seed {seed}, {fault:?}: leases before their holders had caught up: {early:?}");
 }
 
 #[test]
-fn a_member_that_returns_in_a_storm_is_in_step_in_time_and_leads_nothing_before() {
+fn a_member_that_returns_under_load_catches_up_in_time_and_holds_no_lease_before() {
     for seed in SEEDS {
         for down_micros in [SECOND / 4, 2 * SECOND] {
             for fault in faults(seed, down_micros) {
@@ -75,27 +79,27 @@
 }
 
 #[test]
-fn the_same_holds_where_messages_are_lost_doubled_and_late() {
+fn a_member_catches_up_although_messages_are_lost_duplicated_and_delayed() {
     for seed in SEEDS {
         for fault in faults(seed, SECOND) {
             let machine = seed as usize % 3;
             let mut plan = storm(seed, FASTEST, fault);
-            plan.network = NetworkFaults { loss: 0.02, doubled: 0.02, late: 0.005 };
+            plan.network = NetworkFaults { loss: 0.02, duplicated: 0.02, delayed: 0.005 };
             let mut world = World::new(plan);
             let returns_at = FAULT_AT + fault.micros() + LATE_START_MICROS;
             let took = time_to_catch_up(&mut world, machine, returns_at);
-            assert!(took <= CATCH_UP_MICROS, "seed {seed}, {fault:?}: in step after {took} us");
+            assert!(took <= CATCH_UP_MICROS, "seed {seed}, {fault:?}: caught up after {took} us");
         }
     }
 }
 
 #[test]
-fn bringing_a_machine_up_holds_up_no_write_for_long() {
+fn catching_up_delays_no_write_for_long() {
     for seed in SEEDS {
         for fault in faults(seed, 2 * SECOND) {
             let mut world = World::new(storm(seed, FASTEST, fault));
             let returns_at = FAULT_AT + fault.micros() + LATE_START_MICROS;
-            world.run_until(returns_at + 3 * SECOND).expect("no promise is broken");
+            world.run_until(returns_at + 3 * SECOND).expect("no invariant is broken");
             let longest = world.history.longest_wait(returns_at..returns_at + 2 * SECOND);
             let longest = longest.expect("writes were answered");
             assert!(longest <= SECOND / 2, "seed {seed}, {fault:?}: a write waited {longest} us");
@@ -111,8 +115,8 @@
         let most = plan.batch_bytes + MESSAGE_OVERHEAD_BYTES;
         plan.calm_after = FAULT_AT + 2 * SECOND;
         let mut world = World::new(plan);
-        world.run_until(FAULT_AT + 5 * SECOND).expect("no promise is broken");
-        assert!(world.is_in_step(seed as usize % 3));
+        world.run_until(FAULT_AT + 5 * SECOND).expect("no invariant is broken");
+        assert!(world.is_caught_up(seed as usize % 3));
         let longest = world.history.longest_message;
         assert!(longest <= most, "a message of {longest} bytes");
     }
--- a/coordination/chain/tests/decoders.rs
+++ b/coordination/chain/tests/decoders.rs
@@ -1,91 +1,96 @@
-//! Bytes that no node has written: states, records and messages with damage are refused, or taken without harm.
+//! Corrupted bytes: damaged states, records and messages are rejected, or handled without a panic.
 
 mod concat_machine;
 
 use std::collections::VecDeque;
 use std::sync::OnceLock;
+use std::time::Duration;
 
 use concat_machine::{address, Text};
 use millrudder_chain::{
     CoreConfig, CoreMessage, CoreNode, DurableState, Input, NodeId, Output, Record, RequestId,
 };
+use millrudder_clock::Instant;
 use proptest::prelude::*;
 use proptest::sample::Index;
 use speedy::{Readable, Writable};
 
 const CASES: u32 = 2_000;
-const STEP_MICROS: u64 = 20_000;
-/// Steps of the run in which real bytes are gathered, and commands in it.
+const STEP: Duration = Duration::from_millis(20);
+/// Steps of the run that collects real bytes, and commands in it.
 const STEPS: u64 = 120;
 const COMMANDS: u64 = 40;
-const PLACES: usize = 3;
+const NODES: usize = 3;
 
 type Node = CoreNode<Text>;
 
-/// What real nodes have written, and how they stand afterwards.
-struct Gathered {
+/// What real nodes have encoded, and the nodes afterwards.
+struct Corpus {
     nodes: Vec<Node>,
     messages: Vec<Vec<u8>>,
     records: Vec<Vec<u8>>,
     states: Vec<Vec<u8>>,
-    now: u64,
+    now: Instant,
 }
 
-fn config(place: usize) -> CoreConfig {
-    let mut config = CoreConfig::new(address(place));
-    // The last one comes later, and needs the whole state.
-    config.founders = if place + 1 < PLACES { (0..PLACES - 1).map(address).collect() } else { Vec::new() };
+fn config(index: usize) -> CoreConfig {
+    let mut config = CoreConfig::new(address(index));
+    // The last one joins later, and needs a snapshot.
+    config.bootstrap_addresses =
+        if index + 1 < NODES { (0..NODES - 1).map(address).collect() } else { Vec::new() };
     config.minimum_members = 1;
-    config.kept_entries = 4;
+    config.retained_entries = 4;
     config.batch_bytes = 128;
     config.checkpoint_bytes = 512;
     config
 }
 
-impl Gathered {
-    fn new() -> Gathered {
-        let node = |place: usize| Node::new(config(place), None, place as u64 + 1, 0).expect("it starts");
-        let nodes = (0..PLACES).map(node).collect();
-        Gathered { nodes, messages: Vec::new(), records: Vec::new(), states: Vec::new(), now: 0 }
+impl Corpus {
+    fn new() -> Corpus {
+        let node = |index: usize| {
+            Node::new(config(index), None, index as u64 + 1, Instant::ORIGIN).expect("it starts")
+        };
+        let nodes = (0..NODES).map(node).collect();
+        Corpus { nodes, messages: Vec::new(), records: Vec::new(), states: Vec::new(), now: Instant::ORIGIN }
     }
 
-    fn run(mut self) -> Gathered {
-        let mut under_way = VecDeque::new();
+    fn run(mut self) -> Corpus {
+        let mut in_flight = VecDeque::new();
         for step in 0..STEPS {
-            self.now += STEP_MICROS;
-            let present = if step < STEPS / 2 { PLACES - 1 } else { PLACES };
-            for place in 0..present {
-                self.introduce(place, present, &mut under_way);
-                self.input(place, Input::Tick, &mut under_way);
+            self.now += STEP;
+            let present = if step < STEPS / 2 { NODES - 1 } else { NODES };
+            for index in 0..present {
+                self.introduce(index, present, &mut in_flight);
+                self.input(index, Input::Tick, &mut in_flight);
             }
             if step > STEPS / 4 && step - STEPS / 4 <= COMMANDS {
                 let (request_id, command) = (RequestId(step.into()), format!("command {step}"));
-                self.input(0, Input::Submit { request_id, command }, &mut under_way);
+                self.input(0, Input::Submit { request_id, command }, &mut in_flight);
             }
-            while let Some((from, to, message)) = under_way.pop_front() {
-                if let Some(place) = self.nodes[..present].iter().position(|node| node.id() == to) {
-                    self.input(place, Input::Message { from, message }, &mut under_way);
+            while let Some((from, to, message)) = in_flight.pop_front() {
+                if let Some(index) = self.nodes[..present].iter().position(|node| node.id() == to) {
+                    self.input(index, Input::Message { from, message }, &mut in_flight);
                 }
             }
         }
         self
     }
 
-    fn introduce(&mut self, place: usize, present: usize, under_way: &mut Letters) {
-        for peer in (0..present).filter(|peer| *peer != place) {
+    fn introduce(&mut self, index: usize, present: usize, in_flight: &mut Envelopes) {
+        for peer in (0..present).filter(|peer| *peer != index) {
             let id = self.nodes[peer].id();
-            self.input(place, Input::PeerSeen { id, address: address(peer) }, under_way);
+            self.input(index, Input::PeerSeen { id, address: address(peer) }, in_flight);
         }
     }
 
-    fn input(&mut self, place: usize, input: Input<String>, under_way: &mut Letters) {
-        let node = &mut self.nodes[place];
+    fn input(&mut self, index: usize, input: Input<String>, in_flight: &mut Envelopes) {
+        let node = &mut self.nodes[index];
         node.handle(self.now, input);
         while let Some(output) = node.next_output() {
             match output {
                 Output::Send { to, message } => {
                     self.messages.push(message.encode());
-                    under_way.push_back((node.id(), to, message));
+                    in_flight.push_back((node.id(), to, message));
                 }
                 Output::Persist { token, record } => {
                     self.records.push(record.write_to_vec().expect("a record is written"));
@@ -100,17 +105,17 @@
     }
 }
 
-type Letters = VecDeque<(NodeId, NodeId, CoreMessage)>;
+type Envelopes = VecDeque<(NodeId, NodeId, CoreMessage)>;
 
-fn gathered() -> &'static Gathered {
-    static GATHERED: OnceLock<Gathered> = OnceLock::new();
-    GATHERED.get_or_init(|| {
-        let gathered = Gathered::new().run();
-        assert!(gathered.nodes.iter().all(Node::is_in_step), "the core stands");
-        let messages = gathered.messages.iter().filter_map(|bytes| CoreMessage::decode(bytes).ok());
-        assert!(messages.into_iter().any(|message| matches!(message, CoreMessage::Install(_))));
-        assert!(!gathered.states.is_empty() && !gathered.records.is_empty());
-        gathered
+fn corpus() -> &'static Corpus {
+    static CORPUS: OnceLock<Corpus> = OnceLock::new();
+    CORPUS.get_or_init(|| {
+        let corpus = Corpus::new().run();
+        assert!(corpus.nodes.iter().all(Node::is_caught_up), "every node has caught up");
+        let messages = corpus.messages.iter().filter_map(|bytes| CoreMessage::decode(bytes).ok());
+        assert!(messages.into_iter().any(|message| matches!(message, CoreMessage::InstallSnapshot(_))));
+        assert!(!corpus.states.is_empty() && !corpus.records.is_empty());
+        corpus
     })
 }
 
@@ -130,10 +135,10 @@
         at: Index,
         number: u64,
     },
-    Cut {
+    Truncate {
         at: Index,
     },
-    Doubled {
+    Repeat {
         at: Index,
     },
 }
@@ -145,8 +150,8 @@
         (any::<Index>(), 1..=u8::MAX).prop_map(|(at, mask)| Damage::Flip { at, mask }),
         (any::<Index>(), number).prop_map(|(at, number)| Damage::Number { at, number }),
         (any::<Index>(), large).prop_map(|(at, number)| Damage::Large { at, number }),
-        any::<Index>().prop_map(|at| Damage::Cut { at }),
-        any::<Index>().prop_map(|at| Damage::Doubled { at }),
+        any::<Index>().prop_map(|at| Damage::Truncate { at }),
+        any::<Index>().prop_map(|at| Damage::Repeat { at }),
     ]
 }
 
@@ -172,8 +177,8 @@
             }
             Damage::Number { at, number } => overwrite(&mut bytes, at, &number.to_le_bytes()),
             Damage::Large { at, number } => overwrite(&mut bytes, at, &number.to_le_bytes()),
-            Damage::Cut { at } => bytes.truncate(at.index(bytes.len())),
-            Damage::Doubled { at } => {
+            Damage::Truncate { at } => bytes.truncate(at.index(bytes.len())),
+            Damage::Repeat { at } => {
                 let tail = bytes[at.index(bytes.len())..].to_vec();
                 bytes.extend(tail);
             }
@@ -195,20 +200,21 @@
 
 /// A node that is started from a state goes on for a while.
 fn start(state: DurableState) {
-    let Ok(mut node) = Node::new(config(0), Some(state), 7, 0) else { return };
+    let Ok(mut node) = Node::new(config(0), Some(state), 7, Instant::ORIGIN) else { return };
     for step in 0..8 {
-        node.handle(step * 400_000, Input::Tick);
-        node.handle(step * 400_000, Input::Read { request_id: RequestId(u128::from(step)) });
+        let now = Instant::from_millis(step * 400);
+        node.handle(now, Input::Tick);
+        node.handle(now, Input::Read { request_id: RequestId(u128::from(step)) });
         while let Some(output) = node.next_output() {
             if let Output::Persist { token, .. } = output {
-                node.handle(step * 400_000, Input::Persisted { token });
+                node.handle(now, Input::Persisted { token });
             }
         }
     }
 }
 
 /// A node gets a message from another one, and goes on for a while.
-fn take(node: &mut Node, now: u64, from: NodeId, message: CoreMessage) {
+fn deliver(node: &mut Node, now: Instant, from: NodeId, message: CoreMessage) {
     node.handle(now, Input::Message { from, message });
     for step in 1..4 {
         while let Some(output) = node.next_output() {
@@ -216,7 +222,7 @@
                 node.handle(now, Input::Persisted { token });
             }
         }
-        node.handle(now + step * 300_000, Input::Tick);
+        node.handle(now + step * Duration::from_millis(300), Input::Tick);
     }
 }
 
@@ -224,8 +230,8 @@
     #![proptest_config(ProptestConfig::with_cases(CASES))]
 
     #[test]
-    fn a_damaged_state_is_refused_or_started_from(which in any::<Index>(), damages in damages()) {
-        let bytes = damaged(drawn(&which, &gathered().states), &damages);
+    fn a_damaged_state_is_rejected_or_started_from(which in any::<Index>(), damages in damages()) {
+        let bytes = damaged(drawn(&which, &corpus().states), &damages);
         if let Ok(state) = DurableState::read_from_buffer(&bytes) {
             assert_no_larger(&state, &bytes)?;
             start(state);
@@ -233,31 +239,31 @@
     }
 
     #[test]
-    fn a_damaged_record_is_refused_or_folded_in(which in any::<Index>(), state in any::<Index>(), damages in damages()) {
-        let bytes = damaged(drawn(&which, &gathered().records), &damages);
+    fn a_damaged_record_is_rejected_or_applied(which in any::<Index>(), state in any::<Index>(), damages in damages()) {
+        let bytes = damaged(drawn(&which, &corpus().records), &damages);
         if let Ok(record) = Record::read_from_buffer(&bytes) {
             assert_no_larger(&record, &bytes)?;
-            let state = drawn(&state, &gathered().states);
-            let mut state = DurableState::read_from_buffer(state).expect("it is whole");
+            let state = drawn(&state, &corpus().states);
+            let mut state = DurableState::read_from_buffer(state).expect("it is undamaged");
             state.apply(&record);
             start(state);
         }
     }
 
     #[test]
-    fn a_damaged_message_is_refused_or_taken(
-        which in any::<Index>(), from in 0..PLACES, to in 0..PLACES, damages in damages(),
+    fn a_damaged_message_is_rejected_or_handled(
+        which in any::<Index>(), from in 0..NODES, to in 0..NODES, damages in damages(),
     ) {
-        let Gathered { nodes, messages, now, .. } = gathered();
+        let Corpus { nodes, messages, now, .. } = corpus();
         let bytes = damaged(drawn(&which, messages), &damages);
         if let Ok(message) = CoreMessage::decode(&bytes) {
             assert_no_larger(&message, &bytes)?;
-            take(&mut nodes[to].clone(), *now, nodes[from].id(), message);
+            deliver(&mut nodes[to].clone(), *now, nodes[from].id(), message);
         }
     }
 
     #[test]
-    fn random_bytes_are_refused_or_read(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn random_bytes_are_rejected_or_decoded(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(state) = DurableState::read_from_buffer(&bytes) {
             assert_no_larger(&state, &bytes)?;
         }
@@ -270,10 +276,10 @@
     }
 }
 
-/// Every place that could hold a length says that four billion follow.
+/// Every index that could hold a length says that four billion follow.
 #[test]
-fn lengths_that_lie_reserve_no_memory() {
-    let Gathered { messages, records, states, .. } = gathered();
+fn false_lengths_reserve_no_memory() {
+    let Corpus { messages, records, states, .. } = corpus();
     for bytes in messages.iter().chain(records).chain(states).take(4_000) {
         for at in 0..bytes.len().saturating_sub(3).min(200) {
             let mut bytes = bytes.clone();
