--- a/coordination/chain/tests/golden.rs
+++ b/coordination/chain/tests/golden.rs
@@ -50,25 +50,25 @@
     let plain = Heartbeat {
         epoch: EPOCH,
         address: "127.0.0.1:9001".to_owned(),
-        stamp: ProcessTimestamp { process: 0xb1b2, micros: 0xc1c2 },
-        heard: vec![TimestampEcho {
+        timestamp: ProcessTimestamp { process: 0xb1b2, micros: 0xc1c2 },
+        timestamp_echoes: vec![TimestampEcho {
             peer: NodeId(0xd1d2),
-            stamp: ProcessTimestamp { process: 0xe1e2, micros: 0xf1f2 },
+            timestamp: ProcessTimestamp { process: 0xe1e2, micros: 0xf1f2 },
         }],
-        end: END,
+        log_end: END,
         committed: COMMITTED,
-        synced: false,
-        complete: false,
-        vouches: false,
-        leaving: false,
-        lagging: false,
+        is_caught_up: false,
+        is_complete: false,
+        confirms_epoch: false,
+        is_leaving: false,
+        is_disk_lagging: false,
     };
     vec![
-        ("heartbeat_synced", Heartbeat { synced: true, ..plain.clone() }),
-        ("heartbeat_complete", Heartbeat { complete: true, ..plain.clone() }),
-        ("heartbeat_vouches", Heartbeat { vouches: true, ..plain.clone() }),
-        ("heartbeat_leaving", Heartbeat { leaving: true, ..plain.clone() }),
-        ("heartbeat_lagging", Heartbeat { lagging: true, ..plain.clone() }),
+        ("heartbeat_synced", Heartbeat { is_caught_up: true, ..plain.clone() }),
+        ("heartbeat_complete", Heartbeat { is_complete: true, ..plain.clone() }),
+        ("heartbeat_vouches", Heartbeat { confirms_epoch: true, ..plain.clone() }),
+        ("heartbeat_leaving", Heartbeat { is_leaving: true, ..plain.clone() }),
+        ("heartbeat_lagging", Heartbeat { is_disk_lagging: true, ..plain.clone() }),
         ("heartbeat", plain),
     ]
 }
@@ -86,17 +86,17 @@
             sealed,
         })
     };
-    let install = |differs_at| {
-        CoreMessage::Install(InstallSnapshotChunk {
+    let install = |conflict_at| {
+        CoreMessage::InstallSnapshot(InstallSnapshotChunk {
             epoch: EPOCH,
-            part: SnapshotChunk { id: SNAPSHOT, offset: 0x0f0e, bytes: b"part".to_vec() },
+            chunk: SnapshotChunk { id: SNAPSHOT, offset: 0x0f0e, bytes: b"part".to_vec() },
             complete_at: COMPLETE_AT,
             sealed: true,
-            differs_at,
+            conflict_at,
         })
     };
-    let request = LeaseRequest { role: role(), round: 5, fencing: FencingToken(6), held: true };
-    let answer = LeaseAnswer::Granted { role: role(), round: 5, bound_micros: 7 };
+    let request = LeaseRequest { role: role(), attempt: 5, fencing_token: FencingToken(6), is_renewal: true };
+    let answer = LeaseAnswer::Granted { role: role(), attempt: 5, bound_micros: 7 };
     let prepare = ViewMessage::Prepare { instance: EPOCH, ballot: Ballot { round: 1, node: NodeId(2) } };
 
     let mut messages: Vec<(&str, CoreMessage)> = Vec::new();
@@ -107,20 +107,22 @@
         ("append_sealed", append(true)),
         ("install", install(None)),
         ("install_differs", install(Some(END))),
-        ("install_received", CoreMessage::InstallReceived { epoch: EPOCH, id: SNAPSHOT, received: 0x0a0b }),
+        ("install_received", CoreMessage::SnapshotReceived { epoch: EPOCH, id: SNAPSHOT, received: 0x0a0b }),
         ("appended", CoreMessage::Appended { epoch: EPOCH, end: END, committed: COMMITTED }),
         ("gap", CoreMessage::Gap { epoch: EPOCH, end: END }),
         ("submit", CoreMessage::Submit { request_id: REQUEST, command: vec![1, 2] }),
-        ("answer", CoreMessage::Answer { request_id: REQUEST, reply: vec![3, 4] }),
+        ("answer", CoreMessage::Reply { request_id: REQUEST, reply: vec![3, 4] }),
         ("read_index", CoreMessage::ReadIndex { epoch: EPOCH, request_id: REQUEST }),
         ("read_indexed", CoreMessage::ReadIndexed { request_id: REQUEST, sequence: COMMITTED }),
-        ("confirm_epoch", CoreMessage::ConfirmEpoch { epoch: EPOCH, round: 9 }),
-        ("epoch_confirmed", CoreMessage::EpochConfirmed { epoch: EPOCH, round: 9 }),
+        ("confirm_epoch", CoreMessage::ConfirmEpoch { epoch: EPOCH, attempt: 9 }),
+        ("epoch_confirmed", CoreMessage::EpochConfirmed { epoch: EPOCH, attempt: 9 }),
         ("lease_request", CoreMessage::LeaseRequest { epoch: EPOCH, request }),
         ("lease_answer", CoreMessage::LeaseAnswer { epoch: EPOCH, answer }),
         (
             "lease_released",
-            CoreMessage::LeaseReleased { release: LeaseRelease { role: role(), fencing: FencingToken(6) } },
+            CoreMessage::LeaseReleased {
+                release: LeaseRelease { role: role(), fencing_token: FencingToken(6) },
+            },
         ),
     ]);
     let mut golden = Golden::open("tests/golden/messages.txt");
@@ -147,7 +149,7 @@
 
 #[test]
 fn records_and_checkpoints_of_a_core_node() {
-    let lease = LeaseRecord { role: Role("reader".to_owned()), fencing: FencingToken(6) };
+    let lease = LeaseRecord { role: Role("reader".to_owned()), fencing_token: FencingToken(6) };
     let appended = |sequences: [u64; 2], committed| Record::Appended {
         entries: sequences.map(entry).to_vec(),
         committed: Sequence(committed),
@@ -156,12 +158,12 @@
     let records = [
         ("identity", Record::Identity { id: NodeId(0x0d0c) }),
         ("view", Record::View(ViewRecord::Decided { view: view() })),
-        ("installed", Record::Installed { snapshot: snapshot(), complete: false }),
+        ("installed", Record::SnapshotInstalled { snapshot: snapshot(), complete: false }),
         ("appended", appended([6, 7], 6)),
         ("appended_complete", appended([8, 9], 7)),
         ("sealed", Record::Sealed { epoch: Epoch(4) }),
         ("lease", Record::Lease(lease)),
-        ("left", Record::Left { committed: Sequence(8) }),
+        ("left", Record::UncommittedDropped { committed: Sequence(8) }),
     ];
     let mut golden = Golden::open("tests/golden/durable.txt");
     let mut state = DurableState::default();
--- a/coordination/chain/tests/log.rs
+++ b/coordination/chain/tests/log.rs
@@ -8,14 +8,14 @@
 #[derive(Clone, Debug)]
 enum Change {
     Append { epoch: u64 },
-    Truncate { keep: u64 },
+    Truncate { retain: u64 },
     Trim { drop: u64 },
 }
 
 fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
         4 => (1..5u64).prop_map(|epoch| Change::Append { epoch }),
-        1 => (0..30u64).prop_map(|keep| Change::Truncate { keep }),
+        1 => (0..30u64).prop_map(|retain| Change::Truncate { retain }),
         1 => (0..30u64).prop_map(|drop| Change::Trim { drop }),
     ]
 }
@@ -40,9 +40,9 @@
                     prop_assert!(log.append(next.clone()));
                     list.push(next);
                 }
-                Change::Truncate { keep } => {
-                    log.truncate_after(Sequence(keep));
-                    list.truncate(keep.saturating_sub(base) as usize);
+                Change::Truncate { retain } => {
+                    log.truncate_after(Sequence(retain));
+                    list.truncate(retain.saturating_sub(base) as usize);
                 }
                 Change::Trim { drop } => {
                     log.trim_to(Sequence(drop));
@@ -56,9 +56,9 @@
             prop_assert_eq!(log.len(), list.len());
             prop_assert_eq!(log.end().sequence, Sequence(end));
             prop_assert_eq!(log.base().sequence, Sequence(base));
-            for kept in &list {
-                prop_assert!(log.contains(kept.position));
-                prop_assert_eq!(log.get(kept.position.sequence), Some(kept));
+            for entry in &list {
+                prop_assert!(log.contains(entry.position));
+                prop_assert_eq!(log.get(entry.position.sequence), Some(entry));
             }
             prop_assert!(log.entries_after(Sequence(base)).eq(list.iter()));
         }
--- a/coordination/chain/tests/messages.rs
+++ b/coordination/chain/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages as bytes: what was written is read, and garbage is refused without harm.
+//! Encoding of messages: they decode to what was encoded, and arbitrary bytes are rejected.
 
 use millrudder_chain::{
     AppendBatch, CoreMessage, Entry, Epoch, Heartbeat, MessageError, NodeId, Position, ProcessTimestamp,
@@ -26,18 +26,18 @@
         CoreMessage::Heartbeat(Heartbeat {
             epoch: end.epoch,
             address,
-            stamp: ProcessTimestamp { process: end.epoch.0, micros: end.sequence.0 },
-            heard: heard
+            timestamp: ProcessTimestamp { process: end.epoch.0, micros: end.sequence.0 },
+            timestamp_echoes: heard
                 .into_iter()
-                .map(|peer| TimestampEcho { peer: NodeId(peer), stamp: ProcessTimestamp::default() })
+                .map(|peer| TimestampEcho { peer: NodeId(peer), timestamp: ProcessTimestamp::default() })
                 .collect(),
-            end,
+            log_end: end,
             committed: end.sequence,
-            synced: flag,
-            complete: !flag,
-            vouches: flag,
-            leaving: !flag,
-            lagging: flag,
+            is_caught_up: flag,
+            is_complete: !flag,
+            confirms_epoch: flag,
+            is_leaving: !flag,
+            is_disk_lagging: flag,
         })
     });
     let entries = proptest::collection::vec(entry(), 0..4);
@@ -58,29 +58,29 @@
     #![proptest_config(ProptestConfig::with_cases(CASES))]
 
     #[test]
-    fn a_message_is_read_as_it_was_written(message in message()) {
+    fn a_message_decodes_to_what_was_encoded(message in message()) {
         prop_assert_eq!(CoreMessage::decode(&message.encode()), Ok(message));
     }
 
     #[test]
-    fn garbage_is_refused_or_read_without_harm(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_rejected_or_decoded(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = CoreMessage::decode(&bytes);
     }
 
     #[test]
-    fn a_cut_or_prolonged_message_is_refused(message in message(), cut in any::<prop::sample::Index>()) {
+    fn a_truncated_or_extended_message_is_rejected(message in message(), length in any::<prop::sample::Index>()) {
         let mut bytes = message.encode();
-        let cut = cut.index(bytes.len());
-        prop_assert_eq!(CoreMessage::decode(&bytes[..cut]), Err(MessageError::Unreadable));
+        let length = length.index(bytes.len());
+        prop_assert_eq!(CoreMessage::decode(&bytes[..length]), Err(MessageError::Unreadable));
         bytes.push(0);
         prop_assert_eq!(CoreMessage::decode(&bytes), Err(MessageError::Unreadable));
     }
 }
 
 #[test]
-fn a_length_that_the_bytes_do_not_have_is_refused_at_once() {
-    let answer = CoreMessage::Answer { request_id: RequestId(1), reply: vec![7; 4] };
-    let mut bytes = answer.encode();
+fn a_length_beyond_the_bytes_is_rejected() {
+    let reply = CoreMessage::Reply { request_id: RequestId(1), reply: vec![7; 4] };
+    let mut bytes = reply.encode();
     let length_at = bytes.len() - 8;
     bytes[length_at..length_at + 4].copy_from_slice(&u32::MAX.to_le_bytes());
     assert_eq!(CoreMessage::decode(&bytes), Err(MessageError::Unreadable));
--- a/coordination/chain/tests/model.rs
+++ b/coordination/chain/tests/model.rs
@@ -4,12 +4,14 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::fmt::Write;
 use std::hash::{DefaultHasher, Hasher};
+use std::time::Duration;
 
 use millrudder_chain::{
     CoreConfig, CoreMessage, CoreNode, DurableState, Epoch, Heartbeat, Input, Machine, Member, NodeId,
     Output, PersistToken, Position, ProcessTimestamp, Record, RequestId, RestoreError, Sequence,
     TimestampEcho, View,
 };
+use millrudder_clock::Instant;
 use millrudder_view::ViewRecord;
 use speedy::{Readable, Writable};
 
@@ -18,13 +20,13 @@
 /// Number of long histories, and their actions.
 const WALKS: u64 = 250;
 const WALK_ACTIONS: usize = 120;
-/// Long enough after a suspicion for each member's turn to propose (microseconds).
-const TURN_MICROS: u64 = 200_000;
-/// Turns in which a node is silent until it is replaced.
-const SILENT_TURNS: usize = 5;
+/// Long enough after a suspicion for each member's turn to propose.
+const TURN: Duration = Duration::from_millis(200);
+/// Turns without a heartbeat after which a node is replaced.
+const TURNS_UNTIL_REPLACED: usize = 5;
 const NODES: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
 
-/// The list of values written, each with its place.
+/// The list of values written, each with its index in the order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 struct Values(Vec<Value>);
 
@@ -52,7 +54,7 @@
     }
 }
 
-/// A message under way. The same message sent twice counts once.
+/// A message in flight. The same message sent twice counts once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     from: NodeId,
@@ -105,7 +107,7 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    now: u64,
+    now: Instant,
     left: Limits,
     nodes: BTreeMap<NodeId, CoreNode<Values>>,
     disks: BTreeMap<NodeId, DurableState>,
@@ -125,7 +127,7 @@
 
 fn founded(id: NodeId) -> DurableState {
     let members = NODES.iter().map(|id| Member { id: *id, address: address(*id) }).collect();
-    let view = View::of_members(Epoch::FOUNDING, members);
+    let view = View::of_members(Epoch::FIRST, members);
     let mut state = DurableState::default();
     state.apply(&Record::Identity { id });
     state.apply(&Record::View(ViewRecord::Decided { view }));
@@ -146,7 +148,7 @@
 impl World {
     fn new(left: Limits) -> World {
         let mut world = World {
-            now: 1_000_000,
+            now: Instant::from_millis(1_000),
             left,
             nodes: BTreeMap::new(),
             disks: NODES.iter().map(|id| (*id, founded(*id))).collect(),
@@ -159,7 +161,7 @@
         world
     }
 
-    /// The chain of the first view is connected, and nothing is under way.
+    /// The chain of the first view is connected, and nothing is in flight.
     fn connected(left: Limits) -> World {
         let mut world = World::new(left);
         while !world.in_flight.is_empty() {
@@ -206,25 +208,28 @@
         }
     }
 
-    /// Of the heartbeats only those that tie the chain together are kept: the others repeat what is said anyway.
+    /// Of the heartbeats only those to the predecessor are sent: the others repeat what other messages say.
     fn send(&mut self, from: NodeId, to: NodeId, message: &CoreMessage) {
-        let feeder = self.nodes[&from].view().and_then(|view| view.predecessor(from));
-        let repeats = matches!(message, CoreMessage::Heartbeat(_)) && feeder != Some(to);
+        let predecessor = self.nodes[&from].view().and_then(|view| view.predecessor(from));
+        let repeats = matches!(message, CoreMessage::Heartbeat(_)) && predecessor != Some(to);
         if repeats {
             return;
         }
         let mut message = message.clone();
         if let CoreMessage::Heartbeat(heartbeat) = &mut message {
             // Times differ in each; nothing that is checked here rests on them.
-            heartbeat.stamp = ProcessTimestamp::default();
-            heartbeat.heard.iter_mut().for_each(|heard| heard.stamp = ProcessTimestamp::default());
+            heartbeat.timestamp = ProcessTimestamp::default();
+            heartbeat
+                .timestamp_echoes
+                .iter_mut()
+                .for_each(|echo| echo.timestamp = ProcessTimestamp::default());
         }
         self.in_flight.insert(InFlight { from, to, bytes: message.encode() });
     }
 
     fn check_committed(&mut self, sequence: Sequence, value: u64) {
         let first = *self.committed.entry(sequence.0).or_insert(value);
-        assert_eq!(first, value, "one command at a place");
+        assert_eq!(first, value, "one command an index");
     }
 
     fn check_view(&mut self, view: View) {
@@ -245,11 +250,11 @@
         let state = node.durable_state();
         for (sequence, value) in &self.committed {
             let applied =
-                node.machine().0.iter().any(|held| held.sequence == *sequence && held.value == *value);
-            let held = state.log().get(Sequence(*sequence));
-            let held =
-                held.is_some_and(|entry| entry.command == value.write_to_vec().expect("a value is written"));
-            assert!(applied || held, "the head {head:?} of {view:?} lacks {sequence}");
+                node.machine().0.iter().any(|entry| entry.sequence == *sequence && entry.value == *value);
+            let entry = state.log().get(Sequence(*sequence));
+            let is_in_log =
+                entry.is_some_and(|entry| entry.command == value.write_to_vec().expect("a value is written"));
+            assert!(applied || is_in_log, "the head {head:?} of {view:?} lacks {sequence}");
         }
     }
 
@@ -291,12 +296,12 @@
         self.input(at, Input::Persisted { token });
     }
 
-    /// One node hears all but one for longer than a silence may last, and gets its turn to propose.
+    /// One node misses the heartbeats of another until it suspects it, and gets its turn to propose.
     fn suspect(&mut self, at: NodeId, gone: NodeId) {
         self.left.suspicions -= 1;
         self.hear(at, gone);
-        for _ in 0..SILENT_TURNS {
-            self.now += TURN_MICROS;
+        for _ in 0..TURNS_UNTIL_REPLACED {
+            self.now += TURN;
             let others = NODES.iter().filter(|from| **from != at && **from != gone);
             others.for_each(|from| self.hear(at, *from));
             self.input(at, Input::Tick);
@@ -307,18 +312,18 @@
         let heartbeat = Heartbeat {
             epoch: self.nodes[&at].epoch(),
             address: address(from),
-            stamp: ProcessTimestamp::default(),
-            heard: NODES
+            timestamp: ProcessTimestamp::default(),
+            timestamp_echoes: NODES
                 .iter()
-                .map(|peer| TimestampEcho { peer: *peer, stamp: ProcessTimestamp::default() })
+                .map(|peer| TimestampEcho { peer: *peer, timestamp: ProcessTimestamp::default() })
                 .collect(),
-            end: Position::default(),
+            log_end: Position::default(),
             committed: Sequence(0),
-            synced: true,
-            complete: true,
-            vouches: true,
-            leaving: false,
-            lagging: false,
+            is_caught_up: true,
+            is_complete: true,
+            confirms_epoch: true,
+            is_leaving: false,
+            is_disk_lagging: false,
         };
         self.input(at, Input::Message { from, message: CoreMessage::Heartbeat(heartbeat) });
     }
@@ -341,7 +346,7 @@
         actions
     }
 
-    /// Mostly deliveries and writes to disk, now and then trouble.
+    /// Mostly deliveries and writes to disk, now and then a fault.
     fn drawn_action(&self, random: &mut fastrand::Rng) -> Option<Action> {
         let at = random.choice(NODES)?;
         let gone = random.choice(NODES.into_iter().filter(|id| *id != at).collect::<Vec<_>>())?;
@@ -360,7 +365,7 @@
 }
 
 #[test]
-fn no_order_of_events_loses_a_committed_command() {
+fn no_interleaving_loses_a_committed_command() {
     let states = std::env::var("CHAIN_MODEL_STATES").ok().and_then(|text| text.parse().ok());
     let bound = states.unwrap_or(ORDINARY_STATES);
     let start = World::connected(Limits { submits: 1, suspicions: 2, crashes: 1, instant_disks: true });
--- a/coordination/chain/tests/node/catch_up.rs
+++ b/coordination/chain/tests/node/catch_up.rs
@@ -1,50 +1,50 @@
-//! A node counts as a member only once it holds the state: until then the one that it replaces stays a member.
+//! A node counts as a member only once it holds the state: until then the member that it replaces stays one.
 
 use millrudder_chain::{NodeId, RequestId};
 
-use crate::cluster::{config, Cluster, SECOND, STEP_MICROS};
+use crate::cluster::{config, Cluster, SECOND, STEP};
 use crate::concat_machine::address;
 
-/// A core of three that has gone on without the third machine, which is back with its disk and gets no commands.
-fn with_a_member_that_is_behind() -> (Cluster, NodeId) {
-    let mut cluster = Cluster::founded(3);
+/// A core of three that has gone on without the third node, which is back with its disk and gets no commands.
+fn with_a_lagging_voter() -> (Cluster, NodeId) {
+    let mut cluster = Cluster::bootstrapped(3);
     let third = cluster.hosts.remove(&address(3)).expect("the third host");
     let third_id = third.node.id();
     cluster.run(2 * SECOND);
     cluster.submit(1, 1, "a");
-    cluster.unfed.insert(third_id);
+    cluster.without_appends.insert(third_id);
     cluster.start(config(3, 3), Some(third.disk));
     cluster.run(SECOND / 2);
     (cluster, third_id)
 }
 
 #[test]
-fn the_only_complete_member_may_be_lost_while_another_is_filled() {
-    let (mut cluster, third) = with_a_member_that_is_behind();
+fn the_only_complete_member_may_be_lost_while_another_catches_up() {
+    let (mut cluster, third) = with_a_lagging_voter();
     let second = cluster.hosts.remove(&address(2)).expect("the second host");
     cluster.run(2 * SECOND);
     let view = cluster.host(1).node.view().expect("a view").clone();
     assert!(view.contains(second.node.id()) && !view.contains(third), "{view:?}");
     // The first machine's disk is lost; the second comes back with its own.
     cluster.hosts.remove(&address(1));
-    cluster.unfed.clear();
+    cluster.without_appends.clear();
     cluster.start(config(2, 3), Some(second.disk));
     cluster.run(3 * SECOND);
     cluster.submit(3, 2, "b");
     cluster.run(SECOND);
-    for place in [2, 3] {
-        assert!(cluster.host(place).node.is_in_step(), "machine {place}");
-        assert_eq!(cluster.host(place).node.machine().0, "ab");
+    for index in [2, 3] {
+        assert!(cluster.host(index).node.is_caught_up(), "machine {index}");
+        assert_eq!(cluster.host(index).node.machine().0, "ab");
     }
 }
 
 #[test]
 fn a_member_is_replaced_as_soon_as_the_other_holds_the_state() {
-    let (mut cluster, third) = with_a_member_that_is_behind();
+    let (mut cluster, third) = with_a_lagging_voter();
     let second = cluster.hosts.remove(&address(2)).expect("the second host").node.id();
     cluster.run(2 * SECOND);
     cluster.submit(1, 2, "b");
-    cluster.unfed.clear();
+    cluster.without_appends.clear();
     cluster.run(SECOND / 2);
     let view = cluster.host(1).node.view().expect("a view").clone();
     assert!(view.contains(third) && !view.contains(second), "{view:?}");
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn a_core_whose_members_are_all_back_takes_commands_again_after_it_was_sealed() {
-    let (mut cluster, _) = with_a_member_that_is_behind();
+fn a_sealed_core_accepts_commands_again_once_its_members_are_back() {
+    let (mut cluster, _) = with_a_lagging_voter();
     let second = cluster.hosts.remove(&address(2)).expect("the second host");
     cluster.run(2 * SECOND);
     let sealed = cluster.host(1).node.epoch();
-    // The one that was missed returns before the other is filled.
+    // The missing member returns before the other has caught up.
     cluster.start(config(2, 3), Some(second.disk));
     cluster.run(SECOND);
     cluster.submit(2, 2, "b");
@@ -68,19 +68,19 @@
 }
 
 #[test]
-fn a_seal_outlives_the_process() {
-    let (mut cluster, _) = with_a_member_that_is_behind();
+fn a_seal_survives_a_restart() {
+    let (mut cluster, _) = with_a_lagging_voter();
     let first = cluster.hosts.remove(&address(1)).expect("the first host");
     cluster.run(2 * SECOND);
     let second = cluster.hosts.remove(&address(2)).expect("the second host");
     let sealed = second.node.epoch();
     cluster.start(config(2, 3), Some(second.disk));
-    // The second machine may have filled the third with what it had: nothing may be committed beyond that before the
+    // The second machine may have brought the third up with its log: nothing may be committed beyond that before the
     // next view.
     cluster.start(config(1, 3), Some(first.disk));
     cluster.submit(1, 2, "b");
-    for _ in 0..SECOND / STEP_MICROS {
-        cluster.run(STEP_MICROS);
+    for _ in 0..SECOND.as_micros() / STEP.as_micros() {
+        cluster.run(STEP);
         let node = &cluster.host(2).node;
         assert!(!node.machine().0.contains('b') || node.epoch() > sealed);
     }
--- a/coordination/chain/tests/node/cluster.rs
+++ b/coordination/chain/tests/node/cluster.rs
@@ -1,14 +1,16 @@
-//! A few nodes on a network that loses nothing, each with a disk on which everything is durable at once.
+//! A few nodes on a reliable network, each with a disk on which everything is durable at once.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 use millrudder_chain::{CoreConfig, CoreMessage, CoreNode, DurableState, Input, NodeId, Output, RequestId};
+use millrudder_clock::Instant;
 
 use crate::concat_machine::{address, Text};
 
-/// Time goes on in steps of this many microseconds.
-pub const STEP_MICROS: u64 = 20_000;
-pub const SECOND: u64 = 1_000_000;
+/// Time advances in steps of this length.
+pub const STEP: Duration = Duration::from_millis(20);
+pub const SECOND: Duration = Duration::from_secs(1);
 
 /// A node with its disk, on which everything is durable at once.
 pub struct Host {
@@ -18,32 +20,33 @@
     pub replies: Vec<(RequestId, u64)>,
     pub ready: Vec<RequestId>,
     pub committed: Vec<String>,
-    pub replaced: usize,
+    pub snapshots_installed: usize,
 }
 
 #[derive(Default)]
 pub struct Cluster {
-    pub now: u64,
+    pub now: Instant,
     pub hosts: BTreeMap<String, Host>,
     pub in_flight: Vec<(NodeId, NodeId, CoreMessage)>,
     pub installs: usize,
-    /// No commands reach these machines.
-    pub unfed: BTreeSet<NodeId>,
+    /// No commands are delivered to these nodes.
+    pub without_appends: BTreeSet<NodeId>,
 }
 
-pub fn config(place: usize, founders: usize) -> CoreConfig {
-    let mut config = CoreConfig::new(address(place));
-    config.founders = (1..=founders).map(address).collect();
-    config.minimum_members = founders.div_ceil(2).max(1);
+/// Configuration of the node at `index` of a bootstrap of `size` nodes.
+pub fn config(index: usize, size: usize) -> CoreConfig {
+    let mut config = CoreConfig::new(address(index));
+    config.bootstrap_addresses = (1..=size).map(address).collect();
+    config.minimum_members = size.div_ceil(2).max(1);
     config
 }
 
 impl Cluster {
-    /// A founded core.
-    pub fn founded(size: usize) -> Cluster {
+    /// A core whose first view is in force.
+    pub fn bootstrapped(size: usize) -> Cluster {
         let mut cluster = Cluster::default();
-        for place in 1..=size {
-            cluster.start(config(place, size), None);
+        for index in 1..=size {
+            cluster.start(config(index, size), None);
         }
         cluster.run(SECOND);
         assert!(cluster.hosts.values().all(|host| host.node.is_member()));
@@ -51,7 +54,7 @@
     }
 
     pub fn start(&mut self, config: CoreConfig, disk: Option<DurableState>) {
-        let seed = self.now + self.hosts.len() as u64 + 1;
+        let seed = self.now.as_micros() + self.hosts.len() as u64 + 1;
         let name = config.address.clone();
         let node = CoreNode::new(config, disk.clone(), seed, self.now).expect("the node starts");
         let host = Host {
@@ -61,14 +64,14 @@
             replies: Vec::new(),
             ready: Vec::new(),
             committed: Vec::new(),
-            replaced: 0,
+            snapshots_installed: 0,
         };
         self.hosts.insert(name.clone(), host);
         self.take_outputs(&name);
     }
 
-    pub fn host(&self, place: usize) -> &Host {
-        &self.hosts[&address(place)]
+    pub fn host(&self, index: usize) -> &Host {
+        &self.hosts[&address(index)]
     }
 
     pub fn input(&mut self, name: &str, input: Input<String>) {
@@ -84,7 +87,7 @@
             let host = self.hosts.get_mut(name).expect("the host is there");
             match output {
                 Output::Send { to, message } => {
-                    self.installs += usize::from(matches!(message, CoreMessage::Install(_)));
+                    self.installs += usize::from(matches!(message, CoreMessage::InstallSnapshot(_)));
                     self.in_flight.push((host.node.id(), to, message));
                 }
                 Output::Persist { token, record } => {
@@ -93,7 +96,7 @@
                 }
                 Output::Checkpoint { state, .. } => host.checkpoint = Some(*state),
                 Output::Committed { command, .. } => host.committed.push(command),
-                Output::Replaced { .. } => host.replaced += 1,
+                Output::SnapshotInstalled { .. } => host.snapshots_installed += 1,
                 Output::Reply { request_id, reply } => host.replies.push((request_id, reply)),
                 Output::ReadReady { request_id } => host.ready.push(request_id),
                 _ => {}
@@ -106,18 +109,19 @@
             for (from, to, message) in std::mem::take(&mut self.in_flight) {
                 let name =
                     self.hosts.iter().find(|(_, host)| host.node.id() == to).map(|(name, _)| name.clone());
-                let fed = !(matches!(message, CoreMessage::Append(_)) && self.unfed.contains(&to));
-                if let Some(name) = name.filter(|_| fed) {
+                let is_delivered =
+                    !(matches!(message, CoreMessage::Append(_)) && self.without_appends.contains(&to));
+                if let Some(name) = name.filter(|_| is_delivered) {
                     self.input(&name, Input::Message { from, message });
                 }
             }
         }
     }
 
-    pub fn run(&mut self, micros: u64) {
-        let end = self.now + micros;
+    pub fn run(&mut self, span: Duration) {
+        let end = self.now + span;
         while self.now < end {
-            self.now += STEP_MICROS;
+            self.now += STEP;
             let known: Vec<(NodeId, String)> =
                 self.hosts.iter().map(|(name, host)| (host.node.id(), name.clone())).collect();
             for name in self.hosts.keys().cloned().collect::<Vec<_>>() {
@@ -130,9 +134,9 @@
         }
     }
 
-    pub fn submit(&mut self, place: usize, request: u128, text: &str) {
+    pub fn submit(&mut self, index: usize, request: u128, text: &str) {
         let command = text.to_owned();
-        self.input(&address(place), Input::Submit { request_id: RequestId(request), command });
+        self.input(&address(index), Input::Submit { request_id: RequestId(request), command });
         self.deliver();
     }
 }
--- a/coordination/chain/tests/node/main.rs
+++ b/coordination/chain/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! One core node or a few, on a network that loses nothing.
+//! One core node or a few, on a reliable network.
 
 mod catch_up;
 mod cluster;
--- a/coordination/chain/tests/node/serving.rs
+++ b/coordination/chain/tests/node/serving.rs
@@ -1,15 +1,16 @@
-//! Commands, reads, records and states of one core node or a few.
+//! Commands, reads, records and checkpoints of one core node or a few.
 
 use millrudder_chain::{
     ConfigError, CoreNode, DurableState, Input, NodeId, Output, Record, RequestId, StartError,
 };
+use millrudder_clock::Instant;
 
 use crate::cluster::{config, Cluster, SECOND};
 use crate::concat_machine::{address, Text};
 
 #[test]
 fn a_core_of_one_serves_alone() {
-    let mut cluster = Cluster::founded(1);
+    let mut cluster = Cluster::bootstrapped(1);
     cluster.submit(1, 1, "a");
     cluster.input(&address(1), Input::Read { request_id: RequestId(2) });
     assert_eq!(cluster.host(1).replies, vec![(RequestId(1), 1)]);
@@ -18,30 +19,30 @@
 
 #[test]
 fn a_command_submitted_at_any_member_is_applied_at_all() {
-    let mut cluster = Cluster::founded(3);
-    for place in 1..=3 {
-        cluster.submit(place, place as u128, &place.to_string());
+    let mut cluster = Cluster::bootstrapped(3);
+    for index in 1..=3 {
+        cluster.submit(index, index as u128, &index.to_string());
     }
-    for place in 1..=3 {
-        assert_eq!(cluster.host(place).node.machine().0, "123");
-        assert_eq!(cluster.host(place).committed, vec!["1", "2", "3"]);
-        assert_eq!(cluster.host(place).replies, vec![(RequestId(place as u128), place as u64)]);
+    for index in 1..=3 {
+        assert_eq!(cluster.host(index).node.machine().0, "123");
+        assert_eq!(cluster.host(index).committed, vec!["1", "2", "3"]);
+        assert_eq!(cluster.host(index).replies, vec![(RequestId(index as u128), index as u64)]);
     }
 }
 
 #[test]
-fn a_request_that_comes_again_gets_the_first_reply_and_does_not_run_again() {
-    let mut cluster = Cluster::founded(3);
+fn a_repeated_request_gets_the_first_reply_and_runs_once() {
+    let mut cluster = Cluster::bootstrapped(3);
     cluster.submit(1, 7, "a");
     cluster.submit(2, 8, "b");
     cluster.submit(3, 7, "a");
     cluster.run(SECOND);
     assert_eq!(cluster.host(3).replies, vec![(RequestId(7), 1)]);
-    assert!((1..=3).all(|place| cluster.host(place).node.machine().0 == "ab"));
+    assert!((1..=3).all(|index| cluster.host(index).node.machine().0 == "ab"));
 }
 
 #[test]
-fn a_command_waits_for_the_core_to_be_founded() {
+fn a_command_waits_for_the_bootstrap() {
     let mut cluster = Cluster::default();
     cluster.start(config(1, 3), None);
     cluster.submit(1, 1, "early");
@@ -53,7 +54,7 @@
 
 #[test]
 fn an_abandoned_request_is_not_answered() {
-    let mut cluster = Cluster::founded(3);
+    let mut cluster = Cluster::bootstrapped(3);
     cluster.hosts.remove(&address(2));
     cluster.submit(1, 1, "a");
     cluster.input(&address(1), Input::Abandon { request_id: RequestId(1) });
@@ -62,8 +63,8 @@
 }
 
 #[test]
-fn a_node_far_behind_gets_the_state_instead_of_commands() {
-    let mut cluster = Cluster::founded(3);
+fn a_node_far_behind_gets_a_snapshot() {
+    let mut cluster = Cluster::bootstrapped(3);
     let host = cluster.hosts.remove(&address(3)).expect("the third host");
     cluster.run(2 * SECOND);
     for request in 0..1_400 {
@@ -73,13 +74,13 @@
     cluster.start(config(3, 3), Some(host.disk));
     cluster.run(3 * SECOND);
     assert_eq!(cluster.host(3).node.machine().0.len(), 1_400);
-    assert!(cluster.installs > 0 && cluster.host(3).replaced > 0);
+    assert!(cluster.installs > 0 && cluster.host(3).snapshots_installed > 0);
     assert_eq!(cluster.host(3).node.view().map(|view| view.members.len()), Some(3));
 }
 
 #[test]
-fn a_node_a_little_behind_gets_the_commands_it_lacks() {
-    let mut cluster = Cluster::founded(3);
+fn a_node_a_little_behind_gets_the_missing_commands() {
+    let mut cluster = Cluster::bootstrapped(3);
     cluster.submit(1, 1, "a");
     let host = cluster.hosts.remove(&address(3)).expect("the third host");
     cluster.run(2 * SECOND);
@@ -92,27 +93,28 @@
 
 #[test]
 fn large_commands_are_sent_and_do_not_pile_up() {
-    let mut cluster = Cluster::founded(3);
+    let mut cluster = Cluster::bootstrapped(3);
     let large = "y".repeat(300_000);
     for request in 0..12 {
         cluster.submit(2, request, &large);
     }
     cluster.run(SECOND);
-    assert!((1..=3).all(|place| cluster.host(place).node.machine().0.len() == 12 * large.len()));
+    assert!((1..=3).all(|index| cluster.host(index).node.machine().0.len() == 12 * large.len()));
 }
 
 #[test]
 fn a_checkpoint_replaces_the_records_before_it() {
-    let mut cluster = Cluster::founded(3);
+    let mut cluster = Cluster::bootstrapped(3);
     let large = "z".repeat(400_000);
     for request in 0..4 {
         cluster.submit(1, request, &large);
     }
     cluster.run(SECOND);
     let host = cluster.host(1);
-    let checkpoint = host.checkpoint.clone().expect("a checkpoint was asked for");
+    let checkpoint = host.checkpoint.clone().expect("a checkpoint was due");
     let machine = |state: DurableState| {
-        let node: CoreNode<Text> = CoreNode::new(config(1, 3), Some(state), 9, 0).expect("the node starts");
+        let node: CoreNode<Text> =
+            CoreNode::new(config(1, 3), Some(state), 9, Instant::ORIGIN).expect("the node starts");
         node.machine().clone()
     };
     let from_records = machine(host.disk.clone());
@@ -123,7 +125,8 @@
 
 #[test]
 fn a_new_identity_is_recorded_first() {
-    let mut node: CoreNode<Text> = CoreNode::new(config(1, 3), None, 5, 0).expect("the node starts");
+    let mut node: CoreNode<Text> =
+        CoreNode::new(config(1, 3), None, 5, Instant::ORIGIN).expect("the node starts");
     let first = node.next_output();
     let id = node.id();
     assert!(
@@ -133,24 +136,25 @@
 
 #[test]
 fn nothing_is_sent_before_the_identity_is_durable() {
-    let mut node: CoreNode<Text> = CoreNode::new(config(1, 3), None, 5, 0).expect("the node starts");
-    node.handle(0, Input::PeerSeen { id: NodeId(99), address: address(2) });
-    node.handle(SECOND, Input::Tick);
+    let mut node: CoreNode<Text> =
+        CoreNode::new(config(1, 3), None, 5, Instant::ORIGIN).expect("the node starts");
+    node.handle(Instant::ORIGIN, Input::PeerSeen { id: NodeId(99), address: address(2) });
+    node.handle(Instant::ORIGIN + SECOND, Input::Tick);
     while let Some(output) = node.next_output() {
         assert!(!matches!(output, Output::Send { .. }));
     }
 }
 
 #[test]
-fn a_state_that_cannot_be_restored_and_a_senseless_configuration_are_refused() {
+fn an_invalid_configuration_is_rejected() {
     let mut bad = config(1, 3);
     bad.minimum_members = 9;
-    let refused: Result<CoreNode<Text>, _> = CoreNode::new(bad, None, 1, 0);
-    let sizes = ConfigError::SizesOfView { minimum: 9, voters: 3 };
-    assert_eq!(refused.err(), Some(StartError::Config(sizes)));
+    let refused: Result<CoreNode<Text>, _> = CoreNode::new(bad, None, 1, Instant::ORIGIN);
+    let expected = ConfigError::InconsistentViewSize { minimum: 9, voters: 3 };
+    assert_eq!(refused.err(), Some(StartError::Config(expected)));
     let mut few = config(1, 1);
     few.minimum_members = 2;
-    let refused: Result<CoreNode<Text>, _> = CoreNode::new(few, None, 1, 0);
-    let founders = ConfigError::TooFewFounders { founders: 1, minimum: 2 };
-    assert_eq!(refused.err(), Some(StartError::Config(founders)));
+    let refused: Result<CoreNode<Text>, _> = CoreNode::new(few, None, 1, Instant::ORIGIN);
+    let expected = ConfigError::TooFewBootstrapAddresses { addresses: 1, minimum: 2 };
+    assert_eq!(refused.err(), Some(StartError::Config(expected)));
 }
--- a/coordination/chain/tests/quorum_contact.rs
+++ b/coordination/chain/tests/quorum_contact.rs
@@ -1,15 +1,17 @@
-//! Contact with a majority is proven by answers to what this node sent, and expires by itself.
+//! Contact with a quorum is proven by echoes of what this node sent, and expires by itself.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 use millrudder_chain::{
     CoreConfig, CoreMessage, CoreNode, Input, Machine, NodeId, Output, RequestId, RestoreError, Sequence,
 };
+use millrudder_clock::Instant;
 
-const STEP_MICROS: u64 = 10_000;
-const SECOND: u64 = 1_000_000;
-/// Within this time a founded core of three has heard from each other (microseconds).
-const SETTLED: u64 = 2 * SECOND;
+const STEP: Duration = Duration::from_millis(10);
+const SECOND: Duration = Duration::from_secs(1);
+/// Within this time the nodes of a core of three have bootstrapped and heard from each other.
+const BOOTSTRAP_TIME: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, Default)]
 struct Count(u64);
@@ -36,61 +38,61 @@
 }
 
 #[derive(Clone, Debug)]
-struct Letter {
+struct Envelope {
     from: usize,
     to: usize,
     sender: NodeId,
     message: CoreMessage,
 }
 
-/// Cores on a network on which each link can be cut in one direction.
+/// Cores on a network on which each link can be interrupted in one direction.
 struct Cluster {
-    now: u64,
+    now: Instant,
     nodes: Vec<CoreNode<Count>>,
-    cut: Vec<(usize, usize)>,
-    frozen: Vec<usize>,
-    letters: Vec<Letter>,
-    /// Letters on cut links, kept to come late.
-    held: Vec<Letter>,
-    told: BTreeMap<usize, Vec<bool>>,
+    partitioned: Vec<(usize, usize)>,
+    paused: Vec<usize>,
+    in_flight: Vec<Envelope>,
+    /// Messages on interrupted links, to be delivered late.
+    delayed: Vec<Envelope>,
+    contact_changes: BTreeMap<usize, Vec<bool>>,
 }
 
-fn address(place: usize) -> String {
-    format!("10.0.0.{place}:9000")
+fn address(index: usize) -> String {
+    format!("10.0.0.{index}:9000")
 }
 
 impl Cluster {
-    fn founded(size: usize) -> Cluster {
-        let node = |place| {
-            let mut config = CoreConfig::new(address(place));
-            config.founders = (0..size).map(address).collect();
+    fn bootstrapped(size: usize) -> Cluster {
+        let node = |index| {
+            let mut config = CoreConfig::new(address(index));
+            config.bootstrap_addresses = (0..size).map(address).collect();
             config.minimum_members = size / 2 + 1;
             config.voters = 3;
-            CoreNode::new(config, None, place as u64 + 1, 0).expect("the node starts")
+            CoreNode::new(config, None, index as u64 + 1, Instant::ORIGIN).expect("the node starts")
         };
         let mut cluster = Cluster {
-            now: 0,
+            now: Instant::ORIGIN,
             nodes: (0..size).map(node).collect(),
-            cut: Vec::new(),
-            frozen: Vec::new(),
-            letters: Vec::new(),
-            held: Vec::new(),
-            told: BTreeMap::new(),
+            partitioned: Vec::new(),
+            paused: Vec::new(),
+            in_flight: Vec::new(),
+            delayed: Vec::new(),
+            contact_changes: BTreeMap::new(),
         };
-        cluster.run(SETTLED);
+        cluster.run(BOOTSTRAP_TIME);
         cluster
     }
 
-    fn input(&mut self, place: usize, input: Input<u64>) {
-        self.nodes[place].handle(self.now, input);
-        while let Some(output) = self.nodes[place].next_output() {
+    fn input(&mut self, index: usize, input: Input<u64>) {
+        self.nodes[index].handle(self.now, input);
+        while let Some(output) = self.nodes[index].next_output() {
             match output {
                 Output::Persist { token, .. } => {
-                    self.nodes[place].handle(self.now, Input::Persisted { token });
+                    self.nodes[index].handle(self.now, Input::Persisted { token });
                 }
-                Output::Send { to, message } => self.send(place, to, message),
-                Output::QuorumContactGained => self.told.entry(place).or_default().push(true),
-                Output::QuorumContactLost => self.told.entry(place).or_default().push(false),
+                Output::Send { to, message } => self.send(index, to, message),
+                Output::QuorumContactGained => self.contact_changes.entry(index).or_default().push(true),
+                Output::QuorumContactLost => self.contact_changes.entry(index).or_default().push(false),
                 _ => {}
             }
         }
@@ -101,150 +103,154 @@
         let Some(to) = self.nodes.iter().position(|node| node.id() == to) else {
             return;
         };
-        let letter = Letter { from, to, sender, message };
-        match self.cut.contains(&(from, to)) {
-            true => self.held.push(letter),
-            false => self.letters.push(letter),
+        let envelope = Envelope { from, to, sender, message };
+        match self.partitioned.contains(&(from, to)) {
+            true => self.delayed.push(envelope),
+            false => self.in_flight.push(envelope),
         }
     }
 
     fn deliver(&mut self) {
-        while !self.letters.is_empty() {
-            for letter in std::mem::take(&mut self.letters) {
-                if !self.frozen.contains(&letter.to) {
-                    self.input(letter.to, Input::Message { from: letter.sender, message: letter.message });
+        while !self.in_flight.is_empty() {
+            for envelope in std::mem::take(&mut self.in_flight) {
+                if !self.paused.contains(&envelope.to) {
+                    self.input(
+                        envelope.to,
+                        Input::Message { from: envelope.sender, message: envelope.message },
+                    );
                 }
             }
         }
     }
 
-    fn run(&mut self, micros: u64) {
-        let end = self.now + micros;
+    fn run(&mut self, span: Duration) {
+        let end = self.now + span;
         while self.now < end {
-            self.now += STEP_MICROS;
-            for place in
-                (0..self.nodes.len()).filter(|place| !self.frozen.contains(place)).collect::<Vec<_>>()
+            self.now += STEP;
+            for index in
+                (0..self.nodes.len()).filter(|index| !self.paused.contains(index)).collect::<Vec<_>>()
             {
-                for peer in (0..self.nodes.len()).filter(|peer| *peer != place) {
-                    if !self.cut.contains(&(peer, place)) {
+                for peer in (0..self.nodes.len()).filter(|peer| *peer != index) {
+                    if !self.partitioned.contains(&(peer, index)) {
                         let id = self.nodes[peer].id();
-                        self.input(place, Input::PeerSeen { id, address: address(peer) });
+                        self.input(index, Input::PeerSeen { id, address: address(peer) });
                     }
                 }
-                self.input(place, Input::Tick);
+                self.input(index, Input::Tick);
             }
             self.deliver();
         }
     }
 
-    fn isolate(&mut self, place: usize) {
+    fn isolate(&mut self, index: usize) {
         for other in 0..self.nodes.len() {
-            self.cut.extend([(place, other), (other, place)]);
+            self.partitioned.extend([(index, other), (other, index)]);
         }
     }
 
-    fn has_contact(&self, place: usize) -> bool {
-        self.nodes[place].has_majority_contact(self.now)
+    fn has_contact(&self, index: usize) -> bool {
+        self.nodes[index].has_quorum_contact(self.now)
     }
 }
 
 #[test]
-fn members_that_hear_each_other_have_contact_and_say_so_once() {
-    let cluster = Cluster::founded(3);
-    for place in 0..3 {
-        assert!(cluster.has_contact(place));
-        assert_eq!(cluster.told[&place], vec![true]);
+fn connected_members_gain_contact_once() {
+    let cluster = Cluster::bootstrapped(3);
+    for index in 0..3 {
+        assert!(cluster.has_contact(index));
+        assert_eq!(cluster.contact_changes[&index], vec![true]);
     }
 }
 
 #[test]
 fn a_core_of_one_is_its_own_majority() {
-    assert!(Cluster::founded(1).has_contact(0));
+    assert!(Cluster::bootstrapped(1).has_contact(0));
 }
 
 #[test]
-fn a_member_that_is_cut_off_loses_contact_before_it_can_be_replaced() {
-    for place in 0..3 {
-        let mut cluster = Cluster::founded(3);
-        cluster.isolate(place);
-        let epoch = cluster.nodes[(place + 1) % 3].epoch();
-        while cluster.nodes[(place + 1) % 3].epoch() == epoch {
-            cluster.run(STEP_MICROS);
+fn a_partitioned_member_loses_contact_before_it_can_be_replaced() {
+    for index in 0..3 {
+        let mut cluster = Cluster::bootstrapped(3);
+        cluster.isolate(index);
+        let epoch = cluster.nodes[(index + 1) % 3].epoch();
+        while cluster.nodes[(index + 1) % 3].epoch() == epoch {
+            cluster.run(STEP);
         }
-        assert!(!cluster.has_contact(place), "machine {place} at {}", cluster.now);
-        assert_eq!(cluster.told[&place], vec![true, false]);
+        assert!(!cluster.has_contact(index), "machine {index} at {:?}", cluster.now);
+        assert_eq!(cluster.contact_changes[&index], vec![true, false]);
     }
 }
 
 #[test]
-fn those_that_stay_keep_contact_while_one_is_replaced() {
-    for place in 0..3 {
-        let mut cluster = Cluster::founded(3);
-        cluster.isolate(place);
+fn the_remaining_members_keep_contact_while_one_is_replaced() {
+    for index in 0..3 {
+        let mut cluster = Cluster::bootstrapped(3);
+        cluster.isolate(index);
         cluster.run(3 * SECOND);
-        for stays in (0..3).filter(|stays| *stays != place) {
-            assert_eq!(cluster.told[&stays], vec![true], "machine {stays} without {place}");
+        for stays in (0..3).filter(|stays| *stays != index) {
+            assert_eq!(cluster.contact_changes[&stays], vec![true], "machine {stays} without {index}");
             assert!(cluster.has_contact(stays));
         }
     }
 }
 
 #[test]
-fn a_cut_in_either_direction_ends_contact() {
+fn a_partition_in_either_direction_ends_contact() {
     for outward in [false, true] {
-        let mut cluster = Cluster::founded(3);
+        let mut cluster = Cluster::bootstrapped(3);
         let links = [1, 2].map(|other| if outward { (0, other) } else { (other, 0) });
-        cluster.cut.extend(links);
+        cluster.partitioned.extend(links);
         cluster.run(SECOND);
         assert!(!cluster.has_contact(0));
     }
 }
 
 #[test]
-fn answers_that_come_late_prove_nothing_of_the_present() {
-    let mut cluster = Cluster::founded(3);
-    cluster.cut.extend([(1, 0), (2, 0)]);
+fn delayed_answers_prove_nothing_of_the_present() {
+    let mut cluster = Cluster::bootstrapped(3);
+    cluster.partitioned.extend([(1, 0), (2, 0)]);
     cluster.run(SECOND / 5);
     cluster.isolate(0);
     cluster.run(SECOND);
     assert!(!cluster.has_contact(0));
     // All that the others sent meanwhile comes at once; it answers questions of a second ago.
-    cluster.cut.clear();
-    let late = std::mem::take(&mut cluster.held);
-    let heartbeats = late.into_iter().filter(|letter| matches!(letter.message, CoreMessage::Heartbeat(_)));
-    for letter in heartbeats.filter(|letter| letter.to == 0).collect::<Vec<_>>() {
-        assert_ne!(letter.from, 0);
-        cluster.input(0, Input::Message { from: letter.sender, message: letter.message });
+    cluster.partitioned.clear();
+    let late = std::mem::take(&mut cluster.delayed);
+    let heartbeats =
+        late.into_iter().filter(|envelope| matches!(envelope.message, CoreMessage::Heartbeat(_)));
+    for envelope in heartbeats.filter(|envelope| envelope.to == 0).collect::<Vec<_>>() {
+        assert_ne!(envelope.from, 0);
+        cluster.input(0, Input::Message { from: envelope.sender, message: envelope.message });
     }
     assert!(!cluster.has_contact(0));
 }
 
 #[test]
-fn a_process_that_stood_still_finds_its_contact_expired_before_anything_else() {
-    let mut cluster = Cluster::founded(3);
-    cluster.frozen = vec![0];
+fn a_paused_process_finds_its_contact_expired_first() {
+    let mut cluster = Cluster::bootstrapped(3);
+    cluster.paused = vec![0];
     cluster.run(SECOND);
-    cluster.frozen.clear();
+    cluster.paused.clear();
     assert!(!cluster.has_contact(0));
     cluster.nodes[0].handle(cluster.now, Input::Read { request_id: RequestId(1) });
     assert!(matches!(cluster.nodes[0].next_output(), Some(Output::QuorumContactLost)));
 }
 
 #[test]
-fn contact_comes_back_with_the_connection() {
-    let mut cluster = Cluster::founded(3);
+fn contact_is_regained_with_the_connection() {
+    let mut cluster = Cluster::bootstrapped(3);
     cluster.isolate(1);
     cluster.run(5 * SECOND);
     assert!(!cluster.has_contact(1));
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.run(SECOND);
     assert!(cluster.has_contact(1));
-    assert_eq!(cluster.told[&1], vec![true, false, true]);
+    assert_eq!(cluster.contact_changes[&1], vec![true, false, true]);
 }
 
 #[test]
 fn a_node_learns_of_its_loss_by_its_own_deadline() {
-    let mut cluster = Cluster::founded(3);
+    let mut cluster = Cluster::bootstrapped(3);
     cluster.isolate(0);
     while cluster.has_contact(0) {
         let due = cluster.nodes[0].next_deadline();
@@ -252,16 +258,16 @@
         cluster.now = due;
         cluster.input(0, Input::Tick);
     }
-    assert_eq!(cluster.told[&0], vec![true, false]);
+    assert_eq!(cluster.contact_changes[&0], vec![true, false]);
 }
 
 #[test]
-fn a_clock_that_stood_still_proves_nothing_until_something_comes_back_anew() {
-    let mut cluster = Cluster::founded(3);
+fn after_a_clock_stall_contact_must_be_proven_anew() {
+    let mut cluster = Cluster::bootstrapped(3);
     // Answers to what was sent before lie unread.
-    cluster.frozen = vec![0];
+    cluster.paused = vec![0];
     cluster.run(SECOND / 10);
-    cluster.frozen.clear();
+    cluster.paused.clear();
     assert!(cluster.has_contact(0), "by its clock too little time has passed");
     let now = cluster.now;
     cluster.nodes[0].handle(now, Input::ClockStalled);
--- a/coordination/lease/src/config.rs
+++ b/coordination/lease/src/config.rs
@@ -1,50 +1,61 @@
-//! Times of a lease.
+//! Durations of a lease.
 
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// Times that holders and voters share.
+/// Durations that holders and voters share, in whole microseconds: messages carry nothing finer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// How long a voter binds itself by a grant, and withholds grants after its start.
+    /// How long a grant binds its voter, and the grace period after a voter's start.
     pub duration: Duration,
-    /// How long before the end of its lease a holder stops, to cover the difference in clock rates.
-    pub safety: Duration,
-    /// Pause between renewals, and between the requests of one that does not hold the lease.
-    pub renew_every: Duration,
+    /// How long before the voters' grants expire a holder stops, to cover the difference in clock rates.
+    pub safety_margin: Duration,
+    /// Interval between renewals, and between the requests of a candidate.
+    pub renew_interval: Duration,
 }
 
 impl Default for LeaseConfig {
     fn default() -> LeaseConfig {
         LeaseConfig {
             duration: Duration::from_millis(700),
-            safety: Duration::from_millis(100),
-            renew_every: Duration::from_millis(150),
+            safety_margin: Duration::from_millis(100),
+            renew_interval: Duration::from_millis(150),
         }
     }
 }
 
-/// Why a [`LeaseConfig`] cannot be used.
+/// Why a [`LeaseConfig`] is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LeaseConfigError {
     /// A lease must outlast two renewals, or one lost message would end it.
-    #[error("a lease of {duration:?} less {safety:?} does not outlast two renewals every {renew_every:?}")]
-    TooShort { duration: Duration, safety: Duration, renew_every: Duration },
-    /// Requests cost messages; a pause of zero would never rest.
-    #[error("the pause between renewals is zero")]
-    NoRenewalPause,
+    #[error("a lease of {duration:?} less {safety_margin:?} does not outlast two renewals every {renew_interval:?}")]
+    TooShort {
+        /// [`LeaseConfig::duration`].
+        duration: Duration,
+        /// [`LeaseConfig::safety_margin`].
+        safety_margin: Duration,
+        /// [`LeaseConfig::renew_interval`].
+        renew_interval: Duration,
+    },
+    /// Without an interval requests would be sent without end.
+    #[error("the interval between renewals is zero")]
+    NoRenewalInterval,
 }
 
 impl LeaseConfig {
-    /// Checks that the times fit together.
+    /// Checks that the durations fit together.
+    ///
+    /// # Errors
+    ///
+    /// Says which rule the durations break.
     pub fn check(&self) -> Result<(), LeaseConfigError> {
-        let LeaseConfig { duration, safety, renew_every } = *self;
-        if renew_every.is_zero() {
-            return Err(LeaseConfigError::NoRenewalPause);
+        let LeaseConfig { duration, safety_margin, renew_interval } = *self;
+        if renew_interval.is_zero() {
+            return Err(LeaseConfigError::NoRenewalInterval);
         }
-        if duration < safety + renew_every * 2 {
-            return Err(LeaseConfigError::TooShort { duration, safety, renew_every });
+        if duration < safety_margin + renew_interval * 2 {
+            return Err(LeaseConfigError::TooShort { duration, safety_margin, renew_interval });
         }
         Ok(())
     }
--- a/coordination/lease/src/holder.rs
+++ b/coordination/lease/src/holder.rs
@@ -1,20 +1,28 @@
-//! The holder: asks for a role, renews it, and stops before it expires.
+//! The holder's side: acquires a role, renews its lease, and stops before the lease expires.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+use millrudder_clock::Instant;
+
 use crate::{FencingToken, LeaseAnswer, LeaseConfig, LeaseRelease, LeaseRequest, Refusal, Role, VoterId};
 
 /// A change in the possession of a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderEvent {
-    /// The role is held from now on.
-    Granted { fencing: FencingToken },
-    /// The role must not be exercised any more.
-    Lost { fencing: FencingToken },
+    /// The lease is held from now on.
+    Granted {
+        /// Token of the lease.
+        fencing_token: FencingToken,
+    },
+    /// The lease has expired: the role must not be exercised any more.
+    Lost {
+        /// Token of the lease.
+        fencing_token: FencingToken,
+    },
 }
 
-/// What follows from an input.
+/// What the embedder has to do after an input.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[must_use]
 pub struct HolderStep {
@@ -24,69 +32,72 @@
     pub event: Option<HolderEvent>,
 }
 
+/// One attempt to acquire or renew the lease, with the grants counted for it.
 #[derive(Clone, Debug)]
-struct Round {
+struct Attempt {
     number: u64,
-    sent_at: u64,
-    fencing: FencingToken,
+    sent_at: Instant,
+    fencing_token: FencingToken,
     grants: BTreeSet<VoterId>,
-    /// For how long all of them bind their voters, counted from the request.
-    bound: u64,
-    /// When the first of those that refused may grant.
-    retry_at: Option<u64>,
+    /// For how long every grant binds its voter, counted from the request.
+    granted_for: Duration,
+    /// When the first of the voters that refused may grant.
+    retry_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
-    fencing: FencingToken,
-    until: u64,
+struct ActiveLease {
+    fencing_token: FencingToken,
+    expires_at: Instant,
 }
 
-/// Candidate for, and holder of, one role. Times are microseconds of its own steady clock.
+/// Candidate for, and holder of, one role. Instants are readings of its own steady clock.
 #[derive(Clone, Debug)]
 pub struct Holder {
     role: Role,
-    duration: u64,
-    safety: u64,
-    renew_every: u64,
+    duration: Duration,
+    safety_margin: Duration,
+    renew_interval: Duration,
     random: fastrand::Rng,
     majority: usize,
-    highest: FencingToken,
-    next_request: u64,
-    last_round: u64,
-    round: Option<Round>,
-    held: Option<Held>,
+    highest_token: FencingToken,
+    next_request: Instant,
+    last_attempt: u64,
+    attempt: Option<Attempt>,
+    lease: Option<ActiveLease>,
 }
 
 impl Holder {
-    /// A candidate that has not heard of any voter yet; `seed` spreads the attempts of competing candidates.
+    /// A candidate that knows no voters yet.
+    ///
+    /// `seed` spreads the attempts of competing candidates; it must differ between processes.
     pub fn new(config: &LeaseConfig, role: Role, seed: u64) -> Holder {
         let mut random = fastrand::Rng::with_seed(seed);
         // Drawn at random, so that late grants to an earlier process never count.
-        let last_round = random.u64(..);
+        let last_attempt = random.u64(..);
         Holder {
             role,
-            duration: config.duration.as_micros() as u64,
-            safety: config.safety.as_micros() as u64,
-            renew_every: config.renew_every.as_micros() as u64,
+            duration: config.duration,
+            safety_margin: config.safety_margin,
+            renew_interval: config.renew_interval,
             random,
             majority: 0,
-            highest: FencingToken::default(),
-            next_request: 0,
-            last_round,
-            round: None,
-            held: None,
+            highest_token: FencingToken::default(),
+            next_request: Instant::ORIGIN,
+            last_attempt,
+            attempt: None,
+            lease: None,
         }
     }
 
-    /// Sets how many grants are needed from now on (zero: no voters), and the generation of the voters.
+    /// Sets how many grants are needed from now on (zero: there are no voters), and the generation of the voters.
     ///
-    /// Grants of earlier voters do not count any more. A lease that is held goes on and is claimed anew.
-    pub fn voters_changed(&mut self, majority: usize, generation: u64) {
+    /// Grants of earlier voters do not count any more. An active lease stays valid and is renewed at once.
+    pub fn set_voters(&mut self, majority: usize, generation: u64) {
         self.majority = majority;
-        self.highest = self.highest.max(FencingToken::floor(generation));
-        self.round = None;
-        self.next_request = 0;
+        self.highest_token = self.highest_token.max(FencingToken::floor(generation));
+        self.attempt = None;
+        self.next_request = Instant::ORIGIN;
     }
 
     /// The role.
@@ -95,133 +106,148 @@
     }
 
     /// Whether the role may be exercised at `now`.
-    pub fn is_held(&self, now: u64) -> bool {
-        self.held.is_some_and(|held| now < held.until)
+    pub fn is_held(&self, now: Instant) -> bool {
+        self.active_lease(now).is_some()
     }
 
-    /// FencingToken number of the lease, while it is held.
-    pub fn fencing(&self, now: u64) -> Option<FencingToken> {
-        self.held.filter(|held| now < held.until).map(|held| held.fencing)
+    /// Fencing token of the lease, while it is held.
+    pub fn fencing_token(&self, now: Instant) -> Option<FencingToken> {
+        self.active_lease(now).map(|lease| lease.fencing_token)
     }
 
     /// When [`poll`](Holder::poll) is due next.
-    pub fn next_deadline(&self) -> Option<u64> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         let request = (self.majority > 0).then_some(self.next_request);
-        let expiry = self.held.map(|held| held.until);
+        let expiry = self.lease.map(|lease| lease.expires_at);
         request.into_iter().chain(expiry).min()
     }
 
-    /// Gives the lease back, if it is held: the role must not be exercised from now on, and voters may be told.
-    pub fn release(&mut self, now: u64) -> Option<LeaseRelease> {
-        let held = self.held.take();
-        self.round = None;
-        let fencing = held.filter(|held| now < held.until)?.fencing;
-        Some(LeaseRelease { role: self.role.clone(), fencing })
+    /// Releases the lease, if it is held: the role must not be exercised from now on. The message is for all voters.
+    pub fn release(&mut self, now: Instant) -> Option<LeaseRelease> {
+        let lease = self.lease.take();
+        self.attempt = None;
+        let fencing_token = lease.filter(|lease| now < lease.expires_at)?.fencing_token;
+        Some(LeaseRelease { role: self.role.clone(), fencing_token })
     }
 
-    /// Another has given the role back: asks again within a short random time.
-    pub fn released(&mut self, now: u64) {
-        let spread = self.random.u64(0..self.renew_every / 2 + 1);
-        self.next_request = self.next_request.min(now + spread);
+    /// Another holder has released the role: brings the next request forward to within half a renewal interval, at
+    /// random so that candidates rarely collide.
+    pub fn handle_release(&mut self, now: Instant) {
+        let jitter = self.draw_jitter();
+        self.next_request = self.next_request.min(now + jitter);
     }
 
-    /// Ends the lease when its time is over, and sends the next request when it is due.
-    pub fn poll(&mut self, now: u64) -> HolderStep {
+    /// Ends an expired lease, and sends the next request when it is due.
+    pub fn poll(&mut self, now: Instant) -> HolderStep {
         let event = self.expire(now);
         if self.majority == 0 || now < self.next_request {
             return HolderStep { request: None, event };
         }
-        self.next_request = now + self.renew_every;
-        HolderStep { request: Some(self.start_round(now)), event }
+        self.next_request = now + self.renew_interval;
+        HolderStep { request: Some(self.start_attempt(now)), event }
     }
 
-    /// Counts a voter's answer.
-    pub fn answer(&mut self, now: u64, from: VoterId, answer: &LeaseAnswer) -> HolderStep {
+    /// Counts the answer of the voter `from`.
+    pub fn handle_answer(&mut self, now: Instant, from: VoterId, answer: &LeaseAnswer) -> HolderStep {
         let event = self.expire(now);
         if event.is_some() {
             return HolderStep { request: None, event };
         }
         let event = match answer {
-            LeaseAnswer::Granted { round, bound_micros, .. } => {
-                self.granted(now, from, *round, *bound_micros)
+            LeaseAnswer::Granted { attempt, bound_micros, .. } => {
+                self.handle_grant(now, from, *attempt, Duration::from_micros(*bound_micros))
             }
-            LeaseAnswer::Refused { round, refusal, highest, retry_after_micros, .. } => {
-                self.refused(now, *round, *refusal, *highest, Duration::from_micros(*retry_after_micros));
+            LeaseAnswer::Refused { attempt, refusal, highest, retry_after_micros, .. } => {
+                self.highest_token = self.highest_token.max(*highest);
+                let retry_after = Duration::from_micros(*retry_after_micros);
+                self.handle_refusal(now, *attempt, *refusal, retry_after);
                 None
             }
         };
         HolderStep { request: None, event }
     }
 
-    fn start_round(&mut self, now: u64) -> LeaseRequest {
-        self.last_round = self.last_round.wrapping_add(1);
-        let held = self.held.filter(|held| now < held.until);
-        let fencing = held.map_or(self.highest.next(), |held| held.fencing);
-        self.highest = self.highest.max(fencing);
-        let number = self.last_round;
-        let request = LeaseRequest { role: self.role.clone(), round: number, fencing, held: held.is_some() };
-        self.round = Some(Round {
-            number,
+    fn active_lease(&self, now: Instant) -> Option<ActiveLease> {
+        self.lease.filter(|lease| now < lease.expires_at)
+    }
+
+    fn start_attempt(&mut self, now: Instant) -> LeaseRequest {
+        self.last_attempt = self.last_attempt.wrapping_add(1);
+        let active = self.active_lease(now);
+        let fencing_token = active.map_or(self.highest_token.next(), |lease| lease.fencing_token);
+        self.highest_token = self.highest_token.max(fencing_token);
+        self.attempt = Some(Attempt {
+            number: self.last_attempt,
             sent_at: now,
-            fencing,
+            fencing_token,
             grants: BTreeSet::new(),
-            bound: self.duration,
+            granted_for: self.duration,
             retry_at: None,
         });
-        request
+        LeaseRequest {
+            role: self.role.clone(),
+            attempt: self.last_attempt,
+            fencing_token,
+            is_renewal: active.is_some(),
+        }
     }
 
-    fn granted(&mut self, now: u64, from: VoterId, number: u64, bound: u64) -> Option<HolderEvent> {
-        let round = self.round.as_mut().filter(|round| round.number == number)?;
-        round.grants.insert(from);
-        round.bound = round.bound.min(bound);
-        let (fencing, until) = (round.fencing, round.sent_at + round.bound.saturating_sub(self.safety));
+    fn handle_grant(
+        &mut self,
+        now: Instant,
+        from: VoterId,
+        number: u64,
+        granted_for: Duration,
+    ) -> Option<HolderEvent> {
+        let attempt = self.attempt.as_mut().filter(|attempt| attempt.number == number)?;
+        attempt.grants.insert(from);
+        attempt.granted_for = attempt.granted_for.min(granted_for);
+        let fencing_token = attempt.fencing_token;
+        let expires_at = attempt.sent_at + attempt.granted_for.saturating_sub(self.safety_margin);
         // A lease that some voter grants for a shorter time is renewed at once.
-        let is_whole = round.bound == self.duration;
-        let renewal = if is_whole { round.sent_at + self.renew_every } else { now };
-        if round.grants.len() < self.majority || now >= until {
+        let is_full_length = attempt.granted_for == self.duration;
+        let renew_at = if is_full_length { attempt.sent_at + self.renew_interval } else { now };
+        if attempt.grants.len() < self.majority || now >= expires_at {
             return None;
         }
-        let is_new = self.held.is_none();
-        // One that refused has set a later time, which was meant for a candidate.
-        self.next_request = self.next_request.min(renewal.max(now));
-        let until = self.held.map_or(until, |held| held.until.max(until));
-        self.held = Some(Held { fencing, until });
-        self.highest = self.highest.max(fencing);
-        is_new.then_some(HolderEvent::Granted { fencing })
+        let is_new = self.lease.is_none();
+        // A voter that refused has set a later time, which was meant for a candidate.
+        self.next_request = self.next_request.min(renew_at.max(now));
+        let expires_at = self.lease.map_or(expires_at, |lease| lease.expires_at.max(expires_at));
+        self.lease = Some(ActiveLease { fencing_token, expires_at });
+        self.highest_token = self.highest_token.max(fencing_token);
+        is_new.then_some(HolderEvent::Granted { fencing_token })
     }
 
-    fn refused(
-        &mut self,
-        now: u64,
-        number: u64,
-        refusal: Refusal,
-        highest: FencingToken,
-        retry_after: Duration,
-    ) {
-        self.highest = self.highest.max(highest);
-        let spread = self.random.u64(0..self.renew_every / 2 + 1);
-        let Some(round) = self.round.as_mut().filter(|round| round.number == number) else {
+    fn handle_refusal(&mut self, now: Instant, number: u64, refusal: Refusal, retry_after: Duration) {
+        let jitter = self.draw_jitter();
+        let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.number == number) else {
             return;
         };
-        if self.held.is_some() {
+        if self.lease.is_some() {
             return;
         }
         let wait = match refusal {
-            Refusal::Outdated => spread,
-            // To ask earlier would be in vain.
-            Refusal::Taken | Refusal::Withheld => retry_after.as_micros() as u64 + spread,
+            Refusal::StaleToken => jitter,
+            // An earlier request would be refused again.
+            Refusal::HeldByOther | Refusal::GracePeriod => retry_after.saturating_add(jitter),
         };
-        let retry_at = round.retry_at.map_or(now + wait, |earlier| earlier.min(now + wait));
-        round.retry_at = Some(retry_at);
+        let retry_at = attempt.retry_at.map_or(now + wait, |earlier| earlier.min(now + wait));
+        attempt.retry_at = Some(retry_at);
         self.next_request = retry_at;
     }
 
-    /// Ends a lease whose time is over, and its renewal with it: others may have held the role since.
-    fn expire(&mut self, now: u64) -> Option<HolderEvent> {
-        let held = self.held.filter(|held| now >= held.until)?;
-        self.held = None;
-        self.round = None;
-        Some(HolderEvent::Lost { fencing: held.fencing })
+    /// A random span of at most half a renewal interval, in whole microseconds.
+    fn draw_jitter(&mut self) -> Duration {
+        let half_interval_micros = self.renew_interval.as_micros() as u64 / 2;
+        Duration::from_micros(self.random.u64(0..half_interval_micros + 1))
+    }
+
+    /// Ends an expired lease, and its renewal with it: others may have held the role since.
+    fn expire(&mut self, now: Instant) -> Option<HolderEvent> {
+        let lease = self.lease.filter(|lease| now >= lease.expires_at)?;
+        self.lease = None;
+        self.attempt = None;
+        Some(HolderEvent::Lost { fencing_token: lease.fencing_token })
     }
 }
--- a/coordination/lease/src/lib.rs
+++ b/coordination/lease/src/lib.rs
@@ -1,26 +1,31 @@
-//! Leader lease for named singleton roles, granted by a majority of voters.
+//! Leader leases for named singleton roles, granted by a majority of voters (Gray, Cheriton, 1989).
 //!
-//! A [`Holder`] asks all voters for a role, counts the grants of one round and holds the lease from the moment it
-//! *sent* that round, less a safety margin. A [`Voter`] binds itself from the moment it *received* the request.
-//! Both use their own steady clock only; the margin covers the difference in clock rates. Each lease carries a
-//! [`FencingToken`] number that is higher than that of every earlier lease of the role.
+//! A [`Holder`] asks all voters for a role, counts the grants of one attempt, and holds the lease from the moment it
+//! *sent* the request, less a safety margin. A [`Voter`] binds itself from the moment it *received* the request.
 //!
-//! Everything here is a state machine without I/O: times are microseconds of the steady clock, passed in.
+//! Guaranteed: no two holders hold the same role at one time, and each lease carries a [`FencingToken`] higher than that
+//! of every earlier lease of the role. This rests on clocks whose rates differ by less than the safety margin; clocks
+//! need not show the same time.
+//!
+//! Both sides are state machines without I/O. The embedder passes the readings of its own steady clock, makes a
+//! [`LeaseRecord`] durable before the answer that rests on it leaves, polls the holder at
+//! [`Holder::next_deadline`], and asks [`Holder::is_held`] directly before each act of the role.
 //!
 //! ```
+//! use millrudder_clock::Instant;
 //! use millrudder_lease::{Holder, HolderEvent, HolderId, LeaseConfig, Role, Voter, VoterId, VoterState};
 //!
 //! let config = LeaseConfig::default();
 //! let role = Role("reader".to_owned());
 //! let mut holder = Holder::new(&config, role.clone(), 1);
-//! let mut voter = Voter::new(&config, VoterState::default(), 0);
-//! holder.voters_changed(1, 0);
+//! let mut voter = Voter::new(&config, VoterState::default(), Instant::ORIGIN);
+//! holder.set_voters(1, 0);
 //!
-//! // A voter that has just started withholds its grants for one full lease.
-//! let now = config.duration.as_micros() as u64;
+//! // A voter that has just started grants nothing for one full lease.
+//! let now = Instant::ORIGIN + config.duration;
 //! let request = holder.poll(now).request.expect("a first request");
-//! let vote = voter.request(now, HolderId(5), &request);
-//! let step = holder.answer(now, VoterId(9), &vote.answer);
+//! let vote = voter.handle_request(now, HolderId(5), &request);
+//! let step = holder.handle_answer(now, VoterId(9), &vote.answer);
 //! assert!(matches!(step.event, Some(HolderEvent::Granted { .. })));
 //! assert!(holder.is_held(now));
 //! ```
--- a/coordination/lease/src/voter.rs
+++ b/coordination/lease/src/voter.rs
@@ -1,7 +1,9 @@
-//! The voter: binds itself to one holder a role for the time of a lease.
+//! The voter's side: grants each role to one holder at a time, for the duration of a lease.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
+use millrudder_clock::Instant;
 use speedy::{Readable, Writable};
 
 use crate::{
@@ -18,16 +20,16 @@
     /// Folds one record into the state.
     pub fn apply(&mut self, record: &LeaseRecord) {
         let highest = self.highest.entry(record.role.clone()).or_default();
-        *highest = record.fencing.max(*highest);
+        *highest = record.fencing_token.max(*highest);
     }
 
-    /// The highest fencing number granted for a role.
+    /// The highest fencing token granted for a role.
     pub fn highest(&self, role: &Role) -> FencingToken {
         self.highest.get(role).copied().unwrap_or_default()
     }
 }
 
-/// What follows from a request: `answer` must not leave before `record` is durable.
+/// What the embedder has to do after a request: `answer` must not leave before `record` is durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vote {
     /// To be made durable first.
@@ -36,42 +38,57 @@
     pub answer: LeaseAnswer,
 }
 
+/// The newest grant of a role.
 #[derive(Clone, Copy, Debug)]
-struct Granted {
+struct Grant {
     holder: HolderId,
-    fencing: FencingToken,
-    until: u64,
+    fencing_token: FencingToken,
+    expires_at: Instant,
 }
 
-/// A voter for any number of roles. Times are microseconds of its own steady clock.
+/// Why a request is refused, and when it may be granted.
+struct Objection {
+    refusal: Refusal,
+    retry_at: Instant,
+}
+
+/// A voter for any number of roles. Instants are readings of its own steady clock.
 #[derive(Clone, Debug)]
 pub struct Voter {
-    duration: u64,
+    duration: Duration,
     state: VoterState,
-    granted: BTreeMap<Role, Granted>,
-    withhold_all_until: u64,
-    withhold_new_until: u64,
+    grants: BTreeMap<Role, Grant>,
+    /// Nothing is granted before: grants of an earlier process may still be valid.
+    grace_period_until: Instant,
+    /// Only renewals are granted before: grants of earlier voters may still be valid.
+    renewals_only_until: Instant,
 }
 
 impl Voter {
-    /// A voter that starts at `now` and withholds every grant for one lease, as it has forgotten its earlier ones.
-    pub fn new(config: &LeaseConfig, state: VoterState, now: u64) -> Voter {
-        let duration = config.duration.as_micros() as u64;
-        let withhold_all_until = now + duration;
-        Voter { duration, state, granted: BTreeMap::new(), withhold_all_until, withhold_new_until: 0 }
+    /// A voter that starts at `now`. It grants nothing for one lease, since it has lost the grants of the process
+    /// before.
+    pub fn new(config: &LeaseConfig, state: VoterState, now: Instant) -> Voter {
+        Voter {
+            duration: config.duration,
+            state,
+            grants: BTreeMap::new(),
+            grace_period_until: now + config.duration,
+            renewals_only_until: Instant::ORIGIN,
+        }
     }
 
-    /// Lifts the initial pause of a voter whose disk has never been used, so that it cannot have granted anything.
-    pub fn never_voted(&mut self) {
-        self.withhold_all_until = 0;
+    /// Ends the grace period after a start. Only for a voter whose disk has never been used, so that no earlier process
+    /// can have granted anything.
+    pub fn skip_grace_period(&mut self) {
+        self.grace_period_until = Instant::ORIGIN;
     }
 
     /// Notes that the set of voters has changed at `now`.
     ///
-    /// The earlier majority need not overlap a new one, so only the present holder is granted anything until every
-    /// lease of the earlier voters has run out.
-    pub fn voters_changed(&mut self, now: u64) {
-        self.withhold_new_until = now + self.duration;
+    /// A majority of the earlier voters need not overlap one of the new voters, so only the present holder is granted
+    /// anything until every lease of the earlier voters has expired.
+    pub fn handle_voters_changed(&mut self, now: Instant) {
+        self.renewals_only_until = now + self.duration;
     }
 
     /// The durable state.
@@ -80,68 +97,72 @@
     }
 
     /// Decides on a request that was received at `now`.
-    pub fn request(&mut self, now: u64, from: HolderId, request: &LeaseRequest) -> Vote {
+    pub fn handle_request(&mut self, now: Instant, from: HolderId, request: &LeaseRequest) -> Vote {
         match self.objection(now, from, request) {
-            Some((refusal, retry_at)) => self.refuse(now, request, refusal, retry_at),
-            None => self.bind(now, from, request),
+            Some(objection) => self.refuse(now, request, &objection),
+            None => self.grant(now, from, request),
         }
     }
 
-    /// Binds this voter, or confirms to a candidate that asks again that it is bound already.
+    /// A holder releases its lease: this voter is not bound by it any more.
     ///
-    /// A candidate that asks again has not got its majority. If its grant grew with each request, candidates that each
-    /// hold their own vote would keep it for ever; if the grant did not count for its later rounds, one that collects
-    /// votes one after the other would never have a majority at one time.
-    fn bind(&mut self, now: u64, from: HolderId, request: &LeaseRequest) -> Vote {
-        let bound = self.granted.get(&request.role).filter(|granted| now < granted.until);
-        let until = bound.filter(|_| !request.held).map_or(now + self.duration, |granted| granted.until);
-        self.grant(now, from, request, until)
+    /// A late release of an earlier lease changes nothing.
+    pub fn handle_release(&mut self, from: HolderId, release: &LeaseRelease) {
+        let is_released =
+            |grant: &Grant| grant.holder == from && grant.fencing_token == release.fencing_token;
+        if self.grants.get(&release.role).is_some_and(is_released) {
+            self.grants.remove(&release.role);
+        }
     }
 
-    /// A holder gives its lease back: this voter is not bound by it any more.
-    ///
-    /// A release of an earlier lease, which comes late, changes nothing.
-    pub fn release(&mut self, from: HolderId, release: &LeaseRelease) {
-        let is_that = |granted: &Granted| granted.holder == from && granted.fencing == release.fencing;
-        if self.granted.get(&release.role).is_some_and(is_that) {
-            self.granted.remove(&release.role);
-        }
+    fn active_grant(&self, now: Instant, role: &Role) -> Option<&Grant> {
+        self.grants.get(role).filter(|grant| now < grant.expires_at)
     }
 
-    fn objection(&self, now: u64, from: HolderId, request: &LeaseRequest) -> Option<(Refusal, u64)> {
-        if now < self.withhold_all_until {
-            return Some((Refusal::Withheld, self.withhold_all_until));
+    fn objection(&self, now: Instant, from: HolderId, request: &LeaseRequest) -> Option<Objection> {
+        if now < self.grace_period_until {
+            return Some(Objection { refusal: Refusal::GracePeriod, retry_at: self.grace_period_until });
         }
-        let bound = self.granted.get(&request.role).filter(|granted| now < granted.until);
-        if let Some(taken) = bound.filter(|granted| granted.holder != from) {
-            return Some((Refusal::Taken, taken.until));
+        if let Some(other) = self.active_grant(now, &request.role).filter(|grant| grant.holder != from) {
+            return Some(Objection { refusal: Refusal::HeldByOther, retry_at: other.expires_at });
         }
-        if now < self.withhold_new_until && !request.held {
-            return Some((Refusal::Withheld, self.withhold_new_until));
+        if now < self.renewals_only_until && !request.is_renewal {
+            return Some(Objection { refusal: Refusal::GracePeriod, retry_at: self.renewals_only_until });
         }
-        // A lease that is held keeps its number, also where this voter has since given a higher one to a candidate that
-        // did not win: the grant to that one is over, and a later holder would have needed this voter's majority.
-        let outdated = !request.held && request.fencing <= self.state.highest(&request.role);
-        outdated.then_some((Refusal::Outdated, now))
+        // A renewal keeps its token, also where this voter has since granted a higher one to a candidate that did not
+        // win: that grant is over, and a later holder would have needed this voter's majority.
+        let is_stale = !request.is_renewal && request.fencing_token <= self.state.highest(&request.role);
+        is_stale.then_some(Objection { refusal: Refusal::StaleToken, retry_at: now })
     }
 
-    fn grant(&mut self, now: u64, from: HolderId, request: &LeaseRequest, until: u64) -> Vote {
-        self.granted.insert(request.role.clone(), Granted { holder: from, fencing: request.fencing, until });
-        let record = LeaseRecord { role: request.role.clone(), fencing: request.fencing };
-        let is_new = request.fencing > self.state.highest(&request.role);
+    /// Binds this voter, or confirms to a candidate that asks again that it is bound already.
+    ///
+    /// A candidate that asks again has not got its majority. If its grant grew with each request, candidates that each
+    /// hold their own vote would keep it for ever; if the grant did not count for its later attempts, a candidate that
+    /// collects votes one after the other would never have a majority at one time.
+    fn grant(&mut self, now: Instant, from: HolderId, request: &LeaseRequest) -> Vote {
+        let earlier = self.active_grant(now, &request.role).filter(|_| !request.is_renewal);
+        let expires_at = earlier.map_or(now + self.duration, |grant| grant.expires_at);
+        let fencing_token = request.fencing_token;
+        self.grants.insert(request.role.clone(), Grant { holder: from, fencing_token, expires_at });
+        let record = LeaseRecord { role: request.role.clone(), fencing_token };
+        let is_new = fencing_token > self.state.highest(&request.role);
         self.state.apply(&record);
-        let (role, round) = (request.role.clone(), request.round);
-        let answer = LeaseAnswer::Granted { role, round, bound_micros: until - now };
+        let answer = LeaseAnswer::Granted {
+            role: request.role.clone(),
+            attempt: request.attempt,
+            bound_micros: (expires_at - now).as_micros() as u64,
+        };
         Vote { record: is_new.then_some(record), answer }
     }
 
-    fn refuse(&self, now: u64, request: &LeaseRequest, refusal: Refusal, retry_at: u64) -> Vote {
+    fn refuse(&self, now: Instant, request: &LeaseRequest, objection: &Objection) -> Vote {
         let answer = LeaseAnswer::Refused {
             role: request.role.clone(),
-            round: request.round,
-            refusal,
+            attempt: request.attempt,
+            refusal: objection.refusal,
             highest: self.state.highest(&request.role),
-            retry_after_micros: retry_at.saturating_sub(now),
+            retry_after_micros: (objection.retry_at - now).as_micros() as u64,
         };
         Vote { record: None, answer }
     }
--- a/coordination/lease/tests/golden.rs
+++ b/coordination/lease/tests/golden.rs
@@ -25,26 +25,27 @@
 fn messages_and_records_of_leases() {
     let refused = |refusal| LeaseAnswer::Refused {
         role: role(),
-        round: 0x1112,
+        attempt: 0x1112,
         refusal,
         highest: FENCING,
         retry_after_micros: 0x2122,
     };
-    let record = LeaseRecord { role: role(), fencing: FENCING };
+    let record = LeaseRecord { role: role(), fencing_token: FENCING };
     let mut voter = VoterState::default();
     voter.apply(&record);
-    voter.apply(&LeaseRecord { role: Role("placement".to_owned()), fencing: FencingToken(3) });
+    voter.apply(&LeaseRecord { role: Role("placement".to_owned()), fencing_token: FencingToken(3) });
 
     let mut golden = Golden::open("tests/golden/lease.txt");
-    let request = |held| LeaseRequest { role: role(), round: 0x1112, fencing: FENCING, held };
+    let request =
+        |is_renewal| LeaseRequest { role: role(), attempt: 0x1112, fencing_token: FENCING, is_renewal };
     check(&mut golden, "request", &request(false));
     check(&mut golden, "request_held", &request(true));
-    check(&mut golden, "release", &LeaseRelease { role: role(), fencing: FENCING });
-    let granted = LeaseAnswer::Granted { role: role(), round: 0x1112, bound_micros: 0x3132 };
+    check(&mut golden, "release", &LeaseRelease { role: role(), fencing_token: FENCING });
+    let granted = LeaseAnswer::Granted { role: role(), attempt: 0x1112, bound_micros: 0x3132 };
     check(&mut golden, "granted", &granted);
-    check(&mut golden, "refused_taken", &refused(Refusal::Taken));
-    check(&mut golden, "refused_withheld", &refused(Refusal::Withheld));
-    check(&mut golden, "refused_outdated", &refused(Refusal::Outdated));
+    check(&mut golden, "refused_taken", &refused(Refusal::HeldByOther));
+    check(&mut golden, "refused_withheld", &refused(Refusal::GracePeriod));
+    check(&mut golden, "refused_outdated", &refused(Refusal::StaleToken));
     check(&mut golden, "record", &record);
     check(&mut golden, "voter_state", &voter);
     golden.finish();
--- a/coordination/lease/tests/lease.rs
+++ b/coordination/lease/tests/lease.rs
@@ -1,7 +1,8 @@
-//! Holder and voter, one rule at a time.
+//! Tests of holder and voter, one rule each.
 
 use std::time::Duration;
 
+use millrudder_clock::Instant;
 use millrudder_lease::{
     FencingToken, Holder, HolderEvent, HolderId, LeaseAnswer, LeaseConfig, LeaseConfigError, LeaseRelease,
     LeaseRequest, Refusal, Role, Voter, VoterId, VoterState,
@@ -10,17 +11,22 @@
 const FIRST: HolderId = HolderId(1);
 const SECOND: HolderId = HolderId(2);
 
+/// A reading of the clock, in microseconds since its origin.
+fn at(micros: u64) -> Instant {
+    Instant::from_micros(micros)
+}
+
 fn role() -> Role {
     Role("reader".to_owned())
 }
 
-fn request(fencing: u64, held: bool) -> LeaseRequest {
-    LeaseRequest { role: role(), round: 1, fencing: FencingToken(fencing), held }
+fn request(fencing_token: u64, is_renewal: bool) -> LeaseRequest {
+    LeaseRequest { role: role(), attempt: 1, fencing_token: FencingToken(fencing_token), is_renewal }
 }
 
 fn fresh_voter() -> Voter {
-    let mut voter = Voter::new(&LeaseConfig::default(), VoterState::default(), 0);
-    voter.never_voted();
+    let mut voter = Voter::new(&LeaseConfig::default(), VoterState::default(), Instant::ORIGIN);
+    voter.skip_grace_period();
     voter
 }
 
@@ -38,172 +44,178 @@
 #[test]
 fn a_voter_binds_itself_to_one_holder_until_the_lease_is_over() {
     let mut voter = fresh_voter();
-    assert_eq!(refusal(&voter.request(0, FIRST, &request(1, false)).answer), None);
-    let early = voter.request(duration() - 1, SECOND, &request(2, false));
-    assert_eq!(refusal(&early.answer), Some(Refusal::Taken));
-    assert_eq!(refusal(&voter.request(duration(), SECOND, &request(2, false)).answer), None);
+    assert_eq!(refusal(&voter.handle_request(Instant::ORIGIN, FIRST, &request(1, false)).answer), None);
+    let early = voter.handle_request(at(duration() - 1), SECOND, &request(2, false));
+    assert_eq!(refusal(&early.answer), Some(Refusal::HeldByOther));
+    assert_eq!(refusal(&voter.handle_request(at(duration()), SECOND, &request(2, false)).answer), None);
 }
 
 #[test]
-fn a_voter_that_starts_again_grants_nothing_for_one_lease() {
-    let mut voter = Voter::new(&LeaseConfig::default(), VoterState::default(), 500);
-    let claim = voter.request(duration(), FIRST, &request(1, true));
-    assert_eq!(refusal(&claim.answer), Some(Refusal::Withheld));
-    assert_eq!(refusal(&voter.request(500 + duration(), FIRST, &request(1, false)).answer), None);
+fn a_restarted_voter_grants_nothing_during_its_grace_period() {
+    let mut voter = Voter::new(&LeaseConfig::default(), VoterState::default(), at(500));
+    let claim = voter.handle_request(at(duration()), FIRST, &request(1, true));
+    assert_eq!(refusal(&claim.answer), Some(Refusal::GracePeriod));
+    assert_eq!(refusal(&voter.handle_request(at(500 + duration()), FIRST, &request(1, false)).answer), None);
 }
 
 #[test]
 fn after_a_change_of_voters_only_the_present_holder_is_granted_anything() {
     let mut voter = fresh_voter();
-    voter.voters_changed(1_000);
-    assert_eq!(refusal(&voter.request(2_000, SECOND, &request(9, false)).answer), Some(Refusal::Withheld));
-    assert_eq!(refusal(&voter.request(2_000, FIRST, &request(1, true)).answer), None);
-    assert_eq!(refusal(&voter.request(3_000, SECOND, &request(9, true)).answer), Some(Refusal::Taken));
+    voter.handle_voters_changed(at(1_000));
+    assert_eq!(
+        refusal(&voter.handle_request(at(2_000), SECOND, &request(9, false)).answer),
+        Some(Refusal::GracePeriod)
+    );
+    assert_eq!(refusal(&voter.handle_request(at(2_000), FIRST, &request(1, true)).answer), None);
+    assert_eq!(
+        refusal(&voter.handle_request(at(3_000), SECOND, &request(9, true)).answer),
+        Some(Refusal::HeldByOther)
+    );
 }
 
 #[test]
-fn fencing_numbers_survive_a_restart_of_the_voter() {
+fn fencing_tokens_survive_a_restart_of_the_voter() {
     let mut voter = fresh_voter();
-    let vote = voter.request(0, FIRST, &request(7, false));
+    let vote = voter.handle_request(Instant::ORIGIN, FIRST, &request(7, false));
     let mut state = VoterState::default();
     state.apply(&vote.record.expect("a new number is recorded"));
     assert_eq!(state, *voter.state());
-    let mut voter = Voter::new(&LeaseConfig::default(), state, 0);
-    let vote = voter.request(duration(), SECOND, &request(7, false));
-    assert_eq!(refusal(&vote.answer), Some(Refusal::Outdated));
-    assert_eq!(refusal(&voter.request(duration(), SECOND, &request(8, false)).answer), None);
+    let mut voter = Voter::new(&LeaseConfig::default(), state, Instant::ORIGIN);
+    let vote = voter.handle_request(at(duration()), SECOND, &request(7, false));
+    assert_eq!(refusal(&vote.answer), Some(Refusal::StaleToken));
+    assert_eq!(refusal(&voter.handle_request(at(duration()), SECOND, &request(8, false)).answer), None);
 }
 
 #[test]
 fn a_renewal_needs_no_new_record() {
     let mut voter = fresh_voter();
-    assert!(voter.request(0, FIRST, &request(1, false)).record.is_some());
-    assert!(voter.request(10, FIRST, &request(1, true)).record.is_none());
+    assert!(voter.handle_request(Instant::ORIGIN, FIRST, &request(1, false)).record.is_some());
+    assert!(voter.handle_request(at(10), FIRST, &request(1, true)).record.is_none());
 }
 
 #[test]
 fn a_holder_counts_from_the_time_of_sending_and_stops_early() {
     let config = LeaseConfig::default();
     let mut holder = Holder::new(&config, role(), 3);
-    holder.voters_changed(1, 0);
-    let sent = holder.poll(1_000).request.expect("a request");
-    let granted = LeaseAnswer::Granted { role: role(), round: sent.round, bound_micros: duration() };
-    let step = holder.answer(300_000, VoterId(1), &granted);
-    assert_eq!(step.event, Some(HolderEvent::Granted { fencing: sent.fencing }));
-    let end = 1_000 + (config.duration - config.safety).as_micros() as u64;
-    assert!(holder.is_held(end - 1));
-    assert!(!holder.is_held(end));
-    assert_eq!(holder.poll(end).event, Some(HolderEvent::Lost { fencing: sent.fencing }));
+    holder.set_voters(1, 0);
+    let sent = holder.poll(at(1_000)).request.expect("a request");
+    let granted = LeaseAnswer::Granted { role: role(), attempt: sent.attempt, bound_micros: duration() };
+    let step = holder.handle_answer(at(300_000), VoterId(1), &granted);
+    assert_eq!(step.event, Some(HolderEvent::Granted { fencing_token: sent.fencing_token }));
+    let end = 1_000 + (config.duration - config.safety_margin).as_micros() as u64;
+    assert!(holder.is_held(at(end - 1)));
+    assert!(!holder.is_held(at(end)));
+    assert_eq!(holder.poll(at(end)).event, Some(HolderEvent::Lost { fencing_token: sent.fencing_token }));
 }
 
 #[test]
-fn grants_of_an_earlier_round_or_the_same_voter_do_not_add_up() {
+fn grants_for_an_earlier_attempt_or_by_the_same_voter_do_not_add_up() {
     let config = LeaseConfig::default();
-    let renew = config.renew_every.as_micros() as u64;
+    let renew = config.renew_interval.as_micros() as u64;
     let mut holder = Holder::new(&config, role(), 3);
-    holder.voters_changed(2, 0);
-    let early = holder.poll(0).request.expect("a request").round;
-    let later = holder.poll(renew).request.expect("another request").round;
+    holder.set_voters(2, 0);
+    let early = holder.poll(Instant::ORIGIN).request.expect("a request").attempt;
+    let later = holder.poll(at(renew)).request.expect("another request").attempt;
     let answers = [(early, 1), (later, 2), (later, 2)];
-    for (round, voter) in answers {
-        let step = holder.answer(
-            renew,
+    for (attempt, voter) in answers {
+        let step = holder.handle_answer(
+            at(renew),
             VoterId(voter),
-            &LeaseAnswer::Granted { role: role(), round, bound_micros: duration() },
+            &LeaseAnswer::Granted { role: role(), attempt, bound_micros: duration() },
         );
         assert_eq!(step.event, None);
     }
-    let step = holder.answer(
-        renew,
+    let step = holder.handle_answer(
+        at(renew),
         VoterId(1),
-        &LeaseAnswer::Granted { role: role(), round: later, bound_micros: duration() },
+        &LeaseAnswer::Granted { role: role(), attempt: later, bound_micros: duration() },
     );
     assert!(step.event.is_some());
 }
 
 #[test]
-fn a_later_generation_of_voters_gives_higher_numbers() {
+fn a_later_generation_of_voters_grants_higher_tokens() {
     let mut holder = Holder::new(&LeaseConfig::default(), role(), 3);
-    holder.voters_changed(1, 4);
-    let first = holder.poll(0).request.expect("a request").fencing;
-    holder.voters_changed(1, 5);
-    let second = holder.poll(0).request.expect("a request").fencing;
+    holder.set_voters(1, 4);
+    let first = holder.poll(Instant::ORIGIN).request.expect("a request").fencing_token;
+    holder.set_voters(1, 5);
+    let second = holder.poll(Instant::ORIGIN).request.expect("a request").fencing_token;
     assert!(second > first && first > FencingToken::floor(4) && second > FencingToken::floor(5));
 }
 
 #[test]
-fn times_that_do_not_fit_together_are_refused() {
-    let shortest = LeaseConfig::default().safety + LeaseConfig::default().renew_every * 2;
+fn inconsistent_durations_are_rejected() {
+    let shortest = LeaseConfig::default().safety_margin + LeaseConfig::default().renew_interval * 2;
     let config = LeaseConfig { duration: shortest, ..LeaseConfig::default() };
     assert_eq!(config.check(), Ok(()));
     let config = LeaseConfig { duration: shortest - Duration::from_millis(1), ..LeaseConfig::default() };
     assert!(matches!(config.check(), Err(LeaseConfigError::TooShort { .. })));
-    let config = LeaseConfig { renew_every: Duration::ZERO, ..LeaseConfig::default() };
-    assert_eq!(config.check(), Err(LeaseConfigError::NoRenewalPause));
+    let config = LeaseConfig { renew_interval: Duration::ZERO, ..LeaseConfig::default() };
+    assert_eq!(config.check(), Err(LeaseConfigError::NoRenewalInterval));
     assert_eq!(LeaseConfig::default().check(), Ok(()));
 }
 
 #[test]
-fn a_lease_that_is_given_back_is_free_at_once_and_for_that_lease_only() {
+fn a_release_frees_the_role_at_once_and_counts_for_its_own_lease_only() {
     let mut voter = fresh_voter();
-    let _ = voter.request(0, FIRST, &request(5, false));
-    let release = |fencing| LeaseRelease { role: role(), fencing: FencingToken(fencing) };
-    voter.release(SECOND, &release(5));
-    voter.release(FIRST, &release(4));
-    let taken = voter.request(10, SECOND, &request(6, false));
-    assert_eq!(refusal(&taken.answer), Some(Refusal::Taken));
-    voter.release(FIRST, &release(5));
-    assert_eq!(refusal(&voter.request(20, SECOND, &request(6, false)).answer), None);
-    // The earlier holder's renewal comes late: it is the lower number.
-    let late = voter.request(30, FIRST, &request(5, true));
-    assert_eq!(refusal(&late.answer), Some(Refusal::Taken));
+    let _ = voter.handle_request(Instant::ORIGIN, FIRST, &request(5, false));
+    let release = |fencing_token| LeaseRelease { role: role(), fencing_token: FencingToken(fencing_token) };
+    voter.handle_release(SECOND, &release(5));
+    voter.handle_release(FIRST, &release(4));
+    let taken = voter.handle_request(at(10), SECOND, &request(6, false));
+    assert_eq!(refusal(&taken.answer), Some(Refusal::HeldByOther));
+    voter.handle_release(FIRST, &release(5));
+    assert_eq!(refusal(&voter.handle_request(at(20), SECOND, &request(6, false)).answer), None);
+    // A late renewal of the earlier holder has the lower token.
+    let late = voter.handle_request(at(30), FIRST, &request(5, true));
+    assert_eq!(refusal(&late.answer), Some(Refusal::HeldByOther));
 }
 
 #[test]
-fn a_holder_that_gives_its_lease_back_does_not_hold_it_and_counts_no_late_grant() {
+fn a_holder_that_released_its_lease_ignores_late_grants() {
     let mut holder = Holder::new(&LeaseConfig::default(), role(), 1);
-    holder.voters_changed(1, 0);
-    let round = holder.poll(0).request.expect("a request").round;
-    let granted = LeaseAnswer::Granted { role: role(), round, bound_micros: duration() };
-    let _ = holder.answer(1, VoterId(9), &granted);
-    let fencing = holder.fencing(2).expect("it is held");
-    assert_eq!(holder.release(2), Some(LeaseRelease { role: role(), fencing }));
-    assert!(!holder.is_held(2));
-    assert_eq!(holder.answer(3, VoterId(9), &granted).event, None);
-    assert!(!holder.is_held(3));
-    assert_eq!(holder.release(3), None);
+    holder.set_voters(1, 0);
+    let attempt = holder.poll(Instant::ORIGIN).request.expect("a request").attempt;
+    let granted = LeaseAnswer::Granted { role: role(), attempt, bound_micros: duration() };
+    let _ = holder.handle_answer(at(1), VoterId(9), &granted);
+    let fencing_token = holder.fencing_token(at(2)).expect("it is held");
+    assert_eq!(holder.release(at(2)), Some(LeaseRelease { role: role(), fencing_token }));
+    assert!(!holder.is_held(at(2)));
+    assert_eq!(holder.handle_answer(at(3), VoterId(9), &granted).event, None);
+    assert!(!holder.is_held(at(3)));
+    assert_eq!(holder.release(at(3)), None);
 }
 
 #[test]
-fn a_candidate_asks_soon_after_the_lease_was_given_back() {
+fn a_candidate_retries_soon_after_a_release() {
     let config = LeaseConfig::default();
     let mut holder = Holder::new(&config, role(), 1);
-    holder.voters_changed(1, 0);
-    assert!(holder.poll(0).request.is_some());
-    let soon = config.renew_every.as_micros() as u64 / 2;
-    holder.released(10);
-    assert!(holder.next_deadline().is_some_and(|due| due <= 10 + soon));
-    assert!(holder.poll(11 + soon).request.is_some());
+    holder.set_voters(1, 0);
+    assert!(holder.poll(Instant::ORIGIN).request.is_some());
+    let soon = config.renew_interval.as_micros() as u64 / 2;
+    holder.handle_release(at(10));
+    assert!(holder.next_deadline().is_some_and(|due| due <= at(10 + soon)));
+    assert!(holder.poll(at(11 + soon)).request.is_some());
 }
 
 #[test]
-fn who_holds_a_lease_renews_it_in_time_also_where_one_voter_refused() {
+fn a_holder_renews_in_time_although_one_voter_refused() {
     let config = LeaseConfig::default();
     let mut holder = Holder::new(&config, role(), 3);
-    holder.voters_changed(2, 0);
-    let round = holder.poll(0).request.expect("a request").round;
+    holder.set_voters(2, 0);
+    let attempt = holder.poll(Instant::ORIGIN).request.expect("a request").attempt;
     let refused = LeaseAnswer::Refused {
         role: role(),
-        round,
-        refusal: Refusal::Taken,
+        attempt,
+        refusal: Refusal::HeldByOther,
         highest: FencingToken(1),
         retry_after_micros: duration(),
     };
-    let granted = LeaseAnswer::Granted { role: role(), round, bound_micros: duration() };
-    assert_eq!(holder.answer(10, VoterId(1), &granted).event, None);
-    assert_eq!(holder.answer(2_000, VoterId(3), &refused).event, None);
-    assert!(holder.answer(3_000, VoterId(2), &granted).event.is_some());
-    let renewal = config.renew_every.as_micros() as u64;
-    assert!(holder.next_deadline().is_some_and(|due| due <= renewal));
-    assert!(holder.poll(renewal).request.is_some_and(|request| request.held));
+    let granted = LeaseAnswer::Granted { role: role(), attempt, bound_micros: duration() };
+    assert_eq!(holder.handle_answer(at(10), VoterId(1), &granted).event, None);
+    assert_eq!(holder.handle_answer(at(2_000), VoterId(3), &refused).event, None);
+    assert!(holder.handle_answer(at(3_000), VoterId(2), &granted).event.is_some());
+    let renewal = config.renew_interval.as_micros() as u64;
+    assert!(holder.next_deadline().is_some_and(|due| due <= at(renewal)));
+    assert!(holder.poll(at(renewal)).request.is_some_and(|request| request.is_renewal));
 }
--- a/coordination/lease/tests/model.rs
+++ b/coordination/lease/tests/model.rs
@@ -5,6 +5,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
+use millrudder_clock::Instant;
 use millrudder_lease::{
     FencingToken, Holder, HolderEvent, HolderId, LeaseAnswer, LeaseConfig, LeaseRequest, Role, Voter, VoterId,
 };
@@ -27,8 +28,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum InFlight {
-    Request { holder: usize, voter: usize, round: u64, fencing: FencingToken, held: bool },
-    Granted { holder: usize, voter: usize, round: u64, bound_micros: u64 },
+    Request { holder: usize, voter: usize, attempt: u64, fencing_token: FencingToken, is_renewal: bool },
+    Granted { holder: usize, voter: usize, attempt: u64, bound_micros: u64 },
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -73,16 +74,21 @@
 fn config() -> LeaseConfig {
     LeaseConfig {
         duration: Duration::from_micros(2 * STEP),
-        safety: Duration::from_micros(STEP / 2),
-        renew_every: Duration::from_micros(STEP),
+        safety_margin: Duration::from_micros(STEP / 2),
+        renew_interval: Duration::from_micros(STEP),
     }
 }
 
+/// A reading of the clock, in microseconds since its origin.
+fn at(micros: u64) -> Instant {
+    Instant::from_micros(micros)
+}
+
 fn role() -> Role {
     Role("reader".to_owned())
 }
 
-/// The first holder has the role by the grants of two voters; its request to the third is still under way.
+/// The first holder has the role by the grants of two voters; its request to the third is still in flight.
 fn held_by_the_first() -> World {
     let mut world = World::new(LIMITS);
     world.poll(0);
@@ -93,20 +99,20 @@
     while let Some(index) = world.in_flight.iter().position(granted) {
         world.deliver(index);
     }
-    assert!(world.holders[0].is_held(world.now));
+    assert!(world.holders[0].is_held(at(world.now)));
     world
 }
 
 fn candidate(seed: u64) -> Holder {
     let mut holder = Holder::new(&config(), role(), seed);
-    holder.voters_changed(VOTERS / 2 + 1, 0);
+    holder.set_voters(VOTERS / 2 + 1, 0);
     holder
 }
 
 impl World {
     fn new(limits: Limits) -> World {
-        let mut voters = vec![Voter::new(&config(), Default::default(), 0); VOTERS];
-        voters.iter_mut().for_each(Voter::never_voted);
+        let mut voters = vec![Voter::new(&config(), Default::default(), Instant::ORIGIN); VOTERS];
+        voters.iter_mut().for_each(Voter::skip_grace_period);
         let holders = (0..HOLDERS as u64).map(candidate).collect();
         World {
             limits,
@@ -127,8 +133,8 @@
         hasher.finish()
     }
 
-    /// Place of an action's part in the order within one step.
-    fn part(&self, action: Action) -> usize {
+    /// Position of an action's actor in the fixed order within one step.
+    fn actor(&self, action: Action) -> usize {
         match action {
             Action::Poll { holder } | Action::RestartHolder { holder } => holder,
             Action::RestartVoter { voter } => HOLDERS + voter,
@@ -144,7 +150,7 @@
     fn actions(&self) -> Vec<Action> {
         let mut actions: Vec<Action> =
             (0..self.in_flight.len()).map(|index| Action::Deliver { index }).collect();
-        let due = |holder: &Holder| holder.next_deadline().is_some_and(|due| due <= self.now);
+        let due = |holder: &Holder| holder.next_deadline().is_some_and(|due| due <= at(self.now));
         let may_poll =
             |holder: &usize| due(&self.holders[*holder]) && self.polls[*holder] < self.limits.polls[*holder];
         let polls = (0..HOLDERS).filter(may_poll);
@@ -156,13 +162,13 @@
             actions.extend((0..VOTERS).map(|voter| Action::RestartVoter { voter }));
             actions.push(Action::RestartHolder { holder: 0 });
         }
-        actions.retain(|action| self.part(*action) >= self.acting);
+        actions.retain(|action| self.actor(*action) >= self.acting);
         actions
     }
 
     fn after(&self, action: Action) -> World {
         let mut next = self.clone();
-        next.acting = self.part(action);
+        next.acting = self.actor(action);
         match action {
             Action::Advance => {
                 next.now += STEP;
@@ -172,7 +178,7 @@
             Action::Deliver { index } => next.deliver(index),
             Action::RestartVoter { voter } => {
                 next.restarts += 1;
-                next.voters[voter] = Voter::new(&config(), self.voters[voter].state().clone(), self.now);
+                next.voters[voter] = Voter::new(&config(), self.voters[voter].state().clone(), at(self.now));
             }
             Action::RestartHolder { holder } => {
                 next.restarts += 1;
@@ -185,14 +191,14 @@
 
     fn poll(&mut self, holder: usize) {
         self.polls[holder] += 1;
-        let step = self.holders[holder].poll(self.now);
+        let step = self.holders[holder].poll(at(self.now));
         self.event(step.event);
         let Some(request) = step.request else {
             return;
         };
         for voter in 0..VOTERS {
-            let LeaseRequest { round, fencing, held, .. } = request;
-            self.in_flight.insert(InFlight::Request { holder, voter, round, fencing, held });
+            let LeaseRequest { attempt, fencing_token, is_renewal, .. } = request;
+            self.in_flight.insert(InFlight::Request { holder, voter, attempt, fencing_token, is_renewal });
         }
     }
 
@@ -200,37 +206,37 @@
         let message = self.in_flight.iter().nth(index).cloned().expect("the index is in range");
         self.in_flight.remove(&message);
         match message {
-            InFlight::Request { holder, voter, round, fencing, held } => {
-                let request = LeaseRequest { role: role(), round, fencing, held };
-                let vote = self.voters[voter].request(self.now, HolderId(holder as u64), &request);
+            InFlight::Request { holder, voter, attempt, fencing_token, is_renewal } => {
+                let request = LeaseRequest { role: role(), attempt, fencing_token, is_renewal };
+                let vote = self.voters[voter].handle_request(at(self.now), HolderId(holder as u64), &request);
                 match vote.answer {
-                    LeaseAnswer::Granted { round, bound_micros, .. } => {
-                        self.in_flight.insert(InFlight::Granted { holder, voter, round, bound_micros });
+                    LeaseAnswer::Granted { attempt, bound_micros, .. } => {
+                        self.in_flight.insert(InFlight::Granted { holder, voter, attempt, bound_micros });
                     }
                     refused => self.answer(holder, voter, &refused),
                 }
             }
-            InFlight::Granted { holder, voter, round, bound_micros } => {
-                self.answer(holder, voter, &LeaseAnswer::Granted { role: role(), round, bound_micros });
+            InFlight::Granted { holder, voter, attempt, bound_micros } => {
+                self.answer(holder, voter, &LeaseAnswer::Granted { role: role(), attempt, bound_micros });
             }
         }
     }
 
     fn answer(&mut self, holder: usize, voter: usize, answer: &LeaseAnswer) {
-        let step = self.holders[holder].answer(self.now, VoterId(voter as u64), answer);
+        let step = self.holders[holder].handle_answer(at(self.now), VoterId(voter as u64), answer);
         self.event(step.event);
     }
 
     fn event(&mut self, event: Option<HolderEvent>) {
-        if let Some(HolderEvent::Granted { fencing }) = event {
-            assert!(fencing > self.highest, "fencing numbers rise: {self:?}");
-            self.highest = fencing;
+        if let Some(HolderEvent::Granted { fencing_token }) = event {
+            assert!(fencing_token > self.highest, "fencing tokens rise: {self:?}");
+            self.highest = fencing_token;
         }
     }
 
     fn check(&self) {
-        let holding = self.holders.iter().filter(|holder| holder.is_held(self.now)).count();
-        assert!(holding <= 1, "two hold the role: {self:?}");
+        let holding = self.holders.iter().filter(|holder| holder.is_held(at(self.now))).count();
+        assert!(holding <= 1, "two holders of the role: {self:?}");
     }
 }
 
@@ -264,17 +270,17 @@
 }
 
 #[test]
-fn no_order_of_events_gives_the_role_to_two() {
+fn no_interleaving_grants_the_role_to_two_holders() {
     let states = std::env::var("LEASE_MODEL_STATES").ok().and_then(|text| text.parse().ok());
     let bound = states.unwrap_or(ORDINARY_STATES);
     let unheld = explore(World::new(LIMITS), bound / 2);
     let held = explore(held_by_the_first(), bound / 2);
-    println!("from an unheld role {unheld:?}, from a held one {held:?}");
+    println!("from a free role {unheld:?}, from a held one {held:?}");
     assert!(unheld.complete_depth >= 6 && held.complete_depth >= 6);
 }
 
 #[test]
-fn long_histories_never_give_the_role_to_two() {
+fn long_histories_never_grant_the_role_to_two_holders() {
     let mut grants = 0;
     for seed in 0..WALKS {
         let mut random = fastrand::Rng::with_seed(seed);
--- a/coordination/lease/tests/renewals.rs
+++ b/coordination/lease/tests/renewals.rs
@@ -1,5 +1,6 @@
-//! A lease goes on while a majority of the voters lives, whatever another candidate was given in vain.
+//! A lease goes on while a majority of the voters lives, whatever was granted to a candidate that did not win.
 
+use millrudder_clock::Instant;
 use millrudder_lease::{
     Holder, HolderId, LeaseAnswer, LeaseConfig, LeaseRequest, Role, Voter, VoterId, VoterState,
 };
@@ -8,6 +9,11 @@
 const MAJORITY: usize = 2;
 const STEP_MICROS: u64 = 1_000;
 
+/// A reading of the clock, in microseconds since its origin.
+fn at(micros: u64) -> Instant {
+    Instant::from_micros(micros)
+}
+
 fn role() -> Role {
     Role("role".to_owned())
 }
@@ -30,8 +36,8 @@
     fn new() -> World {
         let config = LeaseConfig::default();
         let machine = |number| {
-            let mut voter = Voter::new(&config, VoterState::default(), 0);
-            voter.never_voted();
+            let mut voter = Voter::new(&config, VoterState::default(), Instant::ORIGIN);
+            voter.skip_grace_period();
             Machine { voter, holder: candidate(&config, number as u64), runs: true }
         };
         let machines = (0..MACHINES).map(machine).collect();
@@ -46,7 +52,7 @@
     fn restart(&mut self, number: usize) {
         let now = self.now();
         let state = self.machines[number].voter.state().clone();
-        let voter = Voter::new(&self.config, state, now);
+        let voter = Voter::new(&self.config, state, at(now));
         let holder = candidate(&self.config, 50 + number as u64);
         self.machines[number] = Machine { voter, holder, runs: true };
     }
@@ -67,7 +73,7 @@
             if !self.machines[number].runs {
                 continue;
             }
-            let Some(request) = self.machines[number].holder.poll(now).request else { continue };
+            let Some(request) = self.machines[number].holder.poll(at(now)).request else { continue };
             self.deliver(now, number, number, &request);
             let others = (0..MACHINES).filter(|to| *to != number);
             self.requests.extend(others.map(|to| (number, to, request.clone())));
@@ -78,19 +84,21 @@
         if !self.machines[from].runs || !self.machines[to].runs {
             return;
         }
-        let answer: LeaseAnswer = self.machines[to].voter.request(now, HolderId(from as u64), request).answer;
-        let _ = self.machines[from].holder.answer(now, VoterId(to as u64), &answer);
+        let answer: LeaseAnswer =
+            self.machines[to].voter.handle_request(at(now), HolderId(from as u64), request).answer;
+        let _ = self.machines[from].holder.handle_answer(at(now), VoterId(to as u64), &answer);
     }
 
     fn holder(&self) -> Option<usize> {
         let now = self.now();
-        (0..MACHINES).find(|number| self.machines[*number].runs && self.machines[*number].holder.is_held(now))
+        (0..MACHINES)
+            .find(|number| self.machines[*number].runs && self.machines[*number].holder.is_held(at(now)))
     }
 }
 
 fn candidate(config: &LeaseConfig, seed: u64) -> Holder {
     let mut holder = Holder::new(config, role(), seed);
-    holder.voters_changed(MAJORITY, 1);
+    holder.set_voters(MAJORITY, 1);
     holder
 }
 
@@ -102,7 +110,7 @@
     let holder = world.holder().expect("somebody holds the role");
     let (restarted, lost) = ((holder + 1) % MACHINES, (holder + 2) % MACHINES);
     world.restart(restarted);
-    // The restarted one asks for the role itself, in vain; between two such tries its voter is free for the holder.
+    // The restarted one asks for the role itself, without success; between two such attempts its voter is free for the holder.
     world.run_for(20 * lease);
     assert_eq!(world.holder(), Some(holder));
     world.machines[lost].runs = false;
@@ -113,21 +121,27 @@
 }
 
 #[test]
-fn a_number_given_in_vain_is_still_not_given_again() {
+fn a_token_granted_to_a_losing_candidate_is_not_granted_again() {
     let config = LeaseConfig::default();
     let lease = config.duration.as_micros() as u64;
-    let mut voter = Voter::new(&config, VoterState::default(), 0);
-    voter.never_voted();
-    let ask = |fencing, held| LeaseRequest {
+    let mut voter = Voter::new(&config, VoterState::default(), Instant::ORIGIN);
+    voter.skip_grace_period();
+    let ask = |fencing_token, is_renewal| LeaseRequest {
         role: role(),
-        round: 1,
-        fencing: millrudder_lease::FencingToken(fencing),
-        held,
+        attempt: 1,
+        fencing_token: millrudder_lease::FencingToken(fencing_token),
+        is_renewal,
     };
     let is_granted = |answer: LeaseAnswer| matches!(answer, LeaseAnswer::Granted { .. });
-    assert!(is_granted(voter.request(0, HolderId(2), &ask(9, false)).answer));
-    assert!(!is_granted(voter.request(lease - 1, HolderId(1), &ask(1, true)).answer), "bound to the other");
-    assert!(is_granted(voter.request(lease, HolderId(1), &ask(1, true)).answer), "the holder goes on");
-    assert!(!is_granted(voter.request(3 * lease, HolderId(3), &ask(9, false)).answer));
-    assert!(is_granted(voter.request(3 * lease, HolderId(3), &ask(10, false)).answer));
+    assert!(is_granted(voter.handle_request(Instant::ORIGIN, HolderId(2), &ask(9, false)).answer));
+    assert!(
+        !is_granted(voter.handle_request(at(lease - 1), HolderId(1), &ask(1, true)).answer),
+        "bound to the other"
+    );
+    assert!(
+        is_granted(voter.handle_request(at(lease), HolderId(1), &ask(1, true)).answer),
+        "the holder goes on"
+    );
+    assert!(!is_granted(voter.handle_request(at(3 * lease), HolderId(3), &ask(9, false)).answer));
+    assert!(is_granted(voter.handle_request(at(3 * lease), HolderId(3), &ask(10, false)).answer));
 }
--- a/coordination/view/src/agreement.rs
+++ b/coordination/view/src/agreement.rs
@@ -1,9 +1,9 @@
-//! Agreement on the next view: acceptor, proposer and the newest decided view of one node.
+//! Agreement on the next view: the acceptor, the proposer and the newest decided view of one node.
 
 use speedy::{Readable, Writable};
 
 use crate::acceptor::Acceptor;
-use crate::proposer::{Proposer, TargetView};
+use crate::proposer::{Promise, Proposer, TargetView};
 use crate::{AcceptedView, Ballot, Epoch, Member, NodeId, View, ViewMessage, ViewRecord};
 
 /// A message with its recipient, which may be the sending node itself.
@@ -15,7 +15,7 @@
     pub message: ViewMessage,
 }
 
-/// What follows from an input: `messages` must not leave before `record` is durable.
+/// What the embedder has to do after an input: `messages` must not leave before `record` is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[must_use]
 pub struct Step {
@@ -28,14 +28,14 @@
 /// Durable state of the agreement, rebuilt from the [`ViewRecord`]s.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ViewState {
-    founding: Option<Vec<Member>>,
+    bootstrap_members: Option<Vec<Member>>,
     view: Option<View>,
     acceptor: Acceptor,
 }
 
 impl ViewState {
-    /// The state of a node that knows `view` and has voted for nothing since.
-    pub fn of(view: View) -> ViewState {
+    /// The state of a node that knows `view` and has promised and accepted nothing since.
+    pub fn from_view(view: View) -> ViewState {
         ViewState { view: Some(view), ..ViewState::default() }
     }
 
@@ -44,9 +44,9 @@
         self.view.as_ref()
     }
 
-    /// The founding list to which this node agreed.
-    pub fn founding(&self) -> Option<&[Member]> {
-        self.founding.as_deref()
+    /// The members of the first view to which this node has agreed.
+    pub fn bootstrap_members(&self) -> Option<&[Member]> {
+        self.bootstrap_members.as_deref()
     }
 
     /// Epoch of the newest decided view.
@@ -57,7 +57,7 @@
     /// Folds one record into the state.
     pub fn apply(&mut self, record: &ViewRecord) {
         match record {
-            ViewRecord::BootstrapAgreed { members } => self.founding = Some(members.clone()),
+            ViewRecord::BootstrapAgreed { members } => self.bootstrap_members = Some(members.clone()),
             ViewRecord::Promised { instance, ballot } => {
                 if *instance == self.epoch().next() {
                     self.acceptor.promise(*ballot);
@@ -83,7 +83,7 @@
 /// Agreement on views at one node.
 #[derive(Clone, Debug)]
 pub struct ViewAgreement {
-    me: NodeId,
+    local_id: NodeId,
     minimum_members: usize,
     state: ViewState,
     proposer: Option<Proposer>,
@@ -92,9 +92,9 @@
 
 impl ViewAgreement {
     /// Continues from durable `state`. No view with fewer than `minimum_members` is ever proposed.
-    pub fn new(me: NodeId, state: ViewState, minimum_members: usize) -> ViewAgreement {
+    pub fn new(local_id: NodeId, state: ViewState, minimum_members: usize) -> ViewAgreement {
         let highest_round = state.acceptor.promised.round;
-        ViewAgreement { me, minimum_members, state, proposer: None, highest_round }
+        ViewAgreement { local_id, minimum_members, state, proposer: None, highest_round }
     }
 
     /// The durable state.
@@ -114,44 +114,44 @@
 
     /// Whether this node votes in the newest decided view.
     pub fn is_voter(&self) -> bool {
-        self.view().is_some_and(|view| view.is_voter(self.me))
+        self.view().is_some_and(|view| view.is_voter(self.local_id))
     }
 
     /// Whether this node is a member of the newest decided view.
     pub fn is_member(&self) -> bool {
-        self.view().is_some_and(|view| view.contains(self.me))
+        self.view().is_some_and(|view| view.contains(self.local_id))
     }
 
     /// Whether this node has accepted a next view, so that the present one may be over already.
     ///
-    /// Such a node must not vouch that its view is current.
-    pub fn is_fenced(&self) -> bool {
+    /// Such a node must not confirm that its view is current.
+    pub fn has_accepted_next_view(&self) -> bool {
         self.state.acceptor.accepted.is_some()
     }
 
-    /// Whether an attempt of this node is under way.
+    /// Whether an attempt of this node is in flight.
     pub fn is_proposing(&self) -> bool {
         self.proposer.is_some()
     }
 
-    /// Starts a new attempt to replace the present view by the `wanted` one.
+    /// Starts a new attempt to replace the present view by `target`.
     ///
-    /// Does nothing at a node that does not vote, or when too few are to keep the state or too many voters differ.
-    pub fn propose(&mut self, wanted: TargetView) -> Step {
-        if !self.may_propose(&wanted) {
+    /// Does nothing at a node that does not vote, or where `target` has too few members or changes too many voters.
+    pub fn propose(&mut self, target: TargetView) -> Step {
+        if !self.can_propose(&target) {
             return Step::default();
         }
         self.highest_round = self.highest_round.saturating_add(1);
-        let ballot = Ballot { round: self.highest_round, node: self.me };
-        self.proposer = Some(Proposer::new(ballot, wanted));
+        let ballot = Ballot { round: self.highest_round, node: self.local_id };
+        self.proposer = Some(Proposer::new(ballot, target));
         let prepare = ViewMessage::Prepare { instance: self.epoch().next(), ballot };
         Step { record: None, messages: self.to_voters(&prepare) }
     }
 
-    fn may_propose(&self, wanted: &TargetView) -> bool {
-        let one_change = |view: &View| view.voters_change_by_one(&wanted.voters);
-        let changes = self.view().is_some_and(one_change);
-        self.is_voter() && changes && wanted.members.len() >= self.minimum_members
+    fn can_propose(&self, target: &TargetView) -> bool {
+        let changes_one_voter = |view: &View| view.voters_change_by_one(&target.voters);
+        let is_allowed = self.view().is_some_and(changes_one_voter);
+        self.is_voter() && is_allowed && target.members.len() >= self.minimum_members
     }
 
     /// Ends this node's attempt, if there is one.
@@ -159,7 +159,7 @@
         self.proposer = None;
     }
 
-    /// Takes a decided view from elsewhere (the foundation).
+    /// Adopts a view that was decided elsewhere, if it is newer and well formed.
     pub fn adopt(&mut self, view: View) -> Step {
         if view.epoch <= self.epoch() || !view.is_well_formed() {
             return Step::default();
@@ -169,39 +169,45 @@
         Step { record: Some(ViewRecord::Decided { view }), messages: Vec::new() }
     }
 
-    /// Records the agreement to a founding list.
-    pub(crate) fn agree_to_foundation(&mut self, members: Vec<Member>) -> Step {
-        self.state.founding = Some(members.clone());
+    /// Records the agreement to the members of the first view.
+    pub(crate) fn record_bootstrap_agreement(&mut self, members: Vec<Member>) -> Step {
+        self.state.bootstrap_members = Some(members.clone());
         Step { record: Some(ViewRecord::BootstrapAgreed { members }), messages: Vec::new() }
     }
 
     /// Handles a message. `complete` tells whether this node holds every committed command.
+    ///
+    /// Agreement to a bootstrap is handled by [`Bootstrap::handle`](crate::Bootstrap::handle) while no view is known.
     pub fn handle(&mut self, from: NodeId, message: ViewMessage, complete: bool) -> Step {
         match message {
-            ViewMessage::Prepare { instance, ballot } => self.on_prepare(from, instance, ballot, complete),
+            ViewMessage::Prepare { instance, ballot } => {
+                self.handle_prepare(from, instance, ballot, complete)
+            }
             ViewMessage::Promise { instance, ballot, accepted, complete } => {
-                self.on_promise(from, instance, ballot, accepted, complete)
+                self.handle_promise(from, instance, ballot, Promise { accepted, complete })
             }
             ViewMessage::Refused { instance, ballot, promised } => {
-                self.on_refused(instance, ballot, promised)
+                self.handle_refused(instance, ballot, promised)
+            }
+            ViewMessage::Accept { instance, ballot, view } => {
+                self.handle_accept(from, instance, ballot, view)
             }
-            ViewMessage::Accept { instance, ballot, view } => self.on_accept(from, instance, ballot, view),
-            ViewMessage::Accepted { instance, ballot } => self.on_accepted(from, instance, ballot),
+            ViewMessage::Accepted { instance, ballot } => self.handle_accepted(from, instance, ballot),
             ViewMessage::Decided { view } => self.adopt(view),
-            ViewMessage::Query { known } => self.on_query(from, known),
-            ViewMessage::BootstrapAgreed { .. } => self.on_query(from, Epoch::NONE),
+            ViewMessage::Query { known } => self.handle_query(from, known),
+            ViewMessage::BootstrapAgreed { .. } => self.handle_query(from, Epoch::NONE),
         }
     }
 
-    /// The newest view for a peer that knows only `known`.
-    pub fn on_query(&self, from: NodeId, known: Epoch) -> Step {
+    /// Sends the newest view to a peer that knows only `known`.
+    pub fn handle_query(&self, from: NodeId, known: Epoch) -> Step {
         let newer = self.view().filter(|view| view.epoch > known);
         let messages =
             newer.map(|view| Envelope { to: from, message: ViewMessage::Decided { view: view.clone() } });
         Step { record: None, messages: messages.into_iter().collect() }
     }
 
-    fn on_prepare(&mut self, from: NodeId, instance: Epoch, ballot: Ballot, complete: bool) -> Step {
+    fn handle_prepare(&mut self, from: NodeId, instance: Epoch, ballot: Ballot, complete: bool) -> Step {
         if let Some(step) = self.other_instance(from, instance) {
             return step;
         }
@@ -211,10 +217,10 @@
         }
         let accepted = self.state.acceptor.accepted.clone();
         let promise = ViewMessage::Promise { instance, ballot, accepted, complete };
-        Step { record: Some(ViewRecord::Promised { instance, ballot }), messages: one(from, promise) }
+        Step { record: Some(ViewRecord::Promised { instance, ballot }), messages: to_one(from, promise) }
     }
 
-    fn on_accept(&mut self, from: NodeId, instance: Epoch, ballot: Ballot, view: View) -> Step {
+    fn handle_accept(&mut self, from: NodeId, instance: Epoch, ballot: Ballot, view: View) -> Step {
         if let Some(step) = self.other_instance(from, instance) {
             return step;
         }
@@ -226,58 +232,51 @@
             return self.refuse(from, instance, ballot);
         }
         let record = ViewRecord::Accepted { instance, accepted: AcceptedView { ballot, view } };
-        Step { record: Some(record), messages: one(from, ViewMessage::Accepted { instance, ballot }) }
+        Step { record: Some(record), messages: to_one(from, ViewMessage::Accepted { instance, ballot }) }
     }
 
-    fn on_promise(
-        &mut self,
-        from: NodeId,
-        instance: Epoch,
-        ballot: Ballot,
-        accepted: Option<AcceptedView>,
-        complete: bool,
-    ) -> Step {
+    fn handle_promise(&mut self, from: NodeId, instance: Epoch, ballot: Ballot, promise: Promise) -> Step {
         let Some(base) = self.base_of(instance, from) else {
             return Step::default();
         };
         let minimum_members = self.minimum_members;
-        let Some(proposer) = self.proposer.as_mut().filter(|proposer| proposer.ballot == ballot) else {
+        let Some(proposer) = self.proposer.as_mut().filter(|proposer| proposer.ballot() == ballot) else {
             return Step::default();
         };
-        let Some(view) = proposer.promised(&base, minimum_members, from, accepted, complete) else {
+        let Some(view) = proposer.handle_promise(&base, minimum_members, from, promise) else {
             return Step::default();
         };
         let accept = ViewMessage::Accept { instance, ballot, view };
         Step { record: None, messages: self.to_voters(&accept) }
     }
 
-    fn on_accepted(&mut self, from: NodeId, instance: Epoch, ballot: Ballot) -> Step {
+    fn handle_accepted(&mut self, from: NodeId, instance: Epoch, ballot: Ballot) -> Step {
         let Some(base) = self.base_of(instance, from) else {
             return Step::default();
         };
-        let Some(proposer) = self.proposer.as_mut().filter(|proposer| proposer.ballot == ballot) else {
+        let Some(proposer) = self.proposer.as_mut().filter(|proposer| proposer.ballot() == ballot) else {
             return Step::default();
         };
-        let Some(view) = proposer.accepted(&base, from) else {
+        let Some(view) = proposer.handle_acceptance(&base, from) else {
             return Step::default();
         };
         self.announce(&base, view)
     }
 
-    fn on_refused(&mut self, instance: Epoch, ballot: Ballot, promised: Ballot) -> Step {
-        let mine = self.proposer.as_ref().is_some_and(|proposer| proposer.ballot == ballot);
-        if mine && instance == self.epoch().next() {
+    fn handle_refused(&mut self, instance: Epoch, ballot: Ballot, promised: Ballot) -> Step {
+        let is_own = self.proposer.as_ref().is_some_and(|proposer| proposer.ballot() == ballot);
+        if is_own && instance == self.epoch().next() {
             self.highest_round = self.highest_round.max(promised.round);
             self.proposer = None;
         }
         Step::default()
     }
 
-    /// Adopts a decided view and tells it to the voters of both views.
+    /// Adopts a decided view and sends it to the voters of both views.
     fn announce(&mut self, base: &View, view: View) -> Step {
         let decided = ViewMessage::Decided { view: view.clone() };
         let mut peers: Vec<NodeId> =
-            base.voter_ids().chain(view.voter_ids()).filter(|id| *id != self.me).collect();
+            base.voter_ids().chain(view.voter_ids()).filter(|id| *id != self.local_id).collect();
         peers.sort();
         peers.dedup();
         let mut step = self.adopt(view);
@@ -294,18 +293,18 @@
     /// The answer to a request for another instance than the one in which this node votes.
     fn other_instance(&self, from: NodeId, instance: Epoch) -> Option<Step> {
         if instance <= self.epoch() {
-            return Some(self.on_query(from, Epoch(instance.0.saturating_sub(1))));
+            return Some(self.handle_query(from, Epoch(instance.0.saturating_sub(1))));
         }
         if instance > self.epoch().next() {
             let query = ViewMessage::Query { known: self.epoch() };
-            return Some(Step { record: None, messages: one(from, query) });
+            return Some(Step { record: None, messages: to_one(from, query) });
         }
         (!self.is_voter()).then(Step::default)
     }
 
     fn refuse(&self, from: NodeId, instance: Epoch, ballot: Ballot) -> Step {
         let promised = self.state.acceptor.promised;
-        Step { record: None, messages: one(from, ViewMessage::Refused { instance, ballot, promised }) }
+        Step { record: None, messages: to_one(from, ViewMessage::Refused { instance, ballot, promised }) }
     }
 
     fn to_voters(&self, message: &ViewMessage) -> Vec<Envelope> {
@@ -314,6 +313,6 @@
     }
 }
 
-fn one(to: NodeId, message: ViewMessage) -> Vec<Envelope> {
+fn to_one(to: NodeId, message: ViewMessage) -> Vec<Envelope> {
     vec![Envelope { to, message }]
 }
--- a/coordination/view/src/bootstrap.rs
+++ b/coordination/view/src/bootstrap.rs
@@ -1,70 +1,71 @@
-//! The founding of the first view.
+//! Bootstrap of a cluster: the members of its first view agree on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::agreement::{Envelope, Step, ViewAgreement};
 use crate::{Epoch, Member, NodeId, View, ViewMessage};
 
-/// Forms the first view once all founders have agreed to the same list of members.
+/// Forms the first view once all its nodes have agreed to the same list of members.
 ///
-/// A node agrees to one list in the life of its disk. Every list needs the agreement of all its members, so two
-/// lists that share a living disk cannot both be founded. Only a node with a list of founders proposes; a node
-/// without one agrees to a list that names it, which cannot found anything by itself.
+/// A node agrees to one list in the life of its disk. Every list needs the agreement of all its members, so of two
+/// lists that share a disk at most one forms a view. Only a node that was given bootstrap addresses proposes a list; a
+/// node without them agrees to a list that names it, which cannot form a view by itself.
 #[derive(Clone, Debug)]
 pub struct Bootstrap {
-    me: Member,
-    /// Addresses of all founders; empty at a node that must not propose a foundation.
-    founders: Vec<String>,
-    /// No more founders than this become voters.
-    voters: usize,
-    known: BTreeMap<String, NodeId>,
+    local: Member,
+    /// Addresses of all nodes of the bootstrap; empty at a node that must not propose one.
+    addresses: Vec<String>,
+    /// No more of them than this become voters.
+    max_voters: usize,
+    ids_by_address: BTreeMap<String, NodeId>,
     agreed_by: BTreeSet<NodeId>,
 }
 
 impl Bootstrap {
-    /// `founders` are the addresses of the first machines, empty where founding is not allowed. At most `voters` of
-    /// them form the first view; this number must be the same at all nodes.
-    pub fn new(me: Member, founders: Vec<String>, voters: usize) -> Bootstrap {
-        let known = BTreeMap::from([(me.address.clone(), me.id)]);
-        Bootstrap { me, founders, voters, known, agreed_by: BTreeSet::new() }
+    /// `addresses` are those of all nodes of the bootstrap, this one included; empty where this node must not propose
+    /// one. At most `max_voters` of them form the first view; this number must be the same at all nodes.
+    pub fn new(local: Member, addresses: Vec<String>, max_voters: usize) -> Bootstrap {
+        let ids_by_address = BTreeMap::from([(local.address.clone(), local.id)]);
+        Bootstrap { local, addresses, max_voters, ids_by_address, agreed_by: BTreeSet::new() }
     }
 
-    /// Notes which node answers at an address.
-    pub fn peer_seen(&mut self, id: NodeId, address: &str) {
-        self.known.insert(address.to_owned(), id);
+    /// Learns which node answers at an address.
+    pub fn add_peer(&mut self, id: NodeId, address: &str) {
+        self.ids_by_address.insert(address.to_owned(), id);
     }
 
-    /// Proposes the foundation, or repeats this node's agreement. To be called now and then while no view is known.
+    /// Proposes the first view, or repeats this node's agreement. To be called at the heartbeat's pace while no view is
+    /// known.
     pub fn poll(&self, agreement: &mut ViewAgreement) -> Step {
         if agreement.epoch() != Epoch::NONE {
             return Step::default();
         }
-        if let Some(members) = agreement.state().founding() {
+        if let Some(members) = agreement.state().bootstrap_members() {
             return Step { record: None, messages: self.announcement(members) };
         }
-        self.list().map_or_else(Step::default, |members| self.agree(agreement, members))
+        self.own_proposal().map_or_else(Step::default, |members| self.agree(agreement, members))
     }
 
     /// Handles a peer's agreement to `members`.
     pub fn handle(&mut self, agreement: &mut ViewAgreement, from: NodeId, members: Vec<Member>) -> Step {
         if agreement.epoch() != Epoch::NONE {
-            return agreement.on_query(from, Epoch::NONE);
+            return agreement.handle_query(from, Epoch::NONE);
         }
-        let Some(agreed) = agreement.state().founding().map(<[Member]>::to_vec) else {
+        let Some(agreed) = agreement.state().bootstrap_members().map(<[Member]>::to_vec) else {
             return self.join(agreement, from, members);
         };
         if agreed != members {
             return Step::default();
         }
         self.agreed_by.insert(from);
-        self.found(agreement, agreed)
+        self.adopt_if_all_agree(agreement, agreed)
     }
 
-    /// Agrees to a list proposed by another founder, if it is the own list or the node has none.
+    /// Agrees to a list that another node proposed, if it is the own list or this node has none.
     fn join(&mut self, agreement: &mut ViewAgreement, from: NodeId, members: Vec<Member>) -> Step {
-        let acceptable = match self.founders.is_empty() {
-            true => members.contains(&self.me),
-            false => self.list().is_some_and(|list| list == members),
+        let acceptable = match self.addresses.is_empty() {
+            true => members.contains(&self.local),
+            false => self.own_proposal().is_some_and(|list| list == members),
         };
         if !acceptable {
             return Step::default();
@@ -74,19 +75,19 @@
     }
 
     fn agree(&self, agreement: &mut ViewAgreement, members: Vec<Member>) -> Step {
-        let mut step = agreement.agree_to_foundation(members.clone());
+        let mut step = agreement.record_bootstrap_agreement(members.clone());
         step.messages = self.announcement(&members);
         step
     }
 
-    /// Adopts the founding view once every member has agreed; its own agreement arrives as a message to itself.
-    fn found(&self, agreement: &mut ViewAgreement, members: Vec<Member>) -> Step {
+    /// Adopts the first view once every member has agreed; the own agreement arrives as a message to itself.
+    fn adopt_if_all_agree(&self, agreement: &mut ViewAgreement, members: Vec<Member>) -> Step {
         if !members.iter().all(|member| self.agreed_by.contains(&member.id)) {
             return Step::default();
         }
         let others: Vec<NodeId> =
-            members.iter().map(|member| member.id).filter(|id| *id != self.me.id).collect();
-        let view = View::of_members(Epoch::FOUNDING, spread_over(members, self.voters));
+            members.iter().map(|member| member.id).filter(|id| *id != self.local.id).collect();
+        let view = View::of_members(Epoch::FIRST, evenly_spaced(members, self.max_voters));
         let decided = ViewMessage::Decided { view: view.clone() };
         let messages = others.into_iter().map(|to| Envelope { to, message: decided.clone() }).collect();
         let mut step = agreement.adopt(view);
@@ -94,16 +95,16 @@
         step
     }
 
-    /// The founding list, once the node behind every founder's address is known.
-    fn list(&self) -> Option<Vec<Member>> {
-        if !self.founders.contains(&self.me.address) {
+    /// The members of the first view, once the node behind every address is known.
+    fn own_proposal(&self) -> Option<Vec<Member>> {
+        if !self.addresses.contains(&self.local.address) {
             return None;
         }
         let member = |address: &String| {
-            let id = *self.known.get(address)?;
+            let id = *self.ids_by_address.get(address)?;
             Some(Member { id, address: address.clone() })
         };
-        let mut members: Vec<Member> = self.founders.iter().map(member).collect::<Option<_>>()?;
+        let mut members: Vec<Member> = self.addresses.iter().map(member).collect::<Option<_>>()?;
         members.sort_by(|left, right| left.address.cmp(&right.address));
         Some(members)
     }
@@ -114,9 +115,9 @@
     }
 }
 
-/// At most `count` members at even distances in the list, since neighbours by address often share what they lose.
-fn spread_over(members: Vec<Member>, count: usize) -> Vec<Member> {
+/// At most `count` members at even distances in the list, since neighbours by address often share a failure domain.
+fn evenly_spaced(members: Vec<Member>, count: usize) -> Vec<Member> {
     let total = members.len();
     let chosen = count.clamp(1, total.max(1)).min(total);
-    (0..chosen).map(|place| members[place * total / chosen].clone()).collect()
+    (0..chosen).map(|index| members[index * total / chosen].clone()).collect()
 }
--- a/coordination/view/src/detector.rs
+++ b/coordination/view/src/detector.rs
@@ -1,94 +1,107 @@
-//! Failure detection among core members by heartbeats.
+//! Failure detection among the members of a core by heartbeats.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use millrudder_clock::Instant;
 use thiserror::Error;
 
 use crate::NodeId;
 
-/// Times of the failure detector.
+/// Durations of the failure detector, in whole microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DetectorConfig {
-    /// Pause between two heartbeats to the same peer.
-    pub heartbeat: Duration,
-    /// Silence after which a peer is suspected.
+    /// Interval between two heartbeats to the same peer.
+    pub heartbeat_interval: Duration,
+    /// A peer without a heartbeat for so long is suspected.
     pub suspect_after: Duration,
-    /// Unbroken contact after which a peer counts as steady again.
-    pub steady_after: Duration,
+    /// Contact without an interruption for so long makes a peer stable again.
+    pub stable_after: Duration,
 }
 
 impl Default for DetectorConfig {
     fn default() -> DetectorConfig {
         DetectorConfig {
-            heartbeat: Duration::from_millis(100),
+            heartbeat_interval: Duration::from_millis(100),
             suspect_after: Duration::from_millis(600),
-            steady_after: Duration::from_secs(1),
+            stable_after: Duration::from_secs(1),
         }
     }
 }
 
-/// Why a [`DetectorConfig`] cannot be used.
+/// Why a [`DetectorConfig`] is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DetectorConfigError {
-    /// Heartbeats cost processor time; a pause of zero would never rest.
-    #[error("the pause between heartbeats is zero")]
-    NoHeartbeatPause,
+    /// Without an interval heartbeats would be sent without end.
+    #[error("the interval between heartbeats is zero")]
+    NoHeartbeatInterval,
     /// A single lost heartbeat must not make a peer suspect.
-    #[error("a peer would be suspected after {suspect_after:?}, less than two heartbeats of {heartbeat:?}")]
-    SuspectsTooEarly { heartbeat: Duration, suspect_after: Duration },
+    #[error("a peer would be suspected after {suspect_after:?}, less than two heartbeats of {heartbeat_interval:?}")]
+    SuspectsTooEarly {
+        /// [`DetectorConfig::heartbeat_interval`].
+        heartbeat_interval: Duration,
+        /// [`DetectorConfig::suspect_after`].
+        suspect_after: Duration,
+    },
 }
 
 impl DetectorConfig {
-    /// Checks that the times fit together.
+    /// Checks that the durations fit together.
+    ///
+    /// # Errors
+    ///
+    /// Says which rule the durations break.
     pub fn check(&self) -> Result<(), DetectorConfigError> {
-        let DetectorConfig { heartbeat, suspect_after, .. } = *self;
-        if heartbeat.is_zero() {
-            return Err(DetectorConfigError::NoHeartbeatPause);
+        let DetectorConfig { heartbeat_interval, suspect_after, .. } = *self;
+        if heartbeat_interval.is_zero() {
+            return Err(DetectorConfigError::NoHeartbeatInterval);
         }
-        if suspect_after < heartbeat * 2 {
-            return Err(DetectorConfigError::SuspectsTooEarly { heartbeat, suspect_after });
+        if suspect_after < heartbeat_interval * 2 {
+            return Err(DetectorConfigError::SuspectsTooEarly { heartbeat_interval, suspect_after });
         }
         Ok(())
     }
 }
 
-/// What is known of the contact with one peer, in microseconds of the own steady clock.
+/// What is known of the contact with one peer.
 #[derive(Clone, Copy, Debug)]
 struct Contact {
-    last_heard: u64,
-    last_heard_us: u64,
-    steady_since: u64,
-    /// The peer said that it is about to end.
-    leaving: bool,
+    /// When its last heartbeat came.
+    last_heard: Instant,
+    /// When the last heartbeat came that named this node among those its sender hears.
+    last_heard_us: Instant,
+    /// Since when contact has not been interrupted.
+    stable_since: Instant,
+    /// The peer has said that it shuts down.
+    is_leaving: bool,
 }
 
-/// Tells which peers are silent, or do not hear this node.
+/// Tells which peers are unreachable in one direction or the other.
 ///
-/// A cut that lets messages pass in one direction only makes both ends suspect each other, since each heartbeat
-/// names the peers that its sender hears.
+/// Each heartbeat names the peers that its sender hears, so that a partition which lets messages pass in one direction
+/// only makes both ends suspect each other.
 #[derive(Clone, Debug)]
 pub struct Detector {
-    suspect_after: u64,
-    steady_after: u64,
+    suspect_after: Duration,
+    stable_after: Duration,
     contacts: BTreeMap<NodeId, Contact>,
-    last_poll: u64,
+    last_poll: Instant,
 }
 
 impl Detector {
-    /// A detector that starts at `now` (microseconds of the steady clock).
-    pub fn new(config: &DetectorConfig, now: u64) -> Detector {
+    /// A detector that starts at `now`, a reading of the steady clock.
+    pub fn new(config: &DetectorConfig, now: Instant) -> Detector {
         Detector {
-            suspect_after: config.suspect_after.as_micros() as u64,
-            steady_after: config.steady_after.as_micros() as u64,
+            suspect_after: config.suspect_after,
+            stable_after: config.stable_after,
             contacts: BTreeMap::new(),
             last_poll: now,
         }
     }
 
-    /// Notes the passing of time. After a gap in which this node itself did not run, all contacts start afresh.
-    pub fn poll(&mut self, now: u64) {
-        let gap = now.saturating_sub(self.last_poll);
+    /// Notes the passing of time. After a gap in which this process itself did not run, all contacts start afresh.
+    pub fn poll(&mut self, now: Instant) {
+        let gap = now - self.last_poll;
         self.last_poll = now;
         if gap < self.suspect_after / 2 {
             return;
@@ -98,84 +111,84 @@
         }
     }
 
-    /// Starts to watch a peer, which has `suspect_after` to be heard for the first time.
-    pub fn watch(&mut self, now: u64, peer: NodeId) {
+    /// Starts to watch a peer, which has [`DetectorConfig::suspect_after`] to be heard for the first time.
+    pub fn watch(&mut self, now: Instant, peer: NodeId) {
         self.contacts.entry(peer).or_insert_with(|| Contact::fresh(now));
     }
 
-    /// A heartbeat came from `peer`; `hears_us` tells whether it names this node among those it hears.
-    pub fn heartbeat(&mut self, now: u64, peer: NodeId, hears_us: bool) {
+    /// A heartbeat came from `peer`; `hears_us` tells whether it names this node among those its sender hears.
+    pub fn handle_heartbeat(&mut self, now: Instant, peer: NodeId, hears_us: bool) {
         let suspect_after = self.suspect_after;
         let contact = self.contacts.entry(peer).or_insert_with(|| Contact::fresh(now));
-        if contact.is_broken(now, suspect_after) {
-            contact.steady_since = now;
+        if contact.is_suspect(now, suspect_after) {
+            contact.stable_since = now;
         }
         contact.last_heard = now;
-        contact.leaving = false;
+        contact.is_leaving = false;
         if hears_us {
             contact.last_heard_us = now;
         }
     }
 
-    /// A peer said that it is about to end; it is suspected until its next heartbeat.
-    pub fn leaving(&mut self, peer: NodeId) {
+    /// A peer has said that it shuts down; it is suspected until its next heartbeat.
+    pub fn mark_leaving(&mut self, peer: NodeId) {
         if let Some(contact) = self.contacts.get_mut(&peer) {
-            contact.leaving = true;
+            contact.is_leaving = true;
         }
     }
 
-    /// Whether a watched peer is silent or does not hear this node.
-    pub fn is_suspect(&self, now: u64, peer: NodeId) -> bool {
-        self.contacts.get(&peer).is_some_and(|contact| contact.is_broken(now, self.suspect_after))
+    /// Whether a watched peer is unreachable or shuts down.
+    pub fn is_suspect(&self, now: Instant, peer: NodeId) -> bool {
+        self.contacts.get(&peer).is_some_and(|contact| contact.is_suspect(now, self.suspect_after))
     }
 
-    /// Whether a watched peer is silent or does not hear this node; one that is about to end is still there.
-    pub fn is_lost(&self, now: u64, peer: NodeId) -> bool {
-        self.contacts.get(&peer).is_some_and(|contact| contact.is_lost(now, self.suspect_after))
+    /// Whether a watched peer is not heard, or does not hear this node. One that shuts down is still reachable.
+    pub fn is_unreachable(&self, now: Instant, peer: NodeId) -> bool {
+        self.contacts.get(&peer).is_some_and(|contact| contact.is_unreachable(now, self.suspect_after))
     }
 
-    /// When the next of these peers becomes suspect unless it is heard.
-    pub fn next_loss(&self, now: u64, peers: impl Iterator<Item = NodeId>) -> Option<u64> {
+    /// When the next of `peers` becomes suspect unless it is heard.
+    pub fn next_timeout(&self, now: Instant, peers: impl Iterator<Item = NodeId>) -> Option<Instant> {
         let contacts = peers.filter_map(|peer| self.contacts.get(&peer));
         let due = contacts.map(|contact| contact.last_heard.min(contact.last_heard_us) + self.suspect_after);
         due.filter(|due| *due > now).min()
     }
 
-    /// Whether a peer said that it is about to end.
+    /// Whether a peer has said that it shuts down.
     pub fn is_leaving(&self, peer: NodeId) -> bool {
-        self.contacts.get(&peer).is_some_and(|contact| contact.leaving)
+        self.contacts.get(&peer).is_some_and(|contact| contact.is_leaving)
     }
 
-    /// Whether contact with a peer has been unbroken for the configured time.
-    pub fn is_steady(&self, now: u64, peer: NodeId) -> bool {
+    /// Whether contact with a peer has not been interrupted for [`DetectorConfig::stable_after`].
+    pub fn is_stable(&self, now: Instant, peer: NodeId) -> bool {
         let Some(contact) = self.contacts.get(&peer) else {
             return false;
         };
-        let long_enough = now.saturating_sub(contact.steady_since) >= self.steady_after;
-        long_enough && !contact.is_broken(now, self.suspect_after)
+        let long_enough = now - contact.stable_since >= self.stable_after;
+        long_enough && !contact.is_suspect(now, self.suspect_after)
     }
 
-    /// Peers heard of late, to be named in heartbeats.
-    pub fn heard(&self, now: u64) -> Vec<NodeId> {
-        let heard = self.contacts.iter().filter(|(_, contact)| !contact.is_silent(now, self.suspect_after));
+    /// Peers whose heartbeats arrive, to be named in heartbeats.
+    pub fn heard_peers(&self, now: Instant) -> Vec<NodeId> {
+        let heard = self.contacts.iter().filter(|(_, contact)| contact.is_heard(now, self.suspect_after));
         heard.map(|(id, _)| *id).collect()
     }
 }
 
 impl Contact {
-    fn fresh(now: u64) -> Contact {
-        Contact { last_heard: now, last_heard_us: now, steady_since: now, leaving: false }
+    fn fresh(now: Instant) -> Contact {
+        Contact { last_heard: now, last_heard_us: now, stable_since: now, is_leaving: false }
     }
 
-    fn is_silent(&self, now: u64, suspect_after: u64) -> bool {
-        now.saturating_sub(self.last_heard) >= suspect_after
+    fn is_heard(&self, now: Instant, suspect_after: Duration) -> bool {
+        now - self.last_heard < suspect_after
     }
 
-    fn is_broken(&self, now: u64, suspect_after: u64) -> bool {
-        self.leaving || self.is_lost(now, suspect_after)
+    fn is_suspect(&self, now: Instant, suspect_after: Duration) -> bool {
+        self.is_leaving || self.is_unreachable(now, suspect_after)
     }
 
-    fn is_lost(&self, now: u64, suspect_after: u64) -> bool {
-        self.is_silent(now, suspect_after) || now.saturating_sub(self.last_heard_us) >= suspect_after
+    fn is_unreachable(&self, now: Instant, suspect_after: Duration) -> bool {
+        !self.is_heard(now, suspect_after) || now - self.last_heard_us >= suspect_after
     }
 }
--- a/coordination/view/src/identity.rs
+++ b/coordination/view/src/identity.rs
@@ -4,7 +4,7 @@
 
 use speedy::{Readable, Writable};
 
-/// Identity of one disk: drawn at random when a node starts with an empty disk, and kept on it.
+/// Identity of one disk: drawn at random when a node starts with an empty disk, and stored on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct NodeId(pub u64);
 
@@ -15,8 +15,8 @@
 impl Epoch {
     /// The epoch of a node that knows no view.
     pub const NONE: Epoch = Epoch(0);
-    /// The epoch of the founding view.
-    pub const FOUNDING: Epoch = Epoch(1);
+    /// The epoch of the first view.
+    pub const FIRST: Epoch = Epoch(1);
 
     /// The epoch that follows this one.
     pub fn next(self) -> Epoch {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Ballot of a Paxos proposer: rounds first, then the node, so that no two proposers share a ballot.
+/// Ballot of a Paxos proposer: ordered by round, then by node, so that no two proposers share a ballot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Ballot {
     /// Grows with each attempt.
@@ -42,10 +42,10 @@
     pub address: String,
 }
 
-/// Who decides in one epoch, and who keeps the state in it.
+/// Who decides in one epoch, and who holds the state in it.
 ///
-/// The voters decide the next view, grant leases and vouch for the epoch, each by a majority. The members are those of
-/// them that keep the state, in chain order: head first, tail last. A voter that is lost stays a voter until another
+/// The voters decide the next view, grant leases and confirm the epoch, each by a majority. The members are those of
+/// them that hold the state, in chain order: head first, tail last. A voter that is lost stays a voter until another
 /// node takes its place, so that the others remain a majority of the same number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Readable, Writable)]
 pub struct View {
@@ -53,17 +53,17 @@
     pub epoch: Epoch,
     /// Who votes, in any order.
     pub voters: Vec<Member>,
-    /// The voters that keep the state, in chain order.
+    /// The voters that hold the state, in chain order.
     pub members: Vec<Member>,
 }
 
 impl View {
-    /// A view in which every voter keeps the state.
+    /// A view in which every voter is a member.
     pub fn of_members(epoch: Epoch, members: Vec<Member>) -> View {
         View { epoch, voters: members.clone(), members }
     }
 
-    /// Whether `id` keeps the state.
+    /// Whether `id` is a member, which holds the state.
     pub fn contains(&self, id: NodeId) -> bool {
         self.members.iter().any(|member| member.id == id)
     }
@@ -96,7 +96,7 @@
         self.voters.len() / 2 + 1
     }
 
-    /// Whether `voters` are the same, or differ by one that comes, one that goes, or one in the place of another.
+    /// Whether `voters` are the same, or differ by one that is added, removed, or replaced.
     pub fn voters_change_by_one(&self, voters: &[Member]) -> bool {
         let before: BTreeSet<NodeId> = self.voter_ids().collect();
         let after: BTreeSet<NodeId> = voters.iter().map(|voter| voter.id).collect();
@@ -104,7 +104,7 @@
     }
 
     /// Whether the same nodes vote in both views.
-    pub fn has_voters_of(&self, other: &View) -> bool {
+    pub fn has_same_voters(&self, other: &View) -> bool {
         let own: BTreeSet<NodeId> = self.voter_ids().collect();
         own == other.voter_ids().collect()
     }
@@ -121,18 +121,18 @@
 
     /// The member before `id` in chain order.
     pub fn predecessor(&self, id: NodeId) -> Option<NodeId> {
-        let place = self.place(id)?;
-        place.checked_sub(1).map(|before| self.members[before].id)
+        let position = self.position(id)?;
+        position.checked_sub(1).map(|before| self.members[before].id)
     }
 
     /// The member after `id` in chain order.
     pub fn successor(&self, id: NodeId) -> Option<NodeId> {
-        let place = self.place(id)?;
-        self.members.get(place + 1).map(|member| member.id)
+        let position = self.position(id)?;
+        self.members.get(position + 1).map(|member| member.id)
     }
 
     /// Index of `id` in chain order.
-    pub fn place(&self, id: NodeId) -> Option<usize> {
+    pub fn position(&self, id: NodeId) -> Option<usize> {
         self.members.iter().position(|member| member.id == id)
     }
 
--- a/coordination/view/src/lib.rs
+++ b/coordination/view/src/lib.rs
@@ -1,19 +1,23 @@
 //! Agreed membership of a small core of machines.
 //!
-//! A [`View`] names the voters of one [`Epoch`], and those of them that keep the state, in order. The view that follows
-//! epoch `e` is decided by single-decree Paxos among the voters of view `e`, one instance an epoch, so that at most one
-//! view exists for each epoch. Voters change one at a time. The first view is formed by a [`Bootstrap`]: every founder
-//! must agree to the same list.
+//! A [`View`] names the voters of one [`Epoch`], and those of them that hold the state, in order (views: Oki, Liskov,
+//! 1988; a configuration decided by its predecessor: vertical Paxos, Lamport, Malkhi, Zhou, 2009). The view that follows
+//! epoch `e` is decided by single-decree Paxos (Lamport, 2001) among the voters of view `e`, one instance an epoch.
+//! Voters change one at a time. The first view is formed by a [`Bootstrap`]: each of its members must agree to the same
+//! list.
 //!
-//! Everything here is a state machine without I/O. [`ViewAgreement`] returns a [`Step`]: a record to make durable
-//! and messages that must not leave before it is. A [`Detector`] tells which members are silent.
+//! Guaranteed: at most one view exists for each epoch; the first member of a view was a member of the view before and
+//! holds every command that was committed in it.
+//!
+//! Everything here is a state machine without I/O. [`ViewAgreement`] returns a [`Step`]: a record that the embedder makes
+//! durable, and messages that must not leave before it is. A [`Detector`] tells which members are unreachable.
 //!
 //! ```
 //! use millrudder_view::{Epoch, Member, NodeId, View, ViewAgreement, ViewState};
 //!
 //! let member = Member { id: NodeId(7), address: "127.0.0.1:9000".to_owned() };
 //! let view = View::of_members(Epoch(1), vec![member]);
-//! let agreement = ViewAgreement::new(NodeId(7), ViewState::of(view), 1);
+//! let agreement = ViewAgreement::new(NodeId(7), ViewState::from_view(view), 1);
 //! assert!(agreement.is_member());
 //! assert_eq!(agreement.epoch(), Epoch(1));
 //! ```
--- a/coordination/view/tests/agreement.rs
+++ b/coordination/view/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! One instance of the agreement, one rule at a time.
+//! Tests of the agreement on views, one rule each.
 
 use millrudder_view::{
     AcceptedView, Ballot, Epoch, Member, NodeId, Step, TargetView, View, ViewAgreement, ViewMessage,
@@ -15,19 +15,19 @@
     View::of_members(Epoch(epoch), ids.iter().copied().map(member).collect())
 }
 
-/// The voters of the first view, of which some keep the state.
+/// The voters of the first view, and these members.
 fn chain(epoch: u64, ids: &[u64]) -> View {
     View { voters: view(epoch, &[1, 2, 3]).voters, ..view(epoch, ids) }
 }
 
-/// The same voters, and these members.
-fn wanted(ids: &[u64]) -> TargetView {
+/// The same as a target.
+fn target(ids: &[u64]) -> TargetView {
     let View { voters, members, .. } = chain(2, ids);
     TargetView::new(voters, members)
 }
 
 fn agreement(id: u64) -> ViewAgreement {
-    ViewAgreement::new(NodeId(id), ViewState::of(view(1, &[1, 2, 3])), 2)
+    ViewAgreement::new(NodeId(id), ViewState::from_view(view(1, &[1, 2, 3])), 2)
 }
 
 fn ballot_of(step: &Step) -> Ballot {
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn a_view_is_never_led_by_a_member_that_may_lack_commands() {
+fn an_incomplete_member_never_becomes_the_first_of_a_view() {
     let mut proposer = agreement(3);
-    let ballot = ballot_of(&proposer.propose(wanted(&[2, 3])));
+    let ballot = ballot_of(&proposer.propose(target(&[2, 3])));
     let own = proposer.handle(NodeId(3), promise(ballot, None, true), true);
     let incomplete = proposer.handle(NodeId(2), promise(ballot, None, false), true);
     assert!(own.messages.is_empty() && incomplete.messages.is_empty());
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn no_view_is_proposed_before_each_member_that_is_to_stay_has_answered() {
+fn no_view_is_proposed_before_all_its_present_voters_have_promised() {
     let mut proposer = agreement(2);
     let next = view(2, &[1, 2, 4]);
     let next = TargetView::new(next.voters, next.members);
@@ -74,9 +74,9 @@
 }
 
 #[test]
-fn a_view_that_may_be_decided_is_proposed_again() {
+fn the_view_accepted_at_the_highest_ballot_is_proposed_again() {
     let mut proposer = agreement(2);
-    let ballot = ballot_of(&proposer.propose(wanted(&[1, 2])));
+    let ballot = ballot_of(&proposer.propose(target(&[1, 2])));
     let earlier = |round, ids: &[u64]| {
         let ballot = Ballot { round, node: NodeId(3) };
         Some(AcceptedView { ballot, view: view(2, ids) })
@@ -85,7 +85,7 @@
     let step = proposer.handle(NodeId(3), promise(ballot, earlier(2, &[1, 3]), true), true);
     assert_eq!(accepted_views(&step), vec![view(2, &[1, 3]); 3], "the highest ballot binds");
     let mut proposer = agreement(2);
-    let ballot = ballot_of(&proposer.propose(wanted(&[1, 2])));
+    let ballot = ballot_of(&proposer.propose(target(&[1, 2])));
     let _ = proposer.handle(NodeId(2), promise(ballot, None, true), true);
     let step = proposer.handle(NodeId(3), promise(ballot, earlier(2, &[1, 3]), true), true);
     assert_eq!(accepted_views(&step), vec![view(2, &[1, 3]); 3]);
@@ -103,26 +103,26 @@
     let step = acceptor.handle(NodeId(3), accept, true);
     assert_eq!(step.record, None);
     assert!(matches!(step.messages[0].message, ViewMessage::Refused { promised, .. } if promised == high));
-    assert!(!acceptor.is_fenced());
+    assert!(!acceptor.has_accepted_next_view());
     let accept = ViewMessage::Accept { instance: SECOND_EPOCH, ballot: high, view: view(2, &[1, 2]) };
     let step = acceptor.handle(NodeId(2), accept, true);
     assert!(matches!(step.record, Some(ViewRecord::Accepted { .. })));
-    assert!(acceptor.is_fenced());
+    assert!(acceptor.has_accepted_next_view());
 }
 
 #[test]
 fn a_proposer_goes_above_the_ballot_that_refused_it() {
     let mut proposer = agreement(1);
-    let ballot = ballot_of(&proposer.propose(wanted(&[1, 2])));
+    let ballot = ballot_of(&proposer.propose(target(&[1, 2])));
     let promised = Ballot { round: 9, node: NodeId(3) };
     let refused = ViewMessage::Refused { instance: SECOND_EPOCH, ballot, promised };
     let _ = proposer.handle(NodeId(2), refused, true);
     assert!(!proposer.is_proposing());
-    assert!(ballot_of(&proposer.propose(wanted(&[1, 2]))) > promised);
+    assert!(ballot_of(&proposer.propose(target(&[1, 2]))) > promised);
 }
 
 #[test]
-fn whoever_is_behind_is_told_and_whoever_is_ahead_is_asked() {
+fn a_peer_behind_gets_the_view_and_a_peer_ahead_is_queried() {
     let mut node = agreement(1);
     let ballot = Ballot { round: 1, node: NodeId(2) };
     let step = node.handle(NodeId(2), ViewMessage::Prepare { instance: Epoch(1), ballot }, true);
@@ -132,18 +132,18 @@
 }
 
 #[test]
-fn a_node_outside_the_view_neither_votes_nor_proposes() {
+fn a_non_voter_neither_promises_nor_proposes() {
     let mut outsider = agreement(9);
     let ballot = Ballot { round: 1, node: NodeId(2) };
     let step = outsider.handle(NodeId(2), ViewMessage::Prepare { instance: SECOND_EPOCH, ballot }, true);
     assert_eq!(step, Step::default());
-    assert_eq!(outsider.propose(wanted(&[1, 9])), Step::default());
+    assert_eq!(outsider.propose(target(&[1, 9])), Step::default());
 }
 
 #[test]
-fn no_view_below_the_minimum_and_no_malformed_view_comes_about() {
+fn views_that_are_too_small_or_malformed_are_rejected() {
     let mut node = agreement(1);
-    assert_eq!(node.propose(wanted(&[1])), Step::default());
+    assert_eq!(node.propose(target(&[1])), Step::default());
     let twice = View::of_members(Epoch(7), vec![member(1), member(1)]);
     assert_eq!(node.handle(NodeId(2), ViewMessage::Decided { view: twice }, true), Step::default());
     assert_eq!(node.handle(NodeId(2), ViewMessage::Decided { view: view(7, &[]) }, true), Step::default());
@@ -155,7 +155,7 @@
 #[test]
 fn the_state_is_what_its_records_say() {
     let mut node = agreement(1);
-    let mut disk = ViewState::of(view(1, &[1, 2, 3]));
+    let mut disk = ViewState::from_view(view(1, &[1, 2, 3]));
     let ballot = Ballot { round: 3, node: NodeId(2) };
     let messages = [
         ViewMessage::Prepare { instance: SECOND_EPOCH, ballot },
@@ -171,27 +171,27 @@
 }
 
 #[test]
-fn voters_that_keep_no_state_decide_but_never_lead() {
+fn voters_that_are_no_members_decide_but_never_become_the_first() {
     // Two members and a voter beside them; one member is lost.
-    let state = || ViewState::of(chain(1, &[1, 2]));
+    let state = || ViewState::from_view(chain(1, &[1, 2]));
     let mut proposer = ViewAgreement::new(NodeId(1), state(), 2);
-    let ballot = ballot_of(&proposer.propose(wanted(&[1, 3])));
+    let ballot = ballot_of(&proposer.propose(target(&[1, 3])));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
     let step = proposer.handle(NodeId(3), promise(ballot, None, true), true);
     assert_eq!(accepted_views(&step), vec![chain(2, &[1, 3]); 3]);
-    // Even if it says that it is complete: it has not kept the state until now.
+    // Even if it says that it is complete: it was no member until now.
     let mut proposer = ViewAgreement::new(NodeId(3), state(), 2);
-    let ballot = ballot_of(&proposer.propose(wanted(&[3, 1])));
+    let ballot = ballot_of(&proposer.propose(target(&[3, 1])));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
     let step = proposer.handle(NodeId(3), promise(ballot, None, true), true);
     assert_eq!(accepted_views(&step), Vec::new());
 }
 
 #[test]
-fn no_view_begins_with_too_few_members_that_hold_every_command() {
-    let state = || ViewState::of(chain(1, &[1, 2]));
+fn no_view_begins_with_too_few_complete_members() {
+    let state = || ViewState::from_view(chain(1, &[1, 2]));
     let mut proposer = ViewAgreement::new(NodeId(1), state(), 2);
-    let ballot = ballot_of(&proposer.propose(wanted(&[1, 3])));
+    let ballot = ballot_of(&proposer.propose(target(&[1, 3])));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
     let step = proposer.handle(NodeId(3), promise(ballot, None, false), true);
     assert_eq!(accepted_views(&step), Vec::new(), "the only copy could be lost before the second is there");
@@ -200,14 +200,14 @@
 }
 
 #[test]
-fn what_is_known_of_a_node_that_does_not_vote_yet_counts() {
-    let filled = |complete: &[u64]| TargetView {
+fn completeness_of_a_non_voter_counts() {
+    let target_with = |complete: &[u64]| TargetView {
         complete: complete.iter().copied().map(NodeId).collect(),
         ..TargetView::new(view(2, &[1, 2, 4]).voters, view(2, &[1, 4]).members)
     };
     for (complete, proposed) in [(&[][..], 0), (&[2][..], 0), (&[4][..], 3)] {
         let mut proposer = agreement(1);
-        let ballot = ballot_of(&proposer.propose(filled(complete)));
+        let ballot = ballot_of(&proposer.propose(target_with(complete)));
         let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
         let step = proposer.handle(NodeId(2), promise(ballot, None, false), true);
         assert_eq!(accepted_views(&step).len(), proposed, "complete: {complete:?}");
@@ -217,7 +217,7 @@
 #[test]
 fn a_majority_of_voters_decides_whatever_the_number_of_members() {
     let base = View { voters: view(1, &[1, 2, 3, 4, 5]).voters, ..view(1, &[1, 2, 3]) };
-    let mut proposer = ViewAgreement::new(NodeId(1), ViewState::of(base.clone()), 2);
+    let mut proposer = ViewAgreement::new(NodeId(1), ViewState::from_view(base.clone()), 2);
     let next = TargetView::new(base.voters.clone(), view(2, &[1, 2]).members);
     let ballot = ballot_of(&proposer.propose(next));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
@@ -252,5 +252,5 @@
     let ballot = Ballot { round: 5, node: NodeId(2) };
     let accept = ViewMessage::Accept { instance: SECOND_EPOCH, ballot, view: view(3, &[1, 2]) };
     assert_eq!(acceptor.handle(NodeId(2), accept, true), Step::default());
-    assert!(!acceptor.is_fenced());
+    assert!(!acceptor.has_accepted_next_view());
 }
--- a/coordination/view/tests/bootstrap.rs
+++ b/coordination/view/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The founding of the first view.
+//! Tests of the bootstrap of the first view.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,31 +6,31 @@
     Bootstrap, Envelope, Epoch, Member, NodeId, Step, ViewAgreement, ViewMessage, ViewState,
 };
 
-struct Founder {
-    foundation: Bootstrap,
+struct Node {
+    bootstrap: Bootstrap,
     agreement: ViewAgreement,
 }
 
-fn address(place: u64) -> String {
-    format!("10.0.0.{place}:9000")
+fn address(host: u64) -> String {
+    format!("10.0.0.{host}:9000")
 }
 
-fn founder(id: u64, place: u64, may_found: bool) -> Founder {
-    let me = Member { id: NodeId(id), address: address(place) };
-    let founders = if may_found { (1..=3).map(address).collect() } else { Vec::new() };
-    let agreement = ViewAgreement::new(me.id, ViewState::default(), 2);
-    Founder { foundation: Bootstrap::new(me, founders, 3), agreement }
+fn node(id: u64, host: u64, may_propose: bool) -> Node {
+    let local = Member { id: NodeId(id), address: address(host) };
+    let addresses = if may_propose { (1..=3).map(address).collect() } else { Vec::new() };
+    let agreement = ViewAgreement::new(local.id, ViewState::default(), 2);
+    Node { bootstrap: Bootstrap::new(local, addresses, 3), agreement }
 }
 
-impl Founder {
+impl Node {
     fn poll(&mut self) -> Step {
-        self.foundation.poll(&mut self.agreement)
+        self.bootstrap.poll(&mut self.agreement)
     }
 
     fn receive(&mut self, from: NodeId, message: ViewMessage) -> Step {
         match message {
             ViewMessage::BootstrapAgreed { members } => {
-                self.foundation.handle(&mut self.agreement, from, members)
+                self.bootstrap.handle(&mut self.agreement, from, members)
             }
             other => self.agreement.handle(from, other, true),
         }
@@ -38,105 +38,105 @@
 }
 
 /// Lets every message arrive until none is left.
-fn settle(founders: &mut BTreeMap<NodeId, Founder>) {
+fn deliver_all(nodes: &mut BTreeMap<NodeId, Node>) {
     let mut in_flight: VecDeque<(NodeId, Envelope)> = VecDeque::new();
     let send = |in_flight: &mut VecDeque<_>, from: NodeId, step: Step| {
         in_flight.extend(step.messages.into_iter().map(|envelope| (from, envelope)));
     };
-    for (id, founder) in founders.iter_mut() {
-        let step = founder.poll();
+    for (id, node) in nodes.iter_mut() {
+        let step = node.poll();
         send(&mut in_flight, *id, step);
     }
     while let Some((from, envelope)) = in_flight.pop_front() {
-        if let Some(founder) = founders.get_mut(&envelope.to) {
-            let step = founder.receive(from, envelope.message);
+        if let Some(node) = nodes.get_mut(&envelope.to) {
+            let step = node.receive(from, envelope.message);
             send(&mut in_flight, envelope.to, step);
         }
     }
 }
 
-fn all_know_each_other(founders: &mut BTreeMap<NodeId, Founder>, places: &[(u64, u64)]) {
-    for founder in founders.values_mut() {
-        for (id, place) in places {
-            founder.foundation.peer_seen(NodeId(*id), &address(*place));
+fn all_know_each_other(nodes: &mut BTreeMap<NodeId, Node>, hosts: &[(u64, u64)]) {
+    for node in nodes.values_mut() {
+        for (id, host) in hosts {
+            node.bootstrap.add_peer(NodeId(*id), &address(*host));
         }
     }
 }
 
-fn core(places: &[(u64, u64)], may_found: impl Fn(u64) -> bool) -> BTreeMap<NodeId, Founder> {
-    places.iter().map(|(id, place)| (NodeId(*id), founder(*id, *place, may_found(*id)))).collect()
+fn core(hosts: &[(u64, u64)], may_propose: impl Fn(u64) -> bool) -> BTreeMap<NodeId, Node> {
+    hosts.iter().map(|(id, host)| (NodeId(*id), node(*id, *host, may_propose(*id)))).collect()
 }
 
 #[test]
-fn three_founders_form_one_view_in_the_order_of_their_addresses() {
-    let places = [(77, 2), (55, 1), (66, 3)];
-    let mut founders = core(&places, |_| true);
-    all_know_each_other(&mut founders, &places);
-    settle(&mut founders);
-    for founder in founders.values() {
-        let view = founder.agreement.view().expect("a view");
-        assert_eq!(view.epoch, Epoch::FOUNDING);
+fn three_nodes_form_one_view_in_the_order_of_their_addresses() {
+    let hosts = [(77, 2), (55, 1), (66, 3)];
+    let mut nodes = core(&hosts, |_| true);
+    all_know_each_other(&mut nodes, &hosts);
+    deliver_all(&mut nodes);
+    for node in nodes.values() {
+        let view = node.agreement.view().expect("a view");
+        assert_eq!(view.epoch, Epoch::FIRST);
         assert_eq!(view.ids().collect::<Vec<_>>(), vec![NodeId(55), NodeId(77), NodeId(66)]);
     }
 }
 
 #[test]
-fn nothing_is_founded_while_a_founder_is_unknown() {
-    let places = [(1, 1), (2, 2)];
-    let mut founders = core(&places, |_| true);
-    all_know_each_other(&mut founders, &places);
-    settle(&mut founders);
-    assert!(founders.values().all(|founder| founder.agreement.view().is_none()));
+fn no_view_is_formed_while_a_node_is_unknown() {
+    let hosts = [(1, 1), (2, 2)];
+    let mut nodes = core(&hosts, |_| true);
+    all_know_each_other(&mut nodes, &hosts);
+    deliver_all(&mut nodes);
+    assert!(nodes.values().all(|node| node.agreement.view().is_none()));
 }
 
 #[test]
-fn nodes_that_may_not_found_never_do_by_themselves() {
-    let places = [(1, 1), (2, 2), (3, 3)];
-    let mut founders = core(&places, |_| false);
-    all_know_each_other(&mut founders, &places);
-    settle(&mut founders);
-    assert!(founders.values().all(|founder| founder.agreement.view().is_none()));
+fn nodes_without_bootstrap_addresses_form_no_view() {
+    let hosts = [(1, 1), (2, 2), (3, 3)];
+    let mut nodes = core(&hosts, |_| false);
+    all_know_each_other(&mut nodes, &hosts);
+    deliver_all(&mut nodes);
+    assert!(nodes.values().all(|node| node.agreement.view().is_none()));
 }
 
 #[test]
-fn a_founder_that_started_again_before_it_was_known_agrees_to_the_list_of_others() {
-    let places = [(1, 1), (2, 2), (3, 3)];
-    let mut founders = core(&places, |id| id != 3);
-    all_know_each_other(&mut founders, &places);
-    settle(&mut founders);
-    assert!(founders.values().all(|founder| founder.agreement.epoch() == Epoch::FOUNDING));
+fn a_node_without_addresses_agrees_to_the_proposal_of_others() {
+    let hosts = [(1, 1), (2, 2), (3, 3)];
+    let mut nodes = core(&hosts, |id| id != 3);
+    all_know_each_other(&mut nodes, &hosts);
+    deliver_all(&mut nodes);
+    assert!(nodes.values().all(|node| node.agreement.epoch() == Epoch::FIRST));
 }
 
 #[test]
-fn who_agreed_to_one_list_agrees_to_no_other() {
-    let places = [(1, 1), (2, 2), (3, 3)];
-    let mut founders = core(&places, |_| true);
-    all_know_each_other(&mut founders, &places);
-    // The third founder loses its disk after the others have agreed, and before it has.
+fn a_node_that_agreed_to_one_list_agrees_to_no_other() {
+    let hosts = [(1, 1), (2, 2), (3, 3)];
+    let mut nodes = core(&hosts, |_| true);
+    all_know_each_other(&mut nodes, &hosts);
+    // The third node loses its disk after the others have agreed, and before it has.
     for id in [1, 2] {
-        let founder = founders.get_mut(&NodeId(id)).expect("a founder");
-        let _ = founder.poll();
+        let node = nodes.get_mut(&NodeId(id)).expect("a node");
+        let _ = node.poll();
     }
-    founders.remove(&NodeId(3));
-    founders.insert(NodeId(4), founder(4, 3, true));
-    all_know_each_other(&mut founders, &[(1, 1), (2, 2), (4, 3)]);
-    settle(&mut founders);
-    assert!(founders.values().all(|founder| founder.agreement.view().is_none()));
+    nodes.remove(&NodeId(3));
+    nodes.insert(NodeId(4), node(4, 3, true));
+    all_know_each_other(&mut nodes, &[(1, 1), (2, 2), (4, 3)]);
+    deliver_all(&mut nodes);
+    assert!(nodes.values().all(|node| node.agreement.view().is_none()));
 }
 
 #[test]
-fn a_node_that_comes_later_is_told_the_view() {
-    let places = [(1, 1), (2, 2), (3, 3)];
-    let mut founders = core(&places, |_| true);
-    all_know_each_other(&mut founders, &places);
-    settle(&mut founders);
-    let mut late = founder(9, 3, true);
+fn a_late_node_learns_the_view() {
+    let hosts = [(1, 1), (2, 2), (3, 3)];
+    let mut nodes = core(&hosts, |_| true);
+    all_know_each_other(&mut nodes, &hosts);
+    deliver_all(&mut nodes);
+    let mut late = node(9, 3, true);
     let list = vec![Member { id: NodeId(9), address: address(3) }];
-    let first = founders.get_mut(&NodeId(1)).expect("a founder");
+    let first = nodes.get_mut(&NodeId(1)).expect("a node");
     let step = first.receive(NodeId(9), ViewMessage::BootstrapAgreed { members: list });
     for envelope in step.messages {
         let _ = late.receive(NodeId(1), envelope.message);
     }
-    assert_eq!(late.agreement.epoch(), Epoch::FOUNDING);
+    assert_eq!(late.agreement.epoch(), Epoch::FIRST);
     assert!(!late.agreement.is_member());
 }
--- a/coordination/view/tests/model.rs
+++ b/coordination/view/tests/model.rs
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug)]
 enum Action {
-    Propose { node: NodeId, wanted: TargetView },
+    Propose { node: NodeId, target: TargetView },
     Deliver { index: usize },
     Restart { node: NodeId },
 }
@@ -46,14 +46,14 @@
     ids.iter().copied().map(member).collect()
 }
 
-fn wanted(voters: &[u64], kept_by: &[u64]) -> TargetView {
-    TargetView::new(members(voters), members(kept_by))
+fn target(voters: &[u64], member_ids: &[u64]) -> TargetView {
+    TargetView::new(members(voters), members(member_ids))
 }
 
 impl World {
     fn new(members_of_first: &[u64], proposals_left: usize, restarts_left: usize) -> World {
-        let view = View::of_members(Epoch::FOUNDING, members(members_of_first));
-        let state = ViewState::of(view.clone());
+        let view = View::of_members(Epoch::FIRST, members(members_of_first));
+        let state = ViewState::from_view(view.clone());
         let disks: BTreeMap<NodeId, ViewState> = view.ids().map(|id| (id, state.clone())).collect();
         let started = |id| (id, ViewAgreement::new(id, state.clone(), MINIMUM_MEMBERS));
         let nodes = view.ids().map(started).collect();
@@ -73,9 +73,9 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Propose { node, wanted } => {
+            Action::Propose { node, target } => {
                 self.proposals_left -= 1;
-                let step = self.node(node).propose(wanted);
+                let step = self.node(node).propose(target);
                 self.carry_out(node, step);
             }
             Action::Deliver { index } => {
@@ -119,8 +119,8 @@
     fn actions(&self) -> Vec<Action> {
         let mut actions: Vec<Action> = self.deliveries().collect();
         if self.proposals_left > 0 {
-            actions.push(Action::Propose { node: NodeId(1), wanted: wanted(&[1, 2, 3], &[1, 2]) });
-            actions.push(Action::Propose { node: NodeId(2), wanted: wanted(&[2, 3, 4], &[2, 3, 4]) });
+            actions.push(Action::Propose { node: NodeId(1), target: target(&[1, 2, 3], &[1, 2]) });
+            actions.push(Action::Propose { node: NodeId(2), target: target(&[2, 3, 4], &[2, 3, 4]) });
         }
         if self.restarts_left > 0 {
             actions.extend([1, 2, 3].map(|id| Action::Restart { node: NodeId(id) }));
@@ -136,21 +136,21 @@
             1 | 2 => {
                 let view = self.nodes[&node].view()?;
                 let mut voters = view.voters.clone();
-                let mut kept_by = view.members.clone();
-                kept_by.retain(|member| member.id == node || random.u32(0..4) > 0);
+                let mut member_ids = view.members.clone();
+                member_ids.retain(|member| member.id == node || random.u32(0..4) > 0);
                 let newcomer = member(random.u64(10..1_000));
                 let place = random.usize(0..6);
-                let replaced = voters.get(place).filter(|voter| !kept_by.contains(voter)).is_some();
+                let replaced = voters.get(place).filter(|voter| !member_ids.contains(voter)).is_some();
                 if replaced {
                     voters[place] = newcomer.clone();
-                    kept_by.push(newcomer);
+                    member_ids.push(newcomer);
                 } else if place >= voters.len() && voters.len() < 5 {
                     voters.push(newcomer);
                 } else {
-                    kept_by.extend(voters.iter().find(|voter| !view.contains(voter.id)).cloned());
+                    member_ids.extend(voters.iter().find(|voter| !view.contains(voter.id)).cloned());
                 }
-                let wanted = TargetView::new(voters, kept_by);
-                Some(Action::Propose { node, wanted })
+                let target = TargetView::new(voters, member_ids);
+                Some(Action::Propose { node, target })
             }
             _ => random.choice(self.deliveries()),
         }
--- a/coordination/view/tests/voters_model.rs
+++ b/coordination/view/tests/voters_model.rs
@@ -3,7 +3,7 @@
 //! What must hold, in one sentence each:
 //!
 //! - At most one view is decided in an epoch.
-//! - The first member of a view has kept the state in the view before and holds every committed command.
+//! - The first member of a view was a member of the view before and holds every committed command.
 //! - So many members of a view hold every command committed before that the loss of one leaves another.
 //! - A node that is not a voter of a view is never counted in the decision of the next.
 //! - After one loss, with another machine back or in its place, the loss of a second leaves a core that can go on.
@@ -130,14 +130,14 @@
     /// The core has gone on without the third machine.
     fn start(&self) -> State {
         let all = [FIRST, SECOND, THIRD];
-        let first = View::of_members(Epoch::FOUNDING, all.into_iter().map(member).collect());
+        let first = View::of_members(Epoch::FIRST, all.into_iter().map(member).collect());
         let members = vec![member(FIRST), member(SECOND)];
         let voters = if self.rules == Rules::AsBuilt { first.voters.clone() } else { members.clone() };
         let second = View { epoch: first.epoch.next(), voters, members };
         let disks = BTreeMap::from([
-            (FIRST, ViewState::of(second.clone())),
-            (SECOND, ViewState::of(second.clone())),
-            (THIRD, ViewState::of(first.clone())),
+            (FIRST, ViewState::from_view(second.clone())),
+            (SECOND, ViewState::from_view(second.clone())),
+            (THIRD, ViewState::from_view(first.clone())),
             (NEWCOMER, ViewState::default()),
         ]);
         let node =
@@ -156,8 +156,8 @@
         }
     }
 
-    /// What a member would have: those that are there, filled up, and the newcomer in the place of one that is lost.
-    fn wanted(&self, state: &State, view: &View) -> TargetView {
+    /// What a member would have: those that are there, filled up, and the newcomer in place of a lost one.
+    fn target(&self, state: &State, view: &View) -> TargetView {
         let up = |member: &&Member| !state.down.contains(&member.id);
         let mut members: Vec<Member> = view.members.iter().filter(up).cloned().collect();
         let outside = view.voters.iter().filter(|voter| !view.contains(voter.id));
@@ -169,8 +169,8 @@
         let mut voters = view.voters.clone();
         let gone = voters.iter().position(|voter| state.down.contains(&voter.id));
         let takes_over = self.lost == Lost::IsReplaced && !view.is_voter(NEWCOMER);
-        if let Some(place) = gone.filter(|_| takes_over) {
-            voters[place] = member(NEWCOMER);
+        if let Some(index) = gone.filter(|_| takes_over) {
+            voters[index] = member(NEWCOMER);
             members.push(member(NEWCOMER));
         }
         match self.rules {
@@ -264,8 +264,9 @@
         actions.extend(reachable.cloned().map(Action::Deliver));
         for (id, node) in state.nodes.iter().filter(|(id, _)| up(id)) {
             let may = node.is_member() && !node.is_proposing() && node.epoch() < LAST_EPOCH;
-            let changes =
-                node.view().is_some_and(|view| node.is_fenced() || !self.wanted(state, view).is(view));
+            let changes = node
+                .view()
+                .is_some_and(|view| node.has_accepted_next_view() || !self.target(state, view).matches(view));
             if may && changes && state.proposals_left > 0 {
                 actions.push(Action::Propose(*id));
             }
@@ -283,9 +284,10 @@
         }
         let newest = state.newest();
         let head_knows = newest.head().is_some_and(|head| state.nodes[&head].epoch() == newest.epoch);
-        let next = self.wanted(state, newest);
-        let is_wanted = |id: &NodeId| newest.contains(*id) || next.members.iter().any(|it| it.id == *id);
-        let lagging = state.nodes.keys().filter(|id| !state.complete.contains(id) && up(id) && is_wanted(id));
+        let next = self.target(state, newest);
+        let is_in_target = |id: &NodeId| newest.contains(*id) || next.members.iter().any(|it| it.id == *id);
+        let lagging =
+            state.nodes.keys().filter(|id| !state.complete.contains(id) && up(id) && is_in_target(id));
         let lagging = lagging.filter(|id| head_knows && state.nodes[id].epoch() == newest.epoch);
         actions.extend(lagging.copied().map(Action::Fill));
     }
@@ -296,8 +298,8 @@
             Action::Propose(node) => {
                 state.proposals_left -= 1;
                 let view = state.nodes[&node].view()?.clone();
-                let wanted = self.wanted(&state, &view);
-                let step = state.nodes.get_mut(&node)?.propose(wanted);
+                let target = self.target(&state, &view);
+                let step = state.nodes.get_mut(&node)?.propose(target);
                 state.carry_out(node, step);
             }
             Action::Deliver(envelope) => {
@@ -314,8 +316,8 @@
             }
             Action::ThirdReturns => {
                 state.down.remove(&THIRD);
-                // It is told what it has missed, as its first heartbeat has it told.
-                let step = state.nodes[&FIRST].on_query(THIRD, Epoch::FOUNDING);
+                // Its first heartbeat is answered with the views that it has missed.
+                let step = state.nodes[&FIRST].handle_query(THIRD, Epoch::FIRST);
                 state.carry_out(FIRST, step);
             }
             Action::Fill(node) => {
--- a/system/runtime/node/src/clock.rs
+++ b/system/runtime/node/src/clock.rs
@@ -26,9 +26,9 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Whole microseconds since the start, for state machines that count these.
-    pub fn micros(&self) -> u64 {
-        self.start.elapsed().as_micros() as u64
+    /// The present reading, cut to whole microseconds, for the core node.
+    pub fn micros(&self) -> Instant {
+        Instant::from_micros(self.start.elapsed().as_micros() as u64)
     }
 
     /// The runtime's instant at which this clock reads `reading`.
@@ -40,11 +40,6 @@
     pub fn at_millis(&self, millis: u64) -> tokio::time::Instant {
         self.start + Duration::from_millis(millis)
     }
-
-    /// The runtime's instant at which [`SteadyClock::micros`] is `micros`.
-    pub fn at_micros(&self, micros: u64) -> tokio::time::Instant {
-        self.start + Duration::from_micros(micros)
-    }
 }
 
 /// The time of day since 1970, in whole milliseconds; zero where it is set to before then.
--- a/system/runtime/node/src/core/bootstrap.rs
+++ b/system/runtime/node/src/core/bootstrap.rs
@@ -8,6 +8,7 @@
 use crate::task::TaskGuard;
 use arc_swap::ArcSwap;
 use millrudder_chain::{CoreConfig, CoreNode, DurableState, LeaseConfig};
+use millrudder_clock::Instant;
 use millrudder_control_state::ControlState;
 use millrudder_settings::Settings;
 use millrudder_system_http::client::Client;
@@ -80,9 +81,9 @@
     config.roles = vec![controller::role()];
     config.lease = LeaseConfig::default();
     if settings.bootstrap && state.is_none() && founders.contains(&internal) {
-        config.founders = founders.iter().map(SocketAddr::to_string).collect();
+        config.bootstrap_addresses = founders.iter().map(SocketAddr::to_string).collect();
     }
-    Ok(CoreNode::new(config, state, clock::random_seed(), 0)?)
+    Ok(CoreNode::new(config, state, clock::random_seed(), Instant::ORIGIN)?)
 }
 
 /// Core machines that vote, as far as there are so many: those that are left after the losses that are to be tolerated
--- a/system/runtime/node/src/core/host/barrier.rs
+++ b/system/runtime/node/src/core/host/barrier.rs
@@ -14,7 +14,7 @@
 impl CoreHost {
     /// Lets the barrier act on the time, where that is due.
     pub(super) fn poll_barrier(&mut self) {
-        let has_quorum = self.node.has_majority_contact(self.clock.micros());
+        let has_quorum = self.node.has_quorum_contact(self.clock.micros());
         if self.barrier.is_due(self.clock.now(), has_quorum) {
             self.handle_barrier(BarrierInput::Tick);
         }
@@ -24,7 +24,7 @@
     pub(super) fn handle_barrier(&mut self, input: BarrierInput) {
         let mut outputs = Vec::new();
         let now = self.clock.now();
-        let has_quorum = self.node.has_majority_contact(self.clock.micros());
+        let has_quorum = self.node.has_quorum_contact(self.clock.micros());
         self.barrier.handle(now, has_quorum, input, &mut outputs);
         self.log_confirmation(self.barrier.has_quorum(now));
         for output in outputs {
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -188,7 +188,7 @@
 
     fn next_deadline(&self) -> tokio::time::Instant {
         let now = self.clock.now();
-        let node = self.clock.at_micros(self.node.next_deadline());
+        let node = self.clock.at(self.node.next_deadline());
         let placement = self.placement.next_deadline(now).map(|due| self.clock.at(due));
         let reader = self.reader.next_deadline().map(|due| self.clock.at_millis(due));
         let barrier = self.barrier.next_deadline().map(|due| self.clock.at(due));
@@ -258,7 +258,7 @@
 
     /// Reports once the core can do without this machine, after it was asked to stop.
     fn poll_departure(&mut self) {
-        if self.leaving.is_some() && self.node.may_go(self.clock.micros()) {
+        if self.leaving.is_some() && self.node.can_leave(self.clock.micros()) {
             self.leaving.take().map(|done| done.send(()));
         }
     }
--- a/system/runtime/node/src/core/host/outputs.rs
+++ b/system/runtime/node/src/core/host/outputs.rs
@@ -17,11 +17,13 @@
                 Output::Persist { token, record } => self.journal.append(token, &record),
                 Output::Checkpoint { token, state } => self.journal.checkpoint(token, &state),
                 Output::Committed { reply, .. } => self.handle_committed(&reply),
-                Output::Replaced { .. } => self.follow_state(),
+                Output::SnapshotInstalled { .. } => self.follow_state(),
                 Output::Reply { request_id, reply } => self.operator_requests.answer(request_id, reply),
                 Output::ReadReady { request_id } => self.handle_read_ready(request_id),
                 Output::ViewChanged(view) => self.handle_view(&view),
-                Output::LeaseGranted { role, fencing } => self.handle_lease(&role, Some(fencing.0)),
+                Output::LeaseGranted { role, fencing_token } => {
+                    self.handle_lease(&role, Some(fencing_token.0))
+                }
                 Output::LeaseLost { role, .. } => self.handle_lease(&role, None),
                 Output::QuorumContactGained | Output::QuorumContactLost => {
                     self.handle_barrier(BarrierInput::Tick);
--- a/system/runtime/node/src/core/host/retirements.rs
+++ b/system/runtime/node/src/core/host/retirements.rs
@@ -52,7 +52,7 @@
         }
         let machines = Vec::from_iter(names.iter().map(String::as_str)).join(" ");
         log::info!(machines:%; "retirements changed");
-        self.node.handle(self.clock.micros(), Input::Exclude { ids });
+        self.node.handle(self.clock.micros(), Input::Decommission { ids });
         self.handle_placement(PlacementInput::Retiring(names));
     }
 
@@ -75,7 +75,7 @@
         }
         let now = self.clock.micros();
         let has_shards = state.placement().stores.iter().any(|store| store.name == name);
-        let is_needed = self.core_processes_on(name).into_iter().any(|id| !self.node.can_do_without(now, id));
+        let is_needed = self.core_processes_on(name).into_iter().any(|id| !self.node.is_dispensable(now, id));
         let progress = match has_shards || is_needed {
             true => RetirementProgress::Running,
             false => RetirementProgress::Completed,
