--- a/system/state/control-state/examples/catch_up.rs
+++ b/system/state/control-state/examples/catch_up.rs
@@ -4,6 +4,7 @@
 
 use millrudder_chain::{CoreConfig, CoreMessage, CoreNode, DurableState, Input, Output, Record, RequestId};
 use millrudder_checkpoint_store::{CheckpointStore, RealFolder};
+use millrudder_clock::Instant as SteadyInstant;
 use millrudder_control_state::{Command, ControlState};
 use millrudder_protocol::control::ConfigurationText;
 use speedy::{Readable, Writable};
@@ -37,12 +38,13 @@
     fn start(address: &'static str, founds: bool, seed: u64) -> Result<Host, Box<dyn Error>> {
         let mut config = CoreConfig::new(address);
         config.minimum_members = 1;
-        config.founders = if founds { vec![address.to_owned()] } else { Vec::new() };
-        let node = CoreNode::new(config, None, seed, 0)?;
+        config.bootstrap_addresses = if founds { vec![address.to_owned()] } else { Vec::new() };
+        let node = CoreNode::new(config, None, seed, SteadyInstant::ORIGIN)?;
         Ok(Host { node, address, sent: VecDeque::new(), checkpoints: Vec::new() })
     }
 
     fn handle(&mut self, now: u64, input: Input<Command>) {
+        let now = SteadyInstant::from_micros(now);
         let began = Instant::now();
         self.node.handle(now, input);
         let took = began.elapsed();
@@ -147,7 +149,7 @@
     for record in &recovered.records {
         state.apply(&Record::read_from_buffer(record)?);
     }
-    let _node: Node = CoreNode::new(CoreConfig::new("10.0.0.1:9000"), Some(state), 9, 0)?;
+    let _node: Node = CoreNode::new(CoreConfig::new("10.0.0.1:9000"), Some(state), 9, SteadyInstant::ORIGIN)?;
     let restarting = began.elapsed();
     std::fs::remove_dir_all(&folder)?;
     Ok((writing, restarting))
--- a/system/state/control-state/tests/catch_up.rs
+++ b/system/state/control-state/tests/catch_up.rs
@@ -2,6 +2,7 @@
 //! their number.
 
 use millrudder_chain::{CoreConfig, CoreMessage, CoreNode, DurableState, Input, Output, RequestId};
+use millrudder_clock::Instant;
 use millrudder_control_state::{Command, ControlState};
 use millrudder_protocol::control::ConfigurationText;
 use speedy::{Readable, Writable};
@@ -32,12 +33,13 @@
         let address = format!("10.0.0.{number}:9000");
         let mut config = CoreConfig::new(address.clone());
         config.minimum_members = 1;
-        config.founders = if founds { vec![address] } else { Vec::new() };
-        let node = Node::new(config, state, number, 0).expect("the node starts");
+        config.bootstrap_addresses = if founds { vec![address] } else { Vec::new() };
+        let node = Node::new(config, state, number, Instant::ORIGIN).expect("the node starts");
         Host { node, sent: VecDeque::new() }
     }
 
     fn input(&mut self, now: u64, input: Input<Command>) {
+        let now = Instant::from_micros(now);
         self.node.handle(now, input);
         while let Some(output) = self.node.next_output() {
             match output {
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -108,11 +108,12 @@
         config.minimum_members = settings.tolerated_losses as usize + 1;
         config.roles = vec![Role(CONTROLLER.to_owned())];
         config.checkpoint_bytes = CHECKPOINT_BYTES;
-        config.kept_entries = RETAINED_ENTRIES;
+        config.retained_entries = RETAINED_ENTRIES;
         if settings.bootstrap && state.is_none() {
-            config.founders = settings.seeds.iter().map(SocketAddr::to_string).collect();
+            config.bootstrap_addresses = settings.seeds.iter().map(SocketAddr::to_string).collect();
         }
-        let node = CoreNode::<M>::new(config, state, seed, now).expect("the settings fit together");
+        let node = CoreNode::<M>::new(config, state, seed, Instant::from_micros(now))
+            .expect("the settings fit together");
         let mut manager = PlacementManager::new(settings.tolerated_losses);
         let control_state = node.machine().state();
         manager.handle(
@@ -164,7 +165,7 @@
             .map(|due| due.as_millis() * MILLISECOND);
         let read_barrier = self.read_barrier.next_deadline().map(|due| due.as_millis() * MILLISECOND);
         let shell = manager.into_iter().chain(read_barrier).chain([self.read_list_at, self.sweep_at]).min();
-        self.node.next_deadline().min(shell.unwrap_or(u64::MAX))
+        self.node.next_deadline().as_micros().min(shell.unwrap_or(u64::MAX))
     }
 
     /// Handles an input.
@@ -181,7 +182,7 @@
             ProcessInput::ShutdownRequested => {
                 self.leaving = true;
                 self.drive_barrier(context, BarrierInput::ShuttingDown);
-                self.node.handle(context.now, Input::Leave);
+                self.node.handle(Instant::from_micros(context.now), Input::Leave);
             }
             ProcessInput::OperatorCall { call, request } => self.on_request(context, call, request),
         }
@@ -191,7 +192,7 @@
     /// Handles the completion of all writes up to `token`.
     pub fn persisted(&mut self, context: &mut CoreContext<'_>, token: millrudder_chain::PersistToken) {
         self.detect_clock_stall(context);
-        self.node.handle(context.now, Input::Persisted { token });
+        self.node.handle(Instant::from_micros(context.now), Input::Persisted { token });
         self.finish(context);
     }
 
@@ -199,7 +200,7 @@
     fn detect_clock_stall(&mut self, context: &mut CoreContext<'_>) {
         let before = std::mem::replace(&mut self.stalled, context.stalled);
         if context.stalled > before {
-            self.node.handle(context.now, Input::ClockStalled);
+            self.node.handle(Instant::from_micros(context.now), Input::ClockStalled);
             self.drive_barrier(context, BarrierInput::ClockStalled);
             self.finish(context);
         }
@@ -214,12 +215,13 @@
     }
 
     fn has_quorum_contact(&self, now: u64) -> bool {
-        !self.mutant.is_enabled(Mechanism::QuorumContact) || self.node.has_majority_contact(now)
+        !self.mutant.is_enabled(Mechanism::QuorumContact)
+            || self.node.has_quorum_contact(Instant::from_micros(now))
     }
 
     /// Whether this process, which got SIGTERM, has left the core.
     pub fn can_leave(&self, now: u64) -> bool {
-        self.leaving && self.node.may_go(now)
+        self.leaving && self.node.can_leave(Instant::from_micros(now))
     }
 
     /// Passes an input to the read barrier and applies its outputs.
@@ -243,7 +245,7 @@
             BarrierOutput::AbandonRead { read } => {
                 if let Some(confirming) = self.confirming.take_if(|confirming| confirming.read == read) {
                     let request_id = confirming.request_id;
-                    self.node.handle(context.now, Input::Abandon { request_id });
+                    self.node.handle(Instant::from_micros(context.now), Input::Abandon { request_id });
                 }
             }
             BarrierOutput::Send { connection, part } => self.send_state_part(context, connection, part),
@@ -266,7 +268,7 @@
         }
         let request_id = self.pending_requests.next_request_id(&self.mutant);
         self.confirming = Some(Confirming { request_id, read });
-        self.node.handle(context.now, Input::Read { request_id });
+        self.node.handle(Instant::from_micros(context.now), Input::Read { request_id });
     }
 
     fn send_state_part(&self, context: &mut CoreContext<'_>, connection: ConnectionId, part: StatePart) {
@@ -298,7 +300,7 @@
 
     /// The fencing token if this process holds the controller's lease.
     pub fn holds(&self, now: u64) -> Option<FencingToken> {
-        self.node.holds(now, &Role(CONTROLLER.to_owned()))
+        self.node.holds(Instant::from_micros(now), &Role(CONTROLLER.to_owned()))
     }
 
     fn on_dialed(&mut self, context: &mut CoreContext<'_>, connection: Connection, address: SocketAddr) {
@@ -323,7 +325,7 @@
             Payload::Core { to, message } => {
                 let from = self.peers.get(&connection).copied().filter(|_| to == self.node.id());
                 if let Some(from) = from {
-                    self.node.handle(context.now, Input::Message { from, message });
+                    self.node.handle(Instant::from_micros(context.now), Input::Message { from, message });
                 }
             }
             Payload::Workers { list } if self.current_list.adopt_received(WorkerListVersion::from(&list)) => {
@@ -340,7 +342,7 @@
         self.peers.insert(connection, id);
         self.addresses.insert(id, address);
         self.add_core_address(address);
-        self.node.handle(context.now, Input::PeerSeen { id, address: text.to_owned() });
+        self.node.handle(Instant::from_micros(context.now), Input::PeerSeen { id, address: text.to_owned() });
         let addresses = self.core_addresses();
         self.send_to_registrants(context, &addresses);
     }
@@ -407,7 +409,7 @@
     }
 
     fn on_tick(&mut self, context: &mut CoreContext<'_>) {
-        self.node.handle(context.now, Input::Tick);
+        self.node.handle(Instant::from_micros(context.now), Input::Tick);
         self.manage(context, PlacementInput::Tick);
         self.read_list(context);
         self.sweep(context);
@@ -419,7 +421,7 @@
         }
         self.sweep_at = context.now + SWEEP_INTERVAL;
         for (request_id, call) in self.pending_requests.take_overdue(context.now) {
-            self.node.handle(context.now, Input::Abandon { request_id });
+            self.node.handle(Instant::from_micros(context.now), Input::Abandon { request_id });
             context.effects.push(Effect::Response { call, response: Response::Unavailable });
         }
     }
@@ -467,12 +469,14 @@
         match step {
             RequestStep::Response(response) => context.effects.push(Effect::Response { call, response }),
             RequestStep::Submit { request_id, command } => {
-                self.node.handle(context.now, Input::Submit { request_id, command });
+                self.node.handle(Instant::from_micros(context.now), Input::Submit { request_id, command });
                 if !self.mutant.is_enabled(Mechanism::CommitBeforeResponse) {
                     context.effects.push(Effect::Response { call, response: Response::Accepted });
                 }
             }
-            RequestStep::Read { request_id } => self.node.handle(context.now, Input::Read { request_id }),
+            RequestStep::Read { request_id } => {
+                self.node.handle(Instant::from_micros(context.now), Input::Read { request_id })
+            }
         }
     }
 
@@ -480,7 +484,7 @@
         if let Some(placement) = self.manager.handle(Instant::from_millis(context.now / MILLISECOND), input) {
             let request_id = self.pending_requests.next_request_id(&self.mutant);
             let command = Command::SetPlacement { placement };
-            self.node.handle(context.now, Input::Submit { request_id, command });
+            self.node.handle(Instant::from_micros(context.now), Input::Submit { request_id, command });
         }
     }
 
@@ -508,7 +512,7 @@
                     context.effects.push(Effect::Observe(observation));
                     self.on_committed(context, reply);
                 }
-                Output::Replaced { .. } => self.follow_state(context),
+                Output::SnapshotInstalled { .. } => self.follow_state(context),
                 Output::Reply { request_id, reply } => {
                     if let Some((call, response)) =
                         self.pending_requests.handle_reply(request_id, reply, &self.mutant)
@@ -521,7 +525,7 @@
                     context.effects.push(Effect::Observe(Observation::ViewEntered { view }));
                     self.add_view_addresses();
                 }
-                Output::LeaseGranted { fencing, .. } => {
+                Output::LeaseGranted { fencing_token: fencing, .. } => {
                     context.effects.push(Effect::Observe(Observation::LeaseGranted { fencing }));
                     self.on_lease(context, Some(fencing));
                 }
@@ -536,7 +540,7 @@
     fn written(&mut self, context: &mut CoreContext<'_>, token: millrudder_chain::PersistToken) {
         context.effects.push(Effect::Sync);
         if !self.mutant.is_enabled(Mechanism::SyncBeforePersisted) {
-            self.node.handle(context.now, Input::Persisted { token });
+            self.node.handle(Instant::from_micros(context.now), Input::Persisted { token });
         }
     }
 
--- a/system/testing/simulation/src/recovery.rs
+++ b/system/testing/simulation/src/recovery.rs
@@ -134,7 +134,7 @@
         processes.all(|process| {
             let view = process.node.view();
             let has_all = view.is_some_and(|view| ids.iter().all(|id| view.contains(*id)));
-            has_all && process.node.is_in_step()
+            has_all && process.node.is_caught_up()
         })
     }
 
