--- a/system/runtime/node/src/control_link/mod.rs
+++ b/system/runtime/node/src/control_link/mod.rs
@@ -13,5 +13,4 @@
 mod versions;
 
 pub use connections::ControlLinkConfig;
-pub use replica::ControlReplica;
-pub use versions::AdoptedVersions;
+pub use replica::{ControlReplica, ControlUpdate};
--- a/system/runtime/node/src/control_link/replica.rs
+++ b/system/runtime/node/src/control_link/replica.rs
@@ -4,12 +4,24 @@
 use super::link::ControlLink;
 use super::versions::AdoptedVersions;
 use millrudder_clock::Instant;
-use millrudder_protocol::control::{FromCore, ToCore};
-use millrudder_protocol::Address;
+use millrudder_protocol::control::{ConfigurationText, FromCore, ToCore, WorkerList};
+use millrudder_protocol::placement::Placement;
 use millrudder_settings::Settings;
 use millrudder_staleness::{StalenessChange, StalenessTracker};
 use std::path::Path;
 
+/// A part of the control state that a host is to follow.
+pub enum ControlUpdate {
+    /// A placement of a later epoch.
+    Placement(Placement),
+    /// A configuration of a higher version.
+    Configuration(ConfigurationText),
+    /// The list of workers.
+    Workers(WorkerList),
+    /// The number of dispatchers.
+    DispatcherCount(u32),
+}
+
 /// Connections to the core, the versions that this process has adopted, and since when these may be outdated.
 ///
 /// Nothing of it is durable: a process that starts has version zero of everything and is sent all.
@@ -32,15 +44,35 @@
         }
     }
 
-    /// The versions that this process has adopted.
-    pub fn adopted(&self) -> AdoptedVersions {
-        self.adopted
-    }
-
-    /// This process follows the placement of this epoch from now on.
-    pub fn adopt_placement(&mut self, epoch: u64) {
-        self.adopted.placement_epoch = epoch;
-        self.link.set_adopted(self.adopted);
+    /// Handles a message of a core machine; returns the part of the state that the host is to follow, if it is newer than
+    /// what was adopted. A placement counts as adopted at once, a configuration by [`ControlReplica::adopt_configuration`].
+    pub fn handle(&mut self, now: Instant, message: FromCore) -> Option<ControlUpdate> {
+        match message {
+            FromCore::Placement { placement } if placement.epoch.0 > self.adopted.placement_epoch => {
+                self.adopted.placement_epoch = placement.epoch.0;
+                self.link.set_adopted(self.adopted);
+                Some(ControlUpdate::Placement(placement))
+            }
+            FromCore::Configuration { configuration }
+                if configuration.version > self.adopted.configuration_version =>
+            {
+                Some(ControlUpdate::Configuration(configuration))
+            }
+            FromCore::Workers { list } => Some(ControlUpdate::Workers(list)),
+            FromCore::DispatcherCount { count } => Some(ControlUpdate::DispatcherCount(count)),
+            FromCore::StalenessConfirmed { configuration_version, placement_epoch, sent_at_ms } => {
+                let newest = AdoptedVersions { configuration_version, placement_epoch };
+                self.handle_confirmation(now, newest, Instant::from_millis(sent_at_ms));
+                None
+            }
+            FromCore::CoreAddresses { addresses } => {
+                self.link.add_core_machines(addresses.into_iter().map(|address| address.0));
+                None
+            }
+            FromCore::Placement { .. } | FromCore::Configuration { .. } => None,
+            // Handled by the connection.
+            FromCore::NoQuorum | FromCore::Redirect => None,
+        }
     }
 
     /// This process follows the configuration of this version from now on.
@@ -51,7 +83,7 @@
 
     /// A core machine has confirmed that `newest` was the newest state when this process asked, at `asked_at`. That says
     /// something of the replica only if it has these versions.
-    pub fn handle_confirmation(&mut self, now: Instant, newest: AdoptedVersions, asked_at: Instant) {
+    fn handle_confirmation(&mut self, now: Instant, newest: AdoptedVersions, asked_at: Instant) {
         if self.adopted.covers(newest) {
             log_staleness(self.staleness.handle_confirmation(now, asked_at));
         }
@@ -67,11 +99,6 @@
         self.staleness.was_confirmed()
     }
 
-    /// Connects to these core machines too, as far as they are needed.
-    pub fn add_core_machines(&self, addresses: Vec<Address>) {
-        self.link.add_core_machines(addresses.into_iter().map(|address| address.0));
-    }
-
     /// Sends a message to every core machine that is connected.
     pub fn send_all(&self, message: &ToCore) {
         self.link.send_all(message);
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -28,6 +28,7 @@
 use crate::core::worker_list::KnownWorkerList;
 use crate::core::worker_list_reader::WorkerListReader;
 use crate::error::RoleError;
+use crate::event_loop::{self, Wake};
 use arc_swap::ArcSwap;
 use millrudder_chain::{CoreNode, Input};
 use millrudder_clock::Instant;
@@ -44,7 +45,6 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
-use tokio::time::sleep_until;
 
 /// What a [`CoreHost`] is made of.
 pub struct CoreHostConfig {
@@ -155,17 +155,11 @@
         self.follow_retirements();
         loop {
             let deadline = self.next_deadline();
-            tokio::select! {
-                biased;
-                event = queue.recv() => {
-                    let Some(event) = event else { return Ok(()) };
-                    self.handle_event(event);
-                }
-                report = reports.recv() => {
-                    let Some(report) = report else { return Ok(()) };
-                    self.handle_report(report)?;
-                }
-                () = sleep_until(deadline) => {}
+            match event_loop::wait(queue, reports, deadline).await {
+                Wake::Event(event) => self.handle_event(event),
+                Wake::Report(report) => self.handle_report(report)?,
+                Wake::Deadline => {}
+                Wake::Closed => return Ok(()),
             }
             while let Ok(event) = queue.try_recv() {
                 self.handle_event(event);
--- a/system/runtime/node/src/edge/host/control.rs
+++ b/system/runtime/node/src/edge/host/control.rs
@@ -1,9 +1,8 @@
 //! Messages of core machines: placements, configurations, workers, confirmations.
 
 use super::EdgeHost;
-use crate::control_link::AdoptedVersions;
+use crate::control_link::ControlUpdate;
 use crate::edge::active_configuration::ActiveConfiguration;
-use millrudder_clock::Instant;
 use millrudder_delivery as delivery;
 use millrudder_intake as intake;
 use millrudder_protocol::control::FromCore;
@@ -14,28 +13,16 @@
 impl EdgeHost {
     /// Handles a message of a core machine; parts of the state that are not newer than those adopted are dropped.
     pub(super) fn handle_core(&mut self, message: FromCore) {
-        let adopted = self.control.adopted();
-        match message {
-            FromCore::Placement { placement } if placement.epoch.0 > adopted.placement_epoch => {
-                self.control.adopt_placement(placement.epoch.0);
-                self.follow_placement(placement);
-            }
-            FromCore::Configuration { configuration }
-                if configuration.version > adopted.configuration_version =>
-            {
+        match self.control.handle(self.clock.now(), message) {
+            Some(ControlUpdate::Placement(placement)) => self.follow_placement(placement),
+            Some(ControlUpdate::Configuration(configuration)) => {
                 self.follow_configuration(&configuration.json);
             }
-            FromCore::Workers { list } => self.handle_delivery(delivery::Input::Workers(list)),
-            FromCore::DispatcherCount { count } => {
+            Some(ControlUpdate::Workers(list)) => self.handle_delivery(delivery::Input::Workers(list)),
+            Some(ControlUpdate::DispatcherCount(count)) => {
                 self.handle_delivery(delivery::Input::Dispatchers { count });
             }
-            FromCore::StalenessConfirmed { configuration_version, placement_epoch, sent_at_ms } => {
-                let newest = AdoptedVersions { configuration_version, placement_epoch };
-                let asked_at = Instant::from_millis(sent_at_ms);
-                self.control.handle_confirmation(self.clock.now(), newest, asked_at);
-            }
-            FromCore::CoreAddresses { addresses } => self.control.add_core_machines(addresses),
-            _ => {}
+            None => {}
         }
     }
 
--- a/system/runtime/node/src/main.rs
+++ b/system/runtime/node/src/main.rs
@@ -14,6 +14,7 @@
 mod disk_thread;
 mod edge;
 mod error;
+mod event_loop;
 mod listen;
 mod location;
 mod logging;
--- a/system/runtime/node/src/storage/host/control.rs
+++ b/system/runtime/node/src/storage/host/control.rs
@@ -1,7 +1,7 @@
 //! Messages of core machines, and heartbeats to them.
 
 use super::StoreHost;
-use crate::control_link::AdoptedVersions;
+use crate::control_link::ControlUpdate;
 use crate::storage::queue_config::service_rates;
 use millrudder_clock::Instant;
 use millrudder_configuration::Configuration;
@@ -17,29 +17,17 @@
 impl StoreHost {
     /// Handles a message of a core machine; parts of the state that are not newer than those adopted are dropped.
     pub(super) fn handle_core(&mut self, message: FromCore) {
-        let adopted = self.control.adopted();
-        match message {
-            FromCore::Placement { placement } if placement.epoch.0 > adopted.placement_epoch => {
-                self.follow_placement(placement);
-            }
-            FromCore::Configuration { configuration }
-                if configuration.version > adopted.configuration_version =>
-            {
+        match self.control.handle(self.clock.now(), message) {
+            Some(ControlUpdate::Placement(placement)) => self.follow_placement(placement),
+            Some(ControlUpdate::Configuration(configuration)) => {
                 self.control.adopt_configuration(configuration.version);
                 self.follow_configuration(&configuration.json);
             }
-            FromCore::StalenessConfirmed { configuration_version, placement_epoch, sent_at_ms } => {
-                let newest = AdoptedVersions { configuration_version, placement_epoch };
-                let asked_at = Instant::from_millis(sent_at_ms);
-                self.control.handle_confirmation(self.clock.now(), newest, asked_at);
-            }
-            FromCore::CoreAddresses { addresses } => self.control.add_core_machines(addresses),
-            _ => {}
+            Some(ControlUpdate::Workers(_) | ControlUpdate::DispatcherCount(_)) | None => {}
         }
     }
 
     fn follow_placement(&mut self, placement: Placement) {
-        self.control.adopt_placement(placement.epoch.0);
         self.links.follow(&placement);
         self.catch_up.follow(&placement, self.local_id);
         self.handing_over = shards_handed_over(&placement, self.local_id);
--- a/system/runtime/node/src/storage/host/mod.rs
+++ b/system/runtime/node/src/storage/host/mod.rs
@@ -9,6 +9,7 @@
 use crate::clock::{random_seed, SteadyClock};
 use crate::control_link::{ControlLinkConfig, ControlReplica};
 use crate::error::RoleError;
+use crate::event_loop::{self, Wake};
 use crate::mechanisms::Mechanisms;
 use crate::storage::caller::Caller;
 use crate::storage::catch_up::CatchUpReports;
@@ -27,7 +28,6 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
-use tokio::time::sleep_until;
 
 /// A store is connected to all core machines: the one that holds the controller's lease must get its heartbeats.
 const MAX_CORE_CONNECTIONS: usize = usize::MAX;
@@ -145,17 +145,11 @@
     ) -> Result<(), RoleError> {
         loop {
             let deadline = self.next_deadline();
-            tokio::select! {
-                biased;
-                event = queue.recv() => {
-                    let Some(event) = event else { return Ok(()) };
-                    self.handle_event(event);
-                }
-                report = reports.recv() => {
-                    let Some(report) = report else { return Ok(()) };
-                    self.handle_report(report)?;
-                }
-                () = sleep_until(deadline) => {}
+            match event_loop::wait(queue, reports, deadline).await {
+                Wake::Event(event) => self.handle_event(event),
+                Wake::Report(report) => self.handle_report(report)?,
+                Wake::Deadline => {}
+                Wake::Closed => return Ok(()),
             }
             while let Ok(event) = queue.try_recv() {
                 self.handle_event(event);
