--- a/system/runtime/node/src/core/mod.rs
+++ b/system/runtime/node/src/core/mod.rs
@@ -64,6 +64,7 @@
         settings.bind.control_plane.ok_or(RoleError::MissingKey { key: "bindAddrs.controlPlane" })?;
     let internal = internal_address(&settings, InternalPort::Core);
     let mut signals = Signals::install()?;
+    // Its bounds are those of `accept_internal` and of the operator's connections, each with one request.
     let (events, queue) = unbounded_channel();
     let opened = OpenedJournal::open(&folder)?;
 
--- a/system/runtime/node/src/core/supervisor.rs
+++ b/system/runtime/node/src/core/supervisor.rs
@@ -43,6 +43,7 @@
         mut queue: UnboundedReceiver<Event>,
     ) -> Result<(), RoleError> {
         loop {
+            // Bounded by the commands to the disk's thread: a batch of these gets one report, or few.
             let (reports, mut reported) = unbounded_channel();
             let mut host = self.make_host(opened, reports).await?;
             let seed_watch = spawn_seed_watch(self.client.clone(), host.seeds(), self.events.clone());
--- a/system/runtime/node/src/disk_thread.rs
+++ b/system/runtime/node/src/disk_thread.rs
@@ -54,7 +54,9 @@
 
 /// The queue of a disk's thread. The thread ends once this is dropped and the queue is empty, or when the disk fails.
 ///
-/// The queue is unbounded: what waits in it was asked for by the state machine, which bounds what it has in flight.
+/// The queue is unbounded. A store's state machine accepts messages only within its limits of memory and disk, which bound
+/// what waits here. The core's has no such limit: what waits is what operators, placements and views add while a disk
+/// stalls.
 pub struct DiskThread<C> {
     commands: Sender<C>,
     /// Never joined: the process may end while the last batch is written, which is as good as a crash.
--- a/system/runtime/node/src/edge/mod.rs
+++ b/system/runtime/node/src/edge/mod.rs
@@ -57,6 +57,7 @@
     let readiness_address =
         settings.bind.readiness.ok_or(RoleError::MissingKey { key: "bindAddrs.readiness" })?;
     let mut signals = Signals::install()?;
+    // Bounded by the connections of clients, each with one request, and by the credits and leases of stores.
     let (events, queue) = unbounded_channel();
     let configuration = SharedConfiguration::empty();
     let mut host = EdgeHost::new(&settings, configuration.clone(), events.clone());
--- a/system/runtime/node/src/listen.rs
+++ b/system/runtime/node/src/listen.rs
@@ -54,8 +54,9 @@
 /// Accepts connections of other processes until the guard is dropped, and puts their events into the queue of the
 /// state's owner.
 ///
-/// The queue is unbounded: a connection is read no faster than the one thread of the process works, and its owner works
-/// the queue empty in each turn.
+/// The queue is unbounded. While the owner runs, a connection is read no faster than the one thread of the process works,
+/// and the owner empties the queue in each turn. While a failed disk is reopened there is no owner: what other processes
+/// send on connections that they open meanwhile waits for the next one.
 pub fn accept_internal<M, E>(
     listener: TcpListener,
     events: UnboundedSender<E>,
--- a/system/runtime/node/src/storage/mod.rs
+++ b/system/runtime/node/src/storage/mod.rs
@@ -48,6 +48,7 @@
     let folder = settings.data_dir.clone().ok_or(RoleError::MissingKey { key: "dataDir" })?;
     let internal = internal_address(&settings, InternalPort::Storage);
     let mut signals = Signals::install()?;
+    // Its bounds are those of `accept_internal`.
     let (events, queue) = unbounded_channel();
     let opened = open_disk(&folder, &settings)?;
     let _acceptor = accept_internal(listen(internal)?, events.clone(), Event::Inbound);
--- a/system/runtime/node/src/storage/supervisor.rs
+++ b/system/runtime/node/src/storage/supervisor.rs
@@ -36,6 +36,7 @@
     /// shards, and begins afresh with what the disk holds as soon as it takes writes again.
     pub async fn serve(&self, mut opened: OpenedDisk, mut queue: UnboundedReceiver<Event>) {
         loop {
+            // Bounded by the commands to the disk's thread: a batch of these gets one report, or few.
             let (reports, mut reported) = unbounded_channel();
             let mut host = StoreHost::new(StoreHostConfig {
                 settings: &self.settings,
--- a/system/runtime/node/tests/system/main.rs
+++ b/system/runtime/node/tests/system/main.rs
@@ -6,6 +6,7 @@
 mod configuration;
 mod forwarding;
 mod hostile;
+mod log_lines;
 mod messages;
 mod quorum;
 mod recovery;
