--- a/system/state/configuration/tests/invalid.rs
+++ b/system/state/configuration/tests/invalid.rs
@@ -5,18 +5,18 @@
 use millrudder_configuration::{Configuration, ConfigurationError};
 use proptest::prelude::*;
 use serde_json::{json, Value};
-use support::{read, thin, whole};
+use support::{complete, minimal, read};
 
-/// The error for the whole configuration with the value at `pointer` replaced.
+/// The error for the complete configuration with the value at `pointer` replaced.
 fn error_with(pointer: &str, value: Value) -> ConfigurationError {
-    let mut spoilt = whole();
-    *spoilt.pointer_mut(pointer).expect("the field is there") = value;
-    read(&spoilt).expect_err("the configuration is invalid")
+    let mut invalid = complete();
+    *invalid.pointer_mut(pointer).expect("the field is there") = value;
+    read(&invalid).expect_err("the configuration is invalid")
 }
 
 #[test]
 fn a_body_truncated_anywhere_is_rejected() {
-    let body = serde_json::to_vec(&whole()).unwrap();
+    let body = serde_json::to_vec(&complete()).unwrap();
     for length in 0..body.len() {
         let read = Configuration::from_json(&body[..length]);
         assert!(matches!(read, Err(ConfigurationError::Unreadable(_))), "cut after {length} bytes");
@@ -25,7 +25,7 @@
 
 #[test]
 fn anything_after_the_end_is_rejected() {
-    let body = serde_json::to_string(&whole()).unwrap();
+    let body = serde_json::to_string(&complete()).unwrap();
     assert!(Configuration::from_json(format!(" {body}\r\n").as_bytes()).is_ok());
     for more in ["}", "{}", "x", "\0", ",", &body] {
         let read = Configuration::from_json(format!("{body}{more}").as_bytes());
@@ -35,7 +35,7 @@
 
 #[test]
 fn bytes_that_are_not_utf8_are_rejected() {
-    let mut body = serde_json::to_vec(&whole()).unwrap();
+    let mut body = serde_json::to_vec(&complete()).unwrap();
     assert!(matches!(Configuration::from_json(b"\xff\xfe{}"), Err(ConfigurationError::NotUtf8(_))));
     let inside = body.len() / 2;
     body[inside] = 0xff;
@@ -51,10 +51,10 @@
     ];
     for (parent, keys) in fields {
         for key in keys {
-            let mut absent = thin();
+            let mut absent = minimal();
             absent.pointer_mut(parent).unwrap().as_object_mut().unwrap().remove(key).unwrap();
             assert!(matches!(read(&absent), Err(ConfigurationError::Unreadable(_))), "no {key}");
-            let mut null = thin();
+            let mut null = minimal();
             null.pointer_mut(parent).unwrap()[key] = Value::Null;
             assert!(matches!(read(&null), Err(ConfigurationError::Unreadable(_))), "null {key}");
         }
@@ -63,7 +63,7 @@
 
 #[test]
 fn fields_of_another_type_are_rejected() {
-    let spoilt = [
+    let invalid = [
         ("/version", json!("7")),
         ("/version", json!(-7)),
         ("/version", json!(7.5)),
@@ -79,7 +79,7 @@
         ("/limits", json!(3)),
         ("/limits/maxBodyBytes", json!(-1)),
     ];
-    for (pointer, value) in spoilt {
+    for (pointer, value) in invalid {
         let error = error_with(pointer, value.clone());
         assert!(matches!(error, ConfigurationError::Unreadable(_)), "{pointer} {value}: {error}");
     }
@@ -101,17 +101,17 @@
 
 #[test]
 fn a_duplicate_field_is_rejected() {
-    let body = serde_json::to_string(&thin()).unwrap();
+    let body = serde_json::to_string(&minimal()).unwrap();
     let twice = body.replacen('{', r#"{"version":2,"#, 1);
     assert!(matches!(Configuration::from_json(twice.as_bytes()), Err(ConfigurationError::Unreadable(_))));
 }
 
 #[test]
 fn numbers_out_of_floating_point_range_are_rejected() {
-    let body = serde_json::to_string(&thin()).unwrap();
+    let body = serde_json::to_string(&minimal()).unwrap();
     for number in ["1e999", "NaN", "Infinity", "-", "0x10"] {
-        let spoilt = body.replace("500", number);
-        let read = Configuration::from_json(spoilt.as_bytes());
+        let invalid = body.replace("500", number);
+        let read = Configuration::from_json(invalid.as_bytes());
         assert!(matches!(read, Err(ConfigurationError::Unreadable(_))), "{number}");
     }
 }
@@ -135,10 +135,10 @@
 #[test]
 fn two_routes_with_one_host_and_prefix_are_rejected() {
     for host in ["bees.example", "BEES.example", "bees.example.", "bees.example:80"] {
-        let mut spoilt = whole();
-        spoilt["routes"][1]["hostname"] = json!(host);
-        spoilt["routes"][1]["pathPrefix"] = json!("/post/");
-        let read = read(&spoilt);
+        let mut invalid = complete();
+        invalid["routes"][1]["hostname"] = json!(host);
+        invalid["routes"][1]["pathPrefix"] = json!("/post/");
+        let read = read(&invalid);
         assert!(matches!(read, Err(ConfigurationError::DuplicateMatch { .. })), "{host}");
     }
 }
@@ -154,7 +154,7 @@
 
 #[test]
 fn numbers_out_of_range_are_rejected() {
-    let spoilt = [
+    let invalid = [
         ("/routes/0/timeoutMs", json!(-5)),
         ("/routes/0/timeoutMs", json!(1e300)),
         ("/routes/0/targetLatencyMs", json!(-1)),
@@ -163,7 +163,7 @@
         ("/backends/0/ratePerS", json!(-39.0)),
         ("/limits/headerTimeoutMs", json!(-3)),
     ];
-    for (pointer, value) in spoilt {
+    for (pointer, value) in invalid {
         let error = error_with(pointer, value);
         assert!(matches!(error, ConfigurationError::OutOfRange { .. }), "{pointer}: {error}");
     }
@@ -207,7 +207,7 @@
         json!({"name": format!("r{number}"), "hostname": "h", "pathPrefix": format!("/{number}"),
                "backend": "hives", "timeoutMs": 5})
     };
-    let mut many = thin();
+    let mut many = minimal();
     many["routes"] = (0..65_536).map(route).collect();
     assert_eq!(read(&many).unwrap().routes().len(), 65_536);
     many["routes"].as_array_mut().unwrap().push(route(65_536));
@@ -221,10 +221,10 @@
     fn bytes_changed_anywhere_never_panic(
         changes in proptest::collection::vec((any::<proptest::sample::Index>(), any::<u8>()), 1..4)
     ) {
-        let mut body = serde_json::to_vec(&whole()).unwrap();
+        let mut body = serde_json::to_vec(&complete()).unwrap();
         for (index, byte) in changes {
-            let place = index.index(body.len());
-            body[place] = byte;
+            let position = index.index(body.len());
+            body[position] = byte;
         }
         if let Err(error) = Configuration::from_json(&body) {
             prop_assert!(!error.to_string().is_empty());
--- a/system/state/configuration/tests/reading.rs
+++ b/system/state/configuration/tests/reading.rs
@@ -9,11 +9,11 @@
 use serde_json::json;
 use std::num::NonZeroU32;
 use std::time::Duration;
-use support::{read, thin, whole};
+use support::{complete, minimal, read};
 
 #[test]
 fn routes_are_converted_to_typed_units() {
-    let configuration = read(&whole()).unwrap();
+    let configuration = read(&complete()).unwrap();
     let expected = Route {
         name: RouteName::from("r-file"),
         host: HostName::new("wasps.example").unwrap(),
@@ -36,7 +36,7 @@
 
 #[test]
 fn services_are_converted_to_typed_units() {
-    let configuration = read(&whole()).unwrap();
+    let configuration = read(&complete()).unwrap();
     let expected = Service {
         name: ServiceName::from("nest"),
         health_check_path: "/well".into(),
@@ -59,12 +59,12 @@
         header_timeout: Duration::from_millis(2_500),
         idle_timeout: Duration::from_secs(12),
     };
-    assert_eq!(*read(&whole()).unwrap().limits(), expected);
+    assert_eq!(*read(&complete()).unwrap().limits(), expected);
 }
 
 #[test]
 fn absent_fields_have_defaults() {
-    let configuration = read(&thin()).unwrap();
+    let configuration = read(&minimal()).unwrap();
     let route = configuration.route(&RouteName::from("r")).unwrap();
     assert_eq!(route.kind, RouteKind::Deferred);
     assert_eq!((route.target_latency, route.target_start), (route.timeout, route.timeout));
@@ -76,7 +76,7 @@
 
 #[test]
 fn null_is_as_absent_for_optional_fields() {
-    let mut nulls = thin();
+    let mut nulls = minimal();
     for key in
         ["routeType", "targetLatencyMs", "targetStartMs", "priority", "maxRetries", "fifo", "retentionS"]
     {
@@ -86,40 +86,40 @@
         nulls["backends"][0][key] = json!(null);
     }
     nulls["limits"] = json!({"maxBodyBytes": null, "idleTimeoutMs": null});
-    let (nulls, absent) = (read(&nulls).unwrap(), read(&thin()).unwrap());
+    let (nulls, absent) = (read(&nulls).unwrap(), read(&minimal()).unwrap());
     assert!(nulls.routes().eq(absent.routes()) && nulls.services().eq(absent.services()));
     assert_eq!(nulls.limits(), absent.limits());
 }
 
 #[test]
 fn unknown_fields_are_ignored() {
-    let mut more = whole();
+    let mut more = complete();
     more["operator"] = json!({"name": "x", "deep": [[[1e300]]]});
     more["routes"][0]["weights"] = json!([{"backend": "elsewhere", "weight": 0}]);
     more["routes"][1]["match"] = json!(null);
     more["backends"][0]["subset"] = json!("v2");
     more["limits"]["maxThings"] = json!(-1);
-    let (more, plain) = (read(&more).unwrap(), read(&whole()).unwrap());
+    let (more, plain) = (read(&more).unwrap(), read(&complete()).unwrap());
     assert!(more.routes().eq(plain.routes()) && more.services().eq(plain.services()));
 }
 
 #[test]
 fn integers_may_be_written_with_a_point() {
-    let mut other = whole();
+    let mut other = complete();
     other["version"] = json!(7.0);
     other["routes"][0]["timeoutMs"] = json!(2000.0);
     other["routes"][0]["maxRetries"] = json!(4.0);
     other["routes"][0]["retentionS"] = json!(90);
     other["backends"][1]["ratePerS"] = json!(39);
     other["limits"]["maxBodyBytes"] = json!(1e5);
-    let (other, plain) = (read(&other).unwrap(), read(&whole()).unwrap());
+    let (other, plain) = (read(&other).unwrap(), read(&complete()).unwrap());
     assert!(other.routes().eq(plain.routes()) && other.services().eq(plain.services()));
     assert_eq!((other.version(), other.limits()), (plain.version(), plain.limits()));
 }
 
 #[test]
 fn routes_of_another_kind_keep_its_name() {
-    let mut other = whole();
+    let mut other = complete();
     other["routes"][0]["routeType"] = json!("stream");
     let configuration = read(&other).unwrap();
     let route = configuration.route(&RouteName::from("r-post")).unwrap();
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_message_gets_at_least_one_attempt() {
-    let mut none = whole();
+    let mut none = complete();
     none["routes"][0]["maxRetries"] = json!(0);
     let configuration = read(&none).unwrap();
     let attempts = |name| configuration.route(&RouteName::from(name)).unwrap().max_attempts().get();
@@ -137,7 +137,7 @@
 
 #[test]
 fn no_routes_and_unused_services_are_valid() {
-    let mut empty = whole();
+    let mut empty = complete();
     empty["routes"] = json!([]);
     assert_eq!(read(&empty).unwrap().routes().len(), 0);
     empty["backends"] = json!([]);
@@ -146,7 +146,7 @@
 
 #[test]
 fn same_prefix_on_two_hosts_and_nested_prefixes_are_valid() {
-    let mut nested = whole();
+    let mut nested = complete();
     nested["routes"][1]["pathPrefix"] = json!("/post/");
     assert!(read(&nested).is_ok());
     nested["routes"][1]["hostname"] = json!("bees.example");
@@ -156,8 +156,8 @@
 
 #[test]
 fn digests_differ_for_different_bytes() {
-    let body = serde_json::to_vec(&whole()).unwrap();
-    let spaced = serde_json::to_vec_pretty(&whole()).unwrap();
+    let body = serde_json::to_vec(&complete()).unwrap();
+    let spaced = serde_json::to_vec_pretty(&complete()).unwrap();
     let digest = |body: &[u8]| Configuration::from_json(body).unwrap().digest();
     assert_eq!(digest(&body), ConfigurationDigest::of(&body));
     assert_eq!(digest(&body), digest(&body.clone()));
--- a/system/state/configuration/tests/support/mod.rs
+++ b/system/state/configuration/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 
 /// Two hosts, a listed service and one with an endpoint.
-pub fn whole() -> Value {
+pub fn complete() -> Value {
     json!({
         "version": 7,
         "routes": [
@@ -37,7 +37,7 @@
 }
 
 /// Only the required fields.
-pub fn thin() -> Value {
+pub fn minimal() -> Value {
     json!({
         "version": 1,
         "routes": [
--- a/system/state/configuration/tests/table.rs
+++ b/system/state/configuration/tests/table.rs
@@ -5,7 +5,7 @@
 use millrudder_configuration::{Configuration, RouteTable};
 use proptest::prelude::*;
 use serde_json::json;
-use support::{read, thin};
+use support::{minimal, read};
 
 /// A configuration with a route for each host and prefix, named by both.
 fn configuration(matches: &[(&str, &str)]) -> Configuration {
@@ -13,7 +13,7 @@
         json!({"name": format!("{host}{prefix}"), "hostname": host, "pathPrefix": prefix, "backend": "hives",
                "timeoutMs": 500})
     };
-    let mut value = thin();
+    let mut value = minimal();
     value["routes"] = matches.iter().map(route).collect();
     read(&value).unwrap()
 }
--- a/system/state/discovery/tests/difference.rs
+++ b/system/state/discovery/tests/difference.rs
@@ -63,8 +63,8 @@
 
 #[test]
 fn the_remaining_warm_up_is_no_change() {
-    let cold = |seconds| Instance { warm_up_left: Duration::from_secs(seconds), ..worker(1) };
-    assert_eq!(changes(&[cold(5)], &[cold(4)]), []);
+    let warm_up = |seconds| Instance { warm_up_left: Duration::from_secs(seconds), ..worker(1) };
+    assert_eq!(changes(&[warm_up(5)], &[warm_up(4)]), []);
 }
 
 #[test]
--- a/system/state/discovery/tests/page.rs
+++ b/system/state/discovery/tests/page.rs
@@ -69,10 +69,10 @@
 
 #[test]
 fn numbers_out_of_range_are_clamped() {
-    let cold = |text: &str| parse(&COMPLETE.replace("1500", text)).instances[0].warm_up_left;
-    assert_eq!(cold("-5"), Duration::ZERO);
-    assert_eq!(cold("0.5"), Duration::from_micros(500));
-    assert_eq!(cold("1e300"), Duration::from_secs(86_400));
+    let warm_up = |text: &str| parse(&COMPLETE.replace("1500", text)).instances[0].warm_up_left;
+    assert_eq!(warm_up("-5"), Duration::ZERO);
+    assert_eq!(warm_up("0.5"), Duration::from_micros(500));
+    assert_eq!(warm_up("1e300"), Duration::from_secs(86_400));
     assert_eq!(parse(&COMPLETE.replace("\"capacity\": 6", "\"capacity\": 0")).instances[0].capacity, 1);
 }
 
