--- a/system/runtime/node/src/edge/clients.rs
+++ b/system/runtime/node/src/edge/clients.rs
@@ -1,7 +1,7 @@
 //! Clients that wait for an answer.
 
 use millrudder_clock::Instant;
-use millrudder_intake::{AcceptAnswer, CallNumber, QueryResult};
+use millrudder_intake::{CallNumber, QueryResult, SubmissionResult};
 use millrudder_protocol::message::Message;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 
 /// A client that waits for its message to be accepted.
 pub struct WaitingClient {
-    reply: oneshot::Sender<AcceptAnswer>,
+    reply: oneshot::Sender<SubmissionResult>,
     /// The message.
     pub message: Arc<Message>,
     /// When it arrived here.
@@ -18,7 +18,7 @@
 
 impl WaitingClient {
     /// Answers the client. It may have gone; a message that was accepted stays accepted.
-    pub fn answer(self, answer: AcceptAnswer) {
+    pub fn answer(self, answer: SubmissionResult) {
         let _ = self.reply.send(answer);
     }
 }
@@ -36,7 +36,7 @@
     pub fn add_submission(
         &mut self,
         message: Arc<Message>,
-        reply: oneshot::Sender<AcceptAnswer>,
+        reply: oneshot::Sender<SubmissionResult>,
         now: Instant,
     ) -> CallNumber {
         let call = self.next_call();
--- a/system/runtime/node/src/edge/event.rs
+++ b/system/runtime/node/src/edge/event.rs
@@ -2,7 +2,7 @@
 
 use crate::edge::front::submission::ClientMessage;
 use millrudder_delivery::{AttemptId, AttemptResult, CallBackResult};
-use millrudder_intake::{AcceptAnswer, QueryResult};
+use millrudder_intake::{QueryResult, SubmissionResult};
 use millrudder_protocol::control::FromCore;
 use millrudder_protocol::store::ToDispatcher;
 use millrudder_protocol::{MessageId, StoreId};
@@ -17,7 +17,7 @@
         /// The message.
         message: Box<ClientMessage>,
         /// Gets the outcome.
-        reply: oneshot::Sender<AcceptAnswer>,
+        reply: oneshot::Sender<SubmissionResult>,
     },
     /// A client asks for the state of a message, or for its bytes.
     Query {
--- a/system/runtime/node/src/edge/front/mod.rs
+++ b/system/runtime/node/src/edge/front/mod.rs
@@ -9,7 +9,7 @@
 use arc_swap::ArcSwapOption;
 use http::header::RETRY_AFTER;
 use http::{HeaderValue, Method, StatusCode};
-use millrudder_intake::AcceptAnswer;
+use millrudder_intake::SubmissionResult;
 use millrudder_protocol::MessageId;
 use millrudder_system_http::front::{handler, Handler, Request, Response};
 use millrudder_system_http::headers;
@@ -58,13 +58,13 @@
     let sent = events.send(Event::Submit { message: Box::new(message), reply });
     let answer = if sent.is_ok() { answer.await.ok() } else { None };
     match answer {
-        Some(AcceptAnswer::Kept { id }) => accepted(id),
-        Some(AcceptAnswer::Refused { retry_after_ms }) => {
+        Some(SubmissionResult::Accepted { id }) => accepted(id),
+        Some(SubmissionResult::Rejected { retry_after_ms }) => {
             let seconds = retry_after_ms.div_ceil(1000).max(1);
             problem(StatusCode::SERVICE_UNAVAILABLE, "no store can take the message now; it will not run")
                 .with_header(RETRY_AFTER, HeaderValue::from(seconds))
         }
-        Some(AcceptAnswer::InDoubt) | None => {
+        Some(SubmissionResult::InDoubt) | None => {
             problem(StatusCode::GATEWAY_TIMEOUT, "the message may have been kept; nothing is promised")
         }
     }
--- a/system/runtime/node/src/edge/front/submission.rs
+++ b/system/runtime/node/src/edge/front/submission.rs
@@ -4,7 +4,7 @@
 use http::header::HOST;
 use http::{HeaderMap, HeaderName};
 use millrudder_configuration::Route;
-use millrudder_intake::Place;
+use millrudder_intake::TargetShard;
 use millrudder_protocol::message::{Header, Message};
 use millrudder_system_http::client::CallbackUrl;
 use millrudder_system_http::front::Request;
@@ -41,7 +41,7 @@
     /// The message as it is stored.
     pub message: Message,
     /// The choice of its shard.
-    pub shard: Place,
+    pub shard: TargetShard,
     /// How long the client can wait for its answer from now on.
     pub answer_within: Duration,
 }
@@ -86,9 +86,9 @@
     };
     // One primary paces all messages of a service with a rate limit, those with a key too.
     let shard = match &order_key {
-        _ if configuration.has_rate_limit(route) => Place::Named(route.service.to_string()),
-        Some(key) => Place::Named(key.clone()),
-        None => Place::Any,
+        _ if configuration.has_rate_limit(route) => TargetShard::ByName(route.service.to_string()),
+        Some(key) => TargetShard::ByName(key.clone()),
+        None => TargetShard::Any,
     };
     let message = Message {
         request_id,
--- a/system/runtime/node/src/edge/host/clients.rs
+++ b/system/runtime/node/src/edge/host/clients.rs
@@ -4,11 +4,12 @@
 use crate::edge::front::submission::ClientMessage;
 use crate::logging::LoggedStoreId;
 use millrudder_delivery as delivery;
-use millrudder_intake::{AcceptAnswer, CallNumber, Input, Output, Submission};
+use millrudder_intake::{CallNumber, Input, Output, Submission, SubmissionResult};
 use millrudder_protocol::message::Message;
 use millrudder_protocol::store::FromDispatcher;
 use millrudder_protocol::{LeaseToken, MessageId, StoreId};
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::sync::oneshot;
 
 impl EdgeHost {
@@ -16,15 +17,15 @@
     pub(super) fn handle_submission(
         &mut self,
         submitted: ClientMessage,
-        reply: oneshot::Sender<AcceptAnswer>,
+        reply: oneshot::Sender<SubmissionResult>,
     ) {
         let now = self.clock.now();
         let message = Arc::new(submitted.message);
         let call = self.clients.add_submission(Arc::clone(&message), reply, now);
         let submission = Submission {
             message: Message::clone(&message),
-            place: submitted.shard,
-            deadline: now.as_millis() + submitted.answer_within.as_millis() as u64,
+            target: submitted.shard,
+            deadline: now + Duration::from_millis(submitted.answer_within.as_millis() as u64),
         };
         self.handle_intake(Input::Submit { call, submission: Box::new(submission) });
     }
@@ -32,7 +33,7 @@
     /// Passes an input to intake and carries out its outputs.
     pub(super) fn handle_intake(&mut self, input: Input) {
         let mut outputs = Vec::new();
-        self.intake.handle(self.clock.millis(), input, &mut outputs);
+        self.intake.handle(self.clock.now(), input, &mut outputs);
         for output in outputs {
             match output {
                 Output::ToStore { store, message } => {
@@ -44,16 +45,16 @@
                     }
                     self.stores.send(store, message);
                 }
-                Output::Answered { call, answer } => self.answer_submission(call, answer),
+                Output::SubmissionEnded { call, result } => self.answer_submission(call, result),
                 Output::Deliver { store, id, token, call: _ } => self.deliver_accepted(store, id, token),
-                Output::Known { call, result } => self.clients.answer_query(call, result),
+                Output::QueryEnded { call, result } => self.clients.answer_query(call, result),
             }
         }
     }
 
-    fn answer_submission(&mut self, call: CallNumber, answer: AcceptAnswer) {
+    fn answer_submission(&mut self, call: CallNumber, answer: SubmissionResult) {
         let Some(client) = self.clients.take_submission(call) else { return };
-        if let AcceptAnswer::Kept { id } = answer {
+        if let SubmissionResult::Accepted { id } = answer {
             let now = self.clock.now();
             self.messages.insert(now, id, Arc::clone(&client.message));
             let elapsed_ms = (now - client.arrived_at).as_millis() as u64;
--- a/system/runtime/node/src/edge/host/mod.rs
+++ b/system/runtime/node/src/edge/host/mod.rs
@@ -127,15 +127,15 @@
     }
 
     fn next_deadline(&self) -> tokio::time::Instant {
-        let ping_at = self.ping_at.as_millis();
-        let deadlines = [self.intake.next_deadline(), self.delivery.next_deadline(), Some(ping_at)];
-        self.clock.at_millis(deadlines.into_iter().flatten().min().unwrap_or(ping_at))
+        let delivery = self.delivery.next_deadline().map(Instant::from_millis);
+        let deadlines = [self.intake.next_deadline(), delivery, Some(self.ping_at)];
+        self.clock.at(deadlines.into_iter().flatten().min().unwrap_or(self.ping_at))
     }
 
     fn tick(&mut self) {
         self.check_clocks();
         let now = self.clock.now();
-        if self.intake.next_deadline().is_some_and(|due| due <= now.as_millis()) {
+        if self.intake.next_deadline().is_some_and(|due| due <= now) {
             self.handle_intake(intake::Input::Tick);
         }
         if self.delivery.next_deadline().is_some_and(|due| due <= now.as_millis()) {
@@ -171,7 +171,7 @@
             Event::Submit { message, reply } => self.handle_submission(*message, reply),
             Event::Query { id, body, reply } => {
                 let call = self.clients.add_query(reply);
-                self.handle_intake(intake::Input::Query { call, id, body });
+                self.handle_intake(intake::Input::Query { call, id, with_body: body });
             }
             Event::Store { store, event } => self.handle_store_link(store, event),
             Event::Core(message) => self.handle_core(message),
--- a/system/runtime/node/src/edge/host/stores.rs
+++ b/system/runtime/node/src/edge/host/stores.rs
@@ -84,7 +84,7 @@
                 self.handle_intake(intake::Input::FromStore { store, message });
             }
         }
-        self.handle_intake(intake::Input::Heard { store });
+        self.handle_intake(intake::Input::StoreActive { store });
     }
 
     fn is_primary(&self, store: StoreId, shard: ShardId) -> bool {
--- /dev/null
+++ b/system/state/intake/src/deadlines.rs
@@ -0,0 +1,44 @@
+//! Deadlines of calls, in their order.
+
+use crate::interface::CallNumber;
+use millrudder_clock::Instant;
+use std::collections::{BTreeMap, BTreeSet};
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Deadline {
+    at: Instant,
+    call: CallNumber,
+}
+
+/// One deadline for each call.
+#[derive(Clone, Debug, Default)]
+pub struct Deadlines {
+    by_call: BTreeMap<CallNumber, Instant>,
+    by_time: BTreeSet<Deadline>,
+}
+
+impl Deadlines {
+    /// Sets the deadline of a call, in place of the one before.
+    pub fn set(&mut self, call: CallNumber, at: Instant) {
+        self.remove(call);
+        self.by_call.insert(call, at);
+        self.by_time.insert(Deadline { at, call });
+    }
+
+    /// Removes the deadline of a call that has ended.
+    pub fn remove(&mut self, call: CallNumber) {
+        if let Some(at) = self.by_call.remove(&call) {
+            self.by_time.remove(&Deadline { at, call });
+        }
+    }
+
+    /// The next deadline.
+    pub fn next(&self) -> Option<Instant> {
+        self.by_time.first().map(|deadline| deadline.at)
+    }
+
+    /// Calls whose deadline is reached, in the order of the deadlines.
+    pub fn due(&self, now: Instant) -> impl Iterator<Item = CallNumber> + '_ {
+        self.by_time.iter().take_while(move |deadline| deadline.at <= now).map(|deadline| deadline.call)
+    }
+}
--- /dev/null
+++ b/system/state/intake/src/queries.rs
@@ -0,0 +1,222 @@
+//! Queries of a message's state: the shard's primary is asked first, other replicas if it is slow or unreachable.
+
+use crate::deadlines::Deadlines;
+use crate::interface::{CallNumber, Output, QueryResult};
+use crate::store_directory::StoreDirectory;
+use millrudder_clock::Instant;
+use millrudder_protocol::message::End;
+use millrudder_protocol::store::{FromDispatcher, QueryAnswer};
+use millrudder_protocol::{MessageId, RequestNumber, StoreId};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// After this time without an answer the next replica is asked as well (a hedged request).
+const HEDGE_DELAY: Duration = Duration::from_millis(250);
+/// Clients wait two seconds, of which the network takes a part; by this time they get the best answer so far.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// A query without a final answer.
+struct PendingQuery {
+    id: MessageId,
+    with_body: bool,
+    /// Replicas in the order in which they are asked.
+    replicas: Vec<StoreId>,
+    /// Number of replicas that were asked, or passed over.
+    next_replica: usize,
+    in_flight: BTreeMap<RequestNumber, StoreId>,
+    /// Number of replicas that do not know the message.
+    unknown_answers: usize,
+    /// A replica other than the primary has the message queued; the primary may know a later state.
+    is_queued_at_replica: bool,
+    deadline: Instant,
+}
+
+impl PendingQuery {
+    /// The answer if no more replies arrive.
+    fn best_result(&self) -> QueryResult {
+        if self.is_queued_at_replica && !self.with_body {
+            QueryResult::Queued
+        } else if !self.replicas.is_empty() && self.unknown_answers == self.replicas.len() {
+            QueryResult::Unknown
+        } else {
+            QueryResult::Unavailable
+        }
+    }
+
+    /// Begins anew with other replicas; returns the requests whose answers do not matter any more.
+    fn restart(&mut self, replicas: Vec<StoreId>) -> impl Iterator<Item = RequestNumber> {
+        self.replicas = replicas;
+        self.next_replica = 0;
+        self.unknown_answers = 0;
+        std::mem::take(&mut self.in_flight).into_keys()
+    }
+
+    /// The next replica with an open connection.
+    fn take_next_replica(&mut self, stores: &StoreDirectory) -> Option<StoreId> {
+        while let Some(store) = self.replicas.get(self.next_replica).copied() {
+            self.next_replica += 1;
+            if stores.is_connected(store) {
+                return Some(store);
+            }
+        }
+        None
+    }
+}
+
+/// All queries without a final answer.
+#[derive(Default)]
+pub struct Queries {
+    last_request: u64,
+    pending: BTreeMap<CallNumber, PendingQuery>,
+    by_request: BTreeMap<RequestNumber, CallNumber>,
+    deadlines: Deadlines,
+}
+
+impl Queries {
+    /// Begins a query.
+    pub fn begin(
+        &mut self,
+        now: Instant,
+        call: CallNumber,
+        id: MessageId,
+        with_body: bool,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        let query = PendingQuery {
+            id,
+            with_body,
+            replicas: stores.replicas(id.shard),
+            next_replica: 0,
+            in_flight: BTreeMap::new(),
+            unknown_answers: 0,
+            is_queued_at_replica: false,
+            deadline: now + QUERY_TIMEOUT,
+        };
+        self.pending.insert(call, query);
+        self.deadlines.set(call, now);
+        self.ask_next(now, call, stores, outputs);
+    }
+
+    /// When [`Queries::handle_tick`] is due.
+    pub fn next_deadline(&self) -> Option<Instant> {
+        self.deadlines.next()
+    }
+
+    /// Advances all queries whose deadline is reached.
+    pub fn handle_tick(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
+        while let Some(call) = self.next_due(now) {
+            self.ask_next(now, call, stores, outputs);
+        }
+    }
+
+    fn next_due(&self, now: Instant) -> Option<CallNumber> {
+        self.deadlines.due(now).next()
+    }
+
+    /// Handles another placement: where it names other replicas, that the former ones do not know a message proves
+    /// nothing.
+    pub fn handle_placement(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
+        let is_moved = |query: &PendingQuery| query.replicas != stores.replicas(query.id.shard);
+        let moved = self.pending.iter().filter(|(_, query)| is_moved(query));
+        let calls: Vec<CallNumber> = moved.map(|(call, _)| *call).collect();
+        for call in calls {
+            if let Some(query) = self.pending.get_mut(&call) {
+                for request in query.restart(stores.replicas(query.id.shard)) {
+                    self.by_request.remove(&request);
+                }
+            }
+            self.ask_next(now, call, stores, outputs);
+        }
+    }
+
+    /// Handles that a connection has closed: no answer will arrive on it.
+    pub fn handle_closed(
+        &mut self,
+        now: Instant,
+        store: StoreId,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        let awaits_store = |query: &PendingQuery| query.in_flight.values().any(|other| *other == store);
+        let waiting = self.pending.iter().filter(|(_, query)| awaits_store(query));
+        let calls: Vec<CallNumber> = waiting.map(|(call, _)| *call).collect();
+        for call in calls {
+            if let Some(query) = self.pending.get_mut(&call) {
+                query.in_flight.retain(|_, other| *other != store);
+            }
+            self.ask_next(now, call, stores, outputs);
+        }
+    }
+
+    /// Handles a store's answer.
+    pub fn handle_state(
+        &mut self,
+        now: Instant,
+        store: StoreId,
+        request: RequestNumber,
+        answer: QueryAnswer,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(call) = self.by_request.remove(&request) else { return };
+        let Some(query) = self.pending.get_mut(&call) else { return };
+        query.in_flight.remove(&request);
+        let is_primary = query.replicas.first() == Some(&store);
+        match answer {
+            QueryAnswer::Ended { end } => return self.end(call, result_of(end), outputs),
+            QueryAnswer::Body { body } => return self.end(call, QueryResult::Body { body }, outputs),
+            QueryAnswer::Queued if is_primary => return self.end(call, QueryResult::Queued, outputs),
+            QueryAnswer::Queued => query.is_queued_at_replica = true,
+            QueryAnswer::Unknown => query.unknown_answers += 1,
+            // It may never have been sent the message.
+            QueryAnswer::NotReplica => {}
+        }
+        self.ask_next(now, call, stores, outputs);
+    }
+
+    /// Asks the next replica that can be reached; ends the query where no more answers can arrive.
+    fn ask_next(
+        &mut self,
+        now: Instant,
+        call: CallNumber,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(query) = self.pending.get_mut(&call) else { return };
+        if now >= query.deadline {
+            let result = query.best_result();
+            return self.end(call, result, outputs);
+        }
+        if let Some(store) = query.take_next_replica(stores) {
+            self.last_request += 1;
+            let request = RequestNumber(self.last_request);
+            query.in_flight.insert(request, store);
+            self.by_request.insert(request, call);
+            let message = FromDispatcher::Query { request, id: query.id, with_body: query.with_body };
+            outputs.push(Output::ToStore { store, message });
+        }
+        if query.in_flight.is_empty() {
+            let result = query.best_result();
+            return self.end(call, result, outputs);
+        }
+        self.deadlines.set(call, (now + HEDGE_DELAY).min(query.deadline));
+    }
+
+    fn end(&mut self, call: CallNumber, result: QueryResult, outputs: &mut Vec<Output>) {
+        let Some(query) = self.pending.remove(&call) else { return };
+        self.deadlines.remove(call);
+        for request in query.in_flight.keys() {
+            self.by_request.remove(request);
+        }
+        outputs.push(Output::QueryEnded { call, result });
+    }
+}
+
+fn result_of(end: End) -> QueryResult {
+    match end {
+        End::Completed { signature } => QueryResult::Completed { signature },
+        End::DeadLetter => QueryResult::DeadLetter,
+        End::Withdrawn => QueryResult::Unknown,
+    }
+}
--- /dev/null
+++ b/system/state/intake/src/response_time.rs
@@ -0,0 +1,30 @@
+//! Adaptive time-out of attempts.
+
+use std::time::Duration;
+
+/// Weight of a new measurement in the moving average.
+const EWMA_WEIGHT: f64 = 0.1;
+/// Time-out of an attempt, as a multiple of the mean response time ...
+const TIMEOUT_FACTOR: u64 = 6;
+/// ... and its bounds: shorter ones would hedge ordinary variance, longer ones keep clients waiting.
+const MIN_TIMEOUT_MS: u64 = 60;
+const MAX_TIMEOUT_MS: u64 = 150;
+
+/// Exponentially weighted moving average of the stores' response times.
+#[derive(Clone, Debug, Default)]
+pub struct ResponseTime {
+    mean_ms: f64,
+}
+
+impl ResponseTime {
+    /// Adds a measurement, in whole milliseconds.
+    pub fn record(&mut self, elapsed: Duration) {
+        self.mean_ms += EWMA_WEIGHT * (elapsed.as_millis() as f64 - self.mean_ms);
+    }
+
+    /// After this time without an answer, an attempt is not waited for any more.
+    pub fn attempt_timeout(&self) -> Duration {
+        let mean_ms = self.mean_ms.ceil() as u64;
+        Duration::from_millis((TIMEOUT_FACTOR * mean_ms).clamp(MIN_TIMEOUT_MS, MAX_TIMEOUT_MS))
+    }
+}
--- /dev/null
+++ b/system/state/intake/src/submissions.rs
@@ -0,0 +1,348 @@
+//! Submissions: one message, one or more attempts at stores, one final answer.
+//!
+//! A message that may be in any shard is attempted at another store, under another identifier, as soon as a store is slow;
+//! the other attempts are withdrawn. A message whose shard is given (by its order key, or by its service's rate limit) is
+//! attempted again under the same identifier at the shard's present primary, which deduplicates; where that one was lost
+//! recently, it waits for the next one while enough replicas are left to accept a message.
+
+use crate::deadlines::Deadlines;
+use crate::interface::{CallNumber, Output, Submission, SubmissionResult, TargetShard};
+use crate::response_time::ResponseTime;
+use crate::store_directory::StoreDirectory;
+use crate::withdrawals::Withdrawals;
+use millrudder_clock::Instant;
+use millrudder_protocol::store::{AcceptRejection, FromDispatcher};
+use millrudder_protocol::{LeaseToken, MessageId, RequestNumber, ShardId, StoreId};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Delay before the shard's primary is asked again, where it was not ready.
+const RETRY_DELAY: Duration = Duration::from_millis(15);
+/// Retry-After of clients where no store can accept their message, in milliseconds.
+const RETRY_AFTER_MS: u32 = 300;
+
+/// An attempt that may have left the message at a store.
+struct Attempt {
+    id: MessageId,
+    store: StoreId,
+    /// The connection on which it was sent is still open, so that an answer may arrive.
+    is_connected: bool,
+    sent_at: Instant,
+}
+
+impl Attempt {
+    fn is_in_time(&self, now: Instant, timeout: Duration) -> bool {
+        self.is_connected && now < self.sent_at + timeout
+    }
+
+    fn has_timed_out(&self, now: Instant, timeout: Duration) -> bool {
+        self.is_connected && now >= self.sent_at + timeout
+    }
+}
+
+/// An attempt that a store has not answered in time.
+pub struct TimedOutAttempt {
+    /// The store.
+    pub store: StoreId,
+    /// When the attempt was sent.
+    pub sent_at: Instant,
+}
+
+/// A submission without a final answer.
+struct PendingSubmission {
+    submission: Submission,
+    attempts: BTreeMap<RequestNumber, Attempt>,
+    attempted_stores: Vec<StoreId>,
+    /// Its identifier, where its shard is given.
+    fixed_id: Option<MessageId>,
+}
+
+impl PendingSubmission {
+    fn new(submission: Submission) -> Self {
+        let attempted_stores = Vec::new();
+        PendingSubmission { submission, attempts: BTreeMap::new(), attempted_stores, fixed_id: None }
+    }
+
+    /// Whether an answer may still arrive, or its shard may get another primary in time.
+    fn may_be_accepted(&self) -> bool {
+        let has_connected_attempt = self.attempts.values().any(|attempt| attempt.is_connected);
+        has_connected_attempt || !self.attempts.is_empty() && self.fixed_id.is_some()
+    }
+
+    fn has_connected_attempt_at(&self, store: StoreId) -> bool {
+        self.attempts.values().any(|attempt| attempt.is_connected && attempt.store == store)
+    }
+
+    /// When the last attempt that is still in time was sent.
+    fn last_in_time(&self, now: Instant, timeout: Duration) -> Option<Instant> {
+        let in_time = self.attempts.values().filter(|attempt| attempt.is_in_time(now, timeout));
+        in_time.map(|attempt| attempt.sent_at).max()
+    }
+}
+
+/// All submissions without a final answer.
+pub struct Submissions {
+    random: fastrand::Rng,
+    turn: usize,
+    last_request: u64,
+    pending: BTreeMap<CallNumber, PendingSubmission>,
+    by_request: BTreeMap<RequestNumber, CallNumber>,
+    deadlines: Deadlines,
+    withdrawals: Withdrawals,
+    response_time: ResponseTime,
+}
+
+impl Submissions {
+    /// `seed` determines message identifiers.
+    pub fn new(seed: u64) -> Self {
+        Submissions {
+            random: fastrand::Rng::with_seed(seed),
+            turn: 0,
+            last_request: 0,
+            pending: BTreeMap::new(),
+            by_request: BTreeMap::new(),
+            deadlines: Deadlines::default(),
+            withdrawals: Withdrawals::default(),
+            response_time: ResponseTime::default(),
+        }
+    }
+
+    /// Begins a submission.
+    pub fn submit(
+        &mut self,
+        now: Instant,
+        call: CallNumber,
+        submission: Submission,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        self.pending.insert(call, PendingSubmission::new(submission));
+        self.deadlines.set(call, now);
+        self.advance(now, call, stores, outputs);
+    }
+
+    /// When [`Submissions::handle_tick`] is due.
+    pub fn next_deadline(&self) -> Option<Instant> {
+        self.deadlines.next()
+    }
+
+    /// Advances all submissions whose deadline is reached.
+    pub fn handle_tick(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
+        while let Some(call) = self.next_due(now) {
+            self.advance(now, call, stores, outputs);
+        }
+    }
+
+    fn next_due(&self, now: Instant) -> Option<CallNumber> {
+        self.deadlines.due(now).next()
+    }
+
+    /// Messages that a store may have accepted without an answer yet, or whose withdrawal is not confirmed.
+    pub fn in_doubt(&self, is_of_shard: impl Fn(ShardId) -> bool) -> Vec<MessageId> {
+        let attempts = self.pending.values().flat_map(|pending| pending.attempts.values());
+        let attempted = attempts.map(|attempt| attempt.id);
+        attempted.chain(self.withdrawals.pending()).filter(|id| is_of_shard(id.shard)).collect()
+    }
+
+    /// Attempts of due submissions that have timed out.
+    pub fn timed_out_attempts(&self, now: Instant) -> Vec<TimedOutAttempt> {
+        let timeout = self.response_time.attempt_timeout();
+        let due = self.deadlines.due(now).filter_map(|call| self.pending.get(&call));
+        let attempts = due.flat_map(|pending| pending.attempts.values());
+        let timed_out = attempts.filter(|attempt| attempt.has_timed_out(now, timeout));
+        timed_out.map(|attempt| TimedOutAttempt { store: attempt.store, sent_at: attempt.sent_at }).collect()
+    }
+
+    /// Handles another placement, or a connection that has opened or closed.
+    pub fn handle_stores_changed(
+        &mut self,
+        now: Instant,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        self.withdrawals.resend(stores, outputs);
+        self.advance_all(now, stores, outputs);
+    }
+
+    /// Advances all submissions.
+    pub fn advance_all(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
+        let calls: Vec<CallNumber> = self.pending.keys().copied().collect();
+        for call in calls {
+            self.advance(now, call, stores, outputs);
+        }
+    }
+
+    /// Handles that a connection has closed: no answer will arrive on it.
+    pub fn handle_closed(
+        &mut self,
+        now: Instant,
+        store: StoreId,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        for pending in self.pending.values_mut() {
+            let lost = pending.attempts.values_mut().filter(|attempt| attempt.store == store);
+            lost.for_each(|attempt| attempt.is_connected = false);
+        }
+        self.handle_stores_changed(now, stores, outputs);
+    }
+
+    /// Handles that a store has accepted a message: ends the submission and withdraws its other attempts.
+    pub fn handle_accepted(
+        &mut self,
+        now: Instant,
+        store: StoreId,
+        request: RequestNumber,
+        token: Option<LeaseToken>,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(call) = self.by_request.get(&request).copied() else { return };
+        let Some(mut ended) = self.remove(call) else { return };
+        let Some(accepted) = ended.attempts.remove(&request) else { return };
+        self.response_time.record(now - accepted.sent_at);
+        let result = SubmissionResult::Accepted { id: accepted.id };
+        outputs.push(Output::SubmissionEnded { call, result });
+        if let Some(token) = token {
+            outputs.push(Output::Deliver { store, id: accepted.id, token, call });
+        }
+        for attempt in ended.attempts.into_values().filter(|attempt| attempt.id != accepted.id) {
+            self.withdrawals.add(attempt.id, stores, outputs);
+        }
+    }
+
+    /// Handles that a store has rejected a message.
+    pub fn handle_rejected(
+        &mut self,
+        now: Instant,
+        request: RequestNumber,
+        reason: AcceptRejection,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(call) = self.by_request.remove(&request) else { return };
+        let Some(pending) = self.pending.get_mut(&call) else { return };
+        pending.attempts.remove(&request);
+        match reason {
+            AcceptRejection::Full { retry_after_ms } if pending.fixed_id.is_some() => {
+                self.end_unaccepted(call, retry_after_ms, stores, outputs);
+            }
+            // The same primary may be ready a moment later.
+            AcceptRejection::NotPrimary { .. } if pending.fixed_id.is_some() => {
+                self.deadlines.set(call, now + RETRY_DELAY);
+            }
+            _ => self.advance(now, call, stores, outputs),
+        }
+    }
+
+    /// Handles that the withdrawal of a message is durable.
+    pub fn handle_withdrawn(&mut self, id: MessageId) {
+        self.withdrawals.handle_confirmed(id);
+    }
+
+    /// Does for a submission what can be done now: waits for an attempt, makes another, or ends it.
+    fn advance(
+        &mut self,
+        now: Instant,
+        call: CallNumber,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        let timeout = self.response_time.attempt_timeout();
+        let Some(pending) = self.pending.get(&call) else { return };
+        let deadline = pending.submission.deadline;
+        if now >= deadline {
+            self.end_unaccepted(call, RETRY_AFTER_MS, stores, outputs);
+            return;
+        }
+        if let Some(sent_at) = pending.last_in_time(now, timeout) {
+            self.deadlines.set(call, (sent_at + timeout).min(deadline));
+            return;
+        }
+        if self.attempt_next(now, call, stores, outputs) {
+            self.deadlines.set(call, (now + timeout).min(deadline));
+            return;
+        }
+        let Some(pending) = self.pending.get(&call) else { return };
+        if pending.may_be_accepted() {
+            self.deadlines.set(call, (now + RETRY_DELAY).min(deadline));
+            return;
+        }
+        // A new placement or an opened connection advances it before.
+        match pending.fixed_id.and_then(|id| stores.await_next_primary(now, id.shard, deadline)) {
+            Some(until) => self.deadlines.set(call, until),
+            None => self.end_unaccepted(call, RETRY_AFTER_MS, stores, outputs),
+        }
+    }
+
+    /// Sends the message to a store that was not attempted yet, or to the primary of the shard that it must be in. False
+    /// if there is none.
+    fn attempt_next(
+        &mut self,
+        now: Instant,
+        call: CallNumber,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) -> bool {
+        let Some(id) = self.choose_id(call, stores) else { return false };
+        let Some(store) = stores.usable_primary(id.shard) else { return false };
+        let Some(pending) = self.pending.get_mut(&call) else { return false };
+        if pending.has_connected_attempt_at(store) {
+            return false;
+        }
+        self.last_request += 1;
+        let request = RequestNumber(self.last_request);
+        pending.attempted_stores.push(store);
+        pending.attempts.insert(request, Attempt { id, store, is_connected: true, sent_at: now });
+        self.by_request.insert(request, call);
+        let message = Box::new(pending.submission.message.clone());
+        let accept = FromDispatcher::Accept { request, id, message, wants_lease: true };
+        outputs.push(Output::ToStore { store, message: accept });
+        true
+    }
+
+    /// The identifier for the next attempt.
+    fn choose_id(&mut self, call: CallNumber, stores: &StoreDirectory) -> Option<MessageId> {
+        let pending = self.pending.get_mut(&call)?;
+        if pending.fixed_id.is_some() {
+            return pending.fixed_id;
+        }
+        let unique = self.random.u64(..);
+        if let TargetShard::ByName(name) = &pending.submission.target {
+            pending.fixed_id = stores.shard_of(name).map(|shard| MessageId { shard, unique });
+            return pending.fixed_id;
+        }
+        self.turn = self.turn.wrapping_add(1);
+        let shard = stores.any_shard(self.turn, &pending.attempted_stores)?;
+        Some(MessageId { shard, unique })
+    }
+
+    /// Ends a submission without a 202: rejected if no store can have the message, in doubt otherwise.
+    fn end_unaccepted(
+        &mut self,
+        call: CallNumber,
+        retry_after_ms: u32,
+        stores: &StoreDirectory,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(ended) = self.remove(call) else { return };
+        let result = if ended.attempts.is_empty() {
+            SubmissionResult::Rejected { retry_after_ms }
+        } else {
+            SubmissionResult::InDoubt
+        };
+        outputs.push(Output::SubmissionEnded { call, result });
+        for attempt in ended.attempts.into_values() {
+            self.withdrawals.add(attempt.id, stores, outputs);
+        }
+    }
+
+    fn remove(&mut self, call: CallNumber) -> Option<PendingSubmission> {
+        let pending = self.pending.remove(&call)?;
+        self.deadlines.remove(call);
+        for request in pending.attempts.keys() {
+            self.by_request.remove(request);
+        }
+        Some(pending)
+    }
+}
--- a/system/state/intake/src/withdrawals.rs
+++ b/system/state/intake/src/withdrawals.rs
@@ -1,47 +1,52 @@
-//! Messages whose clients got no 202 although a store may have them: they must not run.
+//! Withdrawals: messages whose clients got no 202 although a store may have them. They must not run.
 
-use crate::stores::Stores;
-use crate::Output;
+use crate::interface::Output;
+use crate::store_directory::StoreDirectory;
 use millrudder_protocol::store::FromDispatcher;
 use millrudder_protocol::MessageId;
 use std::collections::BTreeSet;
 
-/// Withdrawals that are owed while stores cannot be reached; beyond it the first are dropped.
-const MOST: usize = 10_000;
+/// Maximum number of withdrawals that are pending while stores cannot be reached; beyond it the lowest identifiers are
+/// dropped.
+const MAX_PENDING: usize = 10_000;
 
-/// What is still to be withdrawn. Told again whenever the shard's primary changes or comes back.
-#[derive(Default)]
+/// Withdrawals that no store has confirmed yet. They are sent again whenever the shard's primary changes or reconnects.
+#[derive(Debug, Default)]
 pub struct Withdrawals {
-    owed: BTreeSet<MessageId>,
+    pending: BTreeSet<MessageId>,
 }
 
 impl Withdrawals {
-    pub fn add(&mut self, id: MessageId, stores: &Stores, out: &mut Vec<Output>) {
-        if self.owed.insert(id) {
-            tell(id, stores, out);
+    /// Withdraws a message.
+    pub fn add(&mut self, id: MessageId, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
+        if self.pending.insert(id) {
+            send(id, stores, outputs);
         }
-        while self.owed.len() > MOST {
-            self.owed.pop_first();
+        while self.pending.len() > MAX_PENDING {
+            self.pending.pop_first();
         }
     }
 
-    pub fn owed(&self) -> impl Iterator<Item = MessageId> + '_ {
-        self.owed.iter().copied()
+    /// Messages whose withdrawal is not confirmed.
+    pub fn pending(&self) -> impl Iterator<Item = MessageId> + '_ {
+        self.pending.iter().copied()
     }
 
-    pub fn done(&mut self, id: MessageId) {
-        self.owed.remove(&id);
+    /// Handles a store's confirmation that a withdrawal is durable.
+    pub fn handle_confirmed(&mut self, id: MessageId) {
+        self.pending.remove(&id);
     }
 
-    pub fn tell_again(&self, stores: &Stores, out: &mut Vec<Output>) {
-        for id in &self.owed {
-            tell(*id, stores, out);
+    /// Sends all pending withdrawals again.
+    pub fn resend(&self, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
+        for id in &self.pending {
+            send(*id, stores, outputs);
         }
     }
 }
 
-fn tell(id: MessageId, stores: &Stores, out: &mut Vec<Output>) {
-    if let Some(store) = stores.open_primary(id.shard) {
-        out.push(Output::ToStore { store, message: FromDispatcher::Withdraw { id } });
+fn send(id: MessageId, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
+    if let Some(store) = stores.connected_primary(id.shard) {
+        outputs.push(Output::ToStore { store, message: FromDispatcher::Withdraw { id } });
     }
 }
--- a/system/state/intake/tests/intake.rs
+++ b/system/state/intake/tests/intake.rs
@@ -1,6 +1,9 @@
 //! Submissions and queries against scripted stores.
 
-use millrudder_intake::{AcceptAnswer, CallNumber, Input, Intake, Output, Place, QueryResult, Submission};
+use millrudder_clock::Instant;
+use millrudder_intake::{
+    CallNumber, Input, Intake, Output, QueryResult, Submission, SubmissionResult, TargetShard,
+};
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::placement::{Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::store::{AcceptRejection, FromDispatcher, QueryAnswer, ToDispatcher};
@@ -49,47 +52,47 @@
     }
 }
 
-struct Rig {
+struct TestIntake {
     intake: Intake,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
 }
 
-impl Rig {
+impl TestIntake {
     fn new() -> Self {
-        let mut rig = Rig { intake: Intake::new("a", 1), out: Vec::new() };
-        rig.give(0, Input::Placement(placement(1, [HERE, THERE, FAR])));
+        let mut test = TestIntake { intake: Intake::new("a", 1), outputs: Vec::new() };
+        test.handle(0, Input::Placement(placement(1, [HERE, THERE, FAR])));
         for store in [HERE, THERE, FAR] {
-            rig.give(0, Input::StoreConnected { store });
+            test.handle(0, Input::StoreConnected { store });
         }
-        rig
+        test
     }
 
-    fn give(&mut self, now: u64, input: Input) -> Vec<Output> {
-        self.out.clear();
-        self.intake.handle(now, input, &mut self.out);
-        self.out.clone()
+    fn handle(&mut self, now: u64, input: Input) -> Vec<Output> {
+        self.outputs.clear();
+        self.intake.handle(Instant::from_millis(now), input, &mut self.outputs);
+        self.outputs.clone()
     }
 
-    fn submit(&mut self, place: Place) -> Vec<Output> {
-        let submission = Submission { message: message(), place, deadline: 500 };
-        self.give(0, Input::Submit { call: CALL, submission: Box::new(submission) })
+    fn submit(&mut self, target: TargetShard) -> Vec<Output> {
+        let submission = Submission { message: message(), target, deadline: Instant::from_millis(500) };
+        self.handle(0, Input::Submit { call: CALL, submission: Box::new(submission) })
     }
 
-    fn store_says(&mut self, now: u64, store: StoreId, message: ToDispatcher) -> Vec<Output> {
-        self.give(now, Input::FromStore { store, message })
+    fn receive(&mut self, now: u64, store: StoreId, message: ToDispatcher) -> Vec<Output> {
+        self.handle(now, Input::FromStore { store, message })
     }
 
-    /// Ticks at each deadline up to `until`, and returns all that came out.
+    /// Ticks at each deadline up to `until`, and returns all outputs.
     fn run(&mut self, until: u64) -> Vec<Output> {
         let mut all = Vec::new();
-        while let Some(due) = self.intake.next_deadline().filter(|due| *due <= until) {
-            all.extend(self.give(due, Input::Tick));
+        while let Some(due) = self.intake.next_deadline().filter(|due| due.as_millis() <= until) {
+            all.extend(self.handle(due.as_millis(), Input::Tick));
         }
         all
     }
 }
 
-fn accept_in(outputs: &[Output]) -> Option<(StoreId, RequestNumber, MessageId)> {
+fn accept_request(outputs: &[Output]) -> Option<(StoreId, RequestNumber, MessageId)> {
     outputs.iter().find_map(|output| match output {
         Output::ToStore { store, message: FromDispatcher::Accept { request, id, .. } } => {
             Some((*store, *request, *id))
@@ -98,14 +101,14 @@
     })
 }
 
-fn answer_in(outputs: &[Output]) -> Option<AcceptAnswer> {
+fn submission_result(outputs: &[Output]) -> Option<SubmissionResult> {
     outputs.iter().find_map(|output| match output {
-        Output::Answered { answer, .. } => Some(*answer),
+        Output::SubmissionEnded { result, .. } => Some(*result),
         _ => None,
     })
 }
 
-fn withdrawn_in(outputs: &[Output]) -> Vec<(StoreId, MessageId)> {
+fn withdrawals(outputs: &[Output]) -> Vec<(StoreId, MessageId)> {
     let withdrawn = outputs.iter().filter_map(|output| match output {
         Output::ToStore { store, message: FromDispatcher::Withdraw { id } } => Some((*store, *id)),
         _ => None,
@@ -114,181 +117,182 @@
 }
 
 #[test]
-fn the_store_of_the_zone_keeps_it_and_grants_its_delivery() {
-    let mut rig = Rig::new();
-    let (store, request, id) = accept_in(&rig.submit(Place::Any)).unwrap();
+fn the_store_of_the_zone_accepts_a_message_and_grants_its_lease() {
+    let mut test = TestIntake::new();
+    let (store, request, id) = accept_request(&test.submit(TargetShard::Any)).unwrap();
     assert_eq!(store, HERE);
     let token = LeaseToken(3);
-    let out = rig.store_says(5, HERE, ToDispatcher::Accepted { request, token: Some(token) });
-    assert_eq!(answer_in(&out), Some(AcceptAnswer::Kept { id }));
-    assert!(out.contains(&Output::Deliver { store: HERE, id, token, call: CALL }));
-    assert_eq!(rig.intake.next_deadline(), None);
+    let outputs = test.receive(5, HERE, ToDispatcher::Accepted { request, token: Some(token) });
+    assert_eq!(submission_result(&outputs), Some(SubmissionResult::Accepted { id }));
+    assert!(outputs.contains(&Output::Deliver { store: HERE, id, token, call: CALL }));
+    assert_eq!(test.intake.next_deadline(), None);
 }
 
 #[test]
-fn a_slow_store_is_not_waited_for_and_its_copy_is_withdrawn() {
-    let mut rig = Rig::new();
-    let (_, _, first) = accept_in(&rig.submit(Place::Any)).unwrap();
-    let (store, request, second) = accept_in(&rig.run(90)).unwrap();
+fn a_slow_store_is_hedged_and_its_attempt_is_withdrawn() {
+    let mut test = TestIntake::new();
+    let (_, _, first) = accept_request(&test.submit(TargetShard::Any)).unwrap();
+    let (store, request, second) = accept_request(&test.run(90)).unwrap();
     assert_ne!(store, HERE);
     assert_ne!(first, second);
-    let out = rig.store_says(130, store, ToDispatcher::Accepted { request, token: None });
-    assert_eq!(answer_in(&out), Some(AcceptAnswer::Kept { id: second }));
-    assert_eq!(withdrawn_in(&out), vec![(HERE, first)]);
+    let outputs = test.receive(130, store, ToDispatcher::Accepted { request, token: None });
+    assert_eq!(submission_result(&outputs), Some(SubmissionResult::Accepted { id: second }));
+    assert_eq!(withdrawals(&outputs), vec![(HERE, first)]);
 }
 
 #[test]
-fn the_first_answer_counts_also_when_it_is_late() {
-    let mut rig = Rig::new();
-    let (_, request, first) = accept_in(&rig.submit(Place::Any)).unwrap();
-    let (store, _, second) = accept_in(&rig.run(90)).unwrap();
-    let out = rig.store_says(130, HERE, ToDispatcher::Accepted { request, token: None });
-    assert_eq!(answer_in(&out), Some(AcceptAnswer::Kept { id: first }));
-    assert_eq!(withdrawn_in(&out), vec![(store, second)]);
+fn the_first_answer_wins_even_if_it_is_late() {
+    let mut test = TestIntake::new();
+    let (_, request, first) = accept_request(&test.submit(TargetShard::Any)).unwrap();
+    let (store, _, second) = accept_request(&test.run(90)).unwrap();
+    let outputs = test.receive(130, HERE, ToDispatcher::Accepted { request, token: None });
+    assert_eq!(submission_result(&outputs), Some(SubmissionResult::Accepted { id: first }));
+    assert_eq!(withdrawals(&outputs), vec![(store, second)]);
 }
 
 #[test]
-fn an_owed_withdrawal_is_told_again_when_the_store_is_back() {
-    let mut rig = Rig::new();
-    let (_, _, first) = accept_in(&rig.submit(Place::Any)).unwrap();
-    let (store, request, _) = accept_in(&rig.give(10, Input::StoreClosed { store: HERE })).unwrap();
-    rig.store_says(20, store, ToDispatcher::Accepted { request, token: None });
-    let out = rig.give(900, Input::StoreConnected { store: HERE });
-    assert_eq!(withdrawn_in(&out), vec![(HERE, first)]);
-    rig.store_says(901, HERE, ToDispatcher::Withdrawn { id: first });
-    rig.give(950, Input::StoreClosed { store: HERE });
-    assert_eq!(withdrawn_in(&rig.give(960, Input::StoreConnected { store: HERE })), vec![]);
+fn a_pending_withdrawal_is_sent_again_when_the_store_reconnects() {
+    let mut test = TestIntake::new();
+    let (_, _, first) = accept_request(&test.submit(TargetShard::Any)).unwrap();
+    let (store, request, _) = accept_request(&test.handle(10, Input::StoreClosed { store: HERE })).unwrap();
+    test.receive(20, store, ToDispatcher::Accepted { request, token: None });
+    let outputs = test.handle(900, Input::StoreConnected { store: HERE });
+    assert_eq!(withdrawals(&outputs), vec![(HERE, first)]);
+    test.receive(901, HERE, ToDispatcher::Withdrawn { id: first });
+    test.handle(950, Input::StoreClosed { store: HERE });
+    assert_eq!(withdrawals(&test.handle(960, Input::StoreConnected { store: HERE })), vec![]);
 }
 
 #[test]
-fn a_message_with_a_given_shard_keeps_its_name_at_the_next_primary() {
-    let mut rig = Rig::new();
-    let (store, _, first) = accept_in(&rig.submit(Place::Named("key-1".into()))).unwrap();
-    rig.give(10, Input::StoreClosed { store });
+fn a_message_with_a_given_shard_keeps_its_id_at_the_next_primary() {
+    let mut test = TestIntake::new();
+    let (store, _, first) = accept_request(&test.submit(TargetShard::ByName("key-1".into()))).unwrap();
+    test.handle(10, Input::StoreClosed { store });
     let next = if store == HERE { THERE } else { HERE };
     let mut later = placement(2, [HERE, THERE, FAR]);
     later.shards[usize::from(first.shard.0)].primary = next;
-    let (second_store, request, second) = accept_in(&rig.give(200, Input::Placement(later))).unwrap();
+    let (second_store, request, second) = accept_request(&test.handle(200, Input::Placement(later))).unwrap();
     assert_eq!((second_store, second), (next, first));
-    let out = rig.store_says(210, next, ToDispatcher::Accepted { request, token: None });
-    assert_eq!(answer_in(&out), Some(AcceptAnswer::Kept { id: first }));
-    assert_eq!(withdrawn_in(&out), vec![]);
+    let outputs = test.receive(210, next, ToDispatcher::Accepted { request, token: None });
+    assert_eq!(submission_result(&outputs), Some(SubmissionResult::Accepted { id: first }));
+    assert_eq!(withdrawals(&outputs), vec![]);
 }
 
 #[test]
-fn what_may_lie_on_a_disk_is_never_refused() {
-    let mut rig = Rig::new();
-    accept_in(&rig.submit(Place::Named("key-1".into()))).unwrap();
-    let out = rig.run(1000);
-    assert_eq!(answer_in(&out), Some(AcceptAnswer::InDoubt));
-    assert_eq!(withdrawn_in(&out).len(), 1);
+fn a_message_that_a_store_may_have_is_never_rejected() {
+    let mut test = TestIntake::new();
+    accept_request(&test.submit(TargetShard::ByName("key-1".into()))).unwrap();
+    let outputs = test.run(1000);
+    assert_eq!(submission_result(&outputs), Some(SubmissionResult::InDoubt));
+    assert_eq!(withdrawals(&outputs).len(), 1);
 }
 
 #[test]
-fn where_no_store_can_be_reached_it_is_refused_at_once() {
-    let mut rig = Rig::new();
+fn without_a_reachable_store_a_message_is_rejected_at_once() {
+    let mut test = TestIntake::new();
     for store in [HERE, THERE, FAR] {
-        rig.give(0, Input::StoreClosed { store });
+        test.handle(0, Input::StoreClosed { store });
     }
-    let answer = answer_in(&rig.submit(Place::Any));
-    assert!(matches!(answer, Some(AcceptAnswer::Refused { .. })), "{answer:?}");
+    let answer = submission_result(&test.submit(TargetShard::Any));
+    assert!(matches!(answer, Some(SubmissionResult::Rejected { .. })), "{answer:?}");
 }
 
-/// The store that leads the shard of this key.
+/// The primary of the shard of this key.
 fn primary_of(key: &str) -> StoreId {
     let placement = placement(1, [HERE, THERE, FAR]);
     placement.shard(placement.shard_of(key).unwrap()).unwrap().primary
 }
 
-/// The same shards, with `next` in the place of `lost`.
+/// The same shards, with `next` instead of `lost` as primary.
 fn without(lost: StoreId, next: StoreId) -> Placement {
     placement(2, [HERE, THERE, FAR].map(|primary| if primary == lost { next } else { primary }))
 }
 
 #[test]
 fn a_message_with_a_given_shard_waits_for_the_next_primary_of_a_lost_one() {
-    let mut rig = Rig::new();
+    let mut test = TestIntake::new();
     let lost = primary_of("key-1");
     let next = if lost == HERE { THERE } else { HERE };
-    rig.give(0, Input::StoreClosed { store: lost });
-    let out = submit_as(&mut rig, 200, 7, Place::Named("key-1".into()));
-    assert_eq!((accept_in(&out), answer_in(&out)), (None, None));
-    assert_eq!(rig.run(600), vec![]);
-    let (store, request, id) = accept_in(&rig.give(610, Input::Placement(without(lost, next)))).unwrap();
+    test.handle(0, Input::StoreClosed { store: lost });
+    let outputs = submit_as(&mut test, 200, 7, TargetShard::ByName("key-1".into()));
+    assert_eq!((accept_request(&outputs), submission_result(&outputs)), (None, None));
+    assert_eq!(test.run(600), vec![]);
+    let (store, request, id) =
+        accept_request(&test.handle(610, Input::Placement(without(lost, next)))).unwrap();
     assert_eq!(store, next);
-    let out = rig.store_says(615, next, ToDispatcher::Accepted { request, token: None });
-    assert_eq!(answer_in(&out), Some(AcceptAnswer::Kept { id }));
+    let outputs = test.receive(615, next, ToDispatcher::Accepted { request, token: None });
+    assert_eq!(submission_result(&outputs), Some(SubmissionResult::Accepted { id }));
 }
 
 #[test]
-fn a_message_that_waits_in_vain_for_a_primary_is_refused_in_time() {
-    let mut rig = Rig::new();
-    rig.give(0, Input::StoreClosed { store: primary_of("key-1") });
-    submit_as(&mut rig, 200, 7, Place::Named("key-1".into()));
-    assert_eq!(answer_in(&rig.run(699)), None);
-    let answer = answer_in(&rig.run(700));
-    assert!(matches!(answer, Some(AcceptAnswer::Refused { .. })), "{answer:?}");
-    submit_as(&mut rig, 701, 8, Place::Named("key-1".into()));
-    let answer = answer_in(&rig.run(900));
-    assert!(matches!(answer, Some(AcceptAnswer::Refused { .. })), "{answer:?}");
+fn a_message_that_waits_in_vain_for_a_primary_is_rejected_in_time() {
+    let mut test = TestIntake::new();
+    test.handle(0, Input::StoreClosed { store: primary_of("key-1") });
+    submit_as(&mut test, 200, 7, TargetShard::ByName("key-1".into()));
+    assert_eq!(submission_result(&test.run(699)), None);
+    let answer = submission_result(&test.run(700));
+    assert!(matches!(answer, Some(SubmissionResult::Rejected { .. })), "{answer:?}");
+    submit_as(&mut test, 701, 8, TargetShard::ByName("key-1".into()));
+    let answer = submission_result(&test.run(900));
+    assert!(matches!(answer, Some(SubmissionResult::Rejected { .. })), "{answer:?}");
 }
 
 #[test]
-fn a_client_that_leaves_before_a_primary_can_be_replaced_is_told_at_once() {
-    let mut rig = Rig::new();
-    rig.give(0, Input::StoreClosed { store: primary_of("key-1") });
-    let out = submit_as(&mut rig, 10, 8, Place::Named("key-1".into()));
-    assert!(matches!(answer_in(&out), Some(AcceptAnswer::Refused { .. })), "{out:?}");
+fn a_client_that_leaves_before_a_primary_can_be_replaced_is_rejected_at_once() {
+    let mut test = TestIntake::new();
+    test.handle(0, Input::StoreClosed { store: primary_of("key-1") });
+    let outputs = submit_as(&mut test, 10, 8, TargetShard::ByName("key-1".into()));
+    assert!(matches!(submission_result(&outputs), Some(SubmissionResult::Rejected { .. })), "{outputs:?}");
 }
 
 #[test]
 fn a_primary_that_returns_is_waited_for_as_well() {
-    let mut rig = Rig::new();
+    let mut test = TestIntake::new();
     let lost = primary_of("key-1");
-    rig.give(0, Input::StoreClosed { store: lost });
-    submit_as(&mut rig, 200, 7, Place::Named("key-1".into()));
-    assert_eq!(accept_in(&rig.give(400, Input::StoreConnected { store: lost })).unwrap().0, lost);
+    test.handle(0, Input::StoreClosed { store: lost });
+    submit_as(&mut test, 200, 7, TargetShard::ByName("key-1".into()));
+    assert_eq!(accept_request(&test.handle(400, Input::StoreConnected { store: lost })).unwrap().0, lost);
 }
 
 #[test]
 fn a_primary_that_is_long_lost_is_not_waited_for() {
-    let mut rig = Rig::new();
-    rig.give(0, Input::StoreClosed { store: primary_of("key-1") });
-    let out = submit_as(&mut rig, 5000, 8, Place::Named("key-1".into()));
-    assert!(matches!(answer_in(&out), Some(AcceptAnswer::Refused { .. })), "{out:?}");
+    let mut test = TestIntake::new();
+    test.handle(0, Input::StoreClosed { store: primary_of("key-1") });
+    let outputs = submit_as(&mut test, 5000, 8, TargetShard::ByName("key-1".into()));
+    assert!(matches!(submission_result(&outputs), Some(SubmissionResult::Rejected { .. })), "{outputs:?}");
 }
 
 #[test]
-fn where_too_few_replicas_are_left_nothing_is_waited_for() {
-    let mut rig = Rig::new();
+fn without_a_quorum_of_replicas_no_next_primary_is_waited_for() {
+    let mut test = TestIntake::new();
     let lost = primary_of("key-1");
     let other = if lost == HERE { THERE } else { HERE };
     for store in [lost, other] {
-        rig.give(0, Input::StoreClosed { store });
+        test.handle(0, Input::StoreClosed { store });
     }
-    let answer = answer_in(&submit_as(&mut rig, 200, 7, Place::Named("key-1".into())));
-    assert!(matches!(answer, Some(AcceptAnswer::Refused { .. })), "{answer:?}");
+    let answer = submission_result(&submit_as(&mut test, 200, 7, TargetShard::ByName("key-1".into())));
+    assert!(matches!(answer, Some(SubmissionResult::Rejected { .. })), "{answer:?}");
 }
 
 #[test]
-fn full_stores_refuse_with_their_advice() {
-    let mut rig = Rig::new();
-    let (store, request, _) = accept_in(&rig.submit(Place::Named("key".into()))).unwrap();
+fn full_stores_reject_with_their_retry_after() {
+    let mut test = TestIntake::new();
+    let (store, request, _) = accept_request(&test.submit(TargetShard::ByName("key".into()))).unwrap();
     let reason = AcceptRejection::Full { retry_after_ms: 2500 };
-    let out = rig.store_says(5, store, ToDispatcher::Rejected { request, reason });
-    assert_eq!(answer_in(&out), Some(AcceptAnswer::Refused { retry_after_ms: 2500 }));
+    let outputs = test.receive(5, store, ToDispatcher::Rejected { request, reason });
+    assert_eq!(submission_result(&outputs), Some(SubmissionResult::Rejected { retry_after_ms: 2500 }));
 }
 
 #[test]
-fn a_store_that_is_no_primary_any_more_is_passed_over_at_once() {
-    let mut rig = Rig::new();
-    let (_, request, _) = accept_in(&rig.submit(Place::Any)).unwrap();
+fn after_a_rejection_by_a_former_primary_another_store_is_attempted_at_once() {
+    let mut test = TestIntake::new();
+    let (_, request, _) = accept_request(&test.submit(TargetShard::Any)).unwrap();
     let reason = AcceptRejection::NotPrimary { epoch: Epoch(1) };
-    let out = rig.store_says(5, HERE, ToDispatcher::Rejected { request, reason });
-    assert_ne!(accept_in(&out).unwrap().0, HERE);
+    let outputs = test.receive(5, HERE, ToDispatcher::Rejected { request, reason });
+    assert_ne!(accept_request(&outputs).unwrap().0, HERE);
 }
 
-fn queries_in(outputs: &[Output]) -> Vec<(StoreId, RequestNumber)> {
+fn query_requests(outputs: &[Output]) -> Vec<(StoreId, RequestNumber)> {
     let queries = outputs.iter().filter_map(|output| match output {
         Output::ToStore { store, message: FromDispatcher::Query { request, .. } } => Some((*store, *request)),
         _ => None,
@@ -296,123 +300,131 @@
     queries.collect()
 }
 
-fn result_in(outputs: &[Output]) -> Option<QueryResult> {
+fn query_result(outputs: &[Output]) -> Option<QueryResult> {
     outputs.iter().find_map(|output| match output {
-        Output::Known { result, .. } => Some(result.clone()),
+        Output::QueryEnded { result, .. } => Some(result.clone()),
         _ => None,
     })
 }
 
-const ASKED: MessageId = MessageId { shard: ShardId(1), unique: 5 };
+const QUERIED: MessageId = MessageId { shard: ShardId(1), unique: 5 };
 
 #[test]
-fn the_primary_is_asked_first_and_believed() {
-    let mut rig = Rig::new();
-    let asked = queries_in(&rig.give(0, Input::Query { call: CALL, id: ASKED, body: false }));
+fn the_primary_is_asked_first_and_its_answer_is_final() {
+    let mut test = TestIntake::new();
+    let asked = query_requests(&test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false }));
     assert_eq!(asked.len(), 1);
     assert_eq!(asked[0].0, THERE);
     let answer = QueryAnswer::Queued;
-    let out = rig.store_says(3, THERE, ToDispatcher::State { request: asked[0].1, answer });
-    assert_eq!(result_in(&out), Some(QueryResult::Queued));
+    let outputs = test.receive(3, THERE, ToDispatcher::State { request: asked[0].1, answer });
+    assert_eq!(query_result(&outputs), Some(QueryResult::Queued));
 }
 
 #[test]
-fn a_slow_primary_is_helped_by_a_replica_that_knows_the_end() {
-    let mut rig = Rig::new();
-    rig.give(0, Input::Query { call: CALL, id: ASKED, body: false });
-    let asked = queries_in(&rig.run(300));
+fn a_query_to_a_slow_primary_is_hedged_to_a_replica() {
+    let mut test = TestIntake::new();
+    test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false });
+    let asked = query_requests(&test.run(300));
     let end = End::Completed { signature: "s".into() };
     let answer = QueryAnswer::Ended { end };
-    let out = rig.store_says(310, asked[0].0, ToDispatcher::State { request: asked[0].1, answer });
-    assert_eq!(result_in(&out), Some(QueryResult::Completed { signature: "s".into() }));
+    let outputs = test.receive(310, asked[0].0, ToDispatcher::State { request: asked[0].1, answer });
+    assert_eq!(query_result(&outputs), Some(QueryResult::Completed { signature: "s".into() }));
 }
 
 #[test]
-fn unknown_needs_all_replicas() {
-    let mut rig = Rig::new();
-    let mut asked = queries_in(&rig.give(0, Input::Query { call: CALL, id: ASKED, body: false }));
+fn a_message_is_unknown_only_if_all_replicas_say_so() {
+    let mut test = TestIntake::new();
+    let mut asked =
+        query_requests(&test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false }));
     for _ in 0..2 {
         let (store, request) = asked[0];
-        let out = rig.store_says(5, store, ToDispatcher::State { request, answer: QueryAnswer::Unknown });
-        assert_eq!(result_in(&out), None);
-        asked = queries_in(&out);
+        let outputs = test.receive(5, store, ToDispatcher::State { request, answer: QueryAnswer::Unknown });
+        assert_eq!(query_result(&outputs), None);
+        asked = query_requests(&outputs);
     }
     let (store, request) = asked[0];
-    let out = rig.store_says(9, store, ToDispatcher::State { request, answer: QueryAnswer::Unknown });
-    assert_eq!(result_in(&out), Some(QueryResult::Unknown));
+    let outputs = test.receive(9, store, ToDispatcher::State { request, answer: QueryAnswer::Unknown });
+    assert_eq!(query_result(&outputs), Some(QueryResult::Unknown));
 }
 
 #[test]
 fn a_store_that_is_no_replica_proves_nothing() {
-    let mut rig = Rig::new();
-    let mut asked = queries_in(&rig.give(0, Input::Query { call: CALL, id: ASKED, body: false }));
+    let mut test = TestIntake::new();
+    let mut asked =
+        query_requests(&test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false }));
     let answers = [QueryAnswer::Unknown, QueryAnswer::NotReplica, QueryAnswer::Unknown];
     let mut result = None;
     for answer in answers {
         let (store, request) = asked[0];
-        let out = rig.store_says(5, store, ToDispatcher::State { request, answer });
-        result = result_in(&out);
-        asked = queries_in(&out);
+        let outputs = test.receive(5, store, ToDispatcher::State { request, answer });
+        result = query_result(&outputs);
+        asked = query_requests(&outputs);
     }
     assert_eq!(result, Some(QueryResult::Unavailable));
 }
 
 #[test]
-fn what_former_replicas_did_not_know_says_nothing_of_the_present_ones() {
-    let mut rig = Rig::new();
-    let mut asked = queries_in(&rig.give(0, Input::Query { call: CALL, id: ASKED, body: false }));
+fn answers_of_former_replicas_are_ignored() {
+    let mut test = TestIntake::new();
+    let mut asked =
+        query_requests(&test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false }));
     let (store, request) = asked[0];
     assert_eq!(store, THERE);
-    asked =
-        queries_in(&rig.store_says(5, store, ToDispatcher::State { request, answer: QueryAnswer::Unknown }));
+    asked = query_requests(&test.receive(
+        5,
+        store,
+        ToDispatcher::State { request, answer: QueryAnswer::Unknown },
+    ));
     let late = asked[0];
     let mut next = placement(2, [HERE, NEW, FAR]);
     next.shards[1].replicas = vec![HERE, NEW, FAR];
-    let out = rig.give(6, Input::Placement(next));
-    assert_eq!(queries_in(&out).len(), 1, "the replicas in force are asked from the first one on");
-    let out =
-        rig.store_says(7, late.0, ToDispatcher::State { request: late.1, answer: QueryAnswer::Unknown });
-    assert_eq!(result_in(&out), None, "an answer to a former question counts for nothing");
-    let all = rig.run(3_000);
-    assert!(!all.iter().any(|output| matches!(output, Output::Known { result: QueryResult::Unknown, .. })));
+    let outputs = test.handle(6, Input::Placement(next));
+    assert_eq!(query_requests(&outputs).len(), 1, "the present replicas are asked from the first one on");
+    let outputs =
+        test.receive(7, late.0, ToDispatcher::State { request: late.1, answer: QueryAnswer::Unknown });
+    assert_eq!(query_result(&outputs), None, "an answer to a former request is ignored");
+    let all = test.run(3_000);
+    assert!(!all
+        .iter()
+        .any(|output| matches!(output, Output::QueryEnded { result: QueryResult::Unknown, .. })));
 }
 
 #[test]
-fn an_answer_comes_well_before_callers_leave() {
-    let mut rig = Rig::new();
-    rig.give(0, Input::Query { call: CALL, id: ASKED, body: false });
-    assert_eq!(result_in(&rig.run(1_600)), Some(QueryResult::Unavailable));
+fn a_query_ends_well_before_clients_leave() {
+    let mut test = TestIntake::new();
+    test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false });
+    assert_eq!(query_result(&test.run(1_600)), Some(QueryResult::Unavailable));
 }
 
 #[test]
-fn silence_ends_as_unavailable_in_time() {
-    let mut rig = Rig::new();
-    rig.give(0, Input::Query { call: CALL, id: ASKED, body: true });
-    assert_eq!(result_in(&rig.run(1900)), Some(QueryResult::Unavailable));
+fn a_query_without_answers_ends_as_unavailable_in_time() {
+    let mut test = TestIntake::new();
+    test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: true });
+    assert_eq!(query_result(&test.run(1900)), Some(QueryResult::Unavailable));
 }
 
-fn submit_as(rig: &mut Rig, now: u64, call: u64, place: Place) -> Vec<Output> {
-    let submission = Submission { message: message(), place, deadline: now + 500 };
-    rig.give(now, Input::Submit { call: CallNumber(call), submission: Box::new(submission) })
+fn submit_as(test: &mut TestIntake, now: u64, call: u64, target: TargetShard) -> Vec<Output> {
+    let submission = Submission { message: message(), target, deadline: Instant::from_millis(now + 500) };
+    test.handle(now, Input::Submit { call: CallNumber(call), submission: Box::new(submission) })
 }
 
 #[test]
-fn nothing_new_goes_to_silent_stores_and_it_is_refused_at_once() {
-    let mut rig = Rig::new();
-    rig.submit(Place::Any);
-    rig.run(480);
-    let out = submit_as(&mut rig, 490, 8, Place::Any);
-    assert_eq!(accept_in(&out), None);
-    assert!(matches!(answer_in(&out), Some(AcceptAnswer::Refused { .. })), "{out:?}");
-    rig.give(495, Input::Heard { store: FAR });
-    assert_eq!(accept_in(&submit_as(&mut rig, 496, 9, Place::Any)).unwrap().0, FAR);
+fn unresponsive_stores_get_no_new_requests_and_messages_are_rejected_at_once() {
+    let mut test = TestIntake::new();
+    test.submit(TargetShard::Any);
+    test.run(480);
+    let outputs = submit_as(&mut test, 490, 8, TargetShard::Any);
+    assert_eq!(accept_request(&outputs), None);
+    assert!(matches!(submission_result(&outputs), Some(SubmissionResult::Rejected { .. })), "{outputs:?}");
+    test.handle(495, Input::StoreActive { store: FAR });
+    assert_eq!(accept_request(&submit_as(&mut test, 496, 9, TargetShard::Any)).unwrap().0, FAR);
 }
 
 #[test]
-fn silent_stores_are_asked_for_a_sign_of_life() {
-    let mut rig = Rig::new();
-    rig.submit(Place::Any);
-    let pings = rig
+fn unresponsive_stores_are_pinged() {
+    let mut test = TestIntake::new();
+    test.submit(TargetShard::Any);
+    let pings = test
         .run(400)
         .into_iter()
         .filter(|output| matches!(output, Output::ToStore { store: HERE, message: FromDispatcher::Ping }));
@@ -420,85 +432,86 @@
 }
 
 #[test]
-fn a_store_that_is_heard_is_slow_but_not_silent() {
-    let mut rig = Rig::new();
-    rig.submit(Place::Any);
-    rig.give(50, Input::Heard { store: HERE });
-    rig.run(70);
-    assert_eq!(accept_in(&submit_as(&mut rig, 75, 8, Place::Any)).unwrap().0, HERE);
+fn a_slow_store_that_sends_something_is_not_unresponsive() {
+    let mut test = TestIntake::new();
+    test.submit(TargetShard::Any);
+    test.handle(50, Input::StoreActive { store: HERE });
+    test.run(70);
+    assert_eq!(accept_request(&submit_as(&mut test, 75, 8, TargetShard::Any)).unwrap().0, HERE);
 }
 
-fn reconnect(rig: &mut Rig, now: u64, store: StoreId) {
-    rig.give(now, Input::StoreClosed { store });
-    rig.give(now, Input::StoreConnected { store });
+fn reconnect(test: &mut TestIntake, now: u64, store: StoreId) {
+    test.handle(now, Input::StoreClosed { store });
+    test.handle(now, Input::StoreConnected { store });
 }
 
 /// One request to a store, sent on its connection before.
 #[derive(Clone, Copy)]
-struct Asked {
+struct SentRequest {
     call: CallNumber,
     request: RequestNumber,
     id: MessageId,
 }
 
-/// Has the store of a key asked to keep some messages, the first of which it keeps; then it is connected anew.
-fn submit_and_reconnect(rig: &mut Rig) -> Vec<Asked> {
+/// Submits messages to the store of a key, which accepts the first of them; then it reconnects.
+fn submit_and_reconnect(test: &mut TestIntake) -> Vec<SentRequest> {
     let mut asked = Vec::new();
     for call in 0..4 {
-        let out = submit_as(rig, 0, call, Place::Named("key".into()));
-        let (store, request, id) = accept_in(&out).unwrap();
+        let outputs = submit_as(test, 0, call, TargetShard::ByName("key".into()));
+        let (store, request, id) = accept_request(&outputs).unwrap();
         assert_eq!(store, THERE);
-        asked.push(Asked { call: CallNumber(call), request, id });
+        asked.push(SentRequest { call: CallNumber(call), request, id });
     }
     let first = asked.remove(0);
-    rig.store_says(0, THERE, ToDispatcher::Accepted { request: first.request, token: None });
-    reconnect(rig, 1, THERE);
+    test.receive(0, THERE, ToDispatcher::Accepted { request: first.request, token: None });
+    reconnect(test, 1, THERE);
     asked
 }
 
 /// A late reply of the connection before carries a number that no later request has.
 #[test]
 fn a_late_reply_to_a_request_before_a_reconnect_answers_that_request_and_no_other() {
-    let mut rig = Rig::new();
-    for Asked { call, request, id } in submit_and_reconnect(&mut rig) {
-        let out = rig.store_says(3, THERE, ToDispatcher::Accepted { request, token: None });
+    let mut test = TestIntake::new();
+    for SentRequest { call, request, id } in submit_and_reconnect(&mut test) {
+        let outputs = test.receive(3, THERE, ToDispatcher::Accepted { request, token: None });
         let answered: Vec<&Output> =
-            out.iter().filter(|output| matches!(output, Output::Answered { .. })).collect();
-        assert_eq!(answered, [&Output::Answered { call, answer: AcceptAnswer::Kept { id } }]);
+            outputs.iter().filter(|output| matches!(output, Output::SubmissionEnded { .. })).collect();
+        assert_eq!(answered, [&Output::SubmissionEnded { call, result: SubmissionResult::Accepted { id } }]);
     }
 }
 
 #[test]
-fn a_late_refusal_from_before_a_reconnect_refuses_no_other_request() {
-    let mut rig = Rig::new();
-    let before = submit_and_reconnect(&mut rig);
-    rig.run(600);
+fn a_late_rejection_from_before_a_reconnect_rejects_no_other_request() {
+    let mut test = TestIntake::new();
+    let before = submit_and_reconnect(&mut test);
+    test.run(600);
     for call in 4..8 {
-        submit_as(&mut rig, 600, call, Place::Any);
+        submit_as(&mut test, 600, call, TargetShard::Any);
     }
-    for Asked { request, .. } in before {
+    for SentRequest { request, .. } in before {
         let reason = AcceptRejection::Full { retry_after_ms: 1 };
-        let out = rig.store_says(601, THERE, ToDispatcher::Rejected { request, reason });
-        assert_eq!(out, []);
+        let outputs = test.receive(601, THERE, ToDispatcher::Rejected { request, reason });
+        assert_eq!(outputs, []);
     }
 }
 
 #[test]
-fn a_late_reply_to_a_question_before_a_reconnect_answers_that_question_and_no_other() {
-    let mut rig = Rig::new();
+fn a_late_reply_to_a_query_before_a_reconnect_answers_that_query_and_no_other() {
+    let mut test = TestIntake::new();
     let mut before = Vec::new();
     for call in 0..4 {
-        let id = MessageId { unique: 5 + call, ..ASKED };
-        let asked = queries_in(&rig.give(0, Input::Query { call: CallNumber(call), id, body: false }));
-        before.push(Asked { call: CallNumber(call), request: asked[0].1, id });
+        let id = MessageId { unique: 5 + call, ..QUERIED };
+        let asked =
+            query_requests(&test.handle(0, Input::Query { call: CallNumber(call), id, with_body: false }));
+        before.push(SentRequest { call: CallNumber(call), request: asked[0].1, id });
     }
     let state =
         |request| ToDispatcher::State { request, answer: QueryAnswer::Ended { end: End::DeadLetter } };
     let first = before.remove(0);
-    rig.store_says(0, THERE, state(first.request));
-    reconnect(&mut rig, 1, THERE);
-    for Asked { call, request, .. } in before {
-        let out = rig.store_says(2, THERE, state(request));
-        assert_eq!(out, [Output::Known { call, result: QueryResult::DeadLetter }]);
+    test.receive(0, THERE, state(first.request));
+    reconnect(&mut test, 1, THERE);
+    for SentRequest { call, request, .. } in before {
+        let outputs = test.receive(2, THERE, state(request));
+        assert_eq!(outputs, [Output::QueryEnded { call, result: QueryResult::DeadLetter }]);
     }
 }
