--- a/system/runtime/node/src/edge/host/stores.rs
+++ b/system/runtime/node/src/edge/host/stores.rs
@@ -93,7 +93,7 @@
 
     /// Whether a grant is of a primary that has been replaced since: the present one may have granted the message anew.
     pub(super) fn is_of_former_primary(&self, id: MessageId, token: LeaseToken) -> bool {
-        self.placement.shard(id.shard).is_some_and(|entry| token.epoch() < entry.term)
+        self.placement.shard(id.shard).is_some_and(|entry| token.term() < entry.term)
     }
 
     /// The message that a store grants: as sent, or from the cache; else `None`, and the store is asked to send it.
--- a/system/state/control-state/examples/catch_up.rs
+++ b/system/state/control-state/examples/catch_up.rs
@@ -34,10 +34,10 @@
 }
 
 impl Host {
-    fn start(address: &'static str, founds: bool, seed: u64) -> Result<Host, Box<dyn Error>> {
+    fn start(address: &'static str, is_founder: bool, seed: u64) -> Result<Host, Box<dyn Error>> {
         let mut config = CoreConfig::new(address);
         config.minimum_members = 1;
-        config.founders = if founds { vec![address.to_owned()] } else { Vec::new() };
+        config.founders = if is_founder { vec![address.to_owned()] } else { Vec::new() };
         let node = CoreNode::new(config, None, seed, 0)?;
         Ok(Host { node, address, sent: VecDeque::new(), checkpoints: Vec::new() })
     }
@@ -50,13 +50,13 @@
             match output {
                 Output::Send { message, .. } => self.sent.push_back(message),
                 Output::Persist { token, .. } => self.node.handle(now, Input::Persisted { token }),
-                Output::Checkpoint { state, .. } => self.note_checkpoint(&state, took),
+                Output::Checkpoint { state, .. } => self.record_checkpoint(&state, took),
                 _ => {}
             }
         }
     }
 
-    fn note_checkpoint(&mut self, state: &DurableState, handling: Duration) {
+    fn record_checkpoint(&mut self, state: &DurableState, handling: Duration) {
         let began = Instant::now();
         let bytes = state.write_to_vec().unwrap_or_default().len();
         self.checkpoints.push(Checkpoint { bytes, taking: handling + began.elapsed() });
@@ -185,10 +185,10 @@
     );
     println!("one checkpoint: {} bytes, on disk in {:.2} ms", state.write_to_vec()?.len(), millis(writing));
     println!("restart: {:.2} ms", millis(restarting));
-    let held = learner.node.committed() == member.node.committed();
+    let has_caught_up = learner.node.committed() == member.node.committed();
     println!(
         "catch-up: {}, {} messages, {} bytes, the largest {}, handled in at most {:.2} ms, {} ms simulated",
-        if held { "whole" } else { "not reached" },
+        if has_caught_up { "whole" } else { "not reached" },
         transfer.messages,
         transfer.bytes,
         transfer.largest,
--- a/system/state/control-state/tests/catch_up.rs
+++ b/system/state/control-state/tests/catch_up.rs
@@ -28,11 +28,11 @@
 }
 
 impl Host {
-    fn start(number: u64, founds: bool, state: Option<DurableState>) -> Host {
+    fn start(number: u64, is_founder: bool, state: Option<DurableState>) -> Host {
         let address = format!("10.0.0.{number}:9000");
         let mut config = CoreConfig::new(address.clone());
         config.minimum_members = 1;
-        config.founders = if founds { vec![address] } else { Vec::new() };
+        config.founders = if is_founder { vec![address] } else { Vec::new() };
         let node = Node::new(config, state, number, 0).expect("the node starts");
         Host { node, sent: VecDeque::new() }
     }
--- a/system/state/intake/src/response_time.rs
+++ b/system/state/intake/src/response_time.rs
@@ -6,9 +6,9 @@
 const EWMA_WEIGHT: f64 = 0.1;
 /// Time-out of an attempt, as a multiple of the mean response time ...
 const TIMEOUT_FACTOR: u64 = 6;
-/// ... and its bounds: shorter ones would hedge ordinary variance, longer ones keep clients waiting.
-const MIN_TIMEOUT_MS: u64 = 60;
-const MAX_TIMEOUT_MS: u64 = 150;
+/// ... and its bounds.
+const MIN_TIMEOUT: Duration = Duration::from_millis(60);
+const MAX_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Exponentially weighted moving average of the stores' response times.
 #[derive(Clone, Debug, Default)]
@@ -25,6 +25,6 @@
     /// After this time without an answer, an attempt is not waited for any more.
     pub fn attempt_timeout(&self) -> Duration {
         let mean_ms = self.mean_ms.ceil() as u64;
-        Duration::from_millis((TIMEOUT_FACTOR * mean_ms).clamp(MIN_TIMEOUT_MS, MAX_TIMEOUT_MS))
+        Duration::from_millis(TIMEOUT_FACTOR * mean_ms).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 }
--- a/system/state/placement/tests/rig/mod.rs
+++ b/system/state/placement/tests/rig/mod.rs
@@ -68,7 +68,7 @@
 
     pub fn handle(&mut self, input: Input) {
         if let Some(placement) = self.manager.handle(self.now, input) {
-            self.note_changes(&placement);
+            self.record_changes(&placement);
             self.placement = placement.clone();
             self.commits += 1;
             self.handle(Input::Committed(placement));
@@ -86,7 +86,7 @@
         }
     }
 
-    fn note_changes(&mut self, placement: &Placement) {
+    fn record_changes(&mut self, placement: &Placement) {
         for shard in &placement.shards {
             if let Some(change) = shard.change.filter(|change| change.epoch == placement.epoch) {
                 self.changes_begun += 1;
--- a/system/state/protocol/src/control.rs
+++ b/system/state/protocol/src/control.rs
@@ -68,7 +68,7 @@
     },
     /// The sender is alive.
     Heartbeat {
-        /// A store's health; absent from dispatchers.
+        /// A store's health; absent if the sender is not a store.
         health: Option<StoreHealth>,
     },
     /// A store has everything that the replicas of these shards have, and may become a replica of them.
--- a/system/state/protocol/src/identifiers.rs
+++ b/system/state/protocol/src/identifiers.rs
@@ -28,9 +28,9 @@
 pub struct Sequence(pub u64);
 
 impl Sequence {
-    /// Position number `count` of those that a primary gives in its term `epoch`.
-    pub fn new(epoch: Epoch, count: u32) -> Self {
-        Sequence((epoch.0 << COUNT_BITS) | u64::from(count))
+    /// Position number `count` of those that a primary gives in `term`.
+    pub fn new(term: Epoch, count: u32) -> Self {
+        Sequence((term.0 << COUNT_BITS) | u64::from(count))
     }
 }
 
@@ -43,14 +43,14 @@
 pub struct LeaseToken(pub u64);
 
 impl LeaseToken {
-    /// Token number `count` of those that a primary gives in its term `epoch`.
-    pub fn new(epoch: Epoch, count: u32) -> Self {
-        LeaseToken((epoch.0 << COUNT_BITS) | u64::from(count))
+    /// Token number `count` of those that a primary gives in `term`.
+    pub fn new(term: Epoch, count: u32) -> Self {
+        LeaseToken((term.0 << COUNT_BITS) | u64::from(count))
     }
 
     /// Term of the primary that granted the lease. A dispatcher does not start a delivery of a term below the one that
     /// its placement has for the shard.
-    pub fn epoch(self) -> Epoch {
+    pub fn term(self) -> Epoch {
         Epoch(self.0 >> COUNT_BITS)
     }
 }
--- a/system/state/protocol/tests/decoders.rs
+++ b/system/state/protocol/tests/decoders.rs
@@ -27,7 +27,7 @@
 static ALLOCATOR: Cap<System> = Cap::new(System, 1 << 30);
 
 const CASES: u32 = 4_000;
-const MOST_RANDOM_BYTES: usize = 2_000;
+const MAX_RANDOM_BYTES: usize = 2_000;
 /// Bytes in memory for each byte of a frame: what is short on the wire (an empty text, an absent value) is not in
 /// memory, and a list grows by doubling.
 const MEMORY_FACTOR: usize = 64;
@@ -102,7 +102,7 @@
     let mut all = Vec::new();
     let mut add = |content: Result<Vec<u8>, speedy::Error>| all.push(content.unwrap());
     let (store, request, token) = (StoreId(1), RequestNumber(6), LeaseToken(8));
-    let (shard, since, number) = (ShardId(3), Epoch(2), RequestNumber(11));
+    let (shard, term, number) = (ShardId(3), Epoch(2), RequestNumber(11));
     let hello = FromDispatcher::Hello {
         dispatcher: DispatcherId(4),
         name: "edge".into(),
@@ -126,10 +126,10 @@
     ];
     let entries = vec![ScrubEntry { unique: 7, digest: 8 }; 4];
     for message in [
-        BetweenStores::Write { number, shard, term: since, records },
-        BetweenStores::Promise { shard, term: since, states: vec![state(); 2], last: true },
-        BetweenStores::Scrub { shard, term: since, entries },
-        BetweenStores::Scrubbed { shard, term: since, differing: vec![id(); 4] },
+        BetweenStores::Write { number, shard, term, records },
+        BetweenStores::Promise { shard, term, states: vec![state(); 2], last: true },
+        BetweenStores::Scrub { shard, term, entries },
+        BetweenStores::Scrubbed { shard, term, differing: vec![id(); 4] },
     ] {
         add(message.write_to_vec());
         add(ToStore::Store { message }.write_to_vec());
@@ -140,7 +140,7 @@
         .write_to_vec());
     add(ToDispatcher::CallBack { id: id(), token, end, message }.write_to_vec());
     add(ToDispatcher::State { request, answer: QueryAnswer::Body { body: b"body".to_vec() } }.write_to_vec());
-    add(ToDispatcher::Welcome { store, epoch: since }.write_to_vec());
+    add(ToDispatcher::Welcome { store, epoch: term }.write_to_vec());
     let worker = WorkerEntry {
         instance_id: "i-7f3a91c2".into(),
         service: "huvo11a".into(),
@@ -167,63 +167,63 @@
     all
 }
 
-/// One thing done to a content.
+/// A mutation of a content.
 #[derive(Clone, Debug)]
-enum Damage {
+enum Mutation {
     Byte { at: usize, value: u8 },
     Length { at: usize, length: u32 },
-    Cut { at: usize },
+    Truncate { at: usize },
     Insert { at: usize, bytes: Vec<u8> },
 }
 
-impl Damage {
+impl Mutation {
     fn apply(&self, content: &mut Vec<u8>) {
-        let place = |at: usize, length: usize| at % (length + 1);
+        let position = |at: usize, length: usize| at % (length + 1);
         match self {
-            Damage::Byte { at, value } => {
-                let at = place(*at, content.len().saturating_sub(1));
+            Mutation::Byte { at, value } => {
+                let at = position(*at, content.len().saturating_sub(1));
                 if let Some(byte) = content.get_mut(at) {
                     *byte = *value;
                 }
             }
-            Damage::Length { at, length } => {
-                let at = place(*at, content.len().saturating_sub(4));
+            Mutation::Length { at, length } => {
+                let at = position(*at, content.len().saturating_sub(4));
                 if let Some(bytes) = content.get_mut(at..at + 4) {
                     bytes.copy_from_slice(&length.to_le_bytes());
                 }
             }
-            Damage::Cut { at } => content.truncate(place(*at, content.len())),
-            Damage::Insert { at, bytes } => {
-                let at = place(*at, content.len());
+            Mutation::Truncate { at } => content.truncate(position(*at, content.len())),
+            Mutation::Insert { at, bytes } => {
+                let at = position(*at, content.len());
                 content.splice(at..at, bytes.iter().copied());
             }
         }
     }
 }
 
-fn damage() -> impl Strategy<Value = Damage> {
+fn mutation() -> impl Strategy<Value = Mutation> {
     let at = any::<usize>();
     prop_oneof![
-        (at, any::<u8>()).prop_map(|(at, value)| Damage::Byte { at, value }),
-        (at, prop::sample::select(LENGTHS.to_vec())).prop_map(|(at, length)| Damage::Length { at, length }),
-        at.prop_map(|at| Damage::Cut { at }),
-        (at, prop::collection::vec(any::<u8>(), 1..9)).prop_map(|(at, bytes)| Damage::Insert { at, bytes }),
+        (at, any::<u8>()).prop_map(|(at, value)| Mutation::Byte { at, value }),
+        (at, prop::sample::select(LENGTHS.to_vec())).prop_map(|(at, length)| Mutation::Length { at, length }),
+        at.prop_map(|at| Mutation::Truncate { at }),
+        (at, prop::collection::vec(any::<u8>(), 1..9)).prop_map(|(at, bytes)| Mutation::Insert { at, bytes }),
     ]
 }
 
 fn content() -> impl Strategy<Value = Vec<u8>> {
-    let damaged = (prop::sample::select(contents()), prop::collection::vec(damage(), 0..4));
-    let damaged = damaged.prop_map(|(mut content, damages)| {
-        damages.iter().for_each(|damage| damage.apply(&mut content));
+    let mutated = (prop::sample::select(contents()), prop::collection::vec(mutation(), 0..4));
+    let mutated = mutated.prop_map(|(mut content, mutations)| {
+        mutations.iter().for_each(|mutation| mutation.apply(&mut content));
         content
     });
-    let random = prop::collection::vec(any::<u8>(), 1..MOST_RANDOM_BYTES);
-    // A kind of message, then nothing but lengths.
+    let random = prop::collection::vec(any::<u8>(), 1..MAX_RANDOM_BYTES);
+    // A variant of a message, then nothing but lengths.
     let lengths = prop::collection::vec(prop::sample::select(LENGTHS.to_vec()), 0..12);
-    let lying = (0..24_u32, lengths).prop_map(|(kind, lengths)| {
+    let false_lengths = (0..24_u32, lengths).prop_map(|(kind, lengths)| {
         std::iter::once(kind).chain(lengths).flat_map(u32::to_le_bytes).collect::<Vec<u8>>()
     });
-    prop_oneof![4 => damaged, 1 => random, 1 => lying]
+    prop_oneof![4 => mutated, 1 => random, 1 => false_lengths]
 }
 
 fn frame_of(content: &[u8]) -> Vec<u8> {
@@ -234,7 +234,7 @@
     frame
 }
 
-/// Decodes a frame as one kind of message; one that can be decoded reads back the same.
+/// Decodes a frame as one kind of message; one that can be decoded is encoded and decoded to the same.
 fn decode_as<M>(frame: &[u8]) -> Result<(), TestCaseError>
 where
     M: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + PartialEq + std::fmt::Debug,
@@ -242,8 +242,8 @@
     let before = ALLOCATOR.total_allocated();
     let decoded = decode::<M>(frame);
     let allocated = ALLOCATOR.total_allocated() - before;
-    let most = MEMORY_BASE + MEMORY_FACTOR * frame.len();
-    prop_assert!(allocated <= most, "{allocated} bytes for a frame of {}", frame.len());
+    let max_allocated = MEMORY_BASE + MEMORY_FACTOR * frame.len();
+    prop_assert!(allocated <= max_allocated, "{allocated} bytes for a frame of {}", frame.len());
     if let Ok(Some(decoded)) = decoded {
         prop_assert_eq!(decoded.consumed, frame.len());
         let Content::Message(message) = decoded.content else { return Ok(()) };
--- a/system/state/queue/src/attempts.rs
+++ b/system/state/queue/src/attempts.rs
@@ -90,7 +90,7 @@
     /// This store is primary of the shard, and no later one gave the token.
     pub(crate) fn may_answer_for(&self, shard: ShardId, token: LeaseToken) -> bool {
         let reign = self.reigns.get(&shard);
-        reign.is_some_and(|reign| reign.is_serving() && token.epoch() <= reign.since)
+        reign.is_some_and(|reign| reign.is_serving() && token.term() <= reign.since)
     }
 
     /// A run that succeeded ends the message, whoever ran it and under whatever lease.
--- a/system/state/queue/tests/cluster/runs.rs
+++ b/system/state/queue/tests/cluster/runs.rs
@@ -10,7 +10,7 @@
     pub fn delivered(&mut self, at: usize, id: MessageId, token: LeaseToken, message: Option<Message>) {
         let now_ms = self.now_ms;
         let shard = self.dispatchers[at].placement.shard(id.shard);
-        if shard.is_none_or(|shard| token.epoch() < shard.term) {
+        if shard.is_none_or(|shard| token.term() < shard.term) {
             return;
         }
         let dispatcher = &mut self.dispatchers[at];
--- a/system/testing/simulation/src/dispatcher.rs
+++ b/system/testing/simulation/src/dispatcher.rs
@@ -454,7 +454,7 @@
         token: LeaseToken,
     ) {
         let term = self.placement.shard(id.shard).map(|shard| shard.term);
-        if term.is_some_and(|term| token.epoch() < term) {
+        if term.is_some_and(|term| token.term() < term) {
             return;
         }
         let in_doubt = context.now < self.stale_until || self.barriers.contains_key(&connection);
