--- a/system/runtime/node/src/storage/host/mod.rs
+++ b/system/runtime/node/src/storage/host/mod.rs
@@ -244,7 +244,7 @@
                 self.catch_up.add(filled);
                 self.request_heartbeat();
             }
-            Output::Stray { id, cause } => {
+            Output::Orphaned { id, cause } => {
                 self.orphans += 1;
                 let total = self.orphans;
                 log::warn!(message_id:% = id, cause:?, total; "orphaned message recovered");
--- a/system/runtime/node/src/storage/queue_config.rs
+++ b/system/runtime/node/src/storage/queue_config.rs
@@ -21,8 +21,8 @@
         disk_bytes: disk as u64,
         status_ttl_ms: settings.bounds.status_ttl.as_millis() as u64,
         seed,
-        homes_per_receiver: homes(mechanisms.receiver_homes, defaults.homes_per_receiver),
-        homes_per_service: homes(mechanisms.service_homes, defaults.homes_per_service),
+        home_dispatchers_per_receiver: homes(mechanisms.receiver_homes, defaults.home_dispatchers_per_receiver),
+        home_dispatchers_per_service: homes(mechanisms.service_homes, defaults.home_dispatchers_per_service),
         ..defaults
     }
 }
--- a/system/state/queue/src/accept.rs
+++ b/system/state/queue/src/accept.rs
@@ -2,19 +2,19 @@
 
 use crate::api::ConnectionId;
 use crate::entry::message_bytes;
-use crate::lead::{Acceptor, Effect, Lead, Stage};
 use crate::node::StoreNode;
-use crate::reign::Withdrawal;
+use crate::primary_entry::{Acceptor, Effect, PrimaryEntry, Stage};
+use crate::primary_term::Withdrawal;
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{NotAccepted, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{DispatcherId, MessageId, RequestNumber};
 
 /// Withdrawals that wait for one shard's take-over; further ones are not answered.
-const MOST_WITHDRAWALS: usize = 10_000;
+const MAX_PENDING_WITHDRAWALS: usize = 10_000;
 
 impl StoreNode {
     /// A dispatcher wants a message kept.
-    pub(crate) fn accept(
+    pub(crate) fn handle_accept(
         &mut self,
         connection: ConnectionId,
         request: RequestNumber,
@@ -25,30 +25,30 @@
         let Some(dispatcher) = self.dispatchers.of(connection) else { return };
         if !self.is_serving(id.shard) {
             let reason = NotAccepted::NotPrimary { epoch: self.placement.epoch };
-            self.tell(connection, ToDispatcher::NotAccepted { request, reason });
+            self.send_to_dispatcher(connection, ToDispatcher::NotAccepted { request, reason });
             return;
         }
         if let Some(entry) = self.table.get(id) {
             let is_other = entry.message.as_deref().is_some_and(|known| *known != *message);
             match is_other {
                 // The name was drawn twice: what is kept under it is another client's.
-                true => self.refuse(connection, request),
-                false => self.accept_again(connection, request, id, dispatcher),
+                true => self.reject_full(connection, request),
+                false => self.handle_repeated_accept(connection, request, id, dispatcher),
             }
             return;
         }
         if self.is_full(&message) {
-            self.refuse(connection, request);
+            self.reject_full(connection, request);
             return;
         }
-        self.keep(id, message, dispatcher);
+        self.insert_message(id, message, dispatcher);
         if lease {
             self.grant_at_accept(id, dispatcher);
         }
-        self.changed_whole(id);
+        self.mark_full_state_changed(id);
         self.when_durable(id, Effect::Accepted { connection, request });
         match self.lease_of(id) {
-            None => self.when_durable(id, Effect::Kept),
+            None => self.when_durable(id, Effect::Schedule),
             Some(lease) if lease.dispatcher != dispatcher => {
                 self.when_durable(id, Effect::Deliver { token: lease.token });
             }
@@ -57,9 +57,9 @@
         self.set_expiry(id);
     }
 
-    fn refuse(&mut self, connection: ConnectionId, request: RequestNumber) {
+    fn reject_full(&mut self, connection: ConnectionId, request: RequestNumber) {
         let reason = NotAccepted::Full { retry_after_ms: self.config.full_retry_after_ms };
-        self.tell(connection, ToDispatcher::NotAccepted { request, reason });
+        self.send_to_dispatcher(connection, ToDispatcher::NotAccepted { request, reason });
     }
 
     fn is_full(&self, message: &Message) -> bool {
@@ -69,24 +69,28 @@
     }
 
     /// Adds a message that was not known.
-    fn keep(&mut self, id: MessageId, message: Box<Message>, dispatcher: DispatcherId) {
+    fn insert_message(&mut self, id: MessageId, message: Box<Message>, dispatcher: DispatcherId) {
         let now = self.now;
-        let sequence = self.reigns.get_mut(&id.shard).map(|reign| reign.sequence()).unwrap_or_default();
+        let sequence = self
+            .primary_terms
+            .get_mut(&id.shard)
+            .map(|primary_term| primary_term.sequence())
+            .unwrap_or_default();
         if let Some(key) = &message.order_key {
             self.keys.add(key, sequence, id);
         }
-        let mut lead = Lead::new(Stage::Storing, now);
-        lead.accepted_by = Some(Acceptor { dispatcher, at: now });
+        let mut primary = PrimaryEntry::new(Stage::Persisting, now);
+        primary.accepted_by = Some(Acceptor { dispatcher, at: now });
         self.table.change(id, now, |entry| {
             entry.sequence = sequence;
             entry.retention_ms = message.retention_ms;
             entry.message = Some(message);
-            entry.lead = Some(Box::new(lead));
+            entry.primary = Some(Box::new(primary));
         });
     }
 
     /// The same message again: it is acknowledged once it is kept.
-    fn accept_again(
+    fn handle_repeated_accept(
         &mut self,
         connection: ConnectionId,
         request: RequestNumber,
@@ -96,32 +100,40 @@
         let now = self.now;
         let Some(entry) = self.table.get_mut(id) else { return };
         if entry.end == Some(End::Withdrawn) {
-            self.refuse(connection, request);
+            self.reject_full(connection, request);
             return;
         }
-        if let Some(lead) = entry.lead.as_mut() {
-            lead.accepted_by = Some(Acceptor { dispatcher, at: now });
+        if let Some(primary) = entry.primary.as_mut() {
+            primary.accepted_by = Some(Acceptor { dispatcher, at: now });
         }
         self.when_durable(id, Effect::Accepted { connection, request });
     }
 
     /// The message is on as many disks as promised.
-    pub(crate) fn accepted(&mut self, connection: ConnectionId, request: RequestNumber, id: MessageId) {
+    pub(crate) fn acknowledge_accept(
+        &mut self,
+        connection: ConnectionId,
+        request: RequestNumber,
+        id: MessageId,
+    ) {
         let dispatcher = self.dispatchers.of(connection);
-        let lease = self.lease_of(id).filter(|lease| Some(lease.dispatcher) == dispatcher && !lease.told);
+        let lease =
+            self.lease_of(id).filter(|lease| Some(lease.dispatcher) == dispatcher && !lease.is_notified);
         if let Some(lease) = lease {
-            self.note_told(id, lease);
+            self.mark_notified(id, lease);
         }
         let token = lease.map(|lease| lease.token);
-        self.tell(connection, ToDispatcher::Accepted { request, token });
+        self.send_to_dispatcher(connection, ToDispatcher::Accepted { request, token });
     }
 
     /// A client got no acknowledgement, and its message must not run any more.
     ///
     /// Answered only where no other dispatcher can have run it: that it never ran cannot be promised else.
-    pub(crate) fn withdraw(&mut self, connection: ConnectionId, id: MessageId) {
-        if let Some(takeover) = self.reigns.get_mut(&id.shard).and_then(|reign| reign.takeover.as_mut()) {
-            if takeover.withdrawals.len() < MOST_WITHDRAWALS {
+    pub(crate) fn handle_withdraw(&mut self, connection: ConnectionId, id: MessageId) {
+        if let Some(takeover) =
+            self.primary_terms.get_mut(&id.shard).and_then(|primary_term| primary_term.takeover.as_mut())
+        {
+            if takeover.withdrawals.len() < MAX_PENDING_WITHDRAWALS {
                 takeover.withdrawals.push(Withdrawal { connection, id });
             }
             return;
@@ -131,12 +143,15 @@
         }
         let dispatcher = self.dispatchers.of(connection);
         match self.table.get(id) {
-            None => self.keep_tombstone(id),
+            None => self.insert_tombstone(id),
             Some(entry) => {
-                let is_unrun = entry.lead.as_ref().is_some_and(|lead| lead.told.at_most(dispatcher));
+                let is_unrun = entry
+                    .primary
+                    .as_ref()
+                    .is_some_and(|primary| primary.possible_runners.is_at_most(dispatcher));
                 let may_answer = is_unrun && entry.failed_attempts == 0;
                 match &entry.end {
-                    None => self.stop(id),
+                    None => self.withdraw_message(id),
                     Some(End::Withdrawn) => {}
                     Some(End::Completed { .. } | End::DeadLetter) => return,
                 }
@@ -149,31 +164,31 @@
     }
 
     /// Ends a message that nobody is to run, wherever it is.
-    fn stop(&mut self, id: MessageId) {
+    fn withdraw_message(&mut self, id: MessageId) {
         if let Some(lease) = self.lease_of(id) {
             self.revoke(id, lease.token);
         }
-        self.end(id, End::Withdrawn);
+        self.end_message(id, End::Withdrawn);
     }
 
-    fn keep_tombstone(&mut self, id: MessageId) {
+    fn insert_tombstone(&mut self, id: MessageId) {
         let now = self.now;
         self.table.change(id, now, |entry| {
             entry.end = Some(End::Withdrawn);
             entry.ended = now;
-            entry.lead = Some(Box::new(Lead::new(Stage::Over, now)));
+            entry.primary = Some(Box::new(PrimaryEntry::new(Stage::Ended, now)));
         });
-        self.changed_whole(id);
+        self.mark_full_state_changed(id);
         self.set_expiry(id);
     }
 
     /// By the placement in force here, this store is told of every message of that shard, or of most.
     fn is_replica(&self, id: MessageId) -> bool {
-        self.placement.shard(id.shard).is_some_and(|shard| shard.replicas.contains(&self.me))
+        self.placement.shard(id.shard).is_some_and(|shard| shard.replicas.contains(&self.local_id))
     }
 
     /// Answers from what this replica knows, whoever is primary.
-    pub(crate) fn query(
+    pub(crate) fn handle_query(
         &mut self,
         connection: ConnectionId,
         request: RequestNumber,
@@ -191,6 +206,6 @@
                 (Some(end), _) => QueryAnswer::Ended { end: end.clone() },
             },
         };
-        self.tell(connection, ToDispatcher::State { request, answer });
+        self.send_to_dispatcher(connection, ToDispatcher::State { request, answer });
     }
 }
--- a/system/state/queue/src/api.rs
+++ b/system/state/queue/src/api.rs
@@ -70,7 +70,7 @@
 
 /// Why a message lay though nothing held it back. Each is a mistake of this or another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StrayCause {
+pub enum OrphanCause {
     /// A dispatcher had room for it, and its service was not looked at.
     NotGranted,
     /// It was in no queue.
@@ -80,7 +80,7 @@
     /// Its lease was held by no dispatcher that is known.
     LeaseForgotten,
     /// Its call-back was in no queue.
-    CallbackNotOwed,
+    CallbackNotScheduled,
     /// A dispatcher did not say how its call-back ended.
     CallbackForgotten,
 }
@@ -88,7 +88,7 @@
 /// An action for the shell. Actions are to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Append to the local disk, sync soon, then tell by `Synced`.
+    /// Append to the local disk, sync soon, then send_to_dispatcher by `Synced`.
     Append {
         ticket: Ticket,
         record: DiskRecord,
@@ -109,9 +109,9 @@
         filled: FilledShard,
     },
     /// The message lay though nothing held it back, and is on its way again: to be counted and logged.
-    Stray {
+    Orphaned {
         id: MessageId,
-        cause: StrayCause,
+        cause: OrphanCause,
     },
     /// Nothing on the disk about this message is needed any more.
     Released {
--- a/system/state/queue/src/attempts.rs
+++ b/system/state/queue/src/attempts.rs
@@ -4,18 +4,18 @@
 use crate::callbacks::backoff_ms;
 use crate::entry::Entry;
 use crate::grants::order_key;
-use crate::lead::{Effect, Stage};
 use crate::node::StoreNode;
+use crate::primary_entry::{Effect, Stage};
 use millrudder_protocol::message::End;
 use millrudder_protocol::store::{AttemptOutcome, Record, ToDispatcher};
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, ShardId};
 
 /// Least wait before another attempt, however little time its aim leaves.
-const LEAST_BACKOFF_MS: u64 = 50;
+const MIN_BACKOFF_MS: u64 = 50;
 /// Least wait before a message that was given back is granted again, so that it does not go round at once.
-const LEAST_GIVE_BACK_MS: u64 = 10;
+const MIN_RETURN_DELAY_MS: u64 = 10;
 /// Unknown ends of one message's runs after which it waits longer with each further one.
-const UNKNOWN_AT_ONCE: u32 = 2;
+const UNKNOWN_ENDS_WITHOUT_BACKOFF: u32 = 2;
 /// Share of a back-off that is drawn, so that attempts that failed together do not come back together.
 const JITTER_PERCENT: u64 = 50;
 /// Share of the time left for a start in time that one back-off may take.
@@ -23,7 +23,7 @@
 
 impl StoreNode {
     /// A dispatcher reports how an attempt ended.
-    pub(crate) fn attempted(
+    pub(crate) fn handle_attempted(
         &mut self,
         connection: ConnectionId,
         id: MessageId,
@@ -34,31 +34,31 @@
             return;
         }
         if self.table.get(id).is_none() {
-            self.tell(connection, ToDispatcher::Recorded { id, token });
+            self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
             return;
         }
         let is_current = self.lease_of(id).is_some_and(|lease| lease.token == token);
         let reporter = self.dispatchers.of(connection);
-        if let Some(lead) = self.table.get_mut(id).and_then(|entry| entry.lead.as_mut()) {
-            lead.reporter = reporter;
+        if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
+            primary.reporter = reporter;
         }
         match outcome {
             AttemptOutcome::Succeeded { signature } => self.succeeded(id, token, signature),
             // A worker has said so, whoever may run the message now.
-            AttemptOutcome::Refused => self.end_as_dead(id),
+            AttemptOutcome::Refused => self.end_as_dead_letter(id),
             AttemptOutcome::Failed if is_current => self.attempt_failed(id, token),
             AttemptOutcome::Failed => self.count_failure(id, token),
             _ if !is_current => {}
-            AttemptOutcome::RouteGone => self.end_as_dead(id),
+            AttemptOutcome::RouteGone => self.end_as_dead_letter(id),
             AttemptOutcome::NotRun { retry_after_ms } => {
-                self.given_back(id, reporter, u64::from(retry_after_ms));
-                self.tell(connection, ToDispatcher::Recorded { id, token });
+                self.return_lease(id, reporter, u64::from(retry_after_ms));
+                self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
                 return;
             }
             AttemptOutcome::Unknown { retry_after_ms } => {
-                let wait_ms = self.note_unknown_end(id).max(u64::from(retry_after_ms));
-                self.given_back(id, reporter, wait_ms);
-                self.tell(connection, ToDispatcher::Recorded { id, token });
+                let wait_ms = self.count_unknown_end(id).max(u64::from(retry_after_ms));
+                self.return_lease(id, reporter, wait_ms);
+                self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
                 return;
             }
         }
@@ -66,21 +66,21 @@
     }
 
     /// A lease is over without an outcome that counts; the message waits so long at least.
-    fn given_back(&mut self, id: MessageId, by: Option<DispatcherId>, wait_ms: u64) {
-        if let Some(lead) = self.table.get_mut(id).and_then(|entry| entry.lead.as_mut()) {
-            lead.given_back_by = by;
+    fn return_lease(&mut self, id: MessageId, by: Option<DispatcherId>, wait_ms: u64) {
+        if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
+            primary.returned_by = by;
         }
-        self.grant_again(id, wait_ms.max(LEAST_GIVE_BACK_MS));
+        self.reschedule(id, wait_ms.max(MIN_RETURN_DELAY_MS));
     }
 
     /// A run ended of which nobody knows how. Gives the time that the message waits for it.
     ///
     /// The run may have failed, and the answer been lost: such attempts are not counted, so a message that meets them
     /// again and again must not go round at once.
-    pub(crate) fn note_unknown_end(&mut self, id: MessageId) -> u64 {
-        let Some(lead) = self.table.get_mut(id).and_then(|entry| entry.lead.as_mut()) else { return 0 };
-        lead.unknown_ends = lead.unknown_ends.saturating_add(1);
-        let counted = lead.unknown_ends.saturating_sub(UNKNOWN_AT_ONCE);
+    pub(crate) fn count_unknown_end(&mut self, id: MessageId) -> u64 {
+        let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) else { return 0 };
+        primary.unknown_ends = primary.unknown_ends.saturating_add(1);
+        let counted = primary.unknown_ends.saturating_sub(UNKNOWN_ENDS_WITHOUT_BACKOFF);
         if counted == 0 {
             return 0;
         }
@@ -89,8 +89,9 @@
 
     /// This store is primary of the shard, and no later one gave the token.
     pub(crate) fn may_answer_for(&self, shard: ShardId, token: LeaseToken) -> bool {
-        let reign = self.reigns.get(&shard);
-        reign.is_some_and(|reign| reign.is_serving() && token.epoch() <= reign.since)
+        let primary_term = self.primary_terms.get(&shard);
+        primary_term
+            .is_some_and(|primary_term| primary_term.is_serving() && token.epoch() <= primary_term.number)
     }
 
     /// A run that succeeded ends the message, whoever ran it and under whatever lease.
@@ -102,22 +103,22 @@
         if let Some(lease) = self.lease_of(id).filter(|lease| lease.token != token) {
             self.revoke(id, lease.token);
         }
-        self.end(id, End::Completed { signature });
+        self.end_message(id, End::Completed { signature });
     }
 
     /// Tells the holder of a lease that it is over.
     pub(crate) fn revoke(&mut self, id: MessageId, token: LeaseToken) {
-        let Some(lease) = self.lease_of(id).filter(|lease| lease.token == token && lease.told) else {
+        let Some(lease) = self.lease_of(id).filter(|lease| lease.token == token && lease.is_notified) else {
             return;
         };
         if let Some(connection) = self.dispatchers.connection_of(lease.dispatcher) {
-            self.tell(connection, ToDispatcher::Revoke { id, token });
+            self.send_to_dispatcher(connection, ToDispatcher::Revoke { id, token });
         }
     }
 
     /// The attempt under the present lease failed: the message waits for its next one.
     fn attempt_failed(&mut self, id: MessageId, token: LeaseToken) {
-        self.unschedule(id, Stage::Storing);
+        self.unschedule(id, Stage::Persisting);
         self.count_failure(id, token);
         let is_over = self.table.get(id).is_none_or(|entry| entry.end.is_some());
         if is_over {
@@ -125,8 +126,8 @@
         }
         let wait_ms = self.backoff_of(id);
         let not_before = self.now.plus(wait_ms);
-        if let Some(lead) = self.table.get_mut(id).and_then(|entry| entry.lead.as_mut()) {
-            lead.not_before = not_before;
+        if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
+            primary.not_before = not_before;
         }
         self.when_durable(id, Effect::Retry);
     }
@@ -135,32 +136,32 @@
     /// over. Tokens only rise, so one at or below the highest that was counted may have been counted itself.
     fn count_failure(&mut self, id: MessageId, token: LeaseToken) {
         let Some(entry) = self.table.get(id) else { return };
-        if entry.end.is_none() && entry.settled < token {
+        if entry.end.is_none() && entry.resolved_through < token {
             let failed_attempts = entry.failed_attempts + 1;
-            self.record(id, Record::Failed { id, token, failed_attempts });
+            self.apply_record(id, Record::Failed { id, token, failed_attempts });
         }
-        self.end_if_spent(id);
+        self.end_if_exhausted(id);
     }
 
     /// Ends a message as dead, and the lease on it that somebody may hold.
-    fn end_as_dead(&mut self, id: MessageId) {
+    fn end_as_dead_letter(&mut self, id: MessageId) {
         if self.table.get(id).is_none_or(|entry| entry.end.is_some()) {
             return;
         }
         if let Some(lease) = self.lease_of(id) {
             self.revoke(id, lease.token);
         }
-        self.end(id, End::DeadLetter);
+        self.end_message(id, End::DeadLetter);
     }
 
     /// Ends a message whose attempts are spent.
-    pub(crate) fn end_if_spent(&mut self, id: MessageId) -> bool {
+    pub(crate) fn end_if_exhausted(&mut self, id: MessageId) -> bool {
         let Some(entry) = self.table.get(id) else { return false };
         let max_attempts = entry.message.as_ref().map_or(0, |message| message.max_attempts);
         let is_spent =
             entry.end.is_none() && entry.failed_attempts > 0 && entry.failed_attempts >= max_attempts;
         if is_spent {
-            self.end_as_dead(id);
+            self.end_as_dead_letter(id);
         }
         is_spent
     }
@@ -169,70 +170,72 @@
     fn backoff_of(&mut self, id: MessageId) -> u64 {
         let Some(entry) = self.table.get(id) else { return 0 };
         let target_ms = entry.message.as_ref().map_or(0, |message| u64::from(message.target_start_ms));
-        let left_ms = entry.due().plus(target_ms).since(self.now);
+        let left_ms = entry.due().plus(target_ms).saturating_duration_since(self.now);
         let full_ms = backoff_ms(entry.failed_attempts, &self.config);
         let drawn_ms = full_ms * JITTER_PERCENT / 100;
         let wait_ms = full_ms - drawn_ms / 2 + self.random.u64(0..=drawn_ms);
         if left_ms == 0 {
             return wait_ms;
         }
-        wait_ms.min(left_ms / SHARE_OF_TIME_LEFT).max(LEAST_BACKOFF_MS)
+        wait_ms.min(left_ms / SHARE_OF_TIME_LEFT).max(MIN_BACKOFF_MS)
     }
 
-    /// What was asked to follow a version's being kept.
-    pub(crate) fn follow(&mut self, id: MessageId, effect: Effect) {
+    /// What was asked to apply_effect a version's being kept.
+    pub(crate) fn apply_effect(&mut self, id: MessageId, effect: Effect) {
         match effect {
-            Effect::Accepted { connection, request } => self.accepted(connection, request, id),
-            Effect::Kept | Effect::Retry => self.schedule_kept(id),
+            Effect::Accepted { connection, request } => self.acknowledge_accept(connection, request, id),
+            Effect::Schedule | Effect::Retry => self.schedule_persisted(id),
             Effect::Deliver { token } => self.deliver(id, token),
             Effect::Recorded { connection, token } => {
-                self.tell(connection, ToDispatcher::Recorded { id, token })
+                self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token })
+            }
+            Effect::Ended => self.handle_end_durable(id),
+            Effect::Withdrawn { connection } => {
+                self.send_to_dispatcher(connection, ToDispatcher::Withdrawn { id })
             }
-            Effect::Ended => self.end_kept(id),
-            Effect::Withdrawn { connection } => self.tell(connection, ToDispatcher::Withdrawn { id }),
         }
     }
 
-    fn schedule_kept(&mut self, id: MessageId) {
-        let lead = self.table.get(id).and_then(|entry| entry.lead.as_ref());
-        if lead.is_some_and(|lead| lead.stage == Stage::Storing) {
+    fn schedule_persisted(&mut self, id: MessageId) {
+        let primary = self.table.get(id).and_then(|entry| entry.primary.as_ref());
+        if primary.is_some_and(|primary| primary.stage == Stage::Persisting) {
             self.schedule(id);
         }
     }
 
     /// An end of a message is known: it is kept, and what waits for it follows then.
-    pub(crate) fn end(&mut self, id: MessageId, end: End) {
-        self.unschedule(id, Stage::Over);
-        self.keep_key(id);
-        self.record(id, Record::Ended { id, end });
+    pub(crate) fn end_message(&mut self, id: MessageId, end: End) {
+        self.unschedule(id, Stage::Ended);
+        self.remember_order_key(id);
+        self.apply_record(id, Record::Ended { id, end });
         self.when_durable(id, Effect::Ended);
         self.set_expiry(id);
     }
 
     /// Notes in whose queue the message is, before the message may be given back.
-    fn keep_key(&mut self, id: MessageId) {
+    fn remember_order_key(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let key = order_key(entry).map(str::to_owned);
-        if let Some(lead) = entry.lead.as_mut().filter(|_| key.is_some()) {
-            lead.ended_key = key;
+        if let Some(primary) = entry.primary.as_mut().filter(|_| key.is_some()) {
+            primary.ended_key = key;
         }
     }
 
     /// The message's end is kept: the next one of its key may go, and its call-back is owed.
-    fn end_kept(&mut self, id: MessageId) {
+    fn handle_end_durable(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let sequence = entry.sequence;
-        let key = entry.lead.as_mut().and_then(|lead| lead.ended_key.take());
+        let key = entry.primary.as_mut().and_then(|primary| primary.ended_key.take());
         let next = key.and_then(|key| self.keys.end(&key, sequence, id));
         if let Some(next) = next {
-            self.schedule_queued(next);
+            self.schedule_next_of_key(next);
         }
-        self.owe_callback(id);
+        self.enqueue_callback(id);
     }
 
-    fn schedule_queued(&mut self, id: MessageId) {
-        let lead = self.table.get(id).and_then(|entry| entry.lead.as_ref());
-        if lead.is_some_and(|lead| lead.stage == Stage::Queued) {
+    fn schedule_next_of_key(&mut self, id: MessageId) {
+        let primary = self.table.get(id).and_then(|entry| entry.primary.as_ref());
+        if primary.is_some_and(|primary| primary.stage == Stage::WaitingForKey) {
             self.schedule(id);
         }
     }
--- a/system/state/queue/src/callback_flow.rs
+++ b/system/state/queue/src/callback_flow.rs
@@ -2,8 +2,8 @@
 
 use crate::api::ConnectionId;
 use crate::callbacks::{receiver_of, CallbackLease};
-use crate::lead::Effect;
 use crate::node::StoreNode;
+use crate::primary_entry::Effect;
 use crate::timers::Timer;
 use millrudder_protocol::message::Message;
 use millrudder_protocol::store::{Record, ToDispatcher};
@@ -11,8 +11,9 @@
 
 impl StoreNode {
     /// A message's end is kept: its call-back is owed if it names a receiver.
-    pub(crate) fn owe_callback(&mut self, id: MessageId) {
-        let Some(entry) = self.table.get(id).filter(|entry| entry.owes_callback() && entry.lead.is_some())
+    pub(crate) fn enqueue_callback(&mut self, id: MessageId) {
+        let Some(entry) =
+            self.table.get(id).filter(|entry| entry.has_pending_callback() && entry.primary.is_some())
         else {
             return;
         };
@@ -24,14 +25,14 @@
 
     /// Grants call-backs that may be made now.
     pub(crate) fn grant_callbacks(&mut self) {
-        while let Some(receiver) = self.callbacks.wanted.pop_first() {
+        while let Some(receiver) = self.callbacks.runnable.pop_first() {
             while let Some(id) = self.callbacks.next(receiver, self.now) {
                 if !self.grant_callback(id) {
                     return;
                 }
             }
             if let Some(at) = self.callbacks.next_time(receiver).filter(|at| *at > self.now) {
-                self.timers.set(at, Timer::Receiver(receiver));
+                self.timers.set(at, Timer::ReceiverReady(receiver));
             }
         }
     }
@@ -41,8 +42,8 @@
         let Some(connection) = self.dispatchers.connection_of(dispatcher) else { return false };
         let Some(token) = self.token(id) else { return false };
         self.callbacks.take(id, CallbackLease { dispatcher, token, granted_at: self.now });
-        if let Some(life) = self.dispatchers.get_mut(dispatcher) {
-            life.callbacks.insert(id);
+        if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
+            incarnation.callbacks.insert(id);
         }
         let with_message = !self.has_body(id, dispatcher);
         self.send_callback(connection, id, token, with_message);
@@ -54,12 +55,14 @@
     fn callback_dispatcher(&self, id: MessageId) -> Option<DispatcherId> {
         let entry = self.table.get(id)?;
         let url = entry.message.as_ref()?.callback_url.as_deref()?;
-        let reporter = entry.lead.as_ref()?.reporter;
-        let homes = self.dispatchers.homes(receiver_of(url), self.config.homes_per_receiver);
+        let reporter = entry.primary.as_ref()?.reporter;
+        let homes =
+            self.dispatchers.home_dispatchers(receiver_of(url), self.config.home_dispatchers_per_receiver);
         if let Some(reporter) = reporter.filter(|reporter| homes.contains(reporter)) {
             return Some(reporter);
         }
-        let callbacks = |home: &DispatcherId| self.dispatchers.get(*home).map(|life| life.callbacks.len());
+        let callbacks =
+            |home: &DispatcherId| self.dispatchers.get(*home).map(|incarnation| incarnation.callbacks.len());
         homes.into_iter().min_by_key(callbacks)
     }
 
@@ -74,7 +77,7 @@
         let Some(end) = entry.end.clone() else { return };
         let without_body = |message: &Message| Box::new(Message { body: Vec::new(), ..message.clone() });
         let message = entry.message.as_deref().filter(|_| with_message).map(without_body);
-        self.tell(connection, ToDispatcher::CallBack { id, token, end, message });
+        self.send_to_dispatcher(connection, ToDispatcher::CallBack { id, token, end, message });
     }
 
     /// A dispatcher lacks the message of a call-back; `false` if it holds no such call-back.
@@ -92,7 +95,7 @@
     }
 
     /// A dispatcher reports what became of a call-back.
-    pub(crate) fn called_back(
+    pub(crate) fn handle_called_back(
         &mut self,
         connection: ConnectionId,
         id: MessageId,
@@ -104,42 +107,42 @@
             return;
         }
         let lease = self.callbacks.lease(id).filter(|lease| lease.token == token);
-        if let Some(life) = lease.and_then(|lease| self.dispatchers.get_mut(lease.dispatcher)) {
-            life.callbacks.remove(&id);
+        if let Some(incarnation) = lease.and_then(|lease| self.dispatchers.get_mut(lease.dispatcher)) {
+            incarnation.callbacks.remove(&id);
         }
         if !done {
             if lease.is_some() {
                 self.callbacks.failed(id, retry_after_ms, self.now, &self.config);
             }
-            self.tell(connection, ToDispatcher::Recorded { id, token });
+            self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
             return;
         }
-        self.callback_taken(id);
+        self.complete_callback(id);
         if self.table.get(id).is_none() {
-            self.tell(connection, ToDispatcher::Recorded { id, token });
+            self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
             return;
         }
         self.when_durable(id, Effect::Recorded { connection, token });
     }
 
-    fn callback_taken(&mut self, id: MessageId) {
+    fn complete_callback(&mut self, id: MessageId) {
         self.forget_callback_lease(id);
         self.callbacks.done(id, &self.config);
         if self.table.get(id).is_some_and(|entry| !entry.callback_done) {
-            self.record(id, Record::CallbackDone { id });
+            self.apply_record(id, Record::CallbackDone { id });
             self.set_expiry(id);
         }
     }
 
     pub(crate) fn forget_callback_lease(&mut self, id: MessageId) {
         let lease = self.callbacks.lease(id);
-        if let Some(life) = lease.and_then(|lease| self.dispatchers.get_mut(lease.dispatcher)) {
-            life.callbacks.remove(&id);
+        if let Some(incarnation) = lease.and_then(|lease| self.dispatchers.get_mut(lease.dispatcher)) {
+            incarnation.callbacks.remove(&id);
         }
     }
 
     /// A call-back is not owed any more, or not by this store.
-    pub(crate) fn drop_callback(&mut self, id: MessageId) {
+    pub(crate) fn remove_callback(&mut self, id: MessageId) {
         self.forget_callback_lease(id);
         if let Some(lease) = self.callbacks.drop(id) {
             self.dispatchers.forget_if_gone(lease.dispatcher);
--- a/system/state/queue/src/callbacks.rs
+++ b/system/state/queue/src/callbacks.rs
@@ -1,4 +1,4 @@
-//! Call-backs that are owed, by receiver: few under way at a time, and none waits for another receiver.
+//! Call-backs that are pending, by receiver: few under way at a time, and none waits for another receiver.
 
 use crate::config::Config;
 use crate::time::Time;
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Failures in a row after which a receiver is left alone for a while.
-const FAILURES_TO_REST: u32 = 2;
+const FAILURES_BEFORE_BACKOFF: u32 = 2;
 
 /// Who may make a call-back now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,20 +28,20 @@
 #[derive(Clone, Debug)]
 struct Receiver {
     waiting: BTreeSet<(Time, MessageId)>,
-    out: u32,
+    in_flight: u32,
     limit: u32,
     failures: u32,
-    rests_until: Time,
+    backing_off_until: Time,
 }
 
-/// All call-backs that are owed by shards of this primary.
+/// All call-backs that are pending by shards of this primary.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Callbacks {
-    owed: BTreeMap<MessageId, Callback>,
+    pending: BTreeMap<MessageId, Callback>,
     by_name: BTreeMap<String, u32>,
     receivers: Vec<Receiver>,
     /// Receivers for which a call-back may be possible since the last look.
-    pub wanted: BTreeSet<u32>,
+    pub runnable: BTreeSet<u32>,
 }
 
 /// Part of a URL that names its receiver.
@@ -51,15 +51,15 @@
 }
 
 impl Callbacks {
-    /// A call-back is owed; nothing changes if that is known.
+    /// A call-back is pending; nothing changes if that is known.
     pub fn add(&mut self, id: MessageId, url: &str, now: Time, config: &Config) {
-        if self.owed.contains_key(&id) {
+        if self.pending.contains_key(&id) {
             return;
         }
         let receiver = self.receiver(receiver_of(url), now, config);
-        self.owed.insert(id, Callback { receiver, not_before: now, failures: 0, lease: None });
+        self.pending.insert(id, Callback { receiver, not_before: now, failures: 0, lease: None });
         self.receivers[receiver as usize].waiting.insert((now, id));
-        self.wanted.insert(receiver);
+        self.runnable.insert(receiver);
     }
 
     fn receiver(&mut self, name: &str, now: Time, config: &Config) -> u32 {
@@ -70,10 +70,10 @@
         self.by_name.insert(name.to_owned(), number);
         self.receivers.push(Receiver {
             waiting: BTreeSet::new(),
-            out: 0,
+            in_flight: 0,
             limit: config.callbacks_per_receiver,
             failures: 0,
-            rests_until: now,
+            backing_off_until: now,
         });
         number
     }
@@ -81,7 +81,7 @@
     /// The call-back of this receiver that may be made now.
     pub fn next(&self, receiver: u32, now: Time) -> Option<MessageId> {
         let receiver = &self.receivers[receiver as usize];
-        if receiver.out >= receiver.limit || receiver.rests_until > now {
+        if receiver.in_flight >= receiver.limit || receiver.backing_off_until > now {
             return None;
         }
         let (not_before, id) = receiver.waiting.first()?;
@@ -91,39 +91,39 @@
     /// When to look at a receiver again that has a free place.
     pub fn next_time(&self, receiver: u32) -> Option<Time> {
         let receiver = &self.receivers[receiver as usize];
-        if receiver.out >= receiver.limit {
+        if receiver.in_flight >= receiver.limit {
             return None;
         }
-        receiver.waiting.first().map(|(not_before, _)| (*not_before).max(receiver.rests_until))
+        receiver.waiting.first().map(|(not_before, _)| (*not_before).max(receiver.backing_off_until))
     }
 
     pub fn take(&mut self, id: MessageId, lease: CallbackLease) {
-        let Some(callback) = self.owed.get_mut(&id) else { return };
+        let Some(callback) = self.pending.get_mut(&id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
         receiver.waiting.remove(&(callback.not_before, id));
-        receiver.out += 1;
+        receiver.in_flight += 1;
         callback.lease = Some(lease);
     }
 
     pub fn lease(&self, id: MessageId) -> Option<CallbackLease> {
-        self.owed.get(&id)?.lease
+        self.pending.get(&id)?.lease
     }
 
-    /// It is known that this call-back is owed.
-    pub fn is_owed(&self, id: MessageId) -> bool {
-        self.owed.contains_key(&id)
+    /// It is known that this call-back is pending.
+    pub fn is_pending(&self, id: MessageId) -> bool {
+        self.pending.contains_key(&id)
     }
 
     /// Call-backs that were granted at `before` or earlier and are out still.
-    pub fn out_since(&self, before: Time) -> Vec<MessageId> {
+    pub fn granted_before(&self, before: Time) -> Vec<MessageId> {
         let is_old = |lease: &CallbackLease| lease.granted_at <= before;
-        let old = self.owed.iter().filter(|(_, callback)| callback.lease.as_ref().is_some_and(is_old));
+        let old = self.pending.iter().filter(|(_, callback)| callback.lease.as_ref().is_some_and(is_old));
         old.map(|(id, _)| *id).collect()
     }
 
     /// The receiver did not take it.
     pub fn failed(&mut self, id: MessageId, retry_after_ms: u32, now: Time, config: &Config) {
-        let Some(callback) = self.owed.get_mut(&id) else { return };
+        let Some(callback) = self.pending.get_mut(&id) else { return };
         if callback.lease.is_none() {
             return;
         }
@@ -132,8 +132,8 @@
         let receiver = &mut self.receivers[callback.receiver as usize];
         receiver.failures += 1;
         receiver.limit = 1;
-        if receiver.failures >= FAILURES_TO_REST {
-            receiver.rests_until = now.plus(backoff_ms(receiver.failures - 1, config));
+        if receiver.failures >= FAILURES_BEFORE_BACKOFF {
+            receiver.backing_off_until = now.plus(backoff_ms(receiver.failures - 1, config));
         }
         self.wait_again(id, now.plus(own_wait_ms));
     }
@@ -146,13 +146,13 @@
     }
 
     fn wait_again(&mut self, id: MessageId, not_before: Time) {
-        let Some(callback) = self.owed.get_mut(&id) else { return };
+        let Some(callback) = self.pending.get_mut(&id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
         callback.lease = None;
         callback.not_before = not_before;
-        receiver.out = receiver.out.saturating_sub(1);
+        receiver.in_flight = receiver.in_flight.saturating_sub(1);
         receiver.waiting.insert((not_before, id));
-        self.wanted.insert(callback.receiver);
+        self.runnable.insert(callback.receiver);
     }
 
     /// The receiver took it.
@@ -164,17 +164,17 @@
         receiver.limit = grown.clamp(config.callbacks_per_receiver, config.max_callbacks_per_receiver);
     }
 
-    /// It is not owed any more, or not by this store.
+    /// It is not pending any more, or not by this store.
     fn remove(&mut self, id: MessageId) -> Option<Callback> {
-        let callback = self.owed.remove(&id)?;
+        let callback = self.pending.remove(&id)?;
         let receiver = &mut self.receivers[callback.receiver as usize];
         match callback.lease {
-            Some(_) => receiver.out = receiver.out.saturating_sub(1),
+            Some(_) => receiver.in_flight = receiver.in_flight.saturating_sub(1),
             None => {
                 receiver.waiting.remove(&(callback.not_before, id));
             }
         }
-        self.wanted.insert(callback.receiver);
+        self.runnable.insert(callback.receiver);
         Some(callback)
     }
 
@@ -184,9 +184,9 @@
     }
 
     /// A dispatcher has come: every receiver may be served.
-    pub fn want_all(&mut self) {
+    pub fn mark_all_runnable(&mut self) {
         let count = u32::try_from(self.receivers.len()).unwrap_or(u32::MAX);
-        self.wanted.extend(0..count);
+        self.runnable.extend(0..count);
     }
 }
 
--- a/system/state/queue/src/config.rs
+++ b/system/state/queue/src/config.rs
@@ -16,21 +16,21 @@
     /// Added to every time after which something is forgotten, for clocks that differ between machines.
     pub forget_margin_ms: u64,
     /// Time after its end in which a call-back is tried.
-    pub callback_keep_ms: u64,
+    pub callback_retention: u64,
     /// Wait for a dispatcher to reconnect before its leases are granted again.
-    pub reconnect_wait_ms: u64,
+    pub reconnect_timeout: u64,
     /// A dispatcher that was silent so long is gone; dispatchers send `Ping` at least three times as often.
-    pub silence_ms: u64,
+    pub heartbeat_timeout: u64,
     /// Deliveries of one service that a dispatcher gets at a time before it told its own limit.
     pub default_credit: u32,
     /// Age up to which the dispatcher that accepted a message is trusted to have its body still.
-    pub body_kept_ms: u64,
+    pub body_retention: u64,
     /// Dispatchers of a region that speak with one receiver of call-backs: it accepts few connections, and each of them
     /// keeps its own.
-    pub homes_per_receiver: usize,
+    pub home_dispatchers_per_receiver: usize,
     /// Dispatchers of a region that get the messages of one service which only one shard's primary grants: its workers
     /// accept few connections.
-    pub homes_per_service: usize,
+    pub home_dispatchers_per_service: usize,
     /// Call-backs under way to one receiver, at first and at the most.
     pub callbacks_per_receiver: u32,
     pub max_callbacks_per_receiver: u32,
@@ -42,9 +42,9 @@
     pub min_write_wait_ms: u64,
     pub max_write_wait_ms: u64,
     /// Bytes of one piece when many states are sent to another store.
-    pub piece_bytes: usize,
+    pub snapshot_chunk_bytes: usize,
     /// Time between two such pieces.
-    pub piece_interval_ms: u64,
+    pub snapshot_chunk_interval: u64,
     /// Bytes of repair that may be under way to one store.
     pub repair_window_bytes: usize,
     /// Time between two comparisons of some messages with what replicas know of them; 0 for none.
@@ -52,7 +52,7 @@
     /// Messages of one shard that are compared at a time.
     pub scrub_messages: usize,
     /// Time between two looks for messages that lie though nothing holds them back; 0 for none.
-    pub watch_interval_ms: u64,
+    pub watchdog_interval: u64,
     /// Time after which a dispatcher that has not said how a call-back ended is taken to have forgotten it: more than
     /// what it takes one to be done with all that it may hold for a receiver that answers.
     pub callback_lease_ms: u64,
@@ -69,25 +69,25 @@
             full_retry_after_ms: 1_000,
             status_ttl_ms: 120_000,
             forget_margin_ms: 15_000,
-            callback_keep_ms: 600_000,
-            reconnect_wait_ms: 1_500,
-            silence_ms: 3_000,
+            callback_retention: 600_000,
+            reconnect_timeout: 1_500,
+            heartbeat_timeout: 3_000,
             default_credit: 16,
-            body_kept_ms: 10_000,
-            homes_per_receiver: 4,
-            homes_per_service: 4,
+            body_retention: 10_000,
+            home_dispatchers_per_receiver: 4,
+            home_dispatchers_per_service: 4,
             callbacks_per_receiver: 2,
             max_callbacks_per_receiver: 8,
             backoff_ms: 250,
             max_backoff_ms: 4_000,
             min_write_wait_ms: 15,
             max_write_wait_ms: 60,
-            piece_bytes: 256 << 10,
-            piece_interval_ms: 4,
+            snapshot_chunk_bytes: 256 << 10,
+            snapshot_chunk_interval: 4,
             repair_window_bytes: 512 << 10,
             scrub_interval_ms: 5_000,
             scrub_messages: 128,
-            watch_interval_ms: 1_000,
+            watchdog_interval: 1_000,
             callback_lease_ms: 10_000,
             seed: 0,
         }
--- a/system/state/queue/src/credits.rs
+++ b/system/state/queue/src/credits.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Credit {
     limit: u32,
-    out: u32,
+    in_flight: u32,
     /// From the store.
     distance: Distance,
     /// It may be granted something.
@@ -19,7 +19,7 @@
 impl Credit {
     fn free(&self) -> u32 {
         if self.open {
-            self.limit.saturating_sub(self.out)
+            self.limit.saturating_sub(self.in_flight)
         } else {
             0
         }
@@ -27,18 +27,18 @@
 }
 
 /// Order in which dispatchers are chosen: the last one is the best.
-type Rank = (Reverse<Distance>, u32, DispatcherId);
+type Preference = (Reverse<Distance>, u32, DispatcherId);
 
 /// Credits of one service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Credits {
     dispatchers: BTreeMap<DispatcherId, Credit>,
-    free: BTreeSet<Rank>,
+    free: BTreeSet<Preference>,
 }
 
 impl Credits {
     fn change(&mut self, dispatcher: DispatcherId, change: impl FnOnce(&mut Credit)) {
-        let unknown = Credit { limit: 0, out: 0, distance: Distance::default(), open: false };
+        let unknown = Credit { limit: 0, in_flight: 0, distance: Distance::default(), open: false };
         let credit = self.dispatchers.entry(dispatcher).or_insert(unknown);
         let before = *credit;
         change(credit);
@@ -49,7 +49,7 @@
         if after.free() > 0 {
             self.free.insert((Reverse(after.distance), after.free(), dispatcher));
         }
-        if !after.open && after.out == 0 {
+        if !after.open && after.in_flight == 0 {
             self.dispatchers.remove(&dispatcher);
         }
     }
@@ -81,13 +81,13 @@
         self.dispatchers.get(&dispatcher).is_some_and(|credit| credit.open && credit.limit > 0)
     }
 
-    pub fn take(&mut self, dispatcher: DispatcherId) {
-        self.change(dispatcher, |credit| credit.out += 1);
+    pub fn reserve(&mut self, dispatcher: DispatcherId) {
+        self.change(dispatcher, |credit| credit.in_flight += 1);
     }
 
-    pub fn give_back(&mut self, dispatcher: DispatcherId) {
+    pub fn release(&mut self, dispatcher: DispatcherId) {
         if self.dispatchers.contains_key(&dispatcher) {
-            self.change(dispatcher, |credit| credit.out = credit.out.saturating_sub(1));
+            self.change(dispatcher, |credit| credit.in_flight = credit.in_flight.saturating_sub(1));
         }
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Of the nearest that have free credit the one with the most; `other` only if there is no other.
-    pub fn best_but(&self, other: Option<DispatcherId>) -> Option<DispatcherId> {
+    pub fn best_except(&self, other: Option<DispatcherId>) -> Option<DispatcherId> {
         let mut best = self.free.iter().rev().map(|(_, _, dispatcher)| *dispatcher);
         best.find(|dispatcher| Some(*dispatcher) != other).or(other.filter(|other| self.has_free(*other)))
     }
--- a/system/state/queue/src/disk.rs
+++ b/system/state/queue/src/disk.rs
@@ -8,7 +8,7 @@
 
 /// What a sync of the local disk allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Synced {
+pub(crate) enum SyncAction {
     /// Nothing waits for it.
     Nothing,
     /// This store, as primary, has a version on its disk.
@@ -16,16 +16,16 @@
     /// A primary's `Write` is on the disk.
     Write { store: StoreId, number: RequestNumber },
     /// The shard is promised to this store itself.
-    OwnPromise { shard: ShardId, since: Epoch },
+    OwnPromise { shard: ShardId, term: Epoch },
     /// The shard is promised to a new primary.
-    Promise { store: StoreId, shard: ShardId, since: Epoch },
+    Promise { store: StoreId, shard: ShardId, term: Epoch },
 }
 
 #[derive(Clone, Debug)]
 struct Unsynced {
     ticket: Ticket,
     at: Time,
-    then: Synced,
+    on_synced: SyncAction,
 }
 
 /// The local disk's queue.
@@ -44,20 +44,26 @@
     }
 
     /// Appends a record; `then` follows its sync.
-    pub fn append(&mut self, record: DiskRecord, then: Synced, now: Time, out: &mut Vec<Output>) {
+    pub fn append(
+        &mut self,
+        record: DiskRecord,
+        on_synced: SyncAction,
+        now: Time,
+        outputs: &mut Vec<Output>,
+    ) {
         let ticket = self.next;
         self.next = Ticket(ticket.0 + 1);
-        self.unsynced.push_back(Unsynced { ticket, at: now, then });
-        out.push(Output::Append { ticket, record });
+        self.unsynced.push_back(Unsynced { ticket, at: now, on_synced });
+        outputs.push(Output::Append { ticket, record });
     }
 
     /// What is allowed now that everything up to `ticket` is synced, in the order of the appends.
-    pub fn synced(&mut self, ticket: Ticket) -> Vec<Synced> {
+    pub fn synced(&mut self, ticket: Ticket) -> Vec<SyncAction> {
         let mut allowed = Vec::new();
         while self.unsynced.front().is_some_and(|oldest| oldest.ticket <= ticket) {
             let Some(oldest) = self.unsynced.pop_front() else { break };
             self.overdue = self.overdue.saturating_sub(1);
-            allowed.push(oldest.then);
+            allowed.push(oldest.on_synced);
         }
         allowed
     }
@@ -66,8 +72,8 @@
     /// their numbers may be those of other writes, as each process numbers its own.
     pub fn forget_writes(&mut self, of: StoreId) {
         for unsynced in &mut self.unsynced {
-            if matches!(unsynced.then, Synced::Write { store, .. } if store == of) {
-                unsynced.then = Synced::Nothing;
+            if matches!(unsynced.on_synced, SyncAction::Write { store, .. } if store == of) {
+                unsynced.on_synced = SyncAction::Nothing;
             }
         }
     }
@@ -81,7 +87,7 @@
     pub fn take_overdue(&mut self, now: Time, wait_ms: u64) -> Vec<Sent> {
         let mut messages = Vec::new();
         while self.deadline(wait_ms).is_some_and(|deadline| deadline <= now) {
-            if let Synced::Own(sent) = self.unsynced[self.overdue].then {
+            if let SyncAction::Own(sent) = self.unsynced[self.overdue].on_synced {
                 messages.push(sent);
             }
             self.overdue += 1;
@@ -95,6 +101,6 @@
 
     /// Milliseconds that the oldest append has waited for its sync.
     pub fn oldest_unsynced_ms(&self, now: Time) -> u64 {
-        self.unsynced.front().map_or(0, |oldest| now.since(oldest.at))
+        self.unsynced.front().map_or(0, |oldest| now.saturating_duration_since(oldest.at))
     }
 }
--- a/system/state/queue/src/dispatchers.rs
+++ b/system/state/queue/src/dispatchers.rs
@@ -10,7 +10,7 @@
 
 /// Whether a dispatcher is known to hold a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Hold {
+pub(crate) enum LeaseConfirmation {
     Confirmed,
     /// It must list it in a `Hello` before this time.
     Unconfirmed {
@@ -18,40 +18,40 @@
     },
 }
 
-impl Hold {
+impl LeaseConfirmation {
     /// It was to be confirmed by `at` at the latest, and was not.
-    pub fn is_over(&self, at: Time) -> bool {
-        matches!(self, Hold::Unconfirmed { until } if *until <= at)
+    pub fn has_lapsed(&self, at: Time) -> bool {
+        matches!(self, LeaseConfirmation::Unconfirmed { until } if *until <= at)
     }
 }
 
 /// One life of a dispatcher process.
 #[derive(Clone, Debug)]
-pub(crate) struct Life {
+pub(crate) struct Incarnation {
     pub connection: Option<ConnectionId>,
     /// From this store.
     pub distance: Distance,
     /// It stops; nothing more is granted to it.
     pub leaving: bool,
-    pub heard_at: Time,
+    pub last_message_at: Time,
     /// Placement in force at its last `Hello`.
     pub epoch: Epoch,
     /// What it held then.
     pub held: BTreeMap<MessageId, LeaseToken>,
     /// What it had asked to be kept or withdrawn then, without an answer.
     pub in_doubt: BTreeSet<MessageId>,
-    pub leases: BTreeMap<MessageId, Hold>,
+    pub leases: BTreeMap<MessageId, LeaseConfirmation>,
     pub callbacks: BTreeSet<MessageId>,
     pub limits: BTreeMap<ServiceIndex, u32>,
 }
 
-impl Life {
+impl Incarnation {
     fn new(now: Time) -> Self {
-        Life {
+        Incarnation {
             connection: None,
             distance: Distance::default(),
             leaving: false,
-            heard_at: now,
+            last_message_at: now,
             epoch: Epoch::default(),
             held: BTreeMap::new(),
             in_doubt: BTreeSet::new(),
@@ -68,14 +68,18 @@
 
     /// Leases that were not confirmed in time.
     pub fn overdue(&self, now: Time) -> Vec<MessageId> {
-        self.leases.iter().filter(|(_, hold)| hold.is_over(now)).map(|(id, _)| *id).collect()
+        self.leases
+            .iter()
+            .filter(|(_, confirmation)| confirmation.has_lapsed(now))
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
 
 /// All dispatchers that are connected or hold something.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Dispatchers {
-    lives: BTreeMap<DispatcherId, Life>,
+    incarnations: BTreeMap<DispatcherId, Incarnation>,
     connections: BTreeMap<ConnectionId, DispatcherId>,
 }
 
@@ -88,31 +92,31 @@
         self.connections.contains_key(&connection)
     }
 
-    pub fn get(&self, dispatcher: DispatcherId) -> Option<&Life> {
-        self.lives.get(&dispatcher)
+    pub fn get(&self, dispatcher: DispatcherId) -> Option<&Incarnation> {
+        self.incarnations.get(&dispatcher)
     }
 
-    pub fn get_mut(&mut self, dispatcher: DispatcherId) -> Option<&mut Life> {
-        self.lives.get_mut(&dispatcher)
+    pub fn get_mut(&mut self, dispatcher: DispatcherId) -> Option<&mut Incarnation> {
+        self.incarnations.get_mut(&dispatcher)
     }
 
     /// The life, added if it is not known.
-    pub fn add(&mut self, dispatcher: DispatcherId, now: Time) -> &mut Life {
-        self.lives.entry(dispatcher).or_insert_with(|| Life::new(now))
+    pub fn add(&mut self, dispatcher: DispatcherId, now: Time) -> &mut Incarnation {
+        self.incarnations.entry(dispatcher).or_insert_with(|| Incarnation::new(now))
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (DispatcherId, &Life)> + '_ {
-        self.lives.iter().map(|(dispatcher, life)| (*dispatcher, life))
+    pub fn iter(&self) -> impl Iterator<Item = (DispatcherId, &Incarnation)> + '_ {
+        self.incarnations.iter().map(|(dispatcher, incarnation)| (*dispatcher, incarnation))
     }
 
     /// The `count` dispatchers of the store's region, or of all if it has none, that speak with a receiver or a service: the first by a hash of both
     /// names (rendezvous hashing), so that all stores of a region choose the same without a word, and a dispatcher that
     /// comes or goes changes little.
-    pub fn homes(&self, name: &str, count: usize) -> Vec<DispatcherId> {
-        let open = || self.iter().filter(|(_, life)| life.is_open());
-        let is_far = |life: &Life| life.distance == Distance::OtherRegion;
-        let all_far = open().all(|(_, life)| is_far(life));
-        let near = open().filter(|(_, life)| all_far || !is_far(life));
+    pub fn home_dispatchers(&self, name: &str, count: usize) -> Vec<DispatcherId> {
+        let open = || self.iter().filter(|(_, incarnation)| incarnation.is_open());
+        let is_far = |incarnation: &Incarnation| incarnation.distance == Distance::OtherRegion;
+        let all_far = open().all(|(_, incarnation)| is_far(incarnation));
+        let near = open().filter(|(_, incarnation)| all_far || !is_far(incarnation));
         let mut ranked: Vec<(u64, DispatcherId)> = near
             .map(|(dispatcher, _)| (xxh3_64_with_seed(name.as_bytes(), dispatcher.0), dispatcher))
             .collect();
@@ -122,40 +126,51 @@
     }
 
     pub fn connection_of(&self, dispatcher: DispatcherId) -> Option<ConnectionId> {
-        self.lives.get(&dispatcher)?.connection
+        self.incarnations.get(&dispatcher)?.connection
     }
 
     /// Ties a connection to a life.
-    pub fn connect(&mut self, connection: ConnectionId, dispatcher: DispatcherId, now: Time) -> &mut Life {
+    pub fn connect(
+        &mut self,
+        connection: ConnectionId,
+        dispatcher: DispatcherId,
+        now: Time,
+    ) -> &mut Incarnation {
         self.connections.insert(connection, dispatcher);
-        let life = self.add(dispatcher, now);
-        life.connection = Some(connection);
-        life.heard_at = now;
-        life
+        let incarnation = self.add(dispatcher, now);
+        incarnation.connection = Some(connection);
+        incarnation.last_message_at = now;
+        incarnation
     }
 
     /// The connection is closed; gives whose it was.
     pub fn disconnect(&mut self, connection: ConnectionId) -> Option<DispatcherId> {
         let dispatcher = self.connections.remove(&connection)?;
-        let life = self.lives.get_mut(&dispatcher)?;
-        if life.connection != Some(connection) {
+        let incarnation = self.incarnations.get_mut(&dispatcher)?;
+        if incarnation.connection != Some(connection) {
             return None;
         }
-        life.connection = None;
+        incarnation.connection = None;
         Some(dispatcher)
     }
 
-    pub fn heard(&mut self, connection: ConnectionId, now: Time) {
+    pub fn record_activity(&mut self, connection: ConnectionId, now: Time) {
         let Some(dispatcher) = self.connections.get(&connection) else { return };
-        if let Some(life) = self.lives.get_mut(dispatcher) {
-            life.heard_at = now;
+        if let Some(incarnation) = self.incarnations.get_mut(dispatcher) {
+            incarnation.last_message_at = now;
         }
     }
 
-    /// Connections that were silent for `silence_ms`.
-    pub fn silent(&self, now: Time, silence_ms: u64) -> Vec<ConnectionId> {
-        let is_silent = |life: &&Life| now.since(life.heard_at) >= silence_ms;
-        self.lives.values().filter(is_silent).filter_map(|life| life.connection).collect()
+    /// Connections that were unresponsive for `heartbeat_timeout`.
+    pub fn unresponsive(&self, now: Time, heartbeat_timeout: u64) -> Vec<ConnectionId> {
+        let is_unresponsive = |incarnation: &&Incarnation| {
+            now.saturating_duration_since(incarnation.last_message_at) >= heartbeat_timeout
+        };
+        self.incarnations
+            .values()
+            .filter(is_unresponsive)
+            .filter_map(|incarnation| incarnation.connection)
+            .collect()
     }
 
     pub fn any_connected(&self) -> bool {
@@ -164,10 +179,13 @@
 
     /// Forgets a life that is over and holds nothing.
     pub fn forget_if_gone(&mut self, dispatcher: DispatcherId) {
-        let is_gone =
-            |life: &Life| life.connection.is_none() && life.leases.is_empty() && life.callbacks.is_empty();
-        if self.lives.get(&dispatcher).is_some_and(is_gone) {
-            self.lives.remove(&dispatcher);
+        let is_gone = |incarnation: &Incarnation| {
+            incarnation.connection.is_none()
+                && incarnation.leases.is_empty()
+                && incarnation.callbacks.is_empty()
+        };
+        if self.incarnations.get(&dispatcher).is_some_and(is_gone) {
+            self.incarnations.remove(&dispatcher);
         }
     }
 }
--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -1,6 +1,6 @@
-//! What one store knows of one message. It only grows: [`Entry::join`] and [`Entry::apply`] never take anything back.
+//! What one store knows of one message. It only grows: [`Entry::merge`] and [`Entry::apply`] never take anything back.
 
-use crate::lead::Lead;
+use crate::primary_entry::PrimaryEntry;
 use crate::time::Time;
 use millrudder_protocol::message::{End, Grant, Message, MessageState};
 use millrudder_protocol::store::Record;
@@ -18,7 +18,7 @@
     pub retention_ms: u32,
     pub failed_attempts: u32,
     pub grant: Option<Grant>,
-    pub settled: LeaseToken,
+    pub resolved_through: LeaseToken,
     pub end: Option<End>,
     /// Meaningful with `end`.
     pub ended: Time,
@@ -28,7 +28,7 @@
     /// When its expiry timer goes off.
     pub expiry: Option<Time>,
     /// Only at the shard's primary.
-    pub lead: Option<Box<Lead>>,
+    pub primary: Option<Box<PrimaryEntry>>,
     /// Bytes that it counts for in the table's sum.
     pub charged: usize,
     /// It counts as live in the table's sum.
@@ -37,9 +37,9 @@
 
 /// What two replicas must agree on to know the same of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Facts {
+pub(crate) struct EntryVersion {
     pub failed_attempts: u32,
-    pub settled: LeaseToken,
+    pub resolved_through: LeaseToken,
     pub grant: Option<LeaseToken>,
     pub end: Option<End>,
     pub callback_done: bool,
@@ -47,17 +47,17 @@
 
 /// What must be on the local disk before it may be told: an entry that differs in it knows more or less.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Knowledge {
-    facts: Facts,
+pub(crate) struct EntryContents {
+    entry_version: EntryVersion,
     sequence: Sequence,
     body_bytes: Option<usize>,
 }
 
-impl Facts {
-    pub fn of_state(state: &MessageState) -> Facts {
-        Facts {
+impl EntryVersion {
+    pub fn of_state(state: &MessageState) -> EntryVersion {
+        EntryVersion {
             failed_attempts: state.failed_attempts,
-            settled: state.settled,
+            resolved_through: state.settled,
             grant: state.grant.map(|grant| grant.token),
             end: state.end.clone(),
             callback_done: state.callback_done,
@@ -75,49 +75,49 @@
             retention_ms: 0,
             failed_attempts: 0,
             grant: None,
-            settled: LeaseToken::default(),
+            resolved_through: LeaseToken::default(),
             end: None,
             ended: received,
             callback_done: false,
             message: None,
             expiry: None,
-            lead: None,
+            primary: None,
             charged: 0,
             counted_live: false,
         }
     }
 
-    pub fn facts(&self) -> Facts {
-        Facts {
+    pub fn entry_version(&self) -> EntryVersion {
+        EntryVersion {
             failed_attempts: self.failed_attempts,
-            settled: self.settled,
+            resolved_through: self.resolved_through,
             grant: self.grant.map(|grant| grant.token),
             end: self.end.clone(),
             callback_done: self.callback_done,
         }
     }
 
-    pub fn knowledge(&self) -> Knowledge {
-        Knowledge {
-            facts: self.facts(),
+    pub fn contents(&self) -> EntryContents {
+        EntryContents {
+            entry_version: self.entry_version(),
             sequence: self.sequence,
             body_bytes: self.message.as_ref().map(|message| message.body.len()),
         }
     }
 
     /// Adds what a state says that was sent or written `state_age_ms` ago.
-    pub fn join(&mut self, state: MessageState, now: Time, state_age_ms: u64) {
+    pub fn merge(&mut self, state: MessageState, now: Time, state_age_ms: u64) {
         self.sequence = self.sequence.max(state.sequence);
         self.received = self.received.min(now.minus(state.age_ms.saturating_add(state_age_ms)));
         self.failed_attempts = self.failed_attempts.max(state.failed_attempts);
-        self.settled = self.settled.max(state.settled);
+        self.resolved_through = self.resolved_through.max(state.settled);
         self.callback_done |= state.callback_done;
-        self.join_grant(state.grant);
+        self.merge_grant(state.grant);
         if let Some(message) = state.message {
-            self.join_message(Box::new(message));
+            self.merge_message(Box::new(message));
         }
         if let Some(end) = state.end {
-            self.join_end(end, now.minus(state.ended_age_ms.saturating_add(state_age_ms)));
+            self.merge_end(end, now.minus(state.ended_age_ms.saturating_add(state_age_ms)));
         }
         self.trim();
     }
@@ -125,27 +125,27 @@
     /// Adds what a record says that was written `age_ms` ago.
     pub fn apply(&mut self, record: Record, now: Time, age_ms: u64) {
         match record {
-            Record::State { state } => self.join(*state, now, age_ms),
-            Record::Granted { grant, .. } => self.join_grant(Some(grant)),
+            Record::State { state } => self.merge(*state, now, age_ms),
+            Record::Granted { grant, .. } => self.merge_grant(Some(grant)),
             Record::Failed { token, failed_attempts, .. } => {
-                self.settled = self.settled.max(token);
+                self.resolved_through = self.resolved_through.max(token);
                 self.failed_attempts = self.failed_attempts.max(failed_attempts);
             }
-            Record::Ended { end, .. } => self.join_end(end, now.minus(age_ms)),
+            Record::Ended { end, .. } => self.merge_end(end, now.minus(age_ms)),
             Record::CallbackDone { .. } => self.callback_done = true,
             Record::Forgotten { .. } => {}
         }
         self.trim();
     }
 
-    fn join_grant(&mut self, grant: Option<Grant>) {
+    fn merge_grant(&mut self, grant: Option<Grant>) {
         let token = |grant: &Option<Grant>| grant.map(|grant| grant.token);
         if token(&grant) > token(&self.grant) {
             self.grant = grant;
         }
     }
 
-    fn join_message(&mut self, message: Box<Message>) {
+    fn merge_message(&mut self, message: Box<Message>) {
         self.retention_ms = self.retention_ms.max(message.retention_ms);
         match &self.message {
             Some(present) if present.body.len() >= message.body.len() => {}
@@ -153,7 +153,7 @@
         }
     }
 
-    fn join_end(&mut self, end: End, at: Time) {
+    fn merge_end(&mut self, end: End, at: Time) {
         match &self.end {
             Some(present) if *present <= end => {}
             Some(_) => self.end = Some(end),
@@ -165,7 +165,7 @@
     }
 
     /// A call-back is owed for the end that is known.
-    pub fn owes_callback(&self) -> bool {
+    pub fn has_pending_callback(&self) -> bool {
         let named = self.message.as_ref().is_some_and(|message| message.callback_url.is_some());
         let owed_end = matches!(self.end, Some(End::Completed { .. } | End::DeadLetter));
         owed_end && named && !self.callback_done
@@ -177,7 +177,7 @@
         if needs_body {
             return;
         }
-        if !self.owes_callback() {
+        if !self.has_pending_callback() {
             self.message = None;
             return;
         }
@@ -191,19 +191,19 @@
         MessageState {
             id: self.id,
             sequence: self.sequence,
-            age_ms: now.since(self.received),
-            message: Some(self.message.as_deref().cloned().unwrap_or_else(|| self.hollow_message())),
+            age_ms: now.saturating_duration_since(self.received),
+            message: Some(self.message.as_deref().cloned().unwrap_or_else(|| self.placeholder_message())),
             failed_attempts: self.failed_attempts,
             grant: self.grant,
-            settled: self.settled,
+            settled: self.resolved_through,
             end: self.end.clone(),
-            ended_age_ms: if self.end.is_some() { now.since(self.ended) } else { 0 },
+            ended_age_ms: if self.end.is_some() { now.saturating_duration_since(self.ended) } else { 0 },
             callback_done: self.callback_done,
         }
     }
 
     /// What is left of a message of which only the times matter.
-    fn hollow_message(&self) -> Message {
+    fn placeholder_message(&self) -> Message {
         Message {
             request_id: String::new(),
             method: String::new(),
--- a/system/state/queue/src/expiry.rs
+++ b/system/state/queue/src/expiry.rs
@@ -20,9 +20,9 @@
     let keep_ms = config.status_ttl_ms + config.forget_margin_ms;
     if entry.end.is_none() {
         let retention_end = entry.retention_end();
-        return if entry.lead.is_some() { retention_end } else { retention_end.plus(keep_ms) };
+        return if entry.primary.is_some() { retention_end } else { retention_end.plus(keep_ms) };
     }
-    let callback_ms = if entry.owes_callback() { config.callback_keep_ms } else { 0 };
+    let callback_ms = if entry.has_pending_callback() { config.callback_retention } else { 0 };
     let asked_until = entry.ended.plus(keep_ms.max(callback_ms));
     asked_until.max(entry.retention_end().plus(config.forget_margin_ms)).rounded_up(FORGET_STEP_MS)
 }
@@ -42,10 +42,10 @@
     }
 
     /// A message's expiry timer went off.
-    pub(crate) fn expire(&mut self, id: MessageId) {
+    pub(crate) fn handle_expiry(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         entry.expiry = None;
-        let is_over = entry.end.is_some() || entry.lead.is_none();
+        let is_over = entry.end.is_some() || entry.primary.is_none();
         if is_over && !self.pending.contains(&id) {
             self.forget(id);
         } else if is_over {
@@ -61,15 +61,15 @@
         if let Some(lease) = self.lease_of(id) {
             self.revoke(id, lease.token);
         }
-        self.end(id, End::DeadLetter);
+        self.end_message(id, End::DeadLetter);
     }
 
     fn forget(&mut self, id: MessageId) {
-        self.drop_callback(id);
+        self.remove_callback(id);
         self.table.remove(id);
         for peer in self.peers.values_mut() {
             peer.catch_up.remove(&id);
         }
-        self.out.push(Output::Released { id });
+        self.outputs.push(Output::Released { id });
     }
 }
--- a/system/state/queue/src/keys.rs
+++ b/system/state/queue/src/keys.rs
@@ -43,7 +43,7 @@
     }
 
     /// Nothing of its key is before this message.
-    pub fn may_go(&self, key: &str, id: MessageId) -> bool {
+    pub fn may_activate(&self, key: &str, id: MessageId) -> bool {
         let Some(queue) = self.queues.get(&id.shard).and_then(|queues| queues.get(key)) else {
             return true;
         };
--- a/system/state/queue/src/lib.rs
+++ b/system/state/queue/src/lib.rs
@@ -10,14 +10,14 @@
 //! use millrudder_protocol::{Epoch, StoreId};
 //! use millrudder_queue::{Config, Input, Output, StoreNode};
 //!
-//! let me = StoreId(1);
-//! let mut node = StoreNode::new(Config::default(), me, "zone", 0, std::iter::empty());
-//! let shard = ShardEntry { primary: me, replicas: vec![me], change: None, since: Epoch(1) };
+//! let local_id = StoreId(1);
+//! let mut node = StoreNode::new(Config::default(), local_id, "zone", 0, std::iter::empty());
+//! let shard = ShardEntry { primary: local_id, replicas: vec![local_id], change: None, since: Epoch(1) };
 //! let placement = Placement { epoch: Epoch(1), tolerated_losses: 0, stores: vec![], shards: vec![shard] };
 //!
 //! let mut outputs = Vec::new();
 //! node.handle(0, Input::Placement(placement), &mut outputs);
-//! // It promises the shard to itself, and serves it once that is on its disk.
+//! // It promised_terms the shard to itself, and serves it once that is on its disk.
 //! let [Output::Append { ticket, .. }] = outputs[..] else { panic!("one record") };
 //! assert_eq!(node.health(0).serving, 0);
 //! node.handle(2, Input::Synced { ticket }, &mut outputs);
@@ -37,7 +37,7 @@
 //!
 //! # What dispatchers must keep to
 //!
-//! - They ping at least three times within [`Config::silence_ms`].
+//! - They ping at least three times within [`Config::heartbeat_timeout`].
 //! - They start a delivery only if its token's epoch is not below the `since` of its shard in their placement.
 //! - They take `Recorded` only from the shard's primary in their placement, and repeat reports to that one until then.
 //! - They announce themselves by `Hello` on each connection and at each new placement, with every lease whose
@@ -49,7 +49,6 @@
 mod attempts;
 mod callback_flow;
 mod callbacks;
-mod ceiling;
 mod config;
 mod connections;
 mod credits;
@@ -57,14 +56,15 @@
 mod dispatchers;
 mod entry;
 mod expiry;
-mod follower;
 mod grants;
 mod keys;
-mod lead;
 mod node;
 mod peers;
-mod reign;
+mod primary_entry;
+mod primary_term;
+mod rate_limit;
 mod repair;
+mod replica;
 mod replication;
 mod schedule;
 mod scrub;
@@ -72,8 +72,8 @@
 mod takeover;
 mod time;
 mod timers;
-mod watch;
+mod watchdog;
 
-pub use api::{ConnectionId, DiskRecord, Input, Output, Recovered, StrayCause, Ticket};
+pub use api::{ConnectionId, DiskRecord, Input, OrphanCause, Output, Recovered, Ticket};
 pub use config::Config;
 pub use node::StoreNode;
--- a/system/state/queue/src/node.rs
+++ b/system/state/queue/src/node.rs
@@ -5,12 +5,12 @@
 use crate::config::Config;
 use crate::disk::Disk;
 use crate::dispatchers::Dispatchers;
-use crate::follower::Dump;
 use crate::keys::Keys;
 use crate::peers::Peer;
-use crate::reign::Reign;
+use crate::primary_term::PrimaryTerm;
+use crate::replica::SnapshotTransfer;
 use crate::replication::Change;
-use crate::schedule::{is_ceiling, ServiceIndex, Services};
+use crate::schedule::{is_limiting, ServiceIndex, Services};
 use crate::table::Table;
 use crate::time::Time;
 use crate::timers::{Timer, Timers};
@@ -26,13 +26,13 @@
 #[derive(Clone, Debug)]
 pub struct StoreNode {
     pub(crate) config: Config,
-    pub(crate) me: StoreId,
+    pub(crate) local_id: StoreId,
     pub(crate) location: Location,
     pub(crate) now: Time,
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
     pub(crate) placement: Placement,
-    pub(crate) promises: BTreeMap<ShardId, Epoch>,
-    pub(crate) reigns: BTreeMap<ShardId, Reign>,
+    pub(crate) promised_terms: BTreeMap<ShardId, Epoch>,
+    pub(crate) primary_terms: BTreeMap<ShardId, PrimaryTerm>,
     pub(crate) table: Table,
     pub(crate) timers: Timers,
     pub(crate) disk: Disk,
@@ -46,12 +46,12 @@
     pub(crate) keys: Keys,
     pub(crate) dispatchers: Dispatchers,
     pub(crate) callbacks: Callbacks,
-    pub(crate) dumps: BTreeMap<(StoreId, ShardId), Dump>,
+    pub(crate) snapshot_transfers: BTreeMap<(StoreId, ShardId), SnapshotTransfer>,
     /// The watchdog is to look once all other timers that are due have gone off.
-    watch_due: bool,
+    is_watchdog_due: bool,
     /// The message that the watchdog looked at last.
-    pub(crate) watched: Option<MessageId>,
-    pub(crate) silence_at: Option<Time>,
+    pub(crate) watchdog_position: Option<MessageId>,
+    pub(crate) heartbeat_check_at: Option<Time>,
     pub(crate) random: fastrand::Rng,
     leaving: bool,
 }
@@ -60,21 +60,21 @@
     /// A store process that starts at `now_ms` (steady clock) with what its disk holds, in the order of the appends.
     pub fn new(
         config: Config,
-        me: StoreId,
+        local_id: StoreId,
         location: impl Into<Location>,
         now_ms: u64,
         recovered: impl Iterator<Item = Recovered>,
     ) -> Self {
-        let random = fastrand::Rng::with_seed(config.seed ^ me.0);
+        let random = fastrand::Rng::with_seed(config.seed ^ local_id.0);
         let mut node = StoreNode {
             config,
-            me,
+            local_id,
             location: location.into(),
             now: Time::from_steady(now_ms),
-            out: Vec::new(),
+            outputs: Vec::new(),
             placement: Placement::default(),
-            promises: BTreeMap::new(),
-            reigns: BTreeMap::new(),
+            promised_terms: BTreeMap::new(),
+            primary_terms: BTreeMap::new(),
             table: Table::default(),
             timers: Timers::default(),
             disk: Disk::new(),
@@ -86,27 +86,27 @@
             keys: Keys::default(),
             dispatchers: Dispatchers::default(),
             callbacks: Callbacks::default(),
-            dumps: BTreeMap::new(),
-            watch_due: false,
-            watched: None,
-            silence_at: None,
+            snapshot_transfers: BTreeMap::new(),
+            is_watchdog_due: false,
+            watchdog_position: None,
+            heartbeat_check_at: None,
             random,
             leaving: false,
         };
         node.recover(recovered);
         node.set_scrub_timer();
-        node.set_watch_timer();
+        node.set_watchdog_timer();
         node
     }
 
     fn recover(&mut self, recovered: impl Iterator<Item = Recovered>) {
         for Recovered { record, age_ms } in recovered {
             match record {
-                DiskRecord::Promised { shard, term: since } => {
-                    let promise = self.promises.entry(shard).or_default();
-                    *promise = since.max(*promise);
+                DiskRecord::Promised { shard, term } => {
+                    let promise = self.promised_terms.entry(shard).or_default();
+                    *promise = term.max(*promise);
                 }
-                DiskRecord::Message { record } => self.learn(record, age_ms),
+                DiskRecord::Message { record } => self.apply_received_record(record, age_ms),
             }
         }
         let ids: Vec<MessageId> = self.table.ids().collect();
@@ -115,128 +115,126 @@
         }
     }
 
-    /// Takes one event; what is to be done is added to `out`. Time never goes back.
-    pub fn handle(&mut self, now_ms: u64, input: Input, out: &mut Vec<Output>) {
+    /// Takes one event; what is to be done is added to `outputs`. Time never goes back.
+    pub fn handle(&mut self, now_ms: u64, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(Time::from_steady(now_ms));
         self.fire_timers();
-        self.settle();
+        self.process_pending_work();
         // After all that was due: a process that was halted finds many timers due at once.
-        if std::mem::take(&mut self.watch_due) {
-            self.watch();
-            self.settle();
+        if std::mem::take(&mut self.is_watchdog_due) {
+            self.run_watchdog();
+            self.process_pending_work();
         }
-        self.take(input);
-        self.settle();
-        out.append(&mut self.out);
+        self.handle_input(input);
+        self.process_pending_work();
+        outputs.append(&mut self.outputs);
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Placement(placement) => self.adopt_placement(placement),
-            Input::Rates(rates) => self.set_rates(&rates),
-            Input::Dispatcher { connection, message } => self.take_from_dispatcher(connection, message),
-            Input::DispatcherClosed { connection } => self.dispatcher_closed(connection),
-            Input::Store { from, message } => self.take_from_store(from, message),
-            Input::StoreConnected { store } => self.store_connected(store),
-            Input::StoreClosed { store } => self.store_closed(store),
-            Input::Synced { ticket } => self.local_synced(ticket),
-            Input::DiskFailed => self.disk_failed(),
+            Input::Placement(placement) => self.handle_placement(placement),
+            Input::Rates(rates) => self.handle_rates(&rates),
+            Input::Dispatcher { connection, message } => self.handle_dispatcher_message(connection, message),
+            Input::DispatcherClosed { connection } => self.handle_dispatcher_closed(connection),
+            Input::Store { from, message } => self.handle_store_message(from, message),
+            Input::StoreConnected { store } => self.handle_store_connected(store),
+            Input::StoreClosed { store } => self.handle_store_closed(store),
+            Input::Synced { ticket } => self.handle_local_synced(ticket),
+            Input::DiskFailed => self.handle_disk_failed(),
             Input::Leaving => self.leaving = true,
             Input::Tick => {}
         }
     }
 
     /// Grants what can be granted, then writes and sends what became known.
-    fn settle(&mut self) {
-        self.grant_wanted();
+    fn process_pending_work(&mut self) {
+        self.grant_runnable_services();
         self.grant_callbacks();
         self.flush();
-        self.pump();
+        self.send_catch_up();
     }
 
     fn fire_timers(&mut self) {
         self.hedge();
         while let Some(timer) = self.timers.pop(self.now) {
             match timer {
-                Timer::Wake(id) => self.wake(id),
-                Timer::Expiry(id) => self.expire(id),
-                Timer::Unconfirmed(dispatcher) => self.release_unconfirmed(dispatcher),
-                Timer::Permit(service) => self.permit_due(service),
-                Timer::Receiver(receiver) => {
-                    self.callbacks.wanted.insert(receiver);
+                Timer::BackoffOver(id) => self.handle_backoff_over(id),
+                Timer::Expiry(id) => self.handle_expiry(id),
+                Timer::UnconfirmedLeases(dispatcher) => self.release_unconfirmed(dispatcher),
+                Timer::PermitAvailable(service) => self.handle_permit_due(service),
+                Timer::ReceiverReady(receiver) => {
+                    self.callbacks.runnable.insert(receiver);
                 }
-                Timer::Silence => self.close_silent(),
-                Timer::Piece(store, shard) => self.send_piece(store, shard),
+                Timer::HeartbeatCheck => self.close_unresponsive(),
+                Timer::SnapshotChunk(store, shard) => self.send_snapshot_chunk(store, shard),
                 Timer::Scrub => self.scrub(),
-                Timer::Watch => self.watch_due = true,
+                Timer::Watchdog => self.is_watchdog_due = true,
             }
         }
     }
 
-    fn take_from_dispatcher(&mut self, connection: ConnectionId, message: FromDispatcher) {
-        self.dispatchers.heard(connection, self.now);
+    fn handle_dispatcher_message(&mut self, connection: ConnectionId, message: FromDispatcher) {
+        self.dispatchers.record_activity(connection, self.now);
         match message {
             FromDispatcher::Hello { dispatcher, name: _, zone, epoch, held, in_doubt } => {
-                self.hello(connection, dispatcher, &zone, epoch, &held, in_doubt);
+                self.handle_hello(connection, dispatcher, &zone, epoch, &held, in_doubt);
             }
             FromDispatcher::Accept { request, id, message, lease } => {
-                self.accept(connection, request, id, message, lease);
+                self.handle_accept(connection, request, id, message, lease);
             }
-            FromDispatcher::Withdraw { id } => self.withdraw(connection, id),
+            FromDispatcher::Withdraw { id } => self.handle_withdraw(connection, id),
             FromDispatcher::Attempted { id, token, outcome } => {
-                self.attempted(connection, id, token, outcome)
+                self.handle_attempted(connection, id, token, outcome)
             }
             FromDispatcher::CalledBack { id, token, done, retry_after_ms } => {
-                self.called_back(connection, id, token, done, retry_after_ms);
+                self.handle_called_back(connection, id, token, done, retry_after_ms);
             }
-            FromDispatcher::NeedBody { id, token } => self.need_body(connection, id, token),
-            FromDispatcher::Credits { credits } => self.set_credits(connection, &credits),
-            FromDispatcher::Query { request, id, body } => self.query(connection, request, id, body),
-            FromDispatcher::Leaving => self.dispatcher_leaving(connection),
-            FromDispatcher::Ping => self.tell(connection, ToDispatcher::Pong),
+            FromDispatcher::NeedBody { id, token } => self.handle_need_body(connection, id, token),
+            FromDispatcher::Credits { credits } => self.handle_credits(connection, &credits),
+            FromDispatcher::Query { request, id, body } => self.handle_query(connection, request, id, body),
+            FromDispatcher::Leaving => self.handle_dispatcher_leaving(connection),
+            FromDispatcher::Ping => self.send_to_dispatcher(connection, ToDispatcher::Pong),
             FromDispatcher::Barrier { number } => {
-                self.tell(connection, ToDispatcher::BarrierReached { number })
+                self.send_to_dispatcher(connection, ToDispatcher::BarrierReached { number })
             }
         }
     }
 
-    fn take_from_store(&mut self, from: StoreId, message: BetweenStores) {
+    fn handle_store_message(&mut self, from: StoreId, message: BetweenStores) {
         match message {
             BetweenStores::Hello { .. } | BetweenStores::Pong => {}
-            BetweenStores::Write { number, shard, term: since, records } => {
-                self.write(from, number, shard, since, records);
+            BetweenStores::Write { number, shard, term, records } => {
+                self.handle_write(from, number, shard, term, records);
             }
-            BetweenStores::Written { number } => self.written(from, number),
-            BetweenStores::Fenced { shard, term: since, .. } => self.fenced(shard, since),
-            BetweenStores::Prepare { shard, term: since } => self.promise(from, shard, since),
-            BetweenStores::Promise { shard, term: since, states, last } => {
-                self.promised(from, shard, since, states, last);
+            BetweenStores::Written { number } => self.handle_written(from, number),
+            BetweenStores::Fenced { shard, term, .. } => self.handle_fenced(shard, term),
+            BetweenStores::Prepare { shard, term } => self.handle_prepare(from, shard, term),
+            BetweenStores::Promise { shard, term, states, last } => {
+                self.handle_promise(from, shard, term, states, last);
             }
-            BetweenStores::Scrub { shard, term: since, entries } => {
-                self.compare(from, shard, since, &entries)
+            BetweenStores::Scrub { shard, term, entries } => self.handle_scrub(from, shard, term, &entries),
+            BetweenStores::Scrubbed { shard, term, differing } => {
+                self.handle_scrubbed(from, shard, term, &differing);
             }
-            BetweenStores::Scrubbed { shard, term: since, differing } => {
-                self.scrubbed(from, shard, since, &differing);
-            }
-            BetweenStores::Filled { shard, term: since, change } => self.filled(shard, since, change),
-            BetweenStores::Ping => self.tell_store(from, BetweenStores::Pong),
+            BetweenStores::Filled { shard, term, change } => self.handle_filled(shard, term, change),
+            BetweenStores::Ping => self.send_to_store(from, BetweenStores::Pong),
         }
     }
 
-    fn adopt_placement(&mut self, placement: Placement) {
+    fn handle_placement(&mut self, placement: Placement) {
         if placement.epoch <= self.placement.epoch {
             return;
         }
         self.placement = placement;
         let count = u16::try_from(self.placement.shards.len()).unwrap_or(u16::MAX);
         for number in 0..count {
-            self.adopt_shard(ShardId(number));
+            self.apply_shard_placement(ShardId(number));
         }
     }
 
-    fn set_rates(&mut self, rates: &[ServiceRate]) {
+    fn handle_rates(&mut self, rates: &[ServiceRate]) {
         let mut by_service = BTreeMap::new();
-        for rate in rates.iter().filter(|rate| is_ceiling(rate)) {
+        for rate in rates.iter().filter(|rate| is_limiting(rate)) {
             by_service.insert(self.service(&rate.service), rate.per_second);
         }
         self.services.set_rates(&by_service, self.now);
@@ -244,16 +242,16 @@
     }
 
     /// Nothing on this disk can be promised any more.
-    fn disk_failed(&mut self) {
+    fn handle_disk_failed(&mut self) {
         self.disk.failed = true;
-        self.dumps.clear();
-        let shards: Vec<ShardId> = self.reigns.keys().copied().collect();
+        self.snapshot_transfers.clear();
+        let shards: Vec<ShardId> = self.primary_terms.keys().copied().collect();
         for shard in shards {
             self.step_down(shard);
         }
     }
 
-    /// Time at which `Tick` is wanted at the latest.
+    /// Time at which `Tick` is runnable at the latest.
     pub fn next_deadline(&self) -> Option<u64> {
         let peers = self.peers.values().filter_map(|peer| peer.deadline(&self.config));
         let local = self.disk.deadline(self.config.max_write_wait_ms);
@@ -264,7 +262,7 @@
     /// What the process tells the core of itself.
     pub fn health(&self, now_ms: u64) -> StoreHealth {
         let now = Time::from_steady(now_ms).max(self.now);
-        let serving = self.reigns.values().filter(|reign| reign.is_serving()).count();
+        let serving = self.primary_terms.values().filter(|primary_term| primary_term.is_serving()).count();
         let oldest_unsynced_ms = if self.disk.failed { u64::MAX } else { self.disk.oldest_unsynced_ms(now) };
         StoreHealth {
             oldest_unsynced_ms: u32::try_from(oldest_unsynced_ms).unwrap_or(u32::MAX),
@@ -281,25 +279,24 @@
     }
 
     /// Promises in force, for the compaction of segments.
-    pub fn promises(&self) -> Vec<DiskRecord> {
-        let promise =
-            |(shard, since): (&ShardId, &Epoch)| DiskRecord::Promised { shard: *shard, term: *since };
-        self.promises.iter().map(promise).collect()
+    pub fn promised_terms(&self) -> Vec<DiskRecord> {
+        let promise = |(shard, term): (&ShardId, &Epoch)| DiskRecord::Promised { shard: *shard, term: *term };
+        self.promised_terms.iter().map(promise).collect()
     }
 
     /// Sends to a dispatcher whose connection is still there.
-    pub(crate) fn tell(&mut self, connection: ConnectionId, message: ToDispatcher) {
+    pub(crate) fn send_to_dispatcher(&mut self, connection: ConnectionId, message: ToDispatcher) {
         if self.dispatchers.is_connected(connection) {
-            self.out.push(Output::ToDispatcher { connection, message });
+            self.outputs.push(Output::ToDispatcher { connection, message });
         }
     }
 
-    pub(crate) fn tell_store(&mut self, store: StoreId, message: BetweenStores) {
-        self.out.push(Output::ToStore { store, message });
+    pub(crate) fn send_to_store(&mut self, store: StoreId, message: BetweenStores) {
+        self.outputs.push(Output::ToStore { store, message });
     }
 
     /// This store orders, accepts and grants in the shard now.
     pub(crate) fn is_serving(&self, shard: ShardId) -> bool {
-        self.reigns.get(&shard).is_some_and(Reign::is_serving)
+        self.primary_terms.get(&shard).is_some_and(PrimaryTerm::is_serving)
     }
 }
--- a/system/state/queue/src/peers.rs
+++ b/system/state/queue/src/peers.rs
@@ -6,21 +6,21 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Share of the latest answer's time in what is usual.
-const LATEST_SHARE: f64 = 0.2;
+const LATENCY_SAMPLE_WEIGHT: f64 = 0.2;
 /// A store is waited for this many times its usual time.
-const WAIT_FACTOR: f64 = 4.0;
+const TIMEOUT_FACTOR: f64 = 4.0;
 /// What is usual of a store that nothing is known of, in milliseconds.
-const FIRST_USUAL_MS: f64 = 6.0;
+const INITIAL_LATENCY_MS: f64 = 6.0;
 /// Time without answers in which what is usual halves, so that a store that was slow is tried again.
-const HALVING_MS: u64 = 2_000;
+const LATENCY_HALF_LIFE_MS: u64 = 2_000;
 /// Differences within a factor of two of this are no reason to prefer one store, in milliseconds.
-const SMALL_MS: f64 = 8.0;
+const SIGNIFICANT_LATENCY_MS: f64 = 8.0;
 
 /// A version of a message that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Sent {
     pub id: MessageId,
-    pub since: Epoch,
+    pub term: Epoch,
     pub version: u32,
 }
 
@@ -41,8 +41,8 @@
     outstanding: VecDeque<Outstanding>,
     /// So many of the oldest are overdue.
     overdue: usize,
-    usual_ms: f64,
-    usual_at: Time,
+    latency_ms: f64,
+    latency_at: Time,
     /// Messages of which it is to be sent all that is known, as the window allows.
     pub catch_up: BTreeSet<MessageId>,
     /// Bytes of such that are under way.
@@ -59,8 +59,8 @@
             next_number: first_number,
             outstanding: VecDeque::new(),
             overdue: 0,
-            usual_ms: FIRST_USUAL_MS,
-            usual_at: now,
+            latency_ms: INITIAL_LATENCY_MS,
+            latency_at: now,
             catch_up: BTreeSet::new(),
             repair_bytes: 0,
             filling: BTreeMap::new(),
@@ -68,7 +68,7 @@
     }
 
     /// Notes a `Write` and gives its number.
-    pub fn send(&mut self, now: Time, messages: Vec<Sent>, repair_bytes: usize) -> RequestNumber {
+    pub fn register_write(&mut self, now: Time, messages: Vec<Sent>, repair_bytes: usize) -> RequestNumber {
         let number = RequestNumber(self.next_number);
         self.next_number += 1;
         self.repair_bytes += repair_bytes;
@@ -77,7 +77,7 @@
     }
 
     /// Everything up to `number` is on its disk; gives what that is. A number that nothing waits for says nothing.
-    pub fn written(&mut self, number: RequestNumber, now: Time) -> Vec<Sent> {
+    pub fn handle_written(&mut self, number: RequestNumber, now: Time) -> Vec<Sent> {
         let mut messages = Vec::new();
         if self.outstanding.binary_search_by_key(&number, |sent| sent.number).is_err() {
             return messages;
@@ -86,33 +86,34 @@
             let Some(oldest) = self.outstanding.pop_front() else { break };
             self.overdue = self.overdue.saturating_sub(1);
             self.repair_bytes = self.repair_bytes.saturating_sub(oldest.repair_bytes);
-            self.learn(now.since(oldest.sent_at) as f64, now);
+            self.update_latency(now.saturating_duration_since(oldest.sent_at) as f64, now);
             messages.extend(oldest.messages);
         }
         messages
     }
 
-    fn learn(&mut self, latest_ms: f64, now: Time) {
-        self.usual_ms = self.usual(now) * (1.0 - LATEST_SHARE) + latest_ms * LATEST_SHARE;
-        self.usual_at = now;
+    fn update_latency(&mut self, latest_ms: f64, now: Time) {
+        self.latency_ms =
+            self.decayed_latency(now) * (1.0 - LATENCY_SAMPLE_WEIGHT) + latest_ms * LATENCY_SAMPLE_WEIGHT;
+        self.latency_at = now;
     }
 
     /// Milliseconds in which it usually answers.
-    fn usual(&self, now: Time) -> f64 {
-        let halvings = now.since(self.usual_at) / HALVING_MS;
-        let halved = self.usual_ms * 0.5_f64.powi(i32::try_from(halvings.min(64)).unwrap_or(64));
-        halved.max(FIRST_USUAL_MS.min(self.usual_ms))
+    fn decayed_latency(&self, now: Time) -> f64 {
+        let halvings = now.saturating_duration_since(self.latency_at) / LATENCY_HALF_LIFE_MS;
+        let halved = self.latency_ms * 0.5_f64.powi(i32::try_from(halvings.min(64)).unwrap_or(64));
+        halved.max(INITIAL_LATENCY_MS.min(self.latency_ms))
     }
 
-    fn wait_ms(&self, config: &Config) -> u64 {
-        let wait_ms = (self.usual_ms * WAIT_FACTOR) as u64;
+    fn timeout_ms(&self, config: &Config) -> u64 {
+        let wait_ms = (self.latency_ms * TIMEOUT_FACTOR) as u64;
         wait_ms.clamp(config.min_write_wait_ms, config.max_write_wait_ms)
     }
 
     /// When the oldest write that is not overdue becomes so.
     pub fn deadline(&self, config: &Config) -> Option<Time> {
         let next = self.outstanding.get(self.overdue)?;
-        Some(next.sent_at.plus(self.wait_ms(config)))
+        Some(next.sent_at.plus(self.timeout_ms(config)))
     }
 
     /// What has become overdue since the last call.
@@ -131,12 +132,12 @@
 
     /// How much worse than the best it is, in doublings; small differences do not count.
     pub fn slowness(&self, now: Time) -> u32 {
-        let doublings = (self.usual(now) / SMALL_MS).max(1.0).log2();
+        let doublings = (self.decayed_latency(now) / SIGNIFICANT_LATENCY_MS).max(1.0).log2();
         doublings as u32
     }
 
     /// The connection is closed; gives what may never have arrived.
-    pub fn close(&mut self) -> Vec<Sent> {
+    pub fn disconnect(&mut self) -> Vec<Sent> {
         self.connected = false;
         self.overdue = 0;
         self.repair_bytes = 0;
--- a/system/state/queue/src/lead.rs
+++ b/system/state/queue/src/primary_entry.rs
@@ -8,7 +8,7 @@
 
 /// What a store was told of a message and has on its disk, as versions that the primary counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Holding {
+pub(crate) struct ReplicaProgress {
     pub store: StoreId,
     /// Everything up to this version was sent on the present connection or is on the disk.
     pub sent: u32,
@@ -25,7 +25,7 @@
         request: RequestNumber,
     },
     /// A message that was accepted without a lease may be scheduled.
-    Kept,
+    Schedule,
     /// The grant under this token may be used.
     Deliver {
         token: LeaseToken,
@@ -46,7 +46,7 @@
 
 /// An effect and the version it waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Waiting {
+pub(crate) struct PendingEffect {
     pub version: u32,
     pub effect: Effect,
 }
@@ -57,7 +57,7 @@
     pub dispatcher: DispatcherId,
     pub token: LeaseToken,
     /// The dispatcher was told, or may have been by a former primary.
-    pub told: bool,
+    pub is_notified: bool,
     pub granted_at: Time,
 }
 
@@ -65,39 +65,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// Waits for its first disks, or for those of a failed attempt.
-    Storing,
+    Persisting,
     /// Behind others of its order key.
-    Queued,
+    WaitingForKey,
     /// Until its wake timer.
-    Resting { until: Time },
+    BackingOff { until: Time },
     /// In its service's ready queue.
     Ready(ReadyKey),
     /// Granted to a dispatcher.
-    Out(Lease),
+    InFlight(Lease),
     /// Ended, which may not be on enough disks yet.
-    Over,
+    Ended,
 }
 
 /// What only a shard's primary keeps of a message.
 #[derive(Clone, Debug)]
-pub(crate) struct Lead {
+pub(crate) struct PrimaryEntry {
     /// Counts what became known in this reign.
     pub version: u32,
     /// Highest version that is on as many disks as promised.
     pub durable: u32,
-    pub holdings: Vec<Holding>,
-    pub waiting: Vec<Waiting>,
+    pub replica_progress: Vec<ReplicaProgress>,
+    pub pending_effects: Vec<PendingEffect>,
     pub stage: Stage,
     /// Time before which it must not be granted again, besides its delay.
     pub not_before: Time,
     /// Who accepted it on this connection's life, and when.
     pub accepted_by: Option<Acceptor>,
     /// Who may have run it.
-    pub told: Told,
+    pub possible_runners: PossibleRunners,
     /// Leases of this reign that ended without anybody knowing what became of the run.
     pub unknown_ends: u32,
     /// Who gave it back last; it goes to another one next if that has room.
-    pub given_back_by: Option<DispatcherId>,
+    pub returned_by: Option<DispatcherId>,
     /// Who last reported an end; its call-back goes there.
     pub reporter: Option<DispatcherId>,
     /// Order key in whose queue it is until its end is kept; the message itself may be given back before.
@@ -106,28 +106,28 @@
 
 /// Dispatchers that were told to deliver a message, and so may have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Told {
+pub(crate) enum PossibleRunners {
     Nobody,
     One(DispatcherId),
     /// Several, or a former primary told somebody.
     Unknown,
 }
 
-impl Told {
+impl PossibleRunners {
     pub fn add(&mut self, dispatcher: DispatcherId) {
         *self = match *self {
-            Told::Nobody => Told::One(dispatcher),
-            Told::One(known) if known == dispatcher => Told::One(known),
-            Told::One(_) | Told::Unknown => Told::Unknown,
+            PossibleRunners::Nobody => PossibleRunners::One(dispatcher),
+            PossibleRunners::One(known) if known == dispatcher => PossibleRunners::One(known),
+            PossibleRunners::One(_) | PossibleRunners::Unknown => PossibleRunners::Unknown,
         };
     }
 
     /// Nobody else than `dispatcher` can have run it.
-    pub fn at_most(&self, dispatcher: Option<DispatcherId>) -> bool {
+    pub fn is_at_most(&self, dispatcher: Option<DispatcherId>) -> bool {
         match self {
-            Told::Nobody => true,
-            Told::One(known) => Some(*known) == dispatcher,
-            Told::Unknown => false,
+            PossibleRunners::Nobody => true,
+            PossibleRunners::One(known) => Some(*known) == dispatcher,
+            PossibleRunners::Unknown => false,
         }
     }
 }
@@ -139,52 +139,52 @@
     pub at: Time,
 }
 
-impl Lead {
+impl PrimaryEntry {
     pub fn new(stage: Stage, now: Time) -> Self {
-        Lead {
+        PrimaryEntry {
             version: 0,
             durable: 0,
-            holdings: Vec::new(),
-            waiting: Vec::new(),
+            replica_progress: Vec::new(),
+            pending_effects: Vec::new(),
             stage,
             not_before: now,
             accepted_by: None,
-            told: Told::Nobody,
+            possible_runners: PossibleRunners::Nobody,
             unknown_ends: 0,
-            given_back_by: None,
+            returned_by: None,
             reporter: None,
             ended_key: None,
         }
     }
 
     /// What `store` holds; nothing where it was never told.
-    pub fn holding_mut(&mut self, store: StoreId) -> &mut Holding {
-        let at = self.holdings.iter().position(|holding| holding.store == store);
+    pub fn progress_mut(&mut self, store: StoreId) -> &mut ReplicaProgress {
+        let at = self.replica_progress.iter().position(|progress| progress.store == store);
         let at = at.unwrap_or_else(|| {
-            self.holdings.push(Holding { store, sent: 0, acked: 0 });
-            self.holdings.len() - 1
+            self.replica_progress.push(ReplicaProgress { store, sent: 0, acked: 0 });
+            self.replica_progress.len() - 1
         });
-        &mut self.holdings[at]
+        &mut self.replica_progress[at]
     }
 
-    pub fn holding(&self, store: StoreId) -> Holding {
-        let found = self.holdings.iter().find(|holding| holding.store == store);
-        found.copied().unwrap_or(Holding { store, sent: 0, acked: 0 })
+    pub fn progress_of(&self, store: StoreId) -> ReplicaProgress {
+        let found = self.replica_progress.iter().find(|progress| progress.store == store);
+        found.copied().unwrap_or(ReplicaProgress { store, sent: 0, acked: 0 })
     }
 
     /// Highest version that at least `quorum` of `replicas` have on their disks.
     pub fn version_on(&self, replicas: &[StoreId], quorum: usize) -> u32 {
-        let counted = self.holdings.iter().filter(|holding| replicas.contains(&holding.store));
-        let mut acked: Vec<u32> = counted.map(|holding| holding.acked).collect();
+        let counted = self.replica_progress.iter().filter(|progress| replicas.contains(&progress.store));
+        let mut acked: Vec<u32> = counted.map(|progress| progress.acked).collect();
         acked.sort_unstable_by(|a, b| b.cmp(a));
         quorum.checked_sub(1).and_then(|at| acked.get(at).copied()).unwrap_or(0)
     }
 
     /// Effects that `self.durable` allows, in the order in which they were asked for.
-    pub fn take_effects(&mut self) -> Vec<Effect> {
+    pub fn take_allowed_effects(&mut self) -> Vec<Effect> {
         let durable = self.durable;
         let mut taken = Vec::new();
-        self.waiting.retain(|waiting| {
+        self.pending_effects.retain(|waiting| {
             let allowed = waiting.version <= durable;
             if allowed {
                 taken.push(waiting.effect.clone());
@@ -196,7 +196,7 @@
 
     pub fn lease(&self) -> Option<Lease> {
         match self.stage {
-            Stage::Out(lease) => Some(lease),
+            Stage::InFlight(lease) => Some(lease),
             _ => None,
         }
     }
--- a/system/state/queue/src/reign.rs
+++ b/system/state/queue/src/primary_term.rs
@@ -1,22 +1,22 @@
 //! What a store keeps of a shard that it is primary of.
 
 use crate::api::ConnectionId;
-use crate::entry::Facts;
-use crate::lead::Lead;
+use crate::entry::EntryVersion;
+use crate::primary_entry::PrimaryEntry;
 use millrudder_protocol::placement::{MemberChange, Membership, ShardEntry};
 use millrudder_protocol::{Epoch, LeaseToken, MessageId, Sequence, StoreId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a replica knew of a message at the start of the reign.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct RecoveredCopy {
     pub store: StoreId,
-    pub facts: Facts,
+    pub entry_version: EntryVersion,
 }
 
 /// How often what others told of a message was appended to the local disk, and how many of these appends are synced.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Joined {
+pub(crate) struct MergedRecord {
     pub appended: u32,
     pub synced: u32,
 }
@@ -25,11 +25,11 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Takeover {
     /// The promise to itself is on the local disk.
-    pub own_promise: bool,
+    pub is_own_promise_synced: bool,
     /// What each replica has on its disk; of this store, what it had at the start.
-    pub seen: BTreeMap<MessageId, Vec<Seen>>,
+    pub recovered: BTreeMap<MessageId, Vec<RecoveredCopy>>,
     /// Messages of which others told more than the local disk had.
-    pub joined: BTreeMap<MessageId, Joined>,
+    pub merged: BTreeMap<MessageId, MergedRecord>,
     /// What dispatchers withdrew meanwhile.
     pub withdrawals: Vec<Withdrawal>,
 }
@@ -43,13 +43,13 @@
 
 /// A shard that this store is primary of.
 #[derive(Clone, Debug)]
-pub(crate) struct Reign {
-    pub since: Epoch,
+pub(crate) struct PrimaryTerm {
+    pub number: Epoch,
     /// The membership in force, and the one after the change that is under way.
     pub memberships: Vec<Membership>,
     pub change: Option<MemberChange>,
     /// Other replicas that told all they knew in this reign.
-    pub heard: BTreeSet<StoreId>,
+    pub promised_by: BTreeSet<StoreId>,
     /// Present until the shard is served.
     pub takeover: Option<Takeover>,
     /// Message from which on the next comparison with replicas goes.
@@ -62,13 +62,13 @@
 /// Bits of a token or sequence below the epoch.
 const COUNT_BITS: u32 = 32;
 
-impl Reign {
+impl PrimaryTerm {
     pub fn new(entry: &ShardEntry, tolerated_losses: u32) -> Self {
-        Reign {
-            since: entry.term,
+        PrimaryTerm {
+            number: entry.term,
             memberships: entry.memberships(tolerated_losses),
             change: entry.change,
-            heard: BTreeSet::new(),
+            promised_by: BTreeSet::new(),
             takeover: Some(Takeover::default()),
             scrub_from: 0,
             next_sequence: 1,
@@ -104,11 +104,11 @@
         self.change.is_some_and(|change| change.leaves == Some(store))
     }
 
-    /// So many members were heard that one of them holds each write that was acknowledged; `me` hears itself.
-    pub fn has_read_quorum(&self, me: StoreId) -> bool {
-        let is_heard = |store: &&StoreId| **store == me || self.heard.contains(store);
+    /// So many members were heard that one of them holds each write that was acknowledged; `local_id` hears itself.
+    pub fn has_read_quorum(&self, local_id: StoreId) -> bool {
+        let has_promised = |store: &&StoreId| **store == local_id || self.promised_by.contains(store);
         let enough = |membership: &Membership| {
-            membership.replicas.iter().filter(is_heard).count() >= membership.read_quorum
+            membership.replicas.iter().filter(has_promised).count() >= membership.read_quorum
         };
         self.memberships.iter().all(enough)
     }
@@ -123,22 +123,22 @@
     }
 
     /// Highest version of a message that is on as many disks of each membership as promised.
-    pub fn durable_version(&self, lead: &Lead) -> u32 {
+    pub fn durable_version(&self, primary: &PrimaryEntry) -> u32 {
         let versions = self
             .memberships
             .iter()
-            .map(|membership| lead.version_on(&membership.replicas, membership.write_quorum));
+            .map(|membership| primary.version_on(&membership.replicas, membership.write_quorum));
         versions.min().unwrap_or(0)
     }
 
     pub fn sequence(&mut self) -> Sequence {
-        let sequence = Sequence::new(self.since, self.next_sequence);
+        let sequence = Sequence::new(self.number, self.next_sequence);
         self.next_sequence += 1;
         sequence
     }
 
     pub fn token(&mut self) -> LeaseToken {
-        let token = LeaseToken::new(self.since, self.next_token);
+        let token = LeaseToken::new(self.number, self.next_token);
         self.next_token += 1;
         token
     }
@@ -146,7 +146,7 @@
     /// Gives no number again that a former life of this process gave in the same epoch.
     pub fn count_past(&mut self, sequence: Sequence, token: LeaseToken) {
         let count_of = |number: u64| {
-            let is_own = number >> COUNT_BITS == self.since.0;
+            let is_own = number >> COUNT_BITS == self.number.0;
             u32::try_from(number & u64::from(u32::MAX)).ok().filter(|_| is_own).unwrap_or(0)
         };
         let (sequence, token) = (count_of(sequence.0), count_of(token.0));
--- a/system/state/queue/src/ceiling.rs
+++ b/system/state/queue/src/rate_limit.rs
@@ -6,57 +6,57 @@
 const WINDOW_S: f64 = 5.0;
 /// Part of a span's permits that may be saved up. Grants in any span stay within this over the rate, and the rest of
 /// what is tolerated is left for deliveries that cross each other on their way.
-const SAVED_PART: f64 = 0.02;
+const BURST_FRACTION: f64 = 0.02;
 const MS_PER_S: f64 = 1_000.0;
 /// Time in which a grant's record should be on its disks also when one is slow, in seconds.
 const UNTOLD_S: f64 = 0.15;
 
 /// Permits of one service.
 #[derive(Clone, Debug)]
-pub(crate) struct Ceiling {
+pub(crate) struct RateLimit {
     per_second: f64,
     permits: f64,
     counted_at: Time,
 }
 
-impl Ceiling {
+impl RateLimit {
     /// Without a permit at first: another primary may have spent what would be here.
     pub fn new(per_second: f64, now: Time) -> Self {
-        Ceiling { per_second, permits: 0.0, counted_at: now }
+        RateLimit { per_second, permits: 0.0, counted_at: now }
     }
 
-    fn most(&self) -> f64 {
-        (self.per_second * WINDOW_S * SAVED_PART).max(1.0)
+    fn burst(&self) -> f64 {
+        (self.per_second * WINDOW_S * BURST_FRACTION).max(1.0)
     }
 
-    fn count(&mut self, now: Time) {
+    fn refill(&mut self, now: Time) {
         // Milliseconds of a day are exact in a float.
-        let passed_ms = now.since(self.counted_at) as f64;
-        self.permits = (self.permits + passed_ms * self.per_second / MS_PER_S).min(self.most());
+        let passed_ms = now.saturating_duration_since(self.counted_at) as f64;
+        self.permits = (self.permits + passed_ms * self.per_second / MS_PER_S).min(self.burst());
         self.counted_at = self.counted_at.max(now);
     }
 
     /// Another rate from now on; what is saved stays, within the new bound.
     pub fn set_rate(&mut self, per_second: f64, now: Time) {
-        self.count(now);
+        self.refill(now);
         self.per_second = per_second;
-        self.permits = self.permits.min(self.most());
+        self.permits = self.permits.min(self.burst());
     }
 
-    pub fn empty(&mut self, now: Time) {
+    pub fn drain(&mut self, now: Time) {
         self.permits = 0.0;
         self.counted_at = self.counted_at.max(now);
     }
 
     /// Grants that may wait for their disks at a time: what waits together comes together, and another primary would
     /// know nothing of it.
-    pub fn most_untold(&self) -> usize {
+    pub fn max_unnotified(&self) -> usize {
         (self.per_second * UNTOLD_S).max(2.0) as usize
     }
 
     /// Takes a permit if there is one.
     pub fn take(&mut self, now: Time) -> bool {
-        self.count(now);
+        self.refill(now);
         // A float's rounding must not cost a wake-up a permit.
         let there = self.permits >= 1.0 - 1e-9;
         if there {
@@ -66,8 +66,8 @@
     }
 
     /// Spends a permit that need not be there: it is missing later.
-    pub fn spend(&mut self, now: Time) {
-        self.count(now);
+    pub fn borrow(&mut self, now: Time) {
+        self.refill(now);
         self.permits -= 1.0;
     }
 
--- a/system/state/queue/src/schedule.rs
+++ b/system/state/queue/src/schedule.rs
@@ -1,7 +1,7 @@
 //! Ready messages by service, in the order in which they are granted, with the service's ceiling and credits.
 
-use crate::ceiling::Ceiling;
 use crate::credits::Credits;
+use crate::rate_limit::RateLimit;
 use crate::time::Time;
 use millrudder_protocol::store::ServiceRate;
 use millrudder_protocol::{MessageId, Sequence};
@@ -30,10 +30,10 @@
 pub(crate) struct Service {
     pub name: String,
     pub ready: BTreeSet<ReadyKey>,
-    pub ceiling: Option<Ceiling>,
+    pub rate_limit: Option<RateLimit>,
     pub credits: Credits,
     /// Grants that wait for their disks.
-    pub untold: usize,
+    pub unnotified: usize,
     /// When its permit timer goes off.
     pub permit_at: Option<Time>,
 }
@@ -65,7 +65,7 @@
     by_name: BTreeMap<String, ServiceIndex>,
     services: Vec<Service>,
     /// Those for which a grant may be possible since the last look.
-    pub wanted: BTreeSet<ServiceIndex>,
+    pub runnable: BTreeSet<ServiceIndex>,
 }
 
 impl Services {
@@ -81,9 +81,9 @@
         self.services.push(Service {
             name: name.to_owned(),
             ready: BTreeSet::new(),
-            ceiling: None,
+            rate_limit: None,
             credits: Credits::default(),
-            untold: 0,
+            unnotified: 0,
             permit_at: None,
         });
         index
@@ -105,17 +105,17 @@
     pub fn set_rates(&mut self, rates: &BTreeMap<ServiceIndex, f64>, now: Time) {
         for index in self.indexes() {
             let service = self.get_mut(index);
-            match (rates.get(&index), &mut service.ceiling) {
-                (None, _) => service.ceiling = None,
-                (Some(rate), Some(ceiling)) => ceiling.set_rate(*rate, now),
-                (Some(rate), None) => service.ceiling = Some(Ceiling::new(*rate, now)),
+            match (rates.get(&index), &mut service.rate_limit) {
+                (None, _) => service.rate_limit = None,
+                (Some(rate), Some(rate_limit)) => rate_limit.set_rate(*rate, now),
+                (Some(rate), None) => service.rate_limit = Some(RateLimit::new(*rate, now)),
             }
-            self.wanted.insert(index);
+            self.runnable.insert(index);
         }
     }
 }
 
 /// A rate that holds something back.
-pub(crate) fn is_ceiling(rate: &ServiceRate) -> bool {
+pub(crate) fn is_limiting(rate: &ServiceRate) -> bool {
     rate.per_second > 0.0
 }
--- a/system/state/queue/src/scrub.rs
+++ b/system/state/queue/src/scrub.rs
@@ -27,7 +27,7 @@
     let numbers = [
         entry.sequence.0,
         u64::from(entry.failed_attempts),
-        entry.settled.0,
+        entry.resolved_through.0,
         grant,
         kind,
         xxh3_64(signature.as_bytes()),
@@ -46,7 +46,7 @@
     /// Compares the next messages of every shard that is served.
     pub(crate) fn scrub(&mut self) {
         self.set_scrub_timer();
-        let serving = self.reigns.iter().filter(|(_, reign)| reign.is_serving());
+        let serving = self.primary_terms.iter().filter(|(_, primary_term)| primary_term.is_serving());
         let shards: Vec<ShardId> = serving.map(|(shard, _)| *shard).collect();
         for shard in shards {
             self.scrub_shard(shard);
@@ -54,8 +54,8 @@
     }
 
     fn scrub_shard(&mut self, shard: ShardId) {
-        let Some(reign) = self.reigns.get(&shard) else { return };
-        let (since, first) = (reign.since, MessageId { shard, unique: reign.scrub_from });
+        let Some(primary_term) = self.primary_terms.get(&shard) else { return };
+        let (term, first) = (primary_term.number, MessageId { shard, unique: primary_term.scrub_from });
         let mut by_store: BTreeMap<StoreId, Vec<ScrubEntry>> = BTreeMap::new();
         let mut next = 0;
         for (count, entry) in self.table.of_shard_from(first).enumerate() {
@@ -63,33 +63,43 @@
                 next = entry.id.unique;
                 break;
             }
-            for store in self.settled_holders(entry) {
+            for store in self.fully_acked_replicas(entry) {
                 let scrubbed = ScrubEntry { unique: entry.id.unique, digest: digest(entry) };
                 by_store.entry(store).or_default().push(scrubbed);
             }
         }
-        if let Some(reign) = self.reigns.get_mut(&shard) {
-            reign.scrub_from = next;
+        if let Some(primary_term) = self.primary_terms.get_mut(&shard) {
+            primary_term.scrub_from = next;
         }
         for (store, entries) in by_store {
-            self.tell_store(store, BetweenStores::Scrub { shard, term: since, entries });
+            self.send_to_store(store, BetweenStores::Scrub { shard, term, entries });
         }
     }
 
     /// Other replicas that have said that all that is known of a message is on their disks.
-    fn settled_holders(&self, entry: &Entry) -> Vec<StoreId> {
+    fn fully_acked_replicas(&self, entry: &Entry) -> Vec<StoreId> {
         let is_kept = entry.expiry.is_some_and(|expiry| expiry > self.now.plus(SOON_FORGOTTEN_MS));
-        let Some(lead) = entry.lead.as_ref().filter(|_| is_kept) else { return Vec::new() };
-        let Some(reign) = self.reigns.get(&entry.id.shard) else { return Vec::new() };
+        let Some(primary) = entry.primary.as_ref().filter(|_| is_kept) else { return Vec::new() };
+        let Some(primary_term) = self.primary_terms.get(&entry.id.shard) else { return Vec::new() };
         let is_connected = |store: StoreId| self.peers.get(&store).is_some_and(|peer| peer.connected);
-        let holders = lead.holdings.iter().filter(|holding| holding.acked == lead.version);
-        let stores = holders.map(|holding| holding.store);
-        stores.filter(|store| *store != self.me && reign.is_replica(*store) && is_connected(*store)).collect()
+        let holders = primary.replica_progress.iter().filter(|progress| progress.acked == primary.version);
+        let stores = holders.map(|progress| progress.store);
+        stores
+            .filter(|store| {
+                *store != self.local_id && primary_term.is_replica(*store) && is_connected(*store)
+            })
+            .collect()
     }
 
     /// As replica: compares what a primary believes with what is known here.
-    pub(crate) fn compare(&mut self, from: StoreId, shard: ShardId, since: Epoch, entries: &[ScrubEntry]) {
-        if self.disk.failed || self.promises.get(&shard).is_some_and(|promised| *promised > since) {
+    pub(crate) fn handle_scrub(
+        &mut self,
+        from: StoreId,
+        shard: ShardId,
+        term: Epoch,
+        entries: &[ScrubEntry],
+    ) {
+        if self.disk.failed || self.promised_terms.get(&shard).is_some_and(|promised| *promised > term) {
             return;
         }
         let differs = |entry: &&ScrubEntry| {
@@ -99,20 +109,31 @@
         let differing = entries.iter().filter(differs).map(|entry| MessageId { shard, unique: entry.unique });
         let differing: Vec<MessageId> = differing.collect();
         if !differing.is_empty() {
-            self.tell_store(from, BetweenStores::Scrubbed { shard, term: since, differing });
+            self.send_to_store(from, BetweenStores::Scrubbed { shard, term, differing });
         }
     }
 
     /// A replica lacks messages, or knows them otherwise: it holds nothing of them, as far as is known here.
-    pub(crate) fn scrubbed(&mut self, from: StoreId, shard: ShardId, since: Epoch, differing: &[MessageId]) {
-        let is_own = self.reigns.get(&shard).is_some_and(|reign| reign.is_serving() && reign.since == since);
+    pub(crate) fn handle_scrubbed(
+        &mut self,
+        from: StoreId,
+        shard: ShardId,
+        term: Epoch,
+        differing: &[MessageId],
+    ) {
+        let is_own = self
+            .primary_terms
+            .get(&shard)
+            .is_some_and(|primary_term| primary_term.is_serving() && primary_term.number == term);
         for id in differing.iter().filter(|id| is_own && id.shard == shard) {
-            let Some(lead) = self.table.get_mut(*id).and_then(|entry| entry.lead.as_mut()) else { continue };
-            let holding = lead.holding_mut(from);
-            holding.sent = 0;
-            holding.acked = 0;
+            let Some(primary) = self.table.get_mut(*id).and_then(|entry| entry.primary.as_mut()) else {
+                continue;
+            };
+            let progress = primary.progress_mut(from);
+            progress.sent = 0;
+            progress.acked = 0;
             // A new version: a change that is under way to that replica must not count as the whole.
-            self.changed_whole(*id);
+            self.mark_full_state_changed(*id);
         }
     }
 }
--- a/system/state/queue/src/time.rs
+++ b/system/state/queue/src/time.rs
@@ -23,7 +23,7 @@
     }
 
     /// Milliseconds since `earlier`; 0 where that is later.
-    pub fn since(self, earlier: Time) -> u64 {
+    pub fn saturating_duration_since(self, earlier: Time) -> u64 {
         u64::try_from(self.0.saturating_sub(earlier.0)).unwrap_or(0)
     }
 
--- a/system/state/queue/src/timers.rs
+++ b/system/state/queue/src/timers.rs
@@ -9,23 +9,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// A message's delay or back-off is over.
-    Wake(MessageId),
+    BackoffOver(MessageId),
     /// A message's retention is over, or nobody may ask for it any more.
     Expiry(MessageId),
     /// Leases that a dispatcher did not confirm may be granted again.
-    Unconfirmed(DispatcherId),
+    UnconfirmedLeases(DispatcherId),
     /// A service's ceiling has a permit again.
-    Permit(ServiceIndex),
+    PermitAvailable(ServiceIndex),
     /// Call-backs of a receiver may be tried again.
-    Receiver(u32),
+    ReceiverReady(u32),
     /// Look for dispatchers that went silent.
-    Silence,
+    HeartbeatCheck,
     /// Compare the next messages with what replicas know of them.
     Scrub,
     /// Look for messages that lie though nothing holds them back.
-    Watch,
+    Watchdog,
     /// The next piece of a shard's states goes to its new primary.
-    Piece(StoreId, ShardId),
+    SnapshotChunk(StoreId, ShardId),
 }
 
 /// Timers by time. A timer that was set twice goes off twice.
--- /dev/null
+++ b/system/state/queue/src/watchdog.rs
@@ -0,0 +1,132 @@
+//! Watchdog: looks for messages that are due and call-backs that are owed, which nothing that is known here holds back,
+//! and puts them on their way again.
+//!
+//! Each of them is a mistake somewhere: in what wakes a service, or at a dispatcher that forgot what it was granted. So
+//! each is told to the shell as well, to be counted and logged.
+
+use crate::api::{OrphanCause, Output};
+use crate::grants::order_key;
+use crate::node::StoreNode;
+use crate::primary_entry::{Lease, Stage};
+use crate::schedule::ServiceIndex;
+use crate::time::Time;
+use crate::timers::Timer;
+use millrudder_protocol::MessageId;
+
+/// Every message is looked at once in about so many looks.
+const SCANS_PER_PASS: u64 = 3;
+/// Messages that are looked at in one look at the least.
+const MIN_MESSAGES_PER_SCAN: u64 = 256;
+/// What is late by so much (ms) is late for no good reason: a timer goes off within one turn of the process.
+const LATE_MS: u64 = 500;
+
+impl StoreNode {
+    pub(crate) fn set_watchdog_timer(&mut self) {
+        if self.config.watchdog_interval > 0 {
+            self.timers.set(self.now.plus(self.config.watchdog_interval), Timer::Watchdog);
+        }
+    }
+
+    /// One look.
+    pub(crate) fn run_watchdog(&mut self) {
+        self.set_watchdog_timer();
+        self.check_services();
+        self.check_callbacks();
+        for id in self.next_watchdog_batch() {
+            if let Some(cause) = self.orphan_cause(id) {
+                self.reschedule_orphan(id, cause);
+            }
+        }
+    }
+
+    fn report_orphan(&mut self, id: MessageId, cause: OrphanCause) {
+        self.outputs.push(Output::Orphaned { id, cause });
+    }
+
+    /// Services are granted from whenever something changes; one that can be granted from now was not woken.
+    fn check_services(&mut self) {
+        let indexes: Vec<ServiceIndex> = self.services.indexes().collect();
+        for index in indexes {
+            let service = self.services.get_mut(index);
+            let waits_for_permit = service.permit_at.is_some_and(|at| at.plus(LATE_MS) > self.now);
+            let first = service.first_ready(self.now);
+            if waits_for_permit || self.services.runnable.contains(&index) {
+                continue;
+            }
+            while self.grant_first(index) {
+                if let Some(key) = first {
+                    self.report_orphan(key.id, OrphanCause::NotGranted);
+                }
+            }
+        }
+    }
+
+    /// Call-backs that a dispatcher has said nothing of for too long, and receivers that were not woken.
+    fn check_callbacks(&mut self) {
+        let before = self.now.minus(self.config.callback_lease_ms);
+        for id in self.callbacks.granted_before(before) {
+            self.forget_callback_lease(id);
+            self.callbacks.give_back(id, self.now);
+            self.report_orphan(id, OrphanCause::CallbackForgotten);
+        }
+        self.callbacks.mark_all_runnable();
+    }
+
+    /// The next messages to look at, in the order of their names; begins anew behind the last one.
+    fn next_watchdog_batch(&mut self) -> Vec<MessageId> {
+        let count = (self.table.count() / SCANS_PER_PASS).max(MIN_MESSAGES_PER_SCAN);
+        let count = usize::try_from(count).unwrap_or(usize::MAX);
+        let ids: Vec<MessageId> = self.table.ids_after(self.watchdog_position).take(count).collect();
+        self.watchdog_position = ids.last().copied().filter(|_| ids.len() == count);
+        ids
+    }
+
+    /// Why a message lies though nothing holds it back; `None` for all that are where they belong.
+    fn orphan_cause(&self, id: MessageId) -> Option<OrphanCause> {
+        let entry = self.table.get(id)?;
+        let primary = entry.primary.as_ref()?;
+        if !self.is_serving(id.shard) {
+            return None;
+        }
+        let is_kept = primary.durable >= primary.version;
+        let is_late = |at: Time| self.now.saturating_duration_since(at) > LATE_MS;
+        match primary.stage {
+            Stage::Persisting if is_kept && primary.pending_effects.is_empty() => {
+                Some(OrphanCause::NotScheduled)
+            }
+            Stage::BackingOff { until } if is_late(until) => Some(OrphanCause::NotWoken),
+            Stage::WaitingForKey if self.is_first_of_key(id) => Some(OrphanCause::NotScheduled),
+            Stage::InFlight(lease) if self.has_no_holder(id, lease) => Some(OrphanCause::LeaseForgotten),
+            Stage::Ended if is_kept && entry.has_pending_callback() && !self.callbacks.is_pending(id) => {
+                Some(OrphanCause::CallbackNotScheduled)
+            }
+            _ => None,
+        }
+    }
+
+    fn is_first_of_key(&self, id: MessageId) -> bool {
+        let key = self.table.get(id).and_then(order_key);
+        key.is_some_and(|key| self.keys.may_activate(key, id))
+    }
+
+    /// Its dispatcher's life is not known any more, or the time in which it should have listed the lease is over.
+    fn has_no_holder(&self, id: MessageId, lease: Lease) -> bool {
+        let confirmation =
+            self.dispatchers.get(lease.dispatcher).and_then(|incarnation| incarnation.leases.get(&id));
+        confirmation.is_none_or(|confirmation| confirmation.has_lapsed(self.now.minus(LATE_MS)))
+    }
+
+    fn reschedule_orphan(&mut self, id: MessageId, cause: OrphanCause) {
+        self.report_orphan(id, cause);
+        match cause {
+            OrphanCause::NotScheduled => self.schedule(id),
+            OrphanCause::NotWoken => self.handle_backoff_over(id),
+            OrphanCause::LeaseForgotten => {
+                let wait_ms = self.count_unknown_end(id);
+                self.reschedule(id, wait_ms);
+            }
+            OrphanCause::CallbackNotScheduled => self.enqueue_callback(id),
+            OrphanCause::NotGranted | OrphanCause::CallbackForgotten => {}
+        }
+    }
+}
--- a/system/state/queue/tests/call_backs.rs
+++ b/system/state/queue/tests/call_backs.rs
@@ -5,7 +5,7 @@
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{AttemptOutcome, FromDispatcher, ToDispatcher};
 use millrudder_protocol::{LeaseToken, MessageId};
-use millrudder_queue::{Config, ConnectionId, Input, StrayCause};
+use millrudder_queue::{Config, ConnectionId, Input, OrphanCause};
 use wired::{message, Stray, Wired};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -195,7 +195,7 @@
         }
     }
     assert!(forgotten.iter().chain([&behind]).all(|id| called.contains(id)), "{called:?}");
-    let stray = |id: &MessageId| Stray { id: *id, cause: StrayCause::CallbackForgotten };
+    let stray = |id: &MessageId| Stray { id: *id, cause: OrphanCause::CallbackForgotten };
     assert!(forgotten.iter().all(|id| wired.strays.contains(&stray(id))), "{:?}", wired.strays);
     assert_eq!(wired.strays.len(), 2);
 }
--- a/system/state/queue/tests/cluster/mod.rs
+++ b/system/state/queue/tests/cluster/mod.rs
@@ -77,7 +77,7 @@
             tolerated_losses: 1,
             seed: 1,
             client_every_ms: 25,
-            config: Config { silence_ms: 1_200, ..Config::default() },
+            config: Config { heartbeat_timeout: 1_200, ..Config::default() },
             rated: Some(8.0),
             overlapping_faults: false,
         }
--- a/system/state/queue/tests/cluster/stores.rs
+++ b/system/state/queue/tests/cluster/stores.rs
@@ -5,7 +5,7 @@
 use super::{Cluster, Event, Options, Payload};
 use millrudder_protocol::control::FilledShard;
 use millrudder_protocol::{MessageId, StoreId};
-use millrudder_queue::{Input, Output, StoreNode, StrayCause};
+use millrudder_queue::{Input, OrphanCause, Output, StoreNode};
 use std::collections::BTreeSet;
 
 /// Names of stores begin here, so that they are no indexes by chance.
@@ -20,7 +20,7 @@
 pub struct Stray {
     pub at_ms: u64,
     pub id: MessageId,
-    pub cause: StrayCause,
+    pub cause: OrphanCause,
 }
 
 /// One store machine.
@@ -164,7 +164,7 @@
             Output::CaughtUp { filled } => {
                 self.stores[index].caught_up.insert(filled);
             }
-            Output::Stray { id, cause } => self.strays.push(Stray { at_ms: self.now_ms, id, cause }),
+            Output::Orphaned { id, cause } => self.strays.push(Stray { at_ms: self.now_ms, id, cause }),
             Output::Released { id } => {
                 self.stores[index].released.insert(id);
             }
--- a/system/state/queue/tests/homes.rs
+++ b/system/state/queue/tests/homes.rs
@@ -73,7 +73,7 @@
 
 #[test]
 fn where_all_are_homes_the_acceptor_keeps_its_own() {
-    let mut wired = store(Config { homes_per_service: usize::MAX, ..Config::default() });
+    let mut wired = store(Config { home_dispatchers_per_service: usize::MAX, ..Config::default() });
     assert_eq!(runners(&mut wired, ordered(DISPATCHERS as usize)).len(), DISPATCHERS as usize);
 }
 
--- a/system/state/queue/tests/replicas/writes.rs
+++ b/system/state/queue/tests/replicas/writes.rs
@@ -114,7 +114,7 @@
 
 #[test]
 fn many_states_come_in_bounded_pieces() {
-    let config = Config { piece_bytes: 4_000, ..Config::default() };
+    let config = Config { snapshot_chunk_bytes: 4_000, ..Config::default() };
     let mut wired = Wired::with(3, 1, config);
     wired.hello(0, 1, 7, "zone-0", Vec::new());
     let ids: Vec<MessageId> =
--- a/system/state/queue/tests/states.rs
+++ b/system/state/queue/tests/states.rs
@@ -162,7 +162,7 @@
         record: DiskRecord::Message { record: Record::State { state: Box::new(state.clone()) } },
         age_ms: 0,
     };
-    let promises = node.promises().into_iter().map(|record| Recovered { record, age_ms: 0 });
+    let promises = node.promised_terms().into_iter().map(|record| Recovered { record, age_ms: 0 });
     let compacted: Vec<Recovered> = states.iter().map(record).chain(promises).collect();
     let again = StoreNode::new(
         Config::default(),
@@ -174,5 +174,5 @@
     for state in states {
         assert_eq!(again.state_of(state.id), Some(state));
     }
-    assert_eq!(again.promises(), node.promises());
+    assert_eq!(again.promised_terms(), node.promised_terms());
 }
--- a/system/state/queue/tests/wired/mod.rs
+++ b/system/state/queue/tests/wired/mod.rs
@@ -13,7 +13,7 @@
     Address, DispatcherId, Epoch, LeaseToken, MessageId, RequestNumber, ShardId, StoreId,
 };
 use millrudder_queue::{
-    Config, ConnectionId, DiskRecord, Input, Output, Recovered, StoreNode, StrayCause, Ticket,
+    Config, ConnectionId, DiskRecord, Input, OrphanCause, Output, Recovered, StoreNode, Ticket,
 };
 use millrudder_topology::{Location, Topology};
 use std::collections::{BTreeSet, VecDeque};
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stray {
     pub id: MessageId,
-    pub cause: StrayCause,
+    pub cause: OrphanCause,
 }
 
 /// One store of the harness.
@@ -292,7 +292,7 @@
             }
             Output::CloseDispatcher { connection } => self.closed.push(connection),
             Output::CaughtUp { filled } => self.caught_up.push((index, filled)),
-            Output::Stray { id, cause } => self.strays.push(Stray { id, cause }),
+            Output::Orphaned { id, cause } => self.strays.push(Stray { id, cause }),
             Output::Released { id } => {
                 self.released.insert(id);
             }
--- a/system/state/record-log/tests/compaction.rs
+++ b/system/state/record-log/tests/compaction.rs
@@ -155,6 +155,6 @@
     }
     assert!(log.usage().file_bytes <= 4 * SEGMENT_BYTES, "{:?}", log.usage());
     drop(log);
-    let promises = node(&open(&folder).records).promises();
+    let promises = node(&open(&folder).records).promised_terms();
     assert_eq!(promises, [promised(0, 499), promised(1, 499)]);
 }
--- a/system/state/record-log/tests/support/model.rs
+++ b/system/state/record-log/tests/support/model.rs
@@ -182,7 +182,7 @@
     }
 
     fn accept_promises(&mut self, node: &StoreNode) {
-        let found: BTreeMap<ShardId, Epoch> = node.promises().into_iter().filter_map(promise).collect();
+        let found: BTreeMap<ShardId, Epoch> = node.promised_terms().into_iter().filter_map(promise).collect();
         for (shard, synced) in &self.synced_promises {
             assert!(found.get(shard) >= Some(synced), "the promise of {shard:?} regressed");
         }
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -348,7 +348,7 @@
                 self.heartbeat_at = 0;
             }
             // Found lying and put right: the dispatcher's own checks tell whether it was late.
-            Output::Stray { .. } | Output::Released { .. } => {}
+            Output::Orphaned { .. } | Output::Released { .. } => {}
         }
     }
 }
