--- a/system/runtime/node/src/storage/host/control.rs
+++ b/system/runtime/node/src/storage/host/control.rs
@@ -65,7 +65,7 @@
             return;
         }
         self.heartbeat_at = now + HEARTBEAT_INTERVAL;
-        let health = self.node.health(now.as_millis());
+        let health = self.node.health(now);
         self.drain.set_remaining(health.serving + self.handing_over);
         self.control.send_all(&ToCore::Heartbeat { health: Some(health) });
         if let Some(shards) = self.catch_up.poll(now) {
--- a/system/runtime/node/src/storage/host/mod.rs
+++ b/system/runtime/node/src/storage/host/mod.rs
@@ -87,9 +87,9 @@
         let clock = SteadyClock::start();
         let records = std::mem::take(&mut opened.records);
         let config = queue_config(settings, mechanisms, seed);
-        let full_retry_after_ms = config.full_retry_after_ms;
+        let full_retry_after_ms = config.full_retry_after.as_millis() as u32;
         let location = crate::location::location(settings);
-        let node = StoreNode::new(config, local_id, location, 0, records.into_iter());
+        let node = StoreNode::new(config, local_id, location, Instant::ORIGIN, records.into_iter());
         let registrant = Registrant::Store {
             id: local_id,
             name: settings.node_name.to_string(),
@@ -166,12 +166,12 @@
 
     fn next_deadline(&self) -> tokio::time::Instant {
         let heartbeat = self.heartbeat_at.as_millis();
-        self.clock.at_millis(self.node.next_deadline().unwrap_or(u64::MAX).min(heartbeat))
+        self.clock.at_millis(self.node.next_deadline().map_or(u64::MAX, Instant::as_millis).min(heartbeat))
     }
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        if self.node.next_deadline().is_some_and(|due| due <= now.as_millis()) {
+        if self.node.next_deadline().is_some_and(|due| due <= now) {
             self.handle(Input::Tick);
         }
         self.poll_heartbeat(now);
@@ -227,7 +227,7 @@
     /// Passes an input to the state machine and carries out its outputs.
     fn handle(&mut self, input: Input) {
         let mut outputs = std::mem::take(&mut self.outputs);
-        self.node.handle(self.clock.millis(), input, &mut outputs);
+        self.node.handle(self.clock.now(), input, &mut outputs);
         for output in outputs.drain(..) {
             self.carry_out(output);
         }
--- a/system/runtime/node/src/storage/queue_config.rs
+++ b/system/runtime/node/src/storage/queue_config.rs
@@ -19,7 +19,7 @@
     Config {
         memory_bytes: memory as u64,
         disk_bytes: disk as u64,
-        status_ttl_ms: settings.bounds.status_ttl.as_millis() as u64,
+        status_ttl: settings.bounds.status_ttl,
         seed,
         home_dispatchers_per_receiver: homes(mechanisms.receiver_homes, defaults.home_dispatchers_per_receiver),
         home_dispatchers_per_service: homes(mechanisms.service_homes, defaults.home_dispatchers_per_service),
--- a/system/state/queue/src/accept.rs
+++ b/system/state/queue/src/accept.rs
@@ -5,9 +5,11 @@
 use crate::node::StoreNode;
 use crate::primary_entry::{Acceptor, Effect, PrimaryEntry, Stage};
 use crate::primary_term::Withdrawal;
+use crate::time::wire_millis;
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{NotAccepted, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{DispatcherId, MessageId, RequestNumber};
+use std::time::Duration;
 
 /// Withdrawals that wait for one shard's take-over; further ones are not answered.
 const MAX_PENDING_WITHDRAWALS: usize = 10_000;
@@ -58,7 +60,7 @@
     }
 
     fn reject_full(&mut self, connection: ConnectionId, request: RequestNumber) {
-        let reason = NotAccepted::Full { retry_after_ms: self.config.full_retry_after_ms };
+        let reason = NotAccepted::Full { retry_after_ms: wire_millis(self.config.full_retry_after) };
         self.send_to_dispatcher(connection, ToDispatcher::NotAccepted { request, reason });
     }
 
@@ -83,7 +85,7 @@
         primary.accepted_by = Some(Acceptor { dispatcher, at: now });
         self.table.change(id, now, |entry| {
             entry.sequence = sequence;
-            entry.retention_ms = message.retention_ms;
+            entry.retention = Duration::from_millis(u64::from(message.retention_ms));
             entry.message = Some(message);
             entry.primary = Some(Box::new(primary));
         });
--- a/system/state/queue/src/api.rs
+++ b/system/state/queue/src/api.rs
@@ -5,6 +5,7 @@
 use millrudder_protocol::store::{BetweenStores, FromDispatcher, Record, ServiceRate, ToDispatcher};
 use millrudder_protocol::{Epoch, MessageId, ShardId, StoreId};
 use speedy::{Readable, Writable};
+use std::time::Duration;
 
 /// One connection of a dispatcher to this process; never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -27,8 +28,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovered {
     pub record: DiskRecord,
-    /// Milliseconds since it was appended, by the clock of the shell.
-    pub age_ms: u64,
+    /// Time since it was appended, by the clock of the shell.
+    pub age: Duration,
 }
 
 /// An event.
--- a/system/state/queue/src/attempts.rs
+++ b/system/state/queue/src/attempts.rs
@@ -1,25 +1,27 @@
 //! How attempts end, and what follows once that is kept.
 
 use crate::api::ConnectionId;
-use crate::callbacks::backoff_ms;
+use crate::callbacks::backoff;
 use crate::entry::Entry;
 use crate::grants::order_key;
 use crate::node::StoreNode;
 use crate::primary_entry::{Effect, Stage};
+use crate::time::millis;
 use millrudder_protocol::message::End;
 use millrudder_protocol::store::{AttemptOutcome, Record, ToDispatcher};
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, ShardId};
+use std::time::Duration;
 
 /// Least wait before another attempt, however little time its aim leaves.
-const MIN_BACKOFF_MS: u64 = 50;
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Least wait before a message that was given back is granted again, so that it does not go round at once.
-const MIN_RETURN_DELAY_MS: u64 = 10;
+const MIN_RETURN_DELAY: Duration = Duration::from_millis(10);
 /// Unknown ends of one message's runs after which it waits longer with each further one.
 const UNKNOWN_ENDS_WITHOUT_BACKOFF: u32 = 2;
 /// Share of a back-off that is drawn, so that attempts that failed together do not come back together.
 const JITTER_PERCENT: u64 = 50;
 /// Share of the time left for a start in time that one back-off may take.
-const SHARE_OF_TIME_LEFT: u64 = 3;
+const SHARE_OF_TIME_LEFT: u32 = 3;
 
 impl StoreNode {
     /// A dispatcher reports how an attempt ended.
@@ -51,13 +53,14 @@
             _ if !is_current => {}
             AttemptOutcome::RouteGone => self.end_as_dead_letter(id),
             AttemptOutcome::NotRun { retry_after_ms } => {
-                self.return_lease(id, reporter, u64::from(retry_after_ms));
+                self.return_lease(id, reporter, Duration::from_millis(u64::from(retry_after_ms)));
                 self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
                 return;
             }
             AttemptOutcome::Unknown { retry_after_ms } => {
-                let wait_ms = self.count_unknown_end(id).max(u64::from(retry_after_ms));
-                self.return_lease(id, reporter, wait_ms);
+                let retry_after = Duration::from_millis(u64::from(retry_after_ms));
+                let wait = self.count_unknown_end(id).max(retry_after);
+                self.return_lease(id, reporter, wait);
                 self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
                 return;
             }
@@ -66,25 +69,27 @@
     }
 
     /// A lease is over without an outcome that counts; the message waits so long at least.
-    fn return_lease(&mut self, id: MessageId, by: Option<DispatcherId>, wait_ms: u64) {
+    fn return_lease(&mut self, id: MessageId, by: Option<DispatcherId>, wait: Duration) {
         if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
             primary.returned_by = by;
         }
-        self.reschedule(id, wait_ms.max(MIN_RETURN_DELAY_MS));
+        self.reschedule(id, wait.max(MIN_RETURN_DELAY));
     }
 
     /// A run ended of which nobody knows how. Gives the time that the message waits for it.
     ///
     /// The run may have failed, and the answer been lost: such attempts are not counted, so a message that meets them
     /// again and again must not go round at once.
-    pub(crate) fn count_unknown_end(&mut self, id: MessageId) -> u64 {
-        let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) else { return 0 };
+    pub(crate) fn count_unknown_end(&mut self, id: MessageId) -> Duration {
+        let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) else {
+            return Duration::ZERO;
+        };
         primary.unknown_ends = primary.unknown_ends.saturating_add(1);
         let counted = primary.unknown_ends.saturating_sub(UNKNOWN_ENDS_WITHOUT_BACKOFF);
         if counted == 0 {
-            return 0;
+            return Duration::ZERO;
         }
-        backoff_ms(counted, &self.config)
+        backoff(counted, &self.config)
     }
 
     /// This store is primary of the shard, and no later one gave the token.
@@ -124,8 +129,7 @@
         if is_over {
             return;
         }
-        let wait_ms = self.backoff_of(id);
-        let not_before = self.now.plus(wait_ms);
+        let not_before = self.now + self.backoff_of(id);
         if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
             primary.not_before = not_before;
         }
@@ -166,21 +170,19 @@
         is_spent
     }
 
-    /// Wait before the next attempt: doubling, drawn, and such that a start in time stays possible.
-    fn backoff_of(&mut self, id: MessageId) -> u64 {
-        let Some(entry) = self.table.get(id) else { return 0 };
-        let target_ms = entry.message.as_ref().map_or(0, |message| u64::from(message.target_start_ms));
-        let left_ms = entry.due().plus(target_ms).saturating_duration_since(self.now);
-        let full_ms = backoff_ms(entry.failed_attempts, &self.config);
-        let drawn_ms = full_ms * JITTER_PERCENT / 100;
-        let wait_ms = full_ms - drawn_ms / 2 + self.random.u64(0..=drawn_ms);
-        if left_ms == 0 {
-            return wait_ms;
+    /// Wait before the next attempt: doubling, with jitter, and such that a start in time stays possible.
+    fn backoff_of(&mut self, id: MessageId) -> Duration {
+        let Some(entry) = self.table.get(id) else { return Duration::ZERO };
+        let time_left = entry.start_by().saturating_duration_since(self.now);
+        let full_backoff = backoff(entry.failed_attempts, &self.config);
+        let wait = with_jitter(full_backoff, &mut self.random);
+        if time_left.is_zero() {
+            return wait;
         }
-        wait_ms.min(left_ms / SHARE_OF_TIME_LEFT).max(MIN_BACKOFF_MS)
+        wait.min(time_left / SHARE_OF_TIME_LEFT).max(MIN_BACKOFF)
     }
 
-    /// What was asked to apply_effect a version's being kept.
+    /// What was asked to follow a version's being kept.
     pub(crate) fn apply_effect(&mut self, id: MessageId, effect: Effect) {
         match effect {
             Effect::Accepted { connection, request } => self.acknowledge_accept(connection, request, id),
@@ -240,3 +242,10 @@
         }
     }
 }
+
+/// A span of which [`JITTER_PERCENT`] is drawn, around the same mean.
+fn with_jitter(span: Duration, random: &mut fastrand::Rng) -> Duration {
+    let span_ms = millis(span);
+    let drawn_ms = span_ms * JITTER_PERCENT / 100;
+    Duration::from_millis(span_ms - drawn_ms / 2 + random.u64(0..=drawn_ms))
+}
--- a/system/state/queue/src/callback_flow.rs
+++ b/system/state/queue/src/callback_flow.rs
@@ -8,6 +8,7 @@
 use millrudder_protocol::message::Message;
 use millrudder_protocol::store::{Record, ToDispatcher};
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId};
+use std::time::Duration;
 
 impl StoreNode {
     /// A message's end is kept: its call-back is owed if it names a receiver.
@@ -112,7 +113,8 @@
         }
         if !done {
             if lease.is_some() {
-                self.callbacks.failed(id, retry_after_ms, self.now, &self.config);
+                let retry_after = Duration::from_millis(u64::from(retry_after_ms));
+                self.callbacks.failed(id, retry_after, self.now, &self.config);
             }
             self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
             return;
--- a/system/state/queue/src/callbacks.rs
+++ b/system/state/queue/src/callbacks.rs
@@ -1,9 +1,10 @@
 //! Call-backs that are pending, by receiver: few under way at a time, and none waits for another receiver.
 
 use crate::config::Config;
-use crate::time::Time;
+use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// Failures in a row after which a receiver is left alone for a while.
 const FAILURES_BEFORE_BACKOFF: u32 = 2;
@@ -13,25 +14,25 @@
 pub(crate) struct CallbackLease {
     pub dispatcher: DispatcherId,
     pub token: LeaseToken,
-    pub granted_at: Time,
+    pub granted_at: Instant,
 }
 
 #[derive(Clone, Debug)]
 struct Callback {
     receiver: u32,
     /// Time before which it must not be tried again.
-    not_before: Time,
+    not_before: Instant,
     failures: u32,
     lease: Option<CallbackLease>,
 }
 
 #[derive(Clone, Debug)]
 struct Receiver {
-    waiting: BTreeSet<(Time, MessageId)>,
+    waiting: BTreeSet<(Instant, MessageId)>,
     in_flight: u32,
     limit: u32,
     failures: u32,
-    backing_off_until: Time,
+    backing_off_until: Instant,
 }
 
 /// All call-backs that are pending by shards of this primary.
@@ -52,7 +53,7 @@
 
 impl Callbacks {
     /// A call-back is pending; nothing changes if that is known.
-    pub fn add(&mut self, id: MessageId, url: &str, now: Time, config: &Config) {
+    pub fn add(&mut self, id: MessageId, url: &str, now: Instant, config: &Config) {
         if self.pending.contains_key(&id) {
             return;
         }
@@ -62,7 +63,7 @@
         self.runnable.insert(receiver);
     }
 
-    fn receiver(&mut self, name: &str, now: Time, config: &Config) -> u32 {
+    fn receiver(&mut self, name: &str, now: Instant, config: &Config) -> u32 {
         if let Some(receiver) = self.by_name.get(name) {
             return *receiver;
         }
@@ -79,7 +80,7 @@
     }
 
     /// The call-back of this receiver that may be made now.
-    pub fn next(&self, receiver: u32, now: Time) -> Option<MessageId> {
+    pub fn next(&self, receiver: u32, now: Instant) -> Option<MessageId> {
         let receiver = &self.receivers[receiver as usize];
         if receiver.in_flight >= receiver.limit || receiver.backing_off_until > now {
             return None;
@@ -89,7 +90,7 @@
     }
 
     /// When to look at a receiver again that has a free place.
-    pub fn next_time(&self, receiver: u32) -> Option<Time> {
+    pub fn next_time(&self, receiver: u32) -> Option<Instant> {
         let receiver = &self.receivers[receiver as usize];
         if receiver.in_flight >= receiver.limit {
             return None;
@@ -115,37 +116,37 @@
     }
 
     /// Call-backs that were granted at `before` or earlier and are out still.
-    pub fn granted_before(&self, before: Time) -> Vec<MessageId> {
+    pub fn granted_before(&self, before: Instant) -> Vec<MessageId> {
         let is_old = |lease: &CallbackLease| lease.granted_at <= before;
         let old = self.pending.iter().filter(|(_, callback)| callback.lease.as_ref().is_some_and(is_old));
         old.map(|(id, _)| *id).collect()
     }
 
     /// The receiver did not take it.
-    pub fn failed(&mut self, id: MessageId, retry_after_ms: u32, now: Time, config: &Config) {
+    pub fn failed(&mut self, id: MessageId, retry_after: Duration, now: Instant, config: &Config) {
         let Some(callback) = self.pending.get_mut(&id) else { return };
         if callback.lease.is_none() {
             return;
         }
         callback.failures += 1;
-        let own_wait_ms = backoff_ms(callback.failures, config).max(u64::from(retry_after_ms));
+        let own_wait = backoff(callback.failures, config).max(retry_after);
         let receiver = &mut self.receivers[callback.receiver as usize];
         receiver.failures += 1;
         receiver.limit = 1;
         if receiver.failures >= FAILURES_BEFORE_BACKOFF {
-            receiver.backing_off_until = now.plus(backoff_ms(receiver.failures - 1, config));
+            receiver.backing_off_until = now + backoff(receiver.failures - 1, config);
         }
-        self.wait_again(id, now.plus(own_wait_ms));
+        self.wait_again(id, now + own_wait);
     }
 
     /// Its dispatcher is gone: another may make it.
-    pub fn give_back(&mut self, id: MessageId, now: Time) {
+    pub fn give_back(&mut self, id: MessageId, now: Instant) {
         if self.lease(id).is_some() {
             self.wait_again(id, now);
         }
     }
 
-    fn wait_again(&mut self, id: MessageId, not_before: Time) {
+    fn wait_again(&mut self, id: MessageId, not_before: Instant) {
         let Some(callback) = self.pending.get_mut(&id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
         callback.lease = None;
@@ -191,7 +192,7 @@
 }
 
 /// Wait after the failure number `failures` in a row.
-pub(crate) fn backoff_ms(failures: u32, config: &Config) -> u64 {
+pub(crate) fn backoff(failures: u32, config: &Config) -> Duration {
     let doublings = failures.saturating_sub(1).min(16);
-    (config.backoff_ms << doublings).min(config.max_backoff_ms)
+    config.initial_backoff.saturating_mul(1 << doublings).min(config.max_backoff)
 }
--- a/system/state/queue/src/connections.rs
+++ b/system/state/queue/src/connections.rs
@@ -7,9 +7,12 @@
 use millrudder_protocol::store::{ActiveLease, ServiceCredit, ToDispatcher};
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Silent dispatchers are looked for so many times in the time that they may be silent.
-const HEARTBEAT_CHECKS_PER_TIMEOUT: u64 = 4;
+const HEARTBEAT_CHECKS_PER_TIMEOUT: u32 = 4;
+/// Shortest time between two such checks: the clock's step.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
 impl StoreNode {
     /// A dispatcher says who it is and what it holds.
@@ -94,7 +97,7 @@
         if incarnation.in_doubt.contains(&id) {
             return;
         }
-        self.reschedule(id, 0);
+        self.reschedule(id, Duration::ZERO);
     }
 
     /// Tells a dispatcher which of the leases that it listed are others' now.
@@ -125,7 +128,7 @@
     pub(crate) fn handle_dispatcher_closed(&mut self, connection: ConnectionId) {
         let Some(dispatcher) = self.dispatchers.disconnect(connection) else { return };
         self.close_credits(dispatcher);
-        let until = self.now.plus(self.config.reconnect_timeout);
+        let until = self.now + self.config.reconnect_timeout;
         let Some(incarnation) = self.dispatchers.get_mut(dispatcher) else { return };
         for confirmation in incarnation.leases.values_mut() {
             *confirmation = LeaseConfirmation::Unconfirmed { until };
@@ -137,7 +140,7 @@
         }
         for id in leases {
             if self.lease_of(id).is_some_and(|lease| !lease.is_notified) {
-                self.reschedule(id, 0);
+                self.reschedule(id, Duration::ZERO);
             }
         }
         self.timers.set(until, Timer::UnconfirmedLeases(dispatcher));
@@ -152,8 +155,8 @@
             .map(|incarnation| incarnation.overdue(self.now))
             .unwrap_or_default();
         for id in overdue {
-            let wait_ms = self.count_unknown_end(id);
-            self.reschedule(id, wait_ms);
+            let wait = self.count_unknown_end(id);
+            self.reschedule(id, wait);
         }
         self.dispatchers.forget_if_gone(dispatcher);
     }
@@ -182,7 +185,8 @@
 
     fn schedule_heartbeat_check(&mut self) {
         if self.heartbeat_check_at.is_none() && self.dispatchers.any_connected() {
-            let at = self.now.plus((self.config.heartbeat_timeout / HEARTBEAT_CHECKS_PER_TIMEOUT).max(1));
+            let at = self.now
+                + (self.config.heartbeat_timeout / HEARTBEAT_CHECKS_PER_TIMEOUT).max(MIN_CHECK_INTERVAL);
             self.heartbeat_check_at = Some(at);
             self.timers.set(at, Timer::HeartbeatCheck);
         }
--- a/system/state/queue/src/disk.rs
+++ b/system/state/queue/src/disk.rs
@@ -2,9 +2,10 @@
 
 use crate::api::{DiskRecord, Output, Ticket};
 use crate::peers::Sent;
-use crate::time::Time;
+use crate::time::Instant;
 use millrudder_protocol::{Epoch, RequestNumber, ShardId, StoreId};
 use std::collections::VecDeque;
+use std::time::Duration;
 
 /// What a sync of the local disk allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +25,7 @@
 #[derive(Clone, Debug)]
 struct Unsynced {
     ticket: Ticket,
-    at: Time,
+    at: Instant,
     on_synced: SyncAction,
 }
 
@@ -48,7 +49,7 @@
         &mut self,
         record: DiskRecord,
         on_synced: SyncAction,
-        now: Time,
+        now: Instant,
         outputs: &mut Vec<Output>,
     ) {
         let ticket = self.next;
@@ -79,14 +80,14 @@
     }
 
     /// When the oldest append that is not overdue becomes so.
-    pub fn deadline(&self, wait_ms: u64) -> Option<Time> {
-        self.unsynced.get(self.overdue).map(|next| next.at.plus(wait_ms))
+    pub fn deadline(&self, timeout: Duration) -> Option<Instant> {
+        self.unsynced.get(self.overdue).map(|next| next.at + timeout)
     }
 
     /// Own versions that have become overdue since the last call.
-    pub fn take_overdue(&mut self, now: Time, wait_ms: u64) -> Vec<Sent> {
+    pub fn take_overdue(&mut self, now: Instant, timeout: Duration) -> Vec<Sent> {
         let mut messages = Vec::new();
-        while self.deadline(wait_ms).is_some_and(|deadline| deadline <= now) {
+        while self.deadline(timeout).is_some_and(|deadline| deadline <= now) {
             if let SyncAction::Own(sent) = self.unsynced[self.overdue].on_synced {
                 messages.push(sent);
             }
@@ -99,8 +100,8 @@
         self.overdue > 0
     }
 
-    /// Milliseconds that the oldest append has waited for its sync.
-    pub fn oldest_unsynced_ms(&self, now: Time) -> u64 {
-        self.unsynced.front().map_or(0, |oldest| now.saturating_duration_since(oldest.at))
+    /// Time that the oldest append has waited for its sync.
+    pub fn oldest_unsynced(&self, now: Instant) -> Duration {
+        self.unsynced.front().map_or(Duration::ZERO, |oldest| now.saturating_duration_since(oldest.at))
     }
 }
--- a/system/state/queue/src/dispatchers.rs
+++ b/system/state/queue/src/dispatchers.rs
@@ -2,10 +2,11 @@
 
 use crate::api::ConnectionId;
 use crate::schedule::ServiceIndex;
-use crate::time::Time;
+use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId};
 use millrudder_topology::Distance;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Whether a dispatcher is known to hold a lease.
@@ -14,13 +15,13 @@
     Confirmed,
     /// It must list it in a `Hello` before this time.
     Unconfirmed {
-        until: Time,
+        until: Instant,
     },
 }
 
 impl LeaseConfirmation {
     /// It was to be confirmed by `at` at the latest, and was not.
-    pub fn has_lapsed(&self, at: Time) -> bool {
+    pub fn has_lapsed(&self, at: Instant) -> bool {
         matches!(self, LeaseConfirmation::Unconfirmed { until } if *until <= at)
     }
 }
@@ -33,7 +34,7 @@
     pub distance: Distance,
     /// It stops; nothing more is granted to it.
     pub leaving: bool,
-    pub last_message_at: Time,
+    pub last_message_at: Instant,
     /// Placement in force at its last `Hello`.
     pub epoch: Epoch,
     /// What it held then.
@@ -46,7 +47,7 @@
 }
 
 impl Incarnation {
-    fn new(now: Time) -> Self {
+    fn new(now: Instant) -> Self {
         Incarnation {
             connection: None,
             distance: Distance::default(),
@@ -67,7 +68,7 @@
     }
 
     /// Leases that were not confirmed in time.
-    pub fn overdue(&self, now: Time) -> Vec<MessageId> {
+    pub fn overdue(&self, now: Instant) -> Vec<MessageId> {
         self.leases
             .iter()
             .filter(|(_, confirmation)| confirmation.has_lapsed(now))
@@ -101,7 +102,7 @@
     }
 
     /// The life, added if it is not known.
-    pub fn add(&mut self, dispatcher: DispatcherId, now: Time) -> &mut Incarnation {
+    pub fn add(&mut self, dispatcher: DispatcherId, now: Instant) -> &mut Incarnation {
         self.incarnations.entry(dispatcher).or_insert_with(|| Incarnation::new(now))
     }
 
@@ -134,7 +135,7 @@
         &mut self,
         connection: ConnectionId,
         dispatcher: DispatcherId,
-        now: Time,
+        now: Instant,
     ) -> &mut Incarnation {
         self.connections.insert(connection, dispatcher);
         let incarnation = self.add(dispatcher, now);
@@ -154,7 +155,7 @@
         Some(dispatcher)
     }
 
-    pub fn record_activity(&mut self, connection: ConnectionId, now: Time) {
+    pub fn record_activity(&mut self, connection: ConnectionId, now: Instant) {
         let Some(dispatcher) = self.connections.get(&connection) else { return };
         if let Some(incarnation) = self.incarnations.get_mut(dispatcher) {
             incarnation.last_message_at = now;
@@ -162,7 +163,7 @@
     }
 
     /// Connections that were unresponsive for `heartbeat_timeout`.
-    pub fn unresponsive(&self, now: Time, heartbeat_timeout: u64) -> Vec<ConnectionId> {
+    pub fn unresponsive(&self, now: Instant, heartbeat_timeout: Duration) -> Vec<ConnectionId> {
         let is_unresponsive = |incarnation: &&Incarnation| {
             now.saturating_duration_since(incarnation.last_message_at) >= heartbeat_timeout
         };
--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -1,10 +1,12 @@
 //! What one store knows of one message. It only grows: [`Entry::merge`] and [`Entry::apply`] never take anything back.
 
 use crate::primary_entry::PrimaryEntry;
-use crate::time::Time;
+use crate::time::Instant;
+use crate::time::{millis, wire_millis};
 use millrudder_protocol::message::{End, Grant, Message, MessageState};
 use millrudder_protocol::store::Record;
 use millrudder_protocol::{LeaseToken, MessageId, Sequence};
+use std::time::Duration;
 
 /// Memory that a message takes besides its own bytes, about.
 const OVERHEAD_BYTES: usize = 400;
@@ -14,19 +16,19 @@
 pub(crate) struct Entry {
     pub id: MessageId,
     pub sequence: Sequence,
-    pub received: Time,
-    pub retention_ms: u32,
+    pub received: Instant,
+    pub retention: Duration,
     pub failed_attempts: u32,
     pub grant: Option<Grant>,
     pub resolved_through: LeaseToken,
     pub end: Option<End>,
     /// Meaningful with `end`.
-    pub ended: Time,
+    pub ended: Instant,
     pub callback_done: bool,
     /// Absent or without its body where neither is needed any more.
     pub message: Option<Box<Message>>,
     /// When its expiry timer goes off.
-    pub expiry: Option<Time>,
+    pub expiry: Option<Instant>,
     /// Only at the shard's primary.
     pub primary: Option<Box<PrimaryEntry>>,
     /// Bytes that it counts for in the table's sum.
@@ -67,12 +69,12 @@
 
 impl Entry {
     /// An entry of which nothing but its name is known.
-    pub fn new(id: MessageId, received: Time) -> Self {
+    pub fn new(id: MessageId, received: Instant) -> Self {
         Entry {
             id,
             sequence: Sequence::default(),
             received,
-            retention_ms: 0,
+            retention: Duration::ZERO,
             failed_attempts: 0,
             grant: None,
             resolved_through: LeaseToken::default(),
@@ -105,10 +107,11 @@
         }
     }
 
-    /// Adds what a state says that was sent or written `state_age_ms` ago.
-    pub fn merge(&mut self, state: MessageState, now: Time, state_age_ms: u64) {
+    /// Adds what a state says that was sent or written `state_age` ago.
+    pub fn merge(&mut self, state: MessageState, now: Instant, state_age: Duration) {
         self.sequence = self.sequence.max(state.sequence);
-        self.received = self.received.min(now.minus(state.age_ms.saturating_add(state_age_ms)));
+        self.received =
+            self.received.min(now - Duration::from_millis(state.age_ms).saturating_add(state_age));
         self.failed_attempts = self.failed_attempts.max(state.failed_attempts);
         self.resolved_through = self.resolved_through.max(state.settled);
         self.callback_done |= state.callback_done;
@@ -117,21 +120,22 @@
             self.merge_message(Box::new(message));
         }
         if let Some(end) = state.end {
-            self.merge_end(end, now.minus(state.ended_age_ms.saturating_add(state_age_ms)));
+            let ended_age = Duration::from_millis(state.ended_age_ms).saturating_add(state_age);
+            self.merge_end(end, now - ended_age);
         }
         self.trim();
     }
 
-    /// Adds what a record says that was written `age_ms` ago.
-    pub fn apply(&mut self, record: Record, now: Time, age_ms: u64) {
+    /// Adds what a record says that was written `age` ago.
+    pub fn apply(&mut self, record: Record, now: Instant, age: Duration) {
         match record {
-            Record::State { state } => self.merge(*state, now, age_ms),
+            Record::State { state } => self.merge(*state, now, age),
             Record::Granted { grant, .. } => self.merge_grant(Some(grant)),
             Record::Failed { token, failed_attempts, .. } => {
                 self.resolved_through = self.resolved_through.max(token);
                 self.failed_attempts = self.failed_attempts.max(failed_attempts);
             }
-            Record::Ended { end, .. } => self.merge_end(end, now.minus(age_ms)),
+            Record::Ended { end, .. } => self.merge_end(end, now - age),
             Record::CallbackDone { .. } => self.callback_done = true,
             Record::Forgotten { .. } => {}
         }
@@ -146,14 +150,14 @@
     }
 
     fn merge_message(&mut self, message: Box<Message>) {
-        self.retention_ms = self.retention_ms.max(message.retention_ms);
+        self.retention = self.retention.max(Duration::from_millis(u64::from(message.retention_ms)));
         match &self.message {
             Some(present) if present.body.len() >= message.body.len() => {}
             _ => self.message = Some(message),
         }
     }
 
-    fn merge_end(&mut self, end: End, at: Time) {
+    fn merge_end(&mut self, end: End, at: Instant) {
         match &self.end {
             Some(present) if *present <= end => {}
             Some(_) => self.end = Some(end),
@@ -187,17 +191,21 @@
     }
 
     /// All that is known, as it is written and sent.
-    pub fn state(&self, now: Time) -> MessageState {
+    pub fn state(&self, now: Instant) -> MessageState {
         MessageState {
             id: self.id,
             sequence: self.sequence,
-            age_ms: now.saturating_duration_since(self.received),
+            age_ms: millis(now.saturating_duration_since(self.received)),
             message: Some(self.message.as_deref().cloned().unwrap_or_else(|| self.placeholder_message())),
             failed_attempts: self.failed_attempts,
             grant: self.grant,
             settled: self.resolved_through,
             end: self.end.clone(),
-            ended_age_ms: if self.end.is_some() { now.saturating_duration_since(self.ended) } else { 0 },
+            ended_age_ms: if self.end.is_some() {
+                millis(now.saturating_duration_since(self.ended))
+            } else {
+                0
+            },
             callback_done: self.callback_done,
         }
     }
@@ -218,19 +226,25 @@
             delay_ms: 0,
             target_start_ms: 0,
             max_attempts: 0,
-            retention_ms: self.retention_ms,
+            retention_ms: wire_millis(self.retention),
         }
     }
 
     /// Time before which it must not run.
-    pub fn due(&self) -> Time {
+    pub fn due(&self) -> Instant {
         let delay_ms = self.message.as_ref().map_or(0, |message| message.delay_ms);
-        self.received.plus(u64::from(delay_ms))
+        self.received + Duration::from_millis(u64::from(delay_ms))
+    }
+
+    /// Latest time at which a start earns the message's full value.
+    pub fn start_by(&self) -> Instant {
+        let target_start_ms = self.message.as_ref().map_or(0, |message| message.target_start_ms);
+        self.due() + Duration::from_millis(u64::from(target_start_ms))
     }
 
     /// Time at which it has ended, whatever became of it.
-    pub fn retention_end(&self) -> Time {
-        self.received.plus(u64::from(self.retention_ms))
+    pub fn retention_end(&self) -> Instant {
+        self.received + self.retention
     }
 
     /// Bytes that it takes in memory, about.
--- a/system/state/queue/src/expiry.rs
+++ b/system/state/queue/src/expiry.rs
@@ -7,24 +7,26 @@
 use crate::config::Config;
 use crate::entry::Entry;
 use crate::node::StoreNode;
-use crate::time::Time;
+use crate::time::Instant;
 use crate::timers::Timer;
 use millrudder_protocol::message::End;
 use millrudder_protocol::MessageId;
+use std::time::Duration;
 
-/// Messages are forgotten together in steps of this many milliseconds.
-const FORGET_STEP_MS: i64 = 1_000;
+/// Messages are forgotten together in steps of this span, which takes fewer wake-ups.
+const FORGET_STEP: Duration = Duration::from_secs(1);
 
 /// When to look at a message again.
-fn expiry_of(entry: &Entry, config: &Config) -> Time {
-    let keep_ms = config.status_ttl_ms + config.forget_margin_ms;
+fn expiry_of(entry: &Entry, config: &Config) -> Instant {
+    let status_retention = config.status_ttl + config.forget_margin;
     if entry.end.is_none() {
         let retention_end = entry.retention_end();
-        return if entry.primary.is_some() { retention_end } else { retention_end.plus(keep_ms) };
+        return if entry.primary.is_some() { retention_end } else { retention_end + status_retention };
     }
-    let callback_ms = if entry.has_pending_callback() { config.callback_retention } else { 0 };
-    let asked_until = entry.ended.plus(keep_ms.max(callback_ms));
-    asked_until.max(entry.retention_end().plus(config.forget_margin_ms)).rounded_up(FORGET_STEP_MS)
+    let callback_retention =
+        if entry.has_pending_callback() { config.callback_retention } else { Duration::ZERO };
+    let needed_until = entry.ended + status_retention.max(callback_retention);
+    needed_until.max(entry.retention_end() + config.forget_margin).rounded_up(FORGET_STEP)
 }
 
 impl StoreNode {
@@ -49,7 +51,7 @@
         if is_over && !self.pending.contains(&id) {
             self.forget(id);
         } else if is_over {
-            self.timers.set(self.now.plus(FORGET_STEP_MS.unsigned_abs()), Timer::Expiry(id));
+            self.timers.set(self.now + FORGET_STEP, Timer::Expiry(id));
         } else if self.is_serving(id.shard) {
             self.retention_over(id);
         } else {
--- a/system/state/queue/src/grants.rs
+++ b/system/state/queue/src/grants.rs
@@ -6,14 +6,16 @@
 use crate::node::StoreNode;
 use crate::primary_entry::{Effect, Lease, Stage};
 use crate::schedule::{ReadyKey, ServiceIndex};
+use crate::time::millis;
 use crate::timers::Timer;
 use millrudder_protocol::message::{Grant, Message};
 use millrudder_protocol::store::{Record, ToDispatcher};
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId};
+use std::time::Duration;
 
 /// A grant that took longer to be kept counts at its service's ceiling when it is told, as those that waited with it
 /// are told together with it.
-const LATE_GRANT_MS: u64 = 50;
+const LATE_GRANT: Duration = Duration::from_millis(50);
 
 impl StoreNode {
     /// The service of this name; every open dispatcher may be granted its messages.
@@ -63,12 +65,10 @@
 
     fn make_ready(&mut self, id: MessageId) {
         let Some(message) = self.table.get(id).and_then(|entry| entry.message.as_ref()) else { return };
-        let (name, priority, target_ms) =
-            (message.service.clone(), message.priority, u64::from(message.target_start_ms));
+        let (name, priority) = (message.service.clone(), message.priority);
         let service = self.service(&name);
         let Some(entry) = self.table.get(id) else { return };
-        let due = entry.due();
-        let start_by = due.plus(target_ms);
+        let (due, start_by) = (entry.due(), entry.start_by());
         let late = start_by < self.now;
         let key = ReadyKey { priority, late, due, sequence: entry.sequence, id, start_by, service };
         self.set_stage(id, Stage::Ready(key));
@@ -285,7 +285,7 @@
         }
         let Some(service) = self.service_of(id) else { return };
         self.release_unnotified(service, lease);
-        let (now, is_late) = (self.now, self.now.saturating_duration_since(lease.granted_at) > LATE_GRANT_MS);
+        let (now, is_late) = (self.now, self.now.saturating_duration_since(lease.granted_at) > LATE_GRANT);
         if let Some(rate_limit) = self.services.get_mut(service).rate_limit.as_mut().filter(|_| is_late) {
             rate_limit.borrow(now);
         }
@@ -302,8 +302,8 @@
     fn send_delivery(&mut self, connection: ConnectionId, id: MessageId, token: LeaseToken, with_body: bool) {
         let Some(entry) = self.table.get(id) else { return };
         let message: Option<Box<Message>> = entry.message.clone().filter(|_| with_body);
-        let (age_ms, failed_attempts) =
-            (self.now.saturating_duration_since(entry.received), entry.failed_attempts);
+        let age_ms = millis(self.now.saturating_duration_since(entry.received));
+        let failed_attempts = entry.failed_attempts;
         self.send_to_dispatcher(
             connection,
             ToDispatcher::Deliver { id, token, age_ms, failed_attempts, message },
@@ -326,10 +326,10 @@
         self.table.get(id)?.primary.as_ref()?.lease()
     }
 
-    /// A lease is over without an outcome that counts: the message waits `wait_ms`, then it is granted again.
-    pub(crate) fn reschedule(&mut self, id: MessageId, wait_ms: u64) {
+    /// A lease is over without an outcome that counts: the message waits for `wait`, then it is granted again.
+    pub(crate) fn reschedule(&mut self, id: MessageId, wait: Duration) {
         self.unschedule(id, Stage::Persisting);
-        let not_before = self.now.plus(wait_ms);
+        let not_before = self.now + wait;
         if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
             primary.not_before = not_before;
         }
@@ -341,7 +341,7 @@
         let Some(term) = self.primary_terms.get(&id.shard).map(|primary_term| primary_term.number) else {
             return;
         };
-        let until = self.now.plus(self.config.reconnect_timeout);
+        let until = self.now + self.config.reconnect_timeout;
         let incarnation = self.dispatchers.get(grant.dispatcher);
         let listed =
             incarnation.filter(|incarnation| incarnation.connection.is_some() && incarnation.epoch >= term);
--- a/system/state/queue/src/lib.rs
+++ b/system/state/queue/src/lib.rs
@@ -6,22 +6,23 @@
 //! and calls again with [`Input::Tick`] at [`StoreNode::next_deadline`].
 //!
 //! ```
+//! use millrudder_clock::Instant;
 //! use millrudder_protocol::placement::{Placement, ShardEntry};
 //! use millrudder_protocol::{Epoch, StoreId};
 //! use millrudder_queue::{Config, Input, Output, StoreNode};
 //!
 //! let local_id = StoreId(1);
-//! let mut node = StoreNode::new(Config::default(), local_id, "zone", 0, std::iter::empty());
-//! let shard = ShardEntry { primary: local_id, replicas: vec![local_id], change: None, since: Epoch(1) };
+//! let mut node = StoreNode::new(Config::default(), local_id, "zone", Instant::ORIGIN, std::iter::empty());
+//! let shard = ShardEntry { primary: local_id, replicas: vec![local_id], change: None, term: Epoch(1) };
 //! let placement = Placement { epoch: Epoch(1), tolerated_losses: 0, stores: vec![], shards: vec![shard] };
 //!
 //! let mut outputs = Vec::new();
-//! node.handle(0, Input::Placement(placement), &mut outputs);
+//! node.handle(Instant::ORIGIN, Input::Placement(placement), &mut outputs);
 //! // It promised_terms the shard to itself, and serves it once that is on its disk.
 //! let [Output::Append { ticket, .. }] = outputs[..] else { panic!("one record") };
-//! assert_eq!(node.health(0).serving, 0);
-//! node.handle(2, Input::Synced { ticket }, &mut outputs);
-//! assert_eq!(node.health(2).serving, 1);
+//! assert_eq!(node.health(Instant::ORIGIN).serving, 0);
+//! node.handle(Instant::from_millis(2), Input::Synced { ticket }, &mut outputs);
+//! assert_eq!(node.health(Instant::from_millis(2)).serving, 1);
 //! ```
 //!
 //! # Parts
@@ -75,5 +76,5 @@
 mod watchdog;
 
 pub use api::{ConnectionId, DiskRecord, Input, OrphanCause, Output, Recovered, Ticket};
-pub use config::Config;
+pub use config::{Config, ConfigError};
 pub use node::StoreNode;
--- a/system/state/queue/src/node.rs
+++ b/system/state/queue/src/node.rs
@@ -12,7 +12,8 @@
 use crate::replication::Change;
 use crate::schedule::{is_limiting, ServiceIndex, Services};
 use crate::table::Table;
-use crate::time::Time;
+use crate::time::wire_millis;
+use crate::time::Instant;
 use crate::timers::{Timer, Timers};
 use millrudder_protocol::control::StoreHealth;
 use millrudder_protocol::message::MessageState;
@@ -21,6 +22,7 @@
 use millrudder_protocol::{Epoch, MessageId, ShardId, StoreId};
 use millrudder_topology::Location;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// All decisions of one store process.
 #[derive(Clone, Debug)]
@@ -28,7 +30,7 @@
     pub(crate) config: Config,
     pub(crate) local_id: StoreId,
     pub(crate) location: Location,
-    pub(crate) now: Time,
+    pub(crate) now: Instant,
     pub(crate) outputs: Vec<Output>,
     pub(crate) placement: Placement,
     pub(crate) promised_terms: BTreeMap<ShardId, Epoch>,
@@ -51,18 +53,18 @@
     is_watchdog_due: bool,
     /// The message that the watchdog looked at last.
     pub(crate) watchdog_position: Option<MessageId>,
-    pub(crate) heartbeat_check_at: Option<Time>,
+    pub(crate) heartbeat_check_at: Option<Instant>,
     pub(crate) random: fastrand::Rng,
     leaving: bool,
 }
 
 impl StoreNode {
-    /// A store process that starts at `now_ms` (steady clock) with what its disk holds, in the order of the appends.
+    /// A store process that starts at `now` with what its disk holds, in the order of the appends.
     pub fn new(
         config: Config,
         local_id: StoreId,
         location: impl Into<Location>,
-        now_ms: u64,
+        now: millrudder_clock::Instant,
         recovered: impl Iterator<Item = Recovered>,
     ) -> Self {
         let random = fastrand::Rng::with_seed(config.seed ^ local_id.0);
@@ -70,7 +72,7 @@
             config,
             local_id,
             location: location.into(),
-            now: Time::from_steady(now_ms),
+            now: Instant::from(now),
             outputs: Vec::new(),
             placement: Placement::default(),
             promised_terms: BTreeMap::new(),
@@ -100,13 +102,13 @@
     }
 
     fn recover(&mut self, recovered: impl Iterator<Item = Recovered>) {
-        for Recovered { record, age_ms } in recovered {
+        for Recovered { record, age } in recovered {
             match record {
                 DiskRecord::Promised { shard, term } => {
                     let promise = self.promised_terms.entry(shard).or_default();
                     *promise = term.max(*promise);
                 }
-                DiskRecord::Message { record } => self.apply_received_record(record, age_ms),
+                DiskRecord::Message { record } => self.apply_received_record(record, age),
             }
         }
         let ids: Vec<MessageId> = self.table.ids().collect();
@@ -116,8 +118,8 @@
     }
 
     /// Takes one event; what is to be done is added to `outputs`. Time never goes back.
-    pub fn handle(&mut self, now_ms: u64, input: Input, outputs: &mut Vec<Output>) {
-        self.now = self.now.max(Time::from_steady(now_ms));
+    pub fn handle(&mut self, now: millrudder_clock::Instant, input: Input, outputs: &mut Vec<Output>) {
+        self.now = self.now.max(Instant::from(now));
         self.fire_timers();
         self.process_pending_work();
         // After all that was due: a process that was halted finds many timers due at once.
@@ -252,20 +254,20 @@
     }
 
     /// Time at which `Tick` is runnable at the latest.
-    pub fn next_deadline(&self) -> Option<u64> {
+    pub fn next_deadline(&self) -> Option<millrudder_clock::Instant> {
         let peers = self.peers.values().filter_map(|peer| peer.deadline(&self.config));
-        let local = self.disk.deadline(self.config.max_write_wait_ms);
+        let local = self.disk.deadline(self.config.max_write_timeout);
         let first = peers.chain(local).chain(self.timers.first()).min();
-        first.map(Time::to_steady)
+        first.map(millrudder_clock::Instant::from)
     }
 
     /// What the process tells the core of itself.
-    pub fn health(&self, now_ms: u64) -> StoreHealth {
-        let now = Time::from_steady(now_ms).max(self.now);
+    pub fn health(&self, now: millrudder_clock::Instant) -> StoreHealth {
+        let now = Instant::from(now).max(self.now);
         let serving = self.primary_terms.values().filter(|primary_term| primary_term.is_serving()).count();
-        let oldest_unsynced_ms = if self.disk.failed { u64::MAX } else { self.disk.oldest_unsynced_ms(now) };
+        let oldest_unsynced = if self.disk.failed { Duration::MAX } else { self.disk.oldest_unsynced(now) };
         StoreHealth {
-            oldest_unsynced_ms: u32::try_from(oldest_unsynced_ms).unwrap_or(u32::MAX),
+            oldest_unsynced_ms: wire_millis(oldest_unsynced),
             disk_bytes: self.table.bytes(),
             live_messages: self.table.live(),
             leaving: self.leaving,
--- a/system/state/queue/src/peers.rs
+++ b/system/state/queue/src/peers.rs
@@ -1,9 +1,11 @@
 //! What is under way to other stores, and how soon they usually answer.
 
 use crate::config::Config;
-use crate::time::Time;
+use crate::time::millis;
+use crate::time::Instant;
 use millrudder_protocol::{Epoch, MessageId, RequestNumber, ShardId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
 
 /// Share of the latest answer's time in what is usual.
 const LATENCY_SAMPLE_WEIGHT: f64 = 0.2;
@@ -12,7 +14,7 @@
 /// What is usual of a store that nothing is known of, in milliseconds.
 const INITIAL_LATENCY_MS: f64 = 6.0;
 /// Time without answers in which what is usual halves, so that a store that was slow is tried again.
-const LATENCY_HALF_LIFE_MS: u64 = 2_000;
+const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
 /// Differences within a factor of two of this are no reason to prefer one store, in milliseconds.
 const SIGNIFICANT_LATENCY_MS: f64 = 8.0;
 
@@ -28,7 +30,7 @@
 #[derive(Clone, Debug)]
 struct Outstanding {
     number: RequestNumber,
-    sent_at: Time,
+    sent_at: Instant,
     messages: Vec<Sent>,
     repair_bytes: usize,
 }
@@ -42,7 +44,7 @@
     /// So many of the oldest are overdue.
     overdue: usize,
     latency_ms: f64,
-    latency_at: Time,
+    latency_at: Instant,
     /// Messages of which it is to be sent all that is known, as the window allows.
     pub catch_up: BTreeSet<MessageId>,
     /// Bytes of such that are under way.
@@ -53,7 +55,7 @@
 
 impl Peer {
     /// `first_number`: of its writes; drawn, so that no answer to a former life of this process matches one of them.
-    pub fn new(now: Time, first_number: u64) -> Self {
+    pub fn new(now: Instant, first_number: u64) -> Self {
         Peer {
             connected: false,
             next_number: first_number,
@@ -68,7 +70,12 @@
     }
 
     /// Notes a `Write` and gives its number.
-    pub fn register_write(&mut self, now: Time, messages: Vec<Sent>, repair_bytes: usize) -> RequestNumber {
+    pub fn register_write(
+        &mut self,
+        now: Instant,
+        messages: Vec<Sent>,
+        repair_bytes: usize,
+    ) -> RequestNumber {
         let number = RequestNumber(self.next_number);
         self.next_number += 1;
         self.repair_bytes += repair_bytes;
@@ -77,7 +84,7 @@
     }
 
     /// Everything up to `number` is on its disk; gives what that is. A number that nothing waits for says nothing.
-    pub fn handle_written(&mut self, number: RequestNumber, now: Time) -> Vec<Sent> {
+    pub fn handle_written(&mut self, number: RequestNumber, now: Instant) -> Vec<Sent> {
         let mut messages = Vec::new();
         if self.outstanding.binary_search_by_key(&number, |sent| sent.number).is_err() {
             return messages;
@@ -86,38 +93,39 @@
             let Some(oldest) = self.outstanding.pop_front() else { break };
             self.overdue = self.overdue.saturating_sub(1);
             self.repair_bytes = self.repair_bytes.saturating_sub(oldest.repair_bytes);
-            self.update_latency(now.saturating_duration_since(oldest.sent_at) as f64, now);
+            self.update_latency(now.saturating_duration_since(oldest.sent_at), now);
             messages.extend(oldest.messages);
         }
         messages
     }
 
-    fn update_latency(&mut self, latest_ms: f64, now: Time) {
+    fn update_latency(&mut self, latest: Duration, now: Instant) {
+        let latest_ms = millis(latest) as f64;
         self.latency_ms =
             self.decayed_latency(now) * (1.0 - LATENCY_SAMPLE_WEIGHT) + latest_ms * LATENCY_SAMPLE_WEIGHT;
         self.latency_at = now;
     }
 
     /// Milliseconds in which it usually answers.
-    fn decayed_latency(&self, now: Time) -> f64 {
-        let halvings = now.saturating_duration_since(self.latency_at) / LATENCY_HALF_LIFE_MS;
+    fn decayed_latency(&self, now: Instant) -> f64 {
+        let halvings = millis(now.saturating_duration_since(self.latency_at)) / millis(LATENCY_HALF_LIFE);
         let halved = self.latency_ms * 0.5_f64.powi(i32::try_from(halvings.min(64)).unwrap_or(64));
         halved.max(INITIAL_LATENCY_MS.min(self.latency_ms))
     }
 
-    fn timeout_ms(&self, config: &Config) -> u64 {
-        let wait_ms = (self.latency_ms * TIMEOUT_FACTOR) as u64;
-        wait_ms.clamp(config.min_write_wait_ms, config.max_write_wait_ms)
+    fn timeout(&self, config: &Config) -> Duration {
+        let timeout = Duration::from_millis((self.latency_ms * TIMEOUT_FACTOR) as u64);
+        timeout.clamp(config.min_write_timeout, config.max_write_timeout)
     }
 
     /// When the oldest write that is not overdue becomes so.
-    pub fn deadline(&self, config: &Config) -> Option<Time> {
+    pub fn deadline(&self, config: &Config) -> Option<Instant> {
         let next = self.outstanding.get(self.overdue)?;
-        Some(next.sent_at.plus(self.timeout_ms(config)))
+        Some(next.sent_at + self.timeout(config))
     }
 
     /// What has become overdue since the last call.
-    pub fn take_overdue(&mut self, now: Time, config: &Config) -> Vec<Sent> {
+    pub fn take_overdue(&mut self, now: Instant, config: &Config) -> Vec<Sent> {
         let mut messages = Vec::new();
         while self.deadline(config).is_some_and(|deadline| deadline <= now) {
             messages.extend(self.outstanding[self.overdue].messages.iter().copied());
@@ -131,7 +139,7 @@
     }
 
     /// How much worse than the best it is, in doublings; small differences do not count.
-    pub fn slowness(&self, now: Time) -> u32 {
+    pub fn slowness(&self, now: Instant) -> u32 {
         let doublings = (self.decayed_latency(now) / SIGNIFICANT_LATENCY_MS).max(1.0).log2();
         doublings as u32
     }
--- a/system/state/queue/src/primary_entry.rs
+++ b/system/state/queue/src/primary_entry.rs
@@ -3,7 +3,7 @@
 
 use crate::api::ConnectionId;
 use crate::schedule::ReadyKey;
-use crate::time::Time;
+use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, LeaseToken, RequestNumber, StoreId};
 
 /// What a store was told of a message and has on its disk, as versions that the primary counts.
@@ -58,7 +58,7 @@
     pub token: LeaseToken,
     /// The dispatcher was told, or may have been by a former primary.
     pub is_notified: bool,
-    pub granted_at: Time,
+    pub granted_at: Instant,
 }
 
 /// Where a message is on its way.
@@ -69,7 +69,7 @@
     /// Behind others of its order key.
     WaitingForKey,
     /// Until its wake timer.
-    BackingOff { until: Time },
+    BackingOff { until: Instant },
     /// In its service's ready queue.
     Ready(ReadyKey),
     /// Granted to a dispatcher.
@@ -89,7 +89,7 @@
     pub pending_effects: Vec<PendingEffect>,
     pub stage: Stage,
     /// Time before which it must not be granted again, besides its delay.
-    pub not_before: Time,
+    pub not_before: Instant,
     /// Who accepted it on this connection's life, and when.
     pub accepted_by: Option<Acceptor>,
     /// Who may have run it.
@@ -136,11 +136,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Acceptor {
     pub dispatcher: DispatcherId,
-    pub at: Time,
+    pub at: Instant,
 }
 
 impl PrimaryEntry {
-    pub fn new(stage: Stage, now: Time) -> Self {
+    pub fn new(stage: Stage, now: Instant) -> Self {
         PrimaryEntry {
             version: 0,
             durable: 0,
--- a/system/state/queue/src/rate_limit.rs
+++ b/system/state/queue/src/rate_limit.rs
@@ -1,6 +1,8 @@
 //! A service's common ceiling: a token bucket that starts empty.
 
-use crate::time::Time;
+use crate::time::millis;
+use crate::time::Instant;
+use std::time::Duration;
 
 /// Length of the span in which the ceiling is judged, in seconds.
 const WINDOW_S: f64 = 5.0;
@@ -9,19 +11,19 @@
 const BURST_FRACTION: f64 = 0.02;
 const MS_PER_S: f64 = 1_000.0;
 /// Time in which a grant's record should be on its disks also when one is slow, in seconds.
-const UNTOLD_S: f64 = 0.15;
+const UNNOTIFIED_S: f64 = 0.15;
 
 /// Permits of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimit {
     per_second: f64,
     permits: f64,
-    counted_at: Time,
+    counted_at: Instant,
 }
 
 impl RateLimit {
     /// Without a permit at first: another primary may have spent what would be here.
-    pub fn new(per_second: f64, now: Time) -> Self {
+    pub fn new(per_second: f64, now: Instant) -> Self {
         RateLimit { per_second, permits: 0.0, counted_at: now }
     }
 
@@ -29,21 +31,21 @@
         (self.per_second * WINDOW_S * BURST_FRACTION).max(1.0)
     }
 
-    fn refill(&mut self, now: Time) {
+    fn refill(&mut self, now: Instant) {
         // Milliseconds of a day are exact in a float.
-        let passed_ms = now.saturating_duration_since(self.counted_at) as f64;
+        let passed_ms = millis(now.saturating_duration_since(self.counted_at)) as f64;
         self.permits = (self.permits + passed_ms * self.per_second / MS_PER_S).min(self.burst());
         self.counted_at = self.counted_at.max(now);
     }
 
     /// Another rate from now on; what is saved stays, within the new bound.
-    pub fn set_rate(&mut self, per_second: f64, now: Time) {
+    pub fn set_rate(&mut self, per_second: f64, now: Instant) {
         self.refill(now);
         self.per_second = per_second;
         self.permits = self.permits.min(self.burst());
     }
 
-    pub fn drain(&mut self, now: Time) {
+    pub fn drain(&mut self, now: Instant) {
         self.permits = 0.0;
         self.counted_at = self.counted_at.max(now);
     }
@@ -51,11 +53,11 @@
     /// Grants that may wait for their disks at a time: what waits together comes together, and another primary would
     /// know nothing of it.
     pub fn max_unnotified(&self) -> usize {
-        (self.per_second * UNTOLD_S).max(2.0) as usize
+        (self.per_second * UNNOTIFIED_S).max(2.0) as usize
     }
 
     /// Takes a permit if there is one.
-    pub fn take(&mut self, now: Time) -> bool {
+    pub fn take(&mut self, now: Instant) -> bool {
         self.refill(now);
         // A float's rounding must not cost a wake-up a permit.
         let there = self.permits >= 1.0 - 1e-9;
@@ -66,15 +68,15 @@
     }
 
     /// Spends a permit that need not be there: it is missing later.
-    pub fn borrow(&mut self, now: Time) {
+    pub fn borrow(&mut self, now: Instant) {
         self.refill(now);
         self.permits -= 1.0;
     }
 
     /// When there is a permit again.
-    pub fn next(&self) -> Time {
+    pub fn next(&self) -> Instant {
         let missing = (1.0 - self.permits).max(0.0);
         let wait_ms = (missing * MS_PER_S / self.per_second.max(f64::MIN_POSITIVE)).ceil();
-        self.counted_at.plus((wait_ms as u64).max(1))
+        self.counted_at + Duration::from_millis((wait_ms as u64).max(1))
     }
 }
--- a/system/state/queue/src/repair.rs
+++ b/system/state/queue/src/repair.rs
@@ -131,7 +131,7 @@
 
     /// Writes to further stores what others did not answer in their usual time.
     pub(crate) fn hedge(&mut self) {
-        let mut overdue = self.disk.take_overdue(self.now, self.config.max_write_wait_ms);
+        let mut overdue = self.disk.take_overdue(self.now, self.config.max_write_timeout);
         let mut waiting = Vec::new();
         for peer in self.peers.values_mut() {
             let late = peer.take_overdue(self.now, &self.config);
--- a/system/state/queue/src/replica.rs
+++ b/system/state/queue/src/replica.rs
@@ -10,6 +10,7 @@
 use millrudder_protocol::message::MessageState;
 use millrudder_protocol::store::{BetweenStores, Record};
 use millrudder_protocol::{Epoch, MessageId, RequestNumber, ShardId, StoreId};
+use std::time::Duration;
 
 /// States of a shard on their way to its new primary.
 #[derive(Clone, Debug)]
@@ -61,16 +62,16 @@
 
     fn apply_replicated_record(&mut self, record: Record) {
         let id = record.id();
-        self.apply_received_record(record, 0);
+        self.apply_received_record(record, Duration::ZERO);
         self.set_expiry(id);
     }
 
     /// Adds a record to what is known; a change of a message that is not known says nothing.
-    pub(crate) fn apply_received_record(&mut self, record: Record, age_ms: u64) {
+    pub(crate) fn apply_received_record(&mut self, record: Record, age: Duration) {
         let (now, id) = (self.now, record.id());
         let is_full_state = matches!(record, Record::State { .. });
         if is_full_state || self.table.get(id).is_some() {
-            self.table.change(id, now, |entry| entry.apply(record, now, age_ms));
+            self.table.change(id, now, |entry| entry.apply(record, now, age));
         }
     }
 
@@ -151,7 +152,7 @@
         if let Some(next) = next {
             self.snapshot_transfers.insert((store, shard), SnapshotTransfer { term, next });
             self.timers
-                .set(self.now.plus(self.config.snapshot_chunk_interval), Timer::SnapshotChunk(store, shard));
+                .set(self.now + self.config.snapshot_chunk_interval, Timer::SnapshotChunk(store, shard));
         }
     }
 
--- a/system/state/queue/src/replication.rs
+++ b/system/state/queue/src/replication.rs
@@ -11,6 +11,7 @@
 use millrudder_protocol::{MessageId, RequestNumber, ShardId, StoreId};
 use millrudder_topology::Distance;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Something that became known of a message and is not written yet.
 #[derive(Clone, Debug)]
@@ -54,7 +55,7 @@
     /// Adds a fact to what is known of a message of a shard that is served.
     pub(crate) fn apply_record(&mut self, id: MessageId, record: Record) {
         let (now, change) = (self.now, record.clone());
-        self.table.change(id, now, |entry| entry.apply(change, now, 0));
+        self.table.change(id, now, |entry| entry.apply(change, now, Duration::ZERO));
         self.mark_changed(id, Some(record));
     }
 
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Lets `effect` apply_effect once all that is known of the message now is on as many disks as promised.
+    /// Lets `effect` follow once all that is known of the message now is on as many disks as promised.
     pub(crate) fn when_durable(&mut self, id: MessageId, effect: Effect) {
         let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) else { return };
         if primary.durable >= primary.version {
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Counts the disks that a message is on, and lets apply_effect what waited for them.
+    /// Counts the disks that a message is on, and lets follow what waited for them.
     pub(crate) fn update_durable_version(&mut self, id: MessageId) {
         let Some(primary_term) = self.primary_terms.get(&id.shard) else { return };
         let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) else { return };
--- a/system/state/queue/src/schedule.rs
+++ b/system/state/queue/src/schedule.rs
@@ -2,7 +2,7 @@
 
 use crate::credits::Credits;
 use crate::rate_limit::RateLimit;
-use crate::time::Time;
+use crate::time::Instant;
 use millrudder_protocol::store::ServiceRate;
 use millrudder_protocol::{MessageId, Sequence};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,11 +17,11 @@
     pub priority: u32,
     /// A start now earns less than its full worth.
     pub late: bool,
-    pub due: Time,
+    pub due: Instant,
     pub sequence: Sequence,
     pub id: MessageId,
     /// Until when a start earns its full worth.
-    pub start_by: Time,
+    pub start_by: Instant,
     pub service: ServiceIndex,
 }
 
@@ -35,12 +35,12 @@
     /// Grants that wait for their disks.
     pub unnotified: usize,
     /// When its permit timer goes off.
-    pub permit_at: Option<Time>,
+    pub permit_at: Option<Instant>,
 }
 
 impl Service {
     /// First of the ready messages, after those whose time is over have moved behind.
-    pub fn first_ready(&mut self, now: Time) -> Option<ReadyKey> {
+    pub fn first_ready(&mut self, now: Instant) -> Option<ReadyKey> {
         loop {
             let first = *self.ready.first()?;
             if first.late || now <= first.start_by {
@@ -102,7 +102,7 @@
     }
 
     /// Puts the ceilings of the configuration in force in the place of those before.
-    pub fn set_rates(&mut self, rates: &BTreeMap<ServiceIndex, f64>, now: Time) {
+    pub fn set_rates(&mut self, rates: &BTreeMap<ServiceIndex, f64>, now: Instant) {
         for index in self.indexes() {
             let service = self.get_mut(index);
             match (rates.get(&index), &mut service.rate_limit) {
--- a/system/state/queue/src/scrub.rs
+++ b/system/state/queue/src/scrub.rs
@@ -8,10 +8,11 @@
 use millrudder_protocol::store::{BetweenStores, ScrubEntry};
 use millrudder_protocol::{Epoch, MessageId, ShardId, StoreId};
 use std::collections::BTreeMap;
+use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Messages that are forgotten within this time are not compared: a replica's clock may be ahead. In milliseconds.
-const SOON_FORGOTTEN_MS: u64 = 30_000;
+/// Messages that are forgotten within this time are not compared: a replica's clock may be ahead.
+const SOON_FORGOTTEN: Duration = Duration::from_secs(30);
 /// Multiplier that spreads one more number over a digest: an odd number without pattern.
 const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
@@ -38,8 +39,8 @@
 
 impl StoreNode {
     pub(crate) fn set_scrub_timer(&mut self) {
-        if self.config.scrub_interval_ms > 0 {
-            self.timers.set(self.now.plus(self.config.scrub_interval_ms), Timer::Scrub);
+        if !self.config.scrub_interval.is_zero() {
+            self.timers.set(self.now + self.config.scrub_interval, Timer::Scrub);
         }
     }
 
@@ -78,7 +79,7 @@
 
     /// Other replicas that have said that all that is known of a message is on their disks.
     fn fully_acked_replicas(&self, entry: &Entry) -> Vec<StoreId> {
-        let is_kept = entry.expiry.is_some_and(|expiry| expiry > self.now.plus(SOON_FORGOTTEN_MS));
+        let is_kept = entry.expiry.is_some_and(|expiry| expiry > self.now + SOON_FORGOTTEN);
         let Some(primary) = entry.primary.as_ref().filter(|_| is_kept) else { return Vec::new() };
         let Some(primary_term) = self.primary_terms.get(&entry.id.shard) else { return Vec::new() };
         let is_connected = |store: StoreId| self.peers.get(&store).is_some_and(|peer| peer.connected);
--- a/system/state/queue/src/table.rs
+++ b/system/state/queue/src/table.rs
@@ -1,7 +1,7 @@
 //! All messages that this store knows, with the sums that bound them.
 
 use crate::entry::Entry;
-use crate::time::Time;
+use crate::time::Instant;
 use millrudder_protocol::{MessageId, ShardId};
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -25,7 +25,7 @@
     }
 
     /// Changes an entry, which is added if it is not there, and keeps the sums.
-    pub fn change<R>(&mut self, id: MessageId, now: Time, change: impl FnOnce(&mut Entry) -> R) -> R {
+    pub fn change<R>(&mut self, id: MessageId, now: Instant, change: impl FnOnce(&mut Entry) -> R) -> R {
         let entry = self.entries.entry(id).or_insert_with(|| Box::new(Entry::new(id, now)));
         let result = change(entry);
         let cost = entry.cost();
--- a/system/state/queue/src/takeover.rs
+++ b/system/state/queue/src/takeover.rs
@@ -16,6 +16,7 @@
 use millrudder_protocol::message::MessageState;
 use millrudder_protocol::store::{BetweenStores, Record};
 use millrudder_protocol::{Epoch, MessageId, Sequence, ShardId, StoreId};
+use std::time::Duration;
 
 /// Version of a message at the start of a reign.
 const FIRST_VERSION: u32 = 1;
@@ -169,7 +170,7 @@
             return false;
         };
         let before = self.table.get(id).map(Entry::contents);
-        self.table.change(id, now, |entry| entry.merge(state, now, 0));
+        self.table.change(id, now, |entry| entry.merge(state, now, Duration::ZERO));
         let Some(entry) = self.table.get(id).filter(|entry| before != Some(entry.contents())) else {
             return false;
         };
--- a/system/state/queue/src/time.rs
+++ b/system/state/queue/src/time.rs
@@ -1,34 +1,72 @@
 //! Points of a steady clock, some of which lie before the process's start.
 
-/// A point of the steady clock, in milliseconds; negative before the clock's zero.
+use std::ops::{Add, Sub};
+use std::time::Duration;
+
+/// A reading of the steady clock, in whole milliseconds; negative before the clock's origin.
+///
+/// [`millrudder_clock::Instant`] has no readings before its origin. They are needed here: a message that is found on the
+/// disk, or that another store sends, may have been received before this process started its clock.
+///
+/// Arithmetic saturates, and drops fractions of a millisecond.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Time(i64);
+pub(crate) struct Instant {
+    millis: i64,
+}
 
-impl Time {
-    pub fn from_steady(ms: u64) -> Self {
-        Time(i64::try_from(ms).unwrap_or(i64::MAX))
+impl Instant {
+    /// The next multiple of `step` behind this reading, so that timers of little urgency go off together.
+    pub fn rounded_up(self, step: Duration) -> Instant {
+        let step = signed_millis(step);
+        Instant { millis: self.millis.div_euclid(step).saturating_add(1).saturating_mul(step) }
     }
 
-    /// Milliseconds of the steady clock; 0 for points before it.
-    pub fn to_steady(self) -> u64 {
-        u64::try_from(self.0).unwrap_or(0)
+    /// The span since `earlier`; zero where that is the later reading.
+    pub fn saturating_duration_since(self, earlier: Instant) -> Duration {
+        let millis = self.millis.saturating_sub(earlier.millis);
+        Duration::from_millis(u64::try_from(millis).unwrap_or(0))
     }
+}
 
-    pub fn plus(self, ms: u64) -> Self {
-        Time(self.0.saturating_add(i64::try_from(ms).unwrap_or(i64::MAX)))
+impl From<millrudder_clock::Instant> for Instant {
+    fn from(reading: millrudder_clock::Instant) -> Self {
+        Instant { millis: i64::try_from(reading.as_millis()).unwrap_or(i64::MAX) }
     }
+}
 
-    pub fn minus(self, ms: u64) -> Self {
-        Time(self.0.saturating_sub(i64::try_from(ms).unwrap_or(i64::MAX)))
+/// The origin for readings before it.
+impl From<Instant> for millrudder_clock::Instant {
+    fn from(reading: Instant) -> Self {
+        millrudder_clock::Instant::from_millis(u64::try_from(reading.millis).unwrap_or(0))
     }
+}
+
+impl Add<Duration> for Instant {
+    type Output = Instant;
 
-    /// Milliseconds since `earlier`; 0 where that is later.
-    pub fn saturating_duration_since(self, earlier: Time) -> u64 {
-        u64::try_from(self.0.saturating_sub(earlier.0)).unwrap_or(0)
+    fn add(self, span: Duration) -> Instant {
+        Instant { millis: self.millis.saturating_add(signed_millis(span)) }
     }
+}
 
-    /// The next multiple of `ms`, so that timers of little urgency go off together.
-    pub fn rounded_up(self, ms: i64) -> Self {
-        Time(self.0.div_euclid(ms).saturating_add(1).saturating_mul(ms))
+impl Sub<Duration> for Instant {
+    type Output = Instant;
+
+    fn sub(self, span: Duration) -> Instant {
+        Instant { millis: self.millis.saturating_sub(signed_millis(span)) }
     }
 }
+
+/// Whole milliseconds of a span, as messages between processes carry them.
+pub(crate) fn millis(span: Duration) -> u64 {
+    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+}
+
+fn signed_millis(span: Duration) -> i64 {
+    i64::try_from(span.as_millis()).unwrap_or(i64::MAX)
+}
+
+/// Whole milliseconds of a span in a 32-bit field of a message; the largest number for longer spans.
+pub(crate) fn wire_millis(span: Duration) -> u32 {
+    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+}
--- a/system/state/queue/src/timers.rs
+++ b/system/state/queue/src/timers.rs
@@ -1,7 +1,7 @@
 //! Everything that is due at a time, ordered by that time.
 
 use crate::schedule::ServiceIndex;
-use crate::time::Time;
+use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, MessageId, ShardId, StoreId};
 use std::collections::BTreeSet;
 
@@ -31,24 +31,24 @@
 /// Timers by time. A timer that was set twice goes off twice.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Timers {
-    due: BTreeSet<(Time, Timer)>,
+    due: BTreeSet<(Instant, Timer)>,
 }
 
 impl Timers {
-    pub fn set(&mut self, at: Time, timer: Timer) {
+    pub fn set(&mut self, at: Instant, timer: Timer) {
         self.due.insert((at, timer));
     }
 
-    pub fn clear(&mut self, at: Time, timer: Timer) {
+    pub fn clear(&mut self, at: Instant, timer: Timer) {
         self.due.remove(&(at, timer));
     }
 
-    pub fn first(&self) -> Option<Time> {
+    pub fn first(&self) -> Option<Instant> {
         self.due.first().map(|(at, _)| *at)
     }
 
     /// The first timer that is due.
-    pub fn pop(&mut self, now: Time) -> Option<Timer> {
+    pub fn pop(&mut self, now: Instant) -> Option<Timer> {
         if self.first()? > now {
             return None;
         }
--- a/system/state/queue/src/watchdog.rs
+++ b/system/state/queue/src/watchdog.rs
@@ -9,21 +9,22 @@
 use crate::node::StoreNode;
 use crate::primary_entry::{Lease, Stage};
 use crate::schedule::ServiceIndex;
-use crate::time::Time;
+use crate::time::Instant;
 use crate::timers::Timer;
 use millrudder_protocol::MessageId;
+use std::time::Duration;
 
 /// Every message is looked at once in about so many looks.
 const SCANS_PER_PASS: u64 = 3;
 /// Messages that are looked at in one look at the least.
 const MIN_MESSAGES_PER_SCAN: u64 = 256;
-/// What is late by so much (ms) is late for no good reason: a timer goes off within one turn of the process.
-const LATE_MS: u64 = 500;
+/// What is late by so much is late for no good reason: a timer goes off within one turn of the process.
+const LATE_AFTER: Duration = Duration::from_millis(500);
 
 impl StoreNode {
     pub(crate) fn set_watchdog_timer(&mut self) {
-        if self.config.watchdog_interval > 0 {
-            self.timers.set(self.now.plus(self.config.watchdog_interval), Timer::Watchdog);
+        if !self.config.watchdog_interval.is_zero() {
+            self.timers.set(self.now + self.config.watchdog_interval, Timer::Watchdog);
         }
     }
 
@@ -48,7 +49,7 @@
         let indexes: Vec<ServiceIndex> = self.services.indexes().collect();
         for index in indexes {
             let service = self.services.get_mut(index);
-            let waits_for_permit = service.permit_at.is_some_and(|at| at.plus(LATE_MS) > self.now);
+            let waits_for_permit = service.permit_at.is_some_and(|at| at + LATE_AFTER > self.now);
             let first = service.first_ready(self.now);
             if waits_for_permit || self.services.runnable.contains(&index) {
                 continue;
@@ -63,7 +64,7 @@
 
     /// Call-backs that a dispatcher has said nothing of for too long, and receivers that were not woken.
     fn check_callbacks(&mut self) {
-        let before = self.now.minus(self.config.callback_lease_ms);
+        let before = self.now - self.config.callback_timeout;
         for id in self.callbacks.granted_before(before) {
             self.forget_callback_lease(id);
             self.callbacks.give_back(id, self.now);
@@ -89,7 +90,7 @@
             return None;
         }
         let is_kept = primary.durable >= primary.version;
-        let is_late = |at: Time| self.now.saturating_duration_since(at) > LATE_MS;
+        let is_late = |at: Instant| self.now.saturating_duration_since(at) > LATE_AFTER;
         match primary.stage {
             Stage::Persisting if is_kept && primary.pending_effects.is_empty() => {
                 Some(OrphanCause::NotScheduled)
@@ -113,7 +114,7 @@
     fn has_no_holder(&self, id: MessageId, lease: Lease) -> bool {
         let confirmation =
             self.dispatchers.get(lease.dispatcher).and_then(|incarnation| incarnation.leases.get(&id));
-        confirmation.is_none_or(|confirmation| confirmation.has_lapsed(self.now.minus(LATE_MS)))
+        confirmation.is_none_or(|confirmation| confirmation.has_lapsed(self.now - LATE_AFTER))
     }
 
     fn reschedule_orphan(&mut self, id: MessageId, cause: OrphanCause) {
@@ -122,8 +123,8 @@
             OrphanCause::NotScheduled => self.schedule(id),
             OrphanCause::NotWoken => self.handle_backoff_over(id),
             OrphanCause::LeaseForgotten => {
-                let wait_ms = self.count_unknown_end(id);
-                self.reschedule(id, wait_ms);
+                let wait = self.count_unknown_end(id);
+                self.reschedule(id, wait);
             }
             OrphanCause::CallbackNotScheduled => self.enqueue_callback(id),
             OrphanCause::NotGranted | OrphanCause::CallbackForgotten => {}
--- a/system/state/queue/tests/call_backs.rs
+++ b/system/state/queue/tests/call_backs.rs
@@ -183,7 +183,7 @@
     let forgotten: Vec<MessageId> = (0..2).map(|_| complete(&mut wired, owing("r"))).collect();
     assert_eq!(take_calls(&mut wired).len(), 2);
     let behind = complete(&mut wired, owing("r"));
-    let lease_ms = Config::default().callback_lease_ms;
+    let lease_ms = Config::default().callback_timeout.as_millis() as u64;
     advance_alive(&mut wired, lease_ms - 1_000);
     assert!(take_calls(&mut wired).is_empty(), "two are under way, as far as is known");
     advance_alive(&mut wired, 2_500);
@@ -205,7 +205,7 @@
     let mut wired = one_store();
     let id = complete(&mut wired, owing("r"));
     let first = take_calls(&mut wired).remove(0);
-    advance_alive(&mut wired, Config::default().callback_lease_ms + 1_500);
+    advance_alive(&mut wired, Config::default().callback_timeout.as_millis() as u64 + 1_500);
     assert_eq!(take_calls(&mut wired).len(), 1);
     report(&mut wired, &first, true);
     assert!(wired.state(0, id).unwrap().callback_done);
--- a/system/state/queue/tests/cluster/disks.rs
+++ b/system/state/queue/tests/cluster/disks.rs
@@ -1,6 +1,7 @@
 //! A simulated disk: what was appended, and how much of it is synced.
 
 use millrudder_queue::{DiskRecord, Recovered, Ticket};
+use std::time::Duration;
 
 struct Appended {
     at_ms: u64,
@@ -55,7 +56,7 @@
     pub fn recover(&self, now_ms: u64) -> Vec<Recovered> {
         let recovered = |appended: &Appended| Recovered {
             record: appended.record.clone(),
-            age_ms: now_ms - appended.at_ms,
+            age: Duration::from_millis(now_ms - appended.at_ms),
         };
         self.records.iter().map(recovered).collect()
     }
--- a/system/state/queue/tests/cluster/mod.rs
+++ b/system/state/queue/tests/cluster/mod.rs
@@ -22,6 +22,7 @@
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, ShardId, StoreId};
 use millrudder_queue::{Config, ConnectionId, Input};
 use std::collections::BTreeMap;
+use std::time::Duration;
 use stores::{Store, Stray};
 
 /// Time between two looks of a dispatcher or of the manager.
@@ -77,7 +78,7 @@
             tolerated_losses: 1,
             seed: 1,
             client_every_ms: 25,
-            config: Config { heartbeat_timeout: 1_200, ..Config::default() },
+            config: Config { heartbeat_timeout: Duration::from_millis(1_200), ..Config::default() },
             rated: Some(8.0),
             overlapping_faults: false,
         }
--- a/system/state/queue/tests/cluster/stores.rs
+++ b/system/state/queue/tests/cluster/stores.rs
@@ -3,6 +3,7 @@
 use super::disks::Disk;
 use super::links::{End, LinkId};
 use super::{Cluster, Event, Options, Payload};
+use millrudder_clock::Instant;
 use millrudder_protocol::control::FilledShard;
 use millrudder_protocol::{MessageId, StoreId};
 use millrudder_queue::{Input, OrphanCause, Output, StoreNode};
@@ -82,7 +83,13 @@
         store.clock_ahead_ms = clock_ahead_ms(self.options.seed, store.id, store.life);
         let recovered = store.disk.recover(now_ms).into_iter();
         let steady_ms = now_ms + store.clock_ahead_ms;
-        store.node = Some(StoreNode::new(config, store.id, store.zone.clone(), steady_ms, recovered));
+        store.node = Some(StoreNode::new(
+            config,
+            store.id,
+            store.zone.clone(),
+            Instant::from_millis(steady_ms),
+            recovered,
+        ));
         store.leaving = false;
         store.ticking_at = None;
         store.sync_ms = 2;
@@ -127,7 +134,7 @@
         let mut out = Vec::new();
         let ahead_ms = self.stores[index].clock_ahead_ms;
         let Some(node) = self.stores[index].node.as_mut() else { return };
-        node.handle(now_ms + ahead_ms, input, &mut out);
+        node.handle(Instant::from_millis(now_ms + ahead_ms), input, &mut out);
         for output in out {
             self.carry_out(index, output);
         }
@@ -190,8 +197,8 @@
 
     fn arm_tick(&mut self, index: usize) {
         let store = &mut self.stores[index];
-        let Some(steady_ms) = store.node.as_ref().and_then(StoreNode::next_deadline) else { return };
-        let deadline_ms = steady_ms.saturating_sub(store.clock_ahead_ms);
+        let Some(deadline) = store.node.as_ref().and_then(StoreNode::next_deadline) else { return };
+        let deadline_ms = deadline.as_millis().saturating_sub(store.clock_ahead_ms);
         if store.ticking_at.is_some_and(|at_ms| at_ms <= deadline_ms) {
             return;
         }
--- a/system/state/queue/tests/delivery.rs
+++ b/system/state/queue/tests/delivery.rs
@@ -433,7 +433,7 @@
         matches!(message, ToDispatcher::NotAccepted { reason: NotAccepted::NotPrimary { .. }, .. })
     };
     assert!(wired.told.iter().any(|(_, message)| is_refused(message)));
-    let health = wired.places[0].node.as_ref().unwrap().health(wired.now_ms);
+    let health = wired.places[0].node.as_ref().unwrap().health(wired.now());
     assert_eq!((health.serving, health.oldest_unsynced_ms), (0, u32::MAX));
 }
 
@@ -513,7 +513,7 @@
         waits.push(granted.at_ms - ended_ms);
         runs += 1;
     }
-    let longest_ms = Config::default().max_backoff_ms;
+    let longest_ms = Config::default().max_backoff.as_millis() as u64;
     assert!(waits[..2].iter().all(|wait| *wait <= 20), "a lost answer or two cost nothing: {waits:?}");
     assert!(waits.windows(2).all(|pair| pair[0] <= pair[1]), "{waits:?}");
     assert!(waits[7] >= longest_ms && waits[7] <= longest_ms + 20, "{waits:?}");
--- a/system/state/queue/tests/model.rs
+++ b/system/state/queue/tests/model.rs
@@ -102,7 +102,7 @@
     fn is_serving(&self, store: usize) -> bool {
         let Some(node) = &self.wired.places[store].node else { return false };
         let in_force = DiskRecord::Promised { shard: SHARD, term: self.wired.placement.shards[0].term };
-        node.health(self.wired.now_ms).serving == 1 && node.promised_terms().contains(&in_force)
+        node.health(self.wired.now()).serving == 1 && node.promised_terms().contains(&in_force)
     }
 
     /// Events that say something new here.
--- a/system/state/queue/tests/replicas/takeovers.rs
+++ b/system/state/queue/tests/replicas/takeovers.rs
@@ -17,7 +17,7 @@
     for id in ids {
         assert!(wired.state(2, id).is_some());
     }
-    let health = wired.places[2].node.as_ref().unwrap().health(wired.now_ms);
+    let health = wired.places[2].node.as_ref().unwrap().health(wired.now());
     assert_eq!(health.serving, 1);
 }
 
@@ -62,13 +62,13 @@
     wired.places[0].held = true;
     wired.move_primary(1);
     let node = wired.places[0].node.as_ref().unwrap();
-    assert_eq!(node.health(wired.now_ms).serving, 1, "it still believes to be primary");
+    assert_eq!(node.health(wired.now()).serving, 1, "it still believes to be primary");
     wired.accept(0, 1, message(), true);
     wired.advance(1_000);
     assert_eq!(wired.acceptances(), 0);
     wired.release(0);
     let node = wired.places[0].node.as_ref().unwrap();
-    assert_eq!(node.health(wired.now_ms).serving, 0, "the refusal tells it");
+    assert_eq!(node.health(wired.now()).serving, 0, "the refusal tells it");
     assert_eq!(wired.acceptances(), 0);
 }
 
--- a/system/state/queue/tests/replicas/writes.rs
+++ b/system/state/queue/tests/replicas/writes.rs
@@ -121,9 +121,9 @@
         (0..50).map(|_| wired.accept(0, 1, Message { body: vec![1; 1_000], ..message() }, true)).collect();
     wired.kill(0);
     wired.move_primary(2);
-    assert_eq!(wired.places[2].node.as_ref().unwrap().health(wired.now_ms).serving, 0);
+    assert_eq!(wired.places[2].node.as_ref().unwrap().health(wired.now()).serving, 0);
     wired.advance(200);
-    assert_eq!(wired.places[2].node.as_ref().unwrap().health(wired.now_ms).serving, 1);
+    assert_eq!(wired.places[2].node.as_ref().unwrap().health(wired.now()).serving, 1);
     assert!(ids.iter().all(|id| wired.state(2, *id).is_some()));
 }
 
@@ -142,7 +142,7 @@
     for message in stray {
         wired.input(0, Input::Store { from: store_id(9), message });
     }
-    assert_eq!(wired.places[0].node.as_ref().unwrap().health(wired.now_ms).serving, 1);
+    assert_eq!(wired.places[0].node.as_ref().unwrap().health(wired.now()).serving, 1);
     assert!(wired.state(0, id).is_some());
 }
 
--- a/system/state/queue/tests/scrub.rs
+++ b/system/state/queue/tests/scrub.rs
@@ -2,14 +2,16 @@
 
 mod wired;
 
+use millrudder_clock::Instant;
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{AttemptOutcome, BetweenStores, FromDispatcher};
 use millrudder_protocol::{Epoch, MessageId, StoreId};
 use millrudder_queue::{Config, Input, StoreNode};
+use std::time::Duration;
 use wired::{message, store_id, zone, Wired, SHARD};
 
 fn three_stores(scrub_messages: usize) -> Wired {
-    let config = Config { scrub_interval_ms: 1_000, scrub_messages, ..Config::default() };
+    let config = Config { scrub_interval: Duration::from_secs(1), scrub_messages, ..Config::default() };
     let mut wired = Wired::with(3, 1, config);
     wired.hello(0, 1, 7, "zone-0", Vec::new());
     wired
@@ -91,13 +93,14 @@
 
 #[test]
 fn a_comparison_from_an_old_primary_is_not_answered() {
-    let mut node = StoreNode::new(Config::default(), store_id(1), zone(1), 0, std::iter::empty());
+    let mut node =
+        StoreNode::new(Config::default(), store_id(1), zone(1), Instant::ORIGIN, std::iter::empty());
     let mut out = Vec::new();
     let promise = BetweenStores::Prepare { shard: SHARD, term: Epoch(5) };
-    node.handle(0, Input::Store { from: StoreId(1), message: promise }, &mut out);
+    node.handle(Instant::ORIGIN, Input::Store { from: StoreId(1), message: promise }, &mut out);
     out.clear();
     let entries = vec![millrudder_protocol::store::ScrubEntry { unique: 1, digest: 1 }];
     let scrub = BetweenStores::Scrub { shard: SHARD, term: Epoch(4), entries };
-    node.handle(1, Input::Store { from: StoreId(2), message: scrub }, &mut out);
+    node.handle(Instant::from_millis(1), Input::Store { from: StoreId(2), message: scrub }, &mut out);
     assert!(out.is_empty());
 }
--- a/system/state/queue/tests/states.rs
+++ b/system/state/queue/tests/states.rs
@@ -4,15 +4,17 @@
 mod cluster;
 
 use cluster::{Cluster, Options};
+use millrudder_clock::Instant;
 use millrudder_protocol::message::{End, Grant, Message, MessageState};
 use millrudder_protocol::store::Record;
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, Sequence, ShardId, StoreId};
 use millrudder_queue::{Config, DiskRecord, Recovered, StoreNode};
 use proptest::prelude::*;
+use std::time::Duration;
 
 const ID: MessageId = MessageId { shard: ShardId(0), unique: 1 };
 /// Long after everything that records are about, so that no age is cut off.
-const NOW_MS: u64 = 1_000_000;
+const NOW: Instant = Instant::from_millis(1_000_000);
 
 fn body() -> Message {
     cluster::plain_message()
@@ -53,10 +55,11 @@
 }
 
 fn recover(records: &[Record]) -> StoreNode {
-    let recovered = records
-        .iter()
-        .map(|record| Recovered { record: DiskRecord::Message { record: record.clone() }, age_ms: 0 });
-    StoreNode::new(Config::default(), StoreId(1), "zone".to_owned(), NOW_MS, recovered)
+    let recovered = records.iter().map(|record| Recovered {
+        record: DiskRecord::Message { record: record.clone() },
+        age: Duration::ZERO,
+    });
+    StoreNode::new(Config::default(), StoreId(1), "zone".to_owned(), NOW, recovered)
 }
 
 fn join(states: &[MessageState]) -> MessageState {
@@ -130,13 +133,13 @@
     cluster.run_until(1_000);
     cluster.clients_until(2_500);
     cluster.run_until(3_500);
-    let records = cluster.stores[0].disk.recover(NOW_MS);
+    let records = cluster.stores[0].disk.recover(NOW.as_millis());
     assert!(records.len() > 100);
     let ids: Vec<MessageId> = cluster.ledger.messages.keys().copied().collect();
     let mut before: Vec<Option<MessageState>> = vec![None; ids.len()];
     for length in 0..=records.len() {
         let prefix = records[..length].iter().cloned();
-        let node = StoreNode::new(Config::default(), StoreId(1), "zone".to_owned(), NOW_MS, prefix);
+        let node = StoreNode::new(Config::default(), StoreId(1), "zone".to_owned(), NOW, prefix);
         for (id, known) in ids.iter().zip(&mut before) {
             let after = node.state_of(*id);
             if let (Some(before), Some(after)) = (known.as_ref(), after.as_ref()) {
@@ -160,15 +163,15 @@
     assert!(states.len() > 20);
     let record = |state: &MessageState| Recovered {
         record: DiskRecord::Message { record: Record::State { state: Box::new(state.clone()) } },
-        age_ms: 0,
+        age: Duration::ZERO,
     };
-    let promises = node.promised_terms().into_iter().map(|record| Recovered { record, age_ms: 0 });
+    let promises = node.promised_terms().into_iter().map(|record| Recovered { record, age: Duration::ZERO });
     let compacted: Vec<Recovered> = states.iter().map(record).chain(promises).collect();
     let again = StoreNode::new(
         Config::default(),
         StoreId(100),
         "zone".to_owned(),
-        cluster.now_ms,
+        Instant::from_millis(cluster.now_ms),
         compacted.into_iter(),
     );
     for state in states {
--- a/system/state/queue/tests/wired/mod.rs
+++ b/system/state/queue/tests/wired/mod.rs
@@ -3,6 +3,7 @@
 
 #![allow(dead_code)]
 
+use millrudder_clock::Instant;
 use millrudder_protocol::control::FilledShard;
 use millrudder_protocol::message::{Message, MessageState};
 use millrudder_protocol::placement::{Placement, ShardEntry, StoreEntry};
@@ -18,6 +19,7 @@
 use millrudder_topology::{Location, Topology};
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// The only shard.
 pub const SHARD: ShardId = ShardId(0);
@@ -170,17 +172,25 @@
         self.places.len() - 1
     }
 
+    /// What the stores' clocks read.
+    pub fn now(&self) -> Instant {
+        Instant::from_millis(self.now_ms)
+    }
+
     /// Starts a process with what its disk has.
     pub fn start(&mut self, index: usize) {
-        let now_ms = self.now_ms;
+        let (now, now_ms) = (self.now(), self.now_ms);
         let recovered: Vec<Recovered> = self.places[index]
             .records
             .iter()
-            .map(|(at_ms, record)| Recovered { record: record.clone(), age_ms: now_ms - at_ms })
+            .map(|(at_ms, record)| Recovered {
+                record: record.clone(),
+                age: Duration::from_millis(now_ms - at_ms),
+            })
             .collect();
         let location = Location::new(&zone(index), self.topology.clone());
         let (config, me) = (self.config.clone(), store_id(index));
-        let node = StoreNode::new(config, me, location, now_ms, recovered.into_iter());
+        let node = StoreNode::new(config, me, location, now, recovered.into_iter());
         self.places[index].node = Some(node);
         self.input(index, Input::Placement(self.placement.clone()));
         for other in 0..self.places.len() {
@@ -254,10 +264,10 @@
     }
 
     fn handle(&mut self, index: usize, input: Input) {
-        let now_ms = self.now_ms;
+        let now = self.now();
         let mut out = Vec::new();
         let Some(node) = self.places[index].node.as_mut() else { return };
-        node.handle(now_ms, input, &mut out);
+        node.handle(now, input, &mut out);
         for output in out {
             self.carry_out(index, output);
         }
@@ -332,7 +342,7 @@
             let deadlines = self.places.iter().enumerate();
             let deadlines = deadlines.filter(|(_, place)| !place.held);
             let deadline = |(index, place): (usize, &Place)| {
-                place.node.as_ref().and_then(StoreNode::next_deadline).map(|at_ms| (at_ms, index))
+                place.node.as_ref().and_then(StoreNode::next_deadline).map(|at| (at.as_millis(), index))
             };
             let Some((at_ms, index)) =
                 deadlines.filter_map(deadline).min().filter(|(at_ms, _)| *at_ms <= until_ms)
--- a/system/state/record-log/examples/recovery.rs
+++ b/system/state/record-log/examples/recovery.rs
@@ -119,9 +119,18 @@
     let (count, usage) = (opened.records.len(), opened.log.usage());
     let start = Instant::now();
     let zone = String::from("zone");
-    let node = StoreNode::new(Config::default(), StoreId(1), zone, 0, opened.records.into_iter());
+    let node = StoreNode::new(
+        Config::default(),
+        StoreId(1),
+        zone,
+        millrudder_clock::Instant::ORIGIN,
+        opened.records.into_iter(),
+    );
     let joined = start.elapsed();
     println!("{count} records in {} segments, {} bytes, read: {read:?}", usage.segments, usage.file_bytes);
-    println!("joined by the store: {joined:?}, {} bytes of messages", node.health(0).disk_bytes);
+    println!(
+        "joined by the store: {joined:?}, {} bytes of messages",
+        node.health(millrudder_clock::Instant::ORIGIN).disk_bytes
+    );
     Ok(())
 }
--- a/system/state/record-log/src/log.rs
+++ b/system/state/record-log/src/log.rs
@@ -8,6 +8,7 @@
 use millrudder_queue::{DiskRecord, Recovered};
 use millrudder_segments::{LogUsage, Position, SegmentConfig, SegmentId, SegmentLog, SegmentUsage};
 use speedy::{Readable, Writable};
+use std::time::Duration;
 
 /// In a nearly full log, segments are compacted below this percentage of live bytes: above it, they reclaim too little
 /// for their cost.
@@ -66,8 +67,8 @@
                 return;
             };
             live.insert_recovered(position, &timestamped.record);
-            let age_ms = now_ms.saturating_sub(timestamped.written_ms);
-            records.push(Recovered { record: timestamped.record, age_ms });
+            let age = Duration::from_millis(now_ms.saturating_sub(timestamped.written_ms));
+            records.push(Recovered { record: timestamped.record, age });
         })?;
         if has_unreadable {
             return Err(RecordLogError::Unreadable);
--- a/system/state/record-log/tests/support/mod.rs
+++ b/system/state/record-log/tests/support/mod.rs
@@ -5,6 +5,7 @@
 pub mod model;
 
 use millrudder_checkpoint_store::SimulatedFolder;
+use millrudder_clock::Instant;
 use millrudder_protocol::message::{End, Grant, Message, MessageState};
 use millrudder_protocol::store::Record;
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId, Sequence, ShardId, StoreId};
@@ -51,7 +52,7 @@
 /// A store that starts with these records.
 pub fn node(records: &[Recovered]) -> StoreNode {
     let zone = String::from("zone");
-    StoreNode::new(Config::default(), StoreId(1), zone, NOW_MS, records.iter().cloned())
+    StoreNode::new(Config::default(), StoreId(1), zone, Instant::from_millis(NOW_MS), records.iter().cloned())
 }
 
 fn message(body_bytes: usize) -> Message {
--- a/system/state/record-log/tests/support/model.rs
+++ b/system/state/record-log/tests/support/model.rs
@@ -7,6 +7,7 @@
 use millrudder_queue::{DiskRecord, Recovered, StoreNode};
 use millrudder_record_log::RecordLogError;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// The merged state of some records of one message.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -152,7 +153,7 @@
     pub fn accept(&mut self, records: &[Recovered]) {
         for recovered in records {
             assert!(self.appended.contains(&recovered.record), "never appended: {recovered:?}");
-            assert_eq!(recovered.age_ms, 0);
+            assert_eq!(recovered.age, Duration::ZERO);
         }
         let node = node(records);
         let found = by_message(records);
--- a/system/testing/simulation/src/store_disk.rs
+++ b/system/testing/simulation/src/store_disk.rs
@@ -1,6 +1,7 @@
 //! Disk of a store: what was appended, and how much of it is synced.
 
 use millrudder_queue::{DiskRecord, Recovered, Ticket};
+use std::time::Duration;
 
 #[derive(Clone, Debug)]
 struct Appended {
@@ -53,9 +54,9 @@
 
     /// What a process finds that starts at true time `now` (microseconds).
     pub fn recover(&self, now: u64) -> Vec<Recovered> {
-        let age_ms = |at: u64| now.saturating_sub(at) / crate::MILLISECOND;
+        let age = |at: u64| Duration::from_millis(now.saturating_sub(at) / crate::MILLISECOND);
         let recovered =
-            |appended: &Appended| Recovered { record: appended.record.clone(), age_ms: age_ms(appended.at) };
+            |appended: &Appended| Recovered { record: appended.record.clone(), age: age(appended.at) };
         self.records.iter().map(recovered).collect()
     }
 }
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -5,6 +5,7 @@
 use crate::mechanism::{Mechanism, Mutant};
 use crate::store_disk::StoreDisk;
 use crate::MILLISECOND;
+use millrudder_clock::Instant;
 use millrudder_protocol::control::{FilledShard, FromCore, Registrant, ToCore};
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::store::BetweenStores;
@@ -74,6 +75,11 @@
     pub effects: &'a mut Vec<Effect>,
 }
 
+/// A reading of a steady clock in whole milliseconds, as the program takes it.
+fn reading(micros: u64) -> Instant {
+    Instant::from_millis(micros / MILLISECOND)
+}
+
 impl StoreProcess {
     /// Starts on what the disk holds.
     pub fn start(
@@ -86,7 +92,7 @@
     ) -> Self {
         let config = Config { seed, ..Config::default() };
         let recovered = disk.recover(true_now).into_iter();
-        let node = StoreNode::new(config, settings.id, settings.zone.clone(), now / MILLISECOND, recovered);
+        let node = StoreNode::new(config, settings.id, settings.zone.clone(), reading(now), recovered);
         StoreProcess {
             node,
             cores: settings.seeds.clone(),
@@ -119,7 +125,7 @@
 
     /// When a tick is due, by the machine's steady clock (microseconds).
     pub fn next_deadline(&self) -> u64 {
-        let node = self.node.next_deadline().map(|due| due * MILLISECOND);
+        let node = self.node.next_deadline().map(|due| due.as_millis() * MILLISECOND);
         self.heartbeat_at.min(node.unwrap_or(u64::MAX))
     }
 
@@ -131,12 +137,12 @@
     /// Whether it serves every shard of which it is the primary.
     pub fn serves_all(&self, now: u64) -> bool {
         let led = self.placement.shards_of_primary(self.settings.id).count();
-        self.node.health(now / MILLISECOND).serving as usize == led
+        self.node.health(reading(now)).serving as usize == led
     }
 
     /// Whether others have taken all its shards.
     pub fn may_go(&self, now: u64) -> bool {
-        self.node.health(now / MILLISECOND).serving == 0
+        self.node.health(reading(now)).serving == 0
     }
 
     /// Takes one happening and does what follows.
@@ -162,15 +168,15 @@
     }
 
     fn tick(&mut self, scene: &mut StoreScene<'_>) {
-        let now_ms = scene.now / MILLISECOND;
-        if self.node.next_deadline().is_some_and(|due| due <= now_ms) {
+        let now = reading(scene.now);
+        if self.node.next_deadline().is_some_and(|due| due <= now) {
             self.give(scene, Input::Tick);
         }
         if self.heartbeat_at > scene.now {
             return;
         }
         self.heartbeat_at = scene.now + HEARTBEAT;
-        let health = Some(self.node.health(now_ms));
+        let health = Some(self.node.health(now));
         self.tell_cores(scene, &ToCore::Heartbeat { health });
         if !self.filled.shards.is_empty() && scene.now >= self.filled.tell_at {
             self.filled.tell_at = scene.now + TELL_FILLED;
@@ -311,7 +317,7 @@
     fn give(&mut self, scene: &mut StoreScene<'_>, input: Input) {
         let joins = matches!(&input, Input::Store { message: BetweenStores::Promise { .. }, .. });
         let mut output = Vec::new();
-        self.node.handle(scene.now / MILLISECOND, input, &mut output);
+        self.node.handle(reading(scene.now), input, &mut output);
         for action in output {
             self.carry_out(scene, action, joins);
         }
