--- a/system/state/queue/src/callbacks.rs
+++ b/system/state/queue/src/callbacks.rs
@@ -42,7 +42,7 @@
     by_name: BTreeMap<String, u32>,
     receivers: Vec<Receiver>,
     /// Receivers for which a call-back may be possible since the last look.
-    pub runnable: BTreeSet<u32>,
+    runnable: BTreeSet<u32>,
 }
 
 /// Part of a URL that names its receiver.
@@ -184,6 +184,16 @@
         self.remove(id)?.lease
     }
 
+    /// A call-back of the receiver may be possible.
+    pub fn mark_runnable(&mut self, receiver: u32) {
+        self.runnable.insert(receiver);
+    }
+
+    /// Takes the first receiver for which a call-back may be possible.
+    pub fn next_runnable(&mut self) -> Option<u32> {
+        self.runnable.pop_first()
+    }
+
     /// A dispatcher has come: every receiver may be served.
     pub fn mark_all_runnable(&mut self) {
         let count = u32::try_from(self.receivers.len()).unwrap_or(u32::MAX);
--- a/system/state/queue/src/dispatchers.rs
+++ b/system/state/queue/src/dispatchers.rs
@@ -1,7 +1,7 @@
 //! Dispatchers: their connections, and what each life of one holds.
 
 use crate::api::ConnectionId;
-use crate::schedule::ServiceIndex;
+use crate::scheduling::ServiceIndex;
 use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId};
 use millrudder_topology::Distance;
@@ -26,24 +26,37 @@
     }
 }
 
-/// One life of a dispatcher process.
+/// What a dispatcher says of itself on a new connection or at a new placement.
 #[derive(Clone, Debug)]
-pub(crate) struct Incarnation {
-    pub connection: Option<ConnectionId>,
+pub(crate) struct Announcement {
     /// From this store.
     pub distance: Distance,
+    /// Of the placement that it knows.
+    pub epoch: Epoch,
+    /// Leases whose outcome was not acknowledged.
+    pub held: BTreeMap<MessageId, LeaseToken>,
+    /// Messages that it asked to be accepted or withdrawn, without an answer.
+    pub in_doubt: BTreeSet<MessageId>,
+}
+
+/// One incarnation of a dispatcher process.
+#[derive(Clone, Debug)]
+pub(crate) struct Incarnation {
+    connection: Option<ConnectionId>,
+    /// From this store.
+    distance: Distance,
     /// It stops; nothing more is granted to it.
-    pub leaving: bool,
-    pub last_message_at: Instant,
+    leaving: bool,
+    last_message_at: Instant,
     /// Placement in force at its last `Hello`.
-    pub epoch: Epoch,
+    epoch: Epoch,
     /// What it held then.
-    pub held: BTreeMap<MessageId, LeaseToken>,
+    held: BTreeMap<MessageId, LeaseToken>,
     /// What it had asked to be kept or withdrawn then, without an answer.
-    pub in_doubt: BTreeSet<MessageId>,
-    pub leases: BTreeMap<MessageId, LeaseConfirmation>,
-    pub callbacks: BTreeSet<MessageId>,
-    pub limits: BTreeMap<ServiceIndex, u32>,
+    in_doubt: BTreeSet<MessageId>,
+    leases: BTreeMap<MessageId, LeaseConfirmation>,
+    callbacks: BTreeSet<MessageId>,
+    limits: BTreeMap<ServiceIndex, u32>,
 }
 
 impl Incarnation {
@@ -62,6 +75,103 @@
         }
     }
 
+    /// It has said, on the present connection, what it holds and which placement it knows.
+    pub fn announce(&mut self, announcement: Announcement) {
+        let Announcement { distance, epoch, held, in_doubt } = announcement;
+        self.distance = distance;
+        self.epoch = epoch;
+        self.held = held;
+        self.in_doubt = in_doubt;
+    }
+
+    pub fn is_connected(&self) -> bool {
+        self.connection.is_some()
+    }
+
+    pub fn distance(&self) -> Distance {
+        self.distance
+    }
+
+    /// Epoch of the placement that it knew when it announced itself.
+    pub fn epoch(&self) -> Epoch {
+        self.epoch
+    }
+
+    /// Leases that it announced.
+    pub fn announced_leases(&self) -> impl Iterator<Item = (MessageId, LeaseToken)> + '_ {
+        self.held.iter().map(|(id, token)| (*id, *token))
+    }
+
+    /// Token of the lease on the message that it announced.
+    pub fn announced_token(&self, id: MessageId) -> Option<LeaseToken> {
+        self.held.get(&id).copied()
+    }
+
+    /// It announced that it waits for an answer to its request to accept or withdraw the message.
+    pub fn is_in_doubt(&self, id: MessageId) -> bool {
+        self.in_doubt.contains(&id)
+    }
+
+    pub fn add_lease(&mut self, id: MessageId, confirmation: LeaseConfirmation) {
+        self.leases.insert(id, confirmation);
+    }
+
+    pub fn remove_lease(&mut self, id: MessageId) {
+        self.leases.remove(&id);
+    }
+
+    /// Whether it is known to have the lease on the message; `None` if it is known not to.
+    pub fn confirmation_of(&self, id: MessageId) -> Option<&LeaseConfirmation> {
+        self.leases.get(&id)
+    }
+
+    /// Messages whose leases it has to confirm, in order.
+    pub fn unconfirmed(&self) -> Vec<MessageId> {
+        let is_open =
+            |confirmation: &LeaseConfirmation| matches!(confirmation, LeaseConfirmation::Unconfirmed { .. });
+        self.leases.iter().filter(|(_, confirmation)| is_open(confirmation)).map(|(id, _)| *id).collect()
+    }
+
+    /// Its connection is closed: it has to confirm all leases before `until`. Gives their messages, in order.
+    pub fn expect_confirmations(&mut self, until: Instant) -> Vec<MessageId> {
+        for confirmation in self.leases.values_mut() {
+            *confirmation = LeaseConfirmation::Unconfirmed { until };
+        }
+        self.leases.keys().copied().collect()
+    }
+
+    pub fn add_callback(&mut self, id: MessageId) {
+        self.callbacks.insert(id);
+    }
+
+    pub fn remove_callback(&mut self, id: MessageId) {
+        self.callbacks.remove(&id);
+    }
+
+    /// Call-backs that it has in flight.
+    pub fn callback_count(&self) -> usize {
+        self.callbacks.len()
+    }
+
+    /// Takes all call-backs that it had in flight, in order.
+    pub fn take_callbacks(&mut self) -> BTreeSet<MessageId> {
+        std::mem::take(&mut self.callbacks)
+    }
+
+    /// Deliveries of the service that it takes at a time; `None` where it did not say.
+    pub fn limit_of(&self, service: ServiceIndex) -> Option<u32> {
+        self.limits.get(&service).copied()
+    }
+
+    pub fn set_limit(&mut self, service: ServiceIndex, limit: u32) {
+        self.limits.insert(service, limit);
+    }
+
+    /// It stops: nothing more is granted to it.
+    pub fn set_leaving(&mut self) {
+        self.leaving = true;
+    }
+
     /// Something may be granted to it.
     pub fn is_open(&self) -> bool {
         self.connection.is_some() && !self.leaving
@@ -82,6 +192,8 @@
 pub(crate) struct Dispatchers {
     incarnations: BTreeMap<DispatcherId, Incarnation>,
     connections: BTreeMap<ConnectionId, DispatcherId>,
+    /// When heartbeats are checked next; `None` while nobody is connected.
+    heartbeat_check_at: Option<Instant>,
 }
 
 impl Dispatchers {
@@ -174,8 +286,18 @@
             .collect()
     }
 
-    pub fn any_connected(&self) -> bool {
-        !self.connections.is_empty()
+    /// When heartbeats are to be checked; `None` if that is set already, or nobody is connected.
+    pub fn schedule_heartbeat_check(&mut self, now: Instant, interval: Duration) -> Option<Instant> {
+        if self.heartbeat_check_at.is_some() || self.connections.is_empty() {
+            return None;
+        }
+        self.heartbeat_check_at = Some(now + interval);
+        self.heartbeat_check_at
+    }
+
+    /// The check that was scheduled is made now.
+    pub fn start_heartbeat_check(&mut self) {
+        self.heartbeat_check_at = None;
     }
 
     /// Forgets a life that is over and holds nothing.
--- a/system/state/queue/src/lib.rs
+++ b/system/state/queue/src/lib.rs
@@ -45,35 +45,21 @@
 //!   outcome is not `Recorded`, and read nothing more from an older connection to the same store.
 //! - A lease that comes with the answer to a request which they gave up is reported as not run.
 
-mod accept;
 mod api;
-mod attempts;
-mod callback_flow;
 mod callbacks;
 mod config;
-mod connections;
-mod credits;
-mod disk;
+mod context;
 mod dispatchers;
 mod entry;
-mod expiry;
-mod grants;
-mod keys;
+mod message_table;
 mod node;
-mod peers;
 mod primary_entry;
 mod primary_term;
-mod rate_limit;
-mod repair;
-mod replica;
+mod promises;
 mod replication;
-mod schedule;
-mod scrub;
-mod table;
-mod takeover;
+mod scheduling;
 mod time;
 mod timers;
-mod watchdog;
 
 pub use api::{ConnectionId, DiskRecord, Input, OrphanCause, Output, Recovered, Ticket};
 pub use config::{Config, ConfigError};
--- a/system/state/queue/src/table.rs
+++ b/system/state/queue/src/message_table.rs
@@ -1,6 +1,7 @@
 //! All messages that this store knows, with the sums that bound them.
 
 use crate::entry::Entry;
+use crate::primary_entry::PrimaryEntry;
 use crate::time::Instant;
 use millrudder_protocol::{MessageId, ShardId};
 use std::collections::BTreeMap;
@@ -8,13 +9,13 @@
 
 /// All messages that this store knows, by name.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct MessageTable {
     entries: BTreeMap<MessageId, Box<Entry>>,
     bytes: u64,
     live: u64,
 }
 
-impl Table {
+impl MessageTable {
     pub fn get(&self, id: MessageId) -> Option<&Entry> {
         self.entries.get(&id).map(Box::as_ref)
     }
@@ -24,6 +25,16 @@
         self.entries.get_mut(&id).map(Box::as_mut)
     }
 
+    /// What a primary keeps of a message; `None` where this store is not its shard's primary.
+    pub fn primary(&self, id: MessageId) -> Option<&PrimaryEntry> {
+        self.entries.get(&id)?.primary.as_deref()
+    }
+
+    /// See [`MessageTable::primary`].
+    pub fn primary_mut(&mut self, id: MessageId) -> Option<&mut PrimaryEntry> {
+        self.entries.get_mut(&id)?.primary.as_deref_mut()
+    }
+
     /// Changes an entry, which is added if it is not there, and keeps the sums.
     pub fn change<R>(&mut self, id: MessageId, now: Instant, change: impl FnOnce(&mut Entry) -> R) -> R {
         let entry = self.entries.entry(id).or_insert_with(|| Box::new(Entry::new(id, now)));
--- a/system/state/queue/src/accept.rs
+++ b/system/state/queue/src/node/accept.rs
@@ -1,8 +1,8 @@
 //! What dispatchers ask of a message: to accept it, to withdraw it, what is known of it.
 
+use super::StoreNode;
 use crate::api::ConnectionId;
 use crate::entry::message_bytes;
-use crate::node::StoreNode;
 use crate::primary_entry::{Acceptor, Effect, PrimaryEntry, Stage};
 use crate::primary_term::Withdrawal;
 use crate::time::wire_millis;
@@ -16,7 +16,7 @@
 
 impl StoreNode {
     /// A dispatcher wants a message kept.
-    pub(crate) fn handle_accept(
+    pub(super) fn handle_accept(
         &mut self,
         connection: ConnectionId,
         request: RequestNumber,
@@ -25,8 +25,8 @@
         lease: bool,
     ) {
         let Some(dispatcher) = self.dispatchers.of(connection) else { return };
-        if !self.is_serving(id.shard) {
-            let reason = NotAccepted::NotPrimary { epoch: self.placement.epoch };
+        if !self.primary_terms.is_serving(id.shard) {
+            let reason = NotAccepted::NotPrimary { epoch: self.context.placement.epoch };
             self.send_to_dispatcher(connection, ToDispatcher::NotAccepted { request, reason });
             return;
         }
@@ -60,22 +60,22 @@
     }
 
     fn reject_full(&mut self, connection: ConnectionId, request: RequestNumber) {
-        let reason = NotAccepted::Full { retry_after_ms: wire_millis(self.config.full_retry_after) };
+        let reason = NotAccepted::Full { retry_after_ms: wire_millis(self.context.config.full_retry_after) };
         self.send_to_dispatcher(connection, ToDispatcher::NotAccepted { request, reason });
     }
 
     fn is_full(&self, message: &Message) -> bool {
         let bytes = self.table.bytes() + message_bytes(message) as u64;
-        let is_short = bytes > self.config.memory_bytes || bytes > self.config.disk_bytes;
-        is_short || self.table.live() >= self.config.max_live_messages
+        let is_short = bytes > self.context.config.memory_bytes || bytes > self.context.config.disk_bytes;
+        is_short || self.table.live() >= self.context.config.max_live_messages
     }
 
     /// Adds a message that was not known.
     fn insert_message(&mut self, id: MessageId, message: Box<Message>, dispatcher: DispatcherId) {
-        let now = self.now;
+        let now = self.context.now;
         let sequence = self
             .primary_terms
-            .get_mut(&id.shard)
+            .get_mut(id.shard)
             .map(|primary_term| primary_term.sequence())
             .unwrap_or_default();
         if let Some(key) = &message.order_key {
@@ -99,7 +99,7 @@
         id: MessageId,
         dispatcher: DispatcherId,
     ) {
-        let now = self.now;
+        let now = self.context.now;
         let Some(entry) = self.table.get_mut(id) else { return };
         if entry.end == Some(End::Withdrawn) {
             self.reject_full(connection, request);
@@ -112,7 +112,7 @@
     }
 
     /// The message is on as many disks as promised.
-    pub(crate) fn acknowledge_accept(
+    pub(super) fn acknowledge_accept(
         &mut self,
         connection: ConnectionId,
         request: RequestNumber,
@@ -131,16 +131,14 @@
     /// A client got no acknowledgement, and its message must not run any more.
     ///
     /// Answered only where no other dispatcher can have run it: that it never ran cannot be promised else.
-    pub(crate) fn handle_withdraw(&mut self, connection: ConnectionId, id: MessageId) {
-        if let Some(takeover) =
-            self.primary_terms.get_mut(&id.shard).and_then(|primary_term| primary_term.takeover.as_mut())
-        {
+    pub(super) fn handle_withdraw(&mut self, connection: ConnectionId, id: MessageId) {
+        if let Some(takeover) = self.primary_terms.takeover_mut(id.shard) {
             if takeover.withdrawals.len() < MAX_PENDING_WITHDRAWALS {
                 takeover.withdrawals.push(Withdrawal { connection, id });
             }
             return;
         }
-        if !self.is_serving(id.shard) {
+        if !self.primary_terms.is_serving(id.shard) {
             return;
         }
         let dispatcher = self.dispatchers.of(connection);
@@ -174,7 +172,7 @@
     }
 
     fn insert_tombstone(&mut self, id: MessageId) {
-        let now = self.now;
+        let now = self.context.now;
         self.table.change(id, now, |entry| {
             entry.end = Some(End::Withdrawn);
             entry.ended = now;
@@ -186,11 +184,14 @@
 
     /// By the placement in force here, this store is told of every message of that shard, or of most.
     fn is_replica(&self, id: MessageId) -> bool {
-        self.placement.shard(id.shard).is_some_and(|shard| shard.replicas.contains(&self.local_id))
+        self.context
+            .placement
+            .shard(id.shard)
+            .is_some_and(|shard| shard.replicas.contains(&self.context.local_id))
     }
 
     /// Answers from what this replica knows, whoever is primary.
-    pub(crate) fn handle_query(
+    pub(super) fn handle_query(
         &mut self,
         connection: ConnectionId,
         request: RequestNumber,
--- a/system/state/queue/src/attempts.rs
+++ b/system/state/queue/src/node/attempts.rs
@@ -1,10 +1,10 @@
 //! How attempts end, and what follows once that is kept.
 
+use super::grants::order_key;
+use super::StoreNode;
 use crate::api::ConnectionId;
 use crate::callbacks::backoff;
 use crate::entry::Entry;
-use crate::grants::order_key;
-use crate::node::StoreNode;
 use crate::primary_entry::{Effect, Stage};
 use crate::time::millis;
 use millrudder_protocol::message::End;
@@ -25,7 +25,7 @@
 
 impl StoreNode {
     /// A dispatcher reports how an attempt ended.
-    pub(crate) fn handle_attempted(
+    pub(super) fn handle_attempted(
         &mut self,
         connection: ConnectionId,
         id: MessageId,
@@ -41,7 +41,7 @@
         }
         let is_current = self.lease_of(id).is_some_and(|lease| lease.token == token);
         let reporter = self.dispatchers.of(connection);
-        if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
+        if let Some(primary) = self.table.primary_mut(id) {
             primary.reporter = reporter;
         }
         match outcome {
@@ -70,7 +70,7 @@
 
     /// A lease is over without an outcome that counts; the message waits so long at least.
     fn return_lease(&mut self, id: MessageId, by: Option<DispatcherId>, wait: Duration) {
-        if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
+        if let Some(primary) = self.table.primary_mut(id) {
             primary.returned_by = by;
         }
         self.reschedule(id, wait.max(MIN_RETURN_DELAY));
@@ -80,8 +80,8 @@
     ///
     /// The run may have failed, and the answer been lost: such attempts are not counted, so a message that meets them
     /// again and again must not go round at once.
-    pub(crate) fn count_unknown_end(&mut self, id: MessageId) -> Duration {
-        let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) else {
+    pub(super) fn count_unknown_end(&mut self, id: MessageId) -> Duration {
+        let Some(primary) = self.table.primary_mut(id) else {
             return Duration::ZERO;
         };
         primary.unknown_ends = primary.unknown_ends.saturating_add(1);
@@ -89,14 +89,14 @@
         if counted == 0 {
             return Duration::ZERO;
         }
-        backoff(counted, &self.config)
+        backoff(counted, &self.context.config)
     }
 
     /// This store is primary of the shard, and no later one gave the token.
-    pub(crate) fn may_answer_for(&self, shard: ShardId, token: LeaseToken) -> bool {
-        let primary_term = self.primary_terms.get(&shard);
+    pub(super) fn may_answer_for(&self, shard: ShardId, token: LeaseToken) -> bool {
+        let primary_term = self.primary_terms.get(shard);
         primary_term
-            .is_some_and(|primary_term| primary_term.is_serving() && token.epoch() <= primary_term.number)
+            .is_some_and(|primary_term| primary_term.is_serving() && token.epoch() <= primary_term.number())
     }
 
     /// A run that succeeded ends the message, whoever ran it and under whatever lease.
@@ -112,7 +112,7 @@
     }
 
     /// Tells the holder of a lease that it is over.
-    pub(crate) fn revoke(&mut self, id: MessageId, token: LeaseToken) {
+    pub(super) fn revoke(&mut self, id: MessageId, token: LeaseToken) {
         let Some(lease) = self.lease_of(id).filter(|lease| lease.token == token && lease.is_notified) else {
             return;
         };
@@ -129,8 +129,8 @@
         if is_over {
             return;
         }
-        let not_before = self.now + self.backoff_of(id);
-        if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
+        let not_before = self.context.now + self.backoff_of(id);
+        if let Some(primary) = self.table.primary_mut(id) {
             primary.not_before = not_before;
         }
         self.when_durable(id, Effect::Retry);
@@ -159,7 +159,7 @@
     }
 
     /// Ends a message whose attempts are spent.
-    pub(crate) fn end_if_exhausted(&mut self, id: MessageId) -> bool {
+    pub(super) fn end_if_exhausted(&mut self, id: MessageId) -> bool {
         let Some(entry) = self.table.get(id) else { return false };
         let max_attempts = entry.message.as_ref().map_or(0, |message| message.max_attempts);
         let is_spent =
@@ -173,9 +173,9 @@
     /// Wait before the next attempt: doubling, with jitter, and such that a start in time stays possible.
     fn backoff_of(&mut self, id: MessageId) -> Duration {
         let Some(entry) = self.table.get(id) else { return Duration::ZERO };
-        let time_left = entry.start_by().saturating_duration_since(self.now);
-        let full_backoff = backoff(entry.failed_attempts, &self.config);
-        let wait = with_jitter(full_backoff, &mut self.random);
+        let time_left = entry.start_by().saturating_duration_since(self.context.now);
+        let full_backoff = backoff(entry.failed_attempts, &self.context.config);
+        let wait = with_jitter(full_backoff, &mut self.context.random);
         if time_left.is_zero() {
             return wait;
         }
@@ -183,7 +183,7 @@
     }
 
     /// What was asked to follow a version's being kept.
-    pub(crate) fn apply_effect(&mut self, id: MessageId, effect: Effect) {
+    pub(super) fn apply_effect(&mut self, id: MessageId, effect: Effect) {
         match effect {
             Effect::Accepted { connection, request } => self.acknowledge_accept(connection, request, id),
             Effect::Schedule | Effect::Retry => self.schedule_persisted(id),
@@ -199,14 +199,14 @@
     }
 
     fn schedule_persisted(&mut self, id: MessageId) {
-        let primary = self.table.get(id).and_then(|entry| entry.primary.as_ref());
+        let primary = self.table.primary(id);
         if primary.is_some_and(|primary| primary.stage == Stage::Persisting) {
             self.schedule(id);
         }
     }
 
     /// An end of a message is known: it is kept, and what waits for it follows then.
-    pub(crate) fn end_message(&mut self, id: MessageId, end: End) {
+    pub(super) fn end_message(&mut self, id: MessageId, end: End) {
         self.unschedule(id, Stage::Ended);
         self.remember_order_key(id);
         self.apply_record(id, Record::Ended { id, end });
@@ -236,7 +236,7 @@
     }
 
     fn schedule_next_of_key(&mut self, id: MessageId) {
-        let primary = self.table.get(id).and_then(|entry| entry.primary.as_ref());
+        let primary = self.table.primary(id);
         if primary.is_some_and(|primary| primary.stage == Stage::WaitingForKey) {
             self.schedule(id);
         }
--- a/system/state/queue/src/callback_flow.rs
+++ b/system/state/queue/src/node/callbacks.rs
@@ -1,8 +1,8 @@
 //! Call-backs that ends owe: granted to dispatchers few at a time, repeated until one was taken.
 
+use super::StoreNode;
 use crate::api::ConnectionId;
 use crate::callbacks::{receiver_of, CallbackLease};
-use crate::node::StoreNode;
 use crate::primary_entry::Effect;
 use crate::timers::Timer;
 use millrudder_protocol::message::Message;
@@ -12,7 +12,7 @@
 
 impl StoreNode {
     /// A message's end is kept: its call-back is owed if it names a receiver.
-    pub(crate) fn enqueue_callback(&mut self, id: MessageId) {
+    pub(super) fn enqueue_callback(&mut self, id: MessageId) {
         let Some(entry) =
             self.table.get(id).filter(|entry| entry.has_pending_callback() && entry.primary.is_some())
         else {
@@ -20,20 +20,20 @@
         };
         let url = entry.message.as_ref().and_then(|message| message.callback_url.clone());
         if let Some(url) = url {
-            self.callbacks.add(id, &url, self.now, &self.config);
+            self.callbacks.add(id, &url, self.context.now, &self.context.config);
         }
     }
 
     /// Grants call-backs that may be made now.
-    pub(crate) fn grant_callbacks(&mut self) {
-        while let Some(receiver) = self.callbacks.runnable.pop_first() {
-            while let Some(id) = self.callbacks.next(receiver, self.now) {
+    pub(super) fn grant_callbacks(&mut self) {
+        while let Some(receiver) = self.callbacks.next_runnable() {
+            while let Some(id) = self.callbacks.next(receiver, self.context.now) {
                 if !self.grant_callback(id) {
                     return;
                 }
             }
-            if let Some(at) = self.callbacks.next_time(receiver).filter(|at| *at > self.now) {
-                self.timers.set(at, Timer::ReceiverReady(receiver));
+            if let Some(at) = self.callbacks.next_time(receiver).filter(|at| *at > self.context.now) {
+                self.context.timers.set(at, Timer::ReceiverReady(receiver));
             }
         }
     }
@@ -42,9 +42,9 @@
         let Some(dispatcher) = self.callback_dispatcher(id) else { return false };
         let Some(connection) = self.dispatchers.connection_of(dispatcher) else { return false };
         let Some(token) = self.token(id) else { return false };
-        self.callbacks.take(id, CallbackLease { dispatcher, token, granted_at: self.now });
+        self.callbacks.take(id, CallbackLease { dispatcher, token, granted_at: self.context.now });
         if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
-            incarnation.callbacks.insert(id);
+            incarnation.add_callback(id);
         }
         let with_message = !self.has_body(id, dispatcher);
         self.send_callback(connection, id, token, with_message);
@@ -57,13 +57,14 @@
         let entry = self.table.get(id)?;
         let url = entry.message.as_ref()?.callback_url.as_deref()?;
         let reporter = entry.primary.as_ref()?.reporter;
-        let homes =
-            self.dispatchers.home_dispatchers(receiver_of(url), self.config.home_dispatchers_per_receiver);
+        let homes = self
+            .dispatchers
+            .home_dispatchers(receiver_of(url), self.context.config.home_dispatchers_per_receiver);
         if let Some(reporter) = reporter.filter(|reporter| homes.contains(reporter)) {
             return Some(reporter);
         }
         let callbacks =
-            |home: &DispatcherId| self.dispatchers.get(*home).map(|incarnation| incarnation.callbacks.len());
+            |home: &DispatcherId| self.dispatchers.get(*home).map(|incarnation| incarnation.callback_count());
         homes.into_iter().min_by_key(callbacks)
     }
 
@@ -82,7 +83,7 @@
     }
 
     /// A dispatcher lacks the message of a call-back; `false` if it holds no such call-back.
-    pub(crate) fn send_callback_again(
+    pub(super) fn send_callback_again(
         &mut self,
         connection: ConnectionId,
         id: MessageId,
@@ -96,7 +97,7 @@
     }
 
     /// A dispatcher reports what became of a call-back.
-    pub(crate) fn handle_called_back(
+    pub(super) fn handle_called_back(
         &mut self,
         connection: ConnectionId,
         id: MessageId,
@@ -109,12 +110,12 @@
         }
         let lease = self.callbacks.lease(id).filter(|lease| lease.token == token);
         if let Some(incarnation) = lease.and_then(|lease| self.dispatchers.get_mut(lease.dispatcher)) {
-            incarnation.callbacks.remove(&id);
+            incarnation.remove_callback(id);
         }
         if !done {
             if lease.is_some() {
                 let retry_after = Duration::from_millis(u64::from(retry_after_ms));
-                self.callbacks.failed(id, retry_after, self.now, &self.config);
+                self.callbacks.failed(id, retry_after, self.context.now, &self.context.config);
             }
             self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
             return;
@@ -129,22 +130,22 @@
 
     fn complete_callback(&mut self, id: MessageId) {
         self.forget_callback_lease(id);
-        self.callbacks.done(id, &self.config);
+        self.callbacks.done(id, &self.context.config);
         if self.table.get(id).is_some_and(|entry| !entry.callback_done) {
             self.apply_record(id, Record::CallbackDone { id });
             self.set_expiry(id);
         }
     }
 
-    pub(crate) fn forget_callback_lease(&mut self, id: MessageId) {
+    pub(super) fn forget_callback_lease(&mut self, id: MessageId) {
         let lease = self.callbacks.lease(id);
         if let Some(incarnation) = lease.and_then(|lease| self.dispatchers.get_mut(lease.dispatcher)) {
-            incarnation.callbacks.remove(&id);
+            incarnation.remove_callback(id);
         }
     }
 
     /// A call-back is not owed any more, or not by this store.
-    pub(crate) fn remove_callback(&mut self, id: MessageId) {
+    pub(super) fn remove_callback(&mut self, id: MessageId) {
         self.forget_callback_lease(id);
         if let Some(lease) = self.callbacks.drop(id) {
             self.dispatchers.forget_if_gone(lease.dispatcher);
--- a/system/state/queue/src/expiry.rs
+++ b/system/state/queue/src/node/expiry.rs
@@ -3,10 +3,10 @@
 //! Every replica forgets by its own clock. A message that has ended is kept until its retention is over as well, so
 //! that a replica which missed the end cannot bring the message back: it has ended by its retention by then.
 
+use super::StoreNode;
 use crate::api::Output;
 use crate::config::Config;
 use crate::entry::Entry;
-use crate::node::StoreNode;
 use crate::time::Instant;
 use crate::timers::Timer;
 use millrudder_protocol::message::End;
@@ -31,28 +31,28 @@
 
 impl StoreNode {
     /// Sets a message's expiry timer to what is known of it now.
-    pub(crate) fn set_expiry(&mut self, id: MessageId) {
+    pub(super) fn set_expiry(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
-        let at = expiry_of(entry, &self.config);
+        let at = expiry_of(entry, &self.context.config);
         if entry.expiry == Some(at) {
             return;
         }
         if let Some(former) = entry.expiry.replace(at) {
-            self.timers.clear(former, Timer::Expiry(id));
+            self.context.timers.clear(former, Timer::Expiry(id));
         }
-        self.timers.set(at, Timer::Expiry(id));
+        self.context.timers.set(at, Timer::Expiry(id));
     }
 
     /// A message's expiry timer went off.
-    pub(crate) fn handle_expiry(&mut self, id: MessageId) {
+    pub(super) fn handle_expiry(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         entry.expiry = None;
         let is_over = entry.end.is_some() || entry.primary.is_none();
-        if is_over && !self.pending.contains(&id) {
+        if is_over && !self.replication.is_pending(id) {
             self.forget(id);
         } else if is_over {
-            self.timers.set(self.now + FORGET_STEP, Timer::Expiry(id));
-        } else if self.is_serving(id.shard) {
+            self.context.timers.set(self.context.now + FORGET_STEP, Timer::Expiry(id));
+        } else if self.primary_terms.is_serving(id.shard) {
             self.retention_over(id);
         } else {
             self.set_expiry(id);
@@ -69,9 +69,7 @@
     fn forget(&mut self, id: MessageId) {
         self.remove_callback(id);
         self.table.remove(id);
-        for peer in self.peers.values_mut() {
-            peer.catch_up.remove(&id);
-        }
-        self.outputs.push(Output::Released { id });
+        self.replication.forget(id);
+        self.context.outputs.push(Output::Released { id });
     }
 }
--- a/system/state/queue/src/grants.rs
+++ b/system/state/queue/src/node/grants.rs
@@ -1,11 +1,11 @@
 //! From an accepted message to its delivery: delays, order keys, ceilings, credits, grants.
 
+use super::StoreNode;
 use crate::api::ConnectionId;
 use crate::dispatchers::LeaseConfirmation;
 use crate::entry::Entry;
-use crate::node::StoreNode;
 use crate::primary_entry::{Effect, Lease, Stage};
-use crate::schedule::{ReadyKey, ServiceIndex};
+use crate::scheduling::{Permit, ReadyKey, ServiceIndex};
 use crate::time::millis;
 use crate::timers::Timer;
 use millrudder_protocol::message::{Grant, Message};
@@ -19,7 +19,7 @@
 
 impl StoreNode {
     /// The service of this name; every open dispatcher may be granted its messages.
-    pub(crate) fn service(&mut self, name: &str) -> ServiceIndex {
+    pub(super) fn service(&mut self, name: &str) -> ServiceIndex {
         if let Some(index) = self.services.find(name) {
             return index;
         }
@@ -27,14 +27,14 @@
         for (dispatcher, incarnation) in
             self.dispatchers.iter().filter(|(_, incarnation)| incarnation.is_open())
         {
-            let limit = incarnation.limits.get(&index).copied().unwrap_or(self.config.default_credit);
-            self.services.get_mut(index).credits.open(dispatcher, limit, incarnation.distance);
+            let limit = incarnation.limit_of(index).unwrap_or(self.context.config.default_credit);
+            self.services.get_mut(index).credits_mut().open(dispatcher, limit, incarnation.distance());
         }
         index
     }
 
     /// Puts a message that has not ended and is not out where it belongs.
-    pub(crate) fn schedule(&mut self, id: MessageId) {
+    pub(super) fn schedule(&mut self, id: MessageId) {
         let Some(entry) = self.table.get(id) else { return };
         let Some(primary) = entry.primary.as_ref() else { return };
         if entry.end.is_some() || matches!(primary.stage, Stage::InFlight(_)) || self.end_if_exhausted(id) {
@@ -49,16 +49,16 @@
         };
         if !is_first {
             self.set_stage(id, Stage::WaitingForKey);
-        } else if until > self.now {
+        } else if until > self.context.now {
             self.set_stage(id, Stage::BackingOff { until });
-            self.timers.set(until, Timer::BackoffOver(id));
+            self.context.timers.set(until, Timer::BackoffOver(id));
         } else {
             self.make_ready(id);
         }
     }
 
     fn set_stage(&mut self, id: MessageId, stage: Stage) {
-        if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
+        if let Some(primary) = self.table.primary_mut(id) {
             primary.stage = stage;
         }
     }
@@ -69,29 +69,30 @@
         let service = self.service(&name);
         let Some(entry) = self.table.get(id) else { return };
         let (due, start_by) = (entry.due(), entry.start_by());
-        let late = start_by < self.now;
+        let late = start_by < self.context.now;
         let key = ReadyKey { priority, late, due, sequence: entry.sequence, id, start_by, service };
         self.set_stage(id, Stage::Ready(key));
-        self.services.get_mut(service).ready.insert(key);
-        self.services.runnable.insert(service);
+        self.services.get_mut(service).insert_ready(key);
+        self.services.mark_runnable(service);
     }
 
     /// A message's wait is over.
-    pub(crate) fn handle_backoff_over(&mut self, id: MessageId) {
-        let primary = self.table.get(id).and_then(|entry| entry.primary.as_ref());
-        let is_due = primary
-            .is_some_and(|primary| matches!(primary.stage, Stage::BackingOff { until } if until <= self.now));
+    pub(super) fn handle_backoff_over(&mut self, id: MessageId) {
+        let primary = self.table.primary(id);
+        let is_due = primary.is_some_and(
+            |primary| matches!(primary.stage, Stage::BackingOff { until } if until <= self.context.now),
+        );
         if is_due {
             self.make_ready(id);
         }
     }
 
     /// Takes a message out of wherever it is; a lease of it is over.
-    pub(crate) fn unschedule(&mut self, id: MessageId, stage: Stage) {
-        let Some(primary) = self.table.get(id).and_then(|entry| entry.primary.as_ref()) else { return };
+    pub(super) fn unschedule(&mut self, id: MessageId, stage: Stage) {
+        let Some(primary) = self.table.primary(id) else { return };
         match primary.stage {
             Stage::Ready(key) => self.services.get_mut(key.service).remove(key),
-            Stage::BackingOff { until } => self.timers.clear(until, Timer::BackoffOver(id)),
+            Stage::BackingOff { until } => self.context.timers.clear(until, Timer::BackoffOver(id)),
             Stage::InFlight(lease) => self.drop_lease(id, lease),
             Stage::Persisting | Stage::WaitingForKey | Stage::Ended => {}
         }
@@ -101,20 +102,21 @@
     /// A dispatcher's place is free again.
     fn drop_lease(&mut self, id: MessageId, lease: Lease) {
         if let Some(incarnation) = self.dispatchers.get_mut(lease.dispatcher) {
-            incarnation.leases.remove(&id);
+            incarnation.remove_lease(id);
         }
         self.dispatchers.forget_if_gone(lease.dispatcher);
         if let Some(service) = self.service_of(id) {
-            self.services.get_mut(service).credits.release(lease.dispatcher);
+            self.services.get_mut(service).credits_mut().release(lease.dispatcher);
             self.release_unnotified(service, lease);
         }
     }
 
     /// A grant does not wait for its disks any more.
     fn release_unnotified(&mut self, index: ServiceIndex, lease: Lease) {
-        let service = self.services.get_mut(index);
-        service.unnotified = service.unnotified.saturating_sub(usize::from(!lease.is_notified));
-        self.services.runnable.insert(index);
+        if !lease.is_notified {
+            self.services.get_mut(index).remove_unnotified();
+        }
+        self.services.mark_runnable(index);
     }
 
     fn service_of(&self, id: MessageId) -> Option<ServiceIndex> {
@@ -125,8 +127,8 @@
     /// Notes that a dispatcher has a lease and that this takes one of its places.
     fn take_lease(&mut self, id: MessageId, lease: Lease, confirmation: LeaseConfirmation) {
         self.set_stage(id, Stage::InFlight(lease));
-        let now = self.now;
-        self.dispatchers.add(lease.dispatcher, now).leases.insert(id, confirmation);
+        let now = self.context.now;
+        self.dispatchers.add(lease.dispatcher, now).add_lease(id, confirmation);
         let Some(name) =
             self.table.get(id).and_then(|entry| entry.message.as_ref()).map(|m| m.service.clone())
         else {
@@ -134,29 +136,31 @@
         };
         let service = self.service(&name);
         let service = self.services.get_mut(service);
-        service.credits.reserve(lease.dispatcher);
-        service.unnotified += usize::from(!lease.is_notified);
+        service.credits_mut().reserve(lease.dispatcher);
+        if !lease.is_notified {
+            service.add_unnotified();
+        }
     }
 
     /// Grants what may be granted since the last call.
-    pub(crate) fn grant_runnable_services(&mut self) {
-        while let Some(service) = self.services.runnable.pop_first() {
+    pub(super) fn grant_runnable_services(&mut self) {
+        while let Some(service) = self.services.next_runnable() {
             while self.grant_first(service) {}
         }
     }
 
     /// Grants the first ready message of a service, if a dispatcher has room and the ceiling allows it.
-    pub(crate) fn grant_first(&mut self, index: ServiceIndex) -> bool {
-        let now = self.now;
+    pub(super) fn grant_first(&mut self, index: ServiceIndex) -> bool {
+        let now = self.context.now;
         let service = self.services.get_mut(index);
         let Some(key) = service.first_ready(now) else { return false };
-        let primary = self.table.get(key.id).and_then(|entry| entry.primary.as_ref());
+        let primary = self.table.primary(key.id);
         let returned_by = primary.and_then(|primary| primary.returned_by);
         let acceptor = primary.and_then(|primary| primary.accepted_by).map(|acceptor| acceptor.dispatcher);
         let acceptor = acceptor.filter(|dispatcher| Some(*dispatcher) != returned_by);
-        let preferred = acceptor.filter(|dispatcher| service.credits.has_free(*dispatcher));
+        let preferred = acceptor.filter(|dispatcher| service.credits().has_free(*dispatcher));
         let home = self.home_for(key.id, index, acceptor, returned_by);
-        let others = || self.services.get(index).credits.best_except(returned_by);
+        let others = || self.services.get(index).credits().best_except(returned_by);
         let Some(dispatcher) = home.or(preferred).or_else(others) else { return false };
         if !self.take_permit(index) {
             return false;
@@ -166,7 +170,7 @@
         let grant = Grant { dispatcher, token };
         self.take_lease(
             key.id,
-            Lease { dispatcher, token, is_notified: false, granted_at: self.now },
+            Lease { dispatcher, token, is_notified: false, granted_at: self.context.now },
             LeaseConfirmation::Confirmed,
         );
         self.apply_record(key.id, Record::Granted { id: key.id, grant });
@@ -186,56 +190,48 @@
     ) -> Option<DispatcherId> {
         let message = self.table.get(id)?.message.as_ref()?;
         let service = self.services.get(index);
-        if message.order_key.is_none() && service.rate_limit.is_none() {
+        if message.order_key.is_none() && !service.has_rate_limit() {
             return None;
         }
         let has_capacity =
-            |home: &DispatcherId| Some(*home) != returned_by && service.credits.has_free(*home);
+            |home: &DispatcherId| Some(*home) != returned_by && service.credits().has_free(*home);
         let homes: Vec<DispatcherId> = self
             .dispatchers
-            .home_dispatchers(&message.service, self.config.home_dispatchers_per_service)
+            .home_dispatchers(&message.service, self.context.config.home_dispatchers_per_service)
             .into_iter()
             .filter(has_capacity)
             .collect();
         let own = acceptor.filter(|acceptor| homes.contains(acceptor));
-        own.or_else(|| homes.into_iter().max_by_key(|home| service.credits.free(*home)))
+        own.or_else(|| homes.into_iter().max_by_key(|home| service.credits().free(*home)))
     }
 
-    pub(crate) fn token(&mut self, id: MessageId) -> Option<LeaseToken> {
-        self.primary_terms.get_mut(&id.shard).map(|primary_term| primary_term.token())
+    pub(super) fn token(&mut self, id: MessageId) -> Option<LeaseToken> {
+        self.primary_terms.get_mut(id.shard).map(|primary_term| primary_term.token())
     }
 
-    /// Takes a permit of the service's ceiling, or sets the timer for the next one.
+    /// Takes a permit of the service's rate limit, or sets the timer for the next one.
     fn take_permit(&mut self, index: ServiceIndex) -> bool {
-        let now = self.now;
-        let service = self.services.get_mut(index);
-        let Some(rate_limit) = service.rate_limit.as_mut() else { return true };
-        // The next grant that is told wakes the service.
-        if service.unnotified >= rate_limit.max_unnotified() {
-            return false;
-        }
-        if rate_limit.take(now) {
-            return true;
+        match self.services.get_mut(index).take_permit(self.context.now) {
+            Permit::Taken => true,
+            Permit::Awaited => false,
+            Permit::AvailableAt(at) => {
+                self.context.timers.set(at, Timer::PermitAvailable(index));
+                false
+            }
         }
-        let next = rate_limit.next();
-        // A rate that has risen brings the permit forward.
-        if service.permit_at.is_none_or(|permit_at| next < permit_at) {
-            service.permit_at = Some(next);
-            self.timers.set(next, Timer::PermitAvailable(index));
-        }
-        false
     }
 
-    pub(crate) fn handle_permit_due(&mut self, index: ServiceIndex) {
-        self.services.get_mut(index).permit_at = None;
-        self.services.runnable.insert(index);
+    /// A rate limit may have a permit again.
+    pub(super) fn handle_permit_due(&mut self, index: ServiceIndex) {
+        self.services.get_mut(index).clear_permit_timer();
+        self.services.mark_runnable(index);
     }
 
     /// Grants a message to the dispatcher that sends it to be accepted, or to a home dispatcher of its service, if nothing
     /// speaks against it.
-    pub(crate) fn grant_at_accept(&mut self, id: MessageId, dispatcher: DispatcherId) {
+    pub(super) fn grant_at_accept(&mut self, id: MessageId, dispatcher: DispatcherId) {
         let Some(entry) = self.table.get(id) else { return };
-        let is_due = entry.due() <= self.now;
+        let is_due = entry.due() <= self.context.now;
         let Some(message) = entry.message.as_ref().filter(|_| is_due) else { return };
         let (name, key) = (message.service.clone(), message.order_key.clone());
         let is_ordered = key.is_some();
@@ -246,19 +242,19 @@
         let service = self.services.get(index);
         // Where any shard may take it, the one that accepts it delivers it, also beyond its credit: it has the body, and
         // a dispatcher that finds this store slow withdraws the message without anybody else having run it.
-        let is_bound = service.rate_limit.is_some() || is_ordered;
+        let is_bound = service.has_rate_limit() || is_ordered;
         let dispatcher = match is_bound {
-            false => Some(dispatcher).filter(|dispatcher| service.credits.is_open(*dispatcher)),
-            true if !service.ready.is_empty() => None,
+            false => Some(dispatcher).filter(|dispatcher| service.credits().is_open(*dispatcher)),
+            true if service.has_ready() => None,
             true => self
                 .home_for(id, index, Some(dispatcher), None)
-                .or_else(|| Some(dispatcher).filter(|dispatcher| service.credits.has_free(*dispatcher))),
+                .or_else(|| Some(dispatcher).filter(|dispatcher| service.credits().has_free(*dispatcher))),
         };
         let Some(dispatcher) = dispatcher.filter(|_| self.take_permit(index)) else { return };
         let Some(token) = self.token(id) else { return };
         self.take_lease(
             id,
-            Lease { dispatcher, token, is_notified: false, granted_at: self.now },
+            Lease { dispatcher, token, is_notified: false, granted_at: self.context.now },
             LeaseConfirmation::Confirmed,
         );
         if let Some(entry) = self.table.get_mut(id) {
@@ -267,7 +263,7 @@
     }
 
     /// A grant is kept: its dispatcher may use it.
-    pub(crate) fn deliver(&mut self, id: MessageId, token: LeaseToken) {
+    pub(super) fn deliver(&mut self, id: MessageId, token: LeaseToken) {
         let Some(lease) = self.lease_of(id).filter(|lease| lease.token == token && !lease.is_notified) else {
             return;
         };
@@ -278,31 +274,32 @@
     }
 
     /// The dispatcher is told of its lease now.
-    pub(crate) fn mark_notified(&mut self, id: MessageId, lease: Lease) {
-        if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
+    pub(super) fn mark_notified(&mut self, id: MessageId, lease: Lease) {
+        if let Some(primary) = self.table.primary_mut(id) {
             primary.stage = Stage::InFlight(Lease { is_notified: true, ..lease });
             primary.possible_runners.add(lease.dispatcher);
         }
         let Some(service) = self.service_of(id) else { return };
         self.release_unnotified(service, lease);
-        let (now, is_late) = (self.now, self.now.saturating_duration_since(lease.granted_at) > LATE_GRANT);
-        if let Some(rate_limit) = self.services.get_mut(service).rate_limit.as_mut().filter(|_| is_late) {
-            rate_limit.borrow(now);
+        let is_late = self.context.now.saturating_duration_since(lease.granted_at) > LATE_GRANT;
+        if is_late {
+            self.services.get_mut(service).borrow_permit(self.context.now);
         }
     }
 
     /// The dispatcher accepted the message so lately that it has the body still.
-    pub(crate) fn has_body(&self, id: MessageId, dispatcher: DispatcherId) -> bool {
-        let primary = self.table.get(id).and_then(|entry| entry.primary.as_ref());
+    pub(super) fn has_body(&self, id: MessageId, dispatcher: DispatcherId) -> bool {
+        let primary = self.table.primary(id);
         let acceptor = primary.and_then(|primary| primary.accepted_by);
-        let is_recent = |at| self.now.saturating_duration_since(at) < self.config.body_retention;
+        let is_recent =
+            |at| self.context.now.saturating_duration_since(at) < self.context.config.body_retention;
         acceptor.is_some_and(|acceptor| acceptor.dispatcher == dispatcher && is_recent(acceptor.at))
     }
 
     fn send_delivery(&mut self, connection: ConnectionId, id: MessageId, token: LeaseToken, with_body: bool) {
         let Some(entry) = self.table.get(id) else { return };
         let message: Option<Box<Message>> = entry.message.clone().filter(|_| with_body);
-        let age_ms = millis(self.now.saturating_duration_since(entry.received));
+        let age_ms = millis(self.context.now.saturating_duration_since(entry.received));
         let failed_attempts = entry.failed_attempts;
         self.send_to_dispatcher(
             connection,
@@ -311,42 +308,43 @@
     }
 
     /// A dispatcher lacks the body of what it was granted.
-    pub(crate) fn handle_need_body(&mut self, connection: ConnectionId, id: MessageId, token: LeaseToken) {
+    pub(super) fn handle_need_body(&mut self, connection: ConnectionId, id: MessageId, token: LeaseToken) {
         let dispatcher = self.dispatchers.of(connection);
         let lease =
             self.lease_of(id).filter(|lease| lease.token == token && Some(lease.dispatcher) == dispatcher);
         if lease.is_some() {
             self.send_delivery(connection, id, token, true);
-        } else if self.is_serving(id.shard) && !self.send_callback_again(connection, id, token) {
+        } else if self.primary_terms.is_serving(id.shard) && !self.send_callback_again(connection, id, token)
+        {
             self.send_to_dispatcher(connection, ToDispatcher::Revoke { id, token });
         }
     }
 
-    pub(crate) fn lease_of(&self, id: MessageId) -> Option<Lease> {
+    pub(super) fn lease_of(&self, id: MessageId) -> Option<Lease> {
         self.table.get(id)?.primary.as_ref()?.lease()
     }
 
     /// A lease is over without an outcome that counts: the message waits for `wait`, then it is granted again.
-    pub(crate) fn reschedule(&mut self, id: MessageId, wait: Duration) {
+    pub(super) fn reschedule(&mut self, id: MessageId, wait: Duration) {
         self.unschedule(id, Stage::Persisting);
-        let not_before = self.now + wait;
-        if let Some(primary) = self.table.get_mut(id).and_then(|entry| entry.primary.as_mut()) {
+        let not_before = self.context.now + wait;
+        if let Some(primary) = self.table.primary_mut(id) {
             primary.not_before = not_before;
         }
         self.schedule(id);
     }
 
     /// A former primary granted this, and its dispatcher may hold it: it must list it, or it is granted again.
-    pub(crate) fn adopt_lease(&mut self, id: MessageId, grant: Grant) {
-        let Some(term) = self.primary_terms.get(&id.shard).map(|primary_term| primary_term.number) else {
+    pub(super) fn adopt_lease(&mut self, id: MessageId, grant: Grant) {
+        let Some(term) = self.primary_terms.number_of(id.shard) else {
             return;
         };
-        let until = self.now + self.config.reconnect_timeout;
+        let until = self.context.now + self.context.config.reconnect_timeout;
         let incarnation = self.dispatchers.get(grant.dispatcher);
-        let listed =
-            incarnation.filter(|incarnation| incarnation.connection.is_some() && incarnation.epoch >= term);
-        let is_held = listed.map(|incarnation| incarnation.held.get(&id) == Some(&grant.token));
-        let in_doubt = listed.is_some_and(|incarnation| incarnation.in_doubt.contains(&id));
+        let announced =
+            incarnation.filter(|incarnation| incarnation.is_connected() && incarnation.epoch() >= term);
+        let is_held = announced.map(|incarnation| incarnation.announced_token(id) == Some(grant.token));
+        let in_doubt = announced.is_some_and(|incarnation| incarnation.is_in_doubt(id));
         if is_held == Some(false) && !in_doubt {
             return;
         }
@@ -363,14 +361,14 @@
             dispatcher: grant.dispatcher,
             token: grant.token,
             is_notified: true,
-            granted_at: self.now,
+            granted_at: self.context.now,
         };
         self.take_lease(id, lease, confirmation);
-        self.timers.set(until, Timer::UnconfirmedLeases(grant.dispatcher));
+        self.context.timers.set(until, Timer::UnconfirmedLeases(grant.dispatcher));
     }
 }
 
 /// The key within which a message keeps its order.
-pub(crate) fn order_key(entry: &Entry) -> Option<&str> {
+pub(super) fn order_key(entry: &Entry) -> Option<&str> {
     entry.message.as_ref()?.order_key.as_deref()
 }
--- a/system/state/queue/src/node.rs
+++ b/system/state/queue/src/node/mod.rs
@@ -1,61 +1,62 @@
-//! The state machine of one store process: takes an event, hands it to the part that it concerns.
+//! The state machine of one store process: takes an input and hands it to the part that it concerns.
+//!
+//! [`StoreNode`] owns the parts; each part owns its state, which only its own methods change. What spans several parts, as
+//! the way of a message from its acceptance to its end, is in the submodules, by the input that begins it.
+
+mod accept;
+mod attempts;
+mod callbacks;
+mod connections;
+mod expiry;
+mod grants;
+mod replica;
+mod replication;
+mod scrub;
+mod takeover;
+mod watchdog;
 
 use crate::api::{ConnectionId, DiskRecord, Input, Output, Recovered};
 use crate::callbacks::Callbacks;
 use crate::config::Config;
-use crate::disk::Disk;
+use crate::context::Context;
 use crate::dispatchers::Dispatchers;
-use crate::keys::Keys;
-use crate::peers::Peer;
-use crate::primary_term::PrimaryTerm;
-use crate::replica::SnapshotTransfer;
-use crate::replication::Change;
-use crate::schedule::{is_limiting, ServiceIndex, Services};
-use crate::table::Table;
-use crate::time::wire_millis;
-use crate::time::Instant;
-use crate::timers::{Timer, Timers};
+use crate::message_table::MessageTable;
+use crate::primary_term::PrimaryTerms;
+use crate::promises::Promises;
+use crate::replication::Replication;
+use crate::scheduling::{is_limiting, Keys, Services};
+use crate::time::{wire_millis, Instant};
+use crate::timers::Timer;
 use millrudder_protocol::control::StoreHealth;
 use millrudder_protocol::message::MessageState;
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::store::{BetweenStores, FromDispatcher, ServiceRate, ToDispatcher};
-use millrudder_protocol::{Epoch, MessageId, ShardId, StoreId};
+use millrudder_protocol::{MessageId, ShardId, StoreId};
 use millrudder_topology::Location;
-use std::collections::{BTreeMap, BTreeSet};
-use std::time::Duration;
+use std::collections::BTreeMap;
+use watchdog::Watchdog;
 
 /// All decisions of one store process.
 #[derive(Clone, Debug)]
 pub struct StoreNode {
-    pub(crate) config: Config,
-    pub(crate) local_id: StoreId,
-    pub(crate) location: Location,
-    pub(crate) now: Instant,
-    pub(crate) outputs: Vec<Output>,
-    pub(crate) placement: Placement,
-    pub(crate) promised_terms: BTreeMap<ShardId, Epoch>,
-    pub(crate) primary_terms: BTreeMap<ShardId, PrimaryTerm>,
-    pub(crate) table: Table,
-    pub(crate) timers: Timers,
-    pub(crate) disk: Disk,
-    pub(crate) peers: BTreeMap<StoreId, Peer>,
-    /// Messages whose latest version is not on as many disks as promised.
-    pub(crate) pending: BTreeSet<MessageId>,
-    /// What became known since the last flush.
-    pub(crate) changes: Vec<Change>,
-    pub(crate) services: Services,
-    pub(crate) rates: BTreeMap<ServiceIndex, f64>,
-    pub(crate) keys: Keys,
-    pub(crate) dispatchers: Dispatchers,
-    pub(crate) callbacks: Callbacks,
-    pub(crate) snapshot_transfers: BTreeMap<(StoreId, ShardId), SnapshotTransfer>,
-    /// The watchdog is to look once all other timers that are due have gone off.
-    is_watchdog_due: bool,
-    /// The message that the watchdog looked at last.
-    pub(crate) watchdog_position: Option<MessageId>,
-    pub(crate) heartbeat_check_at: Option<Instant>,
-    pub(crate) random: fastrand::Rng,
-    leaving: bool,
+    context: Context,
+    /// All messages that are known, of whatever shard.
+    table: MessageTable,
+    /// As replica: terms that were promised to primaries.
+    promises: Promises,
+    /// As primary: terms in which this store is one, and takeovers.
+    primary_terms: PrimaryTerms,
+    /// As primary: writes to the local disk and to other stores.
+    replication: Replication,
+    /// Ready messages, credits and rate limits by service.
+    services: Services,
+    /// Order keys.
+    keys: Keys,
+    dispatchers: Dispatchers,
+    callbacks: Callbacks,
+    watchdog: Watchdog,
+    /// The process is to stop: it serves on until the placement gives its shards to others.
+    is_leaving: bool,
 }
 
 impl StoreNode {
@@ -67,33 +68,18 @@
         now: millrudder_clock::Instant,
         recovered: impl Iterator<Item = Recovered>,
     ) -> Self {
-        let random = fastrand::Rng::with_seed(config.seed ^ local_id.0);
         let mut node = StoreNode {
-            config,
-            local_id,
-            location: location.into(),
-            now: Instant::from(now),
-            outputs: Vec::new(),
-            placement: Placement::default(),
-            promised_terms: BTreeMap::new(),
-            primary_terms: BTreeMap::new(),
-            table: Table::default(),
-            timers: Timers::default(),
-            disk: Disk::new(),
-            peers: BTreeMap::new(),
-            pending: BTreeSet::new(),
-            changes: Vec::new(),
+            context: Context::new(config, local_id, location.into(), Instant::from(now)),
+            table: MessageTable::default(),
+            promises: Promises::default(),
+            primary_terms: PrimaryTerms::default(),
+            replication: Replication::new(),
             services: Services::default(),
-            rates: BTreeMap::new(),
             keys: Keys::default(),
             dispatchers: Dispatchers::default(),
             callbacks: Callbacks::default(),
-            snapshot_transfers: BTreeMap::new(),
-            is_watchdog_due: false,
-            watchdog_position: None,
-            heartbeat_check_at: None,
-            random,
-            leaving: false,
+            watchdog: Watchdog::default(),
+            is_leaving: false,
         };
         node.recover(recovered);
         node.set_scrub_timer();
@@ -104,10 +90,7 @@
     fn recover(&mut self, recovered: impl Iterator<Item = Recovered>) {
         for Recovered { record, age } in recovered {
             match record {
-                DiskRecord::Promised { shard, term } => {
-                    let promise = self.promised_terms.entry(shard).or_default();
-                    *promise = term.max(*promise);
-                }
+                DiskRecord::Promised { shard, term } => self.promises.recover(shard, term),
                 DiskRecord::Message { record } => self.apply_received_record(record, age),
             }
         }
@@ -119,17 +102,17 @@
 
     /// Takes one event; what is to be done is added to `outputs`. Time never goes back.
     pub fn handle(&mut self, now: millrudder_clock::Instant, input: Input, outputs: &mut Vec<Output>) {
-        self.now = self.now.max(Instant::from(now));
+        self.context.now = self.context.now.max(Instant::from(now));
         self.fire_timers();
         self.process_pending_work();
         // After all that was due: a process that was halted finds many timers due at once.
-        if std::mem::take(&mut self.is_watchdog_due) {
+        if self.watchdog.take_due() {
             self.run_watchdog();
             self.process_pending_work();
         }
         self.handle_input(input);
         self.process_pending_work();
-        outputs.append(&mut self.outputs);
+        outputs.append(&mut self.context.outputs);
     }
 
     fn handle_input(&mut self, input: Input) {
@@ -143,7 +126,7 @@
             Input::StoreClosed { store } => self.handle_store_closed(store),
             Input::Synced { ticket } => self.handle_local_synced(ticket),
             Input::DiskFailed => self.handle_disk_failed(),
-            Input::Leaving => self.leaving = true,
+            Input::Leaving => self.is_leaving = true,
             Input::Tick => {}
         }
     }
@@ -153,30 +136,32 @@
         self.grant_runnable_services();
         self.grant_callbacks();
         self.flush();
-        self.send_catch_up();
+        self.replication.send_catch_up(&mut self.context, &mut self.table, &self.primary_terms);
     }
 
     fn fire_timers(&mut self) {
-        self.hedge();
-        while let Some(timer) = self.timers.pop(self.now) {
+        self.replication.hedge(&mut self.context, &mut self.table, &self.primary_terms);
+        while let Some(timer) = self.context.timers.pop(self.context.now) {
             match timer {
                 Timer::BackoffOver(id) => self.handle_backoff_over(id),
                 Timer::Expiry(id) => self.handle_expiry(id),
                 Timer::UnconfirmedLeases(dispatcher) => self.release_unconfirmed(dispatcher),
                 Timer::PermitAvailable(service) => self.handle_permit_due(service),
                 Timer::ReceiverReady(receiver) => {
-                    self.callbacks.runnable.insert(receiver);
+                    self.callbacks.mark_runnable(receiver);
                 }
                 Timer::HeartbeatCheck => self.close_unresponsive(),
-                Timer::SnapshotChunk(store, shard) => self.send_snapshot_chunk(store, shard),
+                Timer::SnapshotChunk(store, shard) => {
+                    self.promises.send_chunk(&mut self.context, &self.table, store, shard);
+                }
                 Timer::Scrub => self.scrub(),
-                Timer::Watchdog => self.is_watchdog_due = true,
+                Timer::Watchdog => self.watchdog.set_due(),
             }
         }
     }
 
     fn handle_dispatcher_message(&mut self, connection: ConnectionId, message: FromDispatcher) {
-        self.dispatchers.record_activity(connection, self.now);
+        self.dispatchers.record_activity(connection, self.context.now);
         match message {
             FromDispatcher::Hello { dispatcher, name: _, zone, epoch, held, in_doubt } => {
                 self.handle_hello(connection, dispatcher, &zone, epoch, &held, in_doubt);
@@ -219,16 +204,16 @@
                 self.handle_scrubbed(from, shard, term, &differing);
             }
             BetweenStores::Filled { shard, term, change } => self.handle_filled(shard, term, change),
-            BetweenStores::Ping => self.send_to_store(from, BetweenStores::Pong),
+            BetweenStores::Ping => self.context.send_to_store(from, BetweenStores::Pong),
         }
     }
 
     fn handle_placement(&mut self, placement: Placement) {
-        if placement.epoch <= self.placement.epoch {
+        if placement.epoch <= self.context.placement.epoch {
             return;
         }
-        self.placement = placement;
-        let count = u16::try_from(self.placement.shards.len()).unwrap_or(u16::MAX);
+        self.context.placement = placement;
+        let count = u16::try_from(self.context.placement.shards.len()).unwrap_or(u16::MAX);
         for number in 0..count {
             self.apply_shard_placement(ShardId(number));
         }
@@ -239,66 +224,52 @@
         for rate in rates.iter().filter(|rate| is_limiting(rate)) {
             by_service.insert(self.service(&rate.service), rate.per_second);
         }
-        self.services.set_rates(&by_service, self.now);
-        self.rates = by_service;
+        self.services.set_rates(&by_service, self.context.now);
     }
 
     /// Nothing on this disk can be promised any more.
     fn handle_disk_failed(&mut self) {
-        self.disk.failed = true;
-        self.snapshot_transfers.clear();
-        let shards: Vec<ShardId> = self.primary_terms.keys().copied().collect();
-        for shard in shards {
+        self.replication.fail_disk();
+        self.promises.cancel_all_transfers();
+        for shard in self.primary_terms.shards() {
             self.step_down(shard);
         }
     }
 
     /// Time at which `Tick` is runnable at the latest.
     pub fn next_deadline(&self) -> Option<millrudder_clock::Instant> {
-        let peers = self.peers.values().filter_map(|peer| peer.deadline(&self.config));
-        let local = self.disk.deadline(self.config.max_write_timeout);
-        let first = peers.chain(local).chain(self.timers.first()).min();
+        let first =
+            self.replication.deadline(&self.context).into_iter().chain(self.context.timers.first()).min();
         first.map(millrudder_clock::Instant::from)
     }
 
     /// What the process tells the core of itself.
     pub fn health(&self, now: millrudder_clock::Instant) -> StoreHealth {
-        let now = Instant::from(now).max(self.now);
-        let serving = self.primary_terms.values().filter(|primary_term| primary_term.is_serving()).count();
-        let oldest_unsynced = if self.disk.failed { Duration::MAX } else { self.disk.oldest_unsynced(now) };
+        let now = Instant::from(now).max(self.context.now);
+        let serving = self.primary_terms.serving_shards().len();
         StoreHealth {
-            oldest_unsynced_ms: wire_millis(oldest_unsynced),
+            oldest_unsynced_ms: wire_millis(self.replication.oldest_unsynced(now)),
             disk_bytes: self.table.bytes(),
             live_messages: self.table.live(),
-            leaving: self.leaving,
+            leaving: self.is_leaving,
             serving: u32::try_from(serving).unwrap_or(u32::MAX),
         }
     }
 
     /// All that is known of a message, for the compaction of segments; `None` after `Released`.
     pub fn state_of(&self, id: MessageId) -> Option<MessageState> {
-        self.table.get(id).map(|entry| entry.state(self.now))
+        self.table.get(id).map(|entry| entry.state(self.context.now))
     }
 
     /// Promises in force, for the compaction of segments.
     pub fn promised_terms(&self) -> Vec<DiskRecord> {
-        let promise = |(shard, term): (&ShardId, &Epoch)| DiskRecord::Promised { shard: *shard, term: *term };
-        self.promised_terms.iter().map(promise).collect()
+        self.promises.records()
     }
 
     /// Sends to a dispatcher whose connection is still there.
-    pub(crate) fn send_to_dispatcher(&mut self, connection: ConnectionId, message: ToDispatcher) {
+    pub(super) fn send_to_dispatcher(&mut self, connection: ConnectionId, message: ToDispatcher) {
         if self.dispatchers.is_connected(connection) {
-            self.outputs.push(Output::ToDispatcher { connection, message });
+            self.context.outputs.push(Output::ToDispatcher { connection, message });
         }
     }
-
-    pub(crate) fn send_to_store(&mut self, store: StoreId, message: BetweenStores) {
-        self.outputs.push(Output::ToStore { store, message });
-    }
-
-    /// This store orders, accepts and grants in the shard now.
-    pub(crate) fn is_serving(&self, shard: ShardId) -> bool {
-        self.primary_terms.get(&shard).is_some_and(PrimaryTerm::is_serving)
-    }
 }
--- /dev/null
+++ b/system/state/queue/src/node/replication.rs
@@ -0,0 +1,138 @@
+//! As primary: changes of messages go to [`Replication`](crate::replication::Replication), and the effects that wait for
+//! them are applied once they are durable.
+
+use super::StoreNode;
+use crate::api::Ticket;
+use crate::primary_entry::{Effect, SentVersion};
+use crate::replication::{defer_until_durable, SyncAction};
+use millrudder_protocol::store::{BetweenStores, Record};
+use millrudder_protocol::{MessageId, RequestNumber, ShardId, StoreId};
+
+/// The acknowledgement that a store is owed for writes which are on the local disk.
+struct Written {
+    store: StoreId,
+    number: RequestNumber,
+}
+
+impl StoreNode {
+    /// Adds a fact to what is known of a message of a shard that is served.
+    pub(super) fn apply_record(&mut self, id: MessageId, record: Record) {
+        self.replication.apply_record(self.context.now, &mut self.table, id, record);
+    }
+
+    /// The full state of a message is to be written.
+    pub(super) fn mark_full_state_changed(&mut self, id: MessageId) {
+        self.replication.mark_full_state_changed(&mut self.table, id);
+    }
+
+    /// Applies `effect` once all that is known of the message now is on as many disks as promised.
+    pub(super) fn when_durable(&mut self, id: MessageId, effect: Effect) {
+        if let Some(effect) = defer_until_durable(&mut self.table, id, effect) {
+            self.apply_effect(id, effect);
+        }
+    }
+
+    /// Writes and sends what became known since the last call.
+    pub(super) fn flush(&mut self) {
+        self.replication.flush(&mut self.context, &mut self.table, &self.primary_terms);
+    }
+
+    /// Lets further stores be sent a message that too few have and may be expected to have soon.
+    pub(super) fn assign_replicas(&mut self, id: MessageId) {
+        self.replication.assign_replicas(&mut self.context, &mut self.table, &self.primary_terms, id);
+    }
+
+    /// Fills a learner of a shard that is served with what it lacks.
+    pub(super) fn fill_learner(&mut self, shard: ShardId, store: StoreId) {
+        self.replication.fill_learner(&self.table, &self.primary_terms, shard, store);
+    }
+
+    /// A store has synced everything up to `number`.
+    pub(super) fn handle_written(&mut self, from: StoreId, number: RequestNumber) {
+        for sent in self.replication.handle_written(from, number, self.context.now) {
+            self.record_ack(from, sent);
+        }
+    }
+
+    /// A version is on a store's disk.
+    fn record_ack(&mut self, store: StoreId, sent: SentVersion) {
+        let effects = self.replication.record_ack(&mut self.table, &self.primary_terms, store, sent);
+        self.apply_effects(sent.id, effects);
+    }
+
+    /// Counts the disks that a message is on, and applies what waited for them.
+    pub(super) fn update_durable_version(&mut self, id: MessageId) {
+        let effects = self.replication.update_durable_version(&mut self.table, &self.primary_terms, id);
+        self.apply_effects(id, effects);
+    }
+
+    fn apply_effects(&mut self, id: MessageId, effects: Vec<Effect>) {
+        for effect in effects {
+            self.apply_effect(id, effect);
+        }
+    }
+
+    /// Everything up to `ticket` is on the local disk.
+    pub(super) fn handle_local_synced(&mut self, ticket: Ticket) {
+        // Writes of one store that were synced together are acknowledged together, by the highest number.
+        let mut written: Vec<Written> = Vec::new();
+        for action in self.replication.handle_local_synced(ticket) {
+            match action {
+                SyncAction::Nothing => {}
+                SyncAction::Own(sent) => self.handle_own_synced(sent),
+                SyncAction::Write { store, number } => note_written(&mut written, store, number),
+                SyncAction::OwnPromise { shard, term } => self.handle_own_promise_synced(shard, term),
+                SyncAction::Promise { store, shard, term } => {
+                    self.promises.start_transfer(&mut self.context, &self.table, store, shard, term);
+                }
+            }
+        }
+        for Written { store, number } in written {
+            self.context.send_to_store(store, BetweenStores::Written { number });
+        }
+    }
+
+    fn handle_own_synced(&mut self, sent: SentVersion) {
+        self.handle_merged_synced(sent);
+        self.record_ack(self.context.local_id, sent);
+    }
+
+    /// A connection with another store is open, whoever opened it; a former one counts as closed.
+    pub(super) fn handle_store_connected(&mut self, store: StoreId) {
+        self.handle_store_closed(store);
+        self.replication.handle_connected(&mut self.context, &mut self.table, &self.primary_terms, store);
+        for shard in self.primary_terms.shards() {
+            self.send_prepare(shard, store);
+            self.fill_learner(shard, store);
+        }
+    }
+
+    /// The connection with another store is closed.
+    pub(super) fn handle_store_closed(&mut self, store: StoreId) {
+        self.promises.cancel_transfers_to(store);
+        self.replication.handle_closed(&mut self.context, &mut self.table, &self.primary_terms, store);
+    }
+
+    /// The members of a shard that is served have changed.
+    pub(super) fn handle_members_changed(&mut self, shard: ShardId) {
+        let ids: Vec<MessageId> = self.table.ids_of(shard).collect();
+        for id in ids {
+            self.update_durable_version(id);
+            if self.replication.is_pending(id) {
+                self.assign_replicas(id);
+            }
+        }
+        let learner = self.primary_terms.get(shard).and_then(|primary_term| primary_term.learner());
+        if let Some(learner) = learner {
+            self.fill_learner(shard, learner);
+        }
+    }
+}
+
+/// Acknowledgements of one sync to one store become one, with the highest number.
+fn note_written(written: &mut Vec<Written>, store: StoreId, number: RequestNumber) {
+    match written.iter_mut().find(|known| known.store == store) {
+        Some(known) => known.number = number.max(known.number),
+        None => written.push(Written { store, number }),
+    }
+}
--- a/system/state/queue/src/scrub.rs
+++ b/system/state/queue/src/node/scrub.rs
@@ -1,8 +1,8 @@
 //! Comparison of replicas in the background: a primary sends digests of what it believes others to hold, a few
 //! messages at a time, and writes anew what they lack or know otherwise.
 
+use super::StoreNode;
 use crate::entry::Entry;
-use crate::node::StoreNode;
 use crate::timers::Timer;
 use millrudder_protocol::message::End;
 use millrudder_protocol::store::{BetweenStores, ScrubEntry};
@@ -38,29 +38,27 @@
 }
 
 impl StoreNode {
-    pub(crate) fn set_scrub_timer(&mut self) {
-        if !self.config.scrub_interval.is_zero() {
-            self.timers.set(self.now + self.config.scrub_interval, Timer::Scrub);
+    pub(super) fn set_scrub_timer(&mut self) {
+        if !self.context.config.scrub_interval.is_zero() {
+            self.context.timers.set(self.context.now + self.context.config.scrub_interval, Timer::Scrub);
         }
     }
 
     /// Compares the next messages of every shard that is served.
-    pub(crate) fn scrub(&mut self) {
+    pub(super) fn scrub(&mut self) {
         self.set_scrub_timer();
-        let serving = self.primary_terms.iter().filter(|(_, primary_term)| primary_term.is_serving());
-        let shards: Vec<ShardId> = serving.map(|(shard, _)| *shard).collect();
-        for shard in shards {
+        for shard in self.primary_terms.serving_shards() {
             self.scrub_shard(shard);
         }
     }
 
     fn scrub_shard(&mut self, shard: ShardId) {
-        let Some(primary_term) = self.primary_terms.get(&shard) else { return };
-        let (term, first) = (primary_term.number, MessageId { shard, unique: primary_term.scrub_from });
+        let Some(primary_term) = self.primary_terms.get(shard) else { return };
+        let (term, first) = (primary_term.number(), MessageId { shard, unique: primary_term.scrub_from() });
         let mut by_store: BTreeMap<StoreId, Vec<ScrubEntry>> = BTreeMap::new();
         let mut next = 0;
         for (count, entry) in self.table.of_shard_from(first).enumerate() {
-            if count >= self.config.scrub_messages {
+            if count >= self.context.config.scrub_messages {
                 next = entry.id.unique;
                 break;
             }
@@ -69,38 +67,39 @@
                 by_store.entry(store).or_default().push(scrubbed);
             }
         }
-        if let Some(primary_term) = self.primary_terms.get_mut(&shard) {
-            primary_term.scrub_from = next;
+        if let Some(primary_term) = self.primary_terms.get_mut(shard) {
+            primary_term.set_scrub_from(next);
         }
         for (store, entries) in by_store {
-            self.send_to_store(store, BetweenStores::Scrub { shard, term, entries });
+            self.context.send_to_store(store, BetweenStores::Scrub { shard, term, entries });
         }
     }
 
     /// Other replicas that have said that all that is known of a message is on their disks.
     fn fully_acked_replicas(&self, entry: &Entry) -> Vec<StoreId> {
-        let is_kept = entry.expiry.is_some_and(|expiry| expiry > self.now + SOON_FORGOTTEN);
+        let is_kept = entry.expiry.is_some_and(|expiry| expiry > self.context.now + SOON_FORGOTTEN);
         let Some(primary) = entry.primary.as_ref().filter(|_| is_kept) else { return Vec::new() };
-        let Some(primary_term) = self.primary_terms.get(&entry.id.shard) else { return Vec::new() };
-        let is_connected = |store: StoreId| self.peers.get(&store).is_some_and(|peer| peer.connected);
+        let Some(primary_term) = self.primary_terms.get(entry.id.shard) else { return Vec::new() };
         let holders = primary.replica_progress.iter().filter(|progress| progress.acked == primary.version);
         let stores = holders.map(|progress| progress.store);
         stores
             .filter(|store| {
-                *store != self.local_id && primary_term.is_replica(*store) && is_connected(*store)
+                *store != self.context.local_id
+                    && primary_term.is_replica(*store)
+                    && self.replication.is_connected(*store)
             })
             .collect()
     }
 
     /// As replica: compares what a primary believes with what is known here.
-    pub(crate) fn handle_scrub(
+    pub(super) fn handle_scrub(
         &mut self,
         from: StoreId,
         shard: ShardId,
         term: Epoch,
         entries: &[ScrubEntry],
     ) {
-        if self.disk.failed || self.promised_terms.get(&shard).is_some_and(|promised| *promised > term) {
+        if self.replication.is_disk_failed() || self.promises.term_of(shard) > term {
             return;
         }
         let differs = |entry: &&ScrubEntry| {
@@ -110,12 +109,12 @@
         let differing = entries.iter().filter(differs).map(|entry| MessageId { shard, unique: entry.unique });
         let differing: Vec<MessageId> = differing.collect();
         if !differing.is_empty() {
-            self.send_to_store(from, BetweenStores::Scrubbed { shard, term, differing });
+            self.context.send_to_store(from, BetweenStores::Scrubbed { shard, term, differing });
         }
     }
 
     /// A replica lacks messages, or knows them otherwise: it holds nothing of them, as far as is known here.
-    pub(crate) fn handle_scrubbed(
+    pub(super) fn handle_scrubbed(
         &mut self,
         from: StoreId,
         shard: ShardId,
@@ -124,10 +123,10 @@
     ) {
         let is_own = self
             .primary_terms
-            .get(&shard)
-            .is_some_and(|primary_term| primary_term.is_serving() && primary_term.number == term);
+            .get(shard)
+            .is_some_and(|primary_term| primary_term.is_serving() && primary_term.number() == term);
         for id in differing.iter().filter(|id| is_own && id.shard == shard) {
-            let Some(primary) = self.table.get_mut(*id).and_then(|entry| entry.primary.as_mut()) else {
+            let Some(primary) = self.table.primary_mut(*id) else {
                 continue;
             };
             let progress = primary.progress_mut(from);
--- a/system/state/queue/src/takeover.rs
+++ b/system/state/queue/src/node/takeover.rs
@@ -1,40 +1,40 @@
-//! Becoming a shard's primary: a read quorum promised_terms the shard and tells what it knows; what is known together is
+//! Becoming a shard's primary: a read quorum promises the shard and tells what it knows; what is known together is
 //! served, and what too few disks hold is written to more of them meanwhile.
 //!
-//! What is heard is appended to the local disk before anything else is done with it. So nothing is ever known here that
+//! What others tell is appended to the local disk before anything else is done with it. So nothing is ever known here that
 //! a later promise does not find synced: a store tells another only what its disk holds.
 
+use super::grants::order_key;
+use super::StoreNode;
 use crate::api::DiskRecord;
-use crate::disk::SyncAction;
 use crate::entry::{Entry, EntryVersion};
-use crate::grants::order_key;
-use crate::node::StoreNode;
-use crate::peers::Sent;
-use crate::primary_entry::{Effect, PendingEffect, PossibleRunners, PrimaryEntry, ReplicaProgress, Stage};
+use crate::primary_entry::{
+    Effect, PendingEffect, PossibleRunners, PrimaryEntry, ReplicaProgress, SentVersion, Stage,
+};
 use crate::primary_term::{MergedRecord, PrimaryTerm, RecoveredCopy};
-use crate::schedule::ServiceIndex;
+use crate::replication::SyncAction;
 use millrudder_protocol::message::MessageState;
 use millrudder_protocol::store::{BetweenStores, Record};
 use millrudder_protocol::{Epoch, MessageId, Sequence, ShardId, StoreId};
 use std::time::Duration;
 
-/// Version of a message at the start of a reign.
+/// Version of a message at the start of a term.
 const FIRST_VERSION: u32 = 1;
 
 impl StoreNode {
     /// Takes over what a newer placement says of one shard.
-    pub(crate) fn apply_shard_placement(&mut self, shard: ShardId) {
-        let Some(entry) = self.placement.shard(shard) else { return };
-        let tolerated = self.placement.tolerated_losses;
-        let present = self.primary_terms.get(&shard).map(|primary_term| primary_term.number);
-        if entry.primary != self.local_id || self.disk.failed {
+    pub(super) fn apply_shard_placement(&mut self, shard: ShardId) {
+        let Some(entry) = self.context.placement.shard(shard) else { return };
+        let tolerated = self.context.placement.tolerated_losses;
+        let present = self.primary_terms.number_of(shard);
+        if entry.primary != self.context.local_id || self.replication.is_disk_failed() {
             if present.is_some() {
                 self.step_down(shard);
             }
             return;
         }
         let primary_term = PrimaryTerm::new(entry, tolerated);
-        if present != Some(primary_term.number) {
+        if present != Some(primary_term.number()) {
             if present.is_some() {
                 self.step_down(shard);
             }
@@ -45,72 +45,59 @@
     }
 
     fn change_members(&mut self, shard: ShardId, new: PrimaryTerm) {
-        let Some(primary_term) = self.primary_terms.get_mut(&shard) else { return };
-        if primary_term.memberships == new.memberships && primary_term.change == new.change {
+        let Some(primary_term) = self.primary_terms.get_mut(shard) else { return };
+        if !primary_term.change_members(new) {
             return;
         }
-        primary_term.memberships = new.memberships;
-        primary_term.change = new.change;
         if primary_term.is_serving() {
             self.handle_members_changed(shard);
         }
-        let members = self.peers.keys().copied().collect::<Vec<_>>();
-        for store in members {
-            self.send_prepare(shard, store);
-        }
+        self.send_prepare_to_all(shard);
         self.try_serve(shard);
     }
 
     fn start_term(&mut self, shard: ShardId, mut primary_term: PrimaryTerm) {
-        let term = primary_term.number;
-        if self.promised_terms.get(&shard).is_some_and(|promised| *promised > term) {
+        let term = primary_term.number();
+        if self.promises.term_of(shard) > term {
             return;
         }
-        let local_id = self.local_id;
-        if let Some(takeover) = &mut primary_term.takeover {
-            for entry in self.table.of_shard_from(MessageId { shard, unique: 0 }) {
-                takeover.recovered.insert(
-                    entry.id,
-                    vec![RecoveredCopy { store: local_id, entry_version: entry.entry_version() }],
-                );
-            }
+        for entry in self.table.of_shard_from(MessageId { shard, unique: 0 }) {
+            primary_term.add_own_copy(self.context.local_id, entry);
         }
         self.primary_terms.insert(shard, primary_term);
         self.append_promise(shard, term, SyncAction::OwnPromise { shard, term });
-        let stores: Vec<StoreId> = self.peers.keys().copied().collect();
-        for store in stores {
+        self.send_prepare_to_all(shard);
+    }
+
+    fn send_prepare_to_all(&mut self, shard: ShardId) {
+        for store in self.replication.peer_ids() {
             self.send_prepare(shard, store);
         }
     }
 
-    /// Asks a member that did not send_to_dispatcher all it knows in this reign.
-    pub(crate) fn send_prepare(&mut self, shard: ShardId, store: StoreId) {
-        let Some(primary_term) = self.primary_terms.get(&shard) else { return };
-        let is_connected = self.peers.get(&store).is_some_and(|peer| peer.connected);
+    /// Asks a member that has not told all it knows in this term to promise the shard.
+    pub(super) fn send_prepare(&mut self, shard: ShardId, store: StoreId) {
+        let Some(primary_term) = self.primary_terms.get(shard) else { return };
+        let is_connected = self.replication.is_connected(store);
         if is_connected
-            && store != self.local_id
+            && store != self.context.local_id
             && primary_term.is_member(store)
-            && !primary_term.promised_by.contains(&store)
+            && !primary_term.has_promise_of(store)
         {
-            let term = primary_term.number;
-            self.send_to_store(store, BetweenStores::Prepare { shard, term });
+            let term = primary_term.number();
+            self.context.send_to_store(store, BetweenStores::Prepare { shard, term });
         }
     }
 
-    pub(crate) fn handle_own_promise_synced(&mut self, shard: ShardId, term: Epoch) {
-        let Some(primary_term) =
-            self.primary_terms.get_mut(&shard).filter(|primary_term| primary_term.number == term)
-        else {
-            return;
-        };
-        if let Some(takeover) = &mut primary_term.takeover {
-            takeover.is_own_promise_synced = true;
-        }
+    /// The promise of the shard to this store itself is on the local disk.
+    pub(super) fn handle_own_promise_synced(&mut self, shard: ShardId, term: Epoch) {
+        let Some(primary_term) = self.primary_terms.get_exact_mut(shard, term) else { return };
+        primary_term.note_own_promise_synced();
         self.try_serve(shard);
     }
 
-    /// A piece of what a replica knows.
-    pub(crate) fn handle_promise(
+    /// A chunk of what a replica that has promised the shard has on its disk.
+    pub(super) fn handle_promise(
         &mut self,
         from: StoreId,
         shard: ShardId,
@@ -118,11 +105,7 @@
         states: Vec<MessageState>,
         last: bool,
     ) {
-        let Some(primary_term) =
-            self.primary_terms.get(&shard).filter(|primary_term| primary_term.number == term)
-        else {
-            return;
-        };
+        let Some(primary_term) = self.primary_terms.get_exact_mut(shard, term) else { return };
         let is_serving = primary_term.is_serving();
         for state in states.into_iter().filter(|state| state.id.shard == shard) {
             if is_serving {
@@ -134,20 +117,16 @@
         if !last {
             return;
         }
-        if let Some(primary_term) = self.primary_terms.get_mut(&shard) {
-            primary_term.promised_by.insert(from);
+        if let Some(primary_term) = self.primary_terms.get_mut(shard) {
+            primary_term.note_promise(from);
         }
         self.try_serve(shard);
     }
 
-    /// A replica that is waited for tells what its disk holds.
+    /// A replica that the takeover waits for tells what its disk holds.
     fn merge_before_serving(&mut self, from: StoreId, state: MessageState) {
         let (id, entry_version) = (state.id, EntryVersion::of_state(&state));
-        let Some(takeover) =
-            self.primary_terms.get_mut(&id.shard).and_then(|primary_term| primary_term.takeover.as_mut())
-        else {
-            return;
-        };
+        let Some(takeover) = self.primary_terms.takeover_mut(id.shard) else { return };
         let recovered = takeover.recovered.entry(id).or_default();
         recovered.retain(|recovered| recovered.store != from);
         recovered.push(RecoveredCopy { store: from, entry_version });
@@ -155,18 +134,16 @@
         if !self.merge_and_append(state, appended + 1) {
             return;
         }
-        let takeover =
-            self.primary_terms.get_mut(&id.shard).and_then(|primary_term| primary_term.takeover.as_mut());
-        if let Some(takeover) = takeover {
+        if let Some(takeover) = self.primary_terms.takeover_mut(id.shard) {
             takeover.merged.entry(id).or_default().appended += 1;
         }
     }
 
-    /// Joins what another store told and appends the whole, as this version, if it is more than was known; `false` if
-    /// nothing is new.
+    /// Merges what another store told and appends the full state, as this version, if it is more than was known; `false`
+    /// if nothing is new.
     fn merge_and_append(&mut self, state: MessageState, version: u32) -> bool {
-        let (now, id) = (self.now, state.id);
-        let Some(term) = self.primary_terms.get(&id.shard).map(|primary_term| primary_term.number) else {
+        let (now, id) = (self.context.now, state.id);
+        let Some(term) = self.primary_terms.number_of(id.shard) else {
             return false;
         };
         let before = self.table.get(id).map(Entry::contents);
@@ -175,57 +152,56 @@
             return false;
         };
         let record = Record::State { state: Box::new(entry.state(now)) };
-        let on_synced = SyncAction::Own(Sent { id, term, version });
-        self.disk.append(DiskRecord::Message { record }, on_synced, now, &mut self.outputs);
+        let on_synced = SyncAction::Own(SentVersion { id, term, version });
+        self.replication.append(&mut self.context, DiskRecord::Message { record }, on_synced);
         true
     }
 
-    /// What was heard of a message before the shard is served is on the local disk.
-    pub(crate) fn handle_merged_synced(&mut self, sent: Sent) {
-        let Some(primary_term) = self
-            .primary_terms
-            .get_mut(&sent.id.shard)
-            .filter(|primary_term| primary_term.number == sent.term)
-        else {
+    /// What others told of a message before the shard is served is on the local disk.
+    pub(super) fn handle_merged_synced(&mut self, sent: SentVersion) {
+        if !self.primary_terms.is_current(&sent) {
             return;
-        };
-        let merged = primary_term.takeover.as_mut().and_then(|takeover| takeover.merged.get_mut(&sent.id));
+        }
+        let takeover = self.primary_terms.takeover_mut(sent.id.shard);
+        let merged = takeover.and_then(|takeover| takeover.merged.get_mut(&sent.id));
         if let Some(merged) = merged {
             merged.synced = merged.synced.max(sent.version);
         }
     }
 
-    /// Serves the shard if enough members were heard.
+    /// Serves the shard if a read quorum has promised it.
     fn try_serve(&mut self, shard: ShardId) {
-        let Some(primary_term) = self.primary_terms.get_mut(&shard) else { return };
-        let own = primary_term.takeover.as_ref().is_some_and(|takeover| takeover.is_own_promise_synced);
-        if !own || !primary_term.has_read_quorum(self.local_id) {
+        let Some(primary_term) = self.primary_terms.get_mut(shard) else { return };
+        let own = primary_term.takeover().is_some_and(|takeover| takeover.is_own_promise_synced);
+        if !own || !primary_term.has_read_quorum(self.context.local_id) {
             return;
         }
-        let Some(takeover) = primary_term.takeover.take() else { return };
+        let Some(takeover) = primary_term.take_takeover() else { return };
         for (id, recovered) in takeover.recovered {
             let merged = takeover.merged.get(&id).copied();
             self.create_primary_entry(id, &recovered, merged);
         }
-        self.drain_rate_limits(shard);
+        let placement = &self.context.placement;
+        let is_here = |service: &str| placement.shard_of(service) == Some(shard);
+        self.services.drain_rate_limits(is_here, self.context.now);
         self.schedule_shard(shard);
         for withdrawal in takeover.withdrawals {
             self.handle_withdraw(withdrawal.connection, withdrawal.id);
         }
-        if let Some(learner) = self.primary_terms.get(&shard).and_then(PrimaryTerm::learner) {
+        if let Some(learner) = self.primary_terms.get(shard).and_then(PrimaryTerm::learner) {
             self.fill_learner(shard, learner);
         }
     }
 
-    /// Starts to keep for a message what a primary keeps. `joined`: what the local disk was given since the start; it
-    /// holds the whole once the last of that is synced.
+    /// Creates what a primary keeps of a message. `merged`: what was appended to the local disk since the start, which
+    /// has the full state once the last of that is synced.
     fn create_primary_entry(
         &mut self,
         id: MessageId,
         recovered: &[RecoveredCopy],
         merged: Option<MergedRecord>,
     ) {
-        let (now, local_id) = (self.now, self.local_id);
+        let (now, local_id) = (self.context.now, self.context.local_id);
         let Some(entry) = self.table.get_mut(id) else { return };
         let entry_version = entry.entry_version();
         let mut primary = PrimaryEntry::new(Stage::Persisting, now);
@@ -244,7 +220,7 @@
             sent: version,
             acked: merged.synced,
         }));
-        if let Some(primary_term) = self.primary_terms.get_mut(&id.shard) {
+        if let Some(primary_term) = self.primary_terms.get_mut(id.shard) {
             primary_term.count_past(entry.sequence, entry.grant.map(|grant| grant.token).unwrap_or_default());
             primary.durable = primary_term.durable_version(&primary);
         }
@@ -254,7 +230,7 @@
         let is_durable = primary.durable == primary.version;
         entry.primary = Some(Box::new(primary));
         if !is_durable {
-            self.pending.insert(id);
+            self.replication.mark_pending(id);
             self.assign_replicas(id);
         }
         self.set_expiry(id);
@@ -295,7 +271,7 @@
         }
     }
 
-    /// Lets follow what a message's state asks for, or schedules it.
+    /// Schedules a message, or lets follow what its end asks for.
     fn resume(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let ended = entry.end.is_some();
@@ -315,17 +291,7 @@
         primary.pending_effects.push(PendingEffect { version: primary.version, effect: Effect::Ended });
     }
 
-    fn drain_rate_limits(&mut self, shard: ShardId) {
-        let indexes: Vec<ServiceIndex> = self.services.indexes().collect();
-        for index in indexes {
-            let is_here = self.placement.shard_of(&self.services.get(index).name) == Some(shard);
-            if let Some(rate_limit) = self.services.get_mut(index).rate_limit.as_mut().filter(|_| is_here) {
-                rate_limit.drain(self.now);
-            }
-        }
-    }
-
-    /// A replica that was not waited for tells what it knows: facts that no other one has are added.
+    /// A replica that the takeover did not wait for tells what it knows: what no other one has is added.
     fn merge_while_serving(&mut self, from: StoreId, state: MessageState) {
         let id = state.id;
         if self.table.get(id).is_none() {
@@ -372,23 +338,20 @@
     }
 
     /// Another store is the shard's primary, or this one must not be: everything that only a primary keeps goes.
-    pub(crate) fn step_down(&mut self, shard: ShardId) {
+    pub(super) fn step_down(&mut self, shard: ShardId) {
         self.flush();
         let ids: Vec<MessageId> = self.table.ids_of(shard).collect();
-        for id in ids {
-            self.unschedule(id, Stage::Ended);
-            self.remove_callback(id);
-            self.pending.remove(&id);
-            if let Some(entry) = self.table.get_mut(id) {
+        for id in &ids {
+            self.unschedule(*id, Stage::Ended);
+            self.remove_callback(*id);
+            self.replication.unmark_pending(*id);
+            if let Some(entry) = self.table.get_mut(*id) {
                 entry.primary = None;
             }
         }
-        self.primary_terms.remove(&shard);
+        self.primary_terms.remove(shard);
         self.keys.drop_shard(shard);
-        for peer in self.peers.values_mut() {
-            peer.drop_shard(shard);
-        }
-        let ids: Vec<MessageId> = self.table.ids_of(shard).collect();
+        self.replication.drop_shard(shard);
         for id in ids {
             self.set_expiry(id);
         }
--- a/system/state/queue/src/watchdog.rs
+++ b/system/state/queue/src/node/watchdog.rs
@@ -4,11 +4,12 @@
 //! Each of them is a mistake somewhere: in what wakes a service, or at a dispatcher that forgot what it was granted. So
 //! each is told to the shell as well, to be counted and logged.
 
+use super::grants::order_key;
+use super::StoreNode;
 use crate::api::{OrphanCause, Output};
-use crate::grants::order_key;
-use crate::node::StoreNode;
+use crate::message_table::MessageTable;
 use crate::primary_entry::{Lease, Stage};
-use crate::schedule::ServiceIndex;
+use crate::scheduling::ServiceIndex;
 use crate::time::Instant;
 use crate::timers::Timer;
 use millrudder_protocol::MessageId;
@@ -21,19 +22,50 @@
 /// What is late by so much is late for no good reason: a timer goes off within one turn of the process.
 const LATE_AFTER: Duration = Duration::from_millis(500);
 
+/// Where the scan for orphaned messages has come to.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Watchdog {
+    /// A scan is due; it waits until all other timers that are due have gone off.
+    is_due: bool,
+    /// The message that was checked last; `None` where the next pass begins.
+    position: Option<MessageId>,
+}
+
+impl Watchdog {
+    pub fn set_due(&mut self) {
+        self.is_due = true;
+    }
+
+    /// A scan was due, and is not any more.
+    pub fn take_due(&mut self) -> bool {
+        std::mem::take(&mut self.is_due)
+    }
+
+    /// The next messages to check, in the order of their names; begins anew behind the last one.
+    fn next_batch(&mut self, table: &MessageTable) -> Vec<MessageId> {
+        let count = (table.count() / SCANS_PER_PASS).max(MIN_MESSAGES_PER_SCAN);
+        let count = usize::try_from(count).unwrap_or(usize::MAX);
+        let ids: Vec<MessageId> = table.ids_after(self.position).take(count).collect();
+        self.position = ids.last().copied().filter(|_| ids.len() == count);
+        ids
+    }
+}
+
 impl StoreNode {
-    pub(crate) fn set_watchdog_timer(&mut self) {
-        if !self.config.watchdog_interval.is_zero() {
-            self.timers.set(self.now + self.config.watchdog_interval, Timer::Watchdog);
+    pub(super) fn set_watchdog_timer(&mut self) {
+        if !self.context.config.watchdog_interval.is_zero() {
+            self.context
+                .timers
+                .set(self.context.now + self.context.config.watchdog_interval, Timer::Watchdog);
         }
     }
 
     /// One look.
-    pub(crate) fn run_watchdog(&mut self) {
+    pub(super) fn run_watchdog(&mut self) {
         self.set_watchdog_timer();
         self.check_services();
         self.check_callbacks();
-        for id in self.next_watchdog_batch() {
+        for id in self.watchdog.next_batch(&self.table) {
             if let Some(cause) = self.orphan_cause(id) {
                 self.reschedule_orphan(id, cause);
             }
@@ -41,7 +73,7 @@
     }
 
     fn report_orphan(&mut self, id: MessageId, cause: OrphanCause) {
-        self.outputs.push(Output::Orphaned { id, cause });
+        self.context.outputs.push(Output::Orphaned { id, cause });
     }
 
     /// Services are granted from whenever something changes; one that can be granted from now was not woken.
@@ -49,9 +81,9 @@
         let indexes: Vec<ServiceIndex> = self.services.indexes().collect();
         for index in indexes {
             let service = self.services.get_mut(index);
-            let waits_for_permit = service.permit_at.is_some_and(|at| at + LATE_AFTER > self.now);
-            let first = service.first_ready(self.now);
-            if waits_for_permit || self.services.runnable.contains(&index) {
+            let waits_for_permit = service.permit_at().is_some_and(|at| at + LATE_AFTER > self.context.now);
+            let first = service.first_ready(self.context.now);
+            if waits_for_permit || self.services.is_runnable(index) {
                 continue;
             }
             while self.grant_first(index) {
@@ -64,33 +96,24 @@
 
     /// Call-backs that a dispatcher has said nothing of for too long, and receivers that were not woken.
     fn check_callbacks(&mut self) {
-        let before = self.now - self.config.callback_timeout;
+        let before = self.context.now - self.context.config.callback_timeout;
         for id in self.callbacks.granted_before(before) {
             self.forget_callback_lease(id);
-            self.callbacks.give_back(id, self.now);
+            self.callbacks.give_back(id, self.context.now);
             self.report_orphan(id, OrphanCause::CallbackForgotten);
         }
         self.callbacks.mark_all_runnable();
     }
 
-    /// The next messages to look at, in the order of their names; begins anew behind the last one.
-    fn next_watchdog_batch(&mut self) -> Vec<MessageId> {
-        let count = (self.table.count() / SCANS_PER_PASS).max(MIN_MESSAGES_PER_SCAN);
-        let count = usize::try_from(count).unwrap_or(usize::MAX);
-        let ids: Vec<MessageId> = self.table.ids_after(self.watchdog_position).take(count).collect();
-        self.watchdog_position = ids.last().copied().filter(|_| ids.len() == count);
-        ids
-    }
-
     /// Why a message lies though nothing holds it back; `None` for all that are where they belong.
     fn orphan_cause(&self, id: MessageId) -> Option<OrphanCause> {
         let entry = self.table.get(id)?;
         let primary = entry.primary.as_ref()?;
-        if !self.is_serving(id.shard) {
+        if !self.primary_terms.is_serving(id.shard) {
             return None;
         }
         let is_kept = primary.durable >= primary.version;
-        let is_late = |at: Instant| self.now.saturating_duration_since(at) > LATE_AFTER;
+        let is_late = |at: Instant| self.context.now.saturating_duration_since(at) > LATE_AFTER;
         match primary.stage {
             Stage::Persisting if is_kept && primary.pending_effects.is_empty() => {
                 Some(OrphanCause::NotScheduled)
@@ -113,8 +136,8 @@
     /// Its dispatcher's life is not known any more, or the time in which it should have listed the lease is over.
     fn has_no_holder(&self, id: MessageId, lease: Lease) -> bool {
         let confirmation =
-            self.dispatchers.get(lease.dispatcher).and_then(|incarnation| incarnation.leases.get(&id));
-        confirmation.is_none_or(|confirmation| confirmation.has_lapsed(self.now - LATE_AFTER))
+            self.dispatchers.get(lease.dispatcher).and_then(|incarnation| incarnation.confirmation_of(id));
+        confirmation.is_none_or(|confirmation| confirmation.has_lapsed(self.context.now - LATE_AFTER))
     }
 
     fn reschedule_orphan(&mut self, id: MessageId, cause: OrphanCause) {
--- a/system/state/queue/src/primary_entry.rs
+++ b/system/state/queue/src/primary_entry.rs
@@ -2,9 +2,9 @@
 //! its way.
 
 use crate::api::ConnectionId;
-use crate::schedule::ReadyKey;
+use crate::scheduling::ReadyKey;
 use crate::time::Instant;
-use millrudder_protocol::{DispatcherId, LeaseToken, RequestNumber, StoreId};
+use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId, RequestNumber, StoreId};
 
 /// What a store was told of a message and has on its disk, as versions that the primary counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,6 +16,15 @@
     pub acked: u32,
 }
 
+/// A version of a message that was sent to a store or appended to the local disk.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct SentVersion {
+    pub id: MessageId,
+    /// The primary's term, in which versions are counted.
+    pub term: Epoch,
+    pub version: u32,
+}
+
 /// What is to be done once a version is on as many disks as promised.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
--- a/system/state/queue/src/primary_term.rs
+++ b/system/state/queue/src/primary_term.rs
@@ -1,13 +1,13 @@
 //! What a store keeps of a shard that it is primary of.
 
 use crate::api::ConnectionId;
-use crate::entry::EntryVersion;
-use crate::primary_entry::PrimaryEntry;
+use crate::entry::{Entry, EntryVersion};
+use crate::primary_entry::{PrimaryEntry, SentVersion};
 use millrudder_protocol::placement::{MemberChange, Membership, ShardEntry};
-use millrudder_protocol::{Epoch, LeaseToken, MessageId, Sequence, StoreId};
+use millrudder_protocol::{Epoch, LeaseToken, MessageId, Sequence, ShardId, StoreId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a replica knew of a message at the start of the reign.
+/// What a replica knew of a message at the start of the term.
 #[derive(Clone, Debug)]
 pub(crate) struct RecoveredCopy {
     pub store: StoreId,
@@ -41,20 +41,80 @@
     pub id: MessageId,
 }
 
+/// All shards that this store is primary of, with the term of each.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PrimaryTerms {
+    by_shard: BTreeMap<ShardId, PrimaryTerm>,
+}
+
+impl PrimaryTerms {
+    pub fn get(&self, shard: ShardId) -> Option<&PrimaryTerm> {
+        self.by_shard.get(&shard)
+    }
+
+    pub fn get_mut(&mut self, shard: ShardId) -> Option<&mut PrimaryTerm> {
+        self.by_shard.get_mut(&shard)
+    }
+
+    /// The shard's term, if it has this number.
+    pub fn get_exact_mut(&mut self, shard: ShardId, number: Epoch) -> Option<&mut PrimaryTerm> {
+        self.by_shard.get_mut(&shard).filter(|term| term.number == number)
+    }
+
+    /// The takeover of a shard that is not served yet.
+    pub fn takeover_mut(&mut self, shard: ShardId) -> Option<&mut Takeover> {
+        self.by_shard.get_mut(&shard)?.takeover.as_mut()
+    }
+
+    pub fn insert(&mut self, shard: ShardId, term: PrimaryTerm) {
+        self.by_shard.insert(shard, term);
+    }
+
+    pub fn remove(&mut self, shard: ShardId) {
+        self.by_shard.remove(&shard);
+    }
+
+    /// Number of the term in which this store is the shard's primary.
+    pub fn number_of(&self, shard: ShardId) -> Option<Epoch> {
+        self.by_shard.get(&shard).map(PrimaryTerm::number)
+    }
+
+    /// Shards that this store is primary of, in order.
+    pub fn shards(&self) -> Vec<ShardId> {
+        self.by_shard.keys().copied().collect()
+    }
+
+    /// Shards that this store serves, in order.
+    pub fn serving_shards(&self) -> Vec<ShardId> {
+        let serving = self.by_shard.iter().filter(|(_, term)| term.is_serving());
+        serving.map(|(shard, _)| *shard).collect()
+    }
+
+    /// This store orders, accepts and grants in the shard now.
+    pub fn is_serving(&self, shard: ShardId) -> bool {
+        self.by_shard.get(&shard).is_some_and(PrimaryTerm::is_serving)
+    }
+
+    /// The version was counted in the term in force.
+    pub fn is_current(&self, sent: &SentVersion) -> bool {
+        self.number_of(sent.id.shard) == Some(sent.term)
+    }
+}
+
 /// A shard that this store is primary of.
 #[derive(Clone, Debug)]
 pub(crate) struct PrimaryTerm {
-    pub number: Epoch,
+    number: Epoch,
     /// The membership in force, and the one after the change that is under way.
-    pub memberships: Vec<Membership>,
-    pub change: Option<MemberChange>,
-    /// Other replicas that told all they knew in this reign.
-    pub promised_by: BTreeSet<StoreId>,
+    memberships: Vec<Membership>,
+    change: Option<MemberChange>,
+    /// Other replicas that told all they knew in this term.
+    promised_by: BTreeSet<StoreId>,
     /// Present until the shard is served.
-    pub takeover: Option<Takeover>,
+    takeover: Option<Takeover>,
     /// Message from which on the next comparison with replicas goes.
-    pub scrub_from: u64,
-    /// Of sequences and tokens given in this reign.
+    scrub_from: u64,
+    /// Of sequences and tokens given in this term.
     next_sequence: u32,
     next_token: u32,
 }
@@ -76,10 +136,71 @@
         }
     }
 
+    pub fn number(&self) -> Epoch {
+        self.number
+    }
+
+    /// The change of members that is under way.
+    pub fn change(&self) -> Option<MemberChange> {
+        self.change
+    }
+
     pub fn is_serving(&self) -> bool {
         self.takeover.is_none()
     }
 
+    pub fn takeover(&self) -> Option<&Takeover> {
+        self.takeover.as_ref()
+    }
+
+    /// Ends the takeover: the shard is served from now on.
+    pub fn take_takeover(&mut self) -> Option<Takeover> {
+        self.takeover.take()
+    }
+
+    /// Adopts the members of another placement of the same term; `false` if they are the same.
+    pub fn change_members(&mut self, new: PrimaryTerm) -> bool {
+        if self.memberships == new.memberships && self.change == new.change {
+            return false;
+        }
+        self.memberships = new.memberships;
+        self.change = new.change;
+        true
+    }
+
+    /// What this store's own table knows of a message at the start of the term.
+    pub fn add_own_copy(&mut self, local_id: StoreId, entry: &Entry) {
+        let copy = RecoveredCopy { store: local_id, entry_version: entry.entry_version() };
+        if let Some(takeover) = &mut self.takeover {
+            takeover.recovered.insert(entry.id, vec![copy]);
+        }
+    }
+
+    /// The promise to itself is on the local disk.
+    pub fn note_own_promise_synced(&mut self) {
+        if let Some(takeover) = &mut self.takeover {
+            takeover.is_own_promise_synced = true;
+        }
+    }
+
+    /// A member has promised the term and told all that it knows.
+    pub fn note_promise(&mut self, from: StoreId) {
+        self.promised_by.insert(from);
+    }
+
+    pub fn has_promise_of(&self, store: StoreId) -> bool {
+        self.promised_by.contains(&store)
+    }
+
+    /// The first message of the next comparison with replicas.
+    pub fn scrub_from(&self) -> u64 {
+        self.scrub_from
+    }
+
+    pub fn set_scrub_from(&mut self, unique: u64) {
+        self.scrub_from = unique;
+    }
+
     /// Replicas of the membership in force.
     pub fn replicas(&self) -> &[StoreId] {
         self.memberships.first().map_or(&[], |membership| &membership.replicas)
--- a/system/state/queue/src/disk.rs
+++ b/system/state/queue/src/replication/disk.rs
@@ -1,7 +1,7 @@
 //! What was appended to the local disk and waits for its sync.
 
 use crate::api::{DiskRecord, Output, Ticket};
-use crate::peers::Sent;
+use crate::primary_entry::SentVersion;
 use crate::time::Instant;
 use millrudder_protocol::{Epoch, RequestNumber, ShardId, StoreId};
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
     /// Nothing waits for it.
     Nothing,
     /// This store, as primary, has a version on its disk.
-    Own(Sent),
+    Own(SentVersion),
     /// A primary's `Write` is on the disk.
     Write { store: StoreId, number: RequestNumber },
     /// The shard is promised to this store itself.
@@ -31,17 +31,17 @@
 
 /// The local disk's queue.
 #[derive(Clone, Debug)]
-pub(crate) struct Disk {
+pub(super) struct LocalDisk {
     next: Ticket,
     unsynced: VecDeque<Unsynced>,
     /// So many of the oldest are overdue.
     overdue: usize,
-    pub failed: bool,
+    is_failed: bool,
 }
 
-impl Disk {
+impl LocalDisk {
     pub fn new() -> Self {
-        Disk { next: Ticket(1), unsynced: VecDeque::new(), overdue: 0, failed: false }
+        LocalDisk { next: Ticket(1), unsynced: VecDeque::new(), overdue: 0, is_failed: false }
     }
 
     /// Appends a record; `then` follows its sync.
@@ -85,7 +85,7 @@
     }
 
     /// Own versions that have become overdue since the last call.
-    pub fn take_overdue(&mut self, now: Instant, timeout: Duration) -> Vec<Sent> {
+    pub fn take_overdue(&mut self, now: Instant, timeout: Duration) -> Vec<SentVersion> {
         let mut messages = Vec::new();
         while self.deadline(timeout).is_some_and(|deadline| deadline <= now) {
             if let SyncAction::Own(sent) = self.unsynced[self.overdue].on_synced {
@@ -104,4 +104,13 @@
     pub fn oldest_unsynced(&self, now: Instant) -> Duration {
         self.unsynced.front().map_or(Duration::ZERO, |oldest| now.saturating_duration_since(oldest.at))
     }
+
+    /// The disk cannot be trusted any more.
+    pub fn fail(&mut self) {
+        self.is_failed = true;
+    }
+
+    pub fn is_failed(&self) -> bool {
+        self.is_failed
+    }
 }
--- /dev/null
+++ b/system/state/queue/src/replication/mod.rs
@@ -0,0 +1,402 @@
+//! As primary: what became known is written to the local disk and to other stores at the same time, and what waits for
+//! it follows once it is on as many disks as promised.
+//!
+//! [`Replication`] owns the queue of the local disk, the connections to other stores with what is in flight on them, and
+//! the set of messages whose latest version is not durable yet. Messages themselves, with the progress of each replica,
+//! are in the [`MessageTable`].
+
+mod disk;
+mod peer;
+mod repair;
+
+pub(crate) use disk::SyncAction;
+
+use crate::api::{DiskRecord, Ticket};
+use crate::context::Context;
+use crate::entry::message_bytes;
+use crate::message_table::MessageTable;
+use crate::primary_entry::{Effect, PendingEffect, SentVersion};
+use crate::primary_term::PrimaryTerms;
+use crate::time::Instant;
+use disk::LocalDisk;
+use millrudder_protocol::store::{BetweenStores, Record};
+use millrudder_protocol::{MessageId, RequestNumber, ShardId, StoreId};
+use millrudder_topology::Distance;
+use peer::Peer;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// Something that became known of a message and is not written yet.
+#[derive(Clone, Debug)]
+struct Change {
+    id: MessageId,
+    /// Absent where the full state is to be written.
+    record: Option<Record>,
+}
+
+/// Records for one store and shard.
+#[derive(Clone, Default)]
+struct Batch {
+    records: Vec<Record>,
+    versions: Vec<SentVersion>,
+    bytes: usize,
+}
+
+/// Order in which replicas are written to; the lowest first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct WritePreference {
+    is_overdue: bool,
+    /// Its acknowledgements do not count in the membership to come.
+    is_leaving: bool,
+    slowness: u32,
+    has_no_copy: bool,
+    distance: Distance,
+    position: usize,
+}
+
+/// Bytes of a record besides the message in it, about.
+const RECORD_BYTES: usize = 100;
+
+fn record_bytes(record: &Record) -> usize {
+    match record {
+        Record::State { state } => RECORD_BYTES + state.message.as_ref().map_or(0, message_bytes),
+        _ => RECORD_BYTES,
+    }
+}
+
+/// What a primary has in flight to disks: its own and those of other stores.
+#[derive(Clone, Debug)]
+pub(crate) struct Replication {
+    disk: LocalDisk,
+    peers: BTreeMap<StoreId, Peer>,
+    /// Messages whose latest version is not on as many disks as promised.
+    pending: BTreeSet<MessageId>,
+    /// What became known since the last flush.
+    changes: Vec<Change>,
+}
+
+impl Replication {
+    pub fn new() -> Self {
+        Replication {
+            disk: LocalDisk::new(),
+            peers: BTreeMap::new(),
+            pending: BTreeSet::new(),
+            changes: Vec::new(),
+        }
+    }
+
+    /// Adds a fact to what is known of a message of a shard that is served.
+    pub fn apply_record(&mut self, now: Instant, table: &mut MessageTable, id: MessageId, record: Record) {
+        let change = record.clone();
+        table.change(id, now, |entry| entry.apply(change, now, Duration::ZERO));
+        self.mark_changed(table, id, Some(record));
+    }
+
+    /// The full state of a message is to be written.
+    pub fn mark_full_state_changed(&mut self, table: &mut MessageTable, id: MessageId) {
+        self.mark_changed(table, id, None);
+    }
+
+    fn mark_changed(&mut self, table: &mut MessageTable, id: MessageId, record: Option<Record>) {
+        if let Some(primary) = table.primary_mut(id) {
+            primary.version += 1;
+            self.pending.insert(id);
+            self.changes.push(Change { id, record });
+        }
+    }
+
+    /// Writes and sends what became known since the last call.
+    pub fn flush(&mut self, context: &mut Context, table: &mut MessageTable, terms: &PrimaryTerms) {
+        if self.changes.is_empty() {
+            return;
+        }
+        let mut batches = BTreeMap::new();
+        for changed in by_message(std::mem::take(&mut self.changes)) {
+            self.flush_message(context, table, terms, changed, &mut batches);
+        }
+        for ((store, shard), batch) in batches {
+            self.send_batch(context, terms, store, shard, batch, false);
+        }
+    }
+
+    fn flush_message(
+        &mut self,
+        context: &mut Context,
+        table: &mut MessageTable,
+        terms: &PrimaryTerms,
+        changed: ChangedMessage,
+        batches: &mut BTreeMap<(StoreId, ShardId), Batch>,
+    ) {
+        let ChangedMessage { id, records } = changed;
+        let Some(term) = terms.number_of(id.shard) else { return };
+        let targets = self.write_targets(context, table, terms, id);
+        let Some(entry) = table.get_mut(id) else { return };
+        let full_state = || Record::State { state: Box::new(entry.state(context.now)) };
+        let count = u32::try_from(records.len()).unwrap_or(u32::MAX);
+        let deltas: Option<Vec<Record>> = records.into_iter().collect();
+        let Some(primary) = entry.primary.as_ref() else { return };
+        // A change says nothing to a store that lacks what was known before.
+        let is_next = |store: StoreId| primary.progress_of(store).sent + count == primary.version;
+        let for_store =
+            |store: StoreId| deltas.clone().filter(|_| is_next(store)).unwrap_or_else(|| vec![full_state()]);
+        let local = for_store(context.local_id);
+        let per_target: Vec<(StoreId, Vec<Record>)> =
+            targets.into_iter().map(|target| (target, for_store(target))).collect();
+        let Some(primary) = entry.primary.as_mut() else { return };
+        let sent = SentVersion { id, term, version: primary.version };
+        primary.progress_mut(context.local_id).sent = sent.version;
+        for (target, records) in per_target {
+            primary.progress_mut(target).sent = sent.version;
+            if let Some(peer) = self.peers.get_mut(&target) {
+                peer.remove_catch_up(id);
+            }
+            let batch = batches.entry((target, id.shard)).or_default();
+            batch.add(records, sent);
+        }
+        self.append_own(context, local, sent);
+    }
+
+    fn append_own(&mut self, context: &mut Context, records: Vec<Record>, sent: SentVersion) {
+        self.append_records(context, records, SyncAction::Own(sent));
+    }
+
+    /// Appends records to the local disk; `on_synced` follows the sync of the last one.
+    pub fn append_records(&mut self, context: &mut Context, records: Vec<Record>, on_synced: SyncAction) {
+        let last = records.len().saturating_sub(1);
+        for (index, record) in records.into_iter().enumerate() {
+            let action = if index == last { on_synced } else { SyncAction::Nothing };
+            self.append(context, DiskRecord::Message { record }, action);
+        }
+    }
+
+    /// Appends one record to the local disk; `on_synced` follows its sync.
+    pub fn append(&mut self, context: &mut Context, record: DiskRecord, on_synced: SyncAction) {
+        self.disk.append(record, on_synced, context.now, &mut context.outputs);
+    }
+
+    fn send_batch(
+        &mut self,
+        context: &mut Context,
+        terms: &PrimaryTerms,
+        store: StoreId,
+        shard: ShardId,
+        batch: Batch,
+        is_repair: bool,
+    ) {
+        let Some(term) = terms.number_of(shard) else { return };
+        let Some(peer) = self.peers.get_mut(&store) else { return };
+        let repair_bytes = if is_repair { batch.bytes } else { 0 };
+        let number = peer.register_write(context.now, batch.versions, repair_bytes);
+        context.send_to_store(store, BetweenStores::Write { number, shard, term, records: batch.records });
+    }
+
+    /// Other stores that a change is sent to at once: the learner, and as many replicas as are promised.
+    fn write_targets(
+        &self,
+        context: &Context,
+        table: &MessageTable,
+        terms: &PrimaryTerms,
+        id: MessageId,
+    ) -> Vec<StoreId> {
+        let Some(primary_term) = terms.get(id.shard) else { return Vec::new() };
+        let mut targets: Vec<StoreId> =
+            primary_term.learner().into_iter().filter(|store| self.is_connected(*store)).collect();
+        let mut chosen = targets.clone();
+        if !self.disk.is_overdue() {
+            chosen.push(context.local_id);
+        }
+        for store in self.ranked_replicas(context, table, terms, id) {
+            if primary_term.lacks_write_quorum(&chosen, store) {
+                chosen.push(store);
+                targets.push(store);
+            }
+        }
+        targets
+    }
+
+    /// Connected other replicas of a message's shard, those that should be written to first in front.
+    fn ranked_replicas(
+        &self,
+        context: &Context,
+        table: &MessageTable,
+        terms: &PrimaryTerms,
+        id: MessageId,
+    ) -> Vec<StoreId> {
+        let Some(primary_term) = terms.get(id.shard) else { return Vec::new() };
+        let primary = table.primary(id);
+        let mut ranked: Vec<(WritePreference, StoreId)> = Vec::with_capacity(primary_term.replicas().len());
+        for (position, store) in primary_term.replicas().iter().enumerate() {
+            let Some(peer) =
+                self.peers.get(store).filter(|peer| peer.is_connected() && *store != context.local_id)
+            else {
+                continue;
+            };
+            let has_copy = primary.is_some_and(|primary| primary.progress_of(*store).sent > 0);
+            let preference = WritePreference {
+                is_overdue: peer.is_overdue(),
+                is_leaving: primary_term.is_leaving(*store),
+                slowness: peer.slowness(context.now),
+                has_no_copy: !has_copy,
+                distance: context.distance_to_store(*store),
+                position,
+            };
+            ranked.push((preference, *store));
+        }
+        ranked.sort_unstable();
+        ranked.into_iter().map(|(_, store)| store).collect()
+    }
+
+    /// A store has synced everything up to `number`; gives what that is.
+    #[must_use]
+    pub fn handle_written(&mut self, from: StoreId, number: RequestNumber, now: Instant) -> Vec<SentVersion> {
+        self.peers.get_mut(&from).map(|peer| peer.handle_written(number, now)).unwrap_or_default()
+    }
+
+    /// A version is on a store's disk; gives the effects that this allows.
+    #[must_use]
+    pub fn record_ack(
+        &mut self,
+        table: &mut MessageTable,
+        terms: &PrimaryTerms,
+        store: StoreId,
+        sent: SentVersion,
+    ) -> Vec<Effect> {
+        if !terms.is_current(&sent) {
+            return Vec::new();
+        }
+        let Some(primary) = table.primary_mut(sent.id) else { return Vec::new() };
+        let progress = primary.progress_mut(store);
+        progress.acked = progress.acked.max(sent.version);
+        if !self.pending.contains(&sent.id) {
+            return Vec::new();
+        }
+        self.update_durable_version(table, terms, sent.id)
+    }
+
+    /// Counts the disks that a message is on; gives the effects that waited for them.
+    #[must_use]
+    pub fn update_durable_version(
+        &mut self,
+        table: &mut MessageTable,
+        terms: &PrimaryTerms,
+        id: MessageId,
+    ) -> Vec<Effect> {
+        let Some(primary_term) = terms.get(id.shard) else { return Vec::new() };
+        let Some(primary) = table.primary_mut(id) else { return Vec::new() };
+        let version = primary_term.durable_version(primary);
+        if version == primary.version {
+            self.pending.remove(&id);
+        } else {
+            self.pending.insert(id);
+        }
+        primary.durable = primary.durable.max(version);
+        primary.take_allowed_effects()
+    }
+
+    /// The latest version of the message is not on as many disks as promised.
+    pub fn is_pending(&self, id: MessageId) -> bool {
+        self.pending.contains(&id)
+    }
+
+    /// The latest version of the message is to be brought to as many disks as promised.
+    pub fn mark_pending(&mut self, id: MessageId) {
+        self.pending.insert(id);
+    }
+
+    /// Another store is the message's primary.
+    pub fn unmark_pending(&mut self, id: MessageId) {
+        self.pending.remove(&id);
+    }
+
+    /// Nothing of the message is to be sent any more.
+    pub fn forget(&mut self, id: MessageId) {
+        for peer in self.peers.values_mut() {
+            peer.remove_catch_up(id);
+        }
+    }
+
+    /// Another store is primary of the shard now.
+    pub fn drop_shard(&mut self, shard: ShardId) {
+        for peer in self.peers.values_mut() {
+            peer.drop_shard(shard);
+        }
+    }
+
+    /// Everything up to `ticket` is on the local disk; gives what this allows, in the order of the appends.
+    #[must_use]
+    pub fn handle_local_synced(&mut self, ticket: Ticket) -> Vec<SyncAction> {
+        self.disk.synced(ticket)
+    }
+
+    /// The local disk cannot be trusted any more.
+    pub fn fail_disk(&mut self) {
+        self.disk.fail();
+    }
+
+    pub fn is_disk_failed(&self) -> bool {
+        self.disk.is_failed()
+    }
+
+    /// Time that the oldest append has waited for its sync; the longest span once the disk has failed.
+    pub fn oldest_unsynced(&self, now: Instant) -> Duration {
+        if self.disk.is_failed() {
+            return Duration::MAX;
+        }
+        self.disk.oldest_unsynced(now)
+    }
+
+    /// Stores that have been connected in this process's life, in order.
+    pub fn peer_ids(&self) -> Vec<StoreId> {
+        self.peers.keys().copied().collect()
+    }
+
+    pub fn is_connected(&self, store: StoreId) -> bool {
+        self.peers.get(&store).is_some_and(Peer::is_connected)
+    }
+
+    /// When the oldest write that is not overdue becomes so.
+    pub fn deadline(&self, context: &Context) -> Option<Instant> {
+        let peers = self.peers.values().filter_map(|peer| peer.deadline(&context.config));
+        peers.chain(self.disk.deadline(context.config.max_write_timeout)).min()
+    }
+}
+
+/// Lets `effect` follow once all that is known of the message now is on as many disks as promised; gives it back if it
+/// may follow at once.
+#[must_use]
+pub(crate) fn defer_until_durable(table: &mut MessageTable, id: MessageId, effect: Effect) -> Option<Effect> {
+    let primary = table.primary_mut(id)?;
+    if primary.durable >= primary.version {
+        return Some(effect);
+    }
+    primary.pending_effects.push(PendingEffect { version: primary.version, effect });
+    None
+}
+
+/// What became known of one message since the last flush, in order.
+struct ChangedMessage {
+    id: MessageId,
+    records: Vec<Option<Record>>,
+}
+
+/// Changes by message, in the order of each message's first one.
+fn by_message(changes: Vec<Change>) -> Vec<ChangedMessage> {
+    let mut positions = BTreeMap::new();
+    let mut grouped: Vec<ChangedMessage> = Vec::with_capacity(changes.len());
+    for Change { id, record } in changes {
+        let position = *positions.entry(id).or_insert(grouped.len());
+        match grouped.get_mut(position) {
+            Some(changed) => changed.records.push(record),
+            None => grouped.push(ChangedMessage { id, records: vec![record] }),
+        }
+    }
+    grouped
+}
+
+impl Batch {
+    fn add(&mut self, records: Vec<Record>, sent: SentVersion) {
+        self.bytes += records.iter().map(record_bytes).sum::<usize>();
+        self.records.extend(records);
+        self.versions.push(sent);
+    }
+}
--- a/system/state/queue/src/peers.rs
+++ b/system/state/queue/src/replication/peer.rs
@@ -1,9 +1,10 @@
 //! What is under way to other stores, and how soon they usually answer.
 
 use crate::config::Config;
+use crate::primary_entry::SentVersion;
 use crate::time::millis;
 use crate::time::Instant;
-use millrudder_protocol::{Epoch, MessageId, RequestNumber, ShardId};
+use millrudder_protocol::{MessageId, RequestNumber, ShardId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -18,27 +19,19 @@
 /// Differences within a factor of two of this are no reason to prefer one store, in milliseconds.
 const SIGNIFICANT_LATENCY_MS: f64 = 8.0;
 
-/// A version of a message that was sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Sent {
-    pub id: MessageId,
-    pub term: Epoch,
-    pub version: u32,
-}
-
 /// A `Write` without an answer yet.
 #[derive(Clone, Debug)]
 struct Outstanding {
     number: RequestNumber,
     sent_at: Instant,
-    messages: Vec<Sent>,
+    messages: Vec<SentVersion>,
     repair_bytes: usize,
 }
 
 /// One other store.
 #[derive(Clone, Debug)]
-pub(crate) struct Peer {
-    pub connected: bool,
+pub(super) struct Peer {
+    is_connected: bool,
     next_number: u64,
     outstanding: VecDeque<Outstanding>,
     /// So many of the oldest are overdue.
@@ -46,18 +39,18 @@
     latency_ms: f64,
     latency_at: Instant,
     /// Messages of which it is to be sent all that is known, as the window allows.
-    pub catch_up: BTreeSet<MessageId>,
+    catch_up: BTreeSet<MessageId>,
     /// Bytes of such that are under way.
-    pub repair_bytes: usize,
+    repair_bytes: usize,
     /// Shards of which it is a learner being filled; with the last write of the filling once that was sent.
-    pub filling: BTreeMap<ShardId, Option<RequestNumber>>,
+    filling: BTreeMap<ShardId, Option<RequestNumber>>,
 }
 
 impl Peer {
     /// `first_number`: of its writes; drawn, so that no answer to a former life of this process matches one of them.
     pub fn new(now: Instant, first_number: u64) -> Self {
         Peer {
-            connected: false,
+            is_connected: false,
             next_number: first_number,
             outstanding: VecDeque::new(),
             overdue: 0,
@@ -69,11 +62,59 @@
         }
     }
 
+    /// A connection with it is open.
+    pub fn connect(&mut self) {
+        self.is_connected = true;
+    }
+
+    pub fn is_connected(&self) -> bool {
+        self.is_connected
+    }
+
+    /// Messages of which it is to be sent all that is known, in order.
+    pub fn catch_up(&self) -> impl Iterator<Item = MessageId> + '_ {
+        self.catch_up.iter().copied()
+    }
+
+    /// Lets it be sent all that is known of these messages, as the window allows.
+    pub fn add_catch_up(&mut self, ids: impl IntoIterator<Item = MessageId>) {
+        self.catch_up.extend(ids);
+    }
+
+    /// It was sent all that is known of the message, or needs none of it.
+    pub fn remove_catch_up(&mut self, id: MessageId) {
+        self.catch_up.remove(&id);
+    }
+
+    pub fn is_catching_up_with(&self, id: MessageId) -> bool {
+        self.catch_up.contains(&id)
+    }
+
+    /// Takes the first message of which it is to be sent all that is known.
+    pub fn next_catch_up(&mut self) -> Option<MessageId> {
+        self.catch_up.pop_first()
+    }
+
+    /// It is connected and has something to catch up with, or a shard to be filled with.
+    pub fn has_catch_up(&self) -> bool {
+        self.is_connected && !(self.catch_up.is_empty() && self.filling.is_empty())
+    }
+
+    /// Bytes of repair that may be sent to it now.
+    pub fn repair_window(&self, config: &Config) -> usize {
+        config.repair_window_bytes.saturating_sub(self.repair_bytes)
+    }
+
+    /// It is a learner of the shard; the messages that it lacks are added to its catch-up.
+    pub fn start_filling(&mut self, shard: ShardId) {
+        self.filling.insert(shard, None);
+    }
+
     /// Notes a `Write` and gives its number.
     pub fn register_write(
         &mut self,
         now: Instant,
-        messages: Vec<Sent>,
+        messages: Vec<SentVersion>,
         repair_bytes: usize,
     ) -> RequestNumber {
         let number = RequestNumber(self.next_number);
@@ -84,7 +125,7 @@
     }
 
     /// Everything up to `number` is on its disk; gives what that is. A number that nothing waits for says nothing.
-    pub fn handle_written(&mut self, number: RequestNumber, now: Instant) -> Vec<Sent> {
+    pub fn handle_written(&mut self, number: RequestNumber, now: Instant) -> Vec<SentVersion> {
         let mut messages = Vec::new();
         if self.outstanding.binary_search_by_key(&number, |sent| sent.number).is_err() {
             return messages;
@@ -125,7 +166,7 @@
     }
 
     /// What has become overdue since the last call.
-    pub fn take_overdue(&mut self, now: Instant, config: &Config) -> Vec<Sent> {
+    pub fn take_overdue(&mut self, now: Instant, config: &Config) -> Vec<SentVersion> {
         let mut messages = Vec::new();
         while self.deadline(config).is_some_and(|deadline| deadline <= now) {
             messages.extend(self.outstanding[self.overdue].messages.iter().copied());
@@ -145,8 +186,8 @@
     }
 
     /// The connection is closed; gives what may never have arrived.
-    pub fn disconnect(&mut self) -> Vec<Sent> {
-        self.connected = false;
+    pub fn disconnect(&mut self) -> Vec<SentVersion> {
+        self.is_connected = false;
         self.overdue = 0;
         self.repair_bytes = 0;
         self.catch_up.clear();
--- /dev/null
+++ b/system/state/queue/src/replication/repair.rs
@@ -0,0 +1,253 @@
+//! As primary: what too few stores have, or were too slow to write, is sent to further ones; learners are filled.
+
+use super::peer::Peer;
+use super::{Batch, Replication, SyncAction};
+use crate::api::DiskRecord;
+use crate::context::Context;
+use crate::message_table::MessageTable;
+use crate::primary_entry::{PrimaryEntry, SentVersion};
+use crate::primary_term::PrimaryTerms;
+use millrudder_protocol::store::{BetweenStores, Record};
+use millrudder_protocol::{MessageId, ShardId, StoreId};
+use std::collections::BTreeMap;
+use std::ops::Range;
+
+/// Number of the first write to a store in one incarnation of this process: far below the end of all numbers, so that
+/// they never run out.
+const FIRST_NUMBERS: Range<u64> = 1..1 << 48;
+
+impl Replication {
+    /// Lets further stores be sent a message that too few have and may be expected to have soon.
+    pub fn assign_replicas(
+        &mut self,
+        context: &mut Context,
+        table: &mut MessageTable,
+        terms: &PrimaryTerms,
+        id: MessageId,
+    ) {
+        let lacks = |primary: &PrimaryEntry| primary.progress_of(context.local_id).sent < primary.version;
+        if table.primary(id).is_some_and(lacks) {
+            self.write_own_full_state(context, table, terms, id);
+        }
+        let Some(primary_term) = terms.get(id.shard) else { return };
+        let Some(primary) = table.primary(id) else { return };
+        let members = primary_term.replicas().iter().copied().chain(primary_term.learner());
+        let mut expected: Vec<StoreId> =
+            members.filter(|store| self.is_expected(context, id, primary, *store)).collect();
+        let mut additional: Vec<StoreId> = Vec::new();
+        for store in self.ranked_replicas(context, table, terms, id) {
+            if !self.is_under_way(id, primary, store) && primary_term.lacks_write_quorum(&expected, store) {
+                expected.push(store);
+                additional.push(store);
+            }
+        }
+        for store in additional {
+            if let Some(peer) = self.peers.get_mut(&store) {
+                peer.add_catch_up([id]);
+            }
+        }
+    }
+
+    /// A store was sent all that is known of a message, or will be.
+    fn is_under_way(&self, id: MessageId, primary: &PrimaryEntry, store: StoreId) -> bool {
+        let is_queued = self.peers.get(&store).is_some_and(|peer| peer.is_catching_up_with(id));
+        is_queued || primary.progress_of(store).sent >= primary.version
+    }
+
+    /// A store has all that is known of a message on its disk, or will have it within its usual time.
+    fn is_expected(&self, context: &Context, id: MessageId, primary: &PrimaryEntry, store: StoreId) -> bool {
+        let is_late = match self.peers.get(&store) {
+            _ if store == context.local_id => self.disk.is_overdue(),
+            Some(peer) => !peer.is_connected() || peer.is_overdue(),
+            None => true,
+        };
+        primary.progress_of(store).acked >= primary.version
+            || (!is_late && self.is_under_way(id, primary, store))
+    }
+
+    /// This store's own disk lacks something that others know.
+    fn write_own_full_state(
+        &mut self,
+        context: &mut Context,
+        table: &mut MessageTable,
+        terms: &PrimaryTerms,
+        id: MessageId,
+    ) {
+        let Some(term) = terms.number_of(id.shard) else { return };
+        let Some(entry) = table.get_mut(id) else { return };
+        let record = Record::State { state: Box::new(entry.state(context.now)) };
+        let Some(primary) = entry.primary.as_mut() else { return };
+        primary.progress_mut(context.local_id).sent = primary.version;
+        let sent = SentVersion { id, term, version: primary.version };
+        self.append(context, DiskRecord::Message { record }, SyncAction::Own(sent));
+    }
+
+    /// Sends what other stores are to catch up with, as far as their windows allow.
+    pub fn send_catch_up(&mut self, context: &mut Context, table: &mut MessageTable, terms: &PrimaryTerms) {
+        let busy: Vec<StoreId> =
+            self.peers.iter().filter(|(_, peer)| peer.has_catch_up()).map(|(store, _)| *store).collect();
+        for store in busy {
+            self.send_catch_up_to(context, table, terms, store);
+            self.notify_filled(context, terms, store);
+        }
+    }
+
+    fn send_catch_up_to(
+        &mut self,
+        context: &mut Context,
+        table: &mut MessageTable,
+        terms: &PrimaryTerms,
+        store: StoreId,
+    ) {
+        let mut batches: BTreeMap<ShardId, Batch> = BTreeMap::new();
+        let Some(peer) = self.peers.get_mut(&store) else { return };
+        let mut window = peer.repair_window(&context.config);
+        while window > 0 {
+            let Some(id) = peer.next_catch_up() else { break };
+            let batch = batches.entry(id.shard).or_default();
+            let before = batch.bytes;
+            add_full_state(context, table, terms, store, id, batch);
+            window = window.saturating_sub(batch.bytes - before);
+        }
+        for (shard, batch) in batches.into_iter().filter(|(_, batch)| !batch.records.is_empty()) {
+            self.send_batch(context, terms, store, shard, batch, true);
+        }
+    }
+
+    /// Tells a learner of the shards of which it lacks nothing any more.
+    fn notify_filled(&mut self, context: &mut Context, terms: &PrimaryTerms, store: StoreId) {
+        let Some(peer) = self.peers.get_mut(&store) else { return };
+        for shard in peer.take_filled() {
+            let Some(primary_term) = terms.get(shard) else { continue };
+            let (term, change) = (primary_term.number(), primary_term.change());
+            if let Some(change) = change.filter(|change| change.joins == store) {
+                let filled = BetweenStores::Filled { shard, term, change: change.epoch };
+                context.send_to_store(store, filled);
+            }
+        }
+    }
+
+    /// Writes to further stores what others did not acknowledge in their usual time.
+    pub fn hedge(&mut self, context: &mut Context, table: &mut MessageTable, terms: &PrimaryTerms) {
+        let mut overdue = self.disk.take_overdue(context.now, context.config.max_write_timeout);
+        let mut queued = Vec::new();
+        for peer in self.peers.values_mut() {
+            let late = peer.take_overdue(context.now, &context.config);
+            if !late.is_empty() {
+                queued.extend(peer.catch_up());
+            }
+            overdue.extend(late);
+        }
+        self.assign_sent(context, table, terms, &overdue);
+        self.assign_pending(context, table, terms, queued);
+    }
+
+    fn assign_pending(
+        &mut self,
+        context: &mut Context,
+        table: &mut MessageTable,
+        terms: &PrimaryTerms,
+        ids: Vec<MessageId>,
+    ) {
+        for id in ids {
+            if self.pending.contains(&id) {
+                self.assign_replicas(context, table, terms, id);
+            }
+        }
+    }
+
+    fn assign_sent(
+        &mut self,
+        context: &mut Context,
+        table: &mut MessageTable,
+        terms: &PrimaryTerms,
+        sent: &[SentVersion],
+    ) {
+        for sent in sent {
+            if terms.is_current(sent) && self.pending.contains(&sent.id) {
+                self.assign_replicas(context, table, terms, sent.id);
+            }
+        }
+    }
+
+    /// A connection with `store` is open; all that is pending may be sent to it.
+    pub fn handle_connected(
+        &mut self,
+        context: &mut Context,
+        table: &mut MessageTable,
+        terms: &PrimaryTerms,
+        store: StoreId,
+    ) {
+        let first_number = context.random.u64(FIRST_NUMBERS);
+        let now = context.now;
+        self.peers.entry(store).or_insert_with(|| Peer::new(now, first_number)).connect();
+        let pending: Vec<MessageId> = self.pending.iter().copied().collect();
+        for id in pending {
+            self.assign_replicas(context, table, terms, id);
+        }
+    }
+
+    /// The connection with `store` is closed: what was in flight on it goes to others.
+    pub fn handle_closed(
+        &mut self,
+        context: &mut Context,
+        table: &mut MessageTable,
+        terms: &PrimaryTerms,
+        store: StoreId,
+    ) {
+        self.disk.forget_writes(store);
+        let Some(peer) = self.peers.get_mut(&store) else { return };
+        let queued: Vec<MessageId> = peer.catch_up().collect();
+        let lost = peer.disconnect();
+        for sent in lost.iter().filter(|sent| terms.is_current(sent)) {
+            if let Some(primary) = table.primary_mut(sent.id) {
+                let progress = primary.progress_mut(store);
+                progress.sent = progress.acked;
+            }
+        }
+        self.assign_sent(context, table, terms, &lost);
+        self.assign_pending(context, table, terms, queued);
+    }
+
+    /// Fills a learner of a shard that is served with what it lacks.
+    pub fn fill_learner(
+        &mut self,
+        table: &MessageTable,
+        terms: &PrimaryTerms,
+        shard: ShardId,
+        store: StoreId,
+    ) {
+        let Some(primary_term) = terms.get(shard) else { return };
+        if !primary_term.is_serving() || primary_term.learner() != Some(store) {
+            return;
+        }
+        let lacks = |id: &MessageId| {
+            table.primary(*id).is_some_and(|primary| primary.progress_of(store).sent < primary.version)
+        };
+        let Some(peer) = self.peers.get_mut(&store).filter(|peer| peer.is_connected()) else { return };
+        peer.add_catch_up(table.ids_of(shard).filter(lacks));
+        peer.start_filling(shard);
+    }
+}
+
+/// Adds all that is known of a message, unless the store was sent that already.
+fn add_full_state(
+    context: &Context,
+    table: &mut MessageTable,
+    terms: &PrimaryTerms,
+    store: StoreId,
+    id: MessageId,
+    batch: &mut Batch,
+) {
+    let Some(term) = terms.number_of(id.shard) else { return };
+    let Some(entry) = table.get_mut(id) else { return };
+    let Some(version) = entry.primary.as_ref().map(|primary| primary.version) else { return };
+    if entry.primary.as_ref().is_some_and(|primary| primary.progress_of(store).sent >= version) {
+        return;
+    }
+    let record = Record::State { state: Box::new(entry.state(context.now)) };
+    if let Some(primary) = entry.primary.as_mut() {
+        primary.progress_mut(store).sent = version;
+    }
+    batch.add(vec![record], SentVersion { id, term, version });
+}
--- a/system/state/queue/src/timers.rs
+++ b/system/state/queue/src/timers.rs
@@ -1,6 +1,6 @@
 //! Everything that is due at a time, ordered by that time.
 
-use crate::schedule::ServiceIndex;
+use crate::scheduling::ServiceIndex;
 use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, MessageId, ShardId, StoreId};
 use std::collections::BTreeSet;
