--- a/system/state/queue/src/api.rs
+++ b/system/state/queue/src/api.rs
@@ -1,4 +1,4 @@
-//! What goes into the state machine and what comes out of it.
+//! Inputs and outputs of the state machine, and the records that it writes.
 
 use millrudder_protocol::control::FilledShard;
 use millrudder_protocol::placement::Placement;
@@ -15,107 +15,142 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What is written to the local disk.
+/// A record of the local disk.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum DiskRecord {
     /// Something became known of a message. Ages in it are relative to the time of the append.
-    Message { record: Record },
-    /// No `Write` of a lower epoch is accepted for the shard any more.
-    Promised { shard: ShardId, term: Epoch },
+    Message {
+        /// What became known.
+        record: Record,
+    },
+    /// No `Write` of a lower term is accepted for the shard any more.
+    Promised {
+        /// The shard that is promised.
+        shard: ShardId,
+        /// The term that it is promised to.
+        term: Epoch,
+    },
 }
 
 /// A record found on the disk at start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovered {
+    /// The record.
     pub record: DiskRecord,
     /// Time since it was appended, by the clock of the shell.
     pub age: Duration,
 }
 
-/// An event.
+/// Inputs of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// The agreed placement; one that is not newer than the present one is ignored.
     Placement(Placement),
-    /// All services with a common ceiling, from the configuration in force.
+    /// All services with a common rate limit, from the configuration in force.
     Rates(Vec<ServiceRate>),
+    /// A message of a dispatcher.
     Dispatcher {
+        /// The connection that it came on.
         connection: ConnectionId,
+        /// What it says.
         message: FromDispatcher,
     },
+    /// A connection of a dispatcher is closed.
     DispatcherClosed {
+        /// The connection.
         connection: ConnectionId,
     },
+    /// A message of another store.
     Store {
+        /// Its sender.
         from: StoreId,
+        /// What it says.
         message: BetweenStores,
     },
     /// A connection with this store is open, whoever opened it. One that was open before counts as closed.
     StoreConnected {
+        /// The other store.
         store: StoreId,
     },
+    /// The connection with this store is closed.
     StoreClosed {
+        /// The other store.
         store: StoreId,
     },
     /// Everything appended up to this ticket is on the disk.
     Synced {
+        /// Of the last append that is on the disk.
         ticket: Ticket,
     },
-    /// The disk is not to be trusted any more: nothing is promised from now on.
+    /// The disk failed: nothing is acknowledged or served from now on.
     DiskFailed,
-    /// The process gets SIGTERM: it serves on until the placement gives its shards to others.
+    /// The process received SIGTERM: it serves on until the placement gives its shards to others.
     Leaving,
-    /// The time passed in is what counts.
+    /// Nothing but that time has passed.
     Tick,
 }
 
-/// Why a message lay though nothing held it back. Each is a mistake of this or another process.
+/// Why a message was orphaned: it was due, and nothing would have moved it. Each is a fault of this or another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrphanCause {
-    /// A dispatcher had room for it, and its service was not looked at.
+    /// A dispatcher had capacity for it, and its service was not marked runnable.
     NotGranted,
     /// It was in no queue.
     NotScheduled,
-    /// Its wait was over.
+    /// Its back-off was over.
     NotWoken,
-    /// Its lease was held by no dispatcher that is known.
+    /// No known dispatcher held its lease.
     LeaseForgotten,
     /// Its call-back was in no queue.
     CallbackNotScheduled,
-    /// A dispatcher did not say how its call-back ended.
+    /// A dispatcher did not report how its call-back ended.
     CallbackForgotten,
 }
 
-/// An action for the shell. Actions are to be carried out in order.
+/// Outputs of the state machine: actions that the shell carries out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Append to the local disk, sync soon, then send_to_dispatcher by `Synced`.
+    /// Append to the local disk, sync soon, then confirm by [`Input::Synced`].
     Append {
+        /// Identifies the append.
         ticket: Ticket,
+        /// What is appended.
         record: DiskRecord,
     },
+    /// Send to a dispatcher.
     ToDispatcher {
+        /// The connection to send on.
         connection: ConnectionId,
+        /// What is sent.
         message: ToDispatcher,
     },
+    /// Send to another store, if it is connected.
     ToStore {
+        /// The receiver.
         store: StoreId,
+        /// What is sent.
         message: BetweenStores,
     },
+    /// Close a connection of a dispatcher.
     CloseDispatcher {
+        /// The connection.
         connection: ConnectionId,
     },
     /// This store has all that the shard's replicas have: the core may count it as a replica.
     CaughtUp {
+        /// The shard and the change of members that made this store its learner.
         filled: FilledShard,
     },
-    /// The message lay though nothing held it back, and is on its way again: to be counted and logged.
+    /// A message was orphaned and is scheduled again: to be counted and logged.
     Orphaned {
+        /// The message.
         id: MessageId,
+        /// What had been missed.
         cause: OrphanCause,
     },
     /// Nothing on the disk about this message is needed any more.
     Released {
+        /// The message.
         id: MessageId,
     },
 }
--- a/system/state/queue/src/callbacks.rs
+++ b/system/state/queue/src/callbacks.rs
@@ -1,4 +1,4 @@
-//! Call-backs that are pending, by receiver: few under way at a time, and none waits for another receiver.
+//! Pending call-backs by receiver: few are in flight at a time, and none waits for another receiver.
 
 use crate::config::Config;
 use crate::time::Instant;
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Failures in a row after which a receiver is left alone for a while.
+/// Consecutive failures after which a receiver backs off, and not only the call-back that failed.
 const FAILURES_BEFORE_BACKOFF: u32 = 2;
 
 /// Who may make a call-back now.
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 struct Callback {
     receiver: u32,
-    /// Time before which it must not be tried again.
+    /// Time before which it must not be retried.
     not_before: Instant,
     failures: u32,
     lease: Option<CallbackLease>,
@@ -35,7 +35,7 @@
     backing_off_until: Instant,
 }
 
-/// All call-backs that are pending by shards of this primary.
+/// All call-backs that are pending for shards of this primary.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Callbacks {
     pending: BTreeMap<MessageId, Callback>,
@@ -89,7 +89,7 @@
         (*not_before <= now).then_some(*id)
     }
 
-    /// When to look at a receiver again that has a free place.
+    /// When the next call-back of a receiver with capacity may be made.
     pub fn next_time(&self, receiver: u32) -> Option<Instant> {
         let receiver = &self.receivers[receiver as usize];
         if receiver.in_flight >= receiver.limit {
@@ -110,19 +110,19 @@
         self.pending.get(&id)?.lease
     }
 
-    /// It is known that this call-back is pending.
+    /// The call-back is pending.
     pub fn is_pending(&self, id: MessageId) -> bool {
         self.pending.contains_key(&id)
     }
 
-    /// Call-backs that were granted at `before` or earlier and are out still.
+    /// Call-backs that were granted at `before` or earlier and are in flight still.
     pub fn granted_before(&self, before: Instant) -> Vec<MessageId> {
         let is_old = |lease: &CallbackLease| lease.granted_at <= before;
         let old = self.pending.iter().filter(|(_, callback)| callback.lease.as_ref().is_some_and(is_old));
         old.map(|(id, _)| *id).collect()
     }
 
-    /// The receiver did not take it.
+    /// The receiver did not accept it.
     pub fn failed(&mut self, id: MessageId, retry_after: Duration, now: Instant, config: &Config) {
         let Some(callback) = self.pending.get_mut(&id) else { return };
         if callback.lease.is_none() {
@@ -156,7 +156,7 @@
         self.runnable.insert(callback.receiver);
     }
 
-    /// The receiver took it.
+    /// The receiver accepted it.
     pub fn done(&mut self, id: MessageId, config: &Config) {
         let Some(callback) = self.remove(id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
@@ -165,7 +165,7 @@
         receiver.limit = grown.clamp(config.callbacks_per_receiver, config.max_callbacks_per_receiver);
     }
 
-    /// It is not pending any more, or not by this store.
+    /// It is not pending any more, or not at this store.
     fn remove(&mut self, id: MessageId) -> Option<Callback> {
         let callback = self.pending.remove(&id)?;
         let receiver = &mut self.receivers[callback.receiver as usize];
@@ -179,7 +179,7 @@
         Some(callback)
     }
 
-    /// Gives up a call-back; gives the lease that it had.
+    /// Removes a call-back; gives the lease that it had.
     pub fn drop(&mut self, id: MessageId) -> Option<CallbackLease> {
         self.remove(id)?.lease
     }
@@ -194,7 +194,7 @@
         self.runnable.pop_first()
     }
 
-    /// A dispatcher has come: every receiver may be served.
+    /// A dispatcher has connected: call-backs of every receiver may be possible.
     pub fn mark_all_runnable(&mut self) {
         let count = u32::try_from(self.receivers.len()).unwrap_or(u32::MAX);
         self.runnable.extend(0..count);
--- a/system/state/queue/src/dispatchers.rs
+++ b/system/state/queue/src/dispatchers.rs
@@ -1,4 +1,4 @@
-//! Dispatchers: their connections, and what each life of one holds.
+//! Dispatchers: their connections, and the leases and call-backs that each incarnation of one has.
 
 use crate::api::ConnectionId;
 use crate::scheduling::ServiceIndex;
@@ -9,11 +9,11 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Whether a dispatcher is known to hold a lease.
+/// Whether a dispatcher is known to have a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseConfirmation {
     Confirmed,
-    /// It must list it in a `Hello` before this time.
+    /// The dispatcher must announce the lease in a `Hello` before this time.
     Unconfirmed {
         until: Instant,
     },
@@ -50,9 +50,9 @@
     last_message_at: Instant,
     /// Placement in force at its last `Hello`.
     epoch: Epoch,
-    /// What it held then.
+    /// Leases that it announced then.
     held: BTreeMap<MessageId, LeaseToken>,
-    /// What it had asked to be kept or withdrawn then, without an answer.
+    /// Messages that it had asked to be accepted or withdrawn then, without an answer.
     in_doubt: BTreeSet<MessageId>,
     leases: BTreeMap<MessageId, LeaseConfirmation>,
     callbacks: BTreeSet<MessageId>,
@@ -187,7 +187,7 @@
     }
 }
 
-/// All dispatchers that are connected or hold something.
+/// All dispatchers that are connected, or have leases or call-backs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Dispatchers {
     incarnations: BTreeMap<DispatcherId, Incarnation>,
@@ -213,7 +213,7 @@
         self.incarnations.get_mut(&dispatcher)
     }
 
-    /// The life, added if it is not known.
+    /// The incarnation, added if it is not known.
     pub fn add(&mut self, dispatcher: DispatcherId, now: Instant) -> &mut Incarnation {
         self.incarnations.entry(dispatcher).or_insert_with(|| Incarnation::new(now))
     }
@@ -222,9 +222,9 @@
         self.incarnations.iter().map(|(dispatcher, incarnation)| (*dispatcher, incarnation))
     }
 
-    /// The `count` dispatchers of the store's region, or of all if it has none, that speak with a receiver or a service: the first by a hash of both
-    /// names (rendezvous hashing), so that all stores of a region choose the same without a word, and a dispatcher that
-    /// comes or goes changes little.
+    /// The `count` home dispatchers of a receiver or a service: of the store's region, or of all if that has none, the
+    /// first by a hash of both names (rendezvous hashing; Thaler, Ravishankar, 1998). All stores of a region choose the
+    /// same ones without talking to each other, and a dispatcher that comes or goes changes few choices.
     pub fn home_dispatchers(&self, name: &str, count: usize) -> Vec<DispatcherId> {
         let open = || self.iter().filter(|(_, incarnation)| incarnation.is_open());
         let is_far = |incarnation: &Incarnation| incarnation.distance == Distance::OtherRegion;
@@ -242,7 +242,7 @@
         self.incarnations.get(&dispatcher)?.connection
     }
 
-    /// Ties a connection to a life.
+    /// Ties a connection to an incarnation.
     pub fn connect(
         &mut self,
         connection: ConnectionId,
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Connections that were unresponsive for `heartbeat_timeout`.
+    /// Connections on which nothing came for `heartbeat_timeout`.
     pub fn unresponsive(&self, now: Instant, heartbeat_timeout: Duration) -> Vec<ConnectionId> {
         let is_unresponsive = |incarnation: &&Incarnation| {
             now.saturating_duration_since(incarnation.last_message_at) >= heartbeat_timeout
@@ -300,7 +300,7 @@
         self.heartbeat_check_at = None;
     }
 
-    /// Forgets a life that is over and holds nothing.
+    /// Forgets an incarnation that has neither a connection nor a lease nor a call-back.
     pub fn forget_if_gone(&mut self, dispatcher: DispatcherId) {
         let is_gone = |incarnation: &Incarnation| {
             incarnation.connection.is_none()
--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -37,7 +37,7 @@
     pub counted_live: bool,
 }
 
-/// What two replicas must agree on to know the same of a message.
+/// What two replicas must agree on for their copies of a message to be equal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EntryVersion {
     pub failed_attempts: u32,
@@ -47,7 +47,7 @@
     pub callback_done: bool,
 }
 
-/// What must be on the local disk before it may be told: an entry that differs in it knows more or less.
+/// What must be on the local disk before another store is told of it: entries that differ in it know more or less.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EntryContents {
     entry_version: EntryVersion,
@@ -168,14 +168,14 @@
         }
     }
 
-    /// A call-back is owed for the end that is known.
+    /// The end that is known asks for a call-back, and none has succeeded.
     pub fn has_pending_callback(&self) -> bool {
         let named = self.message.as_ref().is_some_and(|message| message.callback_url.is_some());
         let owed_end = matches!(self.end, Some(End::Completed { .. } | End::DeadLetter));
         owed_end && named && !self.callback_done
     }
 
-    /// Gives back the memory of what is not needed any more.
+    /// Frees the memory of what is not needed any more.
     fn trim(&mut self) {
         let needs_body = matches!(self.end, None | Some(End::DeadLetter));
         if needs_body {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// What is left of a message of which only the times matter.
+    /// A message of which only the retention still matters.
     fn placeholder_message(&self) -> Message {
         Message {
             request_id: String::new(),
--- a/system/state/queue/src/lib.rs
+++ b/system/state/queue/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions of a store process, without I/O: it keeps messages on several disks, orders them, grants their delivery
-//! to dispatchers and records how they ended.
+//! The replicated message queue of a store process, as a state machine without I/O: it replicates messages to several
+//! disks, orders them, grants their delivery to dispatchers and records how they ended.
 //!
 //! [`StoreNode`] takes one [`Input`] at a time with the time of a steady clock and returns [`Output`]s. It has no
 //! clock, no threads, and no randomness but a seed. A shell appends and syncs what it is told to, sends and receives,
@@ -18,28 +18,44 @@
 //!
 //! let mut outputs = Vec::new();
 //! node.handle(Instant::ORIGIN, Input::Placement(placement), &mut outputs);
-//! // It promised_terms the shard to itself, and serves it once that is on its disk.
+//! // It promises the shard to itself, and serves it once that is on its disk.
 //! let [Output::Append { ticket, .. }] = outputs[..] else { panic!("one record") };
 //! assert_eq!(node.health(Instant::ORIGIN).serving, 0);
 //! node.handle(Instant::from_millis(2), Input::Synced { ticket }, &mut outputs);
 //! assert_eq!(node.health(Instant::from_millis(2)).serving, 1);
 //! ```
 //!
-//! # Parts
+//! # Guarantees
 //!
-//! - `table`, `entry`: what is known of each message; it only grows.
-//! - `replication`, `repair`, `peers`, `disk`, `scrub`: as primary, onto how many disks that is written, and when.
-//! - `follower`, `takeover`, `reign`: as replica; the change of a shard's primary.
-//! - `accept`, `grants`, `schedule`, `keys`, `credits`, `ceiling`, `attempts`: a message's way to its end.
-//! - `callbacks`, `callback_flow`: what its end owes.
-//! - `dispatchers`, `connections`: who is connected and holds what.
-//! - `expiry`, `timers`: retention and forgetting.
-//! - `watch`: a look for what lies though nothing holds it back.
+//! - A message that was accepted, and each outcome that was recorded, is on as many disks as the placement promises, and
+//!   survives the loss of all of them but one.
+//! - At most one store serves a shard in a term, and a replica that has promised a term rejects writes of lower ones.
+//! - Messages of one order key are delivered one at a time, in the order of their acceptance.
+//! - The same inputs at the same readings with the same seed give the same outputs.
+//!
+//! # Modules
+//!
+//! `node` is the coordinator: [`StoreNode`] routes each input to the parts that it concerns. Each part owns its state:
+//!
+//! - `message_table`, `entry`: what is known of each message; it only grows. `primary_entry`: what only a primary keeps of
+//!   it.
+//! - `primary_term`: terms in which this store is a shard's primary, and takeovers. `promises`: terms that it promised to
+//!   others.
+//! - `replication`: writes in flight to the local disk and to other stores, hedging, repair, filling of learners.
+//! - `scheduling`: ready messages, credits and rate limits by service; order keys.
+//! - `dispatchers`: connections, leases and heartbeats. `callbacks`: pending call-backs by receiver.
+//! - `context`, `timers`, `time`: what all parts share.
+//!
+//! # What the shell must keep to
+//!
+//! - Outputs are carried out in order, and appends reach the disk in the order of their tickets.
+//! - [`Input::Synced`] is given only once everything up to its ticket would survive a loss of power.
+//! - Messages of one connection are given in the order in which they were sent, and none after its end.
 //!
 //! # What dispatchers must keep to
 //!
 //! - They ping at least three times within [`Config::heartbeat_timeout`].
-//! - They start a delivery only if its token's epoch is not below the `since` of its shard in their placement.
+//! - They start a delivery only if its token's epoch is not below the term of its shard in their placement.
 //! - They take `Recorded` only from the shard's primary in their placement, and repeat reports to that one until then.
 //! - They announce themselves by `Hello` on each connection and at each new placement, with every lease whose
 //!   outcome is not `Recorded`, and read nothing more from an older connection to the same store.
--- a/system/state/queue/src/message_table.rs
+++ b/system/state/queue/src/message_table.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// All messages that this store knows, by name.
+/// All messages that this store knows, by identifier.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MessageTable {
     entries: BTreeMap<MessageId, Box<Entry>>,
@@ -55,18 +55,18 @@
         Some(entry)
     }
 
-    /// Names of a shard's messages, in order.
+    /// Identifiers of a shard's messages, in order.
     pub fn ids_of(&self, shard: ShardId) -> impl Iterator<Item = MessageId> + '_ {
         self.of_shard_from(MessageId { shard, unique: 0 }).map(|entry| entry.id)
     }
 
-    /// A shard's messages from `first` on, in the order of their names.
+    /// A shard's messages from `first` on, in the order of their identifiers.
     pub fn of_shard_from(&self, first: MessageId) -> impl Iterator<Item = &Entry> + '_ {
         let last = MessageId { shard: first.shard, unique: u64::MAX };
         self.entries.range(first..=last).map(|(_, entry)| entry.as_ref())
     }
 
-    /// Names of all messages behind `after`, in order.
+    /// Identifiers of all messages behind `after`, in order.
     pub fn ids_after(&self, after: Option<MessageId>) -> impl Iterator<Item = MessageId> + '_ {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.entries.range((from, Bound::Unbounded)).map(|(id, _)| *id)
--- a/system/state/queue/src/node/accept.rs
+++ b/system/state/queue/src/node/accept.rs
@@ -1,4 +1,4 @@
-//! What dispatchers ask of a message: to accept it, to withdraw it, what is known of it.
+//! Requests of dispatchers about a message: to accept it, to withdraw it, to say what is known of it.
 
 use super::StoreNode;
 use crate::api::ConnectionId;
@@ -11,11 +11,11 @@
 use millrudder_protocol::{DispatcherId, MessageId, RequestNumber};
 use std::time::Duration;
 
-/// Withdrawals that wait for one shard's take-over; further ones are not answered.
+/// Withdrawals that wait for one shard's takeover; further ones are not answered.
 const MAX_PENDING_WITHDRAWALS: usize = 10_000;
 
 impl StoreNode {
-    /// A dispatcher wants a message kept.
+    /// A dispatcher asks for a message to be accepted.
     pub(super) fn handle_accept(
         &mut self,
         connection: ConnectionId,
@@ -33,7 +33,7 @@
         if let Some(entry) = self.table.get(id) {
             let is_other = entry.message.as_deref().is_some_and(|known| *known != *message);
             match is_other {
-                // The name was drawn twice: what is kept under it is another client's.
+                // The identifier was drawn twice: the message that has it is another client's.
                 true => self.reject_full(connection, request),
                 false => self.handle_repeated_accept(connection, request, id, dispatcher),
             }
@@ -91,7 +91,7 @@
         });
     }
 
-    /// The same message again: it is acknowledged once it is kept.
+    /// The same message again: it is acknowledged once it is durable.
     fn handle_repeated_accept(
         &mut self,
         connection: ConnectionId,
@@ -111,7 +111,7 @@
         self.when_durable(id, Effect::Accepted { connection, request });
     }
 
-    /// The message is on as many disks as promised.
+    /// The message is durable: its dispatcher is told so, and of its lease if it has one.
     pub(super) fn acknowledge_accept(
         &mut self,
         connection: ConnectionId,
@@ -130,7 +130,7 @@
 
     /// A client got no acknowledgement, and its message must not run any more.
     ///
-    /// Answered only where no other dispatcher can have run it: that it never ran cannot be promised else.
+    /// Answered only where no other dispatcher can have run it: else it may have run.
     pub(super) fn handle_withdraw(&mut self, connection: ConnectionId, id: MessageId) {
         if let Some(takeover) = self.primary_terms.takeover_mut(id.shard) {
             if takeover.withdrawals.len() < MAX_PENDING_WITHDRAWALS {
@@ -163,7 +163,7 @@
         self.when_durable(id, Effect::Withdrawn { connection });
     }
 
-    /// Ends a message that nobody is to run, wherever it is.
+    /// Ends a message that is not to run, at whatever stage it is.
     fn withdraw_message(&mut self, id: MessageId) {
         if let Some(lease) = self.lease_of(id) {
             self.revoke(id, lease.token);
@@ -182,7 +182,7 @@
         self.set_expiry(id);
     }
 
-    /// By the placement in force here, this store is told of every message of that shard, or of most.
+    /// By the placement in force here, this store is a replica of the message's shard.
     fn is_replica(&self, id: MessageId) -> bool {
         self.context
             .placement
--- a/system/state/queue/src/node/attempts.rs
+++ b/system/state/queue/src/node/attempts.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and what follows once that is kept.
+//! Outcomes of attempts, and the effects of durable changes.
 
 use super::grants::order_key;
 use super::StoreNode;
@@ -12,15 +12,15 @@
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, ShardId};
 use std::time::Duration;
 
-/// Least wait before another attempt, however little time its aim leaves.
+/// Shortest wait before another attempt, however little time its latency target leaves.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Least wait before a message that was given back is granted again, so that it does not go round at once.
+/// Shortest wait before a message that was returned is granted again, so that it does not go round in a tight loop.
 const MIN_RETURN_DELAY: Duration = Duration::from_millis(10);
-/// Unknown ends of one message's runs after which it waits longer with each further one.
+/// Unknown outcomes of one message's runs that are retried without a back-off; it doubles with each further one.
 const UNKNOWN_ENDS_WITHOUT_BACKOFF: u32 = 2;
-/// Share of a back-off that is drawn, so that attempts that failed together do not come back together.
+/// Part of a back-off that is drawn, so that attempts that failed together are not retried together.
 const JITTER_PERCENT: u64 = 50;
-/// Share of the time left for a start in time that one back-off may take.
+/// One back-off may take this fraction (one in so many) of the time left for a start in time.
 const SHARE_OF_TIME_LEFT: u32 = 3;
 
 impl StoreNode {
@@ -46,7 +46,7 @@
         }
         match outcome {
             AttemptOutcome::Succeeded { signature } => self.succeeded(id, token, signature),
-            // A worker has said so, whoever may run the message now.
+            // It is a worker's answer, whoever may run the message now.
             AttemptOutcome::Refused => self.end_as_dead_letter(id),
             AttemptOutcome::Failed if is_current => self.attempt_failed(id, token),
             AttemptOutcome::Failed => self.count_failure(id, token),
@@ -76,10 +76,10 @@
         self.reschedule(id, wait.max(MIN_RETURN_DELAY));
     }
 
-    /// A run ended of which nobody knows how. Gives the time that the message waits for it.
+    /// A run ended with an unknown outcome. Gives the time that the message waits for it.
     ///
     /// The run may have failed, and the answer been lost: such attempts are not counted, so a message that meets them
-    /// again and again must not go round at once.
+    /// again and again must not go round in a tight loop.
     pub(super) fn count_unknown_end(&mut self, id: MessageId) -> Duration {
         let Some(primary) = self.table.primary_mut(id) else {
             return Duration::ZERO;
@@ -111,7 +111,7 @@
         self.end_message(id, End::Completed { signature });
     }
 
-    /// Tells the holder of a lease that it is over.
+    /// Tells the dispatcher that has a lease that it is over.
     pub(super) fn revoke(&mut self, id: MessageId, token: LeaseToken) {
         let Some(lease) = self.lease_of(id).filter(|lease| lease.token == token && lease.is_notified) else {
             return;
@@ -147,7 +147,7 @@
         self.end_if_exhausted(id);
     }
 
-    /// Ends a message as dead, and the lease on it that somebody may hold.
+    /// Ends a message as dead letter, and revokes the lease on it.
     fn end_as_dead_letter(&mut self, id: MessageId) {
         if self.table.get(id).is_none_or(|entry| entry.end.is_some()) {
             return;
@@ -158,7 +158,7 @@
         self.end_message(id, End::DeadLetter);
     }
 
-    /// Ends a message whose attempts are spent.
+    /// Ends a message whose attempts are used up; `true` if it did.
     pub(super) fn end_if_exhausted(&mut self, id: MessageId) -> bool {
         let Some(entry) = self.table.get(id) else { return false };
         let max_attempts = entry.message.as_ref().map_or(0, |message| message.max_attempts);
@@ -182,7 +182,7 @@
         wait.min(time_left / SHARE_OF_TIME_LEFT).max(MIN_BACKOFF)
     }
 
-    /// What was asked to follow a version's being kept.
+    /// A version is durable: applies an effect that waited for it.
     pub(super) fn apply_effect(&mut self, id: MessageId, effect: Effect) {
         match effect {
             Effect::Accepted { connection, request } => self.acknowledge_accept(connection, request, id),
@@ -205,7 +205,7 @@
         }
     }
 
-    /// An end of a message is known: it is kept, and what waits for it follows then.
+    /// Ends a message; what waits for that follows once it is durable.
     pub(super) fn end_message(&mut self, id: MessageId, end: End) {
         self.unschedule(id, Stage::Ended);
         self.remember_order_key(id);
@@ -214,7 +214,7 @@
         self.set_expiry(id);
     }
 
-    /// Notes in whose queue the message is, before the message may be given back.
+    /// Notes in whose key's queue the message is, before the message itself may be freed.
     fn remember_order_key(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let key = order_key(entry).map(str::to_owned);
@@ -223,7 +223,7 @@
         }
     }
 
-    /// The message's end is kept: the next one of its key may go, and its call-back is owed.
+    /// The message's end is durable: the next one of its key may be delivered, and its call-back is due.
     fn handle_end_durable(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let sequence = entry.sequence;
--- a/system/state/queue/src/node/callbacks.rs
+++ b/system/state/queue/src/node/callbacks.rs
@@ -1,4 +1,4 @@
-//! Call-backs that ends owe: granted to dispatchers few at a time, repeated until one was taken.
+//! Call-backs for messages that ended: granted to dispatchers few at a time, retried until the receiver accepts one.
 
 use super::StoreNode;
 use crate::api::ConnectionId;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl StoreNode {
-    /// A message's end is kept: its call-back is owed if it names a receiver.
+    /// A message's end is durable: its call-back is due if it names a receiver.
     pub(super) fn enqueue_callback(&mut self, id: MessageId) {
         let Some(entry) =
             self.table.get(id).filter(|entry| entry.has_pending_callback() && entry.primary.is_some())
@@ -82,7 +82,7 @@
         self.send_to_dispatcher(connection, ToDispatcher::CallBack { id, token, end, message });
     }
 
-    /// A dispatcher lacks the message of a call-back; `false` if it holds no such call-back.
+    /// A dispatcher lacks the message of a call-back; `false` if it has no such call-back.
     pub(super) fn send_callback_again(
         &mut self,
         connection: ConnectionId,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A call-back is not owed any more, or not by this store.
+    /// A call-back is not due any more, or not at this store.
     pub(super) fn remove_callback(&mut self, id: MessageId) {
         self.forget_callback_lease(id);
         if let Some(lease) = self.callbacks.drop(id) {
--- a/system/state/queue/src/node/connections.rs
+++ b/system/state/queue/src/node/connections.rs
@@ -14,7 +14,7 @@
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
 impl StoreNode {
-    /// A dispatcher says who it is and what it holds.
+    /// A dispatcher announces itself and the leases that it has.
     pub(super) fn handle_hello(
         &mut self,
         connection: ConnectionId,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Confirms the leases that a dispatcher listed, and grants those again that it does not know.
+    /// Confirms the leases that a dispatcher announced, and grants those again that it does not know.
     fn reconcile_unconfirmed_leases(&mut self, dispatcher: DispatcherId) {
         let Some(incarnation) = self.dispatchers.get(dispatcher) else { return };
         for id in incarnation.unconfirmed() {
@@ -91,7 +91,7 @@
         self.reschedule(id, Duration::ZERO);
     }
 
-    /// Tells a dispatcher which of the leases that it listed are others' now.
+    /// Revokes the leases that a dispatcher announced and that others have now.
     fn revoke_superseded(&mut self, dispatcher: DispatcherId, connection: ConnectionId) {
         let Some(incarnation) = self.dispatchers.get(dispatcher) else { return };
         let is_superseded = |id: MessageId, token: LeaseToken| {
@@ -112,7 +112,7 @@
         self.context.outputs.push(Output::CloseDispatcher { connection });
     }
 
-    /// A dispatcher's connection is closed: it may come back and list what it holds.
+    /// A dispatcher's connection is closed: it may reconnect and announce its leases.
     pub(super) fn handle_dispatcher_closed(&mut self, connection: ConnectionId) {
         let Some(dispatcher) = self.dispatchers.disconnect(connection) else { return };
         self.close_credits(dispatcher);
@@ -131,7 +131,7 @@
         self.dispatchers.forget_if_gone(dispatcher);
     }
 
-    /// A dispatcher did not list these leases in time: they are granted again.
+    /// A dispatcher did not announce these leases in time: they are granted again.
     pub(super) fn release_unconfirmed(&mut self, dispatcher: DispatcherId) {
         let overdue = self
             .dispatchers
@@ -145,7 +145,7 @@
         self.dispatchers.forget_if_gone(dispatcher);
     }
 
-    /// A dispatcher stops: nothing more is granted to it, and it keeps what it holds.
+    /// A dispatcher stops: nothing more is granted to it, and it keeps its leases.
     pub(super) fn handle_dispatcher_leaving(&mut self, connection: ConnectionId) {
         let Some(dispatcher) = self.dispatchers.of(connection) else { return };
         if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
@@ -154,7 +154,7 @@
         self.close_credits(dispatcher);
     }
 
-    /// How much a dispatcher can take; what it does not name has the limit that holds without.
+    /// How many deliveries a dispatcher takes at a time; services that it does not name keep their limit.
     pub(super) fn handle_credits(&mut self, connection: ConnectionId, credits: &[ServiceCredit]) {
         let Some(dispatcher) = self.dispatchers.of(connection) else { return };
         for ServiceCredit { service, limit } in credits {
--- a/system/state/queue/src/node/grants.rs
+++ b/system/state/queue/src/node/grants.rs
@@ -1,4 +1,4 @@
-//! From an accepted message to its delivery: delays, order keys, ceilings, credits, grants.
+//! From an accepted message to its delivery: delays, order keys, rate limits, credits, grants.
 
 use super::StoreNode;
 use crate::api::ConnectionId;
@@ -13,8 +13,8 @@
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId};
 use std::time::Duration;
 
-/// A grant that took longer to be kept counts at its service's ceiling when it is told, as those that waited with it
-/// are told together with it.
+/// A grant that took longer to become durable takes another permit of its service's rate limit when its dispatcher is
+/// notified, as those that waited with it are delivered together with it.
 const LATE_GRANT: Duration = Duration::from_millis(50);
 
 impl StoreNode {
@@ -33,7 +33,7 @@
         index
     }
 
-    /// Puts a message that has not ended and is not out where it belongs.
+    /// Brings a message that has not ended and is not in flight to the stage that it belongs to.
     pub(super) fn schedule(&mut self, id: MessageId) {
         let Some(entry) = self.table.get(id) else { return };
         let Some(primary) = entry.primary.as_ref() else { return };
@@ -76,7 +76,7 @@
         self.services.mark_runnable(service);
     }
 
-    /// A message's wait is over.
+    /// A message's delay or back-off is over.
     pub(super) fn handle_backoff_over(&mut self, id: MessageId) {
         let primary = self.table.primary(id);
         let is_due = primary.is_some_and(
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes a message out of wherever it is; a lease of it is over.
+    /// Takes a message out of its stage; a lease of it is over.
     pub(super) fn unschedule(&mut self, id: MessageId, stage: Stage) {
         let Some(primary) = self.table.primary(id) else { return };
         match primary.stage {
@@ -99,7 +99,7 @@
         self.set_stage(id, stage);
     }
 
-    /// A dispatcher's place is free again.
+    /// A dispatcher's credit is free again.
     fn drop_lease(&mut self, id: MessageId, lease: Lease) {
         if let Some(incarnation) = self.dispatchers.get_mut(lease.dispatcher) {
             incarnation.remove_lease(id);
@@ -124,7 +124,7 @@
         self.services.find(&message.service)
     }
 
-    /// Notes that a dispatcher has a lease and that this takes one of its places.
+    /// Notes that a dispatcher has a lease, which takes one of its credits.
     fn take_lease(&mut self, id: MessageId, lease: Lease, confirmation: LeaseConfirmation) {
         self.set_stage(id, Stage::InFlight(lease));
         let now = self.context.now;
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Grants the first ready message of a service, if a dispatcher has room and the ceiling allows it.
+    /// Grants the first ready message of a service, if a dispatcher has free credit and the rate limit allows it.
     pub(super) fn grant_first(&mut self, index: ServiceIndex) -> bool {
         let now = self.context.now;
         let service = self.services.get_mut(index);
@@ -179,8 +179,8 @@
     }
 
     /// The dispatcher that a message should go to which only this shard's primary grants: one of its service's home
-    /// dispatchers with room, the acceptor if it is one. So few of them keep connections to a worker that accepts few, and
-    /// the next message of a key waits for no far dispatcher. `None` where any may have it, or none has room.
+    /// dispatchers with free credit, the acceptor if it is one. So few of them keep connections to a worker that accepts few, and
+    /// the next message of a key waits for no far dispatcher. `None` where any may have it, or none has free credit.
     fn home_for(
         &self,
         id: MessageId,
@@ -205,6 +205,7 @@
         own.or_else(|| homes.into_iter().max_by_key(|home| service.credits().free(*home)))
     }
 
+    /// A new lease token of the shard's term.
     pub(super) fn token(&mut self, id: MessageId) -> Option<LeaseToken> {
         self.primary_terms.get_mut(id.shard).map(|primary_term| primary_term.token())
     }
@@ -262,7 +263,7 @@
         }
     }
 
-    /// A grant is kept: its dispatcher may use it.
+    /// A grant is durable: its dispatcher may use it.
     pub(super) fn deliver(&mut self, id: MessageId, token: LeaseToken) {
         let Some(lease) = self.lease_of(id).filter(|lease| lease.token == token && !lease.is_notified) else {
             return;
@@ -273,7 +274,7 @@
         self.send_delivery(connection, id, token, with_body);
     }
 
-    /// The dispatcher is told of its lease now.
+    /// The dispatcher is notified of its lease now.
     pub(super) fn mark_notified(&mut self, id: MessageId, lease: Lease) {
         if let Some(primary) = self.table.primary_mut(id) {
             primary.stage = Stage::InFlight(Lease { is_notified: true, ..lease });
@@ -287,7 +288,7 @@
         }
     }
 
-    /// The dispatcher accepted the message so lately that it has the body still.
+    /// The dispatcher accepted the message so recently that it has the body still.
     pub(super) fn has_body(&self, id: MessageId, dispatcher: DispatcherId) -> bool {
         let primary = self.table.primary(id);
         let acceptor = primary.and_then(|primary| primary.accepted_by);
@@ -320,6 +321,7 @@
         }
     }
 
+    /// The lease under which the message is in flight.
     pub(super) fn lease_of(&self, id: MessageId) -> Option<Lease> {
         self.table.get(id)?.primary.as_ref()?.lease()
     }
@@ -334,7 +336,8 @@
         self.schedule(id);
     }
 
-    /// A former primary granted this, and its dispatcher may hold it: it must list it, or it is granted again.
+    /// A former primary granted this, and its dispatcher may have the lease: it must announce it, or the message is granted
+    /// again.
     pub(super) fn adopt_lease(&mut self, id: MessageId, grant: Grant) {
         let Some(term) = self.primary_terms.number_of(id.shard) else {
             return;
@@ -368,7 +371,7 @@
     }
 }
 
-/// The key within which a message keeps its order.
+/// The key within which messages are delivered in order.
 pub(super) fn order_key(entry: &Entry) -> Option<&str> {
     entry.message.as_ref()?.order_key.as_deref()
 }
--- a/system/state/queue/src/node/mod.rs
+++ b/system/state/queue/src/node/mod.rs
@@ -36,7 +36,9 @@
 use std::collections::BTreeMap;
 use watchdog::Watchdog;
 
-/// All decisions of one store process.
+/// The state machine of one store process.
+///
+/// Its inputs come one at a time, each with a reading of the steady clock; what it decides is returned as outputs.
 #[derive(Clone, Debug)]
 pub struct StoreNode {
     context: Context,
@@ -100,12 +102,12 @@
         }
     }
 
-    /// Takes one event; what is to be done is added to `outputs`. Time never goes back.
+    /// Handles one input at `now`; what is to be done is added to `outputs`. A reading before the latest one counts as that.
     pub fn handle(&mut self, now: millrudder_clock::Instant, input: Input, outputs: &mut Vec<Output>) {
         self.context.now = self.context.now.max(Instant::from(now));
         self.fire_timers();
         self.process_pending_work();
-        // After all that was due: a process that was halted finds many timers due at once.
+        // After all timers that were due: a process that was halted finds many due at once.
         if self.watchdog.take_due() {
             self.run_watchdog();
             self.process_pending_work();
@@ -227,7 +229,7 @@
         self.services.set_rates(&by_service, self.context.now);
     }
 
-    /// Nothing on this disk can be promised any more.
+    /// The local disk failed: nothing on it counts any more, so this store is primary of nothing.
     fn handle_disk_failed(&mut self) {
         self.replication.fail_disk();
         self.promises.cancel_all_transfers();
@@ -236,14 +238,14 @@
         }
     }
 
-    /// Time at which `Tick` is runnable at the latest.
+    /// Time at which [`Input::Tick`] is due at the latest.
     pub fn next_deadline(&self) -> Option<millrudder_clock::Instant> {
         let first =
             self.replication.deadline(&self.context).into_iter().chain(self.context.timers.first()).min();
         first.map(millrudder_clock::Instant::from)
     }
 
-    /// What the process tells the core of itself.
+    /// What the process reports to the core in its heartbeats.
     pub fn health(&self, now: millrudder_clock::Instant) -> StoreHealth {
         let now = Instant::from(now).max(self.context.now);
         let serving = self.primary_terms.serving_shards().len();
@@ -266,7 +268,7 @@
         self.promises.records()
     }
 
-    /// Sends to a dispatcher whose connection is still there.
+    /// Sends to a dispatcher whose connection is still open.
     pub(super) fn send_to_dispatcher(&mut self, connection: ConnectionId, message: ToDispatcher) {
         if self.dispatchers.is_connected(connection) {
             self.context.outputs.push(Output::ToDispatcher { connection, message });
--- a/system/state/queue/src/node/replication.rs
+++ b/system/state/queue/src/node/replication.rs
@@ -15,12 +15,12 @@
 }
 
 impl StoreNode {
-    /// Adds a fact to what is known of a message of a shard that is served.
+    /// Applies a change to a message of a shard that is served, and replicates it.
     pub(super) fn apply_record(&mut self, id: MessageId, record: Record) {
         self.replication.apply_record(self.context.now, &mut self.table, id, record);
     }
 
-    /// The full state of a message is to be written.
+    /// The full state of a message is to be replicated.
     pub(super) fn mark_full_state_changed(&mut self, id: MessageId) {
         self.replication.mark_full_state_changed(&mut self.table, id);
     }
--- a/system/state/queue/src/node/scrub.rs
+++ b/system/state/queue/src/node/scrub.rs
@@ -1,5 +1,5 @@
-//! Comparison of replicas in the background: a primary sends digests of what it believes others to hold, a few
-//! messages at a time, and writes anew what they lack or know otherwise.
+//! Comparison of replicas in the background: a primary sends digests of what it believes others to have, a few
+//! messages at a time, and writes again what they lack or know otherwise.
 
 use super::StoreNode;
 use crate::entry::Entry;
@@ -16,7 +16,7 @@
 /// Multiplier that spreads one more number over a digest: an odd number without pattern.
 const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Hash of all that is known of a message but for times and the message itself.
+/// Hash of what is known of a message, but for times and the message itself.
 fn digest(entry: &Entry) -> u64 {
     let (kind, signature) = match &entry.end {
         None => (0, ""),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Other replicas that have said that all that is known of a message is on their disks.
+    /// Other replicas that acknowledged all that is known of a message.
     fn fully_acked_replicas(&self, entry: &Entry) -> Vec<StoreId> {
         let is_kept = entry.expiry.is_some_and(|expiry| expiry > self.context.now + SOON_FORGOTTEN);
         let Some(primary) = entry.primary.as_ref().filter(|_| is_kept) else { return Vec::new() };
@@ -91,7 +91,7 @@
             .collect()
     }
 
-    /// As replica: compares what a primary believes with what is known here.
+    /// As replica: compares the digests of a primary with the local copies.
     pub(super) fn handle_scrub(
         &mut self,
         from: StoreId,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A replica lacks messages, or knows them otherwise: it holds nothing of them, as far as is known here.
+    /// A replica lacks messages, or knows them otherwise: all that was sent to it of them counts for nothing.
     pub(super) fn handle_scrubbed(
         &mut self,
         from: StoreId,
@@ -132,7 +132,7 @@
             let progress = primary.progress_mut(from);
             progress.sent = 0;
             progress.acked = 0;
-            // A new version: a change that is under way to that replica must not count as the whole.
+            // A new version: a change that is under way to that replica must not count as the full state.
             self.mark_full_state_changed(*id);
         }
     }
--- a/system/state/queue/src/node/takeover.rs
+++ b/system/state/queue/src/node/takeover.rs
@@ -22,7 +22,7 @@
 const FIRST_VERSION: u32 = 1;
 
 impl StoreNode {
-    /// Takes over what a newer placement says of one shard.
+    /// Applies what a newer placement says of one shard.
     pub(super) fn apply_shard_placement(&mut self, shard: ShardId) {
         let Some(entry) = self.context.placement.shard(shard) else { return };
         let tolerated = self.context.placement.tolerated_losses;
@@ -236,7 +236,7 @@
         self.set_expiry(id);
     }
 
-    /// Puts every message of a shard where it belongs, in the order of their acceptance.
+    /// Brings every message of a shard to its stage, in the order of their acceptance.
     fn schedule_shard(&mut self, shard: ShardId) {
         let of_shard = self.table.of_shard_from(MessageId { shard, unique: 0 });
         let mut order: Vec<(Sequence, MessageId)> =
@@ -261,7 +261,7 @@
         }
     }
 
-    /// A lease that a former primary granted may be held still.
+    /// A dispatcher may still have a lease that a former primary granted.
     fn adopt_grant(&mut self, id: MessageId) {
         let Some(entry) = self.table.get(id) else { return };
         let is_open = |entry: &Entry| entry.end.is_none() && entry.primary.is_some();
@@ -318,7 +318,7 @@
         let is_same = entry.entry_version() == entry_version;
         let Some(primary) = entry.primary.as_mut() else { return };
         let progress = primary.progress_mut(from);
-        // What was sent to it in this reign is counted by its answers alone.
+        // What was sent to it in this term is counted by its acknowledgements alone.
         if is_same && progress.sent == 0 {
             let version = primary.version;
             *primary.progress_mut(from) = ReplicaProgress { store: from, sent: version, acked: version };
@@ -326,7 +326,8 @@
         }
     }
 
-    /// A message that only a replica knows which was not waited for: it was never acknowledged, yet may be kept.
+    /// A message that only a replica knows which the takeover did not wait for: it was never acknowledged, and is accepted
+    /// all the same.
     fn merge_unknown_message(&mut self, id: MessageId, from: StoreId, state: MessageState) {
         let entry_version = EntryVersion::of_state(&state);
         let is_new = self.merge_and_append(state, FIRST_VERSION);
--- a/system/state/queue/src/node/watchdog.rs
+++ b/system/state/queue/src/node/watchdog.rs
@@ -1,8 +1,8 @@
-//! Watchdog: looks for messages that are due and call-backs that are owed, which nothing that is known here holds back,
-//! and puts them on their way again.
+//! Watchdog: scans for orphaned messages and call-backs, which are due and which no timer, queue or dispatcher would move,
+//! and schedules them again.
 //!
-//! Each of them is a mistake somewhere: in what wakes a service, or at a dispatcher that forgot what it was granted. So
-//! each is told to the shell as well, to be counted and logged.
+//! Each of them is a fault somewhere: in what marks a service runnable, or at a dispatcher that lost what it was granted.
+//! So each is reported to the shell as well, to be counted and logged.
 
 use super::grants::order_key;
 use super::StoreNode;
@@ -15,11 +15,11 @@
 use millrudder_protocol::MessageId;
 use std::time::Duration;
 
-/// Every message is looked at once in about so many looks.
+/// Every message is checked once in about so many scans.
 const SCANS_PER_PASS: u64 = 3;
-/// Messages that are looked at in one look at the least.
+/// Messages that one scan checks at the least.
 const MIN_MESSAGES_PER_SCAN: u64 = 256;
-/// What is late by so much is late for no good reason: a timer goes off within one turn of the process.
+/// What is late by so much is orphaned: a timer goes off within one turn of the process.
 const LATE_AFTER: Duration = Duration::from_millis(500);
 
 /// Where the scan for orphaned messages has come to.
@@ -60,7 +60,7 @@
         }
     }
 
-    /// One look.
+    /// One scan.
     pub(super) fn run_watchdog(&mut self) {
         self.set_watchdog_timer();
         self.check_services();
@@ -76,7 +76,7 @@
         self.context.outputs.push(Output::Orphaned { id, cause });
     }
 
-    /// Services are granted from whenever something changes; one that can be granted from now was not woken.
+    /// Services are granted from whenever something changes; one that can be granted from now was not marked runnable.
     fn check_services(&mut self) {
         let indexes: Vec<ServiceIndex> = self.services.indexes().collect();
         for index in indexes {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Call-backs that a dispatcher has said nothing of for too long, and receivers that were not woken.
+    /// Call-backs that a dispatcher has said nothing of for too long, and receivers that were not marked runnable.
     fn check_callbacks(&mut self) {
         let before = self.context.now - self.context.config.callback_timeout;
         for id in self.callbacks.granted_before(before) {
@@ -105,7 +105,7 @@
         self.callbacks.mark_all_runnable();
     }
 
-    /// Why a message lies though nothing holds it back; `None` for all that are where they belong.
+    /// Why a message is orphaned; `None` for one that is not.
     fn orphan_cause(&self, id: MessageId) -> Option<OrphanCause> {
         let entry = self.table.get(id)?;
         let primary = entry.primary.as_ref()?;
@@ -133,7 +133,7 @@
         key.is_some_and(|key| self.keys.may_activate(key, id))
     }
 
-    /// Its dispatcher's life is not known any more, or the time in which it should have listed the lease is over.
+    /// Its dispatcher's incarnation is not known any more, or should have announced the lease before.
     fn has_no_holder(&self, id: MessageId, lease: Lease) -> bool {
         let confirmation =
             self.dispatchers.get(lease.dispatcher).and_then(|incarnation| incarnation.confirmation_of(id));
--- a/system/state/queue/src/primary_entry.rs
+++ b/system/state/queue/src/primary_entry.rs
@@ -1,12 +1,12 @@
-//! What only a shard's primary keeps of a message: who holds what, what waits for that, and where the message is on
-//! its way.
+//! What only a shard's primary keeps of a message: the progress of each replica, the effects that wait for it, and the
+//! stage of its delivery.
 
 use crate::api::ConnectionId;
 use crate::scheduling::ReadyKey;
 use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId, RequestNumber, StoreId};
 
-/// What a store was told of a message and has on its disk, as versions that the primary counts.
+/// What a store was sent of a message and has on its disk, as versions that the primary counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReplicaProgress {
     pub store: StoreId,
@@ -28,29 +28,20 @@
 /// What is to be done once a version is on as many disks as promised.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// Tell the dispatcher that the message is kept.
-    Accepted {
-        connection: ConnectionId,
-        request: RequestNumber,
-    },
+    /// Tell the dispatcher that the message is accepted.
+    Accepted { connection: ConnectionId, request: RequestNumber },
     /// A message that was accepted without a lease may be scheduled.
     Schedule,
     /// The grant under this token may be used.
-    Deliver {
-        token: LeaseToken,
-    },
-    /// Tell the dispatcher that the lease's end is kept.
-    Recorded {
-        connection: ConnectionId,
-        token: LeaseToken,
-    },
+    Deliver { token: LeaseToken },
+    /// Tell the dispatcher that the lease's outcome is durable.
+    Recorded { connection: ConnectionId, token: LeaseToken },
     /// The failed attempt is counted: the next one may be scheduled.
     Retry,
-    /// The message's end is kept: what waited for it may follow.
+    /// The message's end is durable: the next one of its key, and its call-back, may follow.
     Ended,
-    Withdrawn {
-        connection: ConnectionId,
-    },
+    /// Tell the dispatcher that the message does not run.
+    Withdrawn { connection: ConnectionId },
 }
 
 /// An effect and the version it waits for.
@@ -65,32 +56,32 @@
 pub(crate) struct Lease {
     pub dispatcher: DispatcherId,
     pub token: LeaseToken,
-    /// The dispatcher was told, or may have been by a former primary.
+    /// The dispatcher was notified of it, or may have been by a former primary.
     pub is_notified: bool,
     pub granted_at: Instant,
 }
 
-/// Where a message is on its way.
+/// Stage of a message's delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// Waits for its first disks, or for those of a failed attempt.
     Persisting,
     /// Behind others of its order key.
     WaitingForKey,
-    /// Until its wake timer.
+    /// Its delay or back-off is not over.
     BackingOff { until: Instant },
     /// In its service's ready queue.
     Ready(ReadyKey),
     /// Granted to a dispatcher.
     InFlight(Lease),
-    /// Ended, which may not be on enough disks yet.
+    /// It has ended, which may not be durable yet.
     Ended,
 }
 
 /// What only a shard's primary keeps of a message.
 #[derive(Clone, Debug)]
 pub(crate) struct PrimaryEntry {
-    /// Counts what became known in this reign.
+    /// Counts what became known in this term.
     pub version: u32,
     /// Highest version that is on as many disks as promised.
     pub durable: u32,
@@ -99,26 +90,28 @@
     pub stage: Stage,
     /// Time before which it must not be granted again, besides its delay.
     pub not_before: Instant,
-    /// Who accepted it on this connection's life, and when.
+    /// The dispatcher that last asked for it to be accepted, and when.
     pub accepted_by: Option<Acceptor>,
-    /// Who may have run it.
+    /// Dispatchers that may have run it.
     pub possible_runners: PossibleRunners,
-    /// Leases of this reign that ended without anybody knowing what became of the run.
+    /// Leases of this term that ended without a known outcome of the run.
     pub unknown_ends: u32,
-    /// Who gave it back last; it goes to another one next if that has room.
+    /// The dispatcher that returned it last; it goes to another one next if that has capacity.
     pub returned_by: Option<DispatcherId>,
-    /// Who last reported an end; its call-back goes there.
+    /// The dispatcher that last reported an outcome; the call-back goes there.
     pub reporter: Option<DispatcherId>,
-    /// Order key in whose queue it is until its end is kept; the message itself may be given back before.
+    /// Order key in whose queue it is until its end is durable; the message itself may be freed before.
     pub ended_key: Option<String>,
 }
 
-/// Dispatchers that were told to deliver a message, and so may have run it.
+/// Dispatchers that were notified of a lease, and so may have run the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PossibleRunners {
+    /// None was.
     Nobody,
+    /// No other than this one was.
     One(DispatcherId),
-    /// Several, or a former primary told somebody.
+    /// Several were, or a former primary may have notified any.
     Unknown,
 }
 
@@ -131,7 +124,7 @@
         };
     }
 
-    /// Nobody else than `dispatcher` can have run it.
+    /// No other dispatcher than this one can have run it.
     pub fn is_at_most(&self, dispatcher: Option<DispatcherId>) -> bool {
         match self {
             PossibleRunners::Nobody => true,
@@ -141,7 +134,7 @@
     }
 }
 
-/// The dispatcher that took a message from its client.
+/// The dispatcher that received a message from its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Acceptor {
     pub dispatcher: DispatcherId,
@@ -166,7 +159,7 @@
         }
     }
 
-    /// What `store` holds; nothing where it was never told.
+    /// Progress of a replica; of none yet where nothing was sent to it.
     pub fn progress_mut(&mut self, store: StoreId) -> &mut ReplicaProgress {
         let at = self.replica_progress.iter().position(|progress| progress.store == store);
         let at = at.unwrap_or_else(|| {
--- a/system/state/queue/src/primary_term.rs
+++ b/system/state/queue/src/primary_term.rs
@@ -1,4 +1,4 @@
-//! What a store keeps of a shard that it is primary of.
+//! Terms in which this store is primary of a shard: members, promises, the takeover, numbers given out.
 
 use crate::api::ConnectionId;
 use crate::entry::{Entry, EntryVersion};
@@ -14,7 +14,7 @@
     pub entry_version: EntryVersion,
 }
 
-/// How often what others told of a message was appended to the local disk, and how many of these appends are synced.
+/// How often what other replicas reported of a message was appended to the local disk, and how many of these appends are synced.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MergedRecord {
     pub appended: u32,
@@ -28,13 +28,13 @@
     pub is_own_promise_synced: bool,
     /// What each replica has on its disk; of this store, what it had at the start.
     pub recovered: BTreeMap<MessageId, Vec<RecoveredCopy>>,
-    /// Messages of which others told more than the local disk had.
+    /// Messages of which others reported more than the local disk had.
     pub merged: BTreeMap<MessageId, MergedRecord>,
     /// What dispatchers withdrew meanwhile.
     pub withdrawals: Vec<Withdrawal>,
 }
 
-/// A dispatcher's wish that a message does not run.
+/// A dispatcher's request that a message does not run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Withdrawal {
     pub connection: ConnectionId,
@@ -108,13 +108,13 @@
     /// The membership in force, and the one after the change that is under way.
     memberships: Vec<Membership>,
     change: Option<MemberChange>,
-    /// Other replicas that told all they knew in this term.
+    /// Other members that promised this term and sent all that they know.
     promised_by: BTreeSet<StoreId>,
     /// Present until the shard is served.
     takeover: Option<Takeover>,
     /// Message from which on the next comparison with replicas goes.
     scrub_from: u64,
-    /// Of sequences and tokens given in this term.
+    /// Next sequence number of a message, and of a lease token, in this term.
     next_sequence: u32,
     next_token: u32,
 }
@@ -183,7 +183,7 @@
         }
     }
 
-    /// A member has promised the term and told all that it knows.
+    /// A member has promised the term and sent all that it knows.
     pub fn note_promise(&mut self, from: StoreId) {
         self.promised_by.insert(from);
     }
@@ -220,12 +220,13 @@
         self.change.map(|change| change.joins)
     }
 
-    /// Its place goes to another store.
+    /// Another store replaces it.
     pub fn is_leaving(&self, store: StoreId) -> bool {
         self.change.is_some_and(|change| change.leaves == Some(store))
     }
 
-    /// So many members were heard that one of them holds each write that was acknowledged; `local_id` hears itself.
+    /// So many members have promised the term that one of them has each write that was acknowledged; this store counts
+    /// as one.
     pub fn has_read_quorum(&self, local_id: StoreId) -> bool {
         let has_promised = |store: &&StoreId| **store == local_id || self.promised_by.contains(store);
         let enough = |membership: &Membership| {
@@ -264,7 +265,7 @@
         token
     }
 
-    /// Gives no number again that a former life of this process gave in the same epoch.
+    /// Gives no number again that a former incarnation of this process gave in the same term.
     pub fn count_past(&mut self, sequence: Sequence, token: LeaseToken) {
         let count_of = |number: u64| {
             let is_own = number >> COUNT_BITS == self.number.0;
--- a/system/state/queue/src/replication/disk.rs
+++ b/system/state/queue/src/replication/disk.rs
@@ -1,4 +1,4 @@
-//! What was appended to the local disk and waits for its sync.
+//! Appends to the local disk that wait for their sync.
 
 use crate::api::{DiskRecord, Output, Ticket};
 use crate::primary_entry::SentVersion;
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What a sync of the local disk allows.
+/// What follows the sync of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SyncAction {
     /// Nothing waits for it.
@@ -29,7 +29,7 @@
     on_synced: SyncAction,
 }
 
-/// The local disk's queue.
+/// The local disk, as a queue of appends.
 #[derive(Clone, Debug)]
 pub(super) struct LocalDisk {
     next: Ticket,
@@ -44,7 +44,7 @@
         LocalDisk { next: Ticket(1), unsynced: VecDeque::new(), overdue: 0, is_failed: false }
     }
 
-    /// Appends a record; `then` follows its sync.
+    /// Appends a record; `on_synced` follows its sync.
     pub fn append(
         &mut self,
         record: DiskRecord,
@@ -58,7 +58,7 @@
         outputs.push(Output::Append { ticket, record });
     }
 
-    /// What is allowed now that everything up to `ticket` is synced, in the order of the appends.
+    /// Everything up to `ticket` is synced; gives what follows, in the order of the appends.
     pub fn synced(&mut self, ticket: Ticket) -> Vec<SyncAction> {
         let mut allowed = Vec::new();
         while self.unsynced.front().is_some_and(|oldest| oldest.ticket <= ticket) {
@@ -69,7 +69,7 @@
         allowed
     }
 
-    /// The connection that a primary's writes came on has ended: nobody is told of their sync. On the next connection
+    /// The connection that a primary's writes came on has ended: nobody is sent their acknowledgement. On the next connection
     /// their numbers may be those of other writes, as each process numbers its own.
     pub fn forget_writes(&mut self, of: StoreId) {
         for unsynced in &mut self.unsynced {
--- a/system/state/queue/src/replication/peer.rs
+++ b/system/state/queue/src/replication/peer.rs
@@ -1,4 +1,4 @@
-//! What is under way to other stores, and how soon they usually answer.
+//! Writes in flight to one other store, its usual latency, and what it is to catch up with.
 
 use crate::config::Config;
 use crate::primary_entry::SentVersion;
@@ -8,18 +8,18 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Share of the latest answer's time in what is usual.
+/// Weight of the latest sample in the moving average of a store's latency.
 const LATENCY_SAMPLE_WEIGHT: f64 = 0.2;
-/// A store is waited for this many times its usual time.
+/// A write is overdue after this many times the store's usual latency.
 const TIMEOUT_FACTOR: f64 = 4.0;
-/// What is usual of a store that nothing is known of, in milliseconds.
+/// Latency that is assumed of a store which has not acknowledged anything yet, in milliseconds.
 const INITIAL_LATENCY_MS: f64 = 6.0;
-/// Time without answers in which what is usual halves, so that a store that was slow is tried again.
+/// Time without a sample in which the average halves, so that a store that was slow is tried again.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Differences within a factor of two of this are no reason to prefer one store, in milliseconds.
+/// Latencies up to twice this are no reason to prefer another store, in milliseconds.
 const SIGNIFICANT_LATENCY_MS: f64 = 8.0;
 
-/// A `Write` without an answer yet.
+/// A `Write` that is not acknowledged yet.
 #[derive(Clone, Debug)]
 struct Outstanding {
     number: RequestNumber,
@@ -40,14 +40,14 @@
     latency_at: Instant,
     /// Messages of which it is to be sent all that is known, as the window allows.
     catch_up: BTreeSet<MessageId>,
-    /// Bytes of such that are under way.
+    /// Bytes of repair in flight.
     repair_bytes: usize,
     /// Shards of which it is a learner being filled; with the last write of the filling once that was sent.
     filling: BTreeMap<ShardId, Option<RequestNumber>>,
 }
 
 impl Peer {
-    /// `first_number`: of its writes; drawn, so that no answer to a former life of this process matches one of them.
+    /// `first_number`: of its writes; drawn, so that no answer to a former incarnation of this process matches one of them.
     pub fn new(now: Instant, first_number: u64) -> Self {
         Peer {
             is_connected: false,
@@ -110,7 +110,7 @@
         self.filling.insert(shard, None);
     }
 
-    /// Notes a `Write` and gives its number.
+    /// Adds a `Write` that is in flight from now on; gives its number.
     pub fn register_write(
         &mut self,
         now: Instant,
@@ -147,7 +147,7 @@
         self.latency_at = now;
     }
 
-    /// Milliseconds in which it usually answers.
+    /// The moving average of its latency in milliseconds, decayed since the latest sample.
     fn decayed_latency(&self, now: Instant) -> f64 {
         let halvings = millis(now.saturating_duration_since(self.latency_at)) / millis(LATENCY_HALF_LIFE);
         let halved = self.latency_ms * 0.5_f64.powi(i32::try_from(halvings.min(64)).unwrap_or(64));
--- a/system/state/queue/src/scheduling/credits.rs
+++ b/system/state/queue/src/scheduling/credits.rs
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Nothing more may be granted to it; what is out stays counted.
+    /// Nothing more may be granted to it; what is in flight stays counted.
     pub fn close(&mut self, dispatcher: DispatcherId) {
         if self.dispatchers.contains_key(&dispatcher) {
             self.change(dispatcher, |credit| credit.open = false);
         }
     }
 
-    /// The dispatcher takes deliveries, whether or not it has room for more just now.
+    /// The dispatcher takes deliveries, whether or not it has free credit just now.
     pub fn is_open(&self, dispatcher: DispatcherId) -> bool {
         self.dispatchers.get(&dispatcher).is_some_and(|credit| credit.open && credit.limit > 0)
     }
@@ -99,7 +99,7 @@
         self.free(dispatcher) > 0
     }
 
-    /// Of the nearest that have free credit the one with the most; `other` only if there is no other.
+    /// Of the nearest dispatchers that have free credit the one with the most; `other` only if there is no other one.
     pub fn best_except(&self, other: Option<DispatcherId>) -> Option<DispatcherId> {
         let mut best = self.free.iter().rev().map(|(_, _, dispatcher)| *dispatcher);
         best.find(|dispatcher| Some(*dispatcher) != other).or(other.filter(|other| self.has_free(*other)))
--- a/system/state/queue/src/scheduling/keys.rs
+++ b/system/state/queue/src/scheduling/keys.rs
@@ -1,4 +1,4 @@
-//! Messages by order key: one is on its way at a time, the others wait for its end.
+//! Messages by order key: one is active at a time, the others wait for its end.
 
 use millrudder_protocol::{MessageId, Sequence, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default)]
 struct KeyQueue {
     waiting: BTreeSet<(Sequence, MessageId)>,
-    /// The one on its way.
+    /// The one that may be delivered.
     active: Option<MessageId>,
 }
 
@@ -30,7 +30,7 @@
         queues.insert(key.to_owned(), queue);
     }
 
-    /// Makes the message the one on its way if it is the first and none is.
+    /// Makes the message the active one if it is the first and none is; `true` if it is the active one.
     pub fn activate(&mut self, key: &str, id: MessageId) -> bool {
         let Some(queue) = self.queues.get_mut(&id.shard).and_then(|queues| queues.get_mut(key)) else {
             return true;
@@ -51,14 +51,14 @@
         queue.active.map_or(is_first, |active| active == id)
     }
 
-    /// Makes a message the one on its way that a former primary had granted.
+    /// Makes a message the active one that a former primary had granted.
     pub fn adopt(&mut self, key: &str, id: MessageId) {
         if let Some(queue) = self.queues.get_mut(&id.shard).and_then(|queues| queues.get_mut(key)) {
             queue.active = Some(id);
         }
     }
 
-    /// The message has ended for good; gives the one that is first now and may be on its way.
+    /// The message's end is durable; gives the one that may become active.
     pub fn end(&mut self, key: &str, sequence: Sequence, id: MessageId) -> Option<MessageId> {
         let queues = self.queues.get_mut(&id.shard)?;
         let queue = queues.get_mut(key)?;
--- a/system/state/queue/src/scheduling/rate_limit.rs
+++ b/system/state/queue/src/scheduling/rate_limit.rs
@@ -1,13 +1,13 @@
-//! A service's common ceiling: a token bucket that starts empty.
+//! A service's common rate limit: a token bucket that starts empty.
 
 use crate::time::millis;
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Length of the span in which the ceiling is judged, in seconds.
+/// Length of the window in which the rate is judged, in seconds.
 const WINDOW_S: f64 = 5.0;
-/// Part of a span's permits that may be saved up. Grants in any span stay within this over the rate, and the rest of
-/// what is tolerated is left for deliveries that cross each other on their way.
+/// Fraction of a window's permits that may be saved up. Grants in any window stay within this over the rate, and the rest
+/// of what is tolerated is left for deliveries that overtake each other on the network.
 const BURST_FRACTION: f64 = 0.02;
 const MS_PER_S: f64 = 1_000.0;
 /// Time in which a grant's record should be on its disks also when one is slow, in seconds.
@@ -38,7 +38,7 @@
         self.counted_at = self.counted_at.max(now);
     }
 
-    /// Another rate from now on; what is saved stays, within the new bound.
+    /// Another rate from now on; saved permits stay, within the new bound.
     pub fn set_rate(&mut self, per_second: f64, now: Instant) {
         self.refill(now);
         self.per_second = per_second;
@@ -50,8 +50,8 @@
         self.counted_at = self.counted_at.max(now);
     }
 
-    /// Grants that may wait for their disks at a time: what waits together comes together, and another primary would
-    /// know nothing of it.
+    /// Grants that may wait for their disks at a time: those that wait together are delivered together, and another
+    /// primary would not count them.
     pub fn max_unnotified(&self) -> usize {
         (self.per_second * UNNOTIFIED_S).max(2.0) as usize
     }
@@ -67,7 +67,7 @@
         there
     }
 
-    /// Spends a permit that need not be there: it is missing later.
+    /// Takes a permit that need not be there yet: it is missing later.
     pub fn borrow(&mut self, now: Instant) {
         self.refill(now);
         self.permits -= 1.0;
--- a/system/state/queue/src/scheduling/services.rs
+++ b/system/state/queue/src/scheduling/services.rs
@@ -1,4 +1,4 @@
-//! Ready messages by service, in the order in which they are granted, with the service's ceiling and credits.
+//! Ready messages by service, in the order in which they are granted, with each service's rate limit and credits.
 
 use super::credits::Credits;
 use super::rate_limit::RateLimit;
@@ -15,12 +15,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReadyKey {
     pub priority: u32,
-    /// A start now earns less than its full worth.
+    /// A start now earns less than its full value.
     pub late: bool,
     pub due: Instant,
     pub sequence: Sequence,
     pub id: MessageId,
-    /// Until when a start earns its full worth.
+    /// Until when a start earns its full value.
     pub start_by: Instant,
     pub service: ServiceIndex,
 }
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Puts the ceilings of the configuration in force in the place of those before.
+    /// Replaces all rate limits by those of the configuration in force.
     pub fn set_rates(&mut self, rates: &BTreeMap<ServiceIndex, f64>, now: Instant) {
         for index in self.indexes() {
             let service = self.get_mut(index);
@@ -215,7 +215,7 @@
     }
 }
 
-/// A rate that holds something back.
+/// The rate limits anything: no rate is written as zero.
 pub(crate) fn is_limiting(rate: &ServiceRate) -> bool {
     rate.per_second > 0.0
 }
--- a/system/state/queue/src/timers.rs
+++ b/system/state/queue/src/timers.rs
@@ -1,30 +1,30 @@
-//! Everything that is due at a time, ordered by that time.
+//! Timers in the order of their time.
 
 use crate::scheduling::ServiceIndex;
 use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, MessageId, ShardId, StoreId};
 use std::collections::BTreeSet;
 
-/// What is due.
+/// What a timer stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// A message's delay or back-off is over.
     BackoffOver(MessageId),
-    /// A message's retention is over, or nobody may ask for it any more.
+    /// A message's retention is over, or its status need not be known any more.
     Expiry(MessageId),
     /// Leases that a dispatcher did not confirm may be granted again.
     UnconfirmedLeases(DispatcherId),
-    /// A service's ceiling has a permit again.
+    /// A service's rate limit has a permit again.
     PermitAvailable(ServiceIndex),
-    /// Call-backs of a receiver may be tried again.
+    /// Call-backs of a receiver may be retried.
     ReceiverReady(u32),
-    /// Look for dispatchers that went silent.
+    /// Check the heartbeats of dispatchers.
     HeartbeatCheck,
     /// Compare the next messages with what replicas know of them.
     Scrub,
-    /// Look for messages that lie though nothing holds them back.
+    /// Scan for orphaned messages.
     Watchdog,
-    /// The next piece of a shard's states goes to its new primary.
+    /// The next chunk of a shard's snapshot goes to its new primary.
     SnapshotChunk(StoreId, ShardId),
 }
 
