--- a/system/runtime/node/src/storage/queue_config.rs
+++ b/system/runtime/node/src/storage/queue_config.rs
@@ -21,7 +21,10 @@
         disk_bytes: disk as u64,
         status_ttl: settings.bounds.status_ttl,
         seed,
-        home_dispatchers_per_receiver: homes(mechanisms.receiver_homes, defaults.home_dispatchers_per_receiver),
+        home_dispatchers_per_receiver: homes(
+            mechanisms.receiver_homes,
+            defaults.home_dispatchers_per_receiver,
+        ),
         home_dispatchers_per_service: homes(mechanisms.service_homes, defaults.home_dispatchers_per_service),
         ..defaults
     }
