--- a/system/state/queue/src/api.rs
+++ b/system/state/queue/src/api.rs
@@ -99,7 +99,7 @@
     NotScheduled,
     /// Its back-off was over.
     NotWoken,
-    /// No known dispatcher held its lease.
+    /// No known dispatcher had its lease.
     LeaseForgotten,
     /// Its call-back was in no queue.
     CallbackNotScheduled,
--- a/system/state/queue/src/dispatchers.rs
+++ b/system/state/queue/src/dispatchers.rs
@@ -34,7 +34,7 @@
     /// Of the placement that it knows.
     pub epoch: Epoch,
     /// Leases whose outcome was not acknowledged.
-    pub held: BTreeMap<MessageId, LeaseToken>,
+    pub leases: BTreeMap<MessageId, LeaseToken>,
     /// Messages that it asked to be accepted or withdrawn, without an answer.
     pub in_doubt: BTreeSet<MessageId>,
 }
@@ -51,7 +51,7 @@
     /// Placement in force at its last `Hello`.
     epoch: Epoch,
     /// Leases that it announced then.
-    held: BTreeMap<MessageId, LeaseToken>,
+    announced_leases: BTreeMap<MessageId, LeaseToken>,
     /// Messages that it had asked to be accepted or withdrawn then, without an answer.
     in_doubt: BTreeSet<MessageId>,
     leases: BTreeMap<MessageId, LeaseConfirmation>,
@@ -67,7 +67,7 @@
             leaving: false,
             last_message_at: now,
             epoch: Epoch::default(),
-            held: BTreeMap::new(),
+            announced_leases: BTreeMap::new(),
             in_doubt: BTreeSet::new(),
             leases: BTreeMap::new(),
             callbacks: BTreeSet::new(),
@@ -77,10 +77,10 @@
 
     /// It has said, on the present connection, what it holds and which placement it knows.
     pub fn announce(&mut self, announcement: Announcement) {
-        let Announcement { distance, epoch, held, in_doubt } = announcement;
+        let Announcement { distance, epoch, leases, in_doubt } = announcement;
         self.distance = distance;
         self.epoch = epoch;
-        self.held = held;
+        self.announced_leases = leases;
         self.in_doubt = in_doubt;
     }
 
@@ -99,12 +99,12 @@
 
     /// Leases that it announced.
     pub fn announced_leases(&self) -> impl Iterator<Item = (MessageId, LeaseToken)> + '_ {
-        self.held.iter().map(|(id, token)| (*id, *token))
+        self.announced_leases.iter().map(|(id, token)| (*id, *token))
     }
 
     /// Token of the lease on the message that it announced.
     pub fn announced_token(&self, id: MessageId) -> Option<LeaseToken> {
-        self.held.get(&id).copied()
+        self.announced_leases.get(&id).copied()
     }
 
     /// It announced that it waits for an answer to its request to accept or withdraw the message.
--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -258,6 +258,6 @@
     let headers: usize = message.headers.iter().map(|header| header.name.len() + header.value.len()).sum();
     let optional = |text: &Option<String>| text.as_ref().map_or(0, String::len);
     let names = message.request_id.len() + message.path.len() + message.host.len() + message.service.len();
-    let rest = optional(&message.order_key) + optional(&message.callback_url);
-    size_of::<Message>() + headers + names + rest + message.body.len()
+    let options = optional(&message.order_key) + optional(&message.callback_url);
+    size_of::<Message>() + headers + names + options + message.body.len()
 }
--- a/system/state/queue/src/node/attempts.rs
+++ b/system/state/queue/src/node/attempts.rs
@@ -21,7 +21,7 @@
 /// Part of a back-off that is drawn, so that attempts that failed together are not retried together.
 const JITTER_PERCENT: u64 = 50;
 /// One back-off may take this fraction (one in so many) of the time left for a start in time.
-const SHARE_OF_TIME_LEFT: u32 = 3;
+const TIME_LEFT_DIVISOR: u32 = 3;
 
 impl StoreNode {
     /// A dispatcher reports how an attempt ended.
@@ -179,7 +179,7 @@
         if time_left.is_zero() {
             return wait;
         }
-        wait.min(time_left / SHARE_OF_TIME_LEFT).max(MIN_BACKOFF)
+        wait.min(time_left / TIME_LEFT_DIVISOR).max(MIN_BACKOFF)
     }
 
     /// A version is durable: applies an effect that waited for it.
--- a/system/state/queue/src/node/callbacks.rs
+++ b/system/state/queue/src/node/callbacks.rs
@@ -89,11 +89,11 @@
         id: MessageId,
         token: LeaseToken,
     ) -> bool {
-        let is_held = self.callbacks.lease(id).is_some_and(|lease| lease.token == token);
-        if is_held {
+        let is_leased = self.callbacks.lease(id).is_some_and(|lease| lease.token == token);
+        if is_leased {
             self.send_callback(connection, id, token, true);
         }
-        is_held
+        is_leased
     }
 
     /// A dispatcher reports what became of a call-back.
--- a/system/state/queue/src/node/connections.rs
+++ b/system/state/queue/src/node/connections.rs
@@ -21,7 +21,7 @@
         dispatcher: DispatcherId,
         zone: &str,
         epoch: Epoch,
-        held: &[ActiveLease],
+        leases: &[ActiveLease],
         in_doubt: Vec<MessageId>,
     ) {
         let former = self.dispatchers.connection_of(dispatcher);
@@ -31,7 +31,7 @@
         let announcement = Announcement {
             distance: self.context.location.distance_to(zone),
             epoch,
-            held: held.iter().map(|lease| (lease.id, lease.token)).collect(),
+            leases: leases.iter().map(|lease| (lease.id, lease.token)).collect(),
             in_doubt: in_doubt.into_iter().collect(),
         };
         self.dispatchers.connect(connection, dispatcher, self.context.now).announce(announcement);
--- a/system/state/queue/src/node/expiry.rs
+++ b/system/state/queue/src/node/expiry.rs
@@ -1,6 +1,6 @@
 //! The end of a message's retention, and the time after which it is forgotten.
 //!
-//! Every replica forgets by its own clock. A message that has ended is kept until its retention is over as well, so
+//! Every replica forgets by its own clock. A message that has ended is retained until its retention is over as well, so
 //! that a replica which missed the end cannot bring the message back: it has ended by its retention by then.
 
 use super::StoreNode;
--- a/system/state/queue/src/node/grants.rs
+++ b/system/state/queue/src/node/grants.rs
@@ -346,16 +346,16 @@
         let incarnation = self.dispatchers.get(grant.dispatcher);
         let announced =
             incarnation.filter(|incarnation| incarnation.is_connected() && incarnation.epoch() >= term);
-        let is_held = announced.map(|incarnation| incarnation.announced_token(id) == Some(grant.token));
+        let is_announced = announced.map(|incarnation| incarnation.announced_token(id) == Some(grant.token));
         let in_doubt = announced.is_some_and(|incarnation| incarnation.is_in_doubt(id));
-        if is_held == Some(false) && !in_doubt {
+        if is_announced == Some(false) && !in_doubt {
             return;
         }
         let key = self.table.get(id).and_then(order_key).map(str::to_owned);
         if let Some(key) = key {
             self.keys.adopt(&key, id);
         }
-        let confirmation = if is_held == Some(true) {
+        let confirmation = if is_announced == Some(true) {
             LeaseConfirmation::Confirmed
         } else {
             LeaseConfirmation::Unconfirmed { until }
--- a/system/state/queue/src/node/replication.rs
+++ b/system/state/queue/src/node/replication.rs
@@ -80,7 +80,7 @@
             match action {
                 SyncAction::Nothing => {}
                 SyncAction::Own(sent) => self.handle_own_synced(sent),
-                SyncAction::Write { store, number } => note_written(&mut written, store, number),
+                SyncAction::Write { store, number } => coalesce_written(&mut written, store, number),
                 SyncAction::OwnPromise { shard, term } => self.handle_own_promise_synced(shard, term),
                 SyncAction::Promise { store, shard, term } => {
                     self.promises.start_transfer(&mut self.context, &self.table, store, shard, term);
@@ -130,7 +130,7 @@
 }
 
 /// Acknowledgements of one sync to one store become one, with the highest number.
-fn note_written(written: &mut Vec<Written>, store: StoreId, number: RequestNumber) {
+fn coalesce_written(written: &mut Vec<Written>, store: StoreId, number: RequestNumber) {
     match written.iter_mut().find(|known| known.store == store) {
         Some(known) => known.number = number.max(known.number),
         None => written.push(Written { store, number }),
--- a/system/state/queue/src/node/scrub.rs
+++ b/system/state/queue/src/node/scrub.rs
@@ -13,8 +13,8 @@
 
 /// Messages that are forgotten within this time are not compared: a replica's clock may be ahead.
 const SOON_FORGOTTEN: Duration = Duration::from_secs(30);
-/// Multiplier that spreads one more number over a digest: an odd number without pattern.
-const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Multiplier that mixes one more number into a digest: an odd number without pattern.
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Hash of what is known of a message, but for times and the message itself.
 fn digest(entry: &Entry) -> u64 {
@@ -34,7 +34,9 @@
         xxh3_64(signature.as_bytes()),
         u64::from(entry.callback_done),
     ];
-    numbers.iter().fold(entry.id.unique, |sum, number| (sum ^ number).wrapping_mul(SPREAD).rotate_left(31))
+    numbers
+        .iter()
+        .fold(entry.id.unique, |sum, number| (sum ^ number).wrapping_mul(HASH_MULTIPLIER).rotate_left(31))
 }
 
 impl StoreNode {
@@ -77,8 +79,8 @@
 
     /// Other replicas that acknowledged all that is known of a message.
     fn fully_acked_replicas(&self, entry: &Entry) -> Vec<StoreId> {
-        let is_kept = entry.expiry.is_some_and(|expiry| expiry > self.context.now + SOON_FORGOTTEN);
-        let Some(primary) = entry.primary.as_ref().filter(|_| is_kept) else { return Vec::new() };
+        let is_retained = entry.expiry.is_some_and(|expiry| expiry > self.context.now + SOON_FORGOTTEN);
+        let Some(primary) = entry.primary.as_ref().filter(|_| is_retained) else { return Vec::new() };
         let Some(primary_term) = self.primary_terms.get(entry.id.shard) else { return Vec::new() };
         let holders = primary.replica_progress.iter().filter(|progress| progress.acked == primary.version);
         let stores = holders.map(|progress| progress.store);
--- a/system/state/queue/src/node/takeover.rs
+++ b/system/state/queue/src/node/takeover.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Asks a member that has not told all it knows in this term to promise the shard.
+    /// Asks a member that has not promised this term to do so.
     pub(super) fn send_prepare(&mut self, shard: ShardId, store: StoreId) {
         let Some(primary_term) = self.primary_terms.get(shard) else { return };
         let is_connected = self.replication.is_connected(store);
@@ -92,7 +92,7 @@
     /// The promise of the shard to this store itself is on the local disk.
     pub(super) fn handle_own_promise_synced(&mut self, shard: ShardId, term: Epoch) {
         let Some(primary_term) = self.primary_terms.get_exact_mut(shard, term) else { return };
-        primary_term.note_own_promise_synced();
+        primary_term.set_own_promise_synced();
         self.try_serve(shard);
     }
 
@@ -118,7 +118,7 @@
             return;
         }
         if let Some(primary_term) = self.primary_terms.get_mut(shard) {
-            primary_term.note_promise(from);
+            primary_term.add_promise(from);
         }
         self.try_serve(shard);
     }
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Merges what another store told and appends the full state, as this version, if it is more than was known; `false`
+    /// Merges what another store sent and appends the full state, as this version, if it is more than was known; `false`
     /// if nothing is new.
     fn merge_and_append(&mut self, state: MessageState, version: u32) -> bool {
         let (now, id) = (self.context.now, state.id);
@@ -157,7 +157,7 @@
         true
     }
 
-    /// What others told of a message before the shard is served is on the local disk.
+    /// What others sent of a message before the shard is served is on the local disk.
     pub(super) fn handle_merged_synced(&mut self, sent: SentVersion) {
         if !self.primary_terms.is_current(&sent) {
             return;
--- a/system/state/queue/src/node/watchdog.rs
+++ b/system/state/queue/src/node/watchdog.rs
@@ -112,16 +112,16 @@
         if !self.primary_terms.is_serving(id.shard) {
             return None;
         }
-        let is_kept = primary.durable >= primary.version;
+        let is_durable = primary.durable >= primary.version;
         let is_late = |at: Instant| self.context.now.saturating_duration_since(at) > LATE_AFTER;
         match primary.stage {
-            Stage::Persisting if is_kept && primary.pending_effects.is_empty() => {
+            Stage::Persisting if is_durable && primary.pending_effects.is_empty() => {
                 Some(OrphanCause::NotScheduled)
             }
             Stage::BackingOff { until } if is_late(until) => Some(OrphanCause::NotWoken),
             Stage::WaitingForKey if self.is_first_of_key(id) => Some(OrphanCause::NotScheduled),
             Stage::InFlight(lease) if self.has_no_holder(id, lease) => Some(OrphanCause::LeaseForgotten),
-            Stage::Ended if is_kept && entry.has_pending_callback() && !self.callbacks.is_pending(id) => {
+            Stage::Ended if is_durable && entry.has_pending_callback() && !self.callbacks.is_pending(id) => {
                 Some(OrphanCause::CallbackNotScheduled)
             }
             _ => None,
--- a/system/state/queue/src/primary_term.rs
+++ b/system/state/queue/src/primary_term.rs
@@ -177,14 +177,14 @@
     }
 
     /// The promise to itself is on the local disk.
-    pub fn note_own_promise_synced(&mut self) {
+    pub fn set_own_promise_synced(&mut self) {
         if let Some(takeover) = &mut self.takeover {
             takeover.is_own_promise_synced = true;
         }
     }
 
     /// A member has promised the term and sent all that it knows.
-    pub fn note_promise(&mut self, from: StoreId) {
+    pub fn add_promise(&mut self, from: StoreId) {
         self.promised_by.insert(from);
     }
 
--- a/system/state/queue/src/promises.rs
+++ b/system/state/queue/src/promises.rs
@@ -1,7 +1,7 @@
 //! As replica: the terms that this store has promised, and the snapshots that it sends to new primaries.
 //!
 //! The promise is that of Paxos (phase 1b; Lamport, 2001), by shard in place of by value: once a term is promised, writes
-//! of lower terms are rejected, and the new primary is told everything that the disk holds.
+//! of lower terms are rejected, and the new primary is sent everything that is on the disk.
 
 use crate::api::DiskRecord;
 use crate::context::Context;
@@ -103,7 +103,7 @@
         self.transfers.retain(|(to, _), _| *to != store);
     }
 
-    /// The disk has failed: nothing more is told of it.
+    /// The disk has failed: nothing more is sent of it.
     pub fn cancel_all_transfers(&mut self) {
         self.transfers.clear();
     }
--- a/system/state/queue/tests/cluster/dispatcher.rs
+++ b/system/state/queue/tests/cluster/dispatcher.rs
@@ -11,8 +11,8 @@
 pub const REPEAT_MS: u64 = 250;
 /// Time after which a client is given up.
 const GIVE_UP_MS: u64 = 2_000;
-/// Time for which the bodies of accepted messages are kept.
-const BODY_KEPT_MS: u64 = 15_000;
+/// Time for which the bodies of accepted messages are retained, in milliseconds.
+const BODY_RETENTION_MS: u64 = 15_000;
 
 pub struct PendingAccept {
     request: RequestNumber,
@@ -29,11 +29,11 @@
     Reported { outcome: AttemptOutcome, sent_ms: u64 },
 }
 
-/// One life of a dispatcher.
+/// One incarnation of a dispatcher.
 pub struct Dispatcher {
     pub id: DispatcherId,
     pub zone: String,
-    pub life: u32,
+    pub incarnation: u32,
     pub up: bool,
     pub frozen_until_ms: u64,
     pub placement: Placement,
@@ -54,7 +54,7 @@
         Dispatcher {
             id,
             zone: zone.to_owned(),
-            life: 0,
+            incarnation: 0,
             up: true,
             frozen_until_ms: 0,
             placement: Placement::default(),
@@ -71,9 +71,9 @@
 
     pub fn die(&mut self, next: DispatcherId) {
         let zone = self.zone.clone();
-        let (life, calm) = (self.life + 1, self.calm);
+        let (incarnation, calm) = (self.incarnation + 1, self.calm);
         *self = Dispatcher::new(next, &zone);
-        self.life = life;
+        self.incarnation = incarnation;
         self.calm = calm;
         self.up = false;
     }
@@ -82,7 +82,7 @@
         self.placement.shard(id.shard).map(|shard| shard.primary)
     }
 
-    pub fn held_messages(&self) -> Vec<MessageId> {
+    pub fn leased_messages(&self) -> Vec<MessageId> {
         self.deliveries.keys().map(|(id, _)| *id).collect()
     }
 
@@ -134,7 +134,7 @@
 
     /// A client sends a message to this dispatcher.
     pub fn client_sends(&mut self, at: usize, id: MessageId, message: Message) {
-        self.ledger.sent(id, message.clone(), self.now_ms);
+        self.request_log.sent(id, message.clone(), self.now_ms);
         let now_ms = self.now_ms;
         let dispatcher = &mut self.dispatchers[at];
         if !dispatcher.up || dispatcher.frozen_until_ms > now_ms {
@@ -179,12 +179,15 @@
                 let pending = self.dispatchers[at].pending.get(&id);
                 if pending.is_some_and(|pending| pending.withdrawing) {
                     self.dispatchers[at].pending.remove(&id);
-                    self.ledger.withdrawn(id);
+                    self.request_log.withdrawn(id);
                 }
             }
             ToDispatcher::Deliver { id, token, message, age_ms, .. } => {
-                let truth_age = self.now_ms - self.ledger.messages[&id].sent_ms;
-                assert!(age_ms <= truth_age + 1, "{id} is said to be {age_ms} ms old, it is {truth_age}");
+                let actual_age_ms = self.now_ms - self.request_log.messages[&id].sent_ms;
+                assert!(
+                    age_ms <= actual_age_ms + 1,
+                    "{id} is said to be {age_ms} ms old, it is {actual_age_ms}"
+                );
                 self.delivered(at, id, token, message.map(|message| *message));
             }
             ToDispatcher::CallBack { id, token, end, .. } => self.call_back(at, id, token, end),
@@ -211,7 +214,7 @@
         }
         if !is_withdrawing {
             dispatcher.pending.remove(&id);
-            self.ledger.accepted(id, self.now_ms);
+            self.request_log.accepted(id, self.now_ms);
         }
         if let Some(token) = token.filter(|_| !is_withdrawing) {
             self.delivered(at, id, token, None);
@@ -235,7 +238,7 @@
         for store in stores {
             self.send_to_store(at, store, FromDispatcher::Ping);
         }
-        self.dispatchers[at].bodies.retain(|_, (_, kept)| now_ms - *kept < BODY_KEPT_MS);
+        self.dispatchers[at].bodies.retain(|_, (_, accepted_ms)| now_ms - *accepted_ms < BODY_RETENTION_MS);
         self.repeat_accepts(at);
         self.repeat_reports(at);
         let callbacks = self.dispatchers[at].callbacks.clone();
--- a/system/state/queue/tests/cluster/faults.rs
+++ b/system/state/queue/tests/cluster/faults.rs
@@ -17,15 +17,16 @@
     }
 
     /// All replicas are well and filled, so that the next fault is within what is tolerated.
-    fn is_whole(&self) -> bool {
-        let is_well = |store: &super::stores::Store| store.is_up() && store.frozen_until_ms <= self.now_ms;
+    fn is_fully_replicated(&self) -> bool {
+        let is_healthy = |store: &super::stores::Store| store.is_up() && store.frozen_until_ms <= self.now_ms;
         let no_learners = self.manager.placement.shards.iter().all(|shard| shard.change.is_none());
-        self.stores.iter().all(is_well) && no_learners
+        self.stores.iter().all(is_healthy) && no_learners
     }
 
     /// A disk may be lost: all replicas are well, and what the last lost one had is elsewhere since a while.
     fn may_wipe(&self) -> bool {
-        self.is_whole() && self.wiped_at_ms.is_none_or(|wiped| self.now_ms > wiped + 2 * CATCH_UP_MS)
+        self.is_fully_replicated()
+            && self.wiped_at_ms.is_none_or(|wiped| self.now_ms > wiped + 2 * CATCH_UP_MS)
     }
 
     pub fn next_fault(&mut self) {
@@ -33,11 +34,11 @@
             return;
         }
         let overlaps = self.options.overlapping_faults;
-        if !self.is_whole() && !overlaps {
+        if !self.is_fully_replicated() && !overlaps {
             self.schedule(self.now_ms + 100, Event::NextFault);
             return;
         }
-        self.trouble();
+        self.record_fault();
         let store = self.random.usize(0..self.stores.len());
         let lasts_ms = self.random.u64(20..2_000);
         if self.trace {
@@ -52,8 +53,8 @@
                 let frozen_until_ms = &mut self.stores[store].frozen_until_ms;
                 *frozen_until_ms = (*frozen_until_ms).max(self.now_ms + lasts_ms);
             }
-            7 => self.cut(End::Store(store), lasts_ms),
-            8 => self.cut_pair(store, lasts_ms),
+            7 => self.partition(End::Store(store), lasts_ms),
+            8 => self.partition_pair(store, lasts_ms),
             9 => self.stores[store].sync_ms = self.random.u64(20..150),
             10 => self.lose_dispatcher(lasts_ms),
             11 => {
@@ -68,8 +69,8 @@
         let gap_ms = if overlaps { self.random.u64(0..700) } else { lasts_ms + CATCH_UP_MS };
         let next_ms = self.now_ms + gap_ms + self.random.u64(0..800);
         self.schedule(next_ms, Event::NextFault);
-        let over_ms = (self.now_ms + lasts_ms).max(self.ledger.last_trouble_ms.unwrap_or(0));
-        self.ledger.last_trouble_ms = Some(over_ms);
+        let over_ms = (self.now_ms + lasts_ms).max(self.request_log.last_fault_ms.unwrap_or(0));
+        self.request_log.last_fault_ms = Some(over_ms);
     }
 
     pub fn lose_store(&mut self, store: usize, lasts_ms: u64, power: bool, wipe: bool) {
@@ -94,9 +95,9 @@
     pub fn lose_dispatcher(&mut self, lasts_ms: u64) {
         let at = self.random.usize(0..self.dispatchers.len());
         let next = DispatcherId(self.dispatchers[at].id.0 + 100);
-        for id in self.dispatchers[at].held_messages() {
+        for id in self.dispatchers[at].leased_messages() {
             // What it read and no store has heard is lost with it.
-            self.ledger.messages.get_mut(&id).expect("known").answer_lost = true;
+            self.request_log.messages.get_mut(&id).expect("known").answer_lost = true;
         }
         self.dispatchers[at].die(next);
         let notice_ms = if self.random.bool() { 2 } else { 1_000 };
@@ -107,20 +108,20 @@
     }
 
     /// Nothing passes between one end and all others; connections break if it lasts.
-    pub fn cut(&mut self, end: End, lasts_ms: u64) {
+    pub fn partition(&mut self, end: End, lasts_ms: u64) {
         for link in self.links.open_at(end) {
-            self.cut_link(link, lasts_ms);
+            self.partition_link(link, lasts_ms);
         }
     }
 
-    fn cut_pair(&mut self, store: usize, lasts_ms: u64) {
+    fn partition_pair(&mut self, store: usize, lasts_ms: u64) {
         let other = (store + 1) % self.stores.len();
-        self.cut_link(LinkId::between(End::Store(store), End::Store(other)), lasts_ms);
+        self.partition_link(LinkId::between(End::Store(store), End::Store(other)), lasts_ms);
     }
 
-    fn cut_link(&mut self, link: LinkId, lasts_ms: u64) {
-        let until_ms = (self.now_ms + lasts_ms).max(self.links.get(link).cut_until_ms);
-        self.links.get(link).cut_until_ms = until_ms;
+    fn partition_link(&mut self, link: LinkId, lasts_ms: u64) {
+        let until_ms = (self.now_ms + lasts_ms).max(self.links.get(link).partitioned_until_ms);
+        self.links.get(link).partitioned_until_ms = until_ms;
         if lasts_ms > 800 {
             self.close(link, 800);
             self.links.get(link).free_at_ms = until_ms;
--- a/system/state/queue/tests/cluster/links.rs
+++ b/system/state/queue/tests/cluster/links.rs
@@ -38,7 +38,7 @@
     pub connection: u64,
     pub open: bool,
     /// Nothing passes before this time.
-    pub cut_until_ms: u64,
+    pub partitioned_until_ms: u64,
     /// When it may be opened again.
     pub free_at_ms: u64,
     /// Last arrival at the lesser and at the greater end.
@@ -71,7 +71,7 @@
     /// When something arrives at `to` that is sent now: never before what was sent earlier.
     pub fn arrival(&mut self, id: LinkId, to: End, at_ms: u64) -> u64 {
         let link = self.get(id);
-        let at_ms = at_ms.max(link.cut_until_ms);
+        let at_ms = at_ms.max(link.partitioned_until_ms);
         let direction = usize::from(id.1 == to);
         link.last_arrival_ms[direction] = link.last_arrival_ms[direction].max(at_ms);
         link.last_arrival_ms[direction]
--- a/system/state/queue/tests/cluster/manager.rs
+++ b/system/state/queue/tests/cluster/manager.rs
@@ -69,7 +69,7 @@
 
 impl Cluster {
     /// A store runs, is not frozen and has a path to any other store.
-    fn is_well(&mut self, index: usize) -> bool {
+    fn is_healthy(&mut self, index: usize) -> bool {
         let store = &self.stores[index];
         if !store.is_up() || store.frozen_until_ms > self.now_ms || store.disk.failing {
             return false;
@@ -78,7 +78,7 @@
         let now_ms = self.now_ms;
         let mut has_path = |other: &usize| {
             let link = LinkId::between(End::Store(index), End::Store(*other));
-            self.links.get(link).cut_until_ms <= now_ms
+            self.links.get(link).partitioned_until_ms <= now_ms
         };
         others.is_empty() || others.iter().any(&mut has_path)
     }
@@ -86,7 +86,7 @@
     pub fn manage(&mut self) {
         self.connect_ends();
         let mut placement = self.manager.placement.clone();
-        let well: Vec<bool> = (0..self.stores.len()).map(|index| self.note_health(index)).collect();
+        let well: Vec<bool> = (0..self.stores.len()).map(|index| self.update_health(index)).collect();
         self.replace_disks(&mut placement);
         self.empty_retiring(&mut placement);
         self.promote_learners(&mut placement);
@@ -107,9 +107,9 @@
     }
 
     /// Whether a store may be primary: not for a while after it was unwell, not at once after it came back.
-    fn note_health(&mut self, index: usize) -> bool {
+    fn update_health(&mut self, index: usize) -> bool {
         let now_ms = self.now_ms;
-        if self.is_well(index) {
+        if self.is_healthy(index) {
             self.manager.unwell_since_ms.remove(&index);
             self.manager.well_since_ms.entry(index).or_insert(now_ms);
             return true;
@@ -195,14 +195,14 @@
 
     /// Everybody gets the placement in force after some time.
     pub fn spread_placement(&mut self) {
-        let stores = (0..self.stores.len()).map(|index| (End::Store(index), self.stores[index].life));
+        let stores = (0..self.stores.len()).map(|index| (End::Store(index), self.stores[index].incarnation));
         let dispatchers =
-            (0..self.dispatchers.len()).map(|at| (End::Dispatcher(at), self.dispatchers[at].life));
+            (0..self.dispatchers.len()).map(|at| (End::Dispatcher(at), self.dispatchers[at].incarnation));
         let ends: Vec<(End, u32)> = stores.chain(dispatchers).collect();
-        for (at, life) in ends {
+        for (at, incarnation) in ends {
             let at_ms = self.now_ms + self.random.u64(1..40);
             let placement = self.manager.placement.clone();
-            self.schedule(at_ms, Event::Placement { at, life, placement });
+            self.schedule(at_ms, Event::Placement { at, incarnation, placement });
         }
     }
 
@@ -235,7 +235,7 @@
         let now_ms = self.now_ms;
         let is_reachable = self.is_reachable(a) && self.is_reachable(b);
         let state = self.links.get(link);
-        if state.open || !is_reachable || state.cut_until_ms > now_ms || state.free_at_ms > now_ms {
+        if state.open || !is_reachable || state.partitioned_until_ms > now_ms || state.free_at_ms > now_ms {
             return;
         }
         let connection = self.links.open(link);
@@ -255,9 +255,9 @@
 
     pub fn start_dispatcher(&mut self, at: usize) {
         self.dispatchers[at].up = true;
-        let life = self.dispatchers[at].life;
+        let incarnation = self.dispatchers[at].incarnation;
         let placement = self.manager.placement.clone();
         self.dispatcher_placement(at, placement);
-        self.schedule(self.now_ms, Event::DispatcherTick { dispatcher: at, life });
+        self.schedule(self.now_ms, Event::DispatcherTick { dispatcher: at, incarnation });
     }
 }
--- a/system/state/queue/tests/cluster/mod.rs
+++ b/system/state/queue/tests/cluster/mod.rs
@@ -3,27 +3,31 @@
 
 #![allow(dead_code)]
 
+#[path = "../support/message.rs"]
+mod message_builder;
+
 pub mod disks;
 pub mod dispatcher;
 pub mod faults;
-pub mod ledger;
 pub mod links;
 pub mod manager;
+pub mod request_log;
 pub mod runs;
 pub mod stores;
 
 use dispatcher::Dispatcher;
-use ledger::Ledger;
 use links::{End, LinkId, Links};
 use manager::Manager;
+use message_builder::message_of;
 use millrudder_protocol::message::{Header, Message};
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::store::{BetweenStores, FromDispatcher, ServiceRate, ToDispatcher};
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, ShardId, StoreId};
 use millrudder_queue::{Config, ConnectionId, Input};
+use request_log::RequestLog;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use stores::{Store, Stray};
+use stores::{Orphan, Store};
 
 /// Time between two looks of a dispatcher or of the manager.
 const TICK_MS: u64 = 100;
@@ -39,17 +43,50 @@
 /// Something that happens at a time.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Arrive { link: LinkId, connection: u64, to: End, payload: Payload },
-    Closed { link: LinkId, connection: u64, at: End },
-    Placement { at: End, life: u32, placement: Placement },
-    Synced { store: usize, life: u32 },
-    StoreTick { store: usize, life: u32 },
-    DispatcherTick { dispatcher: usize, life: u32 },
-    WorkerDone { dispatcher: usize, life: u32, id: MessageId, token: LeaseToken, begun_ms: u64, drawn: u32 },
+    Arrive {
+        link: LinkId,
+        connection: u64,
+        to: End,
+        payload: Payload,
+    },
+    Closed {
+        link: LinkId,
+        connection: u64,
+        at: End,
+    },
+    Placement {
+        at: End,
+        incarnation: u32,
+        placement: Placement,
+    },
+    Synced {
+        store: usize,
+        incarnation: u32,
+    },
+    StoreTick {
+        store: usize,
+        incarnation: u32,
+    },
+    DispatcherTick {
+        dispatcher: usize,
+        incarnation: u32,
+    },
+    WorkerDone {
+        dispatcher: usize,
+        incarnation: u32,
+        id: MessageId,
+        token: LeaseToken,
+        begun_ms: u64,
+        drawn: u32,
+    },
     Manage,
     Client,
-    StartStore { store: usize },
-    StartDispatcher { dispatcher: usize },
+    StartStore {
+        store: usize,
+    },
+    StartDispatcher {
+        dispatcher: usize,
+    },
     NextFault,
 }
 
@@ -95,7 +132,7 @@
     pub stores: Vec<Store>,
     pub dispatchers: Vec<Dispatcher>,
     pub links: Links,
-    pub ledger: Ledger,
+    pub request_log: RequestLog,
     pub manager: Manager,
     pub random: fastrand::Rng,
     pub refusals: u64,
@@ -103,7 +140,7 @@
     pub wiped_at_ms: Option<u64>,
     pub clients_until_ms: u64,
     /// What stores found lying.
-    pub strays: Vec<Stray>,
+    pub orphans: Vec<Orphan>,
     pub trace: bool,
     events: BTreeMap<(u64, u64), Event>,
     order: u64,
@@ -116,22 +153,22 @@
         let stores = (0..options.stores).map(|index| Store::new(index, &options)).collect();
         let zone = |index: usize| format!("zone-{}", index % options.stores);
         let dispatcher = |index: usize| Dispatcher::new(DispatcherId(1_000 + index as u64), &zone(index));
-        let mut ledger = Ledger::default();
+        let mut request_log = RequestLog::default();
         // The rate with what is saved up, and the five starts that the rule allows besides: links hold some up.
-        ledger.ceiling = options.rated.map(|rate| (RATED.to_owned(), rate * 5.0 * 1.04 + 5.0));
+        request_log.ceiling = options.rated.map(|rate| (RATED.to_owned(), rate * 5.0 * 1.04 + 5.0));
         let mut cluster = Cluster {
             now_ms: 0,
             stores,
             dispatchers: (0..options.dispatchers).map(dispatcher).collect(),
             links: Links::default(),
-            ledger,
+            request_log,
             manager: Manager::new(&options),
             random,
             refusals: 0,
             faults_until_ms: 0,
             wiped_at_ms: None,
             clients_until_ms: 0,
-            strays: Vec::new(),
+            orphans: Vec::new(),
             trace: std::env::var("TRACE").is_ok(),
             events: BTreeMap::new(),
             order: 0,
@@ -142,7 +179,7 @@
             cluster.start_store(store);
         }
         for dispatcher in 0..cluster.dispatchers.len() {
-            cluster.schedule(0, Event::DispatcherTick { dispatcher, life: 0 });
+            cluster.schedule(0, Event::DispatcherTick { dispatcher, incarnation: 0 });
         }
         cluster.spread_placement();
         cluster.schedule(0, Event::Manage);
@@ -195,18 +232,21 @@
         match event {
             Event::Arrive { link, connection, to, payload } => self.arrive(link, connection, to, payload),
             Event::Closed { link, connection, at } => self.closed(link, connection, at),
-            Event::Placement { at, life, placement } => self.placement_arrives(at, life, placement),
-            Event::Synced { store, life } => self.synced(store, life),
-            Event::StoreTick { store, life } => self.store_tick(store, life),
-            Event::DispatcherTick { dispatcher, life } => {
-                let is_same = self.dispatchers[dispatcher].life == life && self.dispatchers[dispatcher].up;
+            Event::Placement { at, incarnation, placement } => {
+                self.placement_arrives(at, incarnation, placement)
+            }
+            Event::Synced { store, incarnation } => self.synced(store, incarnation),
+            Event::StoreTick { store, incarnation } => self.store_tick(store, incarnation),
+            Event::DispatcherTick { dispatcher, incarnation } => {
+                let is_same = self.dispatchers[dispatcher].incarnation == incarnation
+                    && self.dispatchers[dispatcher].up;
                 if is_same {
                     self.dispatcher_tick(dispatcher);
-                    self.schedule(self.now_ms + TICK_MS, Event::DispatcherTick { dispatcher, life });
+                    self.schedule(self.now_ms + TICK_MS, Event::DispatcherTick { dispatcher, incarnation });
                 }
             }
-            Event::WorkerDone { dispatcher, life, id, token, begun_ms, drawn } => {
-                self.worker_done(dispatcher, life, id, token, begun_ms, drawn);
+            Event::WorkerDone { dispatcher, incarnation, id, token, begun_ms, drawn } => {
+                self.worker_done(dispatcher, incarnation, id, token, begun_ms, drawn);
             }
             Event::Manage => {
                 self.manage();
@@ -219,12 +259,12 @@
         }
     }
 
-    fn placement_arrives(&mut self, at: End, life: u32, placement: Placement) {
+    fn placement_arrives(&mut self, at: End, incarnation: u32, placement: Placement) {
         match at {
-            End::Store(store) if self.stores[store].life == life => {
+            End::Store(store) if self.stores[store].incarnation == incarnation => {
                 self.input(store, Input::Placement(placement));
             }
-            End::Dispatcher(dispatcher) if self.dispatchers[dispatcher].life == life => {
+            End::Dispatcher(dispatcher) if self.dispatchers[dispatcher].incarnation == incarnation => {
                 self.dispatcher_placement(dispatcher, placement);
             }
             _ => {}
@@ -236,8 +276,8 @@
         if state.connection != connection || !state.open {
             return;
         }
-        if state.cut_until_ms > self.now_ms {
-            self.schedule(state.cut_until_ms, Event::Arrive { link, connection, to, payload });
+        if state.partitioned_until_ms > self.now_ms {
+            self.schedule(state.partitioned_until_ms, Event::Arrive { link, connection, to, payload });
             return;
         }
         match (to, link.other(to), payload) {
@@ -373,27 +413,12 @@
     }
 
     /// Unplanned trouble now: repeats are excused for a while.
-    pub fn trouble(&mut self) {
-        self.ledger.last_trouble_ms = Some(self.now_ms);
+    pub fn record_fault(&mut self) {
+        self.request_log.last_fault_ms = Some(self.now_ms);
     }
 }
 
 /// A message without an order key, to be run at once.
 pub fn plain_message() -> Message {
-    Message {
-        request_id: "request".to_owned(),
-        method: "POST".to_owned(),
-        path: "/path".to_owned(),
-        host: "host".to_owned(),
-        headers: Vec::new(),
-        body: b"body".to_vec(),
-        order_key: None,
-        callback_url: None,
-        service: "plain".to_owned(),
-        priority: 0,
-        delay_ms: 0,
-        target_start_ms: 800,
-        max_attempts: 3,
-        retention_ms: 60_000,
-    }
+    message_of("plain")
 }
--- a/system/state/queue/tests/cluster/ledger.rs
+++ b/system/state/queue/tests/cluster/request_log.rs
@@ -1,4 +1,5 @@
-//! What truly happened: what clients sent and were told, what workers ran. Every rule is checked as things happen.
+//! The log of what truly happened: requests of clients and their answers, runs at workers. Each rule is checked as soon as
+//! something is logged.
 
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::MessageId;
@@ -16,7 +17,7 @@
 }
 
 /// What is true of one message.
-pub struct Truth {
+pub struct ActualState {
     pub message: Message,
     pub sent_ms: u64,
     pub accepted_ms: Option<u64>,
@@ -26,14 +27,14 @@
     pub signatures: Vec<String>,
     pub ended_ms: Option<u64>,
     pub failures: u32,
-    /// A store said that the success is kept.
+    /// A store acknowledged the success as durable.
     pub success_recorded: bool,
     /// A worker's success of which the dispatcher heard nothing.
     pub answer_lost: bool,
     pub called_back: Vec<End>,
 }
 
-impl Truth {
+impl ActualState {
     pub fn has_ended(&self, now_ms: u64) -> bool {
         self.ended_ms.is_some() || now_ms >= self.sent_ms + u64::from(self.message.retention_ms)
     }
@@ -41,9 +42,9 @@
 
 /// All messages, and the troubles that excuse repeats.
 #[derive(Default)]
-pub struct Ledger {
-    pub messages: BTreeMap<MessageId, Truth>,
-    pub last_trouble_ms: Option<u64>,
+pub struct RequestLog {
+    pub messages: BTreeMap<MessageId, ActualState>,
+    pub last_fault_ms: Option<u64>,
     starts_of_rated: Vec<u64>,
     /// Starts that any five seconds may have for the rated service.
     pub ceiling: Option<(String, f64)>,
@@ -51,9 +52,9 @@
     pub repeats: u64,
 }
 
-impl Ledger {
+impl RequestLog {
     pub fn sent(&mut self, id: MessageId, message: Message, now_ms: u64) {
-        let truth = Truth {
+        let actual = ActualState {
             message,
             sent_ms: now_ms,
             accepted_ms: None,
@@ -66,51 +67,51 @@
             answer_lost: false,
             called_back: Vec::new(),
         };
-        assert!(self.messages.insert(id, truth).is_none(), "name {id} given twice");
+        assert!(self.messages.insert(id, actual).is_none(), "name {id} given twice");
     }
 
     pub fn accepted(&mut self, id: MessageId, now_ms: u64) {
-        let truth = self.messages.get_mut(&id).expect("accepted a message that nobody sent");
-        truth.accepted_ms.get_or_insert(now_ms);
+        let actual = self.messages.get_mut(&id).expect("accepted a message that nobody sent");
+        actual.accepted_ms.get_or_insert(now_ms);
     }
 
     pub fn withdrawn(&mut self, id: MessageId) {
-        let truth = self.messages.get_mut(&id).expect("withdrawn a message that nobody sent");
-        assert!(truth.runs.is_empty(), "{id} was withdrawn after it had run");
-        truth.withdrawn = true;
+        let actual = self.messages.get_mut(&id).expect("withdrawn a message that nobody sent");
+        assert!(actual.runs.is_empty(), "{id} was withdrawn after it had run");
+        actual.withdrawn = true;
     }
 
     fn is_calm(&self, now_ms: u64) -> bool {
-        self.last_trouble_ms.is_none_or(|trouble| now_ms > trouble + CALM_AFTER_MS)
+        self.last_fault_ms.is_none_or(|record_fault| now_ms > record_fault + CALM_AFTER_MS)
     }
 
     pub fn begin(&mut self, id: MessageId, now_ms: u64) {
         let is_calm = self.is_calm(now_ms);
         self.check_order(id, now_ms);
-        let truth = self.messages.get_mut(&id).expect("ran a message that nobody sent");
-        assert!(!truth.withdrawn, "{id} ran after it was withdrawn");
-        let due_ms = truth.sent_ms + u64::from(truth.message.delay_ms);
+        let actual = self.messages.get_mut(&id).expect("ran a message that nobody sent");
+        assert!(!actual.withdrawn, "{id} ran after it was withdrawn");
+        let due_ms = actual.sent_ms + u64::from(actual.message.delay_ms);
         assert!(now_ms >= due_ms, "{id} ran {} ms early", due_ms - now_ms);
-        assert!(!truth.success_recorded, "{id} ran again after its success was recorded");
+        assert!(!actual.success_recorded, "{id} ran again after its success was recorded");
         if is_calm {
-            let is_running = truth.runs.iter().any(|run| run.ended_ms.is_none());
+            let is_running = actual.runs.iter().any(|run| run.ended_ms.is_none());
             assert!(!is_running, "{id} ran at two workers at a time without trouble");
-            let is_repeat = !truth.signatures.is_empty() && !truth.answer_lost;
+            let is_repeat = !actual.signatures.is_empty() && !actual.answer_lost;
             assert!(!is_repeat, "{id} ran again after a success without trouble");
         }
         self.starts += 1;
-        self.repeats += u64::from(!truth.signatures.is_empty());
-        truth.runs.push(Run { begun_ms: now_ms, ended_ms: None });
-        let service = truth.message.service.clone();
+        self.repeats += u64::from(!actual.signatures.is_empty());
+        actual.runs.push(Run { begun_ms: now_ms, ended_ms: None });
+        let service = actual.message.service.clone();
         self.check_ceiling(&service, now_ms);
     }
 
     fn check_order(&self, id: MessageId, now_ms: u64) {
-        let truth = &self.messages[&id];
-        let Some(key) = &truth.message.order_key else { return };
+        let actual = &self.messages[&id];
+        let Some(key) = &actual.message.order_key else { return };
         let of_key = self.messages.iter().filter(|(_, other)| other.message.order_key.as_ref() == Some(key));
         for (other_id, other) in of_key {
-            let is_before = other.accepted_ms.is_some_and(|accepted| accepted < truth.sent_ms);
+            let is_before = other.accepted_ms.is_some_and(|accepted| accepted < actual.sent_ms);
             assert!(
                 !is_before || other.has_ended(now_ms),
                 "{id} began at {now_ms} before {other_id} of the same key had ended",
@@ -135,17 +136,17 @@
     }
 
     /// A worker is done with the run that began at `begun_ms`.
-    pub fn finish(&mut self, id: MessageId, begun_ms: u64, now_ms: u64) -> &mut Truth {
-        let truth = self.messages.get_mut(&id).expect("finished a message that nobody sent");
-        let run = truth.runs.iter_mut().find(|run| run.begun_ms == begun_ms && run.ended_ms.is_none());
+    pub fn finish(&mut self, id: MessageId, begun_ms: u64, now_ms: u64) -> &mut ActualState {
+        let actual = self.messages.get_mut(&id).expect("finished a message that nobody sent");
+        let run = actual.runs.iter_mut().find(|run| run.begun_ms == begun_ms && run.ended_ms.is_none());
         run.expect("finished a run that did not begin").ended_ms = Some(now_ms);
-        truth
+        actual
     }
 
     pub fn succeed(&mut self, id: MessageId, begun_ms: u64, now_ms: u64, signature: String) {
-        let truth = self.finish(id, begun_ms, now_ms);
-        truth.signatures.push(signature);
-        truth.ended_ms.get_or_insert(now_ms);
+        let actual = self.finish(id, begun_ms, now_ms);
+        actual.signatures.push(signature);
+        actual.ended_ms.get_or_insert(now_ms);
     }
 
     pub fn refuse(&mut self, id: MessageId, begun_ms: u64, now_ms: u64) {
@@ -153,23 +154,23 @@
     }
 
     pub fn fail(&mut self, id: MessageId, begun_ms: u64, now_ms: u64) {
-        let truth = self.finish(id, begun_ms, now_ms);
-        truth.failures += 1;
-        if truth.failures >= truth.message.max_attempts {
-            truth.ended_ms.get_or_insert(now_ms);
+        let actual = self.finish(id, begun_ms, now_ms);
+        actual.failures += 1;
+        if actual.failures >= actual.message.max_attempts {
+            actual.ended_ms.get_or_insert(now_ms);
         }
     }
 
     /// What a store or a call-back says of an end must be true.
     pub fn check_end(&self, id: MessageId, end: &End, now_ms: u64) {
-        let truth = &self.messages[&id];
+        let actual = &self.messages[&id];
         match end {
             End::Completed { signature } => {
-                assert!(truth.signatures.contains(signature), "{id} is said to have completed, no run did");
+                assert!(actual.signatures.contains(signature), "{id} is said to have completed, no run did");
             }
-            End::DeadLetter => assert!(truth.has_ended(now_ms), "{id} is said to be dead and has not ended"),
+            End::DeadLetter => assert!(actual.has_ended(now_ms), "{id} is said to be dead and has not ended"),
             End::Withdrawn => {
-                assert!(truth.accepted_ms.is_none(), "{id} was accepted and is said to be withdrawn")
+                assert!(actual.accepted_ms.is_none(), "{id} was accepted and is said to be withdrawn")
             }
         }
     }
--- a/system/state/queue/tests/cluster/runs.rs
+++ b/system/state/queue/tests/cluster/runs.rs
@@ -19,14 +19,14 @@
             return;
         }
         if dispatcher.pending.remove(&id).is_some_and(|pending| !pending.given_up) {
-            self.ledger.accepted(id, now_ms);
+            self.request_log.accepted(id, now_ms);
         }
         let known = dispatcher.deliveries.get(&(id, token));
         if known.is_some_and(|known| !matches!(known, Delivery::NeedsBody)) {
             return;
         }
         if let Some(message) = message {
-            assert_eq!(message, self.ledger.messages[&id].message, "{id} came back changed");
+            assert_eq!(message, self.request_log.messages[&id].message, "{id} came back changed");
             dispatcher.bodies.insert(id, (message, now_ms));
         }
         if !dispatcher.bodies.contains_key(&id) {
@@ -45,11 +45,11 @@
             self.report(at, id, token, AttemptOutcome::NotRun { retry_after_ms });
             return;
         }
-        self.ledger.begin(id, now_ms);
+        self.request_log.begin(id, now_ms);
         self.dispatchers[at].deliveries.insert((id, token), Delivery::Running { begun_ms: now_ms });
         let took_ms = if drawn > 95 { self.random.u64(200..600) } else { self.random.u64(5..80) };
-        let life = self.dispatchers[at].life;
-        let event = Event::WorkerDone { dispatcher: at, life, id, token, begun_ms: now_ms, drawn };
+        let incarnation = self.dispatchers[at].incarnation;
+        let event = Event::WorkerDone { dispatcher: at, incarnation, id, token, begun_ms: now_ms, drawn };
         self.schedule(now_ms + took_ms, event);
     }
 
@@ -57,32 +57,33 @@
     pub fn worker_done(
         &mut self,
         at: usize,
-        life: u32,
+        incarnation: u32,
         id: MessageId,
         token: LeaseToken,
         begun_ms: u64,
         drawn: u32,
     ) {
         let now_ms = self.now_ms;
-        let body_kind = self.ledger.messages[&id].message.headers.first().map(|header| header.name.clone());
+        let body_kind =
+            self.request_log.messages[&id].message.headers.first().map(|header| header.name.clone());
         let outcome = match body_kind.as_deref() {
             Some("poison") => {
-                self.ledger.fail(id, begun_ms, now_ms);
+                self.request_log.fail(id, begun_ms, now_ms);
                 AttemptOutcome::Failed
             }
             Some("refused") => {
-                self.ledger.refuse(id, begun_ms, now_ms);
+                self.request_log.refuse(id, begun_ms, now_ms);
                 AttemptOutcome::Refused
             }
             _ if (6..14).contains(&drawn) && !self.dispatchers[at].calm => {
-                self.ledger.fail(id, begun_ms, now_ms);
+                self.request_log.fail(id, begun_ms, now_ms);
                 AttemptOutcome::Failed
             }
             _ => {
                 let signature = format!("{id}-{begun_ms}-{}", token.0);
-                self.ledger.succeed(id, begun_ms, now_ms, signature.clone());
+                self.request_log.succeed(id, begun_ms, now_ms, signature.clone());
                 if (14..17).contains(&drawn) {
-                    self.ledger.messages.get_mut(&id).expect("known").answer_lost = true;
+                    self.request_log.messages.get_mut(&id).expect("known").answer_lost = true;
                     AttemptOutcome::Unknown { retry_after_ms: 50 }
                 } else {
                     AttemptOutcome::Succeeded { signature }
@@ -90,11 +91,11 @@
             }
         };
         let dispatcher = &self.dispatchers[at];
-        if dispatcher.life == life && dispatcher.up {
+        if dispatcher.incarnation == incarnation && dispatcher.up {
             self.report(at, id, token, outcome);
         } else {
             // Nobody read this answer.
-            self.ledger.messages.get_mut(&id).expect("known").answer_lost = true;
+            self.request_log.messages.get_mut(&id).expect("known").answer_lost = true;
         }
     }
 
@@ -112,10 +113,10 @@
     }
 
     pub fn call_back(&mut self, at: usize, id: MessageId, token: LeaseToken, end: End) {
-        self.ledger.check_end(id, &end, self.now_ms);
+        self.request_log.check_end(id, &end, self.now_ms);
         let done = self.dispatchers[at].calm || self.random.u8(0..10) < 7;
         if done {
-            self.ledger.messages.get_mut(&id).expect("known").called_back.push(end);
+            self.request_log.messages.get_mut(&id).expect("known").called_back.push(end);
         }
         self.dispatchers[at].callbacks.insert((id, token), Some((done, self.now_ms)));
         self.tell_primary(at, id, FromDispatcher::CalledBack { id, token, done, retry_after_ms: 20 });
@@ -130,7 +131,7 @@
         }
         if let Some(Delivery::Reported { outcome, .. }) = dispatcher.deliveries.remove(&(id, token)) {
             if matches!(outcome, AttemptOutcome::Succeeded { .. }) {
-                self.ledger.messages.get_mut(&id).expect("known").success_recorded = true;
+                self.request_log.messages.get_mut(&id).expect("known").success_recorded = true;
             }
         }
     }
--- a/system/state/queue/tests/cluster/stores.rs
+++ b/system/state/queue/tests/cluster/stores.rs
@@ -18,7 +18,7 @@
 
 /// A message that a store found lying.
 #[derive(Clone, Copy, Debug)]
-pub struct Stray {
+pub struct Orphan {
     pub at_ms: u64,
     pub id: MessageId,
     pub cause: OrphanCause,
@@ -30,7 +30,7 @@
     pub zone: String,
     pub node: Option<StoreNode>,
     pub disk: Disk,
-    pub life: u32,
+    pub incarnation: u32,
     pub frozen_until_ms: u64,
     /// Milliseconds of one sync.
     pub sync_ms: u64,
@@ -50,7 +50,7 @@
             zone: format!("zone-{}", index % options.stores),
             node: None,
             disk: Disk::default(),
-            life: 0,
+            incarnation: 0,
             frozen_until_ms: 0,
             sync_ms: 2,
             leaving: false,
@@ -66,9 +66,9 @@
     }
 }
 
-/// Drawn for each life of each process, without taking from what the simulation draws.
-fn clock_ahead_ms(seed: u64, store: StoreId, life: u32) -> u64 {
-    let seed = seed ^ (store.0 << 24) ^ (u64::from(life) << 48);
+/// Drawn for each incarnation of each process, without taking from what the simulation draws.
+fn clock_ahead_ms(seed: u64, store: StoreId, incarnation: u32) -> u64 {
+    let seed = seed ^ (store.0 << 24) ^ (u64::from(incarnation) << 48);
     fastrand::Rng::with_seed(seed).u64(0..MOST_AHEAD_MS)
 }
 
@@ -79,8 +79,8 @@
         if store.node.is_some() {
             return;
         }
-        store.life += 1;
-        store.clock_ahead_ms = clock_ahead_ms(self.options.seed, store.id, store.life);
+        store.incarnation += 1;
+        store.clock_ahead_ms = clock_ahead_ms(self.options.seed, store.id, store.incarnation);
         let recovered = store.disk.recover(now_ms).into_iter();
         let steady_ms = now_ms + store.clock_ahead_ms;
         store.node = Some(StoreNode::new(
@@ -93,12 +93,12 @@
         store.leaving = false;
         store.ticking_at = None;
         store.sync_ms = 2;
-        let life = store.life;
+        let incarnation = store.incarnation;
         let rates = self.rates();
         self.input(index, Input::Rates(rates));
         let placement = self.manager.placement.clone();
         let at_ms = self.now_ms + self.random.u64(2..60);
-        self.schedule(at_ms, Event::Placement { at: End::Store(index), life, placement });
+        self.schedule(at_ms, Event::Placement { at: End::Store(index), incarnation, placement });
     }
 
     /// The process is gone; `notice_ms` until others notice, `None` if its power is gone: they notice late.
@@ -171,7 +171,7 @@
             Output::CaughtUp { filled } => {
                 self.stores[index].caught_up.insert(filled);
             }
-            Output::Orphaned { id, cause } => self.strays.push(Stray { at_ms: self.now_ms, id, cause }),
+            Output::Orphaned { id, cause } => self.orphans.push(Orphan { at_ms: self.now_ms, id, cause }),
             Output::Released { id } => {
                 self.stores[index].released.insert(id);
             }
@@ -181,13 +181,13 @@
     fn start_sync(&mut self, index: usize) {
         let store = &mut self.stores[index];
         if store.disk.start_sync() {
-            let (sync_ms, life) = (store.sync_ms, store.life);
-            self.schedule(self.now_ms + sync_ms, Event::Synced { store: index, life });
+            let (sync_ms, incarnation) = (store.sync_ms, store.incarnation);
+            self.schedule(self.now_ms + sync_ms, Event::Synced { store: index, incarnation });
         }
     }
 
-    pub fn synced(&mut self, index: usize, life: u32) {
-        if self.stores[index].life != life || !self.stores[index].is_up() {
+    pub fn synced(&mut self, index: usize, incarnation: u32) {
+        if self.stores[index].incarnation != incarnation || !self.stores[index].is_up() {
             return;
         }
         if let Some(ticket) = self.stores[index].disk.end_sync() {
@@ -203,13 +203,13 @@
             return;
         }
         store.ticking_at = Some(deadline_ms);
-        let life = store.life;
-        self.schedule(deadline_ms, Event::StoreTick { store: index, life });
+        let incarnation = store.incarnation;
+        self.schedule(deadline_ms, Event::StoreTick { store: index, incarnation });
     }
 
-    pub fn store_tick(&mut self, index: usize, life: u32) {
+    pub fn store_tick(&mut self, index: usize, incarnation: u32) {
         let store = &mut self.stores[index];
-        if store.life != life {
+        if store.incarnation != incarnation {
             return;
         }
         if store.ticking_at.is_some_and(|at_ms| at_ms <= self.now_ms) {
--- a/system/state/queue/tests/wired/mod.rs
+++ b/system/state/queue/tests/harness/mod.rs
@@ -3,6 +3,10 @@
 
 #![allow(dead_code)]
 
+#[path = "../support/message.rs"]
+mod message_builder;
+
+use message_builder::message_of;
 use millrudder_clock::Instant;
 use millrudder_protocol::control::FilledShard;
 use millrudder_protocol::message::{Message, MessageState};
@@ -34,16 +38,16 @@
     pub at_ms: u64,
 }
 
-/// A message that a store found lying.
+/// An orphaned message that a store reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stray {
+pub struct Orphan {
     pub id: MessageId,
     pub cause: OrphanCause,
 }
 
-/// One store of the harness.
+/// One store process of the harness, with its disk.
 #[derive(Clone)]
-pub struct Place {
+pub struct StoreProcess {
     pub node: Option<StoreNode>,
     pub records: Vec<(u64, DiskRecord)>,
     last: Ticket,
@@ -51,26 +55,26 @@
     synced: usize,
     /// Its disk syncs nothing.
     pub stalled: bool,
-    /// What is sent to it waits.
-    pub held: bool,
-    waiting: VecDeque<(StoreId, BetweenStores)>,
+    /// Messages of other stores wait in `inbound`.
+    pub is_inbound_paused: bool,
+    inbound: VecDeque<(StoreId, BetweenStores)>,
 }
 
 /// All stores, with everything that dispatchers were sent.
 #[derive(Clone)]
-pub struct Wired {
+pub struct StoreHarness {
     pub now_ms: u64,
     pub config: Config,
     topology: Topology,
-    pub places: Vec<Place>,
+    pub processes: Vec<StoreProcess>,
     pub placement: Placement,
-    /// Since the last look.
-    pub told: Vec<(ConnectionId, ToDispatcher)>,
+    /// Messages to dispatchers since they were last taken.
+    pub sent_to_dispatchers: Vec<(ConnectionId, ToDispatcher)>,
     pub grants: Vec<Granted>,
     pub closed: Vec<ConnectionId>,
     pub released: BTreeSet<MessageId>,
     pub caught_up: Vec<(usize, FilledShard)>,
-    pub strays: Vec<Stray>,
+    pub orphans: Vec<Orphan>,
     /// Messages between stores so far.
     pub writes: u64,
     links_down: BTreeSet<(usize, usize)>,
@@ -79,15 +83,15 @@
     names: u64,
 }
 
-impl Place {
-    /// What waits for it, for comparisons.
-    pub fn wait_digest(&self) -> String {
-        format!("{:?} {} {} {}", self.waiting, self.stalled, self.held, self.synced)
+impl StoreProcess {
+    /// Its inbound messages and disk, as a text for comparisons of states.
+    pub fn inbound_digest(&self) -> String {
+        format!("{:?} {} {} {}", self.inbound, self.stalled, self.is_inbound_paused, self.synced)
     }
 
-    /// What waits for it never arrives.
-    pub fn lose_waiting(&mut self) {
-        self.waiting.clear();
+    /// Its inbound messages never arrive.
+    pub fn drop_inbound(&mut self) {
+        self.inbound.clear();
     }
 }
 
@@ -99,21 +103,21 @@
     format!("zone-{index}")
 }
 
-impl Wired {
+impl StoreHarness {
     /// `stores` replicas of one shard, the first of which is primary.
     pub fn new(stores: usize, tolerated_losses: u32) -> Self {
-        Wired::with(stores, tolerated_losses, Config::default())
+        StoreHarness::with(stores, tolerated_losses, Config::default())
     }
 
     pub fn with(stores: usize, tolerated_losses: u32, config: Config) -> Self {
-        Wired::with_topology(stores, tolerated_losses, config, Topology::default())
+        StoreHarness::with_topology(stores, tolerated_losses, config, Topology::default())
     }
 
     /// A store in each zone; the zones' regions in their order.
     pub fn in_regions(tolerated_losses: u32, regions: &[&str]) -> Self {
         let zones: Vec<String> = (0..regions.len()).map(zone).collect();
         let pairs = zones.iter().map(String::as_str).zip(regions.iter().copied());
-        Wired::with_topology(regions.len(), tolerated_losses, Config::default(), Topology::new(pairs))
+        StoreHarness::with_topology(regions.len(), tolerated_losses, Config::default(), Topology::new(pairs))
     }
 
     fn with_topology(stores: usize, tolerated_losses: u32, config: Config, topology: Topology) -> Self {
@@ -132,18 +136,18 @@
             stores: (0..stores).map(entry).collect(),
             shards: vec![shard],
         };
-        let mut wired = Wired {
+        let mut harness = StoreHarness {
             now_ms: 1_000,
             config,
             topology,
-            places: Vec::new(),
+            processes: Vec::new(),
             placement,
-            told: Vec::new(),
+            sent_to_dispatchers: Vec::new(),
             grants: Vec::new(),
             closed: Vec::new(),
             released: BTreeSet::new(),
             caught_up: Vec::new(),
-            strays: Vec::new(),
+            orphans: Vec::new(),
             writes: 0,
             links_down: BTreeSet::new(),
             queue: VecDeque::new(),
@@ -151,25 +155,25 @@
             names: 0,
         };
         for _ in 0..stores {
-            wired.add_place();
+            harness.add_process();
         }
         for index in 0..stores {
-            wired.start(index);
+            harness.start(index);
         }
-        wired
+        harness
     }
 
-    pub fn add_place(&mut self) -> usize {
-        self.places.push(Place {
+    pub fn add_process(&mut self) -> usize {
+        self.processes.push(StoreProcess {
             node: None,
             records: Vec::new(),
             last: Ticket::default(),
             synced: 0,
             stalled: false,
-            held: false,
-            waiting: VecDeque::new(),
+            is_inbound_paused: false,
+            inbound: VecDeque::new(),
         });
-        self.places.len() - 1
+        self.processes.len() - 1
     }
 
     /// What the stores' clocks read.
@@ -180,7 +184,7 @@
     /// Starts a process with what its disk has.
     pub fn start(&mut self, index: usize) {
         let (now, now_ms) = (self.now(), self.now_ms);
-        let recovered: Vec<Recovered> = self.places[index]
+        let recovered: Vec<Recovered> = self.processes[index]
             .records
             .iter()
             .map(|(at_ms, record)| Recovered {
@@ -191,15 +195,15 @@
         let location = Location::new(&zone(index), self.topology.clone());
         let (config, me) = (self.config.clone(), store_id(index));
         let node = StoreNode::new(config, me, location, now, recovered.into_iter());
-        self.places[index].node = Some(node);
+        self.processes[index].node = Some(node);
         self.input(index, Input::Placement(self.placement.clone()));
-        for other in 0..self.places.len() {
+        for other in 0..self.processes.len() {
             self.connect(index, other);
         }
     }
 
     fn connect(&mut self, one: usize, other: usize) {
-        let is_up = |index: usize| self.places[index].node.is_some();
+        let is_up = |index: usize| self.processes[index].node.is_some();
         if one == other || !is_up(one) || !is_up(other) || self.is_down(one, other) {
             return;
         }
@@ -226,9 +230,9 @@
 
     /// The process ends; its disk stays, or only what was synced of it.
     pub fn kill(&mut self, index: usize) {
-        self.places[index].node = None;
-        self.places[index].waiting.clear();
-        for other in 0..self.places.len() {
+        self.processes[index].node = None;
+        self.processes[index].inbound.clear();
+        for other in 0..self.processes.len() {
             self.input(other, Input::StoreClosed { store: store_id(index) });
         }
     }
@@ -236,9 +240,9 @@
     /// The machine loses its power: what was not synced is gone.
     pub fn lose_power(&mut self, index: usize) {
         self.kill(index);
-        let place = &mut self.places[index];
-        place.last = Ticket::default();
-        place.records.truncate(place.synced);
+        let process = &mut self.processes[index];
+        process.last = Ticket::default();
+        process.records.truncate(process.synced);
     }
 
     /// Gives the shard to another store in a new epoch, and tells everybody that runs.
@@ -251,8 +255,8 @@
 
     /// Tells everybody the placement.
     pub fn spread(&mut self) {
-        for index in 0..self.places.len() {
-            if !self.places[index].held {
+        for index in 0..self.processes.len() {
+            if !self.processes[index].is_inbound_paused {
                 self.input(index, Input::Placement(self.placement.clone()));
             }
         }
@@ -266,7 +270,7 @@
     fn handle(&mut self, index: usize, input: Input) {
         let now = self.now();
         let mut out = Vec::new();
-        let Some(node) = self.places[index].node.as_mut() else { return };
+        let Some(node) = self.processes[index].node.as_mut() else { return };
         node.handle(now, input, &mut out);
         for output in out {
             self.carry_out(index, output);
@@ -276,33 +280,33 @@
 
     /// Syncs all that was appended, unless the disk is stalled.
     pub fn sync(&mut self, index: usize) {
-        let place = &self.places[index];
-        let (ticket, stalled) = (place.last, place.stalled);
-        if stalled || place.node.is_none() || ticket == Ticket::default() {
+        let process = &self.processes[index];
+        let (ticket, stalled) = (process.last, process.stalled);
+        if stalled || process.node.is_none() || ticket == Ticket::default() {
             return;
         }
-        self.places[index].last = Ticket::default();
-        self.places[index].synced = self.places[index].records.len();
+        self.processes[index].last = Ticket::default();
+        self.processes[index].synced = self.processes[index].records.len();
         self.handle(index, Input::Synced { ticket });
     }
 
     fn carry_out(&mut self, index: usize, output: Output) {
         match output {
             Output::Append { ticket, record } => {
-                self.places[index].last = ticket;
-                self.places[index].records.push((self.now_ms, record));
+                self.processes[index].last = ticket;
+                self.processes[index].records.push((self.now_ms, record));
             }
             Output::ToDispatcher { connection, message } => self.tell(connection, message),
             Output::ToStore { store, message } => {
                 self.writes += u64::from(matches!(message, BetweenStores::Write { .. }));
-                let to = (0..self.places.len()).find(|other| store_id(*other) == store);
+                let to = (0..self.processes.len()).find(|other| store_id(*other) == store);
                 if let Some(to) = to.filter(|to| !self.is_down(index, *to)) {
                     self.queue.push_back((to, store_id(index), message));
                 }
             }
             Output::CloseDispatcher { connection } => self.closed.push(connection),
             Output::CaughtUp { filled } => self.caught_up.push((index, filled)),
-            Output::Orphaned { id, cause } => self.strays.push(Stray { id, cause }),
+            Output::Orphaned { id, cause } => self.orphans.push(Orphan { id, cause }),
             Output::Released { id } => {
                 self.released.insert(id);
             }
@@ -314,13 +318,13 @@
             let message = message.as_deref().cloned();
             self.grants.push(Granted { connection, id: *id, token: *token, message, at_ms: self.now_ms });
         }
-        self.told.push((connection, message));
+        self.sent_to_dispatchers.push((connection, message));
     }
 
     fn deliver_queued(&mut self) {
         while let Some((to, from, message)) = self.queue.pop_front() {
-            if self.places[to].held {
-                self.places[to].waiting.push_back((from, message));
+            if self.processes[to].is_inbound_paused {
+                self.processes[to].inbound.push_back((from, message));
             } else {
                 self.handle(to, Input::Store { from, message });
             }
@@ -329,8 +333,8 @@
 
     /// What waited for a store arrives.
     pub fn release(&mut self, index: usize) {
-        self.places[index].held = false;
-        while let Some((from, message)) = self.places[index].waiting.pop_front() {
+        self.processes[index].is_inbound_paused = false;
+        while let Some((from, message)) = self.processes[index].inbound.pop_front() {
             self.input(index, Input::Store { from, message });
         }
     }
@@ -339,10 +343,10 @@
     pub fn advance(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         loop {
-            let deadlines = self.places.iter().enumerate();
-            let deadlines = deadlines.filter(|(_, place)| !place.held);
-            let deadline = |(index, place): (usize, &Place)| {
-                place.node.as_ref().and_then(StoreNode::next_deadline).map(|at| (at.as_millis(), index))
+            let deadlines = self.processes.iter().enumerate();
+            let deadlines = deadlines.filter(|(_, process)| !process.is_inbound_paused);
+            let deadline = |(index, process): (usize, &StoreProcess)| {
+                process.node.as_ref().and_then(StoreNode::next_deadline).map(|at| (at.as_millis(), index))
             };
             let Some((at_ms, index)) =
                 deadlines.filter_map(deadline).min().filter(|(at_ms, _)| *at_ms <= until_ms)
@@ -364,11 +368,11 @@
         zone: &str,
         held: Vec<ActiveLease>,
     ) {
-        self.hello_in_doubt(store, connection, dispatcher, zone, held, Vec::new());
+        self.announce_in_doubt(store, connection, dispatcher, zone, held, Vec::new());
     }
 
-    /// The same, with messages of which the dispatcher does not know whether they were kept.
-    pub fn hello_in_doubt(
+    /// The same, with messages of which the dispatcher does not know whether they were accepted.
+    pub fn announce_in_doubt(
         &mut self,
         store: usize,
         connection: u64,
@@ -392,14 +396,14 @@
         self.input(store, Input::Dispatcher { connection: ConnectionId(connection), message });
     }
 
-    pub fn name(&mut self) -> MessageId {
+    pub fn next_message_id(&mut self) -> MessageId {
         self.names += 1;
         MessageId { shard: SHARD, unique: self.names }
     }
 
     /// Has a message accepted; gives its name and the request's number.
     pub fn accept(&mut self, store: usize, connection: u64, message: Message, lease: bool) -> MessageId {
-        let id = self.name();
+        let id = self.next_message_id();
         self.accept_as(store, connection, id, message, lease);
         id
     }
@@ -411,21 +415,24 @@
         self.say(store, connection, FromDispatcher::Accept { request, id, message, lease });
     }
 
-    /// The token of the acceptance that was told last.
+    /// The token of the latest acceptance.
     pub fn last_accepted(&self) -> Option<Option<LeaseToken>> {
         let token = |message: &ToDispatcher| match message {
             ToDispatcher::Accepted { token, .. } => Some(*token),
             _ => None,
         };
-        self.told.iter().rev().find_map(|(_, message)| token(message))
+        self.sent_to_dispatchers.iter().rev().find_map(|(_, message)| token(message))
     }
 
     pub fn acceptances(&self) -> usize {
-        self.told.iter().filter(|(_, message)| matches!(message, ToDispatcher::Accepted { .. })).count()
+        self.sent_to_dispatchers
+            .iter()
+            .filter(|(_, message)| matches!(message, ToDispatcher::Accepted { .. }))
+            .count()
     }
 
     pub fn is_recorded(&self, id: MessageId, token: LeaseToken) -> bool {
-        self.told.iter().any(|(_, message)| *message == ToDispatcher::Recorded { id, token })
+        self.sent_to_dispatchers.iter().any(|(_, message)| *message == ToDispatcher::Recorded { id, token })
     }
 
     pub fn attempted(
@@ -458,30 +465,28 @@
     }
 
     pub fn state(&self, store: usize, id: MessageId) -> Option<MessageState> {
-        self.places[store].node.as_ref()?.state_of(id)
+        self.processes[store].node.as_ref()?.state_of(id)
     }
 }
 
+/// One store, to which one dispatcher is connected.
+pub fn one_store() -> StoreHarness {
+    let mut harness = StoreHarness::new(1, 0);
+    harness.hello(0, 1, 1, "zone-0", Vec::new());
+    harness
+}
+
+/// The token of the latest acceptance, which must be one with a lease.
+pub fn accepted_token(harness: &StoreHarness) -> LeaseToken {
+    harness.last_accepted().expect("accepted").expect("with a lease")
+}
+
 /// A message to be run at once.
 pub fn message() -> Message {
-    Message {
-        request_id: "request".to_owned(),
-        method: "POST".to_owned(),
-        path: "/path".to_owned(),
-        host: "host".to_owned(),
-        headers: Vec::new(),
-        body: b"body".to_vec(),
-        order_key: None,
-        callback_url: None,
-        service: "service".to_owned(),
-        priority: 0,
-        delay_ms: 0,
-        target_start_ms: 800,
-        max_attempts: 3,
-        retention_ms: 60_000,
-    }
+    message_of("service")
 }
 
+/// A message to be run at once, in the order of its key.
 pub fn with_key(key: &str) -> Message {
     Message { order_key: Some(key.to_owned()), ..message() }
 }
--- a/system/state/queue/tests/model.rs
+++ b/system/state/queue/tests/model.rs
@@ -1,8 +1,9 @@
 //! All orders, up to a depth, in which few events can come to three stores of one shard, of which one disk may be lost,
 //! played with the true state machines: what was acknowledged is known to every primary that serves later.
 
-mod wired;
+mod harness;
 
+use harness::{message, StoreHarness, SHARD};
 use millrudder_protocol::message::Message;
 use millrudder_protocol::store::{AttemptOutcome, ToDispatcher};
 use millrudder_protocol::{LeaseToken, MessageId};
@@ -10,7 +11,6 @@
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashSet;
 use std::hash::{Hash, Hasher};
-use wired::{message, Wired, SHARD};
 
 const STORES: usize = 3;
 /// The first placement's primary.
@@ -21,8 +21,8 @@
 /// Changes of primary and losses of power in one order.
 const MOST_MOVES: u32 = 3;
 const MOST_POWER_LOSSES: u32 = 2;
-/// Longer than any follower is waited for.
-const PATIENCE_MS: u64 = 100;
+/// Longer than any replica is waited for.
+const STALL_MS: u64 = 100;
 
 /// Something that happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,19 +44,19 @@
     Restart(usize),
     /// The disk is lost with all that is on it; only one ever is.
     LoseDisk(usize),
-    /// Late followers are given up.
+    /// Late replicas are given up.
     Wait,
 }
 
 #[derive(Clone)]
 struct World {
-    wired: Wired,
+    harness: StoreHarness,
     moves: u32,
     power_losses: u32,
     lost: bool,
     waited: bool,
     asked: bool,
-    /// What clients and dispatchers were told.
+    /// What clients and dispatchers were sent.
     accepted: bool,
     recorded: bool,
 }
@@ -72,12 +72,12 @@
 
 impl World {
     fn new() -> Self {
-        let mut wired = Wired::new(STORES, 1);
+        let mut harness = StoreHarness::new(STORES, 1);
         for store in 0..STORES {
-            wired.hello(store, connection(store), 7, "zone-0", Vec::new());
+            harness.hello(store, connection(store), 7, "zone-0", Vec::new());
         }
         World {
-            wired,
+            harness,
             moves: 0,
             power_losses: 0,
             lost: false,
@@ -89,20 +89,20 @@
     }
 
     fn primary(&self) -> usize {
-        let primary = self.wired.placement.shards[0].primary;
-        (0..STORES).find(|store| wired::store_id(*store) == primary).expect("a store of the model")
+        let primary = self.harness.placement.shards[0].primary;
+        (0..STORES).find(|store| harness::store_id(*store) == primary).expect("a store of the model")
     }
 
     fn is_up(&self, store: usize) -> bool {
-        self.wired.places[store].node.is_some()
+        self.harness.processes[store].node.is_some()
     }
 
     /// It serves in the reign in force; one that has not heard of that may serve in a former one, which the others
     /// fence off.
     fn is_serving(&self, store: usize) -> bool {
-        let Some(node) = &self.wired.places[store].node else { return false };
-        let in_force = DiskRecord::Promised { shard: SHARD, term: self.wired.placement.shards[0].term };
-        node.health(self.wired.now()).serving == 1 && node.promised_terms().contains(&in_force)
+        let Some(node) = &self.harness.processes[store].node else { return false };
+        let in_force = DiskRecord::Promised { shard: SHARD, term: self.harness.placement.shards[0].term };
+        node.health(self.harness.now()).serving == 1 && node.promised_terms().contains(&in_force)
     }
 
     /// Events that say something new here.
@@ -119,9 +119,9 @@
             events.push(Event::Wait);
         }
         for store in (0..STORES).filter(|store| self.is_up(*store)) {
-            let place = &self.wired.places[store];
-            events.push(if place.stalled { Event::Resume(store) } else { Event::Stall(store) });
-            events.push(if place.held { Event::Release(store) } else { Event::Hold(store) });
+            let process = &self.harness.processes[store];
+            events.push(if process.stalled { Event::Resume(store) } else { Event::Stall(store) });
+            events.push(if process.is_inbound_paused { Event::Release(store) } else { Event::Hold(store) });
             if self.moves < MOST_MOVES && store != self.primary() {
                 events.push(Event::MovePrimary(store));
             }
@@ -137,59 +137,59 @@
 
     fn play(&mut self, event: Event) {
         let primary = self.primary();
-        let wired = &mut self.wired;
+        let harness = &mut self.harness;
         match event {
             Event::Ask => {
                 self.asked = true;
-                wired.accept_as(primary, connection(primary), ID, later(), false);
+                harness.accept_as(primary, connection(primary), ID, later(), false);
             }
             Event::AskFirst => {
                 self.asked = true;
-                wired.accept_as(FIRST, connection(FIRST), ID, later(), false);
+                harness.accept_as(FIRST, connection(FIRST), ID, later(), false);
             }
             Event::Succeed => {
-                let since = wired.placement.shards[0].term;
+                let since = harness.placement.shards[0].term;
                 let outcome = AttemptOutcome::Succeeded { signature: "s".to_owned() };
-                wired.attempted(primary, connection(primary), ID, LeaseToken::new(since, 1), outcome);
+                harness.attempted(primary, connection(primary), ID, LeaseToken::new(since, 1), outcome);
             }
             Event::MovePrimary(store) => {
                 self.moves += 1;
-                wired.move_primary(store);
+                harness.move_primary(store);
             }
-            Event::Stall(store) => wired.places[store].stalled = true,
+            Event::Stall(store) => harness.processes[store].stalled = true,
             Event::Resume(store) => {
-                wired.places[store].stalled = false;
-                wired.sync(store);
-                wired.input(store, Input::Tick);
+                harness.processes[store].stalled = false;
+                harness.sync(store);
+                harness.input(store, Input::Tick);
             }
-            Event::Hold(store) => wired.places[store].held = true,
+            Event::Hold(store) => harness.processes[store].is_inbound_paused = true,
             Event::Release(store) => {
-                wired.release(store);
-                wired.input(store, Input::Placement(wired.placement.clone()));
+                harness.release(store);
+                harness.input(store, Input::Placement(harness.placement.clone()));
             }
             Event::Restart(store) => {
                 self.power_losses += 1;
-                wired.lose_power(store);
-                wired.places[store].stalled = false;
-                wired.start(store);
-                wired.hello(store, connection(store), 7, "zone-0", Vec::new());
+                harness.lose_power(store);
+                harness.processes[store].stalled = false;
+                harness.start(store);
+                harness.hello(store, connection(store), 7, "zone-0", Vec::new());
             }
             Event::LoseDisk(store) => {
                 self.lost = true;
-                wired.kill(store);
-                wired.places[store].records.clear();
+                harness.kill(store);
+                harness.processes[store].records.clear();
             }
             Event::Wait => {
                 self.waited = true;
-                wired.advance(PATIENCE_MS);
+                harness.advance(STALL_MS);
             }
         }
         self.listen();
     }
 
-    /// Notes what dispatchers were told since the last event.
+    /// Notes what dispatchers were sent since the last event.
     fn listen(&mut self) {
-        for (_, message) in std::mem::take(&mut self.wired.told) {
+        for (_, message) in std::mem::take(&mut self.harness.sent_to_dispatchers) {
             self.accepted |= matches!(message, ToDispatcher::Accepted { .. });
             self.recorded |= matches!(message, ToDispatcher::Recorded { .. });
         }
@@ -200,7 +200,7 @@
         if !self.is_serving(primary) {
             return;
         }
-        let state = self.wired.state(primary, ID);
+        let state = self.harness.state(primary, ID);
         assert!(!self.accepted || state.is_some(), "accepted, and not known after {order:?}");
         let has_ended = state.is_some_and(|state| state.end.is_some());
         assert!(!self.recorded || has_ended, "recorded, and not known after {order:?}");
@@ -209,14 +209,14 @@
     /// A digest of all that decides what can follow.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        for place in &self.wired.places {
-            format!("{:?}", place.node).hash(&mut hasher);
-            format!("{:?}", place.records).hash(&mut hasher);
-            place.wait_digest().hash(&mut hasher);
+        for process in &self.harness.processes {
+            format!("{:?}", process.node).hash(&mut hasher);
+            format!("{:?}", process.records).hash(&mut hasher);
+            process.inbound_digest().hash(&mut hasher);
         }
-        let told = (self.moves, self.power_losses, self.lost, self.waited, self.accepted, self.recorded);
-        told.hash(&mut hasher);
-        self.wired.now_ms.hash(&mut hasher);
+        let seen = (self.moves, self.power_losses, self.lost, self.waited, self.accepted, self.recorded);
+        seen.hash(&mut hasher);
+        self.harness.now_ms.hash(&mut hasher);
         hasher.finish()
     }
 }
@@ -255,26 +255,26 @@
 }
 
 #[test]
-fn what_was_acknowledged_is_known_to_every_primary_that_serves_later() {
+fn every_later_primary_knows_what_was_acknowledged() {
     let states = explore(World::new(), depth());
     println!("{states} states");
     assert!(states > 10_000, "{states} states are too few to show anything");
 }
 
 /// The message lies on the disk of store 1 alone, unacknowledged, and store 0 is cut off.
-fn half_kept() -> World {
+fn on_one_disk() -> World {
     let mut world = World::new();
     for event in [Event::Stall(0), Event::Hold(2), Event::Ask, Event::Hold(0)] {
         world.play(event);
     }
-    world.wired.places[2].lose_waiting();
-    world.wired.places[2].held = false;
+    world.harness.processes[2].drop_inbound();
+    world.harness.processes[2].is_inbound_paused = false;
     world
 }
 
 #[test]
-fn the_same_from_a_message_that_one_disk_has() {
-    let states = explore(half_kept(), depth());
+fn every_later_primary_knows_what_was_acknowledged_from_a_message_on_one_disk() {
+    let states = explore(on_one_disk(), depth());
     println!("{states} states");
     assert!(states > 10_000, "{states} states are too few to show anything");
 }
--- a/system/state/queue/tests/replicas/main.rs
+++ b/system/state/queue/tests/replicas/main.rs
@@ -1,10 +1,10 @@
 //! Several stores: what an acknowledgement needs, what a slow or lost store changes, and what a change of primary
 //! leaves.
 
+#[path = "../harness/mod.rs"]
+mod harness;
 mod membership;
 mod regions;
 mod support;
 mod takeovers;
-#[path = "../wired/mod.rs"]
-mod wired;
 mod writes;
--- a/system/state/queue/tests/replicas/membership.rs
+++ b/system/state/queue/tests/replicas/membership.rs
@@ -4,118 +4,118 @@
 use millrudder_protocol::store::{FromDispatcher, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{Epoch, MessageId, RequestNumber};
 
+use crate::harness::{message, store_id, StoreHarness, SHARD};
 use crate::support::{moving_to_a_learner, replaces, three_stores};
-use crate::wired::{message, store_id, Wired, SHARD};
 
 #[test]
-fn a_store_that_holds_a_shard_no_more_does_not_say_that_a_message_is_unknown() {
-    let mut wired = three_stores();
-    let id = wired.name();
-    let ask = |wired: &mut Wired| {
-        wired.told.clear();
-        wired.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, body: false });
-        let (_, told) = wired.told.pop().expect("an answer");
-        told
+fn a_former_replica_does_not_answer_unknown() {
+    let mut harness = three_stores();
+    let id = harness.next_message_id();
+    let ask = |harness: &mut StoreHarness| {
+        harness.sent_to_dispatchers.clear();
+        harness.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, body: false });
+        let (_, answer) = harness.sent_to_dispatchers.pop().expect("an answer");
+        answer
     };
     let state = |answer: QueryAnswer| ToDispatcher::State { request: RequestNumber(1), answer };
-    assert_eq!(ask(&mut wired), state(QueryAnswer::Unknown));
-    wired.placement.epoch = Epoch(2);
-    wired.placement.shards[0].replicas = vec![store_id(0), store_id(2)];
-    wired.spread();
-    assert_eq!(ask(&mut wired), state(QueryAnswer::NotReplica));
+    assert_eq!(ask(&mut harness), state(QueryAnswer::Unknown));
+    harness.placement.epoch = Epoch(2);
+    harness.placement.shards[0].replicas = vec![store_id(0), store_id(2)];
+    harness.spread();
+    assert_eq!(ask(&mut harness), state(QueryAnswer::NotReplica));
 }
 
 #[test]
-fn a_learner_is_filled_and_may_take_a_lost_stores_place() {
-    let mut wired = three_stores();
-    let before: Vec<MessageId> = (0..30).map(|_| wired.accept(0, 1, message(), true)).collect();
-    wired.kill(1);
-    let learner = wired.add_place();
-    wired.placement.shards[0].change = Some(replaces(1, learner, Epoch(2)));
-    wired.placement.epoch = Epoch(2);
-    wired.start(learner);
-    wired.spread();
-    let during = wired.accept(0, 1, message(), true);
-    assert_eq!(wired.caught_up, [(learner, FilledShard { shard: SHARD, change: Epoch(2) })]);
+fn a_filled_learner_may_replace_a_lost_store() {
+    let mut harness = three_stores();
+    let before: Vec<MessageId> = (0..30).map(|_| harness.accept(0, 1, message(), true)).collect();
+    harness.kill(1);
+    let learner = harness.add_process();
+    harness.placement.shards[0].change = Some(replaces(1, learner, Epoch(2)));
+    harness.placement.epoch = Epoch(2);
+    harness.start(learner);
+    harness.spread();
+    let during = harness.accept(0, 1, message(), true);
+    assert_eq!(harness.caught_up, [(learner, FilledShard { shard: SHARD, change: Epoch(2) })]);
     for id in before.iter().chain([&during]) {
-        assert!(wired.state(learner, *id).is_some());
+        assert!(harness.state(learner, *id).is_some());
     }
-    wired.placement.shards[0].change = None;
-    wired.placement.shards[0].replicas = vec![store_id(0), store_id(2), store_id(learner)];
-    wired.placement.epoch = Epoch(3);
-    wired.spread();
-    wired.kill(0);
-    wired.move_primary(2);
+    harness.placement.shards[0].change = None;
+    harness.placement.shards[0].replicas = vec![store_id(0), store_id(2), store_id(learner)];
+    harness.placement.epoch = Epoch(3);
+    harness.spread();
+    harness.kill(0);
+    harness.move_primary(2);
     for id in before {
-        assert!(wired.state(2, id).is_some());
+        assert!(harness.state(2, id).is_some());
     }
 }
 
 #[test]
-fn while_a_replica_moves_a_message_needs_a_quorum_before_and_after() {
-    let mut wired = three_stores();
-    let learner = moving_to_a_learner(&mut wired);
-    wired.spread();
-    wired.set_link(0, 1, false);
-    wired.places[learner].held = true;
-    let id = wired.accept(0, 1, message(), true);
-    assert!(wired.state(2, id).is_some());
-    assert_eq!(wired.last_accepted(), None, "stores 0 and 2 are a quorum before, not after");
-    wired.release(learner);
-    assert!(wired.last_accepted().is_some());
+fn during_a_membership_change_a_write_needs_both_quorums() {
+    let mut harness = three_stores();
+    let learner = moving_to_a_learner(&mut harness);
+    harness.spread();
+    harness.set_link(0, 1, false);
+    harness.processes[learner].is_inbound_paused = true;
+    let id = harness.accept(0, 1, message(), true);
+    assert!(harness.state(2, id).is_some());
+    assert_eq!(harness.last_accepted(), None, "stores 0 and 2 are a quorum before, not after");
+    harness.release(learner);
+    assert!(harness.last_accepted().is_some());
 }
 
 #[test]
-fn what_a_leaving_replica_acknowledged_outlives_it_and_the_primary() {
-    let mut wired = three_stores();
-    wired.set_link(0, 1, false);
-    let id = wired.accept(0, 1, message(), true);
-    assert!(wired.last_accepted().is_some() && wired.state(2, id).is_some());
-    wired.set_link(0, 1, true);
-    assert!(wired.state(1, id).is_none());
-    let learner = moving_to_a_learner(&mut wired);
-    wired.spread();
-    assert_eq!(wired.caught_up, [(learner, FilledShard { shard: SHARD, change: Epoch(2) })]);
-    wired.placement.shards[0].change = None;
-    wired.placement.shards[0].replicas = vec![store_id(0), store_id(1), store_id(learner)];
-    wired.placement.epoch = Epoch(3);
-    wired.spread();
-    wired.kill(2);
-    wired.kill(0);
-    wired.move_primary(1);
-    assert!(wired.state(1, id).is_some());
+fn acknowledged_writes_survive_a_leaving_replica_and_the_primary() {
+    let mut harness = three_stores();
+    harness.set_link(0, 1, false);
+    let id = harness.accept(0, 1, message(), true);
+    assert!(harness.last_accepted().is_some() && harness.state(2, id).is_some());
+    harness.set_link(0, 1, true);
+    assert!(harness.state(1, id).is_none());
+    let learner = moving_to_a_learner(&mut harness);
+    harness.spread();
+    assert_eq!(harness.caught_up, [(learner, FilledShard { shard: SHARD, change: Epoch(2) })]);
+    harness.placement.shards[0].change = None;
+    harness.placement.shards[0].replicas = vec![store_id(0), store_id(1), store_id(learner)];
+    harness.placement.epoch = Epoch(3);
+    harness.spread();
+    harness.kill(2);
+    harness.kill(0);
+    harness.move_primary(1);
+    assert!(harness.state(1, id).is_some());
 }
 
 #[test]
-fn a_new_primary_reads_a_quorum_before_and_after() {
-    let mut wired = three_stores();
-    let learner = moving_to_a_learner(&mut wired);
-    wired.spread();
-    wired.hello(1, 2, 7, "zone-0", Vec::new());
-    wired.kill(0);
-    wired.places[2].held = true;
-    wired.move_primary(1);
-    wired.accept(1, 2, message(), true);
-    assert_eq!(wired.last_accepted(), None, "stores 1 and {learner} are a quorum after, not before");
-    wired.places[2].held = false;
-    wired.release(2);
-    wired.accept(1, 2, message(), true);
-    assert!(wired.last_accepted().is_some());
+fn during_a_membership_change_a_takeover_reads_both_quorums() {
+    let mut harness = three_stores();
+    let learner = moving_to_a_learner(&mut harness);
+    harness.spread();
+    harness.hello(1, 2, 7, "zone-0", Vec::new());
+    harness.kill(0);
+    harness.processes[2].is_inbound_paused = true;
+    harness.move_primary(1);
+    harness.accept(1, 2, message(), true);
+    assert_eq!(harness.last_accepted(), None, "stores 1 and {learner} are a quorum after, not before");
+    harness.processes[2].is_inbound_paused = false;
+    harness.release(2);
+    harness.accept(1, 2, message(), true);
+    assert!(harness.last_accepted().is_some());
 }
 
 #[test]
-fn a_change_that_was_given_up_and_begun_anew_is_filled_anew() {
-    let mut wired = three_stores();
-    let learner = moving_to_a_learner(&mut wired);
-    wired.spread();
-    wired.placement.shards[0].change = None;
-    wired.placement.epoch = Epoch(3);
-    wired.spread();
-    let between = wired.accept(0, 1, message(), true);
-    assert!(wired.state(learner, between).is_none());
-    wired.placement.shards[0].change = Some(replaces(2, learner, Epoch(4)));
-    wired.placement.epoch = Epoch(4);
-    wired.spread();
-    assert_eq!(wired.caught_up.last(), Some(&(learner, FilledShard { shard: SHARD, change: Epoch(4) })));
-    assert!(wired.state(learner, between).is_some());
+fn an_aborted_membership_change_fills_its_learner_again() {
+    let mut harness = three_stores();
+    let learner = moving_to_a_learner(&mut harness);
+    harness.spread();
+    harness.placement.shards[0].change = None;
+    harness.placement.epoch = Epoch(3);
+    harness.spread();
+    let between = harness.accept(0, 1, message(), true);
+    assert!(harness.state(learner, between).is_none());
+    harness.placement.shards[0].change = Some(replaces(2, learner, Epoch(4)));
+    harness.placement.epoch = Epoch(4);
+    harness.spread();
+    assert_eq!(harness.caught_up.last(), Some(&(learner, FilledShard { shard: SHARD, change: Epoch(4) })));
+    assert!(harness.state(learner, between).is_some());
 }
--- a/system/state/queue/tests/replicas/support.rs
+++ b/system/state/queue/tests/replicas/support.rs
@@ -3,21 +3,18 @@
 use millrudder_protocol::message::End;
 use millrudder_protocol::placement::{ChangeReason, MemberChange};
 use millrudder_protocol::store::{ActiveLease, AttemptOutcome};
-use millrudder_protocol::{Epoch, LeaseToken};
+use millrudder_protocol::Epoch;
 
-use crate::wired::{store_id, Wired};
+pub use crate::harness::accepted_token;
+use crate::harness::{store_id, StoreHarness};
 
 /// Three stores, of which one may be lost; a dispatcher is connected to each, by the connection of its number.
-pub fn three_stores() -> Wired {
-    let mut wired = Wired::new(3, 1);
+pub fn three_stores() -> StoreHarness {
+    let mut harness = StoreHarness::new(3, 1);
     for store in 0..3 {
-        wired.hello(store, store as u64 + 1, 7, "zone-0", Vec::new());
+        harness.hello(store, store as u64 + 1, 7, "zone-0", Vec::new());
     }
-    wired
-}
-
-pub fn accepted_token(wired: &Wired) -> LeaseToken {
-    wired.last_accepted().expect("accepted").expect("with a lease")
+    harness
 }
 
 pub fn success() -> AttemptOutcome {
@@ -29,8 +26,8 @@
 }
 
 /// The dispatcher has heard of a new placement.
-pub fn announce(wired: &mut Wired, store: usize, held: Vec<ActiveLease>) {
-    wired.hello(store, store as u64 + 1, 7, "zone-0", held);
+pub fn announce(harness: &mut StoreHarness, store: usize, held: Vec<ActiveLease>) {
+    harness.hello(store, store as u64 + 1, 7, "zone-0", held);
 }
 
 pub fn replaces(lost: usize, learner: usize, since: Epoch) -> MemberChange {
@@ -39,16 +36,16 @@
 }
 
 /// Store 3 is to take the place of store 2, which is well; nothing was said to it yet.
-pub fn moving_to_a_learner(wired: &mut Wired) -> usize {
-    let learner = wired.add_place();
-    wired.placement.shards[0].change = Some(replaces(2, learner, Epoch(2)));
-    wired.placement.epoch = Epoch(2);
-    wired.start(learner);
+pub fn moving_to_a_learner(harness: &mut StoreHarness) -> usize {
+    let learner = harness.add_process();
+    harness.placement.shards[0].change = Some(replaces(2, learner, Epoch(2)));
+    harness.placement.epoch = Epoch(2);
+    harness.start(learner);
     learner
 }
 
 /// The process ends and its disk is lost: it starts without anything.
-pub fn lose_disk(wired: &mut Wired, store: usize) {
-    wired.kill(store);
-    wired.places[store].records.clear();
+pub fn lose_disk(harness: &mut StoreHarness, store: usize) {
+    harness.kill(store);
+    harness.processes[store].records.clear();
 }
--- a/system/state/queue/tests/replicas/writes.rs
+++ b/system/state/queue/tests/replicas/writes.rs
@@ -1,137 +1,137 @@
-//! How many disks a fact is written to, and what is told between stores.
+//! Replication: how many disks a change is written to, hedging, repair, invalid messages.
 
 use millrudder_protocol::message::Message;
 use millrudder_protocol::store::{BetweenStores, FromDispatcher, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{Epoch, MessageId, RequestNumber};
 use millrudder_queue::{Config, Input, Ticket};
 
+use crate::harness::{message, store_id, StoreHarness, SHARD};
 use crate::support::three_stores;
-use crate::wired::{message, store_id, Wired, SHARD};
 
 #[test]
-fn two_disks_of_three_are_enough_and_needed() {
-    let mut wired = three_stores();
-    wired.places[1].stalled = true;
-    wired.places[2].stalled = true;
-    wired.accept(0, 1, message(), true);
-    wired.advance(14);
-    assert_eq!(wired.acceptances(), 0);
-    wired.places[1].stalled = false;
-    wired.sync(1);
-    wired.advance(0);
-    wired.input(0, Input::Tick);
-    assert_eq!(wired.acceptances(), 1);
+fn a_write_needs_two_disks_of_three() {
+    let mut harness = three_stores();
+    harness.processes[1].stalled = true;
+    harness.processes[2].stalled = true;
+    harness.accept(0, 1, message(), true);
+    harness.advance(14);
+    assert_eq!(harness.acceptances(), 0);
+    harness.processes[1].stalled = false;
+    harness.sync(1);
+    harness.advance(0);
+    harness.input(0, Input::Tick);
+    assert_eq!(harness.acceptances(), 1);
 }
 
 #[test]
-fn only_as_many_replicas_are_written_to_as_are_needed() {
-    let mut wired = three_stores();
-    let before = wired.writes;
-    let id = wired.accept(0, 1, message(), true);
-    assert_eq!(wired.writes - before, 1);
-    let holders = (0..3).filter(|store| wired.state(*store, id).is_some()).count();
+fn only_a_write_quorum_is_written_to() {
+    let mut harness = three_stores();
+    let before = harness.writes;
+    let id = harness.accept(0, 1, message(), true);
+    assert_eq!(harness.writes - before, 1);
+    let holders = (0..3).filter(|store| harness.state(*store, id).is_some()).count();
     assert_eq!(holders, 2);
 }
 
 #[test]
-fn a_follower_that_is_late_is_not_waited_for() {
-    let mut wired = three_stores();
-    wired.places[1].held = true;
-    let first = wired.accept(0, 1, message(), true);
-    assert_eq!(wired.acceptances(), 0);
-    wired.advance(60);
-    assert_eq!(wired.acceptances(), 1, "the third replica has it");
-    assert!(wired.state(2, first).is_some());
-    wired.accept(0, 1, message(), true);
-    assert_eq!(wired.acceptances(), 2, "and further messages go there at once");
+fn a_slow_replica_is_hedged() {
+    let mut harness = three_stores();
+    harness.processes[1].is_inbound_paused = true;
+    let first = harness.accept(0, 1, message(), true);
+    assert_eq!(harness.acceptances(), 0);
+    harness.advance(60);
+    assert_eq!(harness.acceptances(), 1, "the third replica has it");
+    assert!(harness.state(2, first).is_some());
+    harness.accept(0, 1, message(), true);
+    assert_eq!(harness.acceptances(), 2, "and further messages go there at once");
 }
 
 #[test]
-fn a_slow_disk_of_the_primary_is_not_waited_for() {
-    let mut wired = three_stores();
-    wired.places[0].stalled = true;
-    wired.accept(0, 1, message(), true);
-    wired.advance(60);
-    assert_eq!(wired.acceptances(), 1, "two followers have it");
-    wired.accept(0, 1, message(), true);
-    assert_eq!(wired.acceptances(), 2);
+fn a_slow_local_disk_is_hedged() {
+    let mut harness = three_stores();
+    harness.processes[0].stalled = true;
+    harness.accept(0, 1, message(), true);
+    harness.advance(60);
+    assert_eq!(harness.acceptances(), 1, "two followers have it");
+    harness.accept(0, 1, message(), true);
+    assert_eq!(harness.acceptances(), 2);
 }
 
 #[test]
-fn a_follower_that_reconnects_is_sent_what_nobody_acknowledged() {
-    let mut wired = three_stores();
-    wired.set_link(0, 1, false);
-    wired.set_link(0, 2, false);
-    wired.accept(0, 1, message(), true);
-    wired.advance(1_000);
-    assert_eq!(wired.acceptances(), 0);
-    wired.set_link(0, 2, true);
-    assert_eq!(wired.acceptances(), 1);
+fn a_reconnected_replica_is_sent_unacknowledged_writes() {
+    let mut harness = three_stores();
+    harness.set_link(0, 1, false);
+    harness.set_link(0, 2, false);
+    harness.accept(0, 1, message(), true);
+    harness.advance(1_000);
+    assert_eq!(harness.acceptances(), 0);
+    harness.set_link(0, 2, true);
+    assert_eq!(harness.acceptances(), 1);
 }
 
 #[test]
-fn power_lost_everywhere_and_a_disk_gone_right_after_the_acknowledgement() {
+fn an_acknowledged_message_survives_power_loss_and_one_lost_disk() {
     for lost in 0..3 {
-        let mut wired = three_stores();
-        let id = wired.accept(0, 1, message(), true);
-        assert_eq!(wired.acceptances(), 1);
+        let mut harness = three_stores();
+        let id = harness.accept(0, 1, message(), true);
+        assert_eq!(harness.acceptances(), 1);
         for store in 0..3 {
-            wired.kill(store);
+            harness.kill(store);
         }
         let left: Vec<usize> = (0..3).filter(|store| *store != lost).collect();
         for store in &left {
-            wired.start(*store);
+            harness.start(*store);
         }
-        wired.move_primary(left[0]);
-        assert!(wired.state(left[0], id).is_some(), "lost with disk {lost}");
-        assert_eq!(wired.state(left[0], id).unwrap().message, Some(message()));
+        harness.move_primary(left[0]);
+        assert!(harness.state(left[0], id).is_some(), "lost with disk {lost}");
+        assert_eq!(harness.state(left[0], id).unwrap().message, Some(message()));
     }
 }
 
 #[test]
-fn a_replica_answers_questions_whoever_is_primary() {
-    let mut wired = three_stores();
-    let id = wired.accept(0, 1, message(), true);
-    wired.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, body: true });
+fn any_replica_answers_queries() {
+    let mut harness = three_stores();
+    let id = harness.accept(0, 1, message(), true);
+    harness.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, body: true });
     let answer =
         ToDispatcher::State { request: RequestNumber(1), answer: QueryAnswer::Body { body: message().body } };
-    assert!(wired.told.iter().any(|(_, message)| *message == answer));
+    assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| *message == answer));
 }
 
 #[test]
-fn what_too_few_replicas_hold_is_written_to_more() {
-    let mut wired = three_stores();
-    wired.places[2].held = true;
-    let id = wired.accept(0, 1, message(), true);
-    wired.places[2].held = false;
-    assert!(wired.state(2, id).is_none());
-    wired.kill(1);
-    wired.placement.epoch = Epoch(2);
-    wired.placement.shards[0].replicas = vec![store_id(0), store_id(2)];
-    wired.spread();
-    assert!(wired.state(2, id).is_some());
+fn under_replicated_messages_are_repaired() {
+    let mut harness = three_stores();
+    harness.processes[2].is_inbound_paused = true;
+    let id = harness.accept(0, 1, message(), true);
+    harness.processes[2].is_inbound_paused = false;
+    assert!(harness.state(2, id).is_none());
+    harness.kill(1);
+    harness.placement.epoch = Epoch(2);
+    harness.placement.shards[0].replicas = vec![store_id(0), store_id(2)];
+    harness.spread();
+    assert!(harness.state(2, id).is_some());
 }
 
 #[test]
-fn many_states_come_in_bounded_pieces() {
+fn a_snapshot_is_sent_in_bounded_chunks() {
     let config = Config { snapshot_chunk_bytes: 4_000, ..Config::default() };
-    let mut wired = Wired::with(3, 1, config);
-    wired.hello(0, 1, 7, "zone-0", Vec::new());
+    let mut harness = StoreHarness::with(3, 1, config);
+    harness.hello(0, 1, 7, "zone-0", Vec::new());
     let ids: Vec<MessageId> =
-        (0..50).map(|_| wired.accept(0, 1, Message { body: vec![1; 1_000], ..message() }, true)).collect();
-    wired.kill(0);
-    wired.move_primary(2);
-    assert_eq!(wired.places[2].node.as_ref().unwrap().health(wired.now()).serving, 0);
-    wired.advance(200);
-    assert_eq!(wired.places[2].node.as_ref().unwrap().health(wired.now()).serving, 1);
-    assert!(ids.iter().all(|id| wired.state(2, *id).is_some()));
+        (0..50).map(|_| harness.accept(0, 1, Message { body: vec![1; 1_000], ..message() }, true)).collect();
+    harness.kill(0);
+    harness.move_primary(2);
+    assert_eq!(harness.processes[2].node.as_ref().unwrap().health(harness.now()).serving, 0);
+    harness.advance(200);
+    assert_eq!(harness.processes[2].node.as_ref().unwrap().health(harness.now()).serving, 1);
+    assert!(ids.iter().all(|id| harness.state(2, *id).is_some()));
 }
 
 #[test]
-fn garbage_between_stores_changes_nothing() {
-    let mut wired = three_stores();
-    let id = wired.accept(0, 1, message(), true);
-    let stray = [
+fn invalid_messages_between_stores_are_ignored() {
+    let mut harness = three_stores();
+    let id = harness.accept(0, 1, message(), true);
+    let invalid = [
         BetweenStores::Written { number: RequestNumber(u64::MAX) },
         BetweenStores::Fenced { number: RequestNumber(3), shard: SHARD, term: Epoch(0) },
         BetweenStores::Promise { shard: SHARD, term: Epoch(9), states: Vec::new(), last: true },
@@ -139,52 +139,52 @@
         BetweenStores::Write { number: RequestNumber(1), shard: SHARD, term: Epoch(0), records: Vec::new() },
         BetweenStores::Pong,
     ];
-    for message in stray {
-        wired.input(0, Input::Store { from: store_id(9), message });
+    for message in invalid {
+        harness.input(0, Input::Store { from: store_id(9), message });
     }
-    assert_eq!(wired.places[0].node.as_ref().unwrap().health(wired.now()).serving, 1);
-    assert!(wired.state(0, id).is_some());
+    assert_eq!(harness.processes[0].node.as_ref().unwrap().health(harness.now()).serving, 1);
+    assert!(harness.state(0, id).is_some());
 }
 
-/// A process numbers its writes from one on: the follower's late answer to a write of the process before must not pass
+/// A process numbers its writes from one on: the replica's late answer to a write of the process before must not pass
 /// for the answer to one of the present process.
 #[test]
-fn a_late_answer_to_the_process_before_acknowledges_nothing() {
-    let mut wired = three_stores();
-    wired.set_link(0, 2, false);
-    wired.places[1].stalled = true;
+fn a_late_acknowledgement_for_a_former_process_is_ignored() {
+    let mut harness = three_stores();
+    harness.set_link(0, 2, false);
+    harness.processes[1].stalled = true;
     for _ in 0..10 {
-        wired.accept(0, 1, message(), true);
+        harness.accept(0, 1, message(), true);
     }
-    let before = Ticket(wired.places[1].records.len() as u64);
-    wired.kill(0);
-    wired.start(0);
-    wired.set_link(0, 2, true);
-    wired.set_link(0, 2, false);
-    wired.hello(0, 11, 7, "zone-0", Vec::new());
-    wired.told.clear();
-    let id = wired.accept(0, 11, message(), true);
-    assert!(wired.state(1, id).is_some(), "the follower has it, and has not synced it");
+    let before = Ticket(harness.processes[1].records.len() as u64);
+    harness.kill(0);
+    harness.start(0);
+    harness.set_link(0, 2, true);
+    harness.set_link(0, 2, false);
+    harness.hello(0, 11, 7, "zone-0", Vec::new());
+    harness.sent_to_dispatchers.clear();
+    let id = harness.accept(0, 11, message(), true);
+    assert!(harness.state(1, id).is_some(), "the follower has it, and has not synced it");
 
-    wired.input(1, Input::Synced { ticket: before });
-    assert_eq!(wired.acceptances(), 0, "only the primary's own disk has it");
-    wired.places[1].stalled = false;
-    wired.sync(1);
-    wired.input(0, Input::Tick);
-    assert_eq!(wired.acceptances(), 1);
+    harness.input(1, Input::Synced { ticket: before });
+    assert_eq!(harness.acceptances(), 0, "only the primary's own disk has it");
+    harness.processes[1].stalled = false;
+    harness.sync(1);
+    harness.input(0, Input::Tick);
+    assert_eq!(harness.acceptances(), 1);
 }
 
 #[test]
-fn an_answer_to_a_write_of_a_former_life_counts_for_nothing() {
-    let mut wired = three_stores();
-    wired.places[1].held = true;
-    wired.places[2].held = true;
-    wired.accept(0, 1, message(), true);
+fn an_acknowledgement_of_a_former_incarnations_write_is_ignored() {
+    let mut harness = three_stores();
+    harness.processes[1].is_inbound_paused = true;
+    harness.processes[2].is_inbound_paused = true;
+    harness.accept(0, 1, message(), true);
     for number in [7, u64::MAX] {
         let answer = BetweenStores::Written { number: RequestNumber(number) };
-        wired.input(0, Input::Store { from: store_id(1), message: answer });
+        harness.input(0, Input::Store { from: store_id(1), message: answer });
     }
-    assert_eq!(wired.acceptances(), 0);
-    wired.release(1);
-    assert_eq!(wired.acceptances(), 1);
+    assert_eq!(harness.acceptances(), 0);
+    harness.release(1);
+    assert_eq!(harness.acceptances(), 1);
 }
--- a/system/state/queue/tests/scrub.rs
+++ b/system/state/queue/tests/scrub.rs
@@ -1,98 +1,99 @@
 //! Replicas are compared in the background, and what one lacks is written to it anew.
 
-mod wired;
+mod harness;
 
+use harness::{message, store_id, zone, StoreHarness, SHARD};
 use millrudder_clock::Instant;
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{AttemptOutcome, BetweenStores, FromDispatcher};
 use millrudder_protocol::{Epoch, MessageId, StoreId};
 use millrudder_queue::{Config, Input, StoreNode};
 use std::time::Duration;
-use wired::{message, store_id, zone, Wired, SHARD};
 
-fn three_stores(scrub_messages: usize) -> Wired {
+fn three_stores(scrub_messages: usize) -> StoreHarness {
     let config = Config { scrub_interval: Duration::from_secs(1), scrub_messages, ..Config::default() };
-    let mut wired = Wired::with(3, 1, config);
-    wired.hello(0, 1, 7, "zone-0", Vec::new());
-    wired
+    let mut harness = StoreHarness::with(3, 1, config);
+    harness.hello(0, 1, 7, "zone-0", Vec::new());
+    harness
 }
 
-fn advance(wired: &mut Wired, seconds: u64) {
+fn advance(harness: &mut StoreHarness, seconds: u64) {
     for _ in 0..seconds {
-        wired.advance(1_000);
-        wired.say(0, 1, FromDispatcher::Ping);
+        harness.advance(1_000);
+        harness.say(0, 1, FromDispatcher::Ping);
     }
 }
 
 /// The store's process starts anew with a disk that has lost some records without a word.
-fn start_with_loss(wired: &mut Wired, index: usize, lost: impl Fn(usize) -> bool) {
-    wired.places[index].node = None;
+fn start_with_loss(harness: &mut StoreHarness, index: usize, lost: impl Fn(usize) -> bool) {
+    harness.processes[index].node = None;
     let mut position = 0;
-    wired.places[index].records.retain(|_| {
+    harness.processes[index].records.retain(|_| {
         position += 1;
         !lost(position)
     });
     for other in 0..3 {
-        wired.input(other, Input::StoreClosed { store: store_id(index) });
+        harness.input(other, Input::StoreClosed { store: store_id(index) });
     }
-    wired.start(index);
+    harness.start(index);
 }
 
-fn holders(wired: &Wired, id: MessageId) -> usize {
-    (0..3).filter(|store| wired.state(*store, id).is_some()).count()
+fn holders(harness: &StoreHarness, id: MessageId) -> usize {
+    (0..3).filter(|store| harness.state(*store, id).is_some()).count()
 }
 
 #[test]
-fn messages_that_a_replica_lost_are_written_again() {
-    let mut wired = three_stores(1_000);
-    let ids: Vec<MessageId> = (0..40).map(|_| wired.accept(0, 1, message(), true)).collect();
-    start_with_loss(&mut wired, 1, |position| position % 3 == 0);
-    assert!(ids.iter().any(|id| holders(&wired, *id) < 2));
-    advance(&mut wired, 2);
+fn scrub_repairs_messages_that_a_replica_lost() {
+    let mut harness = three_stores(1_000);
+    let ids: Vec<MessageId> = (0..40).map(|_| harness.accept(0, 1, message(), true)).collect();
+    start_with_loss(&mut harness, 1, |position| position % 3 == 0);
+    assert!(ids.iter().any(|id| holders(&harness, *id) < 2));
+    advance(&mut harness, 2);
     for id in &ids {
-        assert!(holders(&wired, *id) >= 2, "{id} is on too few disks");
+        assert!(holders(&harness, *id) >= 2, "{id} is on too few disks");
     }
 }
 
 #[test]
-fn an_end_that_a_replica_lost_is_written_again() {
-    let mut wired = three_stores(1_000);
-    let id = wired.accept(0, 1, Message { retention_ms: 600_000, ..message() }, true);
-    let token = wired.last_accepted().flatten().expect("a lease");
-    wired.attempted(0, 1, id, token, AttemptOutcome::Refused);
-    let count = wired.places[1].records.len();
-    start_with_loss(&mut wired, 1, |position| position == count);
-    assert_eq!(wired.state(1, id).unwrap().end, None);
-    advance(&mut wired, 2);
-    let ended =
-        (0..3).filter_map(|store| wired.state(store, id)).filter(|state| state.end == Some(End::DeadLetter));
+fn scrub_repairs_an_end_that_a_replica_lost() {
+    let mut harness = three_stores(1_000);
+    let id = harness.accept(0, 1, Message { retention_ms: 600_000, ..message() }, true);
+    let token = harness.last_accepted().flatten().expect("a lease");
+    harness.attempted(0, 1, id, token, AttemptOutcome::Refused);
+    let count = harness.processes[1].records.len();
+    start_with_loss(&mut harness, 1, |position| position == count);
+    assert_eq!(harness.state(1, id).unwrap().end, None);
+    advance(&mut harness, 2);
+    let ended = (0..3)
+        .filter_map(|store| harness.state(store, id))
+        .filter(|state| state.end == Some(End::DeadLetter));
     assert_eq!(ended.count(), 2);
 }
 
 #[test]
-fn few_messages_are_compared_at_a_time_and_all_in_the_end() {
-    let mut wired = three_stores(5);
-    let ids: Vec<MessageId> = (0..40).map(|_| wired.accept(0, 1, message(), true)).collect();
-    start_with_loss(&mut wired, 1, |position| position > 2);
-    advance(&mut wired, 2);
-    assert!(ids.iter().any(|id| holders(&wired, *id) < 2));
-    advance(&mut wired, 10);
-    assert!(ids.iter().all(|id| holders(&wired, *id) >= 2));
+fn scrub_proceeds_in_bounded_steps_over_all_messages() {
+    let mut harness = three_stores(5);
+    let ids: Vec<MessageId> = (0..40).map(|_| harness.accept(0, 1, message(), true)).collect();
+    start_with_loss(&mut harness, 1, |position| position > 2);
+    advance(&mut harness, 2);
+    assert!(ids.iter().any(|id| holders(&harness, *id) < 2));
+    advance(&mut harness, 10);
+    assert!(ids.iter().all(|id| holders(&harness, *id) >= 2));
 }
 
 #[test]
-fn replicas_that_agree_are_sent_nothing() {
-    let mut wired = three_stores(1_000);
+fn scrub_sends_nothing_to_replicas_that_agree() {
+    let mut harness = three_stores(1_000);
     for _ in 0..20 {
-        wired.accept(0, 1, message(), true);
+        harness.accept(0, 1, message(), true);
     }
-    let before = wired.writes;
-    advance(&mut wired, 10);
-    assert_eq!(wired.writes, before);
+    let before = harness.writes;
+    advance(&mut harness, 10);
+    assert_eq!(harness.writes, before);
 }
 
 #[test]
-fn a_comparison_from_an_old_primary_is_not_answered() {
+fn a_scrub_of_a_fenced_primary_is_ignored() {
     let mut node =
         StoreNode::new(Config::default(), store_id(1), zone(1), Instant::ORIGIN, std::iter::empty());
     let mut out = Vec::new();
--- a/system/state/queue/tests/simulation.rs
+++ b/system/state/queue/tests/simulation.rs
@@ -1,10 +1,10 @@
-//! The state machines of several stores in a simulated cluster with drawn faults: what was accepted is kept, order,
+//! The state machines of several stores in a simulated cluster with drawn faults: accepted messages are durable, order,
 //! ceilings and delays hold, and everything ends.
 
 mod cluster;
 
 use cluster::dispatcher::Dispatcher;
-use cluster::ledger::Truth;
+use cluster::request_log::ActualState;
 use cluster::{Cluster, Options};
 use millrudder_protocol::message::End;
 use millrudder_protocol::MessageId;
@@ -26,9 +26,10 @@
         store.sync_ms = 2;
     }
     run_to_the_end(&mut cluster);
-    let accepted = cluster.ledger.messages.values().filter(|truth| truth.accepted_ms.is_some()).count();
-    let (starts, repeats) = (cluster.ledger.starts, cluster.ledger.repeats);
-    let sent = cluster.ledger.messages.len();
+    let accepted =
+        cluster.request_log.messages.values().filter(|actual| actual.accepted_ms.is_some()).count();
+    let (starts, repeats) = (cluster.request_log.starts, cluster.request_log.repeats);
+    let sent = cluster.request_log.messages.len();
     println!("{sent} sent, {accepted} accepted, {starts} starts, {repeats} repeats");
     cluster
 }
@@ -44,12 +45,12 @@
 }
 
 fn has_ended(cluster: &Cluster) -> bool {
-    let is_over = |(id, truth): (&MessageId, &Truth)| {
+    let is_over = |(id, actual): (&MessageId, &ActualState)| {
         let state = state_of(cluster, *id);
-        let is_called_back = truth.message.callback_url.is_none() || !truth.called_back.is_empty();
-        truth.accepted_ms.is_none() || (is_called_back && state.is_some_and(|state| state.end.is_some()))
+        let is_called_back = actual.message.callback_url.is_none() || !actual.called_back.is_empty();
+        actual.accepted_ms.is_none() || (is_called_back && state.is_some_and(|state| state.end.is_some()))
     };
-    cluster.ledger.messages.iter().all(is_over) && cluster.dispatchers.iter().all(Dispatcher::is_idle)
+    cluster.request_log.messages.iter().all(is_over) && cluster.dispatchers.iter().all(Dispatcher::is_idle)
 }
 
 /// What is said of a message by the primary of its shard.
@@ -60,12 +61,12 @@
 }
 
 fn check_end(cluster: &Cluster) {
-    assert!(cluster.strays.is_empty(), "lay though nothing held them back: {:?}", cluster.strays);
+    assert!(cluster.orphans.is_empty(), "orphaned messages: {:?}", cluster.orphans);
     let mut unended = Vec::new();
-    for (id, truth) in &cluster.ledger.messages {
+    for (id, actual) in &cluster.request_log.messages {
         let state = state_of(cluster, *id);
-        if truth.accepted_ms.is_none() {
-            assert!(!truth.withdrawn || truth.runs.is_empty(), "{id} ran though withdrawn");
+        if actual.accepted_ms.is_none() {
+            assert!(!actual.withdrawn || actual.runs.is_empty(), "{id} ran though withdrawn");
             continue;
         }
         let state = state.unwrap_or_else(|| panic!("{id} was accepted and is lost"));
@@ -73,17 +74,17 @@
             unended.push((
                 state.sequence,
                 *id,
-                truth.message.order_key.clone(),
-                truth.message.service.clone(),
+                actual.message.order_key.clone(),
+                actual.message.service.clone(),
             ));
             continue;
         };
-        cluster.ledger.check_end(*id, &end, cluster.now_ms);
-        let has_succeeded = !truth.signatures.is_empty();
+        cluster.request_log.check_end(*id, &end, cluster.now_ms);
+        let has_succeeded = !actual.signatures.is_empty();
         let completed = matches!(end, End::Completed { .. });
         assert!(completed || !has_succeeded || end == End::DeadLetter, "{id} ended as {end:?}");
-        if truth.message.callback_url.is_some() {
-            assert!(!truth.called_back.is_empty(), "{id} is owed a call-back");
+        if actual.message.callback_url.is_some() {
+            assert!(!actual.called_back.is_empty(), "{id} is owed a call-back");
         }
     }
     unended.sort();
@@ -102,16 +103,16 @@
 }
 
 #[test]
-fn three_stores_bear_the_loss_of_one() {
+fn three_stores_tolerate_the_loss_of_one() {
     for seed in seeds(30) {
         println!("seed {seed}");
         let cluster = play(Options { seed, ..Options::default() });
-        assert!(cluster.ledger.starts > 100, "hardly anything ran");
+        assert!(cluster.request_log.starts > 100, "hardly anything ran");
     }
 }
 
 #[test]
-fn five_stores_bear_the_loss_of_two() {
+fn five_stores_tolerate_the_loss_of_two() {
     for seed in seeds(10) {
         println!("seed {seed}");
         play(Options { seed, stores: 5, tolerated_losses: 2, ..Options::default() });
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn stores_that_are_stopped_in_turn_repeat_nothing() {
+fn a_rolling_restart_causes_no_repeats() {
     for seed in seeds(10) {
         println!("seed {seed}");
         let mut cluster = Cluster::new(Options { seed, ..Options::default() });
@@ -142,14 +143,14 @@
             dispatcher.calm = true;
         }
         run_to_the_end(&mut cluster);
-        let is_lost = |truth: &&Truth| truth.accepted_ms.is_none() && !truth.withdrawn;
-        let lost = cluster.ledger.messages.values().filter(is_lost).count();
+        let is_lost = |actual: &&ActualState| actual.accepted_ms.is_none() && !actual.withdrawn;
+        let lost = cluster.request_log.messages.values().filter(is_lost).count();
         assert_eq!(lost, 0, "clients went without an answer");
     }
 }
 
 #[test]
-fn a_store_that_was_emptied_is_missed_by_nobody() {
+fn a_drained_store_can_be_removed() {
     for seed in seeds(10) {
         println!("seed {seed}");
         let mut cluster = Cluster::new(Options { seed, stores: 4, ..Options::default() });
@@ -168,7 +169,7 @@
         cluster.stop_store(1, true);
         cluster.wipe_store(1);
         cluster.run_until(cluster.now_ms + 500);
-        cluster.trouble();
+        cluster.record_fault();
         cluster.lose_store(2, 1_500, true, false);
         cluster.run_until(TRAFFIC_MS);
         for dispatcher in &mut cluster.dispatchers {
--- a/system/state/queue/tests/states.rs
+++ b/system/state/queue/tests/state_merge.rs
@@ -1,4 +1,4 @@
-//! What a store knows of a message only grows: records joined in any order, and read back from any prefix of a disk,
+//! What a store knows of a message only grows: records merged in any order, and read back from any prefix of a disk,
 //! give what they say together.
 
 mod cluster;
@@ -62,36 +62,36 @@
     StoreNode::new(Config::default(), StoreId(1), "zone".to_owned(), NOW, recovered)
 }
 
-fn join(states: &[MessageState]) -> MessageState {
+fn merge(states: &[MessageState]) -> MessageState {
     let record = |state: &MessageState| Record::State { state: Box::new(state.clone()) };
     let records: Vec<Record> = states.iter().map(record).collect();
-    let joined = recover(&records).state_of(ID).expect("known");
-    // When it ended is told by whoever said so first: only that it ended, and how, must agree.
-    MessageState { ended_age_ms: 0, ..joined }
+    let merged = recover(&records).state_of(ID).expect("known");
+    // The time of the end is that of the first record of it: only that it ended, and how, must agree.
+    MessageState { ended_age_ms: 0, ..merged }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn states_join_in_any_order(states in proptest::collection::vec(state(), 1..5), turn in 0_usize..5) {
-        let joined = join(&states);
+    fn merge_order_does_not_matter(states in proptest::collection::vec(state(), 1..5), turn in 0_usize..5) {
+        let merged = merge(&states);
         let mut turned = states.clone();
         turned.rotate_left(turn % states.len());
-        prop_assert_eq!(&join(&turned), &joined);
+        prop_assert_eq!(&merge(&turned), &merged);
         turned.reverse();
-        prop_assert_eq!(&join(&turned), &joined);
+        prop_assert_eq!(&merge(&turned), &merged);
         let twice: Vec<MessageState> = states.iter().chain(&states).cloned().collect();
-        prop_assert_eq!(&join(&twice), &joined);
-        let again: Vec<MessageState> = states.into_iter().chain([joined.clone()]).collect();
-        prop_assert_eq!(join(&again), joined);
+        prop_assert_eq!(&merge(&twice), &merged);
+        let again: Vec<MessageState> = states.into_iter().chain([merged.clone()]).collect();
+        prop_assert_eq!(merge(&again), merged);
     }
 
     #[test]
-    fn an_end_that_is_known_stays_or_becomes_truer(first in end(), second in end()) {
+    fn a_known_end_only_gains_precedence(first in end(), second in end()) {
         let with = |end: &End| MessageState { end: Some(end.clone()), ..unended() };
-        let joined = join(&[with(&first), with(&second)]);
-        prop_assert_eq!(joined.end, Some(first.min(second)));
+        let merged = merge(&[with(&first), with(&second)]);
+        prop_assert_eq!(merged.end, Some(first.min(second)));
     }
 }
 
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_change_of_a_message_that_is_not_known_says_nothing() {
+fn a_change_of_an_unknown_message_is_ignored() {
     let records = [Record::Ended { id: ID, end: End::DeadLetter }, Record::CallbackDone { id: ID }];
     assert_eq!(recover(&records).state_of(ID), None);
 }
@@ -128,14 +128,14 @@
 }
 
 #[test]
-fn a_disk_reads_back_from_every_prefix() {
+fn every_prefix_of_a_disk_recovers() {
     let mut cluster = Cluster::new(Options { seed: 3, ..Options::default() });
     cluster.run_until(1_000);
     cluster.clients_until(2_500);
     cluster.run_until(3_500);
     let records = cluster.stores[0].disk.recover(NOW.as_millis());
     assert!(records.len() > 100);
-    let ids: Vec<MessageId> = cluster.ledger.messages.keys().copied().collect();
+    let ids: Vec<MessageId> = cluster.request_log.messages.keys().copied().collect();
     let mut before: Vec<Option<MessageState>> = vec![None; ids.len()];
     for length in 0..=records.len() {
         let prefix = records[..length].iter().cloned();
@@ -152,14 +152,14 @@
 }
 
 #[test]
-fn what_a_store_would_write_of_itself_reads_back_as_the_same() {
+fn a_compacted_store_recovers_the_same_state() {
     let mut cluster = Cluster::new(Options { seed: 4, ..Options::default() });
     cluster.run_until(1_000);
     cluster.clients_until(3_000);
     cluster.run_until(3_200);
     let node = cluster.stores[0].node.as_ref().expect("runs");
     let states: Vec<MessageState> =
-        cluster.ledger.messages.keys().filter_map(|id| node.state_of(*id)).collect();
+        cluster.request_log.messages.keys().filter_map(|id| node.state_of(*id)).collect();
     assert!(states.len() > 20);
     let record = |state: &MessageState| Recovered {
         record: DiskRecord::Message { record: Record::State { state: Box::new(state.clone()) } },
