--- a/balancer/core/src/dispatch/legacy.rs
+++ b/balancer/core/src/dispatch/legacy.rs
@@ -5,10 +5,28 @@
 use millrudder_config::{position, Names};
 use millrudder_exchange::{HopId, MapEntry, MapNews};
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// Of this form; another is refused whole.
 const VERSION: u32 = 1;
 
+/// Deepest nesting of the CBOR that is read; what is written nests less deeply.
+const MAX_NESTING: usize = 16;
+
+/// Why bytes are not what a predecessor of this version leaves.
+#[derive(Debug, Error)]
+pub enum LegacyError {
+    /// They are no CBOR, or lack a field.
+    #[error(transparent)]
+    Malformed(#[from] ciborium::de::Error<std::io::Error>),
+    /// Another version of the program wrote them.
+    #[error("a legacy of form {found}, {VERSION} is wanted")]
+    Version {
+        /// The form that they say they have.
+        found: u32,
+    },
+}
+
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Legacy {
     pub(super) version: u32,
@@ -18,7 +36,7 @@
     pub(super) hops: Vec<String>,
     pub(super) classes: Vec<String>,
     pub(super) kinds: Vec<String>,
-    pub(super) memory: mr::Memory,
+    pub(super) memory: mr::LearnedState,
 }
 
 impl Legacy {
@@ -27,7 +45,7 @@
         map: Vec<MapEntry>,
         hops: Vec<String>,
         names: &Names,
-        memory: mr::Memory,
+        memory: mr::LearnedState,
     ) -> Self {
         let (classes, kinds) = (names.classes.clone(), names.kinds.clone());
         Legacy { version: VERSION, generation, map, hops, classes, kinds, memory }
@@ -40,14 +58,15 @@
         bytes
     }
 
+    /// Reads what a predecessor left.
+    ///
     /// # Errors
-    /// It is of another form.
-    pub fn decode(bytes: &[u8]) -> Result<Self, String> {
-        let legacy: Legacy =
-            ciborium::de::from_reader_with_recursion_limit(bytes, 16).map_err(|e| e.to_string())?;
+    /// [`LegacyError`]: the bytes are of another form, or of none.
+    pub fn decode(bytes: &[u8]) -> Result<Self, LegacyError> {
+        let legacy: Legacy = ciborium::de::from_reader_with_recursion_limit(bytes, MAX_NESTING)?;
         match legacy.version {
             VERSION => Ok(legacy),
-            other => Err(format!("a legacy of form {other}, {VERSION} is wanted")),
+            found => Err(LegacyError::Version { found }),
         }
     }
 
@@ -61,23 +80,23 @@
     }
 
     /// The memory in a successor's numbers; what has no name there is left out.
-    pub(super) fn memory(&self, names: &Names, mut number: impl FnMut(&str) -> HopId) -> mr::Memory {
+    pub(super) fn memory(&self, names: &Names, mut number: impl FnMut(&str) -> HopId) -> mr::LearnedState {
         let numbers: Vec<HopId> = self.hops.iter().map(|name| number(name)).collect();
         let hop = |id: HopId| numbers.get(id as usize).copied();
-        let kind = |known: &mr::KindMemory| {
+        let kind = |known: &mr::LearnedKind| {
             let kind = match known.kind {
                 None => None,
                 Some(k) => Some(position(&names.kinds, self.kinds.get(k as usize)?)?),
             };
-            Some(mr::KindMemory { kind, ..known.clone() })
+            Some(mr::LearnedKind { kind, ..known.clone() })
         };
         let time = |name: &String| {
             let known = self.classes.iter().position(|class| class == name);
             known.and_then(|i| self.memory.class_time.get(i)).copied().unwrap_or_default()
         };
         let worker =
-            |known: &mr::WorkerMemory| Some(mr::WorkerMemory { id: hop(known.id)?, ..known.clone() });
-        mr::Memory {
+            |known: &mr::LearnedWorker| Some(mr::LearnedWorker { id: hop(known.id)?, ..known.clone() });
+        mr::LearnedState {
             class_time: names.classes.iter().map(time).collect(),
             kinds: self.memory.kinds.iter().filter_map(kind).collect(),
             workers: self.memory.workers.iter().filter_map(worker).collect(),
--- a/system/runtime/node/src/core/host/barrier.rs
+++ b/system/runtime/node/src/core/host/barrier.rs
@@ -88,10 +88,10 @@
 
     fn send_confirmation(&mut self, connection: ConnectionId, sent_at: RegistrantTime) {
         let state = self.node.machine();
-        let message = FromCore::Heartbeat {
+        let message = FromCore::StalenessConfirmed {
             configuration_version: state.configuration().version,
             placement_epoch: state.placement().epoch.0,
-            moment_ms: sent_at.0,
+            sent_at_ms: sent_at.0,
         };
         self.registrants.send(connection, &message);
         self.registrants.send_dispatcher_count(connection, self.dispatchers.total());
@@ -116,7 +116,7 @@
     /// The addresses of all core machines, which may be sent at any time.
     pub(super) fn core_addresses(&self) -> FromCore {
         let addresses = self.peers.addresses().into_iter().map(Address).collect();
-        FromCore::Core { addresses }
+        FromCore::CoreAddresses { addresses }
     }
 
     /// Adopts a list of workers that this machine has read, and sends it to the other core machines.
--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -13,6 +13,7 @@
 use millrudder_transport::{LinkEvent, Outbox};
 
 impl CoreHost {
+    /// Handles an event on a connection that another process opened.
     pub(super) fn handle_inbound(&mut self, inbound: InboundEvent<ToCorePort>) {
         let InboundEvent { connection, outbox, event } = inbound;
         let connection = ConnectionId(connection);
@@ -80,15 +81,15 @@
                     self.handle_placement(PlacementInput::Heartbeat { id, health });
                 }
             }
-            ToCore::Ask { moment_ms } => {
+            ToCore::StalenessCheck { sent_at_ms } => {
                 self.handle_barrier(BarrierInput::StalenessCheck {
                     connection,
-                    sent_at: RegistrantTime(moment_ms),
+                    sent_at: RegistrantTime(sent_at_ms),
                 });
             }
-            ToCore::CaughtUp { shards } => {
+            ToCore::LearnerCaughtUp { shards } => {
                 if let Some(id) = self.registrants.store(connection) {
-                    self.handle_placement(PlacementInput::CaughtUp { id, shards });
+                    self.handle_placement(PlacementInput::LearnerCaughtUp { id, shards });
                 }
             }
         }
--- a/system/runtime/node/src/core/registrants.rs
+++ b/system/runtime/node/src/core/registrants.rs
@@ -52,7 +52,7 @@
         let is_new = connected.sent_dispatcher_count != Some(count);
         if is_new && matches!(connected.registrant, Registrant::Dispatcher { .. }) {
             connected.sent_dispatcher_count = Some(count);
-            let _ = connected.outbox.send(&FromCore::Dispatchers { count });
+            let _ = connected.outbox.send(&FromCore::DispatcherCount { count });
         }
     }
 
--- a/system/runtime/node/src/edge/host/control.rs
+++ b/system/runtime/node/src/edge/host/control.rs
@@ -12,6 +12,7 @@
 use std::sync::Arc;
 
 impl EdgeHost {
+    /// Handles a message of a core machine; parts of the state that are not newer than those adopted are dropped.
     pub(super) fn handle_core(&mut self, message: FromCore) {
         let adopted = self.control.adopted();
         match message {
@@ -25,15 +26,15 @@
                 self.follow_configuration(&configuration.json);
             }
             FromCore::Workers { list } => self.handle_delivery(delivery::Input::Workers(list)),
-            FromCore::Dispatchers { count } => {
+            FromCore::DispatcherCount { count } => {
                 self.handle_delivery(delivery::Input::Dispatchers { count });
             }
-            FromCore::Heartbeat { configuration_version, placement_epoch, moment_ms } => {
+            FromCore::StalenessConfirmed { configuration_version, placement_epoch, sent_at_ms } => {
                 let newest = AdoptedVersions { configuration_version, placement_epoch };
-                let asked_at = Instant::from_millis(moment_ms);
+                let asked_at = Instant::from_millis(sent_at_ms);
                 self.control.handle_confirmation(self.clock.now(), newest, asked_at);
             }
-            FromCore::Core { addresses } => self.control.add_core_machines(addresses),
+            FromCore::CoreAddresses { addresses } => self.control.add_core_machines(addresses),
             _ => {}
         }
     }
--- a/system/runtime/node/src/storage/host/control.rs
+++ b/system/runtime/node/src/storage/host/control.rs
@@ -15,6 +15,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl StoreHost {
+    /// Handles a message of a core machine; parts of the state that are not newer than those adopted are dropped.
     pub(super) fn handle_core(&mut self, message: FromCore) {
         let adopted = self.control.adopted();
         match message {
@@ -27,12 +28,12 @@
                 self.control.adopt_configuration(configuration.version);
                 self.follow_configuration(&configuration.json);
             }
-            FromCore::Heartbeat { configuration_version, placement_epoch, moment_ms } => {
+            FromCore::StalenessConfirmed { configuration_version, placement_epoch, sent_at_ms } => {
                 let newest = AdoptedVersions { configuration_version, placement_epoch };
-                let asked_at = Instant::from_millis(moment_ms);
+                let asked_at = Instant::from_millis(sent_at_ms);
                 self.control.handle_confirmation(self.clock.now(), newest, asked_at);
             }
-            FromCore::Core { addresses } => self.control.add_core_machines(addresses),
+            FromCore::CoreAddresses { addresses } => self.control.add_core_machines(addresses),
             _ => {}
         }
     }
@@ -66,10 +67,10 @@
         }
         self.heartbeat_at = now + HEARTBEAT_INTERVAL;
         let health = self.node.health(now);
-        self.drain.set_remaining(health.serving + self.handing_over);
+        self.drain.set_remaining(health.primary_shards + self.handing_over);
         self.control.send_all(&ToCore::Heartbeat { health: Some(health) });
         if let Some(shards) = self.catch_up.poll(now) {
-            self.control.send_all(&ToCore::CaughtUp { shards });
+            self.control.send_all(&ToCore::LearnerCaughtUp { shards });
         }
         self.control.poll_staleness(now);
     }
--- a/system/runtime/node/src/storage/host/inbound.rs
+++ b/system/runtime/node/src/storage/host/inbound.rs
@@ -3,12 +3,13 @@
 use super::StoreHost;
 use crate::listen::InboundEvent;
 use crate::storage::caller::Caller;
-use millrudder_protocol::store::{BetweenStores, FromDispatcher, NotAccepted, ToDispatcher, ToStore};
+use millrudder_protocol::store::{AcceptRejection, BetweenStores, FromDispatcher, ToDispatcher, ToStore};
 use millrudder_protocol::{MessageId, RequestNumber};
 use millrudder_queue::{ConnectionId, Input};
 use millrudder_transport::{LinkEvent, Outbox};
 
 impl StoreHost {
+    /// Handles an event on a connection that another process opened.
     pub(super) fn handle_inbound(&mut self, inbound: InboundEvent<ToStore>) {
         let InboundEvent { connection, outbox, event } = inbound;
         let connection = ConnectionId(connection);
@@ -60,8 +61,8 @@
     }
 
     fn refuse_full(&self, connection: ConnectionId, request: RequestNumber) {
-        let reason = NotAccepted::Full { retry_after_ms: self.full_retry_after_ms };
-        self.send_to_dispatcher(connection, &ToDispatcher::NotAccepted { request, reason });
+        let reason = AcceptRejection::Full { retry_after_ms: self.full_retry_after_ms };
+        self.send_to_dispatcher(connection, &ToDispatcher::Rejected { request, reason });
     }
 
     fn handle_closed(&mut self, connection: ConnectionId, outbox: &Outbox) {
@@ -75,6 +76,7 @@
         }
     }
 
+    /// Sends to a dispatcher, if its connection is still there.
     pub(super) fn send_to_dispatcher(&self, connection: ConnectionId, message: &ToDispatcher) {
         if let Some(outbox) = self.outboxes.get(&connection) {
             // One whose connection is closed learns by that that nothing more comes.
@@ -82,6 +84,7 @@
         }
     }
 
+    /// Closes a connection that another process opened.
     pub(super) fn close_connection(&self, connection: ConnectionId) {
         if let Some(outbox) = self.outboxes.get(&connection) {
             outbox.close();
--- a/system/state/queue/src/api.rs
+++ b/system/state/queue/src/api.rs
@@ -1,6 +1,6 @@
 //! Inputs and outputs of the state machine, and the records that it writes.
 
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::store::{BetweenStores, FromDispatcher, Record, ServiceRate, ToDispatcher};
 use millrudder_protocol::{Epoch, MessageId, ShardId, StoreId};
@@ -139,7 +139,7 @@
     /// This store has all that the shard's replicas have: the core may count it as a replica.
     CaughtUp {
         /// The shard and the change of members that made this store its learner.
-        filled: FilledShard,
+        filled: CaughtUpShard,
     },
     /// A message was orphaned and is scheduled again: to be counted and logged.
     Orphaned {
--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -59,7 +59,7 @@
     pub fn of_state(state: &MessageState) -> EntryVersion {
         EntryVersion {
             failed_attempts: state.failed_attempts,
-            resolved_through: state.settled,
+            resolved_through: state.resolved_through,
             grant: state.grant.map(|grant| grant.token),
             end: state.end.clone(),
             callback_done: state.callback_done,
@@ -113,7 +113,7 @@
         self.received =
             self.received.min(now - Duration::from_millis(state.age_ms).saturating_add(state_age));
         self.failed_attempts = self.failed_attempts.max(state.failed_attempts);
-        self.resolved_through = self.resolved_through.max(state.settled);
+        self.resolved_through = self.resolved_through.max(state.resolved_through);
         self.callback_done |= state.callback_done;
         self.merge_grant(state.grant);
         if let Some(message) = state.message {
@@ -199,7 +199,7 @@
             message: Some(self.message.as_deref().cloned().unwrap_or_else(|| self.placeholder_message())),
             failed_attempts: self.failed_attempts,
             grant: self.grant,
-            settled: self.resolved_through,
+            resolved_through: self.resolved_through,
             end: self.end.clone(),
             ended_age_ms: if self.end.is_some() {
                 millis(now.saturating_duration_since(self.ended))
--- a/system/state/queue/src/lib.rs
+++ b/system/state/queue/src/lib.rs
@@ -20,7 +20,7 @@
 //! node.handle(Instant::ORIGIN, Input::Placement(placement), &mut outputs);
 //! // It promises the shard to itself, and serves it once that is on its disk.
 //! let [Output::Append { ticket, .. }] = outputs[..] else { panic!("one record") };
-//! assert_eq!(node.health(Instant::ORIGIN).serving, 0);
+//! assert_eq!(node.health(Instant::ORIGIN).primary_shards, 0);
 //! node.handle(Instant::from_millis(2), Input::Synced { ticket }, &mut outputs);
 //! assert_eq!(node.health(Instant::from_millis(2)).serving, 1);
 //! ```
--- a/system/state/queue/src/node/accept.rs
+++ b/system/state/queue/src/node/accept.rs
@@ -7,7 +7,7 @@
 use crate::primary_term::Withdrawal;
 use crate::time::wire_millis;
 use millrudder_protocol::message::{End, Message};
-use millrudder_protocol::store::{NotAccepted, QueryAnswer, ToDispatcher};
+use millrudder_protocol::store::{AcceptRejection, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{DispatcherId, MessageId, RequestNumber};
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
     ) {
         let Some(dispatcher) = self.dispatchers.of(connection) else { return };
         if !self.primary_terms.is_serving(id.shard) {
-            let reason = NotAccepted::NotPrimary { epoch: self.context.placement.epoch };
-            self.send_to_dispatcher(connection, ToDispatcher::NotAccepted { request, reason });
+            let reason = AcceptRejection::NotPrimary { epoch: self.context.placement.epoch };
+            self.send_to_dispatcher(connection, ToDispatcher::Rejected { request, reason });
             return;
         }
         if let Some(entry) = self.table.get(id) {
@@ -60,8 +60,9 @@
     }
 
     fn reject_full(&mut self, connection: ConnectionId, request: RequestNumber) {
-        let reason = NotAccepted::Full { retry_after_ms: wire_millis(self.context.config.full_retry_after) };
-        self.send_to_dispatcher(connection, ToDispatcher::NotAccepted { request, reason });
+        let reason =
+            AcceptRejection::Full { retry_after_ms: wire_millis(self.context.config.full_retry_after) };
+        self.send_to_dispatcher(connection, ToDispatcher::Rejected { request, reason });
     }
 
     fn is_full(&self, message: &Message) -> bool {
--- a/system/state/queue/src/node/mod.rs
+++ b/system/state/queue/src/node/mod.rs
@@ -165,10 +165,10 @@
     fn handle_dispatcher_message(&mut self, connection: ConnectionId, message: FromDispatcher) {
         self.dispatchers.record_activity(connection, self.context.now);
         match message {
-            FromDispatcher::Hello { dispatcher, name: _, zone, epoch, held, in_doubt } => {
-                self.handle_hello(connection, dispatcher, &zone, epoch, &held, in_doubt);
+            FromDispatcher::Hello { dispatcher, name: _, zone, epoch, active_leases, in_doubt } => {
+                self.handle_hello(connection, dispatcher, &zone, epoch, &active_leases, in_doubt);
             }
-            FromDispatcher::Accept { request, id, message, lease } => {
+            FromDispatcher::Accept { request, id, message, wants_lease: lease } => {
                 self.handle_accept(connection, request, id, message, lease);
             }
             FromDispatcher::Withdraw { id } => self.handle_withdraw(connection, id),
@@ -180,8 +180,10 @@
             }
             FromDispatcher::NeedBody { id, token } => self.handle_need_body(connection, id, token),
             FromDispatcher::Credits { credits } => self.handle_credits(connection, &credits),
-            FromDispatcher::Query { request, id, body } => self.handle_query(connection, request, id, body),
-            FromDispatcher::Leaving => self.handle_dispatcher_leaving(connection),
+            FromDispatcher::Query { request, id, with_body: body } => {
+                self.handle_query(connection, request, id, body)
+            }
+            FromDispatcher::ShuttingDown => self.handle_dispatcher_leaving(connection),
             FromDispatcher::Ping => self.send_to_dispatcher(connection, ToDispatcher::Pong),
             FromDispatcher::Barrier { number } => {
                 self.send_to_dispatcher(connection, ToDispatcher::BarrierReached { number })
@@ -205,7 +207,7 @@
             BetweenStores::Scrubbed { shard, term, differing } => {
                 self.handle_scrubbed(from, shard, term, &differing);
             }
-            BetweenStores::Filled { shard, term, change } => self.handle_filled(shard, term, change),
+            BetweenStores::LearnerCaughtUp { shard, term, change } => self.handle_filled(shard, term, change),
             BetweenStores::Ping => self.context.send_to_store(from, BetweenStores::Pong),
         }
     }
@@ -253,8 +255,8 @@
             oldest_unsynced_ms: wire_millis(self.replication.oldest_unsynced(now)),
             disk_bytes: self.table.bytes(),
             live_messages: self.table.live(),
-            leaving: self.is_leaving,
-            serving: u32::try_from(serving).unwrap_or(u32::MAX),
+            is_shutting_down: self.is_leaving,
+            primary_shards: u32::try_from(serving).unwrap_or(u32::MAX),
         }
     }
 
--- a/system/state/queue/src/node/replica.rs
+++ b/system/state/queue/src/node/replica.rs
@@ -4,7 +4,7 @@
 use super::StoreNode;
 use crate::api::{DiskRecord, Output};
 use crate::replication::SyncAction;
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::store::{BetweenStores, Record};
 use millrudder_protocol::{Epoch, RequestNumber, ShardId, StoreId};
 use std::time::Duration;
@@ -89,7 +89,7 @@
     /// The shard's primary says that this learner lacks nothing.
     pub(super) fn handle_filled(&mut self, shard: ShardId, term: Epoch, change: Epoch) {
         if term >= self.promises.term_of(shard) && !self.replication.is_disk_failed() {
-            self.context.outputs.push(Output::CaughtUp { filled: FilledShard { shard, change } });
+            self.context.outputs.push(Output::CaughtUp { filled: CaughtUpShard { shard, change } });
         }
     }
 }
--- a/system/state/queue/src/replication/repair.rs
+++ b/system/state/queue/src/replication/repair.rs
@@ -121,7 +121,7 @@
             let Some(primary_term) = terms.get(shard) else { continue };
             let (term, change) = (primary_term.number(), primary_term.change());
             if let Some(change) = change.filter(|change| change.joins == store) {
-                let filled = BetweenStores::Filled { shard, term, change: change.epoch };
+                let filled = BetweenStores::LearnerCaughtUp { shard, term, change: change.epoch };
                 context.send_to_store(store, filled);
             }
         }
--- a/system/state/queue/tests/call_backs.rs
+++ b/system/state/queue/tests/call_backs.rs
@@ -258,7 +258,7 @@
     let mut harness = with_dispatchers(12);
     let before = callers(&mut harness, "r", 20);
     for gone in before.iter().filter(|gone| **gone != 1) {
-        harness.say(0, *gone, FromDispatcher::Leaving);
+        harness.say(0, *gone, FromDispatcher::ShuttingDown);
     }
     let after = callers(&mut harness, "r", 20);
     assert!(!after.is_empty());
--- a/system/state/queue/tests/delivery.rs
+++ b/system/state/queue/tests/delivery.rs
@@ -4,7 +4,9 @@
 
 use harness::{accepted_token, message, one_store, with_key, Granted, StoreHarness};
 use millrudder_protocol::message::{End, Message};
-use millrudder_protocol::store::{AttemptOutcome, FromDispatcher, NotAccepted, QueryAnswer, ToDispatcher};
+use millrudder_protocol::store::{
+    AcceptRejection, AttemptOutcome, FromDispatcher, QueryAnswer, ToDispatcher,
+};
 use millrudder_protocol::RequestNumber;
 use millrudder_queue::{Config, ConnectionId, Input};
 
@@ -54,7 +56,7 @@
     harness.accept_as(0, 1, id, other, true);
     assert_eq!(harness.acceptances(), before);
     let refused = |(_, sent_to_dispatchers): &(ConnectionId, ToDispatcher)| {
-        matches!(sent_to_dispatchers, ToDispatcher::NotAccepted { .. })
+        matches!(sent_to_dispatchers, ToDispatcher::Rejected { .. })
     };
     assert!(harness.sent_to_dispatchers.iter().any(refused), "so the dispatcher tries another name");
     assert_eq!(harness.state(0, id).unwrap().message.unwrap().request_id, message().request_id);
@@ -303,7 +305,7 @@
     let mut harness = one_store();
     let id = harness.accept(0, 1, message(), true);
     let token = accepted_token(&harness);
-    harness.say(0, 1, FromDispatcher::Leaving);
+    harness.say(0, 1, FromDispatcher::ShuttingDown);
     harness.accept(0, 1, message(), true);
     assert_eq!(harness.last_accepted(), Some(None));
     harness.advance(2_000);
@@ -376,7 +378,7 @@
     let is_full = |message: &ToDispatcher| {
         matches!(
             message,
-            ToDispatcher::NotAccepted { reason: NotAccepted::Full { retry_after_ms: 1_000 }, .. }
+            ToDispatcher::Rejected { reason: AcceptRejection::Full { retry_after_ms: 1_000 }, .. }
         )
     };
     assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| is_full(message)));
@@ -397,7 +399,7 @@
 }
 
 fn ask(harness: &mut StoreHarness, id: millrudder_protocol::MessageId, body: bool) -> QueryAnswer {
-    harness.say(0, 1, FromDispatcher::Query { request: RequestNumber(9), id, body });
+    harness.say(0, 1, FromDispatcher::Query { request: RequestNumber(9), id, with_body: body });
     let answer = |message: &ToDispatcher| match message {
         ToDispatcher::State { answer, .. } => Some(answer.clone()),
         _ => None,
@@ -432,11 +434,11 @@
     harness.input(0, Input::DiskFailed);
     harness.accept(0, 1, message(), true);
     let is_refused = |message: &ToDispatcher| {
-        matches!(message, ToDispatcher::NotAccepted { reason: NotAccepted::NotPrimary { .. }, .. })
+        matches!(message, ToDispatcher::Rejected { reason: AcceptRejection::NotPrimary { .. }, .. })
     };
     assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| is_refused(message)));
     let health = harness.processes[0].node.as_ref().unwrap().health(harness.now());
-    assert_eq!((health.serving, health.oldest_unsynced_ms), (0, u32::MAX));
+    assert_eq!((health.primary_shards, health.oldest_unsynced_ms), (0, u32::MAX));
 }
 
 /// The dispatcher that holds the message is gone; another one is granted it. Gives that grant.
@@ -461,7 +463,7 @@
         harness.attempted(0, again, id, token, AttemptOutcome::Failed);
         assert!(harness.is_recorded(id, token));
         assert_eq!(u64::from(harness.state(0, id).unwrap().failed_attempts), dispatcher);
-        harness.say(0, again, FromDispatcher::Leaving);
+        harness.say(0, again, FromDispatcher::ShuttingDown);
         token = next.token;
     }
     assert_eq!(harness.state(0, id).unwrap().end, Some(End::DeadLetter));
--- a/system/state/queue/tests/harness/mod.rs
+++ b/system/state/queue/tests/harness/mod.rs
@@ -8,7 +8,7 @@
 
 use message_builder::message_of;
 use millrudder_clock::Instant;
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::message::{Message, MessageState};
 use millrudder_protocol::placement::{Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::store::{
@@ -73,7 +73,7 @@
     pub grants: Vec<Granted>,
     pub closed: Vec<ConnectionId>,
     pub released: BTreeSet<MessageId>,
-    pub caught_up: Vec<(usize, FilledShard)>,
+    pub caught_up: Vec<(usize, CaughtUpShard)>,
     pub orphans: Vec<Orphan>,
     /// Messages between stores so far.
     pub writes: u64,
@@ -386,7 +386,7 @@
             name: format!("dispatcher-{dispatcher}"),
             zone: zone.to_owned(),
             epoch: self.placement.epoch,
-            held,
+            active_leases: held,
             in_doubt,
         };
         self.say(store, connection, hello);
@@ -412,7 +412,7 @@
         self.requests += 1;
         let request = RequestNumber(self.requests);
         let message = Box::new(message);
-        self.say(store, connection, FromDispatcher::Accept { request, id, message, lease });
+        self.say(store, connection, FromDispatcher::Accept { request, id, message, wants_lease: lease });
     }
 
     /// The token of the latest acceptance.
--- a/system/state/queue/tests/model.rs
+++ b/system/state/queue/tests/model.rs
@@ -102,7 +102,7 @@
     fn is_serving(&self, store: usize) -> bool {
         let Some(node) = &self.harness.processes[store].node else { return false };
         let in_force = DiskRecord::Promised { shard: SHARD, term: self.harness.placement.shards[0].term };
-        node.health(self.harness.now()).serving == 1 && node.promised_terms().contains(&in_force)
+        node.health(self.harness.now()).primary_shards == 1 && node.promised_terms().contains(&in_force)
     }
 
     /// Events that say something new here.
--- a/system/state/queue/tests/replicas/membership.rs
+++ b/system/state/queue/tests/replicas/membership.rs
@@ -1,6 +1,6 @@
 //! A shard's replicas change.
 
-use millrudder_protocol::control::FilledShard;
+use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::store::{FromDispatcher, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{Epoch, MessageId, RequestNumber};
 
@@ -13,7 +13,7 @@
     let id = harness.next_message_id();
     let ask = |harness: &mut StoreHarness| {
         harness.sent_to_dispatchers.clear();
-        harness.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, body: false });
+        harness.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, with_body: false });
         let (_, answer) = harness.sent_to_dispatchers.pop().expect("an answer");
         answer
     };
@@ -36,7 +36,7 @@
     harness.start(learner);
     harness.spread();
     let during = harness.accept(0, 1, message(), true);
-    assert_eq!(harness.caught_up, [(learner, FilledShard { shard: SHARD, change: Epoch(2) })]);
+    assert_eq!(harness.caught_up, [(learner, CaughtUpShard { shard: SHARD, change: Epoch(2) })]);
     for id in before.iter().chain([&during]) {
         assert!(harness.state(learner, *id).is_some());
     }
@@ -75,7 +75,7 @@
     assert!(harness.state(1, id).is_none());
     let learner = moving_to_a_learner(&mut harness);
     harness.spread();
-    assert_eq!(harness.caught_up, [(learner, FilledShard { shard: SHARD, change: Epoch(2) })]);
+    assert_eq!(harness.caught_up, [(learner, CaughtUpShard { shard: SHARD, change: Epoch(2) })]);
     harness.placement.shards[0].change = None;
     harness.placement.shards[0].replicas = vec![store_id(0), store_id(1), store_id(learner)];
     harness.placement.epoch = Epoch(3);
@@ -116,6 +116,6 @@
     harness.placement.shards[0].change = Some(replaces(2, learner, Epoch(4)));
     harness.placement.epoch = Epoch(4);
     harness.spread();
-    assert_eq!(harness.caught_up.last(), Some(&(learner, FilledShard { shard: SHARD, change: Epoch(4) })));
+    assert_eq!(harness.caught_up.last(), Some(&(learner, CaughtUpShard { shard: SHARD, change: Epoch(4) })));
     assert!(harness.state(learner, between).is_some());
 }
--- a/system/state/queue/tests/replicas/takeovers.rs
+++ b/system/state/queue/tests/replicas/takeovers.rs
@@ -1,7 +1,9 @@
 //! A shard's primary changes.
 
 use millrudder_protocol::message::{End, Message};
-use millrudder_protocol::store::{ActiveLease, AttemptOutcome, FromDispatcher, NotAccepted, ToDispatcher};
+use millrudder_protocol::store::{
+    AcceptRejection, ActiveLease, AttemptOutcome, FromDispatcher, ToDispatcher,
+};
 use millrudder_protocol::{Epoch, MessageId};
 use millrudder_queue::{ConnectionId, DiskRecord, Input};
 
@@ -18,7 +20,7 @@
         assert!(harness.state(2, id).is_some());
     }
     let health = harness.processes[2].node.as_ref().unwrap().health(harness.now());
-    assert_eq!(health.serving, 1);
+    assert_eq!(health.primary_shards, 1);
 }
 
 #[test]
@@ -47,7 +49,7 @@
     let refused = |message: &ToDispatcher| {
         matches!(
             message,
-            ToDispatcher::NotAccepted { reason: NotAccepted::NotPrimary { epoch: Epoch(2) }, .. }
+            ToDispatcher::Rejected { reason: AcceptRejection::NotPrimary { epoch: Epoch(2) }, .. }
         )
     };
     assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| refused(message)));
@@ -62,13 +64,13 @@
     harness.processes[0].is_inbound_paused = true;
     harness.move_primary(1);
     let node = harness.processes[0].node.as_ref().unwrap();
-    assert_eq!(node.health(harness.now()).serving, 1, "it still believes to be primary");
+    assert_eq!(node.health(harness.now()).primary_shards, 1, "it still believes to be primary");
     harness.accept(0, 1, message(), true);
     harness.advance(1_000);
     assert_eq!(harness.acceptances(), 0);
     harness.release(0);
     let node = harness.processes[0].node.as_ref().unwrap();
-    assert_eq!(node.health(harness.now()).serving, 0, "the refusal tells it");
+    assert_eq!(node.health(harness.now()).primary_shards, 0, "the refusal tells it");
     assert_eq!(harness.acceptances(), 0);
 }
 
--- a/system/state/queue/tests/replicas/writes.rs
+++ b/system/state/queue/tests/replicas/writes.rs
@@ -92,7 +92,7 @@
 fn any_replica_answers_queries() {
     let mut harness = three_stores();
     let id = harness.accept(0, 1, message(), true);
-    harness.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, body: true });
+    harness.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, with_body: true });
     let answer =
         ToDispatcher::State { request: RequestNumber(1), answer: QueryAnswer::Body { body: message().body } };
     assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| *message == answer));
@@ -121,9 +121,9 @@
         (0..50).map(|_| harness.accept(0, 1, Message { body: vec![1; 1_000], ..message() }, true)).collect();
     harness.kill(0);
     harness.move_primary(2);
-    assert_eq!(harness.processes[2].node.as_ref().unwrap().health(harness.now()).serving, 0);
+    assert_eq!(harness.processes[2].node.as_ref().unwrap().health(harness.now()).primary_shards, 0);
     harness.advance(200);
-    assert_eq!(harness.processes[2].node.as_ref().unwrap().health(harness.now()).serving, 1);
+    assert_eq!(harness.processes[2].node.as_ref().unwrap().health(harness.now()).primary_shards, 1);
     assert!(ids.iter().all(|id| harness.state(2, *id).is_some()));
 }
 
@@ -142,7 +142,7 @@
     for message in invalid {
         harness.input(0, Input::Store { from: store_id(9), message });
     }
-    assert_eq!(harness.processes[0].node.as_ref().unwrap().health(harness.now()).serving, 1);
+    assert_eq!(harness.processes[0].node.as_ref().unwrap().health(harness.now()).primary_shards, 1);
     assert!(harness.state(0, id).is_some());
 }
 
--- a/system/testing/simulation/src/network.rs
+++ b/system/testing/simulation/src/network.rs
@@ -1,48 +1,51 @@
-//! Connections between machines: in order and with a delay; cut, reset and opened again.
+//! The simulated network: connections with delays that deliver in order, and partitions.
 
 use crate::event::Connection;
-use crate::place::Place;
+use crate::machine_id::MachineId;
 use std::collections::BTreeMap;
 
-/// Shortest and longest ordinary delay of a message (microseconds).
+/// Ordinary delay of a message.
 const DELAY: std::ops::Range<u64> = 300..2_500;
 
-/// One connection as its two ends see it.
+/// The state of a connection at its two ends.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
-    pub dialer: Place,
-    pub acceptor: Place,
-    /// Each end has not learnt of its end yet.
+    /// The machine that opened the connection.
+    pub dialer: MachineId,
+    /// The machine that accepted it.
+    pub acceptor: MachineId,
+    /// Whether it is open at the dialer.
     pub dialer_open: bool,
+    /// Whether it is open at the acceptor.
     pub acceptor_open: bool,
-    /// Last arrival at the dialer and at the acceptor.
+    /// Time of the last arrival at the dialer and at the acceptor.
     last_arrival: [u64; 2],
-    /// Since when nothing passes in one direction at least.
+    /// Since when at least one direction is blocked.
     pub blocked_since: Option<u64>,
 }
 
 impl Link {
-    /// The other end.
-    pub fn other(&self, place: Place) -> Place {
-        if self.dialer == place {
+    /// The peer of a machine.
+    pub fn other(&self, machine_id: MachineId) -> MachineId {
+        if self.dialer == machine_id {
             self.acceptor
         } else {
             self.dialer
         }
     }
 
-    /// Whether the end at `place` takes this connection for open.
-    pub fn is_open_at(&self, place: Place) -> bool {
-        if self.dialer == place {
+    /// Whether the connection is open at the end of `machine_id`.
+    pub fn is_open_at(&self, machine_id: MachineId) -> bool {
+        if self.dialer == machine_id {
             self.dialer_open
         } else {
             self.acceptor_open
         }
     }
 
-    /// The end at `place` has learnt that it is closed.
-    pub fn close_at(&mut self, place: Place) {
-        if self.dialer == place {
+    /// Closes the end of `machine_id`.
+    pub fn close_at(&mut self, machine_id: MachineId) {
+        if self.dialer == machine_id {
             self.dialer_open = false;
         } else {
             self.acceptor_open = false;
@@ -50,39 +53,39 @@
     }
 }
 
-/// All connections and cuts.
+/// All connections and partitions.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     links: BTreeMap<Connection, Link>,
     next: u64,
-    /// Nothing passes from the first to the second before this time.
-    cuts: BTreeMap<(Place, Place), u64>,
+    /// Until when messages from the first machine to the second are blocked.
+    partitions: BTreeMap<(MachineId, MachineId), u64>,
 }
 
 impl Network {
-    /// Cuts one direction until a time.
-    pub fn cut(&mut self, from: Place, to: Place, until: u64) {
-        let cut = self.cuts.entry((from, to)).or_default();
-        *cut = until.max(*cut);
+    /// Blocks one direction until a time.
+    pub fn partition(&mut self, from: MachineId, to: MachineId, until: u64) {
+        let partitioned_until = self.partitions.entry((from, to)).or_default();
+        *partitioned_until = until.max(*partitioned_until);
     }
 
-    /// When what is sent from one place passes to the other.
-    pub fn passes_at(&self, from: Place, to: Place, now: u64) -> u64 {
-        self.cuts.get(&(from, to)).copied().unwrap_or_default().max(now)
+    /// When a message from one machine is no longer blocked on its way to the other.
+    pub fn passes_at(&self, from: MachineId, to: MachineId, now: u64) -> u64 {
+        self.partitions.get(&(from, to)).copied().unwrap_or_default().max(now)
     }
 
-    /// Whether nothing passes from one place to the other now.
-    pub fn is_cut(&self, from: Place, to: Place, now: u64) -> bool {
+    /// Whether messages from one machine to the other are blocked now.
+    pub fn is_partitioned(&self, from: MachineId, to: MachineId, now: u64) -> bool {
         self.passes_at(from, to, now) > now
     }
 
-    /// Whether the two places can talk in both directions.
-    pub fn can_talk(&self, one: Place, other: Place, now: u64) -> bool {
-        !self.is_cut(one, other, now) && !self.is_cut(other, one, now)
+    /// Whether the two machines can communicate in both directions.
+    pub fn can_communicate(&self, one: MachineId, other: MachineId, now: u64) -> bool {
+        !self.is_partitioned(one, other, now) && !self.is_partitioned(other, one, now)
     }
 
-    /// A new connection, open at both ends.
-    pub fn open(&mut self, dialer: Place, acceptor: Place) -> Connection {
+    /// Opens a connection at both ends.
+    pub fn open(&mut self, dialer: MachineId, acceptor: MachineId) -> Connection {
         self.next += 1;
         let link = Link {
             dialer,
@@ -96,35 +99,38 @@
         Connection(self.next)
     }
 
+    /// The state of a connection, until it is forgotten.
     pub fn link(&self, connection: Connection) -> Option<&Link> {
         self.links.get(&connection)
     }
 
+    /// The mutable state of a connection, until it is forgotten.
     pub fn link_mut(&mut self, connection: Connection) -> Option<&mut Link> {
         self.links.get_mut(&connection)
     }
 
-    /// Connections that some end takes for open.
+    /// All connections that are not forgotten yet.
     pub fn connections(&self) -> Vec<Connection> {
         self.links.keys().copied().collect()
     }
 
-    /// Connections that touch a place.
-    pub fn touching(&self, place: Place) -> Vec<Connection> {
-        let touching = self.links.iter().filter(|(_, link)| link.dialer == place || link.acceptor == place);
-        touching.map(|(connection, _)| *connection).collect()
+    /// The connections of a machine.
+    pub fn connections_of(&self, machine_id: MachineId) -> Vec<Connection> {
+        let links =
+            self.links.iter().filter(|(_, link)| link.dialer == machine_id || link.acceptor == machine_id);
+        links.map(|(connection, _)| *connection).collect()
     }
 
-    /// Forgets connections that both ends have closed.
+    /// Forgets connections that are closed at both ends.
     pub fn forget_closed(&mut self) {
         self.links.retain(|_, link| link.dialer_open || link.acceptor_open);
     }
 
-    /// When something arrives that is sent now: never before what was sent earlier on the same connection.
+    /// When a message sent now arrives: never before one that was sent earlier on the same connection.
     pub fn arrival(
         &mut self,
         connection: Connection,
-        to: Place,
+        to: MachineId,
         now: u64,
         random: &mut fastrand::Rng,
     ) -> u64 {
