--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -1,10 +1,12 @@
-//! What one store knows of one message. It only grows: [`Entry::join`] and [`Entry::apply`] never take anything back.
+//! What one store knows of one message. It only grows: [`Entry::merge`] and [`Entry::apply`] never take anything back.
 
-use crate::lead::Lead;
-use crate::time::Time;
+use crate::primary_entry::PrimaryEntry;
+use crate::time::Instant;
+use crate::time::{millis, wire_millis};
 use millrudder_protocol::message::{End, Grant, Message, MessageState};
 use millrudder_protocol::store::Record;
 use millrudder_protocol::{LeaseToken, MessageId, Sequence};
+use std::time::Duration;
 
 /// Memory that a message takes besides its own bytes, about.
 const OVERHEAD_BYTES: usize = 400;
@@ -14,50 +16,50 @@
 pub(crate) struct Entry {
     pub id: MessageId,
     pub sequence: Sequence,
-    pub received: Time,
-    pub retention_ms: u32,
+    pub received: Instant,
+    pub retention: Duration,
     pub failed_attempts: u32,
     pub grant: Option<Grant>,
-    pub settled: LeaseToken,
+    pub resolved_through: LeaseToken,
     pub end: Option<End>,
     /// Meaningful with `end`.
-    pub ended: Time,
+    pub ended: Instant,
     pub callback_done: bool,
     /// Absent or without its body where neither is needed any more.
     pub message: Option<Box<Message>>,
     /// When its expiry timer goes off.
-    pub expiry: Option<Time>,
+    pub expiry: Option<Instant>,
     /// Only at the shard's primary.
-    pub lead: Option<Box<Lead>>,
+    pub primary: Option<Box<PrimaryEntry>>,
     /// Bytes that it counts for in the table's sum.
     pub charged: usize,
     /// It counts as live in the table's sum.
     pub counted_live: bool,
 }
 
-/// What two replicas must agree on to know the same of a message.
+/// What two replicas must agree on for their copies of a message to be equal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Facts {
+pub(crate) struct EntryVersion {
     pub failed_attempts: u32,
-    pub settled: LeaseToken,
+    pub resolved_through: LeaseToken,
     pub grant: Option<LeaseToken>,
     pub end: Option<End>,
     pub callback_done: bool,
 }
 
-/// What must be on the local disk before it may be told: an entry that differs in it knows more or less.
+/// What must be on the local disk before another store is told of it: entries that differ in it know more or less.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Knowledge {
-    facts: Facts,
+pub(crate) struct EntryContents {
+    entry_version: EntryVersion,
     sequence: Sequence,
     body_bytes: Option<usize>,
 }
 
-impl Facts {
-    pub fn of_state(state: &MessageState) -> Facts {
-        Facts {
+impl EntryVersion {
+    pub fn of_state(state: &MessageState) -> EntryVersion {
+        EntryVersion {
             failed_attempts: state.failed_attempts,
-            settled: state.resolved_through,
+            resolved_through: state.resolved_through,
             grant: state.grant.map(|grant| grant.token),
             end: state.end.clone(),
             callback_done: state.callback_done,
@@ -67,93 +69,95 @@
 
 impl Entry {
     /// An entry of which nothing but its name is known.
-    pub fn new(id: MessageId, received: Time) -> Self {
+    pub fn new(id: MessageId, received: Instant) -> Self {
         Entry {
             id,
             sequence: Sequence::default(),
             received,
-            retention_ms: 0,
+            retention: Duration::ZERO,
             failed_attempts: 0,
             grant: None,
-            settled: LeaseToken::default(),
+            resolved_through: LeaseToken::default(),
             end: None,
             ended: received,
             callback_done: false,
             message: None,
             expiry: None,
-            lead: None,
+            primary: None,
             charged: 0,
             counted_live: false,
         }
     }
 
-    pub fn facts(&self) -> Facts {
-        Facts {
+    pub fn entry_version(&self) -> EntryVersion {
+        EntryVersion {
             failed_attempts: self.failed_attempts,
-            settled: self.settled,
+            resolved_through: self.resolved_through,
             grant: self.grant.map(|grant| grant.token),
             end: self.end.clone(),
             callback_done: self.callback_done,
         }
     }
 
-    pub fn knowledge(&self) -> Knowledge {
-        Knowledge {
-            facts: self.facts(),
+    pub fn contents(&self) -> EntryContents {
+        EntryContents {
+            entry_version: self.entry_version(),
             sequence: self.sequence,
             body_bytes: self.message.as_ref().map(|message| message.body.len()),
         }
     }
 
-    /// Adds what a state says that was sent or written `state_age_ms` ago.
-    pub fn join(&mut self, state: MessageState, now: Time, state_age_ms: u64) {
+    /// Adds what a state says that was sent or written `state_age` ago.
+    pub fn merge(&mut self, state: MessageState, now: Instant, state_age: Duration) {
         self.sequence = self.sequence.max(state.sequence);
-        self.received = self.received.min(now.minus(state.age_ms.saturating_add(state_age_ms)));
+        self.received =
+            self.received.min(now - Duration::from_millis(state.age_ms).saturating_add(state_age));
         self.failed_attempts = self.failed_attempts.max(state.failed_attempts);
-        self.settled = self.settled.max(state.resolved_through);
+        self.resolved_through = self.resolved_through.max(state.resolved_through);
         self.callback_done |= state.callback_done;
-        self.join_grant(state.grant);
+        self.merge_grant(state.grant);
         if let Some(message) = state.message {
-            self.join_message(Box::new(message));
+            self.merge_message(Box::new(message));
         }
         if let Some(end) = state.end {
-            self.join_end(end, now.minus(state.ended_age_ms.saturating_add(state_age_ms)));
+            let ended_age = Duration::from_millis(state.ended_age_ms).saturating_add(state_age);
+            self.merge_end(end, now - ended_age);
         }
         self.trim();
     }
 
-    /// Adds what a record says that was written `age_ms` ago.
-    pub fn apply(&mut self, record: Record, now: Time, age_ms: u64) {
+    /// Adds what a record says that was written `age` ago.
+    pub fn apply(&mut self, record: Record, now: Instant, age: Duration) {
         match record {
-            Record::State { state } => self.join(*state, now, age_ms),
-            Record::Granted { grant, .. } => self.join_grant(Some(grant)),
+            Record::State { state } => self.merge(*state, now, age),
+            Record::Granted { grant, .. } => self.merge_grant(Some(grant)),
             Record::Failed { token, failed_attempts, .. } => {
-                self.settled = self.settled.max(token);
+                self.resolved_through = self.resolved_through.max(token);
                 self.failed_attempts = self.failed_attempts.max(failed_attempts);
             }
-            Record::Ended { end, .. } => self.join_end(end, now.minus(age_ms)),
+            Record::Ended { end, .. } => self.merge_end(end, now - age),
             Record::CallbackDone { .. } => self.callback_done = true,
             Record::Forgotten { .. } => {}
         }
         self.trim();
     }
 
-    fn join_grant(&mut self, grant: Option<Grant>) {
+    fn merge_grant(&mut self, grant: Option<Grant>) {
         let token = |grant: &Option<Grant>| grant.map(|grant| grant.token);
         if token(&grant) > token(&self.grant) {
             self.grant = grant;
         }
     }
 
-    fn join_message(&mut self, message: Box<Message>) {
-        self.retention_ms = self.retention_ms.max(message.retention_ms);
+    fn merge_message(&mut self, message: Box<Message>) {
+        self.retention = self.retention.max(Duration::from_millis(u64::from(message.retention_ms)));
         match &self.message {
             Some(present) if present.body.len() >= message.body.len() => {}
             _ => self.message = Some(message),
         }
     }
 
-    fn join_end(&mut self, end: End, at: Time) {
+    fn merge_end(&mut self, end: End, at: Instant) {
         match &self.end {
             Some(present) if *present <= end => {}
             Some(_) => self.end = Some(end),
@@ -164,20 +168,20 @@
         }
     }
 
-    /// A call-back is owed for the end that is known.
-    pub fn owes_callback(&self) -> bool {
+    /// The end that is known asks for a call-back, and none has succeeded.
+    pub fn has_pending_callback(&self) -> bool {
         let named = self.message.as_ref().is_some_and(|message| message.callback_url.is_some());
         let owed_end = matches!(self.end, Some(End::Completed { .. } | End::DeadLetter));
         owed_end && named && !self.callback_done
     }
 
-    /// Gives back the memory of what is not needed any more.
+    /// Frees the memory of what is not needed any more.
     fn trim(&mut self) {
         let needs_body = matches!(self.end, None | Some(End::DeadLetter));
         if needs_body {
             return;
         }
-        if !self.owes_callback() {
+        if !self.has_pending_callback() {
             self.message = None;
             return;
         }
@@ -187,23 +191,27 @@
     }
 
     /// All that is known, as it is written and sent.
-    pub fn state(&self, now: Time) -> MessageState {
+    pub fn state(&self, now: Instant) -> MessageState {
         MessageState {
             id: self.id,
             sequence: self.sequence,
-            age_ms: now.since(self.received),
-            message: Some(self.message.as_deref().cloned().unwrap_or_else(|| self.hollow_message())),
+            age_ms: millis(now.saturating_duration_since(self.received)),
+            message: Some(self.message.as_deref().cloned().unwrap_or_else(|| self.placeholder_message())),
             failed_attempts: self.failed_attempts,
             grant: self.grant,
-            resolved_through: self.settled,
+            resolved_through: self.resolved_through,
             end: self.end.clone(),
-            ended_age_ms: if self.end.is_some() { now.since(self.ended) } else { 0 },
+            ended_age_ms: if self.end.is_some() {
+                millis(now.saturating_duration_since(self.ended))
+            } else {
+                0
+            },
             callback_done: self.callback_done,
         }
     }
 
-    /// What is left of a message of which only the times matter.
-    fn hollow_message(&self) -> Message {
+    /// A message of which only the retention still matters.
+    fn placeholder_message(&self) -> Message {
         Message {
             request_id: String::new(),
             method: String::new(),
@@ -218,19 +226,25 @@
             delay_ms: 0,
             target_start_ms: 0,
             max_attempts: 0,
-            retention_ms: self.retention_ms,
+            retention_ms: wire_millis(self.retention),
         }
     }
 
     /// Time before which it must not run.
-    pub fn due(&self) -> Time {
+    pub fn due(&self) -> Instant {
         let delay_ms = self.message.as_ref().map_or(0, |message| message.delay_ms);
-        self.received.plus(u64::from(delay_ms))
+        self.received + Duration::from_millis(u64::from(delay_ms))
+    }
+
+    /// Latest time at which a start earns the message's full value.
+    pub fn start_by(&self) -> Instant {
+        let target_start_ms = self.message.as_ref().map_or(0, |message| message.target_start_ms);
+        self.due() + Duration::from_millis(u64::from(target_start_ms))
     }
 
     /// Time at which it has ended, whatever became of it.
-    pub fn retention_end(&self) -> Time {
-        self.received.plus(u64::from(self.retention_ms))
+    pub fn retention_end(&self) -> Instant {
+        self.received + self.retention
     }
 
     /// Bytes that it takes in memory, about.
@@ -244,6 +258,6 @@
     let headers: usize = message.headers.iter().map(|header| header.name.len() + header.value.len()).sum();
     let optional = |text: &Option<String>| text.as_ref().map_or(0, String::len);
     let names = message.request_id.len() + message.path.len() + message.host.len() + message.service.len();
-    let rest = optional(&message.order_key) + optional(&message.callback_url);
-    size_of::<Message>() + headers + names + rest + message.body.len()
+    let options = optional(&message.order_key) + optional(&message.callback_url);
+    size_of::<Message>() + headers + names + options + message.body.len()
 }
--- a/system/state/queue/src/table.rs
+++ b/system/state/queue/src/message_table.rs
@@ -1,20 +1,21 @@
 //! All messages that this store knows, with the sums that bound them.
 
 use crate::entry::Entry;
-use crate::time::Time;
+use crate::primary_entry::PrimaryEntry;
+use crate::time::Instant;
 use millrudder_protocol::{MessageId, ShardId};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// All messages that this store knows, by name.
+/// All messages that this store knows, by identifier.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct MessageTable {
     entries: BTreeMap<MessageId, Box<Entry>>,
     bytes: u64,
     live: u64,
 }
 
-impl Table {
+impl MessageTable {
     pub fn get(&self, id: MessageId) -> Option<&Entry> {
         self.entries.get(&id).map(Box::as_ref)
     }
@@ -24,8 +25,18 @@
         self.entries.get_mut(&id).map(Box::as_mut)
     }
 
+    /// What a primary keeps of a message; `None` where this store is not its shard's primary.
+    pub fn primary(&self, id: MessageId) -> Option<&PrimaryEntry> {
+        self.entries.get(&id)?.primary.as_deref()
+    }
+
+    /// See [`MessageTable::primary`].
+    pub fn primary_mut(&mut self, id: MessageId) -> Option<&mut PrimaryEntry> {
+        self.entries.get_mut(&id)?.primary.as_deref_mut()
+    }
+
     /// Changes an entry, which is added if it is not there, and keeps the sums.
-    pub fn change<R>(&mut self, id: MessageId, now: Time, change: impl FnOnce(&mut Entry) -> R) -> R {
+    pub fn change<R>(&mut self, id: MessageId, now: Instant, change: impl FnOnce(&mut Entry) -> R) -> R {
         let entry = self.entries.entry(id).or_insert_with(|| Box::new(Entry::new(id, now)));
         let result = change(entry);
         let cost = entry.cost();
@@ -44,18 +55,18 @@
         Some(entry)
     }
 
-    /// Names of a shard's messages, in order.
+    /// Identifiers of a shard's messages, in order.
     pub fn ids_of(&self, shard: ShardId) -> impl Iterator<Item = MessageId> + '_ {
         self.of_shard_from(MessageId { shard, unique: 0 }).map(|entry| entry.id)
     }
 
-    /// A shard's messages from `first` on, in the order of their names.
+    /// A shard's messages from `first` on, in the order of their identifiers.
     pub fn of_shard_from(&self, first: MessageId) -> impl Iterator<Item = &Entry> + '_ {
         let last = MessageId { shard: first.shard, unique: u64::MAX };
         self.entries.range(first..=last).map(|(_, entry)| entry.as_ref())
     }
 
-    /// Names of all messages behind `after`, in order.
+    /// Identifiers of all messages behind `after`, in order.
     pub fn ids_after(&self, after: Option<MessageId>) -> impl Iterator<Item = MessageId> + '_ {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.entries.range((from, Bound::Unbounded)).map(|(id, _)| *id)
--- /dev/null
+++ b/system/state/queue/src/node/takeover.rs
@@ -0,0 +1,360 @@
+//! Becoming a shard's primary: a read quorum promises the shard and tells what it knows; what is known together is
+//! served, and what too few disks hold is written to more of them meanwhile.
+//!
+//! What others tell is appended to the local disk before anything else is done with it. So nothing is ever known here that
+//! a later promise does not find synced: a store tells another only what its disk holds.
+
+use super::grants::order_key;
+use super::StoreNode;
+use crate::api::DiskRecord;
+use crate::entry::{Entry, EntryVersion};
+use crate::primary_entry::{
+    Effect, PendingEffect, PossibleRunners, PrimaryEntry, ReplicaProgress, SentVersion, Stage,
+};
+use crate::primary_term::{MergedRecord, PrimaryTerm, RecoveredCopy};
+use crate::replication::SyncAction;
+use millrudder_protocol::message::MessageState;
+use millrudder_protocol::store::{BetweenStores, Record};
+use millrudder_protocol::{Epoch, MessageId, Sequence, ShardId, StoreId};
+use std::time::Duration;
+
+/// Version of a message at the start of a term.
+const FIRST_VERSION: u32 = 1;
+
+impl StoreNode {
+    /// Applies what a newer placement says of one shard.
+    pub(super) fn apply_shard_placement(&mut self, shard: ShardId) {
+        let Some(entry) = self.context.placement.shard(shard) else { return };
+        let tolerated = self.context.placement.tolerated_losses;
+        let present = self.primary_terms.number_of(shard);
+        if entry.primary != self.context.local_id || self.replication.is_disk_failed() {
+            if present.is_some() {
+                self.step_down(shard);
+            }
+            return;
+        }
+        let primary_term = PrimaryTerm::new(entry, tolerated);
+        if present != Some(primary_term.number()) {
+            if present.is_some() {
+                self.step_down(shard);
+            }
+            self.start_term(shard, primary_term);
+            return;
+        }
+        self.change_members(shard, primary_term);
+    }
+
+    fn change_members(&mut self, shard: ShardId, new: PrimaryTerm) {
+        let Some(primary_term) = self.primary_terms.get_mut(shard) else { return };
+        if !primary_term.change_members(new) {
+            return;
+        }
+        if primary_term.is_serving() {
+            self.handle_members_changed(shard);
+        }
+        self.send_prepare_to_all(shard);
+        self.try_serve(shard);
+    }
+
+    fn start_term(&mut self, shard: ShardId, mut primary_term: PrimaryTerm) {
+        let term = primary_term.number();
+        if self.promises.term_of(shard) > term {
+            return;
+        }
+        for entry in self.table.of_shard_from(MessageId { shard, unique: 0 }) {
+            primary_term.add_own_copy(self.context.local_id, entry);
+        }
+        self.primary_terms.insert(shard, primary_term);
+        self.append_promise(shard, term, SyncAction::OwnPromise { shard, term });
+        self.send_prepare_to_all(shard);
+    }
+
+    fn send_prepare_to_all(&mut self, shard: ShardId) {
+        for store in self.replication.peer_ids() {
+            self.send_prepare(shard, store);
+        }
+    }
+
+    /// Asks a member that has not promised this term to do so.
+    pub(super) fn send_prepare(&mut self, shard: ShardId, store: StoreId) {
+        let Some(primary_term) = self.primary_terms.get(shard) else { return };
+        let is_connected = self.replication.is_connected(store);
+        if is_connected
+            && store != self.context.local_id
+            && primary_term.is_member(store)
+            && !primary_term.has_promise_of(store)
+        {
+            let term = primary_term.number();
+            self.context.send_to_store(store, BetweenStores::Prepare { shard, term });
+        }
+    }
+
+    /// The promise of the shard to this store itself is on the local disk.
+    pub(super) fn handle_own_promise_synced(&mut self, shard: ShardId, term: Epoch) {
+        let Some(primary_term) = self.primary_terms.get_exact_mut(shard, term) else { return };
+        primary_term.set_own_promise_synced();
+        self.try_serve(shard);
+    }
+
+    /// A chunk of what a replica that has promised the shard has on its disk.
+    pub(super) fn handle_promise(
+        &mut self,
+        from: StoreId,
+        shard: ShardId,
+        term: Epoch,
+        states: Vec<MessageState>,
+        last: bool,
+    ) {
+        let Some(primary_term) = self.primary_terms.get_exact_mut(shard, term) else { return };
+        let is_serving = primary_term.is_serving();
+        for state in states.into_iter().filter(|state| state.id.shard == shard) {
+            if is_serving {
+                self.merge_while_serving(from, state);
+            } else {
+                self.merge_before_serving(from, state);
+            }
+        }
+        if !last {
+            return;
+        }
+        if let Some(primary_term) = self.primary_terms.get_mut(shard) {
+            primary_term.add_promise(from);
+        }
+        self.try_serve(shard);
+    }
+
+    /// A replica that the takeover waits for tells what its disk holds.
+    fn merge_before_serving(&mut self, from: StoreId, state: MessageState) {
+        let (id, entry_version) = (state.id, EntryVersion::of_state(&state));
+        let Some(takeover) = self.primary_terms.takeover_mut(id.shard) else { return };
+        let recovered = takeover.recovered.entry(id).or_default();
+        recovered.retain(|recovered| recovered.store != from);
+        recovered.push(RecoveredCopy { store: from, entry_version });
+        let appended = takeover.merged.get(&id).map_or(0, |merged| merged.appended);
+        if !self.merge_and_append(state, appended + 1) {
+            return;
+        }
+        if let Some(takeover) = self.primary_terms.takeover_mut(id.shard) {
+            takeover.merged.entry(id).or_default().appended += 1;
+        }
+    }
+
+    /// Merges what another store sent and appends the full state, as this version, if it is more than was known; `false`
+    /// if nothing is new.
+    fn merge_and_append(&mut self, state: MessageState, version: u32) -> bool {
+        let (now, id) = (self.context.now, state.id);
+        let Some(term) = self.primary_terms.number_of(id.shard) else {
+            return false;
+        };
+        let before = self.table.get(id).map(Entry::contents);
+        self.table.change(id, now, |entry| entry.merge(state, now, Duration::ZERO));
+        let Some(entry) = self.table.get(id).filter(|entry| before != Some(entry.contents())) else {
+            return false;
+        };
+        let record = Record::State { state: Box::new(entry.state(now)) };
+        let on_synced = SyncAction::Own(SentVersion { id, term, version });
+        self.replication.append(&mut self.context, DiskRecord::Message { record }, on_synced);
+        true
+    }
+
+    /// What others sent of a message before the shard is served is on the local disk.
+    pub(super) fn handle_merged_synced(&mut self, sent: SentVersion) {
+        if !self.primary_terms.is_current(&sent) {
+            return;
+        }
+        let takeover = self.primary_terms.takeover_mut(sent.id.shard);
+        let merged = takeover.and_then(|takeover| takeover.merged.get_mut(&sent.id));
+        if let Some(merged) = merged {
+            merged.synced = merged.synced.max(sent.version);
+        }
+    }
+
+    /// Serves the shard if a read quorum has promised it.
+    fn try_serve(&mut self, shard: ShardId) {
+        let Some(primary_term) = self.primary_terms.get_mut(shard) else { return };
+        let own = primary_term.takeover().is_some_and(|takeover| takeover.is_own_promise_synced);
+        if !own || !primary_term.has_read_quorum(self.context.local_id) {
+            return;
+        }
+        let Some(takeover) = primary_term.take_takeover() else { return };
+        for (id, recovered) in takeover.recovered {
+            let merged = takeover.merged.get(&id).copied();
+            self.create_primary_entry(id, &recovered, merged);
+        }
+        let placement = &self.context.placement;
+        let is_here = |service: &str| placement.shard_of(service) == Some(shard);
+        self.services.drain_rate_limits(is_here, self.context.now);
+        self.schedule_shard(shard);
+        for withdrawal in takeover.withdrawals {
+            self.handle_withdraw(withdrawal.connection, withdrawal.id);
+        }
+        if let Some(learner) = self.primary_terms.get(shard).and_then(PrimaryTerm::learner) {
+            self.fill_learner(shard, learner);
+        }
+    }
+
+    /// Creates what a primary keeps of a message. `merged`: what was appended to the local disk since the start, which
+    /// has the full state once the last of that is synced.
+    fn create_primary_entry(
+        &mut self,
+        id: MessageId,
+        recovered: &[RecoveredCopy],
+        merged: Option<MergedRecord>,
+    ) {
+        let (now, local_id) = (self.context.now, self.context.local_id);
+        let Some(entry) = self.table.get_mut(id) else { return };
+        let entry_version = entry.entry_version();
+        let mut primary = PrimaryEntry::new(Stage::Persisting, now);
+        let version = merged.map_or(FIRST_VERSION, |merged| merged.appended.max(FIRST_VERSION));
+        primary.version = version;
+        let holders = recovered.iter().filter(|recovered| recovered.entry_version == entry_version);
+        let holders = holders.filter(|recovered| recovered.store != local_id || merged.is_none());
+        let progress = |recovered: &RecoveredCopy| ReplicaProgress {
+            store: recovered.store,
+            sent: version,
+            acked: version,
+        };
+        primary.replica_progress = holders.map(progress).collect();
+        primary.replica_progress.extend(merged.map(|merged| ReplicaProgress {
+            store: local_id,
+            sent: version,
+            acked: merged.synced,
+        }));
+        if let Some(primary_term) = self.primary_terms.get_mut(id.shard) {
+            primary_term.count_past(entry.sequence, entry.grant.map(|grant| grant.token).unwrap_or_default());
+            primary.durable = primary_term.durable_version(&primary);
+        }
+        if entry.grant.is_some() {
+            primary.possible_runners = PossibleRunners::Unknown;
+        }
+        let is_durable = primary.durable == primary.version;
+        entry.primary = Some(Box::new(primary));
+        if !is_durable {
+            self.replication.mark_pending(id);
+            self.assign_replicas(id);
+        }
+        self.set_expiry(id);
+    }
+
+    /// Brings every message of a shard to its stage, in the order of their acceptance.
+    fn schedule_shard(&mut self, shard: ShardId) {
+        let of_shard = self.table.of_shard_from(MessageId { shard, unique: 0 });
+        let mut order: Vec<(Sequence, MessageId)> =
+            of_shard.map(|entry| (entry.sequence, entry.id)).collect();
+        order.sort_unstable();
+        for (_, id) in &order {
+            self.enqueue_in_key(*id);
+        }
+        for (_, id) in &order {
+            self.adopt_grant(*id);
+        }
+        for (_, id) in &order {
+            self.resume(*id);
+        }
+    }
+
+    /// Adds a message that has not ended to its key's queue.
+    fn enqueue_in_key(&mut self, id: MessageId) {
+        let Some(entry) = self.table.get(id).filter(|entry| entry.end.is_none()) else { return };
+        if let Some(key) = order_key(entry) {
+            self.keys.add(key, entry.sequence, id);
+        }
+    }
+
+    /// A dispatcher may still have a lease that a former primary granted.
+    fn adopt_grant(&mut self, id: MessageId) {
+        let Some(entry) = self.table.get(id) else { return };
+        let is_open = |entry: &Entry| entry.end.is_none() && entry.primary.is_some();
+        let grant = entry.grant.filter(|grant| is_open(entry) && grant.token > entry.resolved_through);
+        if let Some(grant) = grant {
+            self.adopt_lease(id, grant);
+        }
+    }
+
+    /// Schedules a message, or lets follow what its end asks for.
+    fn resume(&mut self, id: MessageId) {
+        let Some(entry) = self.table.get_mut(id) else { return };
+        let ended = entry.end.is_some();
+        let Some(primary) = entry.primary.as_mut() else { return };
+        if matches!(primary.stage, Stage::InFlight(_)) {
+            return;
+        }
+        if !ended {
+            self.schedule(id);
+            return;
+        }
+        primary.stage = Stage::Ended;
+        if primary.durable >= primary.version {
+            self.enqueue_callback(id);
+            return;
+        }
+        primary.pending_effects.push(PendingEffect { version: primary.version, effect: Effect::Ended });
+    }
+
+    /// A replica that the takeover did not wait for tells what it knows: what no other one has is added.
+    fn merge_while_serving(&mut self, from: StoreId, state: MessageState) {
+        let id = state.id;
+        if self.table.get(id).is_none() {
+            self.merge_unknown_message(id, from, state);
+            return;
+        }
+        let Some(entry) = self.table.get(id) else { return };
+        let entry_version = EntryVersion::of_state(&state);
+        let knows_more_failures = state.failed_attempts > entry.failed_attempts;
+        let knows_callback = state.callback_done && !entry.callback_done;
+        let knows_end = state.end.as_ref().is_some_and(|end| entry.end.as_ref().is_none_or(|own| end < own));
+        if knows_more_failures {
+            let (token, failed_attempts) = (state.resolved_through, state.failed_attempts);
+            self.apply_record(id, Record::Failed { id, token, failed_attempts });
+        }
+        if let Some(end) = state.end.filter(|_| knows_end) {
+            self.end_message(id, end);
+        }
+        if knows_callback {
+            self.apply_record(id, Record::CallbackDone { id });
+            self.remove_callback(id);
+        }
+        let Some(entry) = self.table.get_mut(id) else { return };
+        let is_same = entry.entry_version() == entry_version;
+        let Some(primary) = entry.primary.as_mut() else { return };
+        let progress = primary.progress_mut(from);
+        // What was sent to it in this term is counted by its acknowledgements alone.
+        if is_same && progress.sent == 0 {
+            let version = primary.version;
+            *primary.progress_mut(from) = ReplicaProgress { store: from, sent: version, acked: version };
+            self.update_durable_version(id);
+        }
+    }
+
+    /// A message that only a replica knows which the takeover did not wait for: it was never acknowledged, and is accepted
+    /// all the same.
+    fn merge_unknown_message(&mut self, id: MessageId, from: StoreId, state: MessageState) {
+        let entry_version = EntryVersion::of_state(&state);
+        let is_new = self.merge_and_append(state, FIRST_VERSION);
+        let merged = is_new.then_some(MergedRecord { appended: FIRST_VERSION, synced: 0 });
+        self.create_primary_entry(id, &[RecoveredCopy { store: from, entry_version }], merged);
+        self.enqueue_in_key(id);
+        self.adopt_grant(id);
+        self.resume(id);
+    }
+
+    /// Another store is the shard's primary, or this one must not be: everything that only a primary keeps goes.
+    pub(super) fn step_down(&mut self, shard: ShardId) {
+        self.flush();
+        let ids: Vec<MessageId> = self.table.ids_of(shard).collect();
+        for id in &ids {
+            self.unschedule(*id, Stage::Ended);
+            self.remove_callback(*id);
+            self.replication.unmark_pending(*id);
+            if let Some(entry) = self.table.get_mut(*id) {
+                entry.primary = None;
+            }
+        }
+        self.primary_terms.remove(shard);
+        self.keys.drop_shard(shard);
+        self.replication.drop_shard(shard);
+        for id in ids {
+            self.set_expiry(id);
+        }
+    }
+}
--- /dev/null
+++ b/system/state/queue/src/primary_term.rs
@@ -0,0 +1,278 @@
+//! Terms in which this store is primary of a shard: members, promises, the takeover, numbers given out.
+
+use crate::api::ConnectionId;
+use crate::entry::{Entry, EntryVersion};
+use crate::primary_entry::{PrimaryEntry, SentVersion};
+use millrudder_protocol::placement::{MemberChange, Membership, ShardEntry};
+use millrudder_protocol::{Epoch, LeaseToken, MessageId, Sequence, ShardId, StoreId};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What a replica knew of a message at the start of the term.
+#[derive(Clone, Debug)]
+pub(crate) struct RecoveredCopy {
+    pub store: StoreId,
+    pub entry_version: EntryVersion,
+}
+
+/// How often what other replicas reported of a message was appended to the local disk, and how many of these appends are synced.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct MergedRecord {
+    pub appended: u32,
+    pub synced: u32,
+}
+
+/// What is gathered before the shard is served.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Takeover {
+    /// The promise to itself is on the local disk.
+    pub is_own_promise_synced: bool,
+    /// What each replica has on its disk; of this store, what it had at the start.
+    pub recovered: BTreeMap<MessageId, Vec<RecoveredCopy>>,
+    /// Messages of which others reported more than the local disk had.
+    pub merged: BTreeMap<MessageId, MergedRecord>,
+    /// What dispatchers withdrew meanwhile.
+    pub withdrawals: Vec<Withdrawal>,
+}
+
+/// A dispatcher's request that a message does not run.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Withdrawal {
+    pub connection: ConnectionId,
+    pub id: MessageId,
+}
+
+/// All shards that this store is primary of, with the term of each.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PrimaryTerms {
+    by_shard: BTreeMap<ShardId, PrimaryTerm>,
+}
+
+impl PrimaryTerms {
+    pub fn get(&self, shard: ShardId) -> Option<&PrimaryTerm> {
+        self.by_shard.get(&shard)
+    }
+
+    pub fn get_mut(&mut self, shard: ShardId) -> Option<&mut PrimaryTerm> {
+        self.by_shard.get_mut(&shard)
+    }
+
+    /// The shard's term, if it has this number.
+    pub fn get_exact_mut(&mut self, shard: ShardId, number: Epoch) -> Option<&mut PrimaryTerm> {
+        self.by_shard.get_mut(&shard).filter(|term| term.number == number)
+    }
+
+    /// The takeover of a shard that is not served yet.
+    pub fn takeover_mut(&mut self, shard: ShardId) -> Option<&mut Takeover> {
+        self.by_shard.get_mut(&shard)?.takeover.as_mut()
+    }
+
+    pub fn insert(&mut self, shard: ShardId, term: PrimaryTerm) {
+        self.by_shard.insert(shard, term);
+    }
+
+    pub fn remove(&mut self, shard: ShardId) {
+        self.by_shard.remove(&shard);
+    }
+
+    /// Number of the term in which this store is the shard's primary.
+    pub fn number_of(&self, shard: ShardId) -> Option<Epoch> {
+        self.by_shard.get(&shard).map(PrimaryTerm::number)
+    }
+
+    /// Shards that this store is primary of, in order.
+    pub fn shards(&self) -> Vec<ShardId> {
+        self.by_shard.keys().copied().collect()
+    }
+
+    /// Shards that this store serves, in order.
+    pub fn serving_shards(&self) -> Vec<ShardId> {
+        let serving = self.by_shard.iter().filter(|(_, term)| term.is_serving());
+        serving.map(|(shard, _)| *shard).collect()
+    }
+
+    /// This store orders, accepts and grants in the shard now.
+    pub fn is_serving(&self, shard: ShardId) -> bool {
+        self.by_shard.get(&shard).is_some_and(PrimaryTerm::is_serving)
+    }
+
+    /// The version was counted in the term in force.
+    pub fn is_current(&self, sent: &SentVersion) -> bool {
+        self.number_of(sent.id.shard) == Some(sent.term)
+    }
+}
+
+/// A shard that this store is primary of.
+#[derive(Clone, Debug)]
+pub(crate) struct PrimaryTerm {
+    number: Epoch,
+    /// The membership in force, and the one after the change that is under way.
+    memberships: Vec<Membership>,
+    change: Option<MemberChange>,
+    /// Other members that promised this term and sent all that they know.
+    promised_by: BTreeSet<StoreId>,
+    /// Present until the shard is served.
+    takeover: Option<Takeover>,
+    /// Message from which on the next comparison with replicas goes.
+    scrub_from: u64,
+    /// Next sequence number of a message, and of a lease token, in this term.
+    next_sequence: u32,
+    next_token: u32,
+}
+
+/// Bits of a token or sequence below the epoch.
+const COUNT_BITS: u32 = 32;
+
+impl PrimaryTerm {
+    pub fn new(entry: &ShardEntry, tolerated_losses: u32) -> Self {
+        PrimaryTerm {
+            number: entry.term,
+            memberships: entry.memberships(tolerated_losses),
+            change: entry.change,
+            promised_by: BTreeSet::new(),
+            takeover: Some(Takeover::default()),
+            scrub_from: 0,
+            next_sequence: 1,
+            next_token: 1,
+        }
+    }
+
+    pub fn number(&self) -> Epoch {
+        self.number
+    }
+
+    /// The change of members that is under way.
+    pub fn change(&self) -> Option<MemberChange> {
+        self.change
+    }
+
+    pub fn is_serving(&self) -> bool {
+        self.takeover.is_none()
+    }
+
+    pub fn takeover(&self) -> Option<&Takeover> {
+        self.takeover.as_ref()
+    }
+
+    /// Ends the takeover: the shard is served from now on.
+    pub fn take_takeover(&mut self) -> Option<Takeover> {
+        self.takeover.take()
+    }
+
+    /// Adopts the members of another placement of the same term; `false` if they are the same.
+    pub fn change_members(&mut self, new: PrimaryTerm) -> bool {
+        if self.memberships == new.memberships && self.change == new.change {
+            return false;
+        }
+        self.memberships = new.memberships;
+        self.change = new.change;
+        true
+    }
+
+    /// What this store's own table knows of a message at the start of the term.
+    pub fn add_own_copy(&mut self, local_id: StoreId, entry: &Entry) {
+        let copy = RecoveredCopy { store: local_id, entry_version: entry.entry_version() };
+        if let Some(takeover) = &mut self.takeover {
+            takeover.recovered.insert(entry.id, vec![copy]);
+        }
+    }
+
+    /// The promise to itself is on the local disk.
+    pub fn set_own_promise_synced(&mut self) {
+        if let Some(takeover) = &mut self.takeover {
+            takeover.is_own_promise_synced = true;
+        }
+    }
+
+    /// A member has promised the term and sent all that it knows.
+    pub fn add_promise(&mut self, from: StoreId) {
+        self.promised_by.insert(from);
+    }
+
+    pub fn has_promise_of(&self, store: StoreId) -> bool {
+        self.promised_by.contains(&store)
+    }
+
+    /// The first message of the next comparison with replicas.
+    pub fn scrub_from(&self) -> u64 {
+        self.scrub_from
+    }
+
+    pub fn set_scrub_from(&mut self, unique: u64) {
+        self.scrub_from = unique;
+    }
+
+    /// Replicas of the membership in force.
+    pub fn replicas(&self) -> &[StoreId] {
+        self.memberships.first().map_or(&[], |membership| &membership.replicas)
+    }
+
+    pub fn is_replica(&self, store: StoreId) -> bool {
+        self.replicas().contains(&store)
+    }
+
+    /// It is a replica, or will be one.
+    pub fn is_member(&self, store: StoreId) -> bool {
+        self.memberships.iter().any(|membership| membership.contains(store))
+    }
+
+    /// The store that is being filled.
+    pub fn learner(&self) -> Option<StoreId> {
+        self.change.map(|change| change.joins)
+    }
+
+    /// Another store replaces it.
+    pub fn is_leaving(&self, store: StoreId) -> bool {
+        self.change.is_some_and(|change| change.leaves == Some(store))
+    }
+
+    /// So many members have promised the term that one of them has each write that was acknowledged; this store counts
+    /// as one.
+    pub fn has_read_quorum(&self, local_id: StoreId) -> bool {
+        let has_promised = |store: &&StoreId| **store == local_id || self.promised_by.contains(store);
+        let enough = |membership: &Membership| {
+            membership.replicas.iter().filter(has_promised).count() >= membership.read_quorum
+        };
+        self.memberships.iter().all(enough)
+    }
+
+    /// Some membership that `store` is in lacks a write quorum among the `chosen`.
+    pub fn lacks_write_quorum(&self, chosen: &[StoreId], store: StoreId) -> bool {
+        let has_too_few = |membership: &&Membership| {
+            let count = chosen.iter().filter(|chosen| membership.contains(**chosen)).count();
+            count < membership.write_quorum
+        };
+        self.memberships.iter().filter(|membership| membership.contains(store)).any(|m| has_too_few(&m))
+    }
+
+    /// Highest version of a message that is on as many disks of each membership as promised.
+    pub fn durable_version(&self, primary: &PrimaryEntry) -> u32 {
+        let versions = self
+            .memberships
+            .iter()
+            .map(|membership| primary.version_on(&membership.replicas, membership.write_quorum));
+        versions.min().unwrap_or(0)
+    }
+
+    pub fn sequence(&mut self) -> Sequence {
+        let sequence = Sequence::new(self.number, self.next_sequence);
+        self.next_sequence += 1;
+        sequence
+    }
+
+    pub fn token(&mut self) -> LeaseToken {
+        let token = LeaseToken::new(self.number, self.next_token);
+        self.next_token += 1;
+        token
+    }
+
+    /// Gives no number again that a former incarnation of this process gave in the same term.
+    pub fn count_past(&mut self, sequence: Sequence, token: LeaseToken) {
+        let count_of = |number: u64| {
+            let is_own = number >> COUNT_BITS == self.number.0;
+            u32::try_from(number & u64::from(u32::MAX)).ok().filter(|_| is_own).unwrap_or(0)
+        };
+        let (sequence, token) = (count_of(sequence.0), count_of(token.0));
+        self.next_sequence = self.next_sequence.max(sequence.saturating_add(1));
+        self.next_token = self.next_token.max(token.saturating_add(1));
+    }
+}
--- a/system/state/queue/src/timers.rs
+++ b/system/state/queue/src/timers.rs
@@ -1,54 +1,54 @@
-//! Everything that is due at a time, ordered by that time.
+//! Timers in the order of their time.
 
-use crate::schedule::ServiceIndex;
-use crate::time::Time;
+use crate::scheduling::ServiceIndex;
+use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, MessageId, ShardId, StoreId};
 use std::collections::BTreeSet;
 
-/// What is due.
+/// What a timer stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// A message's delay or back-off is over.
-    Wake(MessageId),
-    /// A message's retention is over, or nobody may ask for it any more.
+    BackoffOver(MessageId),
+    /// A message's retention is over, or its status need not be known any more.
     Expiry(MessageId),
     /// Leases that a dispatcher did not confirm may be granted again.
-    Unconfirmed(DispatcherId),
-    /// A service's ceiling has a permit again.
-    Permit(ServiceIndex),
-    /// Call-backs of a receiver may be tried again.
-    Receiver(u32),
-    /// Look for dispatchers that went silent.
-    Silence,
+    UnconfirmedLeases(DispatcherId),
+    /// A service's rate limit has a permit again.
+    PermitAvailable(ServiceIndex),
+    /// Call-backs of a receiver may be retried.
+    ReceiverReady(u32),
+    /// Check the heartbeats of dispatchers.
+    HeartbeatCheck,
     /// Compare the next messages with what replicas know of them.
     Scrub,
-    /// Look for messages that lie though nothing holds them back.
-    Watch,
-    /// The next piece of a shard's states goes to its new primary.
-    Piece(StoreId, ShardId),
+    /// Scan for orphaned messages.
+    Watchdog,
+    /// The next chunk of a shard's snapshot goes to its new primary.
+    SnapshotChunk(StoreId, ShardId),
 }
 
 /// Timers by time. A timer that was set twice goes off twice.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Timers {
-    due: BTreeSet<(Time, Timer)>,
+    due: BTreeSet<(Instant, Timer)>,
 }
 
 impl Timers {
-    pub fn set(&mut self, at: Time, timer: Timer) {
+    pub fn set(&mut self, at: Instant, timer: Timer) {
         self.due.insert((at, timer));
     }
 
-    pub fn clear(&mut self, at: Time, timer: Timer) {
+    pub fn clear(&mut self, at: Instant, timer: Timer) {
         self.due.remove(&(at, timer));
     }
 
-    pub fn first(&self) -> Option<Time> {
+    pub fn first(&self) -> Option<Instant> {
         self.due.first().map(|(at, _)| *at)
     }
 
     /// The first timer that is due.
-    pub fn pop(&mut self, now: Time) -> Option<Timer> {
+    pub fn pop(&mut self, now: Instant) -> Option<Timer> {
         if self.first()? > now {
             return None;
         }
--- a/system/testing/simulation/src/store_disk.rs
+++ b/system/testing/simulation/src/store_disk.rs
@@ -5,6 +5,7 @@
 //! records appended when it starts. The simulated folders of `millrudder-checkpoint-store` work on bytes below both.
 
 use millrudder_queue::{DiskRecord, Recovered, Ticket};
+use std::time::Duration;
 
 #[derive(Clone, Debug)]
 struct Appended {
@@ -59,9 +60,9 @@
 
     /// The records that a process recovers which starts at true time `now`.
     pub fn recover(&self, now: u64) -> Vec<Recovered> {
-        let age_ms = |at: u64| now.saturating_sub(at) / crate::MILLISECOND;
+        let age = |at: u64| Duration::from_millis(now.saturating_sub(at) / crate::MILLISECOND);
         let recovered =
-            |appended: &Appended| Recovered { record: appended.record.clone(), age_ms: age_ms(appended.at) };
+            |appended: &Appended| Recovered { record: appended.record.clone(), age: age(appended.at) };
         self.records.iter().map(recovered).collect()
     }
 }
