--- a/coordination/membership/src/spreading.rs
+++ b/coordination/membership/src/membership/dissemination.rs
@@ -4,8 +4,8 @@
 
 use crate::events::{Event, Output};
 use crate::identity::MemberName;
-use crate::local::Phase;
 use crate::member::{Member, Status};
+use crate::membership::local::Phase;
 use crate::wire::{Message, Packet, Record};
 use crate::Membership;
 
--- a/coordination/membership/src/probing.rs
+++ b/coordination/membership/src/membership/failure_detection.rs
@@ -7,7 +7,7 @@
 use crate::identity::{MemberId, MemberName};
 use crate::member::Status;
 use crate::probes::{DueProbe, Probe};
-use crate::relays::Relay;
+use crate::relayed_probes::Relay;
 use crate::wire::{Message, Sequence};
 use crate::Membership;
 
--- a/coordination/membership/src/membership.rs
+++ b/coordination/membership/src/membership/mod.rs
@@ -1,5 +1,13 @@
 //! The state machine's shape: construction, inputs, timers and what may be read from it.
 
+mod dissemination;
+mod failure_detection;
+mod local;
+mod merge;
+mod receive;
+mod suspect;
+mod sync;
+
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -12,13 +20,13 @@
 use crate::events::{Input, Output};
 use crate::health::LocalHealth;
 use crate::identity::{Incarnation, MemberId, MemberName};
-use crate::local::{Phase, Rivals};
 use crate::member::{LocalMember, Member, Status, MAX_METADATA_BYTES};
-use crate::order::ProbeOrder;
+use crate::membership::local::{Phase, Rivals};
+use crate::membership::suspect::Suspicions;
+use crate::membership::sync::SyncPace;
+use crate::probe_order::ProbeOrder;
 use crate::probes::Probes;
-use crate::relays::Relays;
-use crate::suspicion::Suspicions;
-use crate::sync::SyncPace;
+use crate::relayed_probes::Relays;
 use crate::table::MemberTable;
 
 /// Membership of one process in its group.
--- a/coordination/membership/src/receiving.rs
+++ b/coordination/membership/src/membership/receive.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use crate::events::{Event, Output};
-use crate::local::Phase;
-use crate::merging::Source;
+use crate::membership::local::Phase;
+use crate::membership::merge::Source;
 use crate::wire::{Message, Packet};
 use crate::Membership;
 
