--- a/coordination/membership/src/broadcast.rs
+++ b/coordination/membership/src/broadcast.rs
@@ -1,22 +1,22 @@
-//! News that is still to be told, each item a bounded number of times.
+//! Updates that are still to be disseminated, each a bounded number of times.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::identity::MemberName;
 
-/// Items kept at most. What is dropped reaches the others by the exchange of differing lists.
+/// Limit of pending updates. What is dropped reaches the others by the exchange of differing lists.
 const MAX_PENDING: usize = 128;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Priority {
-    /// Times that the item was sent; what was sent least goes first.
+    /// Transmissions so far; the least sent update goes first.
     transmissions: u32,
     /// Among equals the latest goes first.
     number: Reverse<u64>,
 }
 
-/// Names of the members whose records are news.
+/// Names of the members whose records are to be disseminated.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BroadcastQueue {
     ranked: BTreeSet<(Priority, MemberName)>,
@@ -25,7 +25,7 @@
 }
 
 impl BroadcastQueue {
-    /// Makes the member's present record news, whatever was told of it before.
+    /// Adds the member's present record, whatever was sent of it before.
     pub fn push(&mut self, name: MemberName) {
         self.remove(&name);
         let priority = Priority { transmissions: 0, number: Reverse(self.next_number) };
@@ -42,9 +42,9 @@
         }
     }
 
-    pub fn retain(&mut self, keeps: impl Fn(&MemberName) -> bool) {
-        self.ranked.retain(|(_, name)| keeps(name));
-        self.priorities.retain(|name, _| keeps(name));
+    pub fn retain(&mut self, is_pending: impl Fn(&MemberName) -> bool) {
+        self.ranked.retain(|(_, name)| is_pending(name));
+        self.priorities.retain(|name, _| is_pending(name));
     }
 
     pub fn contains(&self, name: &MemberName) -> bool {
@@ -60,8 +60,8 @@
         self.ranked.iter().map(|(_, name)| name)
     }
 
-    /// Counts one more transmission, and ends the item when it has been sent `limit` times.
-    pub fn sent(&mut self, name: &MemberName, limit: u32) {
+    /// Counts one more transmission, and removes the update when it has been sent `limit` times.
+    pub fn record_transmission(&mut self, name: &MemberName, limit: u32) {
         let Some(mut priority) = self.priorities.get(name).copied() else { return };
         self.remove(name);
         priority.transmissions += 1;
--- a/coordination/membership/src/config.rs
+++ b/coordination/membership/src/config.rs
@@ -20,17 +20,17 @@
     pub group: GroupId,
     /// Time between two probes; one member is probed in each.
     pub probe_period: Duration,
-    /// Wait for a direct answer before others are asked to probe, while no round trip has been measured.
+    /// Time-out of a direct answer before others are asked to probe, while no round trip has been measured.
     pub probe_timeout: Duration,
-    /// Lower bound of the wait for a direct answer once round trips have been measured.
+    /// Lower bound of that time-out once round trips have been measured.
     pub min_probe_timeout: Duration,
     /// Members asked to probe one that does not answer.
     pub indirect_probes: usize,
     /// Time to refute suspicion in groups of up to ten; it grows with the logarithm of the group's size.
     pub suspicion_timeout: Duration,
-    /// Time between two rounds of gossip while there is news.
+    /// Interval of gossip while there are updates to disseminate.
     pub gossip_interval: Duration,
-    /// Members told in a round of gossip.
+    /// Receivers of each gossip.
     pub gossip_fanout: usize,
     /// A record is sent this number times the logarithm (base 2) of the group's size.
     pub retransmit_multiplier: u32,
@@ -40,15 +40,16 @@
     pub sync_datagrams: usize,
     /// Time between two attempts to reach the seeds while no other member is known; it doubles up to eight times.
     pub join_interval: Duration,
-    /// Time between two messages to a dead member or an absent seed, by which healed cuts are found.
+    /// Time between two messages to a dead member or an absent seed, by which healed partitions are found.
     pub reconnect_interval: Duration,
-    /// Time after which dead and left members are forgotten.
+    /// Time after which dead and left members are removed from the table.
     pub dead_retention: Duration,
-    /// Lateness of an input after [`next_deadline`](crate::Membership::next_deadline) that excuses open probes.
+    /// An input that comes so long after [`next_deadline`](crate::Membership::next_deadline) shows that this process was
+    /// paused; missing answers are then not held against others.
     pub late_tolerance: Duration,
     /// Size in bytes that no datagram passes.
     pub max_datagram_bytes: usize,
-    /// Members that are kept at most, dead ones included.
+    /// Limit of the table, dead members included.
     pub max_members: usize,
 }
 
--- a/coordination/membership/src/deadlines.rs
+++ b/coordination/membership/src/deadlines.rs
@@ -1,12 +1,14 @@
-//! Deadlines by key, the earliest found at once.
+//! Deadlines by key, ordered by time.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::time::Duration;
 
+use millrudder_clock::Instant;
+
+/// One deadline for each key.
 #[derive(Clone, Debug)]
 pub(crate) struct Deadlines<K> {
-    ordered: BTreeSet<(Duration, K)>,
-    by_key: BTreeMap<K, Duration>,
+    ordered: BTreeSet<(Instant, K)>,
+    by_key: BTreeMap<K, Instant>,
 }
 
 impl<K: Ord + Clone> Deadlines<K> {
@@ -14,8 +16,8 @@
         Self { ordered: BTreeSet::new(), by_key: BTreeMap::new() }
     }
 
-    /// Sets the key's deadline and forgets an earlier one.
-    pub fn set(&mut self, key: K, deadline: Duration) {
+    /// Sets the key's deadline in place of an earlier one.
+    pub fn set(&mut self, key: K, deadline: Instant) {
         self.clear(&key);
         self.ordered.insert((deadline, key.clone()));
         self.by_key.insert(key, deadline);
@@ -27,12 +29,12 @@
         }
     }
 
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next(&self) -> Option<Instant> {
         self.ordered.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Takes out one key whose deadline has come.
-    pub fn pop_due(&mut self, now: Duration) -> Option<K> {
+    /// Removes one key whose deadline has passed.
+    pub fn pop_due(&mut self, now: Instant) -> Option<K> {
         if self.next()? > now {
             return None;
         }
--- a/coordination/membership/src/digest.rs
+++ b/coordination/membership/src/digest.rs
@@ -7,7 +7,7 @@
 use crate::identity::MemberName;
 use crate::member::Member;
 
-/// Parts that a list is divided into; small enough for their digests to fit into one datagram.
+/// Buckets that a list is divided into; few enough for their digests to fit into one datagram.
 pub(crate) const BUCKETS: usize = 32;
 
 /// One digest a bucket over the live members: equal for equal lists, whatever their order.
@@ -21,14 +21,14 @@
         Self { buckets: [0; BUCKETS] }
     }
 
-    /// Adds a live member, or takes it out again.
+    /// Adds a live member, or removes it again.
     pub fn toggle(&mut self, member: &Member) {
         if member.is_live() {
             self.buckets[bucket_of(member.name())] ^= hash_of(member);
         }
     }
 
-    /// Digest of the whole list.
+    /// Digest of the entire list.
     pub fn total(&self) -> u64 {
         self.buckets.iter().fold(0, |total, bucket| total.rotate_left(1) ^ bucket)
     }
--- a/coordination/membership/src/events.rs
+++ b/coordination/membership/src/events.rs
@@ -5,10 +5,10 @@
 use crate::identity::{MemberId, ProcessStart};
 use crate::member::Member;
 
-/// What happened to this process.
+/// Inputs of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input<'a> {
-    /// A datagram was received; it may hold anything.
+    /// A datagram was received; it may contain anything.
     Datagram {
         /// Address that it came from.
         from: SocketAddr,
@@ -22,11 +22,11 @@
         /// Addresses of members that may be up.
         seeds: Vec<SocketAddr>,
     },
-    /// The embedding program has seen a sign of trouble, for example a broken connection: the member is probed at once.
-    Verify(MemberId),
+    /// The embedder suspects a fault, for example because a connection broke: the member is probed at once.
+    Probe(MemberId),
     /// Announces new metadata of this process.
     UpdateMetadata(Metadata),
-    /// Tells the others that this process leaves, and ends its part in the group.
+    /// Leaves the group, and disseminates that.
     Leave,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// What the embedding program has to do.
+/// What the embedder has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram; it may be lost.
@@ -61,11 +61,11 @@
         /// The datagram's bytes.
         bytes: Vec<u8>,
     },
-    /// Take note of a change.
+    /// Report a change.
     Event(Event),
 }
 
-/// A change in what this process knows of the group. Members other than this process are meant.
+/// A change in what this process knows of the other members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A process was seen for the first time, or again after it was dead or had left.
@@ -74,20 +74,20 @@
     MemberSuspect(Member),
     /// The member has refuted the suspicion against it.
     MemberRefuted(Member),
-    /// The member's process is dead, cut off, or replaced by a later one (whose `MemberUp` follows).
+    /// The member's process is dead, unreachable, or replaced by a later one (whose `MemberUp` follows).
     MemberDown(Member),
-    /// The member said that it leaves.
+    /// The member has left.
     MemberLeft(Member),
     /// Address, zone or metadata of a live member changed.
     MemberUpdated(Member),
-    /// Nothing was heard from anyone over several probes in succession: what is known of others grows old, and the deaths reported
-    /// from now on are as likely this process' own isolation.
+    /// Nothing was heard from any member over several probes in succession: what is known of them becomes stale, and
+    /// deaths reported from now on may as well be this process's own isolation.
     ContactLost,
     /// The first datagram after `ContactLost`.
     ContactRestored,
-    /// All that can be done to tell the others of this process' leaving is done.
+    /// The leaving of this process has been disseminated as far as possible.
     LeaveCompleted,
-    /// A later process of the same name is in the group; this one has ended its part without saying so.
+    /// A later process of the same name is in the group; this one takes no part any more, and has disseminated nothing.
     Superseded {
         /// The other process.
         by: ProcessStart,
--- a/coordination/membership/src/health.rs
+++ b/coordination/membership/src/health.rs
@@ -1,18 +1,18 @@
-//! How far this process can trust its own observations of others.
+//! Local health awareness: how far this process can trust its own observations of others.
 
 use crate::identity::MemberName;
 
-/// Highest score; waits are then five times as long.
+/// Highest score; time-outs are then five times as long.
 const MAX_SCORE: u32 = 4;
 
-/// Score once different members in succession did not answer: they may as well be dead all together.
-const SCORE_OF_FAILURES: u32 = 1;
+/// Least score once several members in succession did not answer: this process may be the cause.
+const MIN_SCORE_AFTER_FAILURES: u32 = 1;
 
-/// Different members in succession whose silence is blamed on this process too.
-const FAILURES_BLAMED: u32 = 2;
+/// So many different members in succession without an answer count against this process.
+const FAILURES_UNTIL_BLAMED: u32 = 2;
 
-/// Score after the local health multiplier of Lifeguard: signs that this process is slow or badly connected raise it,
-/// answered probes lower it. Waits are multiplied by the score plus one.
+/// Score of the local health multiplier (Lifeguard, section 4.1): signs that this process is slow or badly connected
+/// raise it, answered probes lower it. Time-outs are multiplied by the score plus one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LocalHealth {
     score: u32,
@@ -27,7 +27,7 @@
         self.score = (self.score + 1).min(MAX_SCORE);
     }
 
-    /// A probe was answered within the usual wait: answers that only came in a longer one are no sign of health.
+    /// A probe was answered within the usual wait: an answer that took longer is no sign of health.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
         self.failures = 0;
@@ -40,11 +40,12 @@
             self.failures += 1;
             self.last_failed = Some(target.clone());
         }
-        if self.failures >= FAILURES_BLAMED {
-            self.score = self.score.max(SCORE_OF_FAILURES);
+        if self.failures >= FAILURES_UNTIL_BLAMED {
+            self.score = self.score.max(MIN_SCORE_AFTER_FAILURES);
         }
     }
 
+    /// Factor of all time-outs.
     pub const fn multiplier(&self) -> u32 {
         self.score + 1
     }
--- a/coordination/membership/src/lib.rs
+++ b/coordination/membership/src/lib.rs
@@ -1,18 +1,18 @@
-//! Group membership: which processes are there, found out by the processes themselves.
+//! Decentralized group membership and failure detection.
 //!
 //! A [`Membership`] is the state machine of one process. It probes one other member in each period, asks some members
-//! to probe for it when no answer comes, and suspects a member that stays silent. A suspect that does not refute in
-//! time is dead. News travels on the back of probes, in rounds of gossip while there is any, and by an exchange of the
-//! differing parts of two lists, which also serves joining and healed cuts. A member's cost does not grow with the
-//! group. The method is that of SWIM (Das, Gupta, Motivala, 2002), with the local health awareness of Lifeguard (Dadgar,
+//! to probe for it when no answer comes, and suspects a member that does not answer these either. A suspect that does
+//! not refute in time is declared dead. Updates are disseminated piggybacked on probes, by gossip while there are any,
+//! and by an exchange of the differing parts of two lists, which also serves joining and healed partitions. A member's
+//! cost does not grow with the group. The method is that of SWIM (Das, Gupta, Motivala, 2002), with the local health awareness of Lifeguard (Dadgar,
 //! Phillips, Currey, 2017).
 //!
-//! The state machine does no input or output: the embedding program hands in datagrams, the passage of time and its
-//! wishes as [`Input`]s with a steady clock's reading, and carries out the [`Output`]s. It sends all datagrams from the
+//! The state machine does no I/O: the embedder hands in datagrams, the passage of time and its requests as [`Input`]s
+//! with readings of a steady clock, and carries out the [`Output`]s. It sends all datagrams from the
 //! one address that it announces, and hands in [`Input::Tick`] at [`Membership::next_deadline`].
 //!
 //! What the events mean, and what they do not:
-//! - [`Event::MemberDown`] is an opinion. A member that is only cut off may come back with [`Event::MemberUp`]; nothing
+//! - [`Event::MemberDown`] is an opinion. A member that was only unreachable may come back with [`Event::MemberUp`]; nothing
 //!   here makes two members agree at any moment, only soon after the last change.
 //! - A process is told apart from its successor under the same name by [`MemberId`]; a restart shows as `MemberDown` of
 //!   the one and `MemberUp` of the other.
@@ -24,8 +24,8 @@
 //!
 //! ```
 //! use std::net::SocketAddr;
-//! use std::time::Duration;
 //!
+//! use millrudder_clock::Instant;
 //! use millrudder_membership::{
 //!     Config, Event, Input, LocalMember, MemberId, MemberName, Membership, Output, ProcessStart, Zone,
 //! };
@@ -37,13 +37,13 @@
 //!         zone: Zone::new("north").unwrap(),
 //!         metadata: b"any bytes".to_vec(),
 //!     };
-//!     Membership::new(Config::default(), local, u64::from(port), Duration::ZERO).unwrap()
+//!     Membership::new(Config::default(), local, u64::from(port), Instant::ORIGIN).unwrap()
 //! }
 //!
 //! let mut members = [member("left", 7001), member("right", 7002)];
 //! let mut outputs = Vec::new();
 //! let seeds = vec![members[0].local().address];
-//! members[1].handle(Duration::ZERO, Input::Join { seeds }, &mut outputs);
+//! members[1].handle(Instant::ORIGIN, Input::Join { seeds }, &mut outputs);
 //!
 //! let mut ups = 0;
 //! let mut from = 1;
@@ -55,7 +55,7 @@
 //!         match output {
 //!             Output::Send { bytes, .. } => {
 //!                 let input = Input::Datagram { from: source, bytes: &bytes };
-//!                 members[receiver].handle(Duration::ZERO, input, &mut answers);
+//!                 members[receiver].handle(Instant::ORIGIN, input, &mut answers);
 //!             }
 //!             Output::Event(Event::MemberUp(_)) => ups += 1,
 //!             Output::Event(event) => panic!("unexpected {event:?}"),
@@ -75,6 +75,7 @@
 mod deadlines;
 mod digest;
 mod events;
+mod group_contact;
 mod health;
 mod identity;
 mod member;
@@ -84,7 +85,10 @@
 mod relayed_probes;
 mod ring;
 mod round_trip;
+mod suspicions;
+mod sync_state;
 mod table;
+mod timers;
 mod wire;
 
 pub use config::{Config, ConfigError, MAX_DATAGRAM_BYTES, MIN_DATAGRAM_BYTES};
--- a/coordination/membership/src/member.rs
+++ b/coordination/membership/src/member.rs
@@ -9,17 +9,17 @@
 /// Longest metadata of a member in bytes, so that any record fits into one datagram.
 pub const MAX_METADATA_BYTES: usize = 256;
 
-/// Standing of a member. The order is the precedence among records of equal incarnation.
+/// Status of a member. The order is the precedence among records of equal incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum Status {
-    /// Answers probes, or has not been found silent yet.
+    /// Answers probes, or has not missed one yet.
     Alive,
     /// Did not answer a probe and has not refuted that yet.
     Suspect,
     /// Did not refute suspicion in time.
     Dead,
-    /// Said that it leaves.
+    /// Has left the group.
     Left,
 }
 
@@ -40,11 +40,11 @@
     pub address: SocketAddr,
     /// Zone that it runs in.
     pub zone: Zone,
-    /// Bytes of the embedding program's own meaning, at most [`MAX_METADATA_BYTES`].
+    /// Opaque bytes of the embedder, at most [`MAX_METADATA_BYTES`].
     pub metadata: Vec<u8>,
     /// Number of the record.
     pub incarnation: Incarnation,
-    /// Standing of the member.
+    /// Status of the member.
     pub status: Status,
 }
 
--- a/coordination/membership/src/membership/local.rs
+++ b/coordination/membership/src/membership/local.rs
@@ -1,36 +1,38 @@
-//! This process' own record: refutation, changes, leaving, and another process under the same name.
+//! The record of this process: refutation, changes, leaving, and another process under the same name.
 
+use super::Membership;
 use crate::events::{Event, Metadata, Output};
 use crate::identity::{Incarnation, ProcessStart};
 use crate::member::{Member, Status};
 use crate::wire::{Message, Record};
-use crate::Membership;
 
-/// Claims of a rival to the own name, each after an own claim, that show it to be running now.
-const RIVAL_CLAIMS: u32 = 3;
+/// So many claims of another process to the own name, each after an own claim, show that it is running now.
+const CLAIMS_OF_RUNNING_PROCESS: u32 = 3;
 
-/// Part that this process takes in the group.
+/// Whether this process takes part in the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Phase {
+pub(super) enum Phase {
+    /// It does.
     Active,
-    /// Tells the others that it leaves.
+    /// Disseminates that it leaves.
     Leaving,
+    /// It has left, or was superseded.
     Ended,
 }
 
 impl Membership {
-    pub(crate) fn on_record_of_own_name(&mut self, record: &Record, outputs: &mut Vec<Output>) {
+    pub(super) fn handle_record_of_own_name(&mut self, record: &Record, outputs: &mut Vec<Output>) {
         if self.phase != Phase::Active || record.incarnation < self.local().incarnation {
             return;
         }
-        if record.id == self.me {
-            self.on_own_record(record);
+        if record.id == self.local_id {
+            self.handle_own_record(record);
         } else {
-            self.on_rival_record(record, outputs);
+            self.handle_record_of_namesake(record, outputs);
         }
     }
 
-    fn on_own_record(&mut self, record: &Record) {
+    fn handle_own_record(&mut self, record: &Record) {
         let is_echo = record.status == Status::Alive && record.incarnation == self.local().incarnation;
         if is_echo {
             return;
@@ -42,9 +44,9 @@
     }
 
     /// An earlier process of this name that others remember, or one that runs at the same time.
-    fn on_rival_record(&mut self, record: &Record, outputs: &mut Vec<Output>) {
-        let claims = self.rivals.count_claim(record);
-        if claims >= RIVAL_CLAIMS && record.id.start > self.me.start {
+    fn handle_record_of_namesake(&mut self, record: &Record, outputs: &mut Vec<Output>) {
+        let claims = self.name_claims.count_claim(record);
+        if claims >= CLAIMS_OF_RUNNING_PROCESS && record.id.start > self.local_id.start {
             self.phase = Phase::Ended;
             outputs.push(Output::Event(Event::Superseded { by: record.id.start }));
             return;
@@ -59,7 +61,7 @@
         self.put_local(Member { incarnation, ..local });
     }
 
-    pub(crate) fn update_metadata(&mut self, metadata: Metadata) {
+    pub(super) fn update_metadata(&mut self, metadata: Metadata) {
         if self.phase != Phase::Active {
             return;
         }
@@ -68,8 +70,8 @@
         self.put_local(Member { incarnation, metadata: metadata.into_bytes(), ..local });
     }
 
-    /// Tells as many members at once as the record may be sent times; rounds of gossip tell the rest.
-    pub(crate) fn leave(&mut self, outputs: &mut Vec<Output>) {
+    /// Sends the record to as many members at once as its transmissions allow; gossip reaches the rest.
+    pub(super) fn leave(&mut self, outputs: &mut Vec<Output>) {
         if self.phase != Phase::Active {
             return;
         }
@@ -78,30 +80,30 @@
         let incarnation = local.incarnation.next();
         self.put_local(Member { incarnation, status: Status::Left, ..local });
         let count = usize::try_from(self.transmission_limit()).unwrap_or(usize::MAX);
-        let told_at_once = count.saturating_sub(self.config.gossip_fanout * 2);
-        for name in self.order.sample(told_at_once, None, &mut self.random) {
+        let notified_at_once = count.saturating_sub(self.config.gossip_fanout * 2);
+        for name in self.probe_order.sample(notified_at_once, None, &mut self.random) {
             self.send_to_member(&name, Message::Gossip, outputs);
         }
     }
 
     fn put_local(&mut self, member: Member) {
         self.table.put(member);
-        self.broadcast(self.me.name.clone());
+        self.broadcast(self.local_id.name.clone());
     }
 }
 
-/// Claims of one other process to the own name.
+/// Claims of another process to the own name.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Rivals {
-    current: Option<ProcessStart>,
+pub(super) struct NameClaims {
+    claimant: Option<ProcessStart>,
     claims: u32,
 }
 
-impl Rivals {
+impl NameClaims {
     /// Counts a record that is later than the own one; only a running process can make several.
     fn count_claim(&mut self, record: &Record) -> u32 {
-        if self.current != Some(record.id.start) {
-            self.current = Some(record.id.start);
+        if self.claimant != Some(record.id.start) {
+            self.claimant = Some(record.id.start);
             self.claims = 0;
         }
         if record.status == Status::Alive {
--- a/coordination/membership/src/membership/merge.rs
+++ b/coordination/membership/src/membership/merge.rs
@@ -1,21 +1,21 @@
-//! What a record from another member changes.
+//! Merging records from other members into the table.
 
 use std::net::SocketAddr;
 
+use super::Membership;
 use crate::events::{Event, Output};
 use crate::identity::MemberName;
 use crate::member::{Member, Status, Version};
 use crate::wire::{Details, Record};
-use crate::Membership;
 
-/// How a record came here.
+/// Where a record came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
+pub(super) enum Source {
     /// From the process that it is about.
     Subject { from: SocketAddr },
-    /// Told on by another member as news.
+    /// Disseminated by another member.
     Gossip,
-    /// Out of another member's list.
+    /// From another member's list.
     Sync,
 }
 
@@ -36,14 +36,14 @@
 }
 
 impl Membership {
-    pub(crate) fn merge(&mut self, record: Record, source: Source, outputs: &mut Vec<Output>) {
+    pub(super) fn merge(&mut self, record: Record, source: Source, outputs: &mut Vec<Output>) {
         let name = record.id.name.clone();
-        if name == self.me.name {
-            self.on_record_of_own_name(&record, outputs);
+        if name == self.local_id.name {
+            self.handle_record_of_own_name(&record, outputs);
             return;
         }
         let before = self.table.get(&name).map(Member::rank);
-        if before.is_some_and(|held| record.rank() <= held) {
+        if before.is_some_and(|known| record.rank() <= known) {
             return;
         }
         match record.status {
@@ -64,7 +64,7 @@
         let name = member.name().clone();
         match self.table.get(&name).cloned() {
             None => self.add(member.clone(), outputs),
-            Some(held) if version > held.version() => self.replace(&held, member.clone(), outputs),
+            Some(known) if version > known.version() => self.replace(&known, member.clone(), outputs),
             Some(_) => return,
         }
         if source == (Source::Subject { from: member.address }) {
@@ -77,40 +77,40 @@
             return;
         }
         self.table.put(member.clone());
-        self.order.insert(member.name().clone(), &mut self.random);
+        self.probe_order.insert(member.name().clone(), &mut self.random);
         outputs.push(Output::Event(Event::MemberUp(member)));
     }
 
     /// Replaces a record by a later one of a live process.
-    fn replace(&mut self, held: &Member, member: Member, outputs: &mut Vec<Output>) {
+    fn replace(&mut self, known: &Member, member: Member, outputs: &mut Vec<Output>) {
         let name = member.name().clone();
         self.suspicions.clear(&name);
-        self.forget.clear(&name);
-        self.order.insert(name.clone(), &mut self.random);
+        self.removals.clear(&name);
+        self.probe_order.insert(name.clone(), &mut self.random);
         self.table.put(member.clone());
-        if held.is_live() && held.id != member.id {
-            self.probes.drop_target(&name);
-            let down = Member { status: Status::Dead, ..held.clone() };
+        if known.is_live() && known.id != member.id {
+            self.probes.remove_target(&name);
+            let down = Member { status: Status::Dead, ..known.clone() };
             outputs.push(Output::Event(Event::MemberDown(down)));
         }
-        if !held.is_live() || held.id != member.id {
+        if !known.is_live() || known.id != member.id {
             outputs.push(Output::Event(Event::MemberUp(member)));
             return;
         }
-        if held.status == Status::Suspect {
+        if known.status == Status::Suspect {
             outputs.push(Output::Event(Event::MemberRefuted(member.clone())));
         }
-        if !held.has_details_of(&member) {
+        if !known.has_details_of(&member) {
             outputs.push(Output::Event(Event::MemberUpdated(member)));
         }
     }
 
-    /// A process that was heard at an address ends every other that was said to be there.
+    /// A process that answers at an address replaces every other that was recorded there.
     fn take_over_address(&mut self, member: &Member, outputs: &mut Vec<Output>) {
         let others: Vec<MemberName> = self
             .table
             .live_at(member.address)
-            .filter(|other| other.name() != member.name() && other.id != self.me)
+            .filter(|other| other.name() != member.name() && other.id != self.local_id)
             .map(|other| other.name().clone())
             .collect();
         for name in others {
@@ -120,41 +120,41 @@
 
     fn merge_suspect(&mut self, record: Record, outputs: &mut Vec<Output>) {
         let name = record.id.name.clone();
-        let is_of_held = self.table.get(&name).is_some_and(|held| held.version() == record.version());
-        if is_of_held {
+        let is_of_known = self.table.get(&name).is_some_and(|known| known.version() == record.version());
+        if is_of_known {
             self.suspect(&name, outputs);
         } else if record.details.is_some() {
-            // A later record is taken over first; one without details will come by an exchange of lists.
+            // A later record is adopted first; one without details will come by an exchange of lists.
             self.merge_alive(Record { status: Status::Alive, ..record }, Source::Gossip, outputs);
             self.suspect(&name, outputs);
         }
     }
 
-    /// Death is believed of a member under suspicion. Of another it is only a reason to probe it, so that one process
-    /// with a bad connection cannot end others that answer.
+    /// A suspect is declared dead. Any other member is only probed, so that one process with a bad connection cannot have
+    /// others removed that answer.
     fn merge_dead(&mut self, record: &Record, outputs: &mut Vec<Output>) {
-        let Some(held) = self.table.get(&record.id.name).cloned() else { return };
-        match held.status {
-            Status::Alive => self.verify_name(held.name(), outputs),
-            Status::Suspect => self.end(held, record, outputs),
-            Status::Dead | Status::Left => self.put_gone(held, record),
+        let Some(known) = self.table.get(&record.id.name).cloned() else { return };
+        match known.status {
+            Status::Alive => self.probe_out_of_turn(known.name(), outputs),
+            Status::Suspect => self.remove_live(known, record, outputs),
+            Status::Dead | Status::Left => self.put_gone(known, record),
         }
     }
 
     fn merge_left(&mut self, record: &Record, outputs: &mut Vec<Output>) {
-        let Some(held) = self.table.get(&record.id.name).cloned() else { return };
-        if held.is_live() {
-            self.end(held, record, outputs);
+        let Some(known) = self.table.get(&record.id.name).cloned() else { return };
+        if known.is_live() {
+            self.remove_live(known, record, outputs);
         } else {
-            self.put_gone(held, record);
+            self.put_gone(known, record);
         }
     }
 
-    /// Ends the live process that was held; the record may be about a later one under the same name.
-    fn end(&mut self, held: Member, record: &Record, outputs: &mut Vec<Output>) {
-        let gone = Member { status: record.status, ..held };
+    /// Removes the live process that was known; the record may be about a later one under the same name.
+    fn remove_live(&mut self, known: Member, record: &Record, outputs: &mut Vec<Output>) {
+        let gone = Member { status: record.status, ..known };
         self.put_gone(gone.clone(), record);
-        self.retire(&record.id.name);
+        self.remove_from_group(&record.id.name);
         let event = match record.status {
             Status::Left => Event::MemberLeft(gone),
             _ => Event::MemberDown(gone),
@@ -162,9 +162,9 @@
         outputs.push(Output::Event(event));
     }
 
-    /// Keeps the later of two records of a member that is gone in both.
-    fn put_gone(&mut self, held: Member, record: &Record) {
+    /// Stores the later of two records of a member that is gone in both.
+    fn put_gone(&mut self, known: Member, record: &Record) {
         let Record { id, incarnation, status, .. } = record.clone();
-        self.table.put(Member { id, incarnation, status, ..held });
+        self.table.put(Member { id, incarnation, status, ..known });
     }
 }
--- a/coordination/membership/src/membership/receive.rs
+++ b/coordination/membership/src/membership/receive.rs
@@ -1,28 +1,28 @@
-//! Datagrams as they come in.
+//! Handling of received datagrams.
 
 use std::net::SocketAddr;
 
+use super::local::Phase;
+use super::merge::Source;
+use super::Membership;
 use crate::events::{Event, Output};
-use crate::membership::local::Phase;
-use crate::membership::merge::Source;
 use crate::wire::{Message, Packet};
-use crate::Membership;
 
 impl Membership {
-    pub(crate) fn on_datagram(&mut self, from: SocketAddr, bytes: &[u8], outputs: &mut Vec<Output>) {
+    pub(super) fn handle_datagram(&mut self, from: SocketAddr, bytes: &[u8], outputs: &mut Vec<Output>) {
         if self.phase == Phase::Ended {
             return;
         }
-        // What cannot be decoded is noise on an open port: there is nobody to tell.
+        // Datagrams that cannot be decoded are noise on an open port, and are dropped without an answer.
         let Ok(packet) = Packet::decode(bytes) else { return };
-        if packet.group != self.config.group || packet.sender == self.me {
+        if packet.group != self.config.group || packet.sender == self.local_id {
             return;
         }
-        self.note_contact(outputs);
-        self.on_packet(from, packet, outputs);
+        self.record_contact(outputs);
+        self.handle_packet(from, packet, outputs);
     }
 
-    fn on_packet(&mut self, from: SocketAddr, packet: Packet, outputs: &mut Vec<Output>) {
+    fn handle_packet(&mut self, from: SocketAddr, packet: Packet, outputs: &mut Vec<Output>) {
         let Packet { sender, digest, message, records, .. } = packet;
         let is_sync = matches!(message, Message::SyncRecords { .. });
         for record in records {
@@ -35,34 +35,32 @@
             };
             self.merge(record, source, outputs);
         }
-        self.note_digest(from, digest, outputs);
+        self.compare_digests(from, digest, outputs);
         match message {
             Message::Ping { sequence, target } => {
-                self.on_ping(from, &sender.name, sequence, &target, outputs);
+                self.handle_ping(from, &sender.name, sequence, &target, outputs);
             }
-            Message::Ack { sequence } => self.on_ack(&sender, sequence, outputs),
-            Message::WrongTarget { sequence } => self.on_wrong_target(sequence, outputs),
+            Message::Ack { sequence } => self.handle_ack(&sender, sequence, outputs),
+            Message::WrongTarget { sequence } => self.handle_wrong_target(sequence, outputs),
             Message::IndirectPing { sequence, target, address } => {
-                self.on_indirect_ping(from, sequence, target, address.into(), outputs);
+                self.handle_indirect_ping(from, sequence, target, address.into(), outputs);
             }
             Message::SyncRequest { answer, digests } => {
-                self.on_sync_request(from, &sender.name, answer, &digests, outputs);
+                self.handle_sync_request(from, &sender.name, answer, &digests, outputs);
             }
-            Message::SyncRecords { more } => self.on_sync_records(from, more),
-            // Both are heard for what they carry, and as a sign that this process can be reached.
+            Message::SyncRecords { more } => self.handle_sync_records(from, more),
+            // Both only carry records, and show that this process can be reached.
             Message::Nack { .. } | Message::Gossip => {}
         }
     }
 
-    fn note_contact(&mut self, outputs: &mut Vec<Output>) {
-        self.contact.last = Some(self.now());
-        self.contact.last_steady = Some(self.clock.steady(self.now()));
-        if self.contact.silent_probes > 0 {
-            self.contact.silent_probes = 0;
+    fn record_contact(&mut self, outputs: &mut Vec<Output>) {
+        let now = self.now();
+        let heard = self.contact.handle_datagram(now, self.clock.steady(now));
+        if heard.ends_silence {
             self.probes.excuse_all();
         }
-        if self.contact.lost {
-            self.contact.lost = false;
+        if heard.is_contact_restored {
             outputs.push(Output::Event(Event::ContactRestored));
         }
     }
--- a/coordination/membership/src/probe_order.rs
+++ b/coordination/membership/src/probe_order.rs
@@ -7,8 +7,8 @@
 use crate::identity::MemberName;
 use crate::ring::Ring;
 
-/// Every second probe goes to the member watched on the ring, so that no death waits long for chance; the others go
-/// round robin, in an order that is shuffled after each round, so that each member is watched by all.
+/// Every second probe goes to the member watched on the ring, which bounds the time until a failure is detected; the
+/// others go round robin (SWIM, section 4.3), in an order that is shuffled after each pass.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeOrder {
     names: Vec<MemberName>,
@@ -52,10 +52,10 @@
         if self.is_ring_next {
             return self.ring.watched().cloned();
         }
-        self.advance_round(random)
+        self.advance_round_robin(random)
     }
 
-    fn advance_round(&mut self, random: &mut Rng) -> Option<MemberName> {
+    fn advance_round_robin(&mut self, random: &mut Rng) -> Option<MemberName> {
         if self.cursor >= self.names.len() {
             random.shuffle(&mut self.names);
             self.cursor = 0;
--- a/coordination/membership/src/probes.rs
+++ b/coordination/membership/src/probes.rs
@@ -1,47 +1,51 @@
-//! Probes under way.
+//! Probes in flight.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::time::Duration;
+
+use millrudder_clock::Instant;
 
 use crate::identity::{MemberId, MemberName};
 use crate::wire::Sequence;
 
-/// Probes at the same time: the one of the period and those that verify what others said.
+/// Probes in flight at once: that of the period, and those that verify what others said.
 const MAX_OPEN: usize = 4;
 
-/// Probes remembered after their end, so that a late answer is recognized.
-const MAX_ENDED: usize = 16;
+/// Probes remembered after they expired, so that a late answer is recognized.
+const MAX_EXPIRED: usize = 16;
 
-/// A ping whose answer is awaited.
+/// A ping that has no answer yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
     pub target: MemberId,
-    pub sent_at: Duration,
-    /// When others were asked, or the target where they have not been.
-    pub asked_at: Duration,
-    /// When others are asked; nothing once they have been.
-    pub indirect_at: Option<Duration>,
-    pub ends_at: Duration,
+    pub sent_at: Instant,
+    /// When pings were sent last, directly or through others.
+    pub last_sent_at: Instant,
+    /// When the target is to be probed through others; none once it has been.
+    pub indirect_at: Option<Instant>,
+    pub ends_at: Instant,
     /// Whether others were asked to probe the target.
-    pub has_helpers: bool,
-    /// Set when this process itself may be why no answer came.
+    pub has_relays: bool,
+    /// Whether a missing answer may be the fault of this process itself.
     pub excused: bool,
 }
 
-/// What is due of the probes.
+/// What is due for a probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum DueProbe {
-    AskOthers(Sequence),
-    End(Sequence),
+    /// The target is to be probed through others.
+    Indirect(Sequence),
+    /// No answer came in time.
+    Expire(Sequence),
 }
 
+/// The probes in flight, and what is known of others.
 #[derive(Clone, Debug)]
 pub(crate) struct Probes {
     open: BTreeMap<Sequence, Probe>,
-    /// Members to be probed outside of the round as soon as fewer probes are open.
-    waiting: BTreeSet<MemberName>,
-    /// Probes that ended without an answer, the latest last.
-    ended: VecDeque<(Sequence, MemberId)>,
+    /// Members to be probed out of turn as soon as fewer probes are in flight.
+    queued: BTreeSet<MemberName>,
+    /// Probes that expired, the latest last.
+    expired: VecDeque<(Sequence, MemberId)>,
     next_sequence: u32,
 }
 
@@ -49,8 +53,8 @@
     pub const fn new(first_sequence: u32) -> Self {
         Self {
             open: BTreeMap::new(),
-            waiting: BTreeSet::new(),
-            ended: VecDeque::new(),
+            queued: BTreeSet::new(),
+            expired: VecDeque::new(),
             next_sequence: first_sequence,
         }
     }
@@ -62,7 +66,7 @@
     }
 
     pub fn open(&mut self, sequence: Sequence, probe: Probe) {
-        self.waiting.remove(&probe.target.name);
+        self.queued.remove(&probe.target.name);
         self.open.insert(sequence, probe);
     }
 
@@ -74,42 +78,42 @@
         self.open.remove(&sequence)
     }
 
-    /// Takes out a probe that got no answer in time.
-    pub fn end(&mut self, sequence: Sequence) -> Option<Probe> {
+    /// Removes a probe that got no answer in time.
+    pub fn expire(&mut self, sequence: Sequence) -> Option<Probe> {
         let probe = self.open.remove(&sequence)?;
-        if self.ended.len() == MAX_ENDED {
-            self.ended.pop_front();
+        if self.expired.len() == MAX_EXPIRED {
+            self.expired.pop_front();
         }
-        self.ended.push_back((sequence, probe.target.clone()));
+        self.expired.push_back((sequence, probe.target.clone()));
         Some(probe)
     }
 
-    /// The target of a probe that had ended before its answer came.
-    pub fn take_ended(&mut self, sequence: Sequence) -> Option<MemberId> {
-        let position = self.ended.iter().position(|(ended, _)| *ended == sequence)?;
-        self.ended.remove(position).map(|(_, target)| target)
+    /// The target of an expired probe whose answer came late.
+    pub fn take_expired(&mut self, sequence: Sequence) -> Option<MemberId> {
+        let position = self.expired.iter().position(|(expired, _)| *expired == sequence)?;
+        self.expired.remove(position).map(|(_, target)| target)
     }
 
-    /// Ends what is under way against a member that is gone.
-    pub fn drop_target(&mut self, name: &MemberName) {
+    /// Removes the probes of a member that is gone.
+    pub fn remove_target(&mut self, name: &MemberName) {
         self.open.retain(|_, probe| probe.target.name != *name);
-        self.waiting.remove(name);
+        self.queued.remove(name);
     }
 
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.open.len() < MAX_OPEN
     }
 
-    pub fn probes(&self, name: &MemberName) -> bool {
+    pub fn is_probing(&self, name: &MemberName) -> bool {
         self.open.values().any(|probe| probe.target.name == *name)
     }
 
-    pub fn wait(&mut self, name: MemberName) {
-        self.waiting.insert(name);
+    pub fn enqueue(&mut self, name: MemberName) {
+        self.queued.insert(name);
     }
 
-    pub fn take_waiting(&mut self) -> Option<MemberName> {
-        self.waiting.pop_first()
+    pub fn pop_queued(&mut self) -> Option<MemberName> {
+        self.queued.pop_first()
     }
 
     pub fn excuse_all(&mut self) {
@@ -118,25 +122,25 @@
         }
     }
 
-    pub fn next_deadline(&self) -> Option<Duration> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         self.open.values().map(Probe::next_deadline).min()
     }
 
-    pub fn due(&self, now: Duration) -> Option<DueProbe> {
+    pub fn due(&self, now: Instant) -> Option<DueProbe> {
         self.open.iter().find_map(|(sequence, probe)| probe.due(*sequence, now))
     }
 }
 
 impl Probe {
-    fn next_deadline(&self) -> Duration {
+    fn next_deadline(&self) -> Instant {
         self.indirect_at.map_or(self.ends_at, |indirect_at| indirect_at.min(self.ends_at))
     }
 
-    fn due(&self, sequence: Sequence, now: Duration) -> Option<DueProbe> {
+    fn due(&self, sequence: Sequence, now: Instant) -> Option<DueProbe> {
         if self.ends_at <= now {
-            return Some(DueProbe::End(sequence));
+            return Some(DueProbe::Expire(sequence));
         }
-        let asks = self.indirect_at.is_some_and(|indirect_at| indirect_at <= now);
-        asks.then_some(DueProbe::AskOthers(sequence))
+        let is_indirect_due = self.indirect_at.is_some_and(|indirect_at| indirect_at <= now);
+        is_indirect_due.then_some(DueProbe::Indirect(sequence))
     }
 }
--- a/coordination/membership/src/relayed_probes.rs
+++ b/coordination/membership/src/relayed_probes.rs
@@ -1,51 +1,52 @@
-//! Pings sent for other members.
+//! Probes relayed for other members (indirect probes of SWIM).
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use std::time::Duration;
+
+use millrudder_clock::Instant;
 
 use crate::wire::Sequence;
 
-/// Pings for others that are remembered; what is older has been answered or will not be.
-const MAX_OPEN: usize = 64;
+/// Relayed probes that are remembered; older ones have been answered or will not be.
+const MAX_IN_FLIGHT: usize = 64;
 
 /// A ping on behalf of another member.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Relay {
+pub(crate) struct RelayedProbe {
     pub requester: SocketAddr,
     pub requested: Sequence,
-    /// When the requester is told that there is no answer yet; nothing once it has been.
-    pub nack_at: Option<Duration>,
+    /// When the requester is notified that there is no answer yet; none once it has been.
+    pub nack_at: Option<Instant>,
 }
 
-/// Pings for others by the sequence number of the own ping, the latest last.
+/// Relayed probes by the sequence number of the own ping, the latest last.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Relays {
-    open: VecDeque<(Sequence, Relay)>,
+pub(crate) struct RelayedProbes {
+    open: VecDeque<(Sequence, RelayedProbe)>,
 }
 
-impl Relays {
-    pub fn open(&mut self, sequence: Sequence, relay: Relay) {
-        if self.open.len() == MAX_OPEN {
+impl RelayedProbes {
+    pub fn open(&mut self, sequence: Sequence, probe: RelayedProbe) {
+        if self.open.len() == MAX_IN_FLIGHT {
             self.open.pop_front();
         }
-        self.open.push_back((sequence, relay));
+        self.open.push_back((sequence, probe));
     }
 
-    pub fn close(&mut self, sequence: Sequence) -> Option<Relay> {
+    pub fn close(&mut self, sequence: Sequence) -> Option<RelayedProbe> {
         let position = self.open.iter().position(|(open, _)| *open == sequence)?;
-        self.open.remove(position).map(|(_, relay)| relay)
+        self.open.remove(position).map(|(_, probe)| probe)
     }
 
-    pub fn next_deadline(&self) -> Option<Duration> {
-        self.open.iter().filter_map(|(_, relay)| relay.nack_at).min()
+    pub fn next_deadline(&self) -> Option<Instant> {
+        self.open.iter().filter_map(|(_, probe)| probe.nack_at).min()
     }
 
-    /// A ping that is to be reported as unanswered; it may be answered still.
-    pub fn take_unanswered(&mut self, now: Duration) -> Option<Relay> {
-        let relays = self.open.iter_mut().map(|(_, relay)| relay);
-        let relay = relays.into_iter().find(|relay| relay.nack_at.is_some_and(|due| due <= now))?;
-        relay.nack_at = None;
-        Some(*relay)
+    /// A probe that is to be reported as unanswered; it may be answered still.
+    pub fn take_unanswered(&mut self, now: Instant) -> Option<RelayedProbe> {
+        let probes = self.open.iter_mut().map(|(_, probe)| probe);
+        let probe = probes.into_iter().find(|probe| probe.nack_at.is_some_and(|due| due <= now))?;
+        probe.nack_at = None;
+        Some(*probe)
     }
 }
--- a/coordination/membership/src/ring.rs
+++ b/coordination/membership/src/ring.rs
@@ -1,4 +1,4 @@
-//! A ring of the live members, in which each has one that watches it.
+//! A ring of the live members, on which each is watched by its predecessor.
 
 use std::collections::BTreeSet;
 
@@ -6,28 +6,28 @@
 
 use crate::identity::MemberName;
 
-/// Place on the ring: by hash, so that neighbours are seldom lost together, as members with like names may be.
-type Place = (u64, MemberName);
+/// Position on the ring: by hash, since members with similar names may fail together and should not be neighbours.
+type RingPosition = (u64, MemberName);
 
 /// The other live members in the order of the ring, which is the same in all members whose lists agree.
 #[derive(Clone, Debug)]
 pub(crate) struct Ring {
-    own: Place,
-    others: BTreeSet<Place>,
+    own: RingPosition,
+    others: BTreeSet<RingPosition>,
 }
 
 impl Ring {
     pub fn new(own: MemberName) -> Self {
-        Self { own: place_of(own), others: BTreeSet::new() }
+        Self { own: position_of(own), others: BTreeSet::new() }
     }
 
     /// Adds a member; tells whether it is new.
     pub fn insert(&mut self, name: MemberName) -> bool {
-        self.others.insert(place_of(name))
+        self.others.insert(position_of(name))
     }
 
     pub fn remove(&mut self, name: &MemberName) {
-        self.others.remove(&place_of(name.clone()));
+        self.others.remove(&position_of(name.clone()));
     }
 
     /// The member that this one watches: the next on the ring.
@@ -37,6 +37,6 @@
     }
 }
 
-fn place_of(name: MemberName) -> Place {
+fn position_of(name: MemberName) -> RingPosition {
     (xxh3_64(name.as_str().as_bytes()), name)
 }
--- a/coordination/membership/src/round_trip.rs
+++ b/coordination/membership/src/round_trip.rs
@@ -1,8 +1,8 @@
-//! Round-trip times to one member and the wait that follows from them.
+//! Round-trip times to one member, and the time-out that follows from them.
 
 use std::time::Duration;
 
-/// Smoothed round trip and its deviation, with the gains of RFC 6298.
+/// Smoothed round-trip time and its deviation, with the gains of RFC 6298.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RoundTrip {
     estimate: Option<Estimate>,
@@ -15,6 +15,7 @@
 }
 
 impl RoundTrip {
+    /// Adds a measured round-trip time.
     pub fn record(&mut self, sample: Duration) {
         let estimate = match self.estimate {
             None => Estimate { smoothed: sample, deviation: sample / 2 },
@@ -26,7 +27,7 @@
         self.estimate = Some(estimate);
     }
 
-    /// Wait after which an answer counts as missing; nothing while no round trip was measured.
+    /// Time after which an answer counts as missing; none while no round trip was measured.
     pub fn timeout(&self) -> Option<Duration> {
         self.estimate.map(|estimate| estimate.smoothed + estimate.deviation * 4)
     }
--- a/coordination/membership/src/table.rs
+++ b/coordination/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The list of members, with the digest that follows its changes.
+//! The table of members, with a digest that is updated with each change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/coordination/membership/src/wire.rs
+++ b/coordination/membership/src/wire.rs
@@ -13,7 +13,7 @@
 /// First bytes of every datagram: two letters and the version of the format.
 const MAGIC: [u8; 3] = [b'm', b'b', 1];
 
-/// Bytes of the checksum that ends a datagram; it tells garbage and cut datagrams from whole ones.
+/// Bytes of the checksum at the end of a datagram, which reveals garbage and truncation.
 const CHECKSUM_BYTES: usize = 4;
 
 /// Datagrams above this size are not decoded; nothing that follows the format is longer.
@@ -45,7 +45,7 @@
     }
 }
 
-/// What is told about a member that is alive.
+/// Details of a member that is alive.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub(crate) struct Details {
     pub address: Endpoint,
@@ -54,7 +54,7 @@
     pub metadata: Vec<u8>,
 }
 
-/// What is told about any member. Records of dead and left members, and of suspicion, travel without details.
+/// The record of a member. Records of dead and left members, and of suspicion, are sent without details.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub(crate) struct Record {
     pub id: MemberId,
@@ -65,7 +65,7 @@
 
 impl Record {
     /// The record as gossip carries it: with details only where they may be new.
-    pub fn news(member: &Member) -> Self {
+    pub fn update(member: &Member) -> Self {
         let details = (member.status == Status::Alive).then(|| details_of(member));
         Self { id: member.id.clone(), incarnation: member.incarnation, status: member.status, details }
     }
@@ -130,7 +130,7 @@
 pub(crate) struct Packet {
     pub group: GroupId,
     pub sender: MemberId,
-    /// Digest of the sender's whole list.
+    /// Digest of the sender's entire list.
     pub digest: u64,
     pub message: Message,
     #[speedy(length_type = u8)]
@@ -146,7 +146,7 @@
     /// It does not begin as datagrams of this protocol and version do.
     #[error("the datagram is of another protocol or version")]
     OtherProtocol,
-    /// It was cut or changed on its way.
+    /// It was truncated or corrupted.
     #[error("the checksum does not match")]
     Checksum,
     /// Its checksum matches, but its content cannot be read.
@@ -184,11 +184,11 @@
     }
 
     /// Whether one more record may be added, apart from its size.
-    pub fn has_room_for_record(&self) -> bool {
+    pub fn has_capacity_for_record(&self) -> bool {
         self.records.len() < MAX_RECORDS
     }
 
-    /// Reads a datagram that may hold anything.
+    /// Decodes a datagram, which may contain anything.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let content = checked_content(bytes)?;
         let packet = Self::read_from_buffer(content).map_err(|_| DecodeError::Content)?;
--- a/coordination/membership/tests/config.rs
+++ b/coordination/membership/tests/config.rs
@@ -4,14 +4,15 @@
 
 use std::time::Duration;
 
+use millrudder_clock::Instant;
 use millrudder_membership::{
     Config, ConfigError, MemberName, Membership, Metadata, NameError, Zone, MAX_METADATA_BYTES,
     MAX_NAME_BYTES,
 };
 use support::{address, local, millis, secs};
 
-/// Makes one setting unusable.
-type Spoiler = fn(&mut Config);
+/// Makes one setting invalid.
+type Invalidate = fn(&mut Config);
 
 #[test]
 fn the_default_is_valid() {
@@ -19,8 +20,8 @@
 }
 
 #[test]
-fn times_and_numbers_of_zero_are_refused_by_name() {
-    let spoilers: [(&str, Spoiler); 12] = [
+fn zero_durations_and_numbers_are_rejected_by_name() {
+    let invalid_settings: [(&str, Invalidate); 12] = [
         ("probe_period", |config| config.probe_period = Duration::ZERO),
         ("probe_timeout", |config| config.probe_timeout = Duration::ZERO),
         ("min_probe_timeout", |config| config.min_probe_timeout = Duration::ZERO),
@@ -34,15 +35,15 @@
         ("retransmit_multiplier", |config| config.retransmit_multiplier = 0),
         ("max_members", |config| config.max_members = 0),
     ];
-    for (setting, spoil) in spoilers {
+    for (setting, invalidate) in invalid_settings {
         let mut config = Config::default();
-        spoil(&mut config);
+        invalidate(&mut config);
         assert_eq!(config.validate(), Err(ConfigError::Zero { setting }));
     }
 }
 
 #[test]
-fn times_must_fit_each_other() {
+fn inconsistent_durations_are_rejected() {
     let config = Config { probe_timeout: millis(500), ..Config::default() };
     let expected = ConfigError::NotLess { shorter: "probe_timeout", longer: "probe_period" };
     assert_eq!(config.validate(), Err(expected));
@@ -63,10 +64,10 @@
 fn the_local_member_is_checked() {
     let mut long = local(0, 1, address(0));
     long.metadata = vec![0; MAX_METADATA_BYTES + 1];
-    let refused = Membership::new(Config::default(), long, 1, Duration::ZERO).err();
+    let refused = Membership::new(Config::default(), long, 1, Instant::ORIGIN).err();
     assert_eq!(refused, Some(ConfigError::MetadataTooLong { length: MAX_METADATA_BYTES + 1 }));
     let late = local(0, u64::MAX, address(0));
-    let refused = Membership::new(Config::default(), late, 1, Duration::ZERO).err();
+    let refused = Membership::new(Config::default(), late, 1, Instant::ORIGIN).err();
     assert_eq!(refused, Some(ConfigError::StartTooLarge { start: u64::MAX }));
     let refused = Metadata::new(vec![0; MAX_METADATA_BYTES + 1]).err();
     assert_eq!(refused, Some(ConfigError::MetadataTooLong { length: MAX_METADATA_BYTES + 1 }));
--- a/coordination/membership/tests/cost.rs
+++ b/coordination/membership/tests/cost.rs
@@ -13,7 +13,7 @@
 
 fn quiet_cost(simulation: &mut Simulation) -> Cost {
     let measured = secs(10);
-    simulation.forget_observations();
+    simulation.clear_observations();
     simulation.run_for(measured);
     assert_eq!(simulation.downs(), 0);
     let divisor = measured.as_secs_f64() * simulation.nodes.len() as f64;
@@ -24,7 +24,7 @@
 
 /// Bytes that any one member sends in the ten seconds after a crash.
 fn most_bytes_after_a_crash(simulation: &mut Simulation) -> u64 {
-    simulation.forget_observations();
+    simulation.clear_observations();
     simulation.crash(5);
     simulation.run_for(secs(10));
     simulation.assert_agreed();
@@ -34,7 +34,7 @@
 #[test]
 fn a_member_sends_the_same_in_groups_of_any_size() {
     for count in [12, 30, 100, 300] {
-        let mut simulation = Simulation::settled(count, Network::default(), 11);
+        let mut simulation = Simulation::converged(count, Network::default(), 11);
         let cost = quiet_cost(&mut simulation);
         let most = most_bytes_after_a_crash(&mut simulation);
         println!("{count} members: {cost:?}, after a crash at most {most} bytes in 10 s");
--- a/coordination/membership/tests/detection.rs
+++ b/coordination/membership/tests/detection.rs
@@ -1,4 +1,4 @@
-//! Deaths are found in time, and the living are not taken for dead.
+//! Failures are detected in time, and live members are not declared dead.
 
 mod support;
 
@@ -11,10 +11,10 @@
 }
 
 #[test]
-fn a_crash_is_found_by_all_in_time_in_a_group_of_twelve() {
+fn a_crash_is_detected_by_all_in_time_in_a_group_of_twelve() {
     let mut times = Vec::new();
     for seed in 0..40 {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.crash(7);
         times.push(simulation.run_until(secs(10), |simulation| simulation.all_hold(7, Status::Dead)));
         simulation.assert_agreed();
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn nobody_is_taken_for_dead_at_three_percent_loss() {
-    let mut simulation = Simulation::settled(12, lossy(), 1);
+fn nobody_is_declared_dead_at_three_percent_loss() {
+    let mut simulation = Simulation::converged(12, lossy(), 1);
     simulation.run_for(secs(1_800));
     println!("suspicions in 30 minutes: {}", simulation.suspicions());
     assert_eq!(simulation.downs(), 0);
--- a/coordination/membership/tests/faults.rs
+++ b/coordination/membership/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Freezes, slowness, cuts and loss: no false deaths where they can be avoided, and one list again afterwards.
+//! Pauses, slowness, partitions and loss: no false deaths where they can be avoided, and equal lists afterwards.
 
 mod support;
 
@@ -13,7 +13,7 @@
 fn lists_agree_again_after_changes_under_heavy_loss_and_reordering() {
     for seed in support::seeds() {
         let network = Network { loss: 0.15, jitter: millis(60), ..Network::default() };
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.network = network;
         simulation.crash(4);
         simulation.run_for(secs(1));
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn a_freeze_shorter_than_detection_ends_nobody() {
+fn a_pause_shorter_than_detection_causes_no_death() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
-        simulation.freeze(3);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
+        simulation.pause(3);
         simulation.run_for(millis(1_200));
-        simulation.thaw(3);
+        simulation.resume(3);
         simulation.run_for(secs(10));
         assert_eq!(simulation.downs(), 0, "seed {seed}");
         simulation.assert_agreed();
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn a_process_that_wakes_up_blames_nobody_and_comes_back_within_a_second() {
+fn a_resumed_process_suspects_nobody_and_is_back_within_a_second() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
-        simulation.freeze(3);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
+        simulation.pause(3);
         simulation.run_for(secs(8));
         assert!(simulation.all_hold(3, Status::Dead));
-        simulation.forget_observations();
-        simulation.thaw(3);
+        simulation.clear_observations();
+        simulation.resume(3);
         let back = simulation.run_until(secs(5), Simulation::is_agreed);
         assert!(back < millis(600), "seed {seed}: {back:?}");
         simulation.run_for(secs(10));
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn a_whole_group_that_was_frozen_keeps_everyone() {
+fn a_group_that_was_paused_as_a_whole_loses_nobody() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
-        (0..12).for_each(|index| simulation.freeze(index));
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
+        (0..12).for_each(|index| simulation.pause(index));
         simulation.run_for(secs(6));
         for index in 0..12 {
-            simulation.thaw(index);
+            simulation.resume(index);
             simulation.run_for(millis(40));
         }
         simulation.run_for(secs(10));
@@ -72,9 +72,9 @@
 }
 
 #[test]
-fn a_slowed_member_is_kept() {
+fn a_slow_member_stays_alive() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.slow(5, millis(180));
         simulation.run_for(secs(60));
         assert_eq!(simulation.downs(), 0, "seed {seed}");
@@ -84,13 +84,17 @@
 }
 
 #[test]
-fn a_very_slow_member_is_no_reason_to_end_another() {
+fn a_very_slow_member_declares_no_other_dead() {
     for lag in [300, 600, 900, 1_200, 1_800] {
         for seed in support::seeds().step_by(3) {
-            let mut simulation = Simulation::settled(12, Network::default(), seed);
+            let mut simulation = Simulation::converged(12, Network::default(), seed);
             simulation.slow(5, millis(lag));
             simulation.run_for(secs(60));
-            assert_eq!(simulation.downs_by(5), 0, "seed {seed}, lag {lag}: the slow member ended others");
+            assert_eq!(
+                simulation.downs_by(5),
+                0,
+                "seed {seed}, lag {lag}: the slow member declared others dead"
+            );
             assert_eq!(simulation.downs(), simulation.downs_of(5), "seed {seed}, lag {lag}");
             simulation.slow(5, millis(0));
             simulation.run_until(secs(15), Simulation::is_agreed);
@@ -99,11 +103,11 @@
 }
 
 #[test]
-fn a_cut_between_two_members_ends_nobody() {
+fn a_partition_between_two_members_causes_no_death() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, lossy(0.01), seed);
-        simulation.cut(2, 8);
-        simulation.cut_one_way(4, 6);
+        let mut simulation = Simulation::converged(12, lossy(0.01), seed);
+        simulation.partition(2, 8);
+        simulation.partition_one_way(4, 6);
         simulation.run_for(secs(60));
         assert_eq!(simulation.downs(), 0, "seed {seed}");
         simulation.assert_agreed();
@@ -111,17 +115,18 @@
 }
 
 #[test]
-fn a_member_that_hears_nothing_ends_itself_alone() {
+fn only_a_member_that_hears_nothing_is_declared_dead() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
-        (0..12).filter(|other| *other != 5).for_each(|other| simulation.cut_one_way(other, 5));
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
+        (0..12).filter(|other| *other != 5).for_each(|other| simulation.partition_one_way(other, 5));
         simulation.run_for(secs(30));
         let among_others =
             simulation.count(|seen| seen.by != 5 && matches!(seen.event, Event::MemberDown(_)));
-        assert_eq!(among_others, 11, "seed {seed}: the deaf member's opinion ended others");
+        assert_eq!(among_others, 11, "seed {seed}: the isolated member had others declared dead");
         assert!(simulation.all_hold(5, Status::Dead));
-        let rumours = simulation.suspicions() - simulation.suspicions_of(5) - simulation.suspicions_by(5);
-        assert_eq!(rumours, 0, "seed {seed}: the deaf member's suspicions were spread");
+        let other_suspicions =
+            simulation.suspicions() - simulation.suspicions_of(5) - simulation.suspicions_by(5);
+        assert_eq!(other_suspicions, 0, "seed {seed}: the isolated member's suspicions were disseminated");
         let lost = simulation.count(|seen| seen.by == 5 && seen.event == Event::ContactLost);
         assert_eq!(lost, 1, "seed {seed}");
         simulation.heal();
@@ -130,15 +135,15 @@
         assert_eq!(restored, 1, "seed {seed}");
         let among_others =
             simulation.count(|seen| seen.by != 5 && matches!(seen.event, Event::MemberDown(_)));
-        assert_eq!(among_others, 11, "seed {seed}: healing ended others");
+        assert_eq!(among_others, 11, "seed {seed}: healing had others declared dead");
     }
 }
 
 #[test]
-fn a_member_that_cannot_be_heard_ends_nobody_else() {
+fn only_a_member_that_cannot_be_heard_is_declared_dead() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
-        (0..12).filter(|other| *other != 5).for_each(|other| simulation.cut_one_way(5, other));
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
+        (0..12).filter(|other| *other != 5).for_each(|other| simulation.partition_one_way(5, other));
         simulation.run_for(secs(30));
         let among_others =
             simulation.count(|seen| seen.by != 5 && matches!(seen.event, Event::MemberDown(_)));
@@ -150,15 +155,15 @@
 }
 
 #[test]
-fn two_sides_of_a_cut_find_each_other_without_further_deaths() {
+fn two_sides_of_a_partition_reconnect_without_further_deaths() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, lossy(0.01), seed);
+        let mut simulation = Simulation::converged(12, lossy(0.01), seed);
         for left in 0..4 {
-            (4..12).for_each(|right| simulation.cut(left, right));
+            (4..12).for_each(|right| simulation.partition(left, right));
         }
         simulation.run_for(secs(30));
         assert_eq!(simulation.downs(), 4 * 8 * 2, "seed {seed}");
-        simulation.forget_observations();
+        simulation.clear_observations();
         simulation.heal();
         let healed = simulation.run_until(secs(20), Simulation::is_agreed);
         assert!(healed < secs(6), "seed {seed}: {healed:?}");
@@ -167,10 +172,10 @@
 }
 
 #[test]
-fn two_sides_find_each_other_through_the_seeds_when_the_dead_are_forgotten() {
-    let mut simulation = Simulation::settled(12, Network::default(), 3);
+fn two_sides_reconnect_through_the_seeds_when_the_dead_are_removed() {
+    let mut simulation = Simulation::converged(12, Network::default(), 3);
     for left in 0..2 {
-        (2..12).for_each(|right| simulation.cut(left, right));
+        (2..12).for_each(|right| simulation.partition(left, right));
     }
     simulation.run_for(secs(180));
     assert_eq!(simulation.status(0, 5), None);
@@ -180,9 +185,9 @@
 }
 
 #[test]
-fn most_members_gone_at_once_are_found() {
+fn the_failure_of_most_members_at_once_is_detected() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         (3..12).for_each(|index| simulation.crash(index));
         let found = simulation.run_until(secs(40), Simulation::is_agreed);
         assert!(found < secs(16), "seed {seed}: {found:?}");
@@ -190,9 +195,9 @@
 }
 
 #[test]
-fn the_last_member_finds_out_that_it_is_alone() {
+fn the_last_member_detects_that_it_is_alone() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(5, Network::default(), seed);
+        let mut simulation = Simulation::converged(5, Network::default(), seed);
         (1..5).for_each(|index| simulation.crash(index));
         simulation.run_until(secs(30), Simulation::is_agreed);
         assert_eq!(simulation.count(|seen| seen.event == Event::ContactLost), 1, "seed {seed}");
@@ -200,9 +205,9 @@
 }
 
 #[test]
-fn two_members_alone_find_each_others_end() {
+fn two_members_detect_each_others_failure() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(2, lossy(0.03), seed);
+        let mut simulation = Simulation::converged(2, lossy(0.03), seed);
         simulation.run_for(secs(300));
         assert_eq!(simulation.downs(), 0, "seed {seed}");
         simulation.crash(1);
--- a/coordination/membership/tests/identity.rs
+++ b/coordination/membership/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Restarts, clocks set back, addresses that change hands, and two processes under one name.
+//! Restarts, earlier clocks, reused addresses, and two processes under one name.
 
 mod support;
 
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn a_quick_restart_shows_as_the_end_of_one_process_and_the_start_of_another() {
+fn a_quick_restart_is_reported_as_one_process_down_and_another_up() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.crash(6);
         simulation.run_for(millis(300));
         simulation.restart(6, 2, address(6));
@@ -25,9 +25,9 @@
 }
 
 #[test]
-fn a_restart_with_the_clock_set_back_takes_the_name_again() {
+fn a_restart_with_an_earlier_clock_regains_the_name() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.crash(6);
         simulation.run_for(secs(1));
         simulation.restart(6, 9_000_000, address(6));
@@ -44,7 +44,7 @@
 #[test]
 fn a_restart_at_another_address_is_followed() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.crash(6);
         simulation.run_for(millis(500));
         simulation.restart(6, 2, address(77));
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn an_address_taken_by_another_member_ends_the_one_before() {
+fn a_member_at_the_address_of_another_replaces_it() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.crash(6);
         simulation.run_for(millis(200));
         simulation.restart(12, 1, address(6));
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn two_members_that_swap_addresses_are_both_kept() {
+fn two_members_that_swap_addresses_both_stay_alive() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.crash(6);
         simulation.crash(7);
         simulation.run_for(millis(500));
@@ -81,15 +81,15 @@
 }
 
 #[test]
-fn of_two_processes_under_one_name_the_earlier_gives_way() {
+fn the_earlier_of_two_processes_under_one_name_is_superseded() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(5, Network::default(), seed);
+        let mut simulation = Simulation::converged(5, Network::default(), seed);
         simulation.start(5, 7, address(5));
         // The same name as the member 4, but a later process at another address.
-        let rival = support::local(4, 2, address(5));
+        let namesake = support::local(4, 2, address(5));
         simulation.nodes[5].membership = millrudder_membership::Membership::new(
             millrudder_membership::Config::default(),
-            rival,
+            namesake,
             seed,
             simulation.now,
         )
@@ -107,9 +107,9 @@
 }
 
 #[test]
-fn changed_metadata_is_told() {
+fn changed_metadata_is_disseminated() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         let metadata = Metadata::new(vec![9; 100]).expect("a permitted length");
         simulation.input(3, Input::UpdateMetadata(metadata));
         simulation.run_until(secs(3), Simulation::is_agreed);
@@ -121,14 +121,14 @@
 }
 
 #[test]
-fn a_sign_of_trouble_leads_to_a_probe_at_once() {
-    let mut simulation = Simulation::settled(12, Network::default(), 1);
+fn a_requested_probe_is_sent_at_once() {
+    let mut simulation = Simulation::converged(12, Network::default(), 1);
     let id = simulation.nodes[6].membership.local().id.clone();
-    simulation.input(3, Input::Verify(id.clone()));
+    simulation.input(3, Input::Probe(id.clone()));
     simulation.run_for(secs(5));
     assert_eq!(simulation.suspicions(), 0);
     simulation.crash(6);
-    simulation.input(3, Input::Verify(id));
+    simulation.input(3, Input::Probe(id));
     simulation.run_for(millis(600));
     assert_eq!(simulation.status(3, 6), Some(Status::Suspect));
 }
--- a/coordination/membership/tests/joining.rs
+++ b/coordination/membership/tests/joining.rs
@@ -1,11 +1,11 @@
-//! Joining: cold starts of any size, seeds that come up late, single members that come later.
+//! Joining: groups of any size that start together, late seeds, late members.
 
 mod support;
 
 use millrudder_membership::{Config, Status};
 use support::{address, millis, secs, Network, Simulation};
 
-fn cold_start(count: usize, seed: u64) -> Simulation {
+fn start_together(count: usize, seed: u64) -> Simulation {
     let network = Network { loss: 0.01, ..Network::default() };
     let mut simulation = Simulation::new(network, Config::default(), seed);
     for index in 0..count {
@@ -17,9 +17,9 @@
 }
 
 #[test]
-fn groups_of_any_size_agree_soon_after_a_cold_start() {
+fn groups_of_any_size_agree_soon_after_they_start_together() {
     for (count, bound) in [(2, secs(3)), (12, secs(4)), (30, secs(5)), (100, secs(8)), (300, secs(12))] {
-        let mut simulation = cold_start(count, 7);
+        let mut simulation = start_together(count, 7);
         let agreed = simulation.run_until(secs(60), Simulation::is_agreed);
         println!("{count} members agree after {agreed:?}");
         assert!(agreed < bound, "{count} members: {agreed:?}");
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn seeds_that_are_all_down_at_first_are_tried_until_they_are_up() {
+fn unreachable_seeds_are_retried_until_they_are_up() {
     let mut simulation = Simulation::new(Network::default(), Config::default(), 5);
     for index in 0..8 {
         simulation.start(index, 1, address(index));
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn a_late_member_is_known_everywhere_within_a_second() {
+fn a_late_member_is_known_to_all_soon() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(30, Network::default(), seed);
+        let mut simulation = Simulation::converged(30, Network::default(), seed);
         simulation.restart(30, 1, address(30));
         let known = simulation.run_until(secs(5), Simulation::is_agreed);
         assert!(known < millis(1_500), "seed {seed}: {known:?}");
@@ -54,7 +54,7 @@
 #[test]
 fn seeds_that_restart_together_learn_of_all_others() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(30, Network::default(), seed);
+        let mut simulation = Simulation::converged(30, Network::default(), seed);
         (0..3).for_each(|index| simulation.crash(index));
         (0..3).for_each(|index| simulation.restart(index, 2, address(index)));
         simulation.run_until(secs(5), Simulation::is_agreed);
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn a_list_that_takes_several_requests_is_fetched_without_pause() {
-    let mut simulation = Simulation::settled(60, Network::default(), 3);
+fn a_truncated_answer_is_continued_at_once() {
+    let mut simulation = Simulation::converged(60, Network::default(), 3);
     simulation.config.sync_datagrams = 1;
     for index in 0..3 {
         simulation.crash(index);
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn a_member_that_comes_while_another_dies_does_not_revive_it() {
+fn a_joining_member_does_not_revive_a_dead_one() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.crash(6);
         simulation.run_for(millis(100 * seed));
         simulation.restart(12, 1, address(12));
--- a/coordination/membership/tests/leaving.rs
+++ b/coordination/membership/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving is told, and not mistaken for death.
+//! Leaving is disseminated, and not mistaken for death.
 
 mod support;
 
@@ -18,7 +18,7 @@
 fn leaving_is_known_to_all_soon_and_nobody_is_suspected() {
     for (count, seed) in [(2, 1), (12, 2), (12, 3), (30, 4), (100, 5)] {
         let network = Network { loss: 0.03, ..Network::default() };
-        let mut simulation = Simulation::settled(count, network, seed);
+        let mut simulation = Simulation::converged(count, network, seed);
         leave(&mut simulation, 1);
         simulation.run_until(secs(2), |simulation| simulation.all_hold(1, Status::Left));
         simulation.run_for(secs(5));
@@ -31,7 +31,7 @@
 #[test]
 fn leaving_is_known_within_half_a_second_in_a_group_of_twelve() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.input(4, Input::Leave);
         let known = simulation.run_until(secs(3), |simulation| simulation.all_hold(4, Status::Left));
         assert!(known < millis(500), "seed {seed}: {known:?}");
@@ -41,7 +41,7 @@
 #[test]
 fn a_member_that_left_comes_back_as_a_new_process() {
     for seed in support::seeds() {
-        let mut simulation = Simulation::settled(12, Network::default(), seed);
+        let mut simulation = Simulation::converged(12, Network::default(), seed);
         leave(&mut simulation, 4);
         simulation.restart(4, 1_000, address(4));
         simulation.run_until(secs(3), Simulation::is_agreed);
@@ -50,8 +50,8 @@
 }
 
 #[test]
-fn members_restarted_in_turn_are_never_taken_for_dead() {
-    let mut simulation = Simulation::settled(12, Network::default(), 9);
+fn members_restarted_in_turn_are_never_declared_dead() {
+    let mut simulation = Simulation::converged(12, Network::default(), 9);
     for index in 0..12 {
         leave(&mut simulation, index);
         simulation.restart(index, 1_000, address(index));
--- a/coordination/membership/tests/robustness.rs
+++ b/coordination/membership/tests/robustness.rs
@@ -2,12 +2,11 @@
 
 mod support;
 
-use std::net::SocketAddr;
-use std::time::Duration;
-
+use millrudder_clock::Instant;
 use millrudder_membership::{Config, GroupId, Input, Membership, Metadata, Output};
 use proptest::collection::vec;
 use proptest::prelude::*;
+use std::net::SocketAddr;
 use support::{address, millis, secs, Network, Simulation};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -21,12 +20,12 @@
     let mut third = member(2, 3);
     let mut datagrams = Vec::new();
     let seeds = vec![address(0)];
-    other.handle(Duration::ZERO, Input::Join { seeds: seeds.clone() }, &mut Vec::new());
-    third.handle(Duration::ZERO, Input::Join { seeds }, &mut Vec::new());
+    other.handle(Instant::ORIGIN, Input::Join { seeds: seeds.clone() }, &mut Vec::new());
+    third.handle(Instant::ORIGIN, Input::Join { seeds }, &mut Vec::new());
     for step in 0..200 {
-        let now = millis(step * 50);
+        let now = Instant::from_millis(step * 50);
         let mut outputs = Vec::new();
-        // The subject is silent for a while, so that the others ask for each other's help.
+        // The subject does not run for a while, so that the others probe it indirectly.
         if step < 60 {
             subject.handle(now, Input::Tick, &mut outputs);
         }
@@ -37,9 +36,9 @@
         third.handle(now, Input::Tick, &mut from_third);
         datagrams.extend(exchange(&mut subject, &mut third, address(2), now, Vec::new(), from_third));
     }
-    let mut parting = Vec::new();
-    other.handle(secs(11), Input::Leave, &mut parting);
-    datagrams.extend(sent_to(&parting, address(0)));
+    let mut from_leaving = Vec::new();
+    other.handle(Instant::from_millis(11_000), Input::Leave, &mut from_leaving);
+    datagrams.extend(sent_to(&from_leaving, address(0)));
     (member(0, 1), datagrams)
 }
 
@@ -47,7 +46,7 @@
     subject: &mut Membership,
     other: &mut Membership,
     at: SocketAddr,
-    now: Duration,
+    now: Instant,
     from_subject: Vec<Output>,
     from_other: Vec<Output>,
 ) -> Vec<Vec<u8>> {
@@ -64,7 +63,7 @@
     seen
 }
 
-fn deliver(to: &mut Membership, from: SocketAddr, now: Duration, datagrams: &[Vec<u8>]) -> Vec<Output> {
+fn deliver(to: &mut Membership, from: SocketAddr, now: Instant, datagrams: &[Vec<u8>]) -> Vec<Output> {
     let mut outputs = Vec::new();
     for bytes in datagrams {
         to.handle(now, Input::Datagram { from, bytes }, &mut outputs);
@@ -82,11 +81,11 @@
 
 fn member(index: usize, seed: u64) -> Membership {
     let local = support::local(index, 1, address(index));
-    Membership::new(Config::default(), local, seed, Duration::ZERO).expect("good settings")
+    Membership::new(Config::default(), local, seed, Instant::ORIGIN).expect("good settings")
 }
 
-/// Changes bytes and mends the checksum, so that the content is looked at.
-fn spoil(datagram: &[u8], changes: &[(usize, u8)]) -> Vec<u8> {
+/// Changes bytes and corrects the checksum, so that the content is decoded.
+fn corrupt(datagram: &[u8], changes: &[(usize, u8)]) -> Vec<u8> {
     let mut bytes = datagram.to_vec();
     let covered = bytes.len() - CHECKSUM;
     for (position, value) in changes {
@@ -99,7 +98,7 @@
     bytes
 }
 
-fn assert_within_bounds(membership: &Membership, now: Duration, outputs: &[Output]) {
+fn assert_within_bounds(membership: &Membership, now: Instant, outputs: &[Output]) {
     for output in outputs {
         if let Output::Send { bytes, .. } = output {
             assert!(bytes.len() <= Config::default().max_datagram_bytes, "{} bytes", bytes.len());
@@ -113,25 +112,25 @@
 #[derive(Clone, Debug)]
 enum Step {
     Garbage(Vec<u8>),
-    Spoilt { datagram: prop::sample::Index, changes: Vec<(usize, u8)>, from: usize },
+    Corrupted { datagram: prop::sample::Index, changes: Vec<(usize, u8)>, from: usize },
     Intact { datagram: prop::sample::Index, from: usize },
     Tick,
     TickWhenDue,
-    Verify,
+    Probe,
     Update,
     Leave,
 }
 
 fn steps() -> impl Strategy<Value = Vec<(u64, Step)>> {
-    let spoilt = (any::<prop::sample::Index>(), vec((any::<usize>(), any::<u8>()), 1..6), 0..4_usize);
+    let corrupted = (any::<prop::sample::Index>(), vec((any::<usize>(), any::<u8>()), 1..6), 0..4_usize);
     let step = prop_oneof![
         2 => vec(any::<u8>(), 0..1_600).prop_map(Step::Garbage),
-        6 => spoilt.prop_map(|(datagram, changes, from)| Step::Spoilt { datagram, changes, from }),
+        6 => corrupted.prop_map(|(datagram, changes, from)| Step::Corrupted { datagram, changes, from }),
         6 => (any::<prop::sample::Index>(), 0..4_usize)
             .prop_map(|(datagram, from)| Step::Intact { datagram, from }),
         3 => Just(Step::Tick),
         6 => Just(Step::TickWhenDue),
-        1 => Just(Step::Verify),
+        1 => Just(Step::Probe),
         1 => Just(Step::Update),
     ];
     let last = prop_oneof![Just(Step::Leave), Just(Step::Tick)];
@@ -145,7 +144,7 @@
 fn carry_out(
     membership: &mut Membership,
     datagrams: &[Vec<u8>],
-    now: &mut Duration,
+    now: &mut Instant,
     step: Step,
 ) -> Vec<Output> {
     let mut outputs = Vec::new();
@@ -153,9 +152,9 @@
         Step::Garbage(bytes) => {
             membership.handle(*now, Input::Datagram { from: address(1), bytes: &bytes }, &mut outputs);
         }
-        Step::Spoilt { datagram, changes, from } => {
+        Step::Corrupted { datagram, changes, from } => {
             let original: &Vec<u8> = datagram.get(datagrams);
-            let bytes = spoil(original, &changes);
+            let bytes = corrupt(original, &changes);
             membership.handle(*now, Input::Datagram { from: address(from), bytes: &bytes }, &mut outputs);
         }
         Step::Intact { datagram, from } => {
@@ -167,9 +166,9 @@
             *now = membership.next_deadline().unwrap_or(*now).max(*now);
             membership.handle(*now, Input::Tick, &mut outputs);
         }
-        Step::Verify => {
+        Step::Probe => {
             let id = membership.members().last().expect("the local member").id.clone();
-            membership.handle(*now, Input::Verify(id), &mut outputs);
+            membership.handle(*now, Input::Probe(id), &mut outputs);
         }
         Step::Update => {
             let metadata = Metadata::new(vec![3; 256]).expect("a permitted length");
@@ -186,7 +185,7 @@
     #[test]
     fn any_inputs_at_any_times_are_handled_within_bounds(steps in steps()) {
         let (mut membership, datagrams) = sample();
-        let mut now = Duration::ZERO;
+        let mut now = Instant::ORIGIN;
         for (pause, step) in steps {
             now += millis(pause);
             let outputs = carry_out(&mut membership, &datagrams, &mut now, step);
@@ -204,20 +203,20 @@
 }
 
 #[test]
-fn changed_or_cut_datagrams_change_nothing() {
+fn corrupted_or_truncated_datagrams_change_nothing() {
     let (_, datagrams) = sample();
     for datagram in &datagrams {
         let mut membership = member(0, 1);
         let before = membership.digest();
-        for cut in 0..datagram.len() {
-            let bytes = &datagram[..cut];
-            membership.handle(Duration::ZERO, Input::Datagram { from: address(1), bytes }, &mut Vec::new());
+        for length in 0..datagram.len() {
+            let bytes = &datagram[..length];
+            membership.handle(Instant::ORIGIN, Input::Datagram { from: address(1), bytes }, &mut Vec::new());
         }
         for position in 0..datagram.len() {
             let mut bytes = datagram.clone();
             bytes[position] ^= 0x10;
             let input = Input::Datagram { from: address(1), bytes: &bytes };
-            membership.handle(Duration::ZERO, input, &mut Vec::new());
+            membership.handle(Instant::ORIGIN, input, &mut Vec::new());
         }
         assert_eq!(membership.digest(), before);
         assert_eq!(membership.last_contact(), None);
@@ -225,7 +224,7 @@
 }
 
 #[test]
-fn another_group_is_not_joined() {
+fn datagrams_of_another_group_are_ignored() {
     let mut simulation = Simulation::new(Network::default(), Config::default(), 4);
     simulation.start(0, 1, address(0));
     simulation.config.group = GroupId(9);
@@ -237,7 +236,7 @@
 }
 
 #[test]
-fn no_more_members_are_kept_than_configured() {
+fn the_table_is_bounded() {
     let mut simulation =
         Simulation::new(Network::default(), Config { max_members: 5, ..Config::default() }, 4);
     simulation.start_group(12);
@@ -263,8 +262,8 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_is_taken_to_stand_still() {
-    let mut simulation = Simulation::settled(5, Network::default(), 2);
+fn a_clock_that_goes_back_is_ignored() {
+    let mut simulation = Simulation::converged(5, Network::default(), 2);
     let now = simulation.now;
     simulation.now = now - secs(3);
     simulation.input(1, Input::Tick);
--- a/coordination/membership/tests/support/mod.rs
+++ b/coordination/membership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deterministic network of members: loss, delay, cuts, freezes, slowness, restarts.
+//! A small deterministic network of members: loss, delay, partitions, pauses, slowness, restarts.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
+use millrudder_clock::Instant;
 use millrudder_membership::{
     Config, Event, Input, LocalMember, MemberId, MemberName, Membership, Output, ProcessStart, Status, Zone,
 };
@@ -14,7 +15,7 @@
 /// Seeds of one test, unless `MEMBERSHIP_SEEDS` names another number.
 const SEEDS: u64 = 10;
 
-/// Datagrams that wait for a frozen process; the rest is lost, as with a socket's buffer.
+/// Datagrams that are buffered for a paused process; the rest is lost, as with a socket's buffer.
 const INBOX: usize = 150;
 
 pub const fn millis(value: u64) -> Duration {
@@ -32,7 +33,7 @@
 
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
-    /// Share of datagrams that are lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
     /// One way, at least.
     pub delay: Duration,
@@ -49,7 +50,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Occurrence {
+enum SimulatedEvent {
     Delivery { to: SocketAddr, from: SocketAddr, bytes: Vec<u8> },
     Tick { node: usize, generation: u64 },
 }
@@ -58,7 +59,7 @@
     pub membership: Membership,
     pub address: SocketAddr,
     pub is_running: bool,
-    frozen: Option<Vec<(SocketAddr, Vec<u8>)>>,
+    paused: Option<Vec<(SocketAddr, Vec<u8>)>>,
     lag: Duration,
     generation: u64,
     pub sent: u64,
@@ -68,20 +69,20 @@
 
 #[derive(Clone, Debug)]
 pub struct Observed {
-    pub at: Duration,
+    pub at: Instant,
     pub by: usize,
     pub event: Event,
 }
 
 pub struct Simulation {
-    pub now: Duration,
+    pub now: Instant,
     pub network: Network,
     pub config: Config,
     pub nodes: Vec<Node>,
     pub observed: Vec<Observed>,
-    queue: BinaryHeap<Reverse<(Duration, u64, Occurrence)>>,
+    queue: BinaryHeap<Reverse<(Instant, u64, SimulatedEvent)>>,
     number: u64,
-    cuts: BTreeSet<(usize, usize)>,
+    partitions: BTreeSet<(usize, usize)>,
     at_address: BTreeMap<SocketAddr, usize>,
     random: Rng,
 }
@@ -108,26 +109,26 @@
 impl Simulation {
     pub fn new(network: Network, config: Config, seed: u64) -> Self {
         Self {
-            now: secs(1_000),
+            now: Instant::from_millis(1_000_000),
             network,
             config,
             nodes: Vec::new(),
             observed: Vec::new(),
             queue: BinaryHeap::new(),
             number: 0,
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             at_address: BTreeMap::new(),
             random: Rng::with_seed(seed),
         }
     }
 
-    /// A group of `count` that has been given the time to settle; the first three are the seeds.
-    pub fn settled(count: usize, network: Network, seed: u64) -> Self {
+    /// A group of `count` members whose lists agree; the first three are the seeds.
+    pub fn converged(count: usize, network: Network, seed: u64) -> Self {
         let mut simulation = Self::new(network, Config::default(), seed);
         simulation.start_group(count);
         simulation.run_for(secs(8));
         simulation.assert_agreed();
-        simulation.forget_observations();
+        simulation.clear_observations();
         simulation
     }
 
@@ -151,7 +152,7 @@
             membership,
             address: at,
             is_running: true,
-            frozen: None,
+            paused: None,
             lag: Duration::ZERO,
             generation: 0,
             sent: 0,
@@ -186,22 +187,22 @@
         }
     }
 
-    pub fn freeze(&mut self, index: usize) {
-        self.nodes[index].frozen = Some(Vec::new());
+    pub fn pause(&mut self, index: usize) {
+        self.nodes[index].paused = Some(Vec::new());
     }
 
-    /// Wakes a process up: its timer first, then what waited for it.
-    pub fn thaw(&mut self, index: usize) {
-        let inbox = self.nodes[index].frozen.take().unwrap_or_default();
+    /// Resumes a paused process: its timer fires first, then the buffered datagrams arrive.
+    pub fn resume(&mut self, index: usize) {
+        let inbox = self.nodes[index].paused.take().unwrap_or_default();
         self.input(index, Input::Tick);
         for (from, bytes) in inbox {
             self.input(index, Input::Datagram { from, bytes: &bytes });
         }
     }
 
-    /// Wakes a process up whose waiting datagrams are lost.
-    pub fn thaw_without_inbox(&mut self, index: usize) {
-        self.nodes[index].frozen = None;
+    /// Resumes a paused process whose buffered datagrams are lost.
+    pub fn resume_without_inbox(&mut self, index: usize) {
+        self.nodes[index].paused = None;
         self.input(index, Input::Tick);
     }
 
@@ -210,17 +211,17 @@
         self.nodes[index].lag = lag;
     }
 
-    pub fn cut_one_way(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+    pub fn partition_one_way(&mut self, from: usize, to: usize) {
+        self.partitions.insert((from, to));
     }
 
-    pub fn cut(&mut self, left: usize, right: usize) {
-        self.cut_one_way(left, right);
-        self.cut_one_way(right, left);
+    pub fn partition(&mut self, left: usize, right: usize) {
+        self.partition_one_way(left, right);
+        self.partition_one_way(right, left);
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.partitions.clear();
     }
 
     pub fn input(&mut self, index: usize, input: Input<'_>) {
@@ -248,9 +249,9 @@
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.queue.peek().is_some_and(|Reverse((at, _, _))| *at <= end) {
-            let Some(Reverse((at, _, occurrence))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
             self.now = at;
-            self.occur(occurrence);
+            self.handle_event(event);
         }
         self.now = end;
     }
@@ -265,12 +266,12 @@
         self.now - began
     }
 
-    fn occur(&mut self, occurrence: Occurrence) {
-        match occurrence {
-            Occurrence::Delivery { to, from, bytes } => self.deliver(to, from, bytes),
-            Occurrence::Tick { node, generation } => {
+    fn handle_event(&mut self, event: SimulatedEvent) {
+        match event {
+            SimulatedEvent::Delivery { to, from, bytes } => self.deliver(to, from, bytes),
+            SimulatedEvent::Tick { node, generation } => {
                 let is_current = self.nodes[node].generation == generation;
-                if is_current && self.nodes[node].frozen.is_none() {
+                if is_current && self.nodes[node].paused.is_none() {
                     self.input(node, Input::Tick);
                 }
             }
@@ -279,7 +280,7 @@
 
     fn deliver(&mut self, to: SocketAddr, from: SocketAddr, bytes: Vec<u8>) {
         let Some(index) = self.at_address.get(&to).copied() else { return };
-        match &mut self.nodes[index].frozen {
+        match &mut self.nodes[index].paused {
             Some(inbox) if inbox.len() < INBOX => inbox.push((from, bytes)),
             Some(_) => {}
             None => self.input(index, Input::Datagram { from, bytes: &bytes }),
@@ -294,14 +295,14 @@
         let source = node.address;
         let lag = node.lag;
         let target = self.at_address.get(&to).copied();
-        let is_cut = target.is_some_and(|target| self.cuts.contains(&(from, target)));
-        if is_cut || self.random.f64() < self.network.loss {
+        let is_partitioned = target.is_some_and(|target| self.partitions.contains(&(from, target)));
+        if is_partitioned || self.random.f64() < self.network.loss {
             return;
         }
         let target_lag = target.map_or(Duration::ZERO, |target| self.nodes[target].lag);
         let jitter = self.network.jitter.mul_f64(self.random.f64());
         let at = self.now + self.network.delay + jitter + lag + target_lag;
-        self.push(at, Occurrence::Delivery { to, from: source, bytes });
+        self.push(at, SimulatedEvent::Delivery { to, from: source, bytes });
     }
 
     fn arm(&mut self, index: usize) {
@@ -309,17 +310,17 @@
         node.generation += 1;
         let Some(deadline) = node.membership.next_deadline() else { return };
         let late = self.network.timer_jitter.mul_f64(self.random.f64()) + node.lag;
-        let occurrence = Occurrence::Tick { node: index, generation: node.generation };
+        let event = SimulatedEvent::Tick { node: index, generation: node.generation };
         let at = deadline.max(self.now) + late;
-        self.push(at, occurrence);
+        self.push(at, event);
     }
 
-    fn push(&mut self, at: Duration, occurrence: Occurrence) {
+    fn push(&mut self, at: Instant, event: SimulatedEvent) {
         self.number += 1;
-        self.queue.push(Reverse((at, self.number, occurrence)));
+        self.queue.push(Reverse((at, self.number, event)));
     }
 
-    pub fn forget_observations(&mut self) {
+    pub fn clear_observations(&mut self) {
         self.observed.clear();
         for node in &mut self.nodes {
             node.sent = 0;
