--- a/coordination/chain/src/replica/mod.rs
+++ b/coordination/chain/src/replica/mod.rs
@@ -260,7 +260,7 @@
             let progress = self.progress.entry(from).or_insert_with(|| ReplicationProgress::new(end, now));
             progress.handle_ack(end, now);
             // A log with other entries has been truncated to where both agree.
-            if !self.store.log().contains(progress.acked) && self.store.log().contains(end) {
+            if !self.store.log().contains(progress.acked()) && self.store.log().contains(end) {
                 *progress = ReplicationProgress::new(end, now);
             }
             self.replicate_to_all(now);
--- a/coordination/chain/src/replica/replication.rs
+++ b/coordination/chain/src/replica/replication.rs
@@ -16,10 +16,10 @@
     /// than may be in flight: a chain would wait for it that long.
     pub(crate) fn lag_of(&self, learner: NodeId) -> Option<u64> {
         let progress = self.progress.get(&learner)?;
-        let is_in_log = progress.transfer.is_none() && self.store.log().contains(progress.acked);
-        let bytes = self.bytes_between(progress.acked.sequence, self.committed());
+        let is_in_log = progress.transfer().is_none() && self.store.log().contains(progress.acked());
+        let bytes = self.bytes_between(progress.acked().sequence, self.committed());
         let is_close = is_in_log && bytes <= BYTES_IN_FLIGHT;
-        is_close.then(|| self.committed().0.saturating_sub(progress.acked.sequence.0))
+        is_close.then(|| self.committed().0.saturating_sub(progress.acked().sequence.0))
     }
 
     /// Tells a receiver that has restarted, and does not know that it has caught up, where the log ends.
@@ -28,8 +28,8 @@
         let is_ahead_of_view = self.is_catching_up_targets() && self.catch_up_targets.contains(&to);
         if self.progress.contains_key(&to) && (in_chain || is_ahead_of_view) {
             let progress = self.progress[&to];
-            if self.store.log().contains(progress.acked) {
-                self.send_batch(to, progress.acked, Vec::new());
+            if self.store.log().contains(progress.acked()) {
+                self.send_batch(to, progress.acked(), Vec::new());
             }
         }
     }
@@ -70,13 +70,13 @@
         let Some(mut progress) = self.progress.get(&to).copied() else {
             return;
         };
-        if progress.sent == progress.acked.sequence && progress.transfer.is_none() {
-            progress.progress_at = now;
-            if !self.store.log().contains(progress.acked) {
+        if progress.is_idle() {
+            progress.restart_pause(now);
+            if !self.store.log().contains(progress.acked()) {
                 self.begin_transfer(&mut progress);
             }
         }
-        match progress.transfer {
+        match progress.transfer() {
             Some(_) => self.send_chunks(to, &mut progress),
             None => self.send_entries(to, &mut progress),
         }
@@ -86,23 +86,22 @@
     fn send_entries(&mut self, to: NodeId, progress: &mut ReplicationProgress) {
         let only_committed = self.is_tail() && !self.is_sealed();
         let limit = if only_committed { self.committed() } else { self.end().sequence };
-        let mut in_flight = self.bytes_between(progress.acked.sequence, progress.sent);
-        while progress.sent < limit && in_flight < BYTES_IN_FLIGHT {
-            let Some(previous) = self.store.log().position_at(progress.sent) else {
+        let mut in_flight = self.bytes_between(progress.acked().sequence, progress.sent());
+        while progress.sent() < limit && in_flight < BYTES_IN_FLIGHT {
+            let Some(previous) = self.store.log().position_at(progress.sent()) else {
                 return;
             };
-            let entries = self.batch_after(progress.sent, limit);
+            let entries = self.batch_after(progress.sent(), limit);
             let Some(last) = entries.last() else {
                 return;
             };
-            progress.sent = last.position.sequence;
+            progress.record_sent(last.position.sequence, self.committed());
             in_flight += entries.iter().map(Entry::encoded_bytes).sum::<usize>();
-            progress.committed_sent = self.committed();
             self.send_batch(to, previous, entries);
         }
-        let is_commit_point_new = only_committed && progress.committed_sent < self.committed();
-        if let (true, Some(previous)) = (is_commit_point_new, self.store.log().position_at(progress.sent)) {
-            progress.committed_sent = self.committed();
+        let is_commit_point_new = only_committed && progress.committed_sent() < self.committed();
+        if let (true, Some(previous)) = (is_commit_point_new, self.store.log().position_at(progress.sent())) {
+            progress.record_committed_sent(self.committed());
             self.send_batch(to, previous, Vec::new());
         }
     }
--- a/coordination/chain/src/replica/snapshot_install.rs
+++ b/coordination/chain/src/replica/snapshot_install.rs
@@ -5,24 +5,24 @@
 
 use super::{Replica, ReplicaOutput};
 use crate::replication_progress::ReplicationProgress;
-use crate::transfer::{IncomingSnapshot, OutgoingSnapshot, Transfer, MAX_SNAPSHOT_BYTES};
+use crate::transfer::{IncomingSnapshot, OutgoingSnapshot, MAX_SNAPSHOT_BYTES};
 use crate::{CoreMessage, InstallSnapshotChunk, Machine, Record, Sequence, Snapshot, SnapshotId};
 
 impl<M: Machine> Replica<M> {
     /// Begins to send a snapshot: the one that is sent to others if the log goes on from it, else a new one.
     pub(super) fn begin_transfer(&mut self, progress: &mut ReplicationProgress) {
         self.drop_unusable_snapshot();
-        let reusable = self.outgoing.as_ref().filter(|outgoing| outgoing.id.position >= progress.acked);
+        let reusable = self.outgoing.as_ref().filter(|outgoing| outgoing.id().position >= progress.acked());
         let id = match reusable {
-            Some(outgoing) => outgoing.id,
+            Some(outgoing) => outgoing.id(),
             None => self.take_snapshot(),
         };
-        progress.transfer = Some(Transfer::new(id));
+        progress.start_transfer(id);
     }
 
     fn take_snapshot(&mut self) -> SnapshotId {
         let outgoing = OutgoingSnapshot::new(&self.store.snapshot());
-        let id = outgoing.id;
+        let id = outgoing.id();
         self.outgoing = Some(outgoing);
         id
     }
@@ -30,34 +30,36 @@
     /// Drops the snapshot once the log does not go on from it any more.
     pub(super) fn drop_unusable_snapshot(&mut self) {
         let log = self.store.log();
-        self.outgoing = self.outgoing.take().filter(|outgoing| log.contains(outgoing.id.position));
+        self.outgoing = self.outgoing.take().filter(|outgoing| log.contains(outgoing.id().position));
     }
 
     /// Sends as many chunks as may be in flight. A transfer whose snapshot was dropped begins anew.
     pub(super) fn send_chunks(&mut self, to: NodeId, progress: &mut ReplicationProgress) {
-        let current = |outgoing: &&OutgoingSnapshot| progress.transfer.is_some_and(|it| it.id == outgoing.id);
+        let current = |outgoing: &&OutgoingSnapshot| {
+            progress.transfer().is_some_and(|transfer| transfer.id() == outgoing.id())
+        };
         if self.outgoing.as_ref().filter(current).is_none() {
             self.begin_transfer(progress);
         }
-        let Some(mut transfer) = progress.transfer else {
+        let Some(mut transfer) = progress.transfer() else {
             return;
         };
         while transfer.can_send(self.limits.batch_bytes) {
             let Some(outgoing) = &self.outgoing else {
                 return;
             };
-            let chunk = outgoing.chunk(transfer.sent, self.limits.batch_bytes);
-            transfer.sent += chunk.bytes.len() as u64;
+            let chunk = outgoing.chunk(transfer.sent(), self.limits.batch_bytes);
+            transfer.record_sent(chunk.bytes.len() as u64);
             let install = InstallSnapshotChunk {
                 epoch: self.epoch(),
                 chunk,
                 complete_at: self.complete_at(),
                 sealed: self.is_sealed(),
-                conflict_at: self.conflict_at(progress.acked),
+                conflict_at: self.conflict_at(progress.acked()),
             };
             self.send(to, CoreMessage::InstallSnapshot(install));
         }
-        progress.transfer = Some(transfer);
+        progress.set_transfer(transfer);
     }
 
     /// A receiver has the first `received` bytes of a snapshot.
@@ -71,11 +73,7 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        let Some(transfer) = progress.transfer.as_mut().filter(|transfer| transfer.id == id) else {
-            return;
-        };
-        if transfer.handle_received(received) {
-            progress.progress_at = now;
+        if progress.handle_snapshot_received(now, id, received) {
             self.replicate_to_all(now);
         }
     }
@@ -95,13 +93,13 @@
             self.incoming = None;
             return self.acknowledge(from);
         }
-        let same = self.incoming.take().filter(|incoming| incoming.id == chunk.id);
+        let same = self.incoming.take().filter(|incoming| incoming.id() == chunk.id);
         let mut incoming = same.unwrap_or_else(|| IncomingSnapshot::new(chunk.id));
         incoming.add_chunk(chunk);
         if incoming.is_complete() {
             return self.install_snapshot(now, from, incoming.decode(), complete_at);
         }
-        let (epoch, id, received) = (self.epoch(), incoming.id, incoming.received());
+        let (epoch, id, received) = (self.epoch(), incoming.id(), incoming.received());
         self.incoming = Some(incoming);
         self.send(from, CoreMessage::SnapshotReceived { epoch, id, received });
     }
--- a/coordination/chain/src/transfer.rs
+++ b/coordination/chain/src/transfer.rs
@@ -42,7 +42,7 @@
 /// A snapshot that is being sent.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingSnapshot {
-    pub(crate) id: SnapshotId,
+    id: SnapshotId,
     encoded: Arc<[u8]>,
 }
 
@@ -54,6 +54,11 @@
         OutgoingSnapshot { id, encoded: encoded.into() }
     }
 
+    /// Identity of the snapshot.
+    pub(crate) fn id(&self) -> SnapshotId {
+        self.id
+    }
+
     /// The chunk at `offset`, of at most `max_bytes` bytes.
     pub(crate) fn chunk(&self, offset: u64, max_bytes: usize) -> SnapshotChunk {
         let from = usize::try_from(offset).map_or(self.encoded.len(), |from| from.min(self.encoded.len()));
@@ -65,11 +70,11 @@
 /// Progress of the transfer of a snapshot to one node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Transfer {
-    pub(crate) id: SnapshotId,
+    id: SnapshotId,
     /// Bytes that the receiver has acknowledged.
     received: u64,
     /// Bytes sent.
-    pub(crate) sent: u64,
+    sent: u64,
     /// Limit of the chunks in flight.
     window: u64,
 }
@@ -79,6 +84,21 @@
         Transfer { id, received: 0, sent: 0, window: 1 }
     }
 
+    /// Identity of the snapshot.
+    pub(crate) fn id(&self) -> SnapshotId {
+        self.id
+    }
+
+    /// Bytes sent.
+    pub(crate) fn sent(&self) -> u64 {
+        self.sent
+    }
+
+    /// So many more bytes were sent.
+    pub(crate) fn record_sent(&mut self, bytes: u64) {
+        self.sent += bytes;
+    }
+
     /// Whether another chunk of `chunk_bytes` may be sent.
     pub(crate) fn can_send(&self, chunk_bytes: usize) -> bool {
         let in_flight = self.sent.saturating_sub(self.received);
@@ -101,7 +121,7 @@
 /// A snapshot that is being received.
 #[derive(Clone, Debug)]
 pub(crate) struct IncomingSnapshot {
-    pub(crate) id: SnapshotId,
+    id: SnapshotId,
     bytes: Vec<u8>,
     /// Chunks that arrived out of order, by offset; no more than may be in flight.
     early: BTreeMap<u64, Vec<u8>>,
@@ -112,6 +132,11 @@
         IncomingSnapshot { id, bytes: Vec::new(), early: BTreeMap::new() }
     }
 
+    /// Identity of the snapshot.
+    pub(crate) fn id(&self) -> SnapshotId {
+        self.id
+    }
+
     /// Bytes received from the start without a gap.
     pub(crate) fn received(&self) -> u64 {
         self.bytes.len() as u64
