--- a/coordination/chain/src/replica/commit.rs
+++ b/coordination/chain/src/replica/commit.rs
@@ -20,7 +20,7 @@
     /// Records new entries, and notes completeness once the log reaches `complete_at`.
     pub(super) fn record_entries(&mut self, now: Instant, fresh: Vec<Entry>, complete_at: Sequence) {
         let is_sealed = self.is_sealed();
-        self.caught_up_at = (self.is_member() && !is_sealed).then_some(complete_at);
+        self.catch_up.set_target((self.is_member() && !is_sealed).then_some(complete_at));
         let reached = (self.is_member() || is_sealed) && self.end().sequence >= complete_at;
         if reached && !self.durability.is_complete() {
             return self.mark_complete(fresh);
@@ -40,15 +40,14 @@
     }
 
     pub(super) fn check_caught_up(&mut self, now: Instant) {
-        let reached = self.caught_up_at.is_some_and(|target| self.durability.durable_through() >= target);
-        if reached && !self.caught_up && !self.is_sealed() {
+        let is_reached = self.catch_up.is_target_durable(self.durability.durable_through());
+        if is_reached && !self.catch_up.is_caught_up() && !self.is_sealed() {
             self.mark_caught_up(now);
         }
     }
 
     pub(super) fn mark_caught_up(&mut self, now: Instant) {
-        self.caught_up = true;
-        self.complete_at = self.end().sequence;
+        self.catch_up.set_caught_up(self.end().sequence);
         self.commit_at_tail(now);
     }
 
@@ -65,7 +64,7 @@
 
     /// At the tail a durable command is durable at every member.
     pub(super) fn commit_at_tail(&mut self, now: Instant) {
-        if self.is_tail() && self.caught_up && !self.is_sealed() {
+        if self.is_tail() && self.catch_up.is_caught_up() && !self.is_sealed() {
             self.commit(now, self.durability.durable_through());
         }
     }
--- a/coordination/chain/src/replica/mod.rs
+++ b/coordination/chain/src/replica/mod.rs
@@ -3,6 +3,7 @@
 //! Commands go from the head to the tail. Each node sends them to its receivers: the next member of the chain, or the
 //! learners at the tail.
 
+mod catch_up_status;
 mod commit;
 mod durability;
 mod replication;
@@ -16,8 +17,10 @@
 use millrudder_view::{Epoch, NodeId, View};
 use speedy::Readable;
 
+use self::catch_up_status::CatchUpStatus;
 use self::durability::Durability;
 pub(crate) use self::durability::DurableWatermark;
+use self::sealing::Seal;
 use crate::replication_progress::ReplicationProgress;
 use crate::store::{Applied, Store};
 use crate::transfer::{IncomingSnapshot, OutgoingSnapshot};
@@ -54,16 +57,8 @@
     view: View,
     store: Store<M>,
     durability: Durability,
-    /// Whether this node has caught up with its predecessor in this view.
-    caught_up: bool,
-    /// The newest epoch that this node has sealed (durable).
-    sealed: Epoch,
-    /// Whom a node that has sealed the epoch brings up ahead of the next view.
-    catch_up_targets: BTreeSet<NodeId>,
-    /// This node has caught up with its predecessor once its log is durable up to here.
-    caught_up_at: Option<Sequence>,
-    /// What a receiver must hold to be complete.
-    complete_at: Sequence,
+    catch_up: CatchUpStatus,
+    seal: Seal,
     /// The receivers.
     progress: BTreeMap<NodeId, ReplicationProgress>,
     /// The snapshot that is sent to receivers that need one, as long as the log goes on from it.
@@ -91,11 +86,8 @@
             view: View::default(),
             store,
             durability,
-            caught_up: false,
-            sealed,
-            catch_up_targets: BTreeSet::new(),
-            caught_up_at: None,
-            complete_at: Sequence::default(),
+            catch_up: CatchUpStatus::default(),
+            seal: Seal::restored(sealed),
             progress: BTreeMap::new(),
             outgoing: None,
             incoming: None,
@@ -125,12 +117,12 @@
 
     /// Whether this node has caught up with its predecessor in the present view.
     pub(crate) fn is_caught_up(&self) -> bool {
-        self.caught_up
+        self.catch_up.is_caught_up()
     }
 
     /// The newest epoch that this node has sealed.
     pub(crate) fn sealed(&self) -> Epoch {
-        self.sealed
+        self.seal.epoch()
     }
 
     /// Epoch of the present view.
@@ -169,11 +161,10 @@
     pub(crate) fn activate(&mut self, now: Instant, view: &View) {
         self.view = view.clone();
         self.progress.clear();
-        self.catch_up_targets.clear();
+        self.seal.clear_targets();
         self.store.retain_after(None);
         self.pending.clear();
-        self.caught_up = false;
-        self.caught_up_at = None;
+        self.catch_up.reset();
         // A node that restarts before the next view is decided retains what it received ahead of it.
         if self.is_sealed() {
             return;
@@ -294,7 +285,7 @@
         match self.is_member() {
             true => {
                 self.view.successor(self.local_id) == Some(from)
-                    || (self.caught_up && self.view.contains(from))
+                    || (self.catch_up.is_caught_up() && self.view.contains(from))
             }
             false => self.view.tail() == Some(from),
         }
--- a/coordination/chain/src/replica/replication.rs
+++ b/coordination/chain/src/replica/replication.rs
@@ -24,8 +24,10 @@
 
     /// Tells a receiver that has restarted, and does not know that it has caught up, where the log ends.
     pub(crate) fn confirm_caught_up(&mut self, to: NodeId) {
-        let in_chain = self.caught_up && !self.is_sealed() && self.view.successor(self.local_id) == Some(to);
-        let is_ahead_of_view = self.is_catching_up_targets() && self.catch_up_targets.contains(&to);
+        let in_chain = self.catch_up.is_caught_up()
+            && !self.is_sealed()
+            && self.view.successor(self.local_id) == Some(to);
+        let is_ahead_of_view = self.is_catching_up_targets() && self.seal.is_target(to);
         if self.progress.contains_key(&to) && (in_chain || is_ahead_of_view) {
             let progress = self.progress[&to];
             if self.store.log().contains(progress.acked()) {
@@ -37,7 +39,7 @@
     /// Whether this node sends commands to `to`.
     pub(super) fn is_sender_to(&self, to: NodeId) -> bool {
         if self.is_sealed() {
-            return self.catch_up_targets.contains(&to);
+            return self.seal.is_target(to);
         }
         if self.is_tail() {
             return !self.view.contains(to);
@@ -47,7 +49,7 @@
 
     /// Sends to each receiver what it lacks.
     pub(super) fn replicate_to_all(&mut self, now: Instant) {
-        if !self.caught_up && !self.is_catching_up_targets() {
+        if !self.catch_up.is_caught_up() && !self.is_catching_up_targets() {
             return;
         }
         let receivers: Vec<NodeId> = self.progress.keys().copied().collect();
--- a/coordination/chain/src/replica/sealing.rs
+++ b/coordination/chain/src/replica/sealing.rs
@@ -13,15 +13,59 @@
 use super::Replica;
 use crate::{Machine, Position, Record, Sequence};
 
+/// The newest epoch that a node has sealed, and whom it brings up ahead of the next view.
+#[derive(Clone, Debug)]
+pub(super) struct Seal {
+    epoch: Epoch,
+    targets: BTreeSet<NodeId>,
+}
+
+impl Seal {
+    /// Continues with the durable epoch.
+    pub(super) fn restored(epoch: Epoch) -> Seal {
+        Seal { epoch, targets: BTreeSet::new() }
+    }
+
+    /// The newest epoch that this node has sealed.
+    pub(super) fn epoch(&self) -> Epoch {
+        self.epoch
+    }
+
+    /// Whether a node is brought up ahead of the next view.
+    pub(super) fn is_target(&self, id: NodeId) -> bool {
+        self.targets.contains(&id)
+    }
+
+    /// A new view: nobody is brought up ahead of the next one yet.
+    pub(super) fn clear_targets(&mut self) {
+        self.targets.clear();
+    }
+
+    fn has_targets(&self) -> bool {
+        !self.targets.is_empty()
+    }
+
+    fn set_epoch(&mut self, epoch: Epoch) {
+        self.epoch = epoch;
+    }
+
+    /// Replaces the targets. Returns whether they differ from those before.
+    fn set_targets(&mut self, targets: BTreeSet<NodeId>) -> bool {
+        let has_changed = self.targets != targets;
+        self.targets = targets;
+        has_changed
+    }
+}
+
 impl<M: Machine> Replica<M> {
     /// Whether this node has left the chain of the present epoch by sealing it.
     pub(crate) fn is_sealed(&self) -> bool {
-        self.view.epoch != Epoch::NONE && self.sealed == self.view.epoch
+        self.view.epoch != Epoch::NONE && self.seal.epoch() == self.view.epoch
     }
 
     /// Whether this node brings up others ahead of the next view.
     pub(super) fn is_catching_up_targets(&self) -> bool {
-        self.is_sealed() && self.durability.is_complete() && !self.catch_up_targets.is_empty()
+        self.is_sealed() && self.durability.is_complete() && self.seal.has_targets()
     }
 
     /// Seals the epoch, and brings up `nodes` with all that this node holds. Does nothing at a node that may lack commands.
@@ -30,9 +74,8 @@
             return;
         }
         self.seal();
-        if self.catch_up_targets != nodes {
+        if self.seal.set_targets(nodes) {
             self.progress.clear();
-            self.catch_up_targets = nodes;
         }
         self.replicate_to_all(now);
     }
@@ -46,8 +89,9 @@
 
     fn seal(&mut self) {
         if !self.is_sealed() {
-            self.sealed = self.epoch();
-            self.persist(Record::Sealed { epoch: self.sealed });
+            let epoch = self.epoch();
+            self.seal.set_epoch(epoch);
+            self.persist(Record::Sealed { epoch });
         }
     }
 
@@ -64,7 +108,7 @@
     pub(super) fn complete_at(&self) -> Sequence {
         match self.is_sealed() {
             true => self.end().sequence,
-            false => self.complete_at,
+            false => self.catch_up.complete_at(),
         }
     }
 
@@ -78,7 +122,7 @@
     /// What a node received ahead of a view, from another node than its present sender, may go beyond what that one
     /// holds. It is dropped as soon as the sender, which holds all that was committed, reports the conflict.
     pub(super) fn drop_conflicting(&mut self, conflict_at: Option<Position>) {
-        let is_new_in_chain = self.is_member() && !self.is_sealed() && self.caught_up_at.is_none();
+        let is_new_in_chain = self.is_member() && !self.is_sealed() && !self.catch_up.has_target();
         let is_brought_up = self.is_sealed() && !self.durability.is_complete();
         if (is_new_in_chain || is_brought_up) && conflict_at == Some(self.end()) {
             self.drop_uncommitted();
