--- a/system/state/staleness/src/read_barrier/mod.rs
+++ b/system/state/staleness/src/read_barrier/mod.rs
@@ -76,11 +76,6 @@
         self.has_quorum(now) && !self.is_shutting_down
     }
 
-    /// Age of the last confirmation; `None` before the first.
-    pub fn age(&self, now: Instant) -> Option<Duration> {
-        Some(now - self.confirmed_at?)
-    }
-
     /// Registrants that are sent changes of the state.
     pub fn admitted(&self) -> impl Iterator<Item = ConnectionId> + '_ {
         let admitted = self.registrants.iter().filter(|(_, registrant)| registrant.is_admitted());
