--- a/system/runtime/http/src/client/pool.rs
+++ b/system/runtime/http/src/client/pool.rs
@@ -4,7 +4,7 @@
 //! request on its connection spoils that one too. So the address is quarantined for a while: each connection to it carries
 //! one request only.
 //!
-//! The id in an answer tells it from answers to other requests, but not from a second answer to an earlier attempt of the
+//! The id in an answer distinguishes it from answers to other requests, but not from a second answer to an earlier attempt of the
 //! same request. So a request that is sent again goes over a connection that has not carried it lately.
 
 use std::cell::{Cell, RefCell};
--- a/system/runtime/http/src/front/message.rs
+++ b/system/runtime/http/src/front/message.rs
@@ -11,7 +11,7 @@
 
 /// A complete request.
 ///
-/// Header values and the path share the buffer that the head was read into: copy what is kept for long. The body is
+/// Header values and the path share the buffer that the head was read into: copy what is retained for long. The body is
 /// a copy of its own.
 #[derive(Debug)]
 pub struct Request {
--- a/system/runtime/http/src/headers.rs
+++ b/system/runtime/http/src/headers.rs
@@ -17,7 +17,7 @@
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
 /// The incarnation that answers a health check.
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("x-instance-id");
-/// What the messages of a `fifo` route have in common that are kept in order.
+/// The key of a message on a `fifo` route: messages of one key are delivered in order.
 pub const ORDER_KEY: HeaderName = HeaderName::from_static("x-order-key");
 /// Milliseconds after its sending before which a message is not to run.
 pub const DELAY_MS: HeaderName = HeaderName::from_static("x-delay-ms");
--- a/system/runtime/node/src/control_link/connections.rs
+++ b/system/runtime/node/src/control_link/connections.rs
@@ -92,7 +92,7 @@
         CoreConnections { shared: Rc::new(RefCell::new(shared)), replan: Rc::default() }
     }
 
-    /// The versions that are told at the next registrations.
+    /// The versions that are sent with the next registrations.
     pub(super) fn set_adopted(&self, adopted: AdoptedVersions) {
         self.shared.borrow_mut().adopted = adopted;
     }
--- a/system/runtime/node/src/control_link/link.rs
+++ b/system/runtime/node/src/control_link/link.rs
@@ -28,7 +28,7 @@
         ControlLink { connections, _maintenance: maintenance }
     }
 
-    /// The versions that are told at the next registrations.
+    /// The versions that are sent with the next registrations.
     pub fn set_adopted(&self, adopted: AdoptedVersions) {
         self.connections.set_adopted(adopted);
     }
@@ -38,7 +38,7 @@
         self.connections.set_seeds(seeds);
     }
 
-    /// Addresses of core machines that a core machine has told.
+    /// Adds addresses of core machines that a core machine has sent.
     pub fn add_core_machines(&self, addresses: impl Iterator<Item = SocketAddr>) {
         for address in addresses {
             self.connections.add_core_machine(address);
--- a/system/runtime/node/src/core/dispatcher_count.rs
+++ b/system/runtime/node/src/core/dispatcher_count.rs
@@ -1,4 +1,4 @@
-//! How many dispatchers there are, in the whole system.
+//! The number of dispatchers in the system.
 
 use millrudder_staleness::ConnectionId;
 use std::collections::BTreeMap;
--- a/system/runtime/node/src/core/host/barrier.rs
+++ b/system/runtime/node/src/core/host/barrier.rs
@@ -103,7 +103,7 @@
         self.handle_barrier(BarrierInput::StateChanged(versions));
     }
 
-    /// Counts the dispatchers anew; tells other core machines and registrants when there are more or fewer.
+    /// Counts the dispatchers anew, and sends the number to other core machines and registrants when it has changed.
     pub(super) fn count_dispatchers(&mut self) {
         let own = self.registrants.dispatchers();
         let Some(total) = self.dispatchers.update(own) else { return };
--- a/system/runtime/node/src/core/supervisor.rs
+++ b/system/runtime/node/src/core/supervisor.rs
@@ -33,7 +33,7 @@
     }
 
     /// Serves the state on the disk. When the disk fails, this machine ends the connections that others have opened, and
-    /// begins afresh with what the disk holds as soon as it takes writes again.
+    /// starts again from what the disk holds as soon as it takes writes again.
     ///
     /// # Errors
     /// The state on the disk cannot be used.
--- a/system/runtime/node/src/edge/calls.rs
+++ b/system/runtime/node/src/edge/calls.rs
@@ -50,7 +50,7 @@
     pub attempt: AttemptId,
     /// The receiver.
     pub url: CallBackUrl,
-    /// What it is told.
+    /// The outcome that it is notified of.
     pub body: CallBackBody,
     /// How long its answer is waited for.
     pub timeout: Duration,
--- a/system/runtime/node/src/main.rs
+++ b/system/runtime/node/src/main.rs
@@ -1,6 +1,6 @@
 //! The program of the system: one binary for its three roles.
 //!
-//! A *dispatcher* (`edge`) accepts clients' messages and delivers them to workers, a *store* (`storage`) keeps messages on
+//! A *dispatcher* (`edge`) accepts clients' messages and delivers them to workers, a *store* (`storage`) stores messages on
 //! its machine's disk, and a *core machine* (`core`) is one replica of the control state. Decisions are made by state
 //! machines without I/O, in the packages under `system/state` and `coordination`; this package is the shell around them.
 //! Each role has a *host* that owns the state machines and works through one queue of events, one at a time, on a
--- a/system/runtime/node/src/storage/mod.rs
+++ b/system/runtime/node/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! The role of a store: keeps messages on its disk, orders them, grants their delivery to dispatchers.
+//! The role of a store: stores messages on its disk, orders them, grants their delivery to dispatchers.
 //!
 //! **State.** A store owns the replicas of the shards that the placement gives it: messages, their leases and their ends.
 //! What must outlast a crash is durable in its record log ([`disk`]), as is the store's identity, which belongs to the disk
@@ -7,7 +7,7 @@
 //!
 //! **Order.** Nothing is acknowledged to a dispatcher or another store before the records that it rests on are reported as
 //! synced; the state machine sees to that. After a failure of its disk the store closes all connections, so that other
-//! stores take over its shards, and begins afresh with what the disk holds. A store that stops first waits until no shard
+//! stores take over its shards, and starts again from what the disk holds. A store that stops first waits until no shard
 //! needs it.
 
 mod caller;
--- a/system/runtime/node/src/storage/supervisor.rs
+++ b/system/runtime/node/src/storage/supervisor.rs
@@ -33,7 +33,7 @@
 
 impl Supervisor {
     /// Serves what is on the disk. When the disk fails, this store ends all its connections, so that others take over its
-    /// shards, and begins afresh with what the disk holds as soon as it takes writes again.
+    /// shards, and starts again from what the disk holds as soon as it takes writes again.
     pub async fn serve(&self, mut opened: OpenedDisk, mut queue: UnboundedReceiver<Event>) {
         loop {
             // Bounded by the commands to the disk's thread: a batch of these gets one report, or few.
--- a/system/runtime/node/tests/system/quorum.rs
+++ b/system/runtime/node/tests/system/quorum.rs
@@ -41,7 +41,7 @@
 fn refused_since_start(log: &[String]) -> bool {
     let start = log
         .iter()
-        .rposition(|line| line.contains("starting") && line.contains("role=edge"))
+        .rposition(|line| line.contains("] starting ") && line.contains("role=edge"))
         .unwrap_or(log.len());
     log[start..].iter().any(|line| line.contains("core machine has no quorum"))
 }
--- a/system/runtime/transport/src/connection.rs
+++ b/system/runtime/transport/src/connection.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Delivers all whole frames and leaves the rest in the buffer.
+/// Delivers all complete frames and leaves the rest in the buffer.
 fn drain<M, F>(buffer: &mut Vec<u8>, deliver: &mut F) -> Result<(), FrameError>
 where
     M: for<'a> Readable<'a, LittleEndian>,
--- a/system/runtime/transport/src/lib.rs
+++ b/system/runtime/transport/src/lib.rs
@@ -5,7 +5,7 @@
 //! unresponsive. [`dialer::Dialer`] keeps one connection to an address and opens it anew when it ends;
 //! [`listener::accept`] accepts connections. All of them report [`LinkEvent`]s through a callback.
 //!
-//! **Guarantees.** On one connection messages arrive in the order in which they were sent, whole and checked by a checksum;
+//! **Guarantees.** On one connection messages arrive in the order in which they were sent, complete and checked by a checksum;
 //! after the first that is damaged nothing more is read. A connection ends on both sides, within about two seconds when
 //! the peer's machine vanishes. Nothing is retransmitted on the next connection: which messages a peer has received
 //! before the end is not known.
