--- a/system/runtime/node/src/storage/host/mod.rs
+++ b/system/runtime/node/src/storage/host/mod.rs
@@ -90,17 +90,10 @@
         let full_retry_after_ms = config.full_retry_after.as_millis() as u32;
         let location = crate::location::location(settings);
         let node = StoreNode::new(config, local_id, location, Instant::ORIGIN, records.into_iter());
-        let registrant = Registrant::Store {
-            id: local_id,
-            name: settings.node_name.to_string(),
-            zone: settings.zone.to_string(),
-            address: Address(internal),
-            bootstrap: settings.bootstrap,
-        };
         let control = ControlLinkConfig {
             clock,
             max_connections: MAX_CORE_CONNECTIONS,
-            registrant,
+            registrant: registrant(settings, local_id, internal),
             seeds: settings.seeds.clone(),
             random_seed: seed,
         };
@@ -247,3 +240,14 @@
         }
     }
 }
+
+/// What a store registers as at core machines.
+fn registrant(settings: &Settings, local_id: StoreId, internal: SocketAddr) -> Registrant {
+    Registrant::Store {
+        id: local_id,
+        name: settings.node_name.to_string(),
+        zone: settings.zone.to_string(),
+        address: Address(internal),
+        bootstrap: settings.bootstrap,
+    }
+}
