--- a/system/runtime/node/src/clock.rs
+++ b/system/runtime/node/src/clock.rs
@@ -3,6 +3,9 @@
 use millrudder_clock::Instant;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+/// Deadlines later than this never come. The runtime cannot represent all readings.
+const FAR_FUTURE: Duration = Duration::from_secs(u32::MAX as u64);
+
 /// The process's steady clock. Its origin is the moment at which it was started, so that readings of two clocks, also
 /// of one process, cannot be compared.
 #[derive(Clone, Copy, Debug)]
@@ -31,14 +34,10 @@
         Instant::from_micros(self.start.elapsed().as_micros() as u64)
     }
 
-    /// The runtime's instant at which this clock reads `reading`.
+    /// The runtime's instant at which this clock reads `reading`; for readings that the runtime cannot represent, one that
+    /// no process lives to see.
     pub fn at(&self, reading: Instant) -> tokio::time::Instant {
-        self.start + reading.as_duration()
-    }
-
-    /// The runtime's instant at which [`SteadyClock::millis`] is `millis`.
-    pub fn at_millis(&self, millis: u64) -> tokio::time::Instant {
-        self.start + Duration::from_millis(millis)
+        self.start + reading.as_duration().min(FAR_FUTURE)
     }
 }
 
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -151,7 +151,7 @@
         queue: &mut UnboundedReceiver<Event>,
         reports: &mut UnboundedReceiver<JournalReport>,
     ) -> Result<(), RoleError> {
-        self.reader.read_without_lease(self.clock.millis());
+        self.reader.read_without_lease(self.clock.now());
         self.follow_retirements();
         loop {
             let deadline = self.next_deadline();
@@ -184,7 +184,7 @@
         let now = self.clock.now();
         let node = self.clock.at(self.node.next_deadline());
         let placement = self.placement.next_deadline(now).map(|due| self.clock.at(due));
-        let reader = self.reader.next_deadline().map(|due| self.clock.at_millis(due));
+        let reader = self.reader.next_deadline().map(|due| self.clock.at(due));
         let barrier = self.barrier.next_deadline().map(|due| self.clock.at(due));
         [Some(node), placement, reader, barrier].into_iter().flatten().min().unwrap_or(node)
     }
@@ -194,7 +194,7 @@
         self.node.handle(self.clock.micros(), Input::Tick);
         self.handle_placement(PlacementInput::Tick);
         let now = self.clock.now();
-        self.reader.tick(now.as_millis());
+        self.reader.tick(now);
         self.sweep_abandoned(now);
     }
 
@@ -227,7 +227,7 @@
             Event::SeedFound { address } => self.peers.connect(address),
             Event::Operator { request, reply } => self.handle_operator_request(request, reply),
             Event::WorkerListCall(call) => {
-                if let Some(list) = self.reader.handle_call(self.clock.millis(), call) {
+                if let Some(list) = self.reader.handle_call(self.clock.now(), call) {
                     self.adopt_own_list(list);
                 }
             }
--- a/system/runtime/node/src/core/host/outputs.rs
+++ b/system/runtime/node/src/core/host/outputs.rs
@@ -92,7 +92,7 @@
         if *role != controller::role() {
             return;
         }
-        let now = self.clock.millis();
+        let now = self.clock.now();
         match fencing {
             Some(fencing_token) => log::info!(fencing_token; "controller lease acquired"),
             None => log::info!("controller lease lost"),
--- a/system/runtime/node/src/core/worker_list_reader.rs
+++ b/system/runtime/node/src/core/worker_list_reader.rs
@@ -54,17 +54,17 @@
     }
 
     /// The lease was granted with this fencing token, or is lost.
-    pub fn set_lease(&mut self, now_ms: u64, fencing: Option<u64>) {
-        self.active = fencing.map(|fencing| self.activate(now_ms, fencing));
-        self.tick(now_ms);
+    pub fn set_lease(&mut self, now: Instant, fencing: Option<u64>) {
+        self.active = fencing.map(|fencing| self.activate(now, fencing));
+        self.tick(now);
     }
 
     /// Reads the list once, without the lease: after a start nobody may have a list, and the lease is granted only
     /// when earlier ones have run out. Every list of a lease holder replaces this one.
-    pub fn read_without_lease(&mut self, now_ms: u64) {
+    pub fn read_without_lease(&mut self, now: Instant) {
         if self.active.is_none() {
-            self.active = Some(self.activate(now_ms, WorkerListVersion::WITHOUT_LEASE));
-            self.tick(now_ms);
+            self.active = Some(self.activate(now, WorkerListVersion::WITHOUT_LEASE));
+            self.tick(now);
         }
     }
 
@@ -73,8 +73,7 @@
         self.active.take_if(|active| active.published.fencing == WorkerListVersion::WITHOUT_LEASE);
     }
 
-    fn activate(&self, now_ms: u64, fencing: u64) -> ActiveReader {
-        let now = Instant::from_millis(now_ms);
+    fn activate(&self, now: Instant, fencing: u64) -> ActiveReader {
         ActiveReader {
             reader: ListReader::new(self.schedule.clone(), self.seed, now),
             read: millrudder_discovery::WorkerList::default(),
@@ -91,24 +90,24 @@
         }
     }
 
-    /// When [`WorkerListReader::tick`] is due, in milliseconds of the owner's clock.
-    pub fn next_deadline(&self) -> Option<u64> {
+    /// When [`WorkerListReader::tick`] is due: at the first whole millisecond after the reader's own deadline.
+    pub fn next_deadline(&self) -> Option<Instant> {
         let active = self.active.as_ref().filter(|_| self.address.is_some())?;
-        Some(active.reader.next_deadline().as_millis() + 1)
+        Some(Instant::from_millis(active.reader.next_deadline().as_millis() + 1))
     }
 
     /// Acts on the time.
-    pub fn tick(&mut self, now_ms: u64) {
-        self.handle(now_ms, ReaderInput::Tick);
+    pub fn tick(&mut self, now: Instant) {
+        self.handle(now, ReaderInput::Tick);
     }
 
     /// A call has ended; returns the list, where it is complete and has changed.
-    pub fn handle_call(&mut self, now_ms: u64, event: CallEvent) -> Option<WorkerList> {
+    pub fn handle_call(&mut self, now: Instant, event: CallEvent) -> Option<WorkerList> {
         let input = match event {
             CallEvent::Answered { call, page } => ReaderInput::Answered { call, page },
             CallEvent::Failed { call, failure } => ReaderInput::Failed { call, failure },
         };
-        let snapshot = self.handle(now_ms, input)?;
+        let snapshot = self.handle(now, input)?;
         let active = self.active.as_mut()?;
         let is_first = active.published.number == 0;
         let is_unchanged = difference(&active.read, &snapshot.list).is_empty();
@@ -125,9 +124,9 @@
         Some(published)
     }
 
-    fn handle(&mut self, now_ms: u64, input: ReaderInput) -> Option<ListSnapshot> {
+    fn handle(&mut self, now: Instant, input: ReaderInput) -> Option<ListSnapshot> {
         let address = self.address?;
-        let output = self.active.as_mut()?.reader.handle(Instant::from_millis(now_ms), input)?;
+        let output = self.active.as_mut()?.reader.handle(now, input)?;
         match output {
             ReaderOutput::Fetch(call) => {
                 self.fetch(address, &call);
--- a/system/runtime/node/src/storage/host/mod.rs
+++ b/system/runtime/node/src/storage/host/mod.rs
@@ -152,8 +152,9 @@
     }
 
     fn next_deadline(&self) -> tokio::time::Instant {
-        let heartbeat = self.heartbeat_at.as_millis();
-        self.clock.at_millis(self.node.next_deadline().map_or(u64::MAX, Instant::as_millis).min(heartbeat))
+        let node = self.node.next_deadline().unwrap_or(self.heartbeat_at);
+        // In whole milliseconds, as the clock is read.
+        self.clock.at(Instant::from_millis(node.min(self.heartbeat_at).as_millis()))
     }
 
     fn tick(&mut self) {
