--- a/system/runtime/node/src/storage/host/mod.rs
+++ b/system/runtime/node/src/storage/host/mod.rs
@@ -90,17 +90,10 @@
         let full_retry_after_ms = config.full_retry_after.as_millis() as u32;
         let location = crate::location::location(settings);
         let node = StoreNode::new(config, local_id, location, Instant::ORIGIN, records.into_iter());
-        let registrant = Registrant::Store {
-            id: local_id,
-            name: settings.node_name.to_string(),
-            zone: settings.zone.to_string(),
-            address: Address(internal),
-            bootstrap: settings.bootstrap,
-        };
         let control = ControlLinkConfig {
             clock,
             max_connections: MAX_CORE_CONNECTIONS,
-            registrant,
+            registrant: registrant(settings, local_id, internal),
             seeds: settings.seeds.clone(),
             random_seed: seed,
         };
@@ -159,8 +152,9 @@
     }
 
     fn next_deadline(&self) -> tokio::time::Instant {
-        let heartbeat = self.heartbeat_at.as_millis();
-        self.clock.at_millis(self.node.next_deadline().map_or(u64::MAX, Instant::as_millis).min(heartbeat))
+        let node = self.node.next_deadline().unwrap_or(self.heartbeat_at);
+        // In whole milliseconds, as the clock is read.
+        self.clock.at(Instant::from_millis(node.min(self.heartbeat_at).as_millis()))
     }
 
     fn tick(&mut self) {
@@ -247,3 +241,14 @@
         }
     }
 }
+
+/// What a store registers as at core machines.
+fn registrant(settings: &Settings, local_id: StoreId, internal: SocketAddr) -> Registrant {
+    Registrant::Store {
+        id: local_id,
+        name: settings.node_name.to_string(),
+        zone: settings.zone.to_string(),
+        address: Address(internal),
+        bootstrap: settings.bootstrap,
+    }
+}
