--- a/system/state/queue/src/lib.rs
+++ b/system/state/queue/src/lib.rs
@@ -22,7 +22,7 @@
 //! let [Output::Append { ticket, .. }] = outputs[..] else { panic!("one record") };
 //! assert_eq!(node.health(Instant::ORIGIN).primary_shards, 0);
 //! node.handle(Instant::from_millis(2), Input::Synced { ticket }, &mut outputs);
-//! assert_eq!(node.health(Instant::from_millis(2)).serving, 1);
+//! assert_eq!(node.health(Instant::from_millis(2)).primary_shards, 1);
 //! ```
 //!
 //! # Guarantees
