--- /dev/null
+++ b/coordination/chain/src/replica/commit.rs
@@ -0,0 +1,96 @@
+//! Recording, completeness and commits.
+
+use millrudder_clock::Instant;
+
+use super::{DurableWatermark, Replica, ReplicaOutput};
+use crate::store::Applied;
+use crate::{CoreMessage, Entry, Machine, Record, Sequence};
+
+impl<M: Machine> Replica<M> {
+    /// The record of `watermark` is durable.
+    pub(crate) fn handle_durable(&mut self, now: Instant, watermark: DurableWatermark) {
+        if !self.durability.handle_durable(watermark) {
+            return;
+        }
+        self.check_caught_up(now);
+        self.commit_at_tail(now);
+        self.replicate_to_all(now);
+    }
+
+    /// Records new entries, and notes completeness once the log reaches `complete_at`.
+    pub(super) fn record_entries(&mut self, now: Instant, fresh: Vec<Entry>, complete_at: Sequence) {
+        let is_sealed = self.is_sealed();
+        self.caught_up_at = (self.is_member() && !is_sealed).then_some(complete_at);
+        let reached = (self.is_member() || is_sealed) && self.end().sequence >= complete_at;
+        if reached && !self.durability.is_complete() {
+            return self.mark_complete(fresh);
+        }
+        if fresh.is_empty() {
+            return self.check_caught_up(now);
+        }
+        self.persist_entries(fresh);
+    }
+
+    pub(super) fn mark_complete(&mut self, fresh: Vec<Entry>) {
+        if self.durability.is_complete() {
+            return;
+        }
+        self.durability.set_complete();
+        self.persist_entries(fresh);
+    }
+
+    pub(super) fn check_caught_up(&mut self, now: Instant) {
+        let reached = self.caught_up_at.is_some_and(|target| self.durability.durable_through() >= target);
+        if reached && !self.caught_up && !self.is_sealed() {
+            self.mark_caught_up(now);
+        }
+    }
+
+    pub(super) fn mark_caught_up(&mut self, now: Instant) {
+        self.caught_up = true;
+        self.complete_at = self.end().sequence;
+        self.commit_at_tail(now);
+    }
+
+    pub(super) fn persist_entries(&mut self, entries: Vec<Entry>) {
+        let committed = self.committed();
+        self.persist(Record::Appended { entries, committed, complete: self.durability.is_complete() });
+    }
+
+    pub(super) fn persist(&mut self, record: Record) {
+        self.outputs.push(ReplicaOutput::Persist(record));
+        let watermark = self.durability.watermark(self.end().sequence);
+        self.outputs.push(ReplicaOutput::WhenDurable(watermark));
+    }
+
+    /// At the tail a durable command is durable at every member.
+    pub(super) fn commit_at_tail(&mut self, now: Instant) {
+        if self.is_tail() && self.caught_up && !self.is_sealed() {
+            self.commit(now, self.durability.durable_through());
+        }
+    }
+
+    pub(super) fn commit(&mut self, now: Instant, sequence: Sequence) {
+        let applied = self.store.commit(sequence);
+        if applied.is_empty() {
+            return;
+        }
+        for applied in applied {
+            self.pending.remove(&applied.request_id);
+            self.reply(&applied);
+            self.outputs.push(ReplicaOutput::Applied(applied));
+        }
+        if let Some(predecessor) = self.view.predecessor(self.local_id) {
+            self.acknowledge(predecessor);
+        }
+        self.replicate_to_all(now);
+    }
+
+    /// The tail replies to the node at which the command was submitted.
+    fn reply(&mut self, applied: &Applied<M>) {
+        if self.is_tail() && applied.origin != self.local_id {
+            let reply = applied.encoded_reply.clone();
+            self.send(applied.origin, CoreMessage::Reply { request_id: applied.request_id, reply });
+        }
+    }
+}
--- a/system/state/control-state/examples/catch_up.rs
+++ b/system/state/control-state/examples/catch_up.rs
@@ -4,6 +4,7 @@
 
 use millrudder_chain::{CoreConfig, CoreMessage, CoreNode, DurableState, Input, Output, Record, RequestId};
 use millrudder_checkpoint_store::{CheckpointStore, RealFolder};
+use millrudder_clock::Instant as SteadyInstant;
 use millrudder_control_state::{Command, ControlState};
 use millrudder_protocol::control::ConfigurationText;
 use speedy::{Readable, Writable};
@@ -34,15 +35,16 @@
 }
 
 impl Host {
-    fn start(address: &'static str, founds: bool, seed: u64) -> Result<Host, Box<dyn Error>> {
+    fn start(address: &'static str, is_founder: bool, seed: u64) -> Result<Host, Box<dyn Error>> {
         let mut config = CoreConfig::new(address);
         config.minimum_members = 1;
-        config.founders = if founds { vec![address.to_owned()] } else { Vec::new() };
-        let node = CoreNode::new(config, None, seed, 0)?;
+        config.bootstrap_addresses = if is_founder { vec![address.to_owned()] } else { Vec::new() };
+        let node = CoreNode::new(config, None, seed, SteadyInstant::ORIGIN)?;
         Ok(Host { node, address, sent: VecDeque::new(), checkpoints: Vec::new() })
     }
 
     fn handle(&mut self, now: u64, input: Input<Command>) {
+        let now = SteadyInstant::from_micros(now);
         let began = Instant::now();
         self.node.handle(now, input);
         let took = began.elapsed();
@@ -50,13 +52,13 @@
             match output {
                 Output::Send { message, .. } => self.sent.push_back(message),
                 Output::Persist { token, .. } => self.node.handle(now, Input::Persisted { token }),
-                Output::Checkpoint { state, .. } => self.note_checkpoint(&state, took),
+                Output::Checkpoint { state, .. } => self.record_checkpoint(&state, took),
                 _ => {}
             }
         }
     }
 
-    fn note_checkpoint(&mut self, state: &DurableState, handling: Duration) {
+    fn record_checkpoint(&mut self, state: &DurableState, handling: Duration) {
         let began = Instant::now();
         let bytes = state.write_to_vec().unwrap_or_default().len();
         self.checkpoints.push(Checkpoint { bytes, taking: handling + began.elapsed() });
@@ -147,7 +149,7 @@
     for record in &recovered.records {
         state.apply(&Record::read_from_buffer(record)?);
     }
-    let _node: Node = CoreNode::new(CoreConfig::new("10.0.0.1:9000"), Some(state), 9, 0)?;
+    let _node: Node = CoreNode::new(CoreConfig::new("10.0.0.1:9000"), Some(state), 9, SteadyInstant::ORIGIN)?;
     let restarting = began.elapsed();
     std::fs::remove_dir_all(&folder)?;
     Ok((writing, restarting))
@@ -185,10 +187,10 @@
     );
     println!("one checkpoint: {} bytes, on disk in {:.2} ms", state.write_to_vec()?.len(), millis(writing));
     println!("restart: {:.2} ms", millis(restarting));
-    let held = learner.node.committed() == member.node.committed();
+    let has_caught_up = learner.node.committed() == member.node.committed();
     println!(
         "catch-up: {}, {} messages, {} bytes, the largest {}, handled in at most {:.2} ms, {} ms simulated",
-        if held { "whole" } else { "not reached" },
+        if has_caught_up { "whole" } else { "not reached" },
         transfer.messages,
         transfer.bytes,
         transfer.largest,
--- a/system/state/queue/src/node/attempts.rs
+++ b/system/state/queue/src/node/attempts.rs
@@ -96,7 +96,7 @@
     pub(super) fn may_answer_for(&self, shard: ShardId, token: LeaseToken) -> bool {
         let primary_term = self.primary_terms.get(shard);
         primary_term
-            .is_some_and(|primary_term| primary_term.is_serving() && token.epoch() <= primary_term.number())
+            .is_some_and(|primary_term| primary_term.is_serving() && token.term() <= primary_term.number())
     }
 
     /// A run that succeeded ends the message, whoever ran it and under whatever lease.
