--- a/system/state/queue/src/node/accept.rs
+++ b/system/state/queue/src/node/accept.rs
@@ -83,7 +83,7 @@
             self.keys.add(key, sequence, id);
         }
         let mut primary = PrimaryEntry::new(Stage::Persisting, now);
-        primary.accepted_by = Some(Acceptor { dispatcher, at: now });
+        primary.set_accepted_by(Acceptor { dispatcher, at: now });
         self.table.change(id, now, |entry| {
             entry.sequence = sequence;
             entry.retention = Duration::from_millis(u64::from(message.retention_ms));
@@ -107,7 +107,7 @@
             return;
         }
         if let Some(primary) = entry.primary.as_mut() {
-            primary.accepted_by = Some(Acceptor { dispatcher, at: now });
+            primary.set_accepted_by(Acceptor { dispatcher, at: now });
         }
         self.when_durable(id, Effect::Accepted { connection, request });
     }
@@ -146,10 +146,8 @@
         match self.table.get(id) {
             None => self.insert_tombstone(id),
             Some(entry) => {
-                let is_unrun = entry
-                    .primary
-                    .as_ref()
-                    .is_some_and(|primary| primary.possible_runners.is_at_most(dispatcher));
+                let is_unrun =
+                    entry.primary.as_ref().is_some_and(|primary| primary.was_run_at_most_by(dispatcher));
                 let may_answer = is_unrun && entry.failed_attempts == 0;
                 match &entry.end {
                     None => self.withdraw_message(id),
--- a/system/state/queue/src/node/attempts.rs
+++ b/system/state/queue/src/node/attempts.rs
@@ -42,7 +42,7 @@
         let is_current = self.lease_of(id).is_some_and(|lease| lease.token == token);
         let reporter = self.dispatchers.of(connection);
         if let Some(primary) = self.table.primary_mut(id) {
-            primary.reporter = reporter;
+            primary.set_reporter(reporter);
         }
         match outcome {
             AttemptOutcome::Succeeded { signature } => self.succeeded(id, token, signature),
@@ -71,7 +71,7 @@
     /// A lease is over without an outcome that counts; the message waits so long at least.
     fn return_lease(&mut self, id: MessageId, by: Option<DispatcherId>, wait: Duration) {
         if let Some(primary) = self.table.primary_mut(id) {
-            primary.returned_by = by;
+            primary.set_returned_by(by);
         }
         self.reschedule(id, wait.max(MIN_RETURN_DELAY));
     }
@@ -84,8 +84,7 @@
         let Some(primary) = self.table.primary_mut(id) else {
             return Duration::ZERO;
         };
-        primary.unknown_ends = primary.unknown_ends.saturating_add(1);
-        let counted = primary.unknown_ends.saturating_sub(UNKNOWN_ENDS_WITHOUT_BACKOFF);
+        let counted = primary.count_unknown_end().saturating_sub(UNKNOWN_ENDS_WITHOUT_BACKOFF);
         if counted == 0 {
             return Duration::ZERO;
         }
@@ -131,7 +130,7 @@
         }
         let not_before = self.context.now + self.backoff_of(id);
         if let Some(primary) = self.table.primary_mut(id) {
-            primary.not_before = not_before;
+            primary.set_not_before(not_before);
         }
         self.when_durable(id, Effect::Retry);
     }
@@ -200,7 +199,7 @@
 
     fn schedule_persisted(&mut self, id: MessageId) {
         let primary = self.table.primary(id);
-        if primary.is_some_and(|primary| primary.stage == Stage::Persisting) {
+        if primary.is_some_and(|primary| primary.stage() == Stage::Persisting) {
             self.schedule(id);
         }
     }
@@ -218,8 +217,8 @@
     fn remember_order_key(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let key = order_key(entry).map(str::to_owned);
-        if let Some(primary) = entry.primary.as_mut().filter(|_| key.is_some()) {
-            primary.ended_key = key;
+        if let (Some(primary), Some(key)) = (entry.primary.as_mut(), key) {
+            primary.set_ended_key(key);
         }
     }
 
@@ -227,7 +226,7 @@
     fn handle_end_durable(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let sequence = entry.sequence;
-        let key = entry.primary.as_mut().and_then(|primary| primary.ended_key.take());
+        let key = entry.primary.as_mut().and_then(|primary| primary.take_ended_key());
         let next = key.and_then(|key| self.keys.end(&key, sequence, id));
         if let Some(next) = next {
             self.schedule_next_of_key(next);
@@ -237,7 +236,7 @@
 
     fn schedule_next_of_key(&mut self, id: MessageId) {
         let primary = self.table.primary(id);
-        if primary.is_some_and(|primary| primary.stage == Stage::WaitingForKey) {
+        if primary.is_some_and(|primary| primary.stage() == Stage::WaitingForKey) {
             self.schedule(id);
         }
     }
--- a/system/state/queue/src/node/callbacks.rs
+++ b/system/state/queue/src/node/callbacks.rs
@@ -56,7 +56,7 @@
     fn callback_dispatcher(&self, id: MessageId) -> Option<DispatcherId> {
         let entry = self.table.get(id)?;
         let url = entry.message.as_ref()?.callback_url.as_deref()?;
-        let reporter = entry.primary.as_ref()?.reporter;
+        let reporter = entry.primary.as_ref()?.reporter();
         let homes = self
             .dispatchers
             .home_dispatchers(receiver_of(url), self.context.config.home_dispatchers_per_receiver);
--- a/system/state/queue/src/node/grants.rs
+++ b/system/state/queue/src/node/grants.rs
@@ -37,12 +37,12 @@
     pub(super) fn schedule(&mut self, id: MessageId) {
         let Some(entry) = self.table.get(id) else { return };
         let Some(primary) = entry.primary.as_ref() else { return };
-        if entry.end.is_some() || matches!(primary.stage, Stage::InFlight(_)) || self.end_if_exhausted(id) {
+        if entry.end.is_some() || primary.is_in_flight() || self.end_if_exhausted(id) {
             return;
         }
         let Some(entry) = self.table.get(id) else { return };
         let Some(primary) = entry.primary.as_ref() else { return };
-        let until = entry.due().max(primary.not_before);
+        let until = entry.due().max(primary.not_before());
         let is_first = match order_key(entry) {
             Some(key) => self.keys.activate(key, id),
             None => true,
@@ -59,7 +59,7 @@
 
     fn set_stage(&mut self, id: MessageId, stage: Stage) {
         if let Some(primary) = self.table.primary_mut(id) {
-            primary.stage = stage;
+            primary.set_stage(stage);
         }
     }
 
@@ -80,7 +80,7 @@
     pub(super) fn handle_backoff_over(&mut self, id: MessageId) {
         let primary = self.table.primary(id);
         let is_due = primary.is_some_and(
-            |primary| matches!(primary.stage, Stage::BackingOff { until } if until <= self.context.now),
+            |primary| matches!(primary.stage(), Stage::BackingOff { until } if until <= self.context.now),
         );
         if is_due {
             self.make_ready(id);
@@ -90,7 +90,7 @@
     /// Takes a message out of its stage; a lease of it is over.
     pub(super) fn unschedule(&mut self, id: MessageId, stage: Stage) {
         let Some(primary) = self.table.primary(id) else { return };
-        match primary.stage {
+        match primary.stage() {
             Stage::Ready(key) => self.services.get_mut(key.service).remove(key),
             Stage::BackingOff { until } => self.context.timers.clear(until, Timer::BackoffOver(id)),
             Stage::InFlight(lease) => self.drop_lease(id, lease),
@@ -155,8 +155,8 @@
         let service = self.services.get_mut(index);
         let Some(key) = service.first_ready(now) else { return false };
         let primary = self.table.primary(key.id);
-        let returned_by = primary.and_then(|primary| primary.returned_by);
-        let acceptor = primary.and_then(|primary| primary.accepted_by).map(|acceptor| acceptor.dispatcher);
+        let returned_by = primary.and_then(|primary| primary.returned_by());
+        let acceptor = primary.and_then(|primary| primary.accepted_by()).map(|acceptor| acceptor.dispatcher);
         let acceptor = acceptor.filter(|dispatcher| Some(*dispatcher) != returned_by);
         let preferred = acceptor.filter(|dispatcher| service.credits().has_free(*dispatcher));
         let home = self.home_for(key.id, index, acceptor, returned_by);
@@ -277,8 +277,7 @@
     /// The dispatcher is notified of its lease now.
     pub(super) fn mark_notified(&mut self, id: MessageId, lease: Lease) {
         if let Some(primary) = self.table.primary_mut(id) {
-            primary.stage = Stage::InFlight(Lease { is_notified: true, ..lease });
-            primary.possible_runners.add(lease.dispatcher);
+            primary.mark_notified(lease);
         }
         let Some(service) = self.service_of(id) else { return };
         self.release_unnotified(service, lease);
@@ -291,7 +290,7 @@
     /// The dispatcher accepted the message so recently that it has the body still.
     pub(super) fn has_body(&self, id: MessageId, dispatcher: DispatcherId) -> bool {
         let primary = self.table.primary(id);
-        let acceptor = primary.and_then(|primary| primary.accepted_by);
+        let acceptor = primary.and_then(|primary| primary.accepted_by());
         let is_recent =
             |at| self.context.now.saturating_duration_since(at) < self.context.config.body_retention;
         acceptor.is_some_and(|acceptor| acceptor.dispatcher == dispatcher && is_recent(acceptor.at))
@@ -331,7 +330,7 @@
         self.unschedule(id, Stage::Persisting);
         let not_before = self.context.now + wait;
         if let Some(primary) = self.table.primary_mut(id) {
-            primary.not_before = not_before;
+            primary.set_not_before(not_before);
         }
         self.schedule(id);
     }
--- a/system/state/queue/src/node/scrub.rs
+++ b/system/state/queue/src/node/scrub.rs
@@ -82,9 +82,8 @@
         let is_retained = entry.expiry.is_some_and(|expiry| expiry > self.context.now + SOON_FORGOTTEN);
         let Some(primary) = entry.primary.as_ref().filter(|_| is_retained) else { return Vec::new() };
         let Some(primary_term) = self.primary_terms.get(entry.id.shard) else { return Vec::new() };
-        let holders = primary.replica_progress.iter().filter(|progress| progress.acked == primary.version);
-        let stores = holders.map(|progress| progress.store);
-        stores
+        primary
+            .up_to_date_stores()
             .filter(|store| {
                 *store != self.context.local_id
                     && primary_term.is_replica(*store)
@@ -131,9 +130,7 @@
             let Some(primary) = self.table.primary_mut(*id) else {
                 continue;
             };
-            let progress = primary.progress_mut(from);
-            progress.sent = 0;
-            progress.acked = 0;
+            primary.reset_progress(from);
             // A new version: a change that is under way to that replica must not count as the full state.
             self.mark_full_state_changed(*id);
         }
--- a/system/state/queue/src/node/takeover.rs
+++ b/system/state/queue/src/node/takeover.rs
@@ -8,9 +8,7 @@
 use super::StoreNode;
 use crate::api::DiskRecord;
 use crate::entry::{Entry, EntryVersion};
-use crate::primary_entry::{
-    Effect, PendingEffect, PossibleRunners, PrimaryEntry, ReplicaProgress, SentVersion, Stage,
-};
+use crate::primary_entry::{Effect, PrimaryEntry, ReplicaProgress, SentVersion, Stage};
 use crate::primary_term::{MergedRecord, PrimaryTerm, RecoveredCopy};
 use crate::replication::SyncAction;
 use millrudder_protocol::message::MessageState;
@@ -206,7 +204,6 @@
         let entry_version = entry.entry_version();
         let mut primary = PrimaryEntry::new(Stage::Persisting, now);
         let version = merged.map_or(FIRST_VERSION, |merged| merged.appended.max(FIRST_VERSION));
-        primary.version = version;
         let holders = recovered.iter().filter(|recovered| recovered.entry_version == entry_version);
         let holders = holders.filter(|recovered| recovered.store != local_id || merged.is_none());
         let progress = |recovered: &RecoveredCopy| ReplicaProgress {
@@ -214,20 +211,19 @@
             sent: version,
             acked: version,
         };
-        primary.replica_progress = holders.map(progress).collect();
-        primary.replica_progress.extend(merged.map(|merged| ReplicaProgress {
-            store: local_id,
-            sent: version,
-            acked: merged.synced,
-        }));
+        let local =
+            merged.map(|merged| ReplicaProgress { store: local_id, sent: version, acked: merged.synced });
+        primary.set_recovered(version, holders.map(progress).chain(local).collect());
         if let Some(primary_term) = self.primary_terms.get_mut(id.shard) {
             primary_term.count_past(entry.sequence, entry.grant.map(|grant| grant.token).unwrap_or_default());
-            primary.durable = primary_term.durable_version(&primary);
+            let durable_version = primary_term.durable_version(&primary);
+            // Nothing waits for it yet.
+            let _ = primary.advance_durable(durable_version);
         }
         if entry.grant.is_some() {
-            primary.possible_runners = PossibleRunners::Unknown;
+            primary.set_runners_unknown();
         }
-        let is_durable = primary.durable == primary.version;
+        let is_durable = primary.is_durable();
         entry.primary = Some(Box::new(primary));
         if !is_durable {
             self.replication.mark_pending(id);
@@ -276,19 +272,17 @@
         let Some(entry) = self.table.get_mut(id) else { return };
         let ended = entry.end.is_some();
         let Some(primary) = entry.primary.as_mut() else { return };
-        if matches!(primary.stage, Stage::InFlight(_)) {
+        if primary.is_in_flight() {
             return;
         }
         if !ended {
             self.schedule(id);
             return;
         }
-        primary.stage = Stage::Ended;
-        if primary.durable >= primary.version {
+        primary.set_stage(Stage::Ended);
+        if primary.defer_until_durable(Effect::Ended).is_some() {
             self.enqueue_callback(id);
-            return;
         }
-        primary.pending_effects.push(PendingEffect { version: primary.version, effect: Effect::Ended });
     }
 
     /// A replica that the takeover did not wait for tells what it knows: what no other one has is added.
@@ -317,11 +311,9 @@
         let Some(entry) = self.table.get_mut(id) else { return };
         let is_same = entry.entry_version() == entry_version;
         let Some(primary) = entry.primary.as_mut() else { return };
-        let progress = primary.progress_mut(from);
         // What was sent to it in this term is counted by its acknowledgements alone.
-        if is_same && progress.sent == 0 {
-            let version = primary.version;
-            *primary.progress_mut(from) = ReplicaProgress { store: from, sent: version, acked: version };
+        if is_same && primary.progress_of(from).sent == 0 {
+            primary.mark_up_to_date(from);
             self.update_durable_version(id);
         }
     }
--- a/system/state/queue/src/node/watchdog.rs
+++ b/system/state/queue/src/node/watchdog.rs
@@ -112,10 +112,10 @@
         if !self.primary_terms.is_serving(id.shard) {
             return None;
         }
-        let is_durable = primary.durable >= primary.version;
+        let is_durable = primary.is_durable();
         let is_late = |at: Instant| self.context.now.saturating_duration_since(at) > LATE_AFTER;
-        match primary.stage {
-            Stage::Persisting if is_durable && primary.pending_effects.is_empty() => {
+        match primary.stage() {
+            Stage::Persisting if is_durable && !primary.has_pending_effects() => {
                 Some(OrphanCause::NotScheduled)
             }
             Stage::BackingOff { until } if is_late(until) => Some(OrphanCause::NotWoken),
--- a/system/state/queue/src/replication/mod.rs
+++ b/system/state/queue/src/replication/mod.rs
@@ -15,7 +15,7 @@
 use crate::context::Context;
 use crate::entry::message_bytes;
 use crate::message_table::MessageTable;
-use crate::primary_entry::{Effect, PendingEffect, SentVersion};
+use crate::primary_entry::{Effect, SentVersion};
 use crate::primary_term::PrimaryTerms;
 use crate::time::Instant;
 use disk::LocalDisk;
@@ -99,7 +99,7 @@
 
     fn mark_changed(&mut self, table: &mut MessageTable, id: MessageId, record: Option<Record>) {
         if let Some(primary) = table.primary_mut(id) {
-            primary.version += 1;
+            primary.advance_version();
             self.pending.insert(id);
             self.changes.push(Change { id, record });
         }
@@ -136,17 +136,17 @@
         let deltas: Option<Vec<Record>> = records.into_iter().collect();
         let Some(primary) = entry.primary.as_ref() else { return };
         // A change says nothing to a store that lacks what was known before.
-        let is_next = |store: StoreId| primary.progress_of(store).sent + count == primary.version;
+        let is_next = |store: StoreId| primary.progress_of(store).sent + count == primary.version();
         let for_store =
             |store: StoreId| deltas.clone().filter(|_| is_next(store)).unwrap_or_else(|| vec![full_state()]);
         let local = for_store(context.local_id);
         let per_target: Vec<(StoreId, Vec<Record>)> =
             targets.into_iter().map(|target| (target, for_store(target))).collect();
         let Some(primary) = entry.primary.as_mut() else { return };
-        let sent = SentVersion { id, term, version: primary.version };
-        primary.progress_mut(context.local_id).sent = sent.version;
+        let sent = SentVersion { id, term, version: primary.version() };
+        primary.mark_sent(context.local_id);
         for (target, records) in per_target {
-            primary.progress_mut(target).sent = sent.version;
+            primary.mark_sent(target);
             if let Some(peer) = self.peers.get_mut(&target) {
                 peer.remove_catch_up(id);
             }
@@ -265,8 +265,7 @@
             return Vec::new();
         }
         let Some(primary) = table.primary_mut(sent.id) else { return Vec::new() };
-        let progress = primary.progress_mut(store);
-        progress.acked = progress.acked.max(sent.version);
+        primary.mark_acked(store, sent.version);
         if !self.pending.contains(&sent.id) {
             return Vec::new();
         }
@@ -284,13 +283,12 @@
         let Some(primary_term) = terms.get(id.shard) else { return Vec::new() };
         let Some(primary) = table.primary_mut(id) else { return Vec::new() };
         let version = primary_term.durable_version(primary);
-        if version == primary.version {
+        if version == primary.version() {
             self.pending.remove(&id);
         } else {
             self.pending.insert(id);
         }
-        primary.durable = primary.durable.max(version);
-        primary.take_allowed_effects()
+        primary.advance_durable(version)
     }
 
     /// The latest version of the message is not on as many disks as promised.
@@ -365,12 +363,7 @@
 /// may follow at once.
 #[must_use]
 pub(crate) fn defer_until_durable(table: &mut MessageTable, id: MessageId, effect: Effect) -> Option<Effect> {
-    let primary = table.primary_mut(id)?;
-    if primary.durable >= primary.version {
-        return Some(effect);
-    }
-    primary.pending_effects.push(PendingEffect { version: primary.version, effect });
-    None
+    table.primary_mut(id)?.defer_until_durable(effect)
 }
 
 /// What became known of one message since the last flush, in order.
--- a/system/state/queue/src/replication/repair.rs
+++ b/system/state/queue/src/replication/repair.rs
@@ -25,7 +25,7 @@
         terms: &PrimaryTerms,
         id: MessageId,
     ) {
-        let lacks = |primary: &PrimaryEntry| primary.progress_of(context.local_id).sent < primary.version;
+        let lacks = |primary: &PrimaryEntry| primary.progress_of(context.local_id).sent < primary.version();
         if table.primary(id).is_some_and(lacks) {
             self.write_own_full_state(context, table, terms, id);
         }
@@ -51,7 +51,7 @@
     /// A store was sent all that is known of a message, or will be.
     fn is_under_way(&self, id: MessageId, primary: &PrimaryEntry, store: StoreId) -> bool {
         let is_queued = self.peers.get(&store).is_some_and(|peer| peer.is_catching_up_with(id));
-        is_queued || primary.progress_of(store).sent >= primary.version
+        is_queued || primary.progress_of(store).sent >= primary.version()
     }
 
     /// A store has all that is known of a message on its disk, or will have it within its usual time.
@@ -61,7 +61,7 @@
             Some(peer) => !peer.is_connected() || peer.is_overdue(),
             None => true,
         };
-        primary.progress_of(store).acked >= primary.version
+        primary.progress_of(store).acked >= primary.version()
             || (!is_late && self.is_under_way(id, primary, store))
     }
 
@@ -77,8 +77,8 @@
         let Some(entry) = table.get_mut(id) else { return };
         let record = Record::State { state: Box::new(entry.state(context.now)) };
         let Some(primary) = entry.primary.as_mut() else { return };
-        primary.progress_mut(context.local_id).sent = primary.version;
-        let sent = SentVersion { id, term, version: primary.version };
+        primary.mark_sent(context.local_id);
+        let sent = SentVersion { id, term, version: primary.version() };
         self.append(context, DiskRecord::Message { record }, SyncAction::Own(sent));
     }
 
@@ -201,8 +201,7 @@
         let lost = peer.disconnect();
         for sent in lost.iter().filter(|sent| terms.is_current(sent)) {
             if let Some(primary) = table.primary_mut(sent.id) {
-                let progress = primary.progress_mut(store);
-                progress.sent = progress.acked;
+                primary.forget_in_flight(store);
             }
         }
         self.assign_sent(context, table, terms, &lost);
@@ -222,7 +221,7 @@
             return;
         }
         let lacks = |id: &MessageId| {
-            table.primary(*id).is_some_and(|primary| primary.progress_of(store).sent < primary.version)
+            table.primary(*id).is_some_and(|primary| primary.progress_of(store).sent < primary.version())
         };
         let Some(peer) = self.peers.get_mut(&store).filter(|peer| peer.is_connected()) else { return };
         peer.add_catch_up(table.ids_of(shard).filter(lacks));
@@ -241,13 +240,13 @@
 ) {
     let Some(term) = terms.number_of(id.shard) else { return };
     let Some(entry) = table.get_mut(id) else { return };
-    let Some(version) = entry.primary.as_ref().map(|primary| primary.version) else { return };
+    let Some(version) = entry.primary.as_ref().map(|primary| primary.version()) else { return };
     if entry.primary.as_ref().is_some_and(|primary| primary.progress_of(store).sent >= version) {
         return;
     }
     let record = Record::State { state: Box::new(entry.state(context.now)) };
     if let Some(primary) = entry.primary.as_mut() {
-        primary.progress_mut(store).sent = version;
+        primary.mark_sent(store);
     }
     batch.add(vec![record], SentVersion { id, term, version });
 }
