--- a/system/state/queue/src/callbacks.rs
+++ b/system/state/queue/src/callbacks.rs
@@ -129,12 +129,12 @@
             return;
         }
         callback.failures += 1;
-        let own_wait = backoff(callback.failures, config).max(retry_after);
+        let own_wait = config.backoff(callback.failures).max(retry_after);
         let receiver = &mut self.receivers[callback.receiver as usize];
         receiver.failures += 1;
         receiver.limit = 1;
         if receiver.failures >= FAILURES_BEFORE_BACKOFF {
-            receiver.backing_off_until = now + backoff(receiver.failures - 1, config);
+            receiver.backing_off_until = now + config.backoff(receiver.failures - 1);
         }
         self.wait_again(id, now + own_wait);
     }
@@ -200,9 +200,3 @@
         self.runnable.extend(0..count);
     }
 }
-
-/// Wait after the failure number `failures` in a row.
-pub(crate) fn backoff(failures: u32, config: &Config) -> Duration {
-    let doublings = failures.saturating_sub(1).min(16);
-    config.initial_backoff.saturating_mul(1 << doublings).min(config.max_backoff)
-}
--- a/system/state/queue/src/config.rs
+++ b/system/state/queue/src/config.rs
@@ -73,6 +73,9 @@
     pub seed: u64,
 }
 
+/// Doublings of the back-off after which only its maximum counts; keeps the factor within its type.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+
 /// A [`Config`] that contradicts itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
@@ -111,6 +114,12 @@
         }
         Ok(())
     }
+
+    /// Wait after so many consecutive failures: doubles with each further one, up to the maximum.
+    pub(crate) fn backoff(&self, failures: u32) -> Duration {
+        let doublings = failures.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+        self.initial_backoff.saturating_mul(1 << doublings).min(self.max_backoff)
+    }
 }
 
 impl Default for Config {
--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -230,6 +230,11 @@
         }
     }
 
+    /// The key within which messages are delivered in order.
+    pub fn order_key(&self) -> Option<&str> {
+        self.message.as_ref()?.order_key.as_deref()
+    }
+
     /// Time before which it must not run.
     pub fn due(&self) -> Instant {
         let delay_ms = self.message.as_ref().map_or(0, |message| message.delay_ms);
--- a/system/state/queue/src/node/attempts.rs
+++ b/system/state/queue/src/node/attempts.rs
@@ -1,9 +1,7 @@
 //! Outcomes of attempts, and the effects of durable changes.
 
-use super::grants::order_key;
 use super::StoreNode;
 use crate::api::ConnectionId;
-use crate::callbacks::backoff;
 use crate::entry::Entry;
 use crate::primary_entry::{Effect, Stage};
 use crate::time::millis;
@@ -88,7 +86,7 @@
         if counted == 0 {
             return Duration::ZERO;
         }
-        backoff(counted, &self.context.config)
+        self.context.config.backoff(counted)
     }
 
     /// This store is primary of the shard, and no later one gave the token.
@@ -173,7 +171,7 @@
     fn backoff_of(&mut self, id: MessageId) -> Duration {
         let Some(entry) = self.table.get(id) else { return Duration::ZERO };
         let time_left = entry.start_by().saturating_duration_since(self.context.now);
-        let full_backoff = backoff(entry.failed_attempts, &self.context.config);
+        let full_backoff = self.context.config.backoff(entry.failed_attempts);
         let wait = with_jitter(full_backoff, &mut self.context.random);
         if time_left.is_zero() {
             return wait;
@@ -216,7 +214,7 @@
     /// Notes in whose key's queue the message is, before the message itself may be freed.
     fn remember_order_key(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
-        let key = order_key(entry).map(str::to_owned);
+        let key = entry.order_key().map(str::to_owned);
         if let (Some(primary), Some(key)) = (entry.primary.as_mut(), key) {
             primary.set_ended_key(key);
         }
--- a/system/state/queue/src/node/grants.rs
+++ b/system/state/queue/src/node/grants.rs
@@ -43,7 +43,7 @@
         let Some(entry) = self.table.get(id) else { return };
         let Some(primary) = entry.primary.as_ref() else { return };
         let until = entry.due().max(primary.not_before());
-        let is_first = match order_key(entry) {
+        let is_first = match entry.order_key() {
             Some(key) => self.keys.activate(key, id),
             None => true,
         };
@@ -350,7 +350,7 @@
         if is_announced == Some(false) && !in_doubt {
             return;
         }
-        let key = self.table.get(id).and_then(order_key).map(str::to_owned);
+        let key = self.table.get(id).and_then(Entry::order_key).map(str::to_owned);
         if let Some(key) = key {
             self.keys.adopt(&key, id);
         }
@@ -369,8 +369,3 @@
         self.context.timers.set(until, Timer::UnconfirmedLeases(grant.dispatcher));
     }
 }
-
-/// The key within which messages are delivered in order.
-pub(super) fn order_key(entry: &Entry) -> Option<&str> {
-    entry.message.as_ref()?.order_key.as_deref()
-}
--- a/system/state/queue/src/node/takeover.rs
+++ b/system/state/queue/src/node/takeover.rs
@@ -4,7 +4,6 @@
 //! What others tell is appended to the local disk before anything else is done with it. So nothing is ever known here that
 //! a later promise does not find synced: a store tells another only what its disk holds.
 
-use super::grants::order_key;
 use super::StoreNode;
 use crate::api::DiskRecord;
 use crate::entry::{Entry, EntryVersion};
@@ -252,7 +251,7 @@
     /// Adds a message that has not ended to its key's queue.
     fn enqueue_in_key(&mut self, id: MessageId) {
         let Some(entry) = self.table.get(id).filter(|entry| entry.end.is_none()) else { return };
-        if let Some(key) = order_key(entry) {
+        if let Some(key) = entry.order_key() {
             self.keys.add(key, entry.sequence, id);
         }
     }
--- a/system/state/queue/src/node/watchdog.rs
+++ b/system/state/queue/src/node/watchdog.rs
@@ -4,9 +4,9 @@
 //! Each of them is a fault somewhere: in what marks a service runnable, or at a dispatcher that lost what it was granted.
 //! So each is reported to the shell as well, to be counted and logged.
 
-use super::grants::order_key;
 use super::StoreNode;
 use crate::api::{OrphanCause, Output};
+use crate::entry::Entry;
 use crate::message_table::MessageTable;
 use crate::primary_entry::{Lease, Stage};
 use crate::scheduling::ServiceIndex;
@@ -129,7 +129,7 @@
     }
 
     fn is_first_of_key(&self, id: MessageId) -> bool {
-        let key = self.table.get(id).and_then(order_key);
+        let key = self.table.get(id).and_then(Entry::order_key);
         key.is_some_and(|key| self.keys.may_activate(key, id))
     }
 
