--- a/system/state/queue/src/node/attempts.rs
+++ b/system/state/queue/src/node/attempts.rs
@@ -1,9 +1,7 @@
 //! Outcomes of attempts, and the effects of durable changes.
 
-use super::grants::order_key;
 use super::StoreNode;
 use crate::api::ConnectionId;
-use crate::callbacks::backoff;
 use crate::entry::Entry;
 use crate::primary_entry::{Effect, Stage};
 use crate::time::millis;
@@ -42,7 +40,7 @@
         let is_current = self.lease_of(id).is_some_and(|lease| lease.token == token);
         let reporter = self.dispatchers.of(connection);
         if let Some(primary) = self.table.primary_mut(id) {
-            primary.reporter = reporter;
+            primary.set_reporter(reporter);
         }
         match outcome {
             AttemptOutcome::Succeeded { signature } => self.succeeded(id, token, signature),
@@ -71,7 +69,7 @@
     /// A lease is over without an outcome that counts; the message waits so long at least.
     fn return_lease(&mut self, id: MessageId, by: Option<DispatcherId>, wait: Duration) {
         if let Some(primary) = self.table.primary_mut(id) {
-            primary.returned_by = by;
+            primary.set_returned_by(by);
         }
         self.reschedule(id, wait.max(MIN_RETURN_DELAY));
     }
@@ -84,12 +82,11 @@
         let Some(primary) = self.table.primary_mut(id) else {
             return Duration::ZERO;
         };
-        primary.unknown_ends = primary.unknown_ends.saturating_add(1);
-        let counted = primary.unknown_ends.saturating_sub(UNKNOWN_ENDS_WITHOUT_BACKOFF);
+        let counted = primary.count_unknown_end().saturating_sub(UNKNOWN_ENDS_WITHOUT_BACKOFF);
         if counted == 0 {
             return Duration::ZERO;
         }
-        backoff(counted, &self.context.config)
+        self.context.config.backoff(counted)
     }
 
     /// This store is primary of the shard, and no later one gave the token.
@@ -131,7 +128,7 @@
         }
         let not_before = self.context.now + self.backoff_of(id);
         if let Some(primary) = self.table.primary_mut(id) {
-            primary.not_before = not_before;
+            primary.set_not_before(not_before);
         }
         self.when_durable(id, Effect::Retry);
     }
@@ -174,7 +171,7 @@
     fn backoff_of(&mut self, id: MessageId) -> Duration {
         let Some(entry) = self.table.get(id) else { return Duration::ZERO };
         let time_left = entry.start_by().saturating_duration_since(self.context.now);
-        let full_backoff = backoff(entry.failed_attempts, &self.context.config);
+        let full_backoff = self.context.config.backoff(entry.failed_attempts);
         let wait = with_jitter(full_backoff, &mut self.context.random);
         if time_left.is_zero() {
             return wait;
@@ -200,7 +197,7 @@
 
     fn schedule_persisted(&mut self, id: MessageId) {
         let primary = self.table.primary(id);
-        if primary.is_some_and(|primary| primary.stage == Stage::Persisting) {
+        if primary.is_some_and(|primary| primary.stage() == Stage::Persisting) {
             self.schedule(id);
         }
     }
@@ -217,9 +214,9 @@
     /// Notes in whose key's queue the message is, before the message itself may be freed.
     fn remember_order_key(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
-        let key = order_key(entry).map(str::to_owned);
-        if let Some(primary) = entry.primary.as_mut().filter(|_| key.is_some()) {
-            primary.ended_key = key;
+        let key = entry.order_key().map(str::to_owned);
+        if let (Some(primary), Some(key)) = (entry.primary.as_mut(), key) {
+            primary.set_ended_key(key);
         }
     }
 
@@ -227,7 +224,7 @@
     fn handle_end_durable(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let sequence = entry.sequence;
-        let key = entry.primary.as_mut().and_then(|primary| primary.ended_key.take());
+        let key = entry.primary.as_mut().and_then(|primary| primary.take_ended_key());
         let next = key.and_then(|key| self.keys.end(&key, sequence, id));
         if let Some(next) = next {
             self.schedule_next_of_key(next);
@@ -237,7 +234,7 @@
 
     fn schedule_next_of_key(&mut self, id: MessageId) {
         let primary = self.table.primary(id);
-        if primary.is_some_and(|primary| primary.stage == Stage::WaitingForKey) {
+        if primary.is_some_and(|primary| primary.stage() == Stage::WaitingForKey) {
             self.schedule(id);
         }
     }
