--- /dev/null
+++ b/coordination/chain/src/read_confirmation.rs
@@ -0,0 +1,93 @@
+//! Linearizable reads at the tail: a read index counts once a majority has confirmed that the epoch is current (read
+//! index: Ongaro, Ousterhout, 2014).
+
+use std::collections::BTreeSet;
+
+use millrudder_view::NodeId;
+
+use crate::{RequestId, Sequence};
+
+/// A read that waits at the tail for its read index.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Reader {
+    pub(crate) origin: NodeId,
+    pub(crate) request_id: RequestId,
+}
+
+/// Reads whose epoch was confirmed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct ConfirmedReads {
+    pub(crate) readers: Vec<Reader>,
+    /// Their read index.
+    pub(crate) sequence: Sequence,
+}
+
+#[derive(Clone, Debug)]
+struct Attempt {
+    readers: Vec<Reader>,
+    sequence: Sequence,
+    confirmed_by: BTreeSet<NodeId>,
+}
+
+/// Confirmations of the epoch at the tail, one attempt at a time; reads that arrive meanwhile share the next one.
+#[derive(Clone, Debug)]
+pub(crate) struct ReadConfirmations {
+    number: u64,
+    attempt: Option<Attempt>,
+    waiting: Vec<Reader>,
+}
+
+impl ReadConfirmations {
+    /// `first_number` is drawn at random, so that late confirmations for an earlier process never count.
+    pub(crate) fn new(first_number: u64) -> ReadConfirmations {
+        ReadConfirmations { number: first_number, attempt: None, waiting: Vec::new() }
+    }
+
+    /// Drops everything: the view has changed, and the readers ask again.
+    pub(crate) fn reset(&mut self) {
+        self.attempt = None;
+        self.waiting.clear();
+    }
+
+    /// Adds a read to the next attempt.
+    pub(crate) fn add(&mut self, reader: Reader) {
+        if !self.waiting.contains(&reader) {
+            self.waiting.push(reader);
+        }
+    }
+
+    /// Number of the attempt in flight.
+    pub(crate) fn in_flight(&self) -> Option<u64> {
+        self.attempt.as_ref().map(|_| self.number)
+    }
+
+    /// Starts an attempt for the waiting reads, if none is in flight. Returns its number.
+    pub(crate) fn start(&mut self, committed: Sequence) -> Option<u64> {
+        if self.attempt.is_some() || self.waiting.is_empty() {
+            return None;
+        }
+        self.number = self.number.wrapping_add(1);
+        let readers = std::mem::take(&mut self.waiting);
+        self.attempt = Some(Attempt { readers, sequence: committed, confirmed_by: BTreeSet::new() });
+        Some(self.number)
+    }
+
+    /// Counts a confirmation. Returns the reads once `majority` voters have confirmed.
+    pub(crate) fn handle_confirmation(
+        &mut self,
+        from: NodeId,
+        number: u64,
+        majority: usize,
+    ) -> Option<ConfirmedReads> {
+        if number != self.number {
+            return None;
+        }
+        let attempt = self.attempt.as_mut()?;
+        attempt.confirmed_by.insert(from);
+        if attempt.confirmed_by.len() < majority {
+            return None;
+        }
+        let attempt = self.attempt.take()?;
+        Some(ConfirmedReads { readers: attempt.readers, sequence: attempt.sequence })
+    }
+}
--- a/coordination/chain/src/replica/sealing.rs
+++ b/coordination/chain/src/replica/sealing.rs
@@ -1,4 +1,4 @@
-//! Sealing an epoch: its commands are fixed, so that nodes can be filled ahead of the next view.
+//! Sealing an epoch: its commands are fixed, so that nodes can be brought up ahead of the next view.
 //!
 //! A view must begin with enough members that hold every committed command, or the loss of one of them could take the
 //! only copy. Where too few are left, a member that holds everything takes no more commands in its epoch. As a commit
@@ -7,36 +7,80 @@
 
 use std::collections::BTreeSet;
 
+use millrudder_clock::Instant;
 use millrudder_view::{Epoch, NodeId};
 
 use super::Replica;
 use crate::{Machine, Position, Record, Sequence};
 
+/// The newest epoch that a node has sealed, and whom it brings up ahead of the next view.
+#[derive(Clone, Debug)]
+pub(super) struct Seal {
+    epoch: Epoch,
+    targets: BTreeSet<NodeId>,
+}
+
+impl Seal {
+    /// Continues with the durable epoch.
+    pub(super) fn restored(epoch: Epoch) -> Seal {
+        Seal { epoch, targets: BTreeSet::new() }
+    }
+
+    /// The newest epoch that this node has sealed.
+    pub(super) fn epoch(&self) -> Epoch {
+        self.epoch
+    }
+
+    /// Whether a node is brought up ahead of the next view.
+    pub(super) fn is_target(&self, id: NodeId) -> bool {
+        self.targets.contains(&id)
+    }
+
+    /// A new view: nobody is brought up ahead of the next one yet.
+    pub(super) fn clear_targets(&mut self) {
+        self.targets.clear();
+    }
+
+    fn has_targets(&self) -> bool {
+        !self.targets.is_empty()
+    }
+
+    fn set_epoch(&mut self, epoch: Epoch) {
+        self.epoch = epoch;
+    }
+
+    /// Replaces the targets. Returns whether they differ from those before.
+    fn set_targets(&mut self, targets: BTreeSet<NodeId>) -> bool {
+        let has_changed = self.targets != targets;
+        self.targets = targets;
+        has_changed
+    }
+}
+
 impl<M: Machine> Replica<M> {
-    /// Whether this node takes part in the chain of the present epoch no more.
+    /// Whether this node has left the chain of the present epoch by sealing it.
     pub(crate) fn is_sealed(&self) -> bool {
-        self.view.epoch != Epoch::NONE && self.sealed == self.view.epoch
+        self.view.epoch != Epoch::NONE && self.seal.epoch() == self.view.epoch
     }
 
-    /// Whether this node feeds others ahead of the next view.
-    pub(super) fn is_filling(&self) -> bool {
-        self.is_sealed() && self.complete && !self.filling.is_empty()
+    /// Whether this node brings up others ahead of the next view.
+    pub(super) fn is_catching_up_targets(&self) -> bool {
+        self.is_sealed() && self.durability.is_complete() && self.seal.has_targets()
     }
 
-    /// Seals the epoch, and feeds `nodes` all that this node holds. Does nothing at a node that may lack commands.
-    pub(crate) fn fill(&mut self, now: u64, nodes: BTreeSet<NodeId>) {
-        if !self.complete || !self.is_member() {
+    /// Seals the epoch, and brings up `nodes` with all that this node holds. Does nothing at a node that may lack commands.
+    pub(crate) fn catch_up(&mut self, now: Instant, nodes: BTreeSet<NodeId>) {
+        if !self.durability.is_complete() || !self.is_member() {
             return;
         }
         self.seal();
-        if self.filling != nodes {
-            self.links.clear();
-            self.filling = nodes;
+        if self.seal.set_targets(nodes) {
+            self.progress.clear();
         }
-        self.feed_all(now);
+        self.replicate_to_all(now);
     }
 
-    /// Joins the sender's seal before anything is taken from it: what comes may go beyond what other members hold.
+    /// Joins the sender's seal before anything is appended: its log may go beyond what other members hold.
     pub(super) fn join_seal(&mut self, sealed: bool) {
         if sealed {
             self.seal();
@@ -45,41 +89,42 @@
 
     fn seal(&mut self) {
         if !self.is_sealed() {
-            self.sealed = self.epoch();
-            self.persist(Record::Sealed { epoch: self.sealed });
+            let epoch = self.epoch();
+            self.seal.set_epoch(epoch);
+            self.persist(Record::Sealed { epoch });
         }
     }
 
-    /// Whether commands are taken from a node: along the chain, or, ahead of the next view, from a member that has
-    /// sealed the epoch by a node that lacks commands.
-    pub(super) fn takes_from(&self, from: NodeId, sealed: bool) -> bool {
+    /// Whether commands are accepted from a node: along the chain, or, ahead of the next view, by a node that lacks
+    /// commands from a member that has sealed the epoch.
+    pub(super) fn accepts_from(&self, from: NodeId, sealed: bool) -> bool {
         match sealed {
-            true => !self.complete && self.view.contains(from),
-            false => !self.is_sealed() && self.is_fed_by(from),
+            true => !self.durability.is_complete() && self.view.contains(from),
+            false => !self.is_sealed() && self.is_receiver_of(from),
         }
     }
 
-    /// What a fed node must hold to hold every committed command.
+    /// What a receiver must hold to hold every committed command.
     pub(super) fn complete_at(&self) -> Sequence {
         match self.is_sealed() {
             true => self.end().sequence,
-            false => self.complete_at,
+            false => self.catch_up.complete_at(),
         }
     }
 
-    /// The end of a fed node's log, if this node's log has another command there or none.
-    pub(super) fn differs_at(&self, end: Position) -> Option<Position> {
-        let log = &self.store.log;
+    /// The end of a receiver's log, if this node's log has another command there or none.
+    pub(super) fn conflict_at(&self, end: Position) -> Option<Position> {
+        let log = self.store.log();
         let differs = end.sequence > log.base().sequence && !log.contains(end);
         differs.then_some(end)
     }
 
-    /// What a node was fed ahead of a view, by another node than the one that feeds it now, may go beyond what that one
-    /// holds. It is dropped as soon as the feeding node, which holds all that was committed, says so.
-    pub(super) fn drop_what_differs(&mut self, differs_at: Option<Position>) {
-        let is_new_in_chain = self.is_member() && !self.is_sealed() && self.sync_target.is_none();
-        let is_being_filled = self.is_sealed() && !self.complete;
-        if (is_new_in_chain || is_being_filled) && differs_at == Some(self.end()) {
+    /// What a node received ahead of a view, from another node than its present sender, may go beyond what that one
+    /// holds. It is dropped as soon as the sender, which holds all that was committed, reports the conflict.
+    pub(super) fn drop_conflicting(&mut self, conflict_at: Option<Position>) {
+        let is_new_in_chain = self.is_member() && !self.is_sealed() && !self.catch_up.has_target();
+        let is_brought_up = self.is_sealed() && !self.durability.is_complete();
+        if (is_new_in_chain || is_brought_up) && conflict_at == Some(self.end()) {
             self.drop_uncommitted();
         }
     }
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -28,6 +28,7 @@
 use crate::core::worker_list::KnownWorkerList;
 use crate::core::worker_list_reader::WorkerListReader;
 use crate::error::RoleError;
+use crate::event_loop::{self, Wake};
 use arc_swap::ArcSwap;
 use millrudder_chain::{CoreNode, Input};
 use millrudder_clock::Instant;
@@ -44,7 +45,6 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
-use tokio::time::sleep_until;
 
 /// What a [`CoreHost`] is made of.
 pub struct CoreHostConfig {
@@ -151,21 +151,15 @@
         queue: &mut UnboundedReceiver<Event>,
         reports: &mut UnboundedReceiver<JournalReport>,
     ) -> Result<(), RoleError> {
-        self.reader.read_without_lease(self.clock.millis());
+        self.reader.read_without_lease(self.clock.now());
         self.follow_retirements();
         loop {
             let deadline = self.next_deadline();
-            tokio::select! {
-                biased;
-                event = queue.recv() => {
-                    let Some(event) = event else { return Ok(()) };
-                    self.handle_event(event);
-                }
-                report = reports.recv() => {
-                    let Some(report) = report else { return Ok(()) };
-                    self.handle_report(report)?;
-                }
-                () = sleep_until(deadline) => {}
+            match event_loop::wait(queue, reports, deadline).await {
+                Wake::Event(event) => self.handle_event(event),
+                Wake::Report(report) => self.handle_report(report)?,
+                Wake::Deadline => {}
+                Wake::Closed => return Ok(()),
             }
             while let Ok(event) = queue.try_recv() {
                 self.handle_event(event);
@@ -188,9 +182,9 @@
 
     fn next_deadline(&self) -> tokio::time::Instant {
         let now = self.clock.now();
-        let node = self.clock.at_micros(self.node.next_deadline());
+        let node = self.clock.at(self.node.next_deadline());
         let placement = self.placement.next_deadline(now).map(|due| self.clock.at(due));
-        let reader = self.reader.next_deadline().map(|due| self.clock.at_millis(due));
+        let reader = self.reader.next_deadline().map(|due| self.clock.at(due));
         let barrier = self.barrier.next_deadline().map(|due| self.clock.at(due));
         [Some(node), placement, reader, barrier].into_iter().flatten().min().unwrap_or(node)
     }
@@ -200,7 +194,7 @@
         self.node.handle(self.clock.micros(), Input::Tick);
         self.handle_placement(PlacementInput::Tick);
         let now = self.clock.now();
-        self.reader.tick(now.as_millis());
+        self.reader.tick(now);
         self.sweep_abandoned(now);
     }
 
@@ -233,7 +227,7 @@
             Event::SeedFound { address } => self.peers.connect(address),
             Event::Operator { request, reply } => self.handle_operator_request(request, reply),
             Event::WorkerListCall(call) => {
-                if let Some(list) = self.reader.handle_call(self.clock.millis(), call) {
+                if let Some(list) = self.reader.handle_call(self.clock.now(), call) {
                     self.adopt_own_list(list);
                 }
             }
@@ -258,7 +252,7 @@
 
     /// Reports once the core can do without this machine, after it was asked to stop.
     fn poll_departure(&mut self) {
-        if self.leaving.is_some() && self.node.may_go(self.clock.micros()) {
+        if self.leaving.is_some() && self.node.can_leave(self.clock.micros()) {
             self.leaving.take().map(|done| done.send(()));
         }
     }
--- a/system/runtime/node/src/core/mod.rs
+++ b/system/runtime/node/src/core/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! **Order.** Nothing is sent or answered before the records that it rests on are reported as persisted; the state machine
 //! sees to that. Registrants and operators get no part of the state before a linearizable read has confirmed it. After a
-//! failure of its disk the machine closes all connections and begins afresh with what the disk holds.
+//! failure of its disk the machine closes the connections that others have opened and starts again from what the disk holds.
 
 mod bootstrap;
 mod confirmation;
@@ -64,6 +64,7 @@
         settings.bind.control_plane.ok_or(RoleError::MissingKey { key: "bindAddrs.controlPlane" })?;
     let internal = internal_address(&settings, InternalPort::Core);
     let mut signals = Signals::install()?;
+    // Its bounds are those of `accept_internal` and of the operator's connections, each with one request.
     let (events, queue) = unbounded_channel();
     let opened = OpenedJournal::open(&folder)?;
 
--- a/system/runtime/node/src/core/supervisor.rs
+++ b/system/runtime/node/src/core/supervisor.rs
@@ -33,7 +33,7 @@
     }
 
     /// Serves the state on the disk. When the disk fails, this machine ends the connections that others have opened, and
-    /// begins afresh with what the disk holds as soon as it takes writes again.
+    /// starts again from what the disk holds as soon as it takes writes again.
     ///
     /// # Errors
     /// The state on the disk cannot be used.
@@ -43,6 +43,7 @@
         mut queue: UnboundedReceiver<Event>,
     ) -> Result<(), RoleError> {
         loop {
+            // Bounded by the commands to the disk's thread: a batch of these gets one report, or few.
             let (reports, mut reported) = unbounded_channel();
             let mut host = self.make_host(opened, reports).await?;
             let seed_watch = spawn_seed_watch(self.client.clone(), host.seeds(), self.events.clone());
--- a/system/runtime/node/src/storage/host/mod.rs
+++ b/system/runtime/node/src/storage/host/mod.rs
@@ -9,6 +9,7 @@
 use crate::clock::{random_seed, SteadyClock};
 use crate::control_link::{ControlLinkConfig, ControlReplica};
 use crate::error::RoleError;
+use crate::event_loop::{self, Wake};
 use crate::mechanisms::Mechanisms;
 use crate::storage::caller::Caller;
 use crate::storage::catch_up::CatchUpReports;
@@ -27,7 +28,6 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
-use tokio::time::sleep_until;
 
 /// A store is connected to all core machines: the one that holds the controller's lease must get its heartbeats.
 const MAX_CORE_CONNECTIONS: usize = usize::MAX;
@@ -87,20 +87,13 @@
         let clock = SteadyClock::start();
         let records = std::mem::take(&mut opened.records);
         let config = queue_config(settings, mechanisms, seed);
-        let full_retry_after_ms = config.full_retry_after_ms;
+        let full_retry_after_ms = config.full_retry_after.as_millis() as u32;
         let location = crate::location::location(settings);
-        let node = StoreNode::new(config, local_id, location, 0, records.into_iter());
-        let registrant = Registrant::Store {
-            id: local_id,
-            name: settings.node_name.to_string(),
-            zone: settings.zone.to_string(),
-            address: Address(internal),
-            bootstrap: settings.bootstrap,
-        };
+        let node = StoreNode::new(config, local_id, location, Instant::ORIGIN, records.into_iter());
         let control = ControlLinkConfig {
             clock,
             max_connections: MAX_CORE_CONNECTIONS,
-            registrant,
+            registrant: registrant(settings, local_id, internal),
             seeds: settings.seeds.clone(),
             random_seed: seed,
         };
@@ -145,17 +138,11 @@
     ) -> Result<(), RoleError> {
         loop {
             let deadline = self.next_deadline();
-            tokio::select! {
-                biased;
-                event = queue.recv() => {
-                    let Some(event) = event else { return Ok(()) };
-                    self.handle_event(event);
-                }
-                report = reports.recv() => {
-                    let Some(report) = report else { return Ok(()) };
-                    self.handle_report(report)?;
-                }
-                () = sleep_until(deadline) => {}
+            match event_loop::wait(queue, reports, deadline).await {
+                Wake::Event(event) => self.handle_event(event),
+                Wake::Report(report) => self.handle_report(report)?,
+                Wake::Deadline => {}
+                Wake::Closed => return Ok(()),
             }
             while let Ok(event) = queue.try_recv() {
                 self.handle_event(event);
@@ -165,13 +152,14 @@
     }
 
     fn next_deadline(&self) -> tokio::time::Instant {
-        let heartbeat = self.heartbeat_at.as_millis();
-        self.clock.at_millis(self.node.next_deadline().unwrap_or(u64::MAX).min(heartbeat))
+        let node = self.node.next_deadline().unwrap_or(self.heartbeat_at);
+        // In whole milliseconds, as the clock is read.
+        self.clock.at(Instant::from_millis(node.min(self.heartbeat_at).as_millis()))
     }
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        if self.node.next_deadline().is_some_and(|due| due <= now.as_millis()) {
+        if self.node.next_deadline().is_some_and(|due| due <= now) {
             self.handle(Input::Tick);
         }
         self.poll_heartbeat(now);
@@ -227,7 +215,7 @@
     /// Passes an input to the state machine and carries out its outputs.
     fn handle(&mut self, input: Input) {
         let mut outputs = std::mem::take(&mut self.outputs);
-        self.node.handle(self.clock.millis(), input, &mut outputs);
+        self.node.handle(self.clock.now(), input, &mut outputs);
         for output in outputs.drain(..) {
             self.carry_out(output);
         }
@@ -244,7 +232,7 @@
                 self.catch_up.add(filled);
                 self.request_heartbeat();
             }
-            Output::Stray { id, cause } => {
+            Output::Orphaned { id, cause } => {
                 self.orphans += 1;
                 let total = self.orphans;
                 log::warn!(message_id:% = id, cause:?, total; "orphaned message recovered");
@@ -253,3 +241,14 @@
         }
     }
 }
+
+/// What a store registers as at core machines.
+fn registrant(settings: &Settings, local_id: StoreId, internal: SocketAddr) -> Registrant {
+    Registrant::Store {
+        id: local_id,
+        name: settings.node_name.to_string(),
+        zone: settings.zone.to_string(),
+        address: Address(internal),
+        bootstrap: settings.bootstrap,
+    }
+}
--- a/system/state/queue/src/callbacks.rs
+++ b/system/state/queue/src/callbacks.rs
@@ -1,47 +1,48 @@
-//! Call-backs that are owed, by receiver: few under way at a time, and none waits for another receiver.
+//! Pending call-backs by receiver: few are in flight at a time, and none waits for another receiver.
 
 use crate::config::Config;
-use crate::time::Time;
+use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
-/// Failures in a row after which a receiver is left alone for a while.
-const FAILURES_TO_REST: u32 = 2;
+/// Consecutive failures after which a receiver backs off, and not only the call-back that failed.
+const FAILURES_BEFORE_BACKOFF: u32 = 2;
 
 /// Who may make a call-back now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallbackLease {
     pub dispatcher: DispatcherId,
     pub token: LeaseToken,
-    pub granted_at: Time,
+    pub granted_at: Instant,
 }
 
 #[derive(Clone, Debug)]
 struct Callback {
     receiver: u32,
-    /// Time before which it must not be tried again.
-    not_before: Time,
+    /// Time before which it must not be retried.
+    not_before: Instant,
     failures: u32,
     lease: Option<CallbackLease>,
 }
 
 #[derive(Clone, Debug)]
 struct Receiver {
-    waiting: BTreeSet<(Time, MessageId)>,
-    out: u32,
+    waiting: BTreeSet<(Instant, MessageId)>,
+    in_flight: u32,
     limit: u32,
     failures: u32,
-    rests_until: Time,
+    backing_off_until: Instant,
 }
 
-/// All call-backs that are owed by shards of this primary.
+/// All call-backs that are pending for shards of this primary.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Callbacks {
-    owed: BTreeMap<MessageId, Callback>,
+    pending: BTreeMap<MessageId, Callback>,
     by_name: BTreeMap<String, u32>,
     receivers: Vec<Receiver>,
     /// Receivers for which a call-back may be possible since the last look.
-    pub wanted: BTreeSet<u32>,
+    runnable: BTreeSet<u32>,
 }
 
 /// Part of a URL that names its receiver.
@@ -51,18 +52,18 @@
 }
 
 impl Callbacks {
-    /// A call-back is owed; nothing changes if that is known.
-    pub fn add(&mut self, id: MessageId, url: &str, now: Time, config: &Config) {
-        if self.owed.contains_key(&id) {
+    /// A call-back is pending; nothing changes if that is known.
+    pub fn add(&mut self, id: MessageId, url: &str, now: Instant, config: &Config) {
+        if self.pending.contains_key(&id) {
             return;
         }
         let receiver = self.receiver(receiver_of(url), now, config);
-        self.owed.insert(id, Callback { receiver, not_before: now, failures: 0, lease: None });
+        self.pending.insert(id, Callback { receiver, not_before: now, failures: 0, lease: None });
         self.receivers[receiver as usize].waiting.insert((now, id));
-        self.wanted.insert(receiver);
+        self.runnable.insert(receiver);
     }
 
-    fn receiver(&mut self, name: &str, now: Time, config: &Config) -> u32 {
+    fn receiver(&mut self, name: &str, now: Instant, config: &Config) -> u32 {
         if let Some(receiver) = self.by_name.get(name) {
             return *receiver;
         }
@@ -70,92 +71,92 @@
         self.by_name.insert(name.to_owned(), number);
         self.receivers.push(Receiver {
             waiting: BTreeSet::new(),
-            out: 0,
+            in_flight: 0,
             limit: config.callbacks_per_receiver,
             failures: 0,
-            rests_until: now,
+            backing_off_until: now,
         });
         number
     }
 
     /// The call-back of this receiver that may be made now.
-    pub fn next(&self, receiver: u32, now: Time) -> Option<MessageId> {
+    pub fn next(&self, receiver: u32, now: Instant) -> Option<MessageId> {
         let receiver = &self.receivers[receiver as usize];
-        if receiver.out >= receiver.limit || receiver.rests_until > now {
+        if receiver.in_flight >= receiver.limit || receiver.backing_off_until > now {
             return None;
         }
         let (not_before, id) = receiver.waiting.first()?;
         (*not_before <= now).then_some(*id)
     }
 
-    /// When to look at a receiver again that has a free place.
-    pub fn next_time(&self, receiver: u32) -> Option<Time> {
+    /// When the next call-back of a receiver with capacity may be made.
+    pub fn next_time(&self, receiver: u32) -> Option<Instant> {
         let receiver = &self.receivers[receiver as usize];
-        if receiver.out >= receiver.limit {
+        if receiver.in_flight >= receiver.limit {
             return None;
         }
-        receiver.waiting.first().map(|(not_before, _)| (*not_before).max(receiver.rests_until))
+        receiver.waiting.first().map(|(not_before, _)| (*not_before).max(receiver.backing_off_until))
     }
 
     pub fn take(&mut self, id: MessageId, lease: CallbackLease) {
-        let Some(callback) = self.owed.get_mut(&id) else { return };
+        let Some(callback) = self.pending.get_mut(&id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
         receiver.waiting.remove(&(callback.not_before, id));
-        receiver.out += 1;
+        receiver.in_flight += 1;
         callback.lease = Some(lease);
     }
 
     pub fn lease(&self, id: MessageId) -> Option<CallbackLease> {
-        self.owed.get(&id)?.lease
+        self.pending.get(&id)?.lease
     }
 
-    /// It is known that this call-back is owed.
-    pub fn is_owed(&self, id: MessageId) -> bool {
-        self.owed.contains_key(&id)
+    /// The call-back is pending.
+    pub fn is_pending(&self, id: MessageId) -> bool {
+        self.pending.contains_key(&id)
     }
 
-    /// Call-backs that were granted at `before` or earlier and are out still.
-    pub fn out_since(&self, before: Time) -> Vec<MessageId> {
+    /// Call-backs that were granted at `before` or earlier and are in flight still.
+    pub fn granted_before(&self, before: Instant) -> Vec<MessageId> {
         let is_old = |lease: &CallbackLease| lease.granted_at <= before;
-        let old = self.owed.iter().filter(|(_, callback)| callback.lease.as_ref().is_some_and(is_old));
+        let old = self.pending.iter().filter(|(_, callback)| callback.lease.as_ref().is_some_and(is_old));
         old.map(|(id, _)| *id).collect()
     }
 
-    /// The receiver did not take it.
-    pub fn failed(&mut self, id: MessageId, retry_after_ms: u32, now: Time, config: &Config) {
-        let Some(callback) = self.owed.get_mut(&id) else { return };
+    /// The receiver did not accept it.
+    pub fn failed(&mut self, id: MessageId, retry_after: Duration, now: Instant, config: &Config) {
+        let Some(callback) = self.pending.get_mut(&id) else { return };
         if callback.lease.is_none() {
             return;
         }
         callback.failures += 1;
-        let own_wait_ms = backoff_ms(callback.failures, config).max(u64::from(retry_after_ms));
+        let own_wait = config.backoff(callback.failures).max(retry_after);
         let receiver = &mut self.receivers[callback.receiver as usize];
         receiver.failures += 1;
         receiver.limit = 1;
-        if receiver.failures >= FAILURES_TO_REST {
-            receiver.rests_until = now.plus(backoff_ms(receiver.failures - 1, config));
+        if receiver.failures >= FAILURES_BEFORE_BACKOFF {
+            receiver.backing_off_until = now + config.backoff(receiver.failures - 1);
         }
-        self.wait_again(id, now.plus(own_wait_ms));
+        self.wait_again(id, now + own_wait);
     }
 
     /// Its dispatcher is gone: another may make it.
-    pub fn give_back(&mut self, id: MessageId, now: Time) {
+    pub fn give_back(&mut self, id: MessageId, now: Instant) {
         if self.lease(id).is_some() {
             self.wait_again(id, now);
         }
     }
 
-    fn wait_again(&mut self, id: MessageId, not_before: Time) {
-        let Some(callback) = self.owed.get_mut(&id) else { return };
+    fn wait_again(&mut self, id: MessageId, not_before: Instant) {
+        let Some(callback) = self.pending.get_mut(&id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
         callback.lease = None;
         callback.not_before = not_before;
-        receiver.out = receiver.out.saturating_sub(1);
+        receiver.in_flight = receiver.in_flight.saturating_sub(1);
         receiver.waiting.insert((not_before, id));
-        self.wanted.insert(callback.receiver);
+        self.runnable.insert(callback.receiver);
     }
 
-    /// The receiver took it.
+    /// The receiver accepted it.
     pub fn done(&mut self, id: MessageId, config: &Config) {
         let Some(callback) = self.remove(id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
@@ -164,34 +165,38 @@
         receiver.limit = grown.clamp(config.callbacks_per_receiver, config.max_callbacks_per_receiver);
     }
 
-    /// It is not owed any more, or not by this store.
+    /// It is not pending any more, or not at this store.
     fn remove(&mut self, id: MessageId) -> Option<Callback> {
-        let callback = self.owed.remove(&id)?;
+        let callback = self.pending.remove(&id)?;
         let receiver = &mut self.receivers[callback.receiver as usize];
         match callback.lease {
-            Some(_) => receiver.out = receiver.out.saturating_sub(1),
+            Some(_) => receiver.in_flight = receiver.in_flight.saturating_sub(1),
             None => {
                 receiver.waiting.remove(&(callback.not_before, id));
             }
         }
-        self.wanted.insert(callback.receiver);
+        self.runnable.insert(callback.receiver);
         Some(callback)
     }
 
-    /// Gives up a call-back; gives the lease that it had.
+    /// Removes a call-back; gives the lease that it had.
     pub fn drop(&mut self, id: MessageId) -> Option<CallbackLease> {
         self.remove(id)?.lease
     }
 
-    /// A dispatcher has come: every receiver may be served.
-    pub fn want_all(&mut self) {
-        let count = u32::try_from(self.receivers.len()).unwrap_or(u32::MAX);
-        self.wanted.extend(0..count);
+    /// A call-back of the receiver may be possible.
+    pub fn mark_runnable(&mut self, receiver: u32) {
+        self.runnable.insert(receiver);
+    }
+
+    /// Takes the first receiver for which a call-back may be possible.
+    pub fn next_runnable(&mut self) -> Option<u32> {
+        self.runnable.pop_first()
     }
-}
 
-/// Wait after the failure number `failures` in a row.
-pub(crate) fn backoff_ms(failures: u32, config: &Config) -> u64 {
-    let doublings = failures.saturating_sub(1).min(16);
-    (config.backoff_ms << doublings).min(config.max_backoff_ms)
+    /// A dispatcher has connected: call-backs of every receiver may be possible.
+    pub fn mark_all_runnable(&mut self) {
+        let count = u32::try_from(self.receivers.len()).unwrap_or(u32::MAX);
+        self.runnable.extend(0..count);
+    }
 }
--- a/system/state/queue/src/dispatchers.rs
+++ b/system/state/queue/src/dispatchers.rs
@@ -1,59 +1,73 @@
-//! Dispatchers: their connections, and what each life of one holds.
+//! Dispatchers: their connections, and the leases and call-backs that each incarnation of one has.
 
 use crate::api::ConnectionId;
-use crate::schedule::ServiceIndex;
-use crate::time::Time;
+use crate::scheduling::ServiceIndex;
+use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId};
 use millrudder_topology::Distance;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Whether a dispatcher is known to hold a lease.
+/// Whether a dispatcher is known to have a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Hold {
+pub(crate) enum LeaseConfirmation {
     Confirmed,
-    /// It must list it in a `Hello` before this time.
+    /// The dispatcher must announce the lease in a `Hello` before this time.
     Unconfirmed {
-        until: Time,
+        until: Instant,
     },
 }
 
-impl Hold {
+impl LeaseConfirmation {
     /// It was to be confirmed by `at` at the latest, and was not.
-    pub fn is_over(&self, at: Time) -> bool {
-        matches!(self, Hold::Unconfirmed { until } if *until <= at)
+    pub fn has_lapsed(&self, at: Instant) -> bool {
+        matches!(self, LeaseConfirmation::Unconfirmed { until } if *until <= at)
     }
 }
 
-/// One life of a dispatcher process.
+/// What a dispatcher says of itself on a new connection or at a new placement.
 #[derive(Clone, Debug)]
-pub(crate) struct Life {
-    pub connection: Option<ConnectionId>,
+pub(crate) struct Announcement {
     /// From this store.
     pub distance: Distance,
-    /// It stops; nothing more is granted to it.
-    pub leaving: bool,
-    pub heard_at: Time,
-    /// Placement in force at its last `Hello`.
+    /// Of the placement that it knows.
     pub epoch: Epoch,
-    /// What it held then.
-    pub held: BTreeMap<MessageId, LeaseToken>,
-    /// What it had asked to be kept or withdrawn then, without an answer.
+    /// Leases whose outcome was not acknowledged.
+    pub leases: BTreeMap<MessageId, LeaseToken>,
+    /// Messages that it asked to be accepted or withdrawn, without an answer.
     pub in_doubt: BTreeSet<MessageId>,
-    pub leases: BTreeMap<MessageId, Hold>,
-    pub callbacks: BTreeSet<MessageId>,
-    pub limits: BTreeMap<ServiceIndex, u32>,
 }
 
-impl Life {
-    fn new(now: Time) -> Self {
-        Life {
+/// One incarnation of a dispatcher process.
+#[derive(Clone, Debug)]
+pub(crate) struct Incarnation {
+    connection: Option<ConnectionId>,
+    /// From this store.
+    distance: Distance,
+    /// It stops; nothing more is granted to it.
+    leaving: bool,
+    last_message_at: Instant,
+    /// Placement in force at its last `Hello`.
+    epoch: Epoch,
+    /// Leases that it announced then.
+    announced_leases: BTreeMap<MessageId, LeaseToken>,
+    /// Messages that it had asked to be accepted or withdrawn then, without an answer.
+    in_doubt: BTreeSet<MessageId>,
+    leases: BTreeMap<MessageId, LeaseConfirmation>,
+    callbacks: BTreeSet<MessageId>,
+    limits: BTreeMap<ServiceIndex, u32>,
+}
+
+impl Incarnation {
+    fn new(now: Instant) -> Self {
+        Incarnation {
             connection: None,
             distance: Distance::default(),
             leaving: false,
-            heard_at: now,
+            last_message_at: now,
             epoch: Epoch::default(),
-            held: BTreeMap::new(),
+            announced_leases: BTreeMap::new(),
             in_doubt: BTreeSet::new(),
             leases: BTreeMap::new(),
             callbacks: BTreeSet::new(),
@@ -61,22 +75,125 @@
         }
     }
 
+    /// It has said, on the present connection, what it holds and which placement it knows.
+    pub fn announce(&mut self, announcement: Announcement) {
+        let Announcement { distance, epoch, leases, in_doubt } = announcement;
+        self.distance = distance;
+        self.epoch = epoch;
+        self.announced_leases = leases;
+        self.in_doubt = in_doubt;
+    }
+
+    pub fn is_connected(&self) -> bool {
+        self.connection.is_some()
+    }
+
+    pub fn distance(&self) -> Distance {
+        self.distance
+    }
+
+    /// Epoch of the placement that it knew when it announced itself.
+    pub fn epoch(&self) -> Epoch {
+        self.epoch
+    }
+
+    /// Leases that it announced.
+    pub fn announced_leases(&self) -> impl Iterator<Item = (MessageId, LeaseToken)> + '_ {
+        self.announced_leases.iter().map(|(id, token)| (*id, *token))
+    }
+
+    /// Token of the lease on the message that it announced.
+    pub fn announced_token(&self, id: MessageId) -> Option<LeaseToken> {
+        self.announced_leases.get(&id).copied()
+    }
+
+    /// It announced that it waits for an answer to its request to accept or withdraw the message.
+    pub fn is_in_doubt(&self, id: MessageId) -> bool {
+        self.in_doubt.contains(&id)
+    }
+
+    pub fn add_lease(&mut self, id: MessageId, confirmation: LeaseConfirmation) {
+        self.leases.insert(id, confirmation);
+    }
+
+    pub fn remove_lease(&mut self, id: MessageId) {
+        self.leases.remove(&id);
+    }
+
+    /// Whether it is known to have the lease on the message; `None` if it is known not to.
+    pub fn confirmation_of(&self, id: MessageId) -> Option<&LeaseConfirmation> {
+        self.leases.get(&id)
+    }
+
+    /// Messages whose leases it has to confirm, in order.
+    pub fn unconfirmed(&self) -> Vec<MessageId> {
+        let is_open =
+            |confirmation: &LeaseConfirmation| matches!(confirmation, LeaseConfirmation::Unconfirmed { .. });
+        self.leases.iter().filter(|(_, confirmation)| is_open(confirmation)).map(|(id, _)| *id).collect()
+    }
+
+    /// Its connection is closed: it has to confirm all leases before `until`. Gives their messages, in order.
+    pub fn expect_confirmations(&mut self, until: Instant) -> Vec<MessageId> {
+        for confirmation in self.leases.values_mut() {
+            *confirmation = LeaseConfirmation::Unconfirmed { until };
+        }
+        self.leases.keys().copied().collect()
+    }
+
+    pub fn add_callback(&mut self, id: MessageId) {
+        self.callbacks.insert(id);
+    }
+
+    pub fn remove_callback(&mut self, id: MessageId) {
+        self.callbacks.remove(&id);
+    }
+
+    /// Call-backs that it has in flight.
+    pub fn callback_count(&self) -> usize {
+        self.callbacks.len()
+    }
+
+    /// Takes all call-backs that it had in flight, in order.
+    pub fn take_callbacks(&mut self) -> BTreeSet<MessageId> {
+        std::mem::take(&mut self.callbacks)
+    }
+
+    /// Deliveries of the service that it takes at a time; `None` where it did not say.
+    pub fn limit_of(&self, service: ServiceIndex) -> Option<u32> {
+        self.limits.get(&service).copied()
+    }
+
+    pub fn set_limit(&mut self, service: ServiceIndex, limit: u32) {
+        self.limits.insert(service, limit);
+    }
+
+    /// It stops: nothing more is granted to it.
+    pub fn set_leaving(&mut self) {
+        self.leaving = true;
+    }
+
     /// Something may be granted to it.
     pub fn is_open(&self) -> bool {
         self.connection.is_some() && !self.leaving
     }
 
     /// Leases that were not confirmed in time.
-    pub fn overdue(&self, now: Time) -> Vec<MessageId> {
-        self.leases.iter().filter(|(_, hold)| hold.is_over(now)).map(|(id, _)| *id).collect()
+    pub fn overdue(&self, now: Instant) -> Vec<MessageId> {
+        self.leases
+            .iter()
+            .filter(|(_, confirmation)| confirmation.has_lapsed(now))
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
 
-/// All dispatchers that are connected or hold something.
+/// All dispatchers that are connected, or have leases or call-backs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Dispatchers {
-    lives: BTreeMap<DispatcherId, Life>,
+    incarnations: BTreeMap<DispatcherId, Incarnation>,
     connections: BTreeMap<ConnectionId, DispatcherId>,
+    /// When heartbeats are checked next; `None` while nobody is connected.
+    heartbeat_check_at: Option<Instant>,
 }
 
 impl Dispatchers {
@@ -88,31 +205,31 @@
         self.connections.contains_key(&connection)
     }
 
-    pub fn get(&self, dispatcher: DispatcherId) -> Option<&Life> {
-        self.lives.get(&dispatcher)
+    pub fn get(&self, dispatcher: DispatcherId) -> Option<&Incarnation> {
+        self.incarnations.get(&dispatcher)
     }
 
-    pub fn get_mut(&mut self, dispatcher: DispatcherId) -> Option<&mut Life> {
-        self.lives.get_mut(&dispatcher)
+    pub fn get_mut(&mut self, dispatcher: DispatcherId) -> Option<&mut Incarnation> {
+        self.incarnations.get_mut(&dispatcher)
     }
 
-    /// The life, added if it is not known.
-    pub fn add(&mut self, dispatcher: DispatcherId, now: Time) -> &mut Life {
-        self.lives.entry(dispatcher).or_insert_with(|| Life::new(now))
+    /// The incarnation, added if it is not known.
+    pub fn add(&mut self, dispatcher: DispatcherId, now: Instant) -> &mut Incarnation {
+        self.incarnations.entry(dispatcher).or_insert_with(|| Incarnation::new(now))
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (DispatcherId, &Life)> + '_ {
-        self.lives.iter().map(|(dispatcher, life)| (*dispatcher, life))
+    pub fn iter(&self) -> impl Iterator<Item = (DispatcherId, &Incarnation)> + '_ {
+        self.incarnations.iter().map(|(dispatcher, incarnation)| (*dispatcher, incarnation))
     }
 
-    /// The `count` dispatchers of the store's region, or of all if it has none, that speak with a receiver or a service: the first by a hash of both
-    /// names (rendezvous hashing), so that all stores of a region choose the same without a word, and a dispatcher that
-    /// comes or goes changes little.
-    pub fn homes(&self, name: &str, count: usize) -> Vec<DispatcherId> {
-        let open = || self.iter().filter(|(_, life)| life.is_open());
-        let is_far = |life: &Life| life.distance == Distance::OtherRegion;
-        let all_far = open().all(|(_, life)| is_far(life));
-        let near = open().filter(|(_, life)| all_far || !is_far(life));
+    /// The `count` home dispatchers of a receiver or a service: of the store's region, or of all if that has none, the
+    /// first by a hash of both names (rendezvous hashing; Thaler, Ravishankar, 1998). All stores of a region choose the
+    /// same ones without talking to each other, and a dispatcher that comes or goes changes few choices.
+    pub fn home_dispatchers(&self, name: &str, count: usize) -> Vec<DispatcherId> {
+        let open = || self.iter().filter(|(_, incarnation)| incarnation.is_open());
+        let is_far = |incarnation: &Incarnation| incarnation.distance == Distance::OtherRegion;
+        let all_far = open().all(|(_, incarnation)| is_far(incarnation));
+        let near = open().filter(|(_, incarnation)| all_far || !is_far(incarnation));
         let mut ranked: Vec<(u64, DispatcherId)> = near
             .map(|(dispatcher, _)| (xxh3_64_with_seed(name.as_bytes(), dispatcher.0), dispatcher))
             .collect();
@@ -122,52 +239,76 @@
     }
 
     pub fn connection_of(&self, dispatcher: DispatcherId) -> Option<ConnectionId> {
-        self.lives.get(&dispatcher)?.connection
+        self.incarnations.get(&dispatcher)?.connection
     }
 
-    /// Ties a connection to a life.
-    pub fn connect(&mut self, connection: ConnectionId, dispatcher: DispatcherId, now: Time) -> &mut Life {
+    /// Ties a connection to an incarnation.
+    pub fn connect(
+        &mut self,
+        connection: ConnectionId,
+        dispatcher: DispatcherId,
+        now: Instant,
+    ) -> &mut Incarnation {
         self.connections.insert(connection, dispatcher);
-        let life = self.add(dispatcher, now);
-        life.connection = Some(connection);
-        life.heard_at = now;
-        life
+        let incarnation = self.add(dispatcher, now);
+        incarnation.connection = Some(connection);
+        incarnation.last_message_at = now;
+        incarnation
     }
 
     /// The connection is closed; gives whose it was.
     pub fn disconnect(&mut self, connection: ConnectionId) -> Option<DispatcherId> {
         let dispatcher = self.connections.remove(&connection)?;
-        let life = self.lives.get_mut(&dispatcher)?;
-        if life.connection != Some(connection) {
+        let incarnation = self.incarnations.get_mut(&dispatcher)?;
+        if incarnation.connection != Some(connection) {
             return None;
         }
-        life.connection = None;
+        incarnation.connection = None;
         Some(dispatcher)
     }
 
-    pub fn heard(&mut self, connection: ConnectionId, now: Time) {
+    pub fn record_activity(&mut self, connection: ConnectionId, now: Instant) {
         let Some(dispatcher) = self.connections.get(&connection) else { return };
-        if let Some(life) = self.lives.get_mut(dispatcher) {
-            life.heard_at = now;
+        if let Some(incarnation) = self.incarnations.get_mut(dispatcher) {
+            incarnation.last_message_at = now;
         }
     }
 
-    /// Connections that were silent for `silence_ms`.
-    pub fn silent(&self, now: Time, silence_ms: u64) -> Vec<ConnectionId> {
-        let is_silent = |life: &&Life| now.since(life.heard_at) >= silence_ms;
-        self.lives.values().filter(is_silent).filter_map(|life| life.connection).collect()
+    /// Connections on which nothing came for `heartbeat_timeout`.
+    pub fn unresponsive(&self, now: Instant, heartbeat_timeout: Duration) -> Vec<ConnectionId> {
+        let is_unresponsive = |incarnation: &&Incarnation| {
+            now.saturating_duration_since(incarnation.last_message_at) >= heartbeat_timeout
+        };
+        self.incarnations
+            .values()
+            .filter(is_unresponsive)
+            .filter_map(|incarnation| incarnation.connection)
+            .collect()
+    }
+
+    /// When heartbeats are to be checked; `None` if that is set already, or nobody is connected.
+    pub fn schedule_heartbeat_check(&mut self, now: Instant, interval: Duration) -> Option<Instant> {
+        if self.heartbeat_check_at.is_some() || self.connections.is_empty() {
+            return None;
+        }
+        self.heartbeat_check_at = Some(now + interval);
+        self.heartbeat_check_at
     }
 
-    pub fn any_connected(&self) -> bool {
-        !self.connections.is_empty()
+    /// The check that was scheduled is made now.
+    pub fn start_heartbeat_check(&mut self) {
+        self.heartbeat_check_at = None;
     }
 
-    /// Forgets a life that is over and holds nothing.
+    /// Forgets an incarnation that has neither a connection nor a lease nor a call-back.
     pub fn forget_if_gone(&mut self, dispatcher: DispatcherId) {
-        let is_gone =
-            |life: &Life| life.connection.is_none() && life.leases.is_empty() && life.callbacks.is_empty();
-        if self.lives.get(&dispatcher).is_some_and(is_gone) {
-            self.lives.remove(&dispatcher);
+        let is_gone = |incarnation: &Incarnation| {
+            incarnation.connection.is_none()
+                && incarnation.leases.is_empty()
+                && incarnation.callbacks.is_empty()
+        };
+        if self.incarnations.get(&dispatcher).is_some_and(is_gone) {
+            self.incarnations.remove(&dispatcher);
         }
     }
 }
--- /dev/null
+++ b/system/state/queue/src/node/connections.rs
@@ -0,0 +1,188 @@
+//! Connections of dispatchers: announcements, credits, heartbeats, ends.
+
+use super::StoreNode;
+use crate::api::{ConnectionId, Output};
+use crate::dispatchers::{Announcement, LeaseConfirmation};
+use crate::timers::Timer;
+use millrudder_protocol::store::{ActiveLease, ServiceCredit, ToDispatcher};
+use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId};
+use std::time::Duration;
+
+/// Heartbeats are checked so many times in the time after which a dispatcher counts as gone.
+const HEARTBEAT_CHECKS_PER_TIMEOUT: u32 = 4;
+/// Shortest time between two such checks: the clock's step.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
+
+impl StoreNode {
+    /// A dispatcher announces itself and the leases that it has.
+    pub(super) fn handle_hello(
+        &mut self,
+        connection: ConnectionId,
+        dispatcher: DispatcherId,
+        zone: &str,
+        epoch: Epoch,
+        leases: &[ActiveLease],
+        in_doubt: Vec<MessageId>,
+    ) {
+        let former = self.dispatchers.connection_of(dispatcher);
+        if let Some(former) = former.filter(|former| *former != connection) {
+            self.close_dispatcher(former);
+        }
+        let announcement = Announcement {
+            distance: self.context.location.distance_to(zone),
+            epoch,
+            leases: leases.iter().map(|lease| (lease.id, lease.token)).collect(),
+            in_doubt: in_doubt.into_iter().collect(),
+        };
+        self.dispatchers.connect(connection, dispatcher, self.context.now).announce(announcement);
+        self.open_credits(dispatcher);
+        let welcome =
+            ToDispatcher::Welcome { store: self.context.local_id, epoch: self.context.placement.epoch };
+        self.send_to_dispatcher(connection, welcome);
+        self.reconcile_unconfirmed_leases(dispatcher);
+        self.revoke_superseded(dispatcher, connection);
+        self.callbacks.mark_all_runnable();
+        self.schedule_heartbeat_check();
+    }
+
+    /// Lets a dispatcher be granted messages of every service.
+    fn open_credits(&mut self, dispatcher: DispatcherId) {
+        let Some(incarnation) = self.dispatchers.get(dispatcher).filter(|incarnation| incarnation.is_open())
+        else {
+            return;
+        };
+        for index in self.services.indexes() {
+            let limit = incarnation.limit_of(index).unwrap_or(self.context.config.default_credit);
+            self.services.get_mut(index).credits_mut().open(dispatcher, limit, incarnation.distance());
+            self.services.mark_runnable(index);
+        }
+    }
+
+    fn close_credits(&mut self, dispatcher: DispatcherId) {
+        for index in self.services.indexes() {
+            self.services.get_mut(index).credits_mut().close(dispatcher);
+        }
+    }
+
+    /// Confirms the leases that a dispatcher announced, and grants those again that it does not know.
+    fn reconcile_unconfirmed_leases(&mut self, dispatcher: DispatcherId) {
+        let Some(incarnation) = self.dispatchers.get(dispatcher) else { return };
+        for id in incarnation.unconfirmed() {
+            self.reconcile_lease(dispatcher, id);
+        }
+    }
+
+    fn reconcile_lease(&mut self, dispatcher: DispatcherId, id: MessageId) {
+        let term = self.primary_terms.number_of(id.shard);
+        let token = self.lease_of(id).map(|lease| lease.token);
+        let Some(incarnation) = self.dispatchers.get_mut(dispatcher) else { return };
+        // It did not know that this store is primary: what it announced says nothing of this shard.
+        if term.is_none_or(|term| incarnation.epoch() < term) {
+            return;
+        }
+        if token.is_some() && incarnation.announced_token(id) == token {
+            incarnation.add_lease(id, LeaseConfirmation::Confirmed);
+            return;
+        }
+        // It does not know that the message was accepted, and will ask again or withdraw it.
+        if incarnation.is_in_doubt(id) {
+            return;
+        }
+        self.reschedule(id, Duration::ZERO);
+    }
+
+    /// Revokes the leases that a dispatcher announced and that others have now.
+    fn revoke_superseded(&mut self, dispatcher: DispatcherId, connection: ConnectionId) {
+        let Some(incarnation) = self.dispatchers.get(dispatcher) else { return };
+        let is_superseded = |id: MessageId, token: LeaseToken| {
+            let entry = self.table.get(id).filter(|entry| entry.primary.is_some());
+            entry.and_then(|entry| entry.grant).is_some_and(|grant| grant.token > token)
+        };
+        let announced = incarnation.announced_leases();
+        let superseded: Vec<(MessageId, LeaseToken)> =
+            announced.filter(|(id, token)| is_superseded(*id, *token)).collect();
+        for (id, token) in superseded {
+            self.send_to_dispatcher(connection, ToDispatcher::Revoke { id, token });
+        }
+    }
+
+    /// Closes a connection that is of no use any more.
+    fn close_dispatcher(&mut self, connection: ConnectionId) {
+        self.handle_dispatcher_closed(connection);
+        self.context.outputs.push(Output::CloseDispatcher { connection });
+    }
+
+    /// A dispatcher's connection is closed: it may reconnect and announce its leases.
+    pub(super) fn handle_dispatcher_closed(&mut self, connection: ConnectionId) {
+        let Some(dispatcher) = self.dispatchers.disconnect(connection) else { return };
+        self.close_credits(dispatcher);
+        let until = self.context.now + self.context.config.reconnect_timeout;
+        let Some(incarnation) = self.dispatchers.get_mut(dispatcher) else { return };
+        let leases = incarnation.expect_confirmations(until);
+        for id in incarnation.take_callbacks() {
+            self.callbacks.give_back(id, self.context.now);
+        }
+        for id in leases {
+            if self.lease_of(id).is_some_and(|lease| !lease.is_notified) {
+                self.reschedule(id, Duration::ZERO);
+            }
+        }
+        self.context.timers.set(until, Timer::UnconfirmedLeases(dispatcher));
+        self.dispatchers.forget_if_gone(dispatcher);
+    }
+
+    /// A dispatcher did not announce these leases in time: they are granted again.
+    pub(super) fn release_unconfirmed(&mut self, dispatcher: DispatcherId) {
+        let overdue = self
+            .dispatchers
+            .get(dispatcher)
+            .map(|incarnation| incarnation.overdue(self.context.now))
+            .unwrap_or_default();
+        for id in overdue {
+            let wait = self.count_unknown_end(id);
+            self.reschedule(id, wait);
+        }
+        self.dispatchers.forget_if_gone(dispatcher);
+    }
+
+    /// A dispatcher stops: nothing more is granted to it, and it keeps its leases.
+    pub(super) fn handle_dispatcher_leaving(&mut self, connection: ConnectionId) {
+        let Some(dispatcher) = self.dispatchers.of(connection) else { return };
+        if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
+            incarnation.set_leaving();
+        }
+        self.close_credits(dispatcher);
+    }
+
+    /// How many deliveries a dispatcher takes at a time; services that it does not name keep their limit.
+    pub(super) fn handle_credits(&mut self, connection: ConnectionId, credits: &[ServiceCredit]) {
+        let Some(dispatcher) = self.dispatchers.of(connection) else { return };
+        for ServiceCredit { service, limit } in credits {
+            let index = self.service(service);
+            if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
+                incarnation.set_limit(index, *limit);
+            }
+            self.services.get_mut(index).credits_mut().set_limit(dispatcher, *limit);
+            self.services.mark_runnable(index);
+        }
+    }
+
+    fn schedule_heartbeat_check(&mut self) {
+        let interval = self.context.config.heartbeat_timeout / HEARTBEAT_CHECKS_PER_TIMEOUT;
+        let interval = interval.max(MIN_CHECK_INTERVAL);
+        if let Some(at) = self.dispatchers.schedule_heartbeat_check(self.context.now, interval) {
+            self.context.timers.set(at, Timer::HeartbeatCheck);
+        }
+    }
+
+    /// Closes the connections of dispatchers whose heartbeat is overdue.
+    pub(super) fn close_unresponsive(&mut self) {
+        self.dispatchers.start_heartbeat_check();
+        for connection in
+            self.dispatchers.unresponsive(self.context.now, self.context.config.heartbeat_timeout)
+        {
+            self.close_dispatcher(connection);
+        }
+        self.schedule_heartbeat_check();
+    }
+}
--- /dev/null
+++ b/system/state/queue/src/node/expiry.rs
@@ -0,0 +1,75 @@
+//! The end of a message's retention, and the time after which it is forgotten.
+//!
+//! Every replica forgets by its own clock. A message that has ended is retained until its retention is over as well, so
+//! that a replica which missed the end cannot bring the message back: it has ended by its retention by then.
+
+use super::StoreNode;
+use crate::api::Output;
+use crate::config::Config;
+use crate::entry::Entry;
+use crate::time::Instant;
+use crate::timers::Timer;
+use millrudder_protocol::message::End;
+use millrudder_protocol::MessageId;
+use std::time::Duration;
+
+/// Messages are forgotten together in steps of this span, which takes fewer wake-ups.
+const FORGET_STEP: Duration = Duration::from_secs(1);
+
+/// When to look at a message again.
+fn expiry_of(entry: &Entry, config: &Config) -> Instant {
+    let status_retention = config.status_ttl + config.forget_margin;
+    if entry.end.is_none() {
+        let retention_end = entry.retention_end();
+        return if entry.primary.is_some() { retention_end } else { retention_end + status_retention };
+    }
+    let callback_retention =
+        if entry.has_pending_callback() { config.callback_retention } else { Duration::ZERO };
+    let needed_until = entry.ended + status_retention.max(callback_retention);
+    needed_until.max(entry.retention_end() + config.forget_margin).rounded_up(FORGET_STEP)
+}
+
+impl StoreNode {
+    /// Sets a message's expiry timer to what is known of it now.
+    pub(super) fn set_expiry(&mut self, id: MessageId) {
+        let Some(entry) = self.table.get_mut(id) else { return };
+        let at = expiry_of(entry, &self.context.config);
+        if entry.expiry == Some(at) {
+            return;
+        }
+        if let Some(former) = entry.expiry.replace(at) {
+            self.context.timers.clear(former, Timer::Expiry(id));
+        }
+        self.context.timers.set(at, Timer::Expiry(id));
+    }
+
+    /// A message's expiry timer went off.
+    pub(super) fn handle_expiry(&mut self, id: MessageId) {
+        let Some(entry) = self.table.get_mut(id) else { return };
+        entry.expiry = None;
+        let is_over = entry.end.is_some() || entry.primary.is_none();
+        if is_over && !self.replication.is_pending(id) {
+            self.forget(id);
+        } else if is_over {
+            self.context.timers.set(self.context.now + FORGET_STEP, Timer::Expiry(id));
+        } else if self.primary_terms.is_serving(id.shard) {
+            self.retention_over(id);
+        } else {
+            self.set_expiry(id);
+        }
+    }
+
+    fn retention_over(&mut self, id: MessageId) {
+        if let Some(lease) = self.lease_of(id) {
+            self.revoke(id, lease.token);
+        }
+        self.end_message(id, End::DeadLetter);
+    }
+
+    fn forget(&mut self, id: MessageId) {
+        self.remove_callback(id);
+        self.table.remove(id);
+        self.replication.forget(id);
+        self.context.outputs.push(Output::Released { id });
+    }
+}
--- /dev/null
+++ b/system/state/queue/src/replication/peer.rs
@@ -0,0 +1,225 @@
+//! Writes in flight to one other store, its usual latency, and what it is to catch up with.
+
+use crate::config::Config;
+use crate::primary_entry::SentVersion;
+use crate::time::millis;
+use crate::time::Instant;
+use millrudder_protocol::{MessageId, RequestNumber, ShardId};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+
+/// Weight of the latest sample in the moving average of a store's latency.
+const LATENCY_SAMPLE_WEIGHT: f64 = 0.2;
+/// A write is overdue after this many times the store's usual latency.
+const TIMEOUT_FACTOR: f64 = 4.0;
+/// Latency that is assumed of a store which has not acknowledged anything yet, in milliseconds.
+const INITIAL_LATENCY_MS: f64 = 6.0;
+/// Time without a sample in which the average halves, so that a store that was slow is tried again.
+const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
+/// Latencies up to twice this are no reason to prefer another store, in milliseconds.
+const SIGNIFICANT_LATENCY_MS: f64 = 8.0;
+
+/// A `Write` that is not acknowledged yet.
+#[derive(Clone, Debug)]
+struct Outstanding {
+    number: RequestNumber,
+    sent_at: Instant,
+    messages: Vec<SentVersion>,
+    repair_bytes: usize,
+}
+
+/// One other store.
+#[derive(Clone, Debug)]
+pub(super) struct Peer {
+    is_connected: bool,
+    next_number: u64,
+    outstanding: VecDeque<Outstanding>,
+    /// So many of the oldest are overdue.
+    overdue: usize,
+    latency_ms: f64,
+    latency_at: Instant,
+    /// Messages of which it is to be sent all that is known, as the window allows.
+    catch_up: BTreeSet<MessageId>,
+    /// Bytes of repair in flight.
+    repair_bytes: usize,
+    /// Shards of which it is a learner being filled; with the last write of the filling once that was sent.
+    filling: BTreeMap<ShardId, Option<RequestNumber>>,
+}
+
+impl Peer {
+    /// `first_number`: of its writes; drawn, so that no answer to a former incarnation of this process matches one of them.
+    pub fn new(now: Instant, first_number: u64) -> Self {
+        Peer {
+            is_connected: false,
+            next_number: first_number,
+            outstanding: VecDeque::new(),
+            overdue: 0,
+            latency_ms: INITIAL_LATENCY_MS,
+            latency_at: now,
+            catch_up: BTreeSet::new(),
+            repair_bytes: 0,
+            filling: BTreeMap::new(),
+        }
+    }
+
+    /// A connection with it is open.
+    pub fn connect(&mut self) {
+        self.is_connected = true;
+    }
+
+    pub fn is_connected(&self) -> bool {
+        self.is_connected
+    }
+
+    /// Messages of which it is to be sent all that is known, in order.
+    pub fn catch_up(&self) -> impl Iterator<Item = MessageId> + '_ {
+        self.catch_up.iter().copied()
+    }
+
+    /// Lets it be sent all that is known of these messages, as the window allows.
+    pub fn add_catch_up(&mut self, ids: impl IntoIterator<Item = MessageId>) {
+        self.catch_up.extend(ids);
+    }
+
+    /// It was sent all that is known of the message, or needs none of it.
+    pub fn remove_catch_up(&mut self, id: MessageId) {
+        self.catch_up.remove(&id);
+    }
+
+    pub fn is_catching_up_with(&self, id: MessageId) -> bool {
+        self.catch_up.contains(&id)
+    }
+
+    /// Takes the first message of which it is to be sent all that is known.
+    pub fn next_catch_up(&mut self) -> Option<MessageId> {
+        self.catch_up.pop_first()
+    }
+
+    /// It is connected and has something to catch up with, or a shard to be filled with.
+    pub fn has_catch_up(&self) -> bool {
+        self.is_connected && !(self.catch_up.is_empty() && self.filling.is_empty())
+    }
+
+    /// Bytes of repair that may be sent to it now.
+    pub fn repair_window(&self, config: &Config) -> usize {
+        config.repair_window_bytes.saturating_sub(self.repair_bytes)
+    }
+
+    /// It is a learner of the shard; the messages that it lacks are added to its catch-up.
+    pub fn start_filling(&mut self, shard: ShardId) {
+        self.filling.insert(shard, None);
+    }
+
+    /// Adds a `Write` that is in flight from now on; gives its number.
+    pub fn register_write(
+        &mut self,
+        now: Instant,
+        messages: Vec<SentVersion>,
+        repair_bytes: usize,
+    ) -> RequestNumber {
+        let number = RequestNumber(self.next_number);
+        self.next_number += 1;
+        self.repair_bytes += repair_bytes;
+        self.outstanding.push_back(Outstanding { number, sent_at: now, messages, repair_bytes });
+        number
+    }
+
+    /// Everything up to `number` is on its disk; gives what that is. A number that nothing waits for says nothing.
+    pub fn handle_written(&mut self, number: RequestNumber, now: Instant) -> Vec<SentVersion> {
+        let mut messages = Vec::new();
+        if self.outstanding.binary_search_by_key(&number, |sent| sent.number).is_err() {
+            return messages;
+        }
+        while self.outstanding.front().is_some_and(|oldest| oldest.number <= number) {
+            let Some(oldest) = self.outstanding.pop_front() else { break };
+            self.overdue = self.overdue.saturating_sub(1);
+            self.repair_bytes = self.repair_bytes.saturating_sub(oldest.repair_bytes);
+            self.update_latency(now.saturating_duration_since(oldest.sent_at), now);
+            messages.extend(oldest.messages);
+        }
+        messages
+    }
+
+    fn update_latency(&mut self, latest: Duration, now: Instant) {
+        let latest_ms = millis(latest) as f64;
+        self.latency_ms =
+            self.decayed_latency(now) * (1.0 - LATENCY_SAMPLE_WEIGHT) + latest_ms * LATENCY_SAMPLE_WEIGHT;
+        self.latency_at = now;
+    }
+
+    /// The moving average of its latency in milliseconds, decayed since the latest sample.
+    fn decayed_latency(&self, now: Instant) -> f64 {
+        let halvings = millis(now.saturating_duration_since(self.latency_at)) / millis(LATENCY_HALF_LIFE);
+        let halved = self.latency_ms * 0.5_f64.powi(i32::try_from(halvings.min(64)).unwrap_or(64));
+        halved.max(INITIAL_LATENCY_MS.min(self.latency_ms))
+    }
+
+    fn timeout(&self, config: &Config) -> Duration {
+        let timeout = Duration::from_millis((self.latency_ms * TIMEOUT_FACTOR) as u64);
+        timeout.clamp(config.min_write_timeout, config.max_write_timeout)
+    }
+
+    /// When the oldest write that is not overdue becomes so.
+    pub fn deadline(&self, config: &Config) -> Option<Instant> {
+        let next = self.outstanding.get(self.overdue)?;
+        Some(next.sent_at + self.timeout(config))
+    }
+
+    /// What has become overdue since the last call.
+    pub fn take_overdue(&mut self, now: Instant, config: &Config) -> Vec<SentVersion> {
+        let mut messages = Vec::new();
+        while self.deadline(config).is_some_and(|deadline| deadline <= now) {
+            messages.extend(self.outstanding[self.overdue].messages.iter().copied());
+            self.overdue += 1;
+        }
+        messages
+    }
+
+    pub fn is_overdue(&self) -> bool {
+        self.overdue > 0
+    }
+
+    /// How much worse than the best it is, in doublings; small differences do not count.
+    pub fn slowness(&self, now: Instant) -> u32 {
+        let doublings = (self.decayed_latency(now) / SIGNIFICANT_LATENCY_MS).max(1.0).log2();
+        doublings as u32
+    }
+
+    /// The connection is closed; gives what may never have arrived.
+    pub fn disconnect(&mut self) -> Vec<SentVersion> {
+        self.is_connected = false;
+        self.overdue = 0;
+        self.repair_bytes = 0;
+        self.catch_up.clear();
+        self.filling.clear();
+        self.outstanding.drain(..).flat_map(|outstanding| outstanding.messages).collect()
+    }
+
+    /// Shards whose filling is on its disk.
+    pub fn take_filled(&mut self) -> Vec<ShardId> {
+        let last = RequestNumber(self.next_number.saturating_sub(1));
+        for (shard, sent) in &mut self.filling {
+            let first = MessageId { shard: *shard, unique: 0 };
+            let end = MessageId { shard: *shard, unique: u64::MAX };
+            let is_sent = self.catch_up.range(first..=end).next().is_none();
+            if sent.is_none() && is_sent {
+                *sent = Some(last);
+            }
+        }
+        let oldest = self.outstanding.front().map(|oldest| oldest.number);
+        let is_written =
+            |sent: &Option<RequestNumber>| sent.is_some_and(|sent| oldest.is_none_or(|oldest| oldest > sent));
+        let filled: Vec<ShardId> =
+            self.filling.iter().filter(|(_, sent)| is_written(sent)).map(|(shard, _)| *shard).collect();
+        for shard in &filled {
+            self.filling.remove(shard);
+        }
+        filled
+    }
+
+    /// Another store is primary of the shard now.
+    pub fn drop_shard(&mut self, shard: ShardId) {
+        self.filling.remove(&shard);
+        self.catch_up.retain(|id| id.shard != shard);
+    }
+}
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -5,6 +5,7 @@
 use crate::mechanism::{Mechanism, Mutant};
 use crate::store_disk::StoreDisk;
 use crate::MILLISECOND;
+use millrudder_clock::Instant;
 use millrudder_protocol::control::{CaughtUpShard, FromCore, Registrant, ToCore};
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::store::BetweenStores;
@@ -83,6 +84,11 @@
     pub effects: &'a mut Vec<Effect>,
 }
 
+/// A reading of a steady clock in whole milliseconds, as the program takes it.
+fn reading(micros: u64) -> Instant {
+    Instant::from_millis(micros / MILLISECOND)
+}
+
 impl StoreProcess {
     /// Starts a process with the records of the disk.
     pub fn start(
@@ -95,7 +101,7 @@
     ) -> Self {
         let config = Config { seed, ..Config::default() };
         let recovered = disk.recover(true_now).into_iter();
-        let node = StoreNode::new(config, settings.id, settings.zone.clone(), now / MILLISECOND, recovered);
+        let node = StoreNode::new(config, settings.id, settings.zone.clone(), reading(now), recovered);
         StoreProcess {
             node,
             cores: settings.seeds.clone(),
@@ -128,7 +134,7 @@
 
     /// When the next tick is due, by the machine's steady clock.
     pub fn next_deadline(&self) -> u64 {
-        let node = self.node.next_deadline().map(|due| due * MILLISECOND);
+        let node = self.node.next_deadline().map(|due| due.as_millis() * MILLISECOND);
         self.heartbeat_at.min(node.unwrap_or(u64::MAX))
     }
 
@@ -140,12 +146,12 @@
     /// Whether it serves every shard of which it is the primary.
     pub fn serves_all(&self, now: u64) -> bool {
         let led = self.placement.shards_of_primary(self.settings.id).count();
-        self.node.health(now / MILLISECOND).primary_shards as usize == led
+        self.node.health(reading(now)).primary_shards as usize == led
     }
 
     /// Whether other stores have taken over all its shards.
     pub fn can_leave(&self, now: u64) -> bool {
-        self.node.health(now / MILLISECOND).primary_shards == 0
+        self.node.health(reading(now)).primary_shards == 0
     }
 
     /// Handles an input.
@@ -170,15 +176,15 @@
     }
 
     fn tick(&mut self, context: &mut StoreContext<'_>) {
-        let now_ms = context.now / MILLISECOND;
-        if self.node.next_deadline().is_some_and(|due| due <= now_ms) {
+        let now = reading(context.now);
+        if self.node.next_deadline().is_some_and(|due| due <= now) {
             self.feed_node(context, Input::Tick);
         }
         if self.heartbeat_at > context.now {
             return;
         }
         self.heartbeat_at = context.now + HEARTBEAT_INTERVAL;
-        let health = Some(self.node.health(now_ms));
+        let health = Some(self.node.health(now));
         self.send_to_cores(context, &ToCore::Heartbeat { health });
         if !self.filled.shards.is_empty() && context.now >= self.filled.report_at {
             self.filled.report_at = context.now + FILLED_REPORT_INTERVAL;
@@ -320,7 +326,7 @@
     fn feed_node(&mut self, context: &mut StoreContext<'_>, input: Input) {
         let joins = matches!(&input, Input::Store { message: BetweenStores::Promise { .. }, .. });
         let mut output = Vec::new();
-        self.node.handle(context.now / MILLISECOND, input, &mut output);
+        self.node.handle(reading(context.now), input, &mut output);
         for action in output {
             self.carry_out(context, action, joins);
         }
@@ -356,7 +362,7 @@
                 self.filled.report_at = 0;
                 self.heartbeat_at = 0;
             }
-            Output::Stray { .. } | Output::Released { .. } => {}
+            Output::Orphaned { .. } | Output::Released { .. } => {}
         }
     }
 }
