--- a/balancer/exchange/src/admission_gate.rs
+++ b/balancer/exchange/src/admission_gate.rs
@@ -47,10 +47,12 @@
         self.admission().set_weights(&numbers);
     }
 
+    /// What a front uses, and its fair share.
     pub fn usage(&self, front: Front) -> Usage {
         self.admission().usage(self.number(front))
     }
 
+    /// The fronts in use.
     pub fn fronts(&self) -> &[Front] {
         &self.fronts
     }
--- a/balancer/exchange/src/clock.rs
+++ b/balancer/exchange/src/clock.rs
@@ -7,6 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// The dispatcher's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     goes_by: GoesBy,
@@ -21,6 +22,7 @@
 }
 
 impl Clock {
+    /// Starts at the present Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         Clock { goes_by: GoesBy::Monotonic(Instant::now()), unix_ms: unix.as_secs_f64() * 1000.0 }
@@ -38,6 +40,7 @@
         }
     }
 
+    /// The present reading (ms).
     pub fn now(&self) -> f64 {
         let since = match self.goes_by {
             GoesBy::Monotonic(start) => start.elapsed().as_secs_f64() * 1000.0,
--- a/balancer/exchange/src/counters.rs
+++ b/balancer/exchange/src/counters.rs
@@ -3,16 +3,20 @@
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
+/// One counter; it only grows.
 #[derive(Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
+    /// Counts one.
     pub fn add(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
+    /// Counts `n`.
     pub fn add_all(&self, n: u64) {
         self.0.fetch_add(n, Ordering::Relaxed);
     }
+    /// The count.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -21,9 +25,10 @@
 /// One struct, one list of names: a counter cannot be left out of the print.
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
+        /// All counters of the program.
         #[derive(Default)]
         pub struct Counters {
-            $($(#[$doc])* pub $name: Counter,)*
+            $(#[doc = concat!("The counter `", stringify!($name), "`, under the name that is printed.\n\n")] $(#[$doc])* pub $name: Counter,)*
         }
         impl Counters {
             fn each(&self) -> Vec<(&'static str, u64)> {
--- a/balancer/exchange/src/drain.rs
+++ b/balancer/exchange/src/drain.rs
@@ -16,6 +16,7 @@
         self.at().get_or_insert(now);
     }
 
+    /// Clients are taken again.
     pub fn end(&self) {
         *self.at() = None;
     }
@@ -25,6 +26,7 @@
         *self.at()
     }
 
+    /// Whether clients are to go elsewhere.
     pub fn is_on(&self) -> bool {
         self.since().is_some()
     }
--- a/balancer/exchange/src/exchange.rs
+++ b/balancer/exchange/src/exchange.rs
@@ -21,6 +21,7 @@
 }
 
 impl Exchange {
+    /// An exchange, and the end at which the dispatch coroutine takes messages out.
     pub fn new() -> (Self, Inbox) {
         let ((inbox, outlet), (urgent, first)) = (mpsc::channel(), mpsc::channel());
         let ended = Arc::new(AtomicBool::new(false));
@@ -61,6 +62,7 @@
         self.put(Message::Nudge);
     }
 
+    /// Puts a message in.
     pub fn put(&self, message: Message) {
         // Fails only once dispatch has ended, when nobody is left to act on it.
         let _ = self.inbox.send(message);
@@ -86,14 +88,26 @@
 }
 
 impl Inbox {
+    /// Waits for the next message.
+    ///
+    /// # Errors
+    /// Nobody can put messages in any more.
     pub fn recv(&self) -> Result<Message, RecvError> {
         self.next(|| self.outlet.recv())
     }
 
+    /// Waits for the next message for `timeout` at most.
+    ///
+    /// # Errors
+    /// None came in time, or nobody can put messages in any more.
     pub fn recv_timeout(&self, timeout: Duration) -> Result<Message, RecvTimeoutError> {
         self.next(|| self.outlet.recv_timeout(timeout))
     }
 
+    /// The next message, if there is one.
+    ///
+    /// # Errors
+    /// There is none, or nobody can put messages in any more.
     pub fn try_recv(&self) -> Result<Message, TryRecvError> {
         self.next(|| self.outlet.try_recv())
     }
--- a/balancer/exchange/src/front.rs
+++ b/balancer/exchange/src/front.rs
@@ -9,11 +9,16 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
+/// What a front needs of the rest of the program.
 #[derive(Clone)]
 pub struct Core {
+    /// Where jobs are submitted.
     pub exchange: Exchange,
+    /// Admission of jobs, over all fronts.
     pub admission_gate: AdmissionGate,
+    /// Counters of the program.
     pub counters: Arc<Counters>,
+    /// The planned stop.
     pub stopping: Stopping,
     /// Clients are sent away.
     pub drain: Drain,
@@ -21,9 +26,13 @@
     pub peer_process: PeerProcess,
     /// Jobs can come in.
     pub serving: Arc<AtomicBool>,
+    /// The clock.
     pub clock: Clock,
+    /// Classes of jobs.
     pub classes: Classes,
+    /// Whether clients are told when to come back.
     pub advice: Advice,
+    /// The log.
     pub log: Logger,
 }
 
@@ -32,24 +41,29 @@
 pub struct Advice(Arc<AtomicBool>);
 
 impl Advice {
+    /// As the settings allow it at the start.
     pub fn new(allowed: bool) -> Self {
         Advice(Arc::new(AtomicBool::new(allowed)))
     }
 
+    /// Takes new settings over.
     pub fn allow(&self, allowed: bool) {
         self.0.store(allowed, Ordering::Release);
     }
 
+    /// Whether clients may be told.
     pub fn is_allowed(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 }
 
 impl Core {
+    /// Whether jobs can come in.
     pub fn is_serving(&self) -> bool {
         self.serving.load(Ordering::Acquire)
     }
 
+    /// Notes that jobs can come in.
     pub fn now_serves(&self) {
         self.serving.store(true, Ordering::Release);
     }
--- a/balancer/exchange/src/intake.rs
+++ b/balancer/exchange/src/intake.rs
@@ -16,11 +16,13 @@
 /// The one method and the one path by which jobs go to next hops. Any other would let a client reach what next hops
 /// serve beside jobs, such as call-offs.
 pub const JOB_METHOD: &str = "POST";
+/// The path; see [`JOB_METHOD`].
 pub const JOB_PATH: &str = "/api";
 
 /// A class of jobs, as far as fronts know it.
 #[derive(Clone, Debug)]
 pub struct Class {
+    /// Its name.
     pub name: String,
     /// Its jobs carry a key by which next hops drop repeats.
     pub keyed: bool,
@@ -38,10 +40,12 @@
 pub struct Classes(Arc<RwLock<Arc<Vec<Class>>>>);
 
 impl Classes {
+    /// The classes of the settings at the start.
     pub fn new(classes: Vec<Class>) -> Self {
         Classes(Arc::new(RwLock::new(Arc::new(classes))))
     }
 
+    /// The classes that are known now.
     pub fn now(&self) -> Arc<Vec<Class>> {
         self.0.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -70,6 +74,7 @@
     target.bytes().all(|b| b.is_ascii_graphic() && b != b'#')
 }
 
+/// Printable ASCII, with spaces.
 pub fn is_plain(value: &str) -> bool {
     value.bytes().all(|b| b.is_ascii_graphic() || b == b' ')
 }
--- a/balancer/exchange/src/operator_order.rs
+++ b/balancer/exchange/src/operator_order.rs
@@ -3,10 +3,12 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
+/// What an operator orders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
     /// Nothing new to this next hop until `Enable`, whatever lists say.
     Disable(String),
+    /// This worker may get jobs again.
     Enable(String),
 }
 
@@ -47,6 +49,7 @@
 pub struct OrderHandle(Shared);
 
 impl OrderHandle {
+    /// An order with its two ends.
     pub fn new(order: Order) -> (PendingOrder, Self) {
         let state = Shared::default();
         (PendingOrder { order, state: state.clone() }, OrderHandle(state))
--- a/balancer/exchange/src/peer_process.rs
+++ b/balancer/exchange/src/peer_process.rs
@@ -13,6 +13,7 @@
 /// What a connection's peer has proved to be by a valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PeerRole {
+    /// Nothing yet.
     Stranger,
     /// A next hop with call-backs, or a watcher of this program.
     Caller,
@@ -20,6 +21,7 @@
     Client,
 }
 
+/// What goes over to the other process.
 pub enum Transfer {
     /// A connection between two requests.
     Connection(TcpStream, PeerRole),
@@ -27,14 +29,20 @@
     News(Vec<u8>),
     /// Jobs of this process, by their clients' ids.
     Began(String),
+    /// A job of this process has ended.
     Ended(String),
-    /// One of its flights counts at its next hop no more.
+    /// An attempt of this process has ended at its worker.
     Landed {
+        /// The worker.
         hop: String,
+        /// The job.
         job: Ticket,
+        /// The attempt, from 0.
         attempt: usize,
     },
+    /// An operator's order, for both processes.
     Ordered(Order),
+    /// Clients are sent away, or taken again.
     Drain(bool),
 }
 
@@ -59,18 +67,22 @@
 }
 
 impl PeerProcess {
+    /// Whether this process accepts connections.
     pub fn accepts(&self) -> bool {
         !self.0.parked.load(Ordering::Acquire)
     }
 
+    /// Sets whether this process accepts connections.
     pub fn accept(&self, accepts: bool) {
         self.0.parked.store(!accepts, Ordering::Release);
     }
 
+    /// Whether there is another process that takes transfers.
     pub fn is_open(&self) -> bool {
         self.0.open.load(Ordering::Acquire)
     }
 
+    /// Notes that there is another process that takes transfers.
     pub fn open(&self) {
         self.0.open.store(true, Ordering::Release);
     }
@@ -89,6 +101,7 @@
         self.0.takes_connections.load(Ordering::Acquire)
     }
 
+    /// Sets whether connections go over.
     pub fn take_connections(&self, takes: bool) {
         self.0.takes_connections.store(takes, Ordering::Release);
     }
@@ -106,6 +119,7 @@
         Ok(())
     }
 
+    /// Takes the next transfer out.
     pub fn take(&self) -> Option<Transfer> {
         self.parcels().pop_front()
     }
@@ -115,18 +129,22 @@
         self.parcels().iter().filter(|p| matches!(p, Transfer::Connection(..))).count()
     }
 
+    /// Whether no transfer waits.
     pub fn is_empty(&self) -> bool {
         self.parcels().is_empty()
     }
 
+    /// Whether the other process owes this job.
     pub fn is_theirs(&self, id: &str) -> bool {
         self.is_open() && self.theirs().contains(id)
     }
 
+    /// Notes a job of the other process.
     pub fn their_job(&self, id: String) {
         self.theirs().insert(id);
     }
 
+    /// Notes the end of a job of the other process.
     pub fn their_job_ended(&self, id: &str) {
         self.theirs().remove(id);
     }
@@ -137,10 +155,12 @@
         self.0.next_hops.store(next_hops, Ordering::Release);
     }
 
+    /// Inbound descriptors that the other process holds, or may.
     pub fn inbound(&self) -> usize {
         self.0.inbound.load(Ordering::Acquire)
     }
 
+    /// Descriptors to workers that the other process holds, or may.
     pub fn next_hops(&self) -> usize {
         self.0.next_hops.load(Ordering::Acquire)
     }
@@ -160,9 +180,16 @@
     Export(std::sync::mpsc::Sender<Vec<u8>>),
     /// Ids of the jobs that are owed, and the descriptors held for next hops.
     UnderWay(std::sync::mpsc::Sender<(Vec<String>, usize)>),
-    /// A flight of the other's has landed.
-    Landed { hop: String, job: Ticket, attempt: usize },
-    /// The other process is gone, and its flights with it.
+    /// An attempt of the other process has ended at its worker.
+    Landed {
+        /// The worker.
+        hop: String,
+        /// The job.
+        job: Ticket,
+        /// The attempt, from 0.
+        attempt: usize,
+    },
+    /// The other process is gone, and its attempts with it.
     Gone,
 }
 
--- a/balancer/exchange/src/rate.rs
+++ b/balancer/exchange/src/rate.rs
@@ -5,10 +5,12 @@
 /// At most one line in this many milliseconds.
 const GAP_MS: f64 = 1_000.0;
 
+/// Lets one line through in each second.
 #[derive(Default)]
 pub struct Limiter(AtomicU64);
 
 impl Limiter {
+    /// Whether a line may be written at `now` (ms).
     pub fn allows(&self, now: f64) -> bool {
         let last = f64::from_bits(self.0.load(Ordering::Relaxed));
         let allowed = now - last >= GAP_MS;
--- a/balancer/exchange/src/shutdown.rs
+++ b/balancer/exchange/src/shutdown.rs
@@ -30,6 +30,7 @@
 }
 
 impl Stopping {
+    /// No stop has begun; `longest_deadline` is that of the settings (ms).
     pub fn new(longest_deadline: f64) -> Self {
         let longest = Arc::new(Mutex::new(longest_deadline.min(LONGEST_MS)));
         Stopping {
@@ -60,10 +61,12 @@
         since.is_none() && since.replace(now).is_none()
     }
 
+    /// When the stop began (ms).
     pub fn since(&self) -> Option<f64> {
         *self.since.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Whether the dispatcher was told to stop.
     pub fn has_begun(&self) -> bool {
         self.since().is_some()
     }
@@ -88,6 +91,7 @@
         self.elsewhere.fetch_add(1, Ordering::AcqRel);
     }
 
+    /// A client's connection on another front has closed.
     pub fn client_left(&self) {
         self.elsewhere.fetch_sub(1, Ordering::AcqRel);
     }
