--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -12,7 +12,7 @@
 use crate::next_hop::{NextHops, Way};
 use crate::transport_map::{Call, TransportMap};
 use jobs::{AttemptState, Entry, Jobs, Settled};
-pub use legacy::Legacy;
+pub use legacy::{Legacy, LegacyError};
 use millrudder as mr;
 use millrudder_config::{Config, Names};
 use millrudder_exchange::clock::Clock;
