--- a/system/testing/simulation/src/checks.rs
+++ b/system/testing/simulation/src/checks.rs
@@ -6,18 +6,19 @@
 use crate::machine_id::MachineId;
 use crate::message_log::MessageLog;
 use crate::violation::Violation;
-use crate::{MILLISECOND, SECOND};
 use millrudder_chain::{Epoch, RequestId, View};
+use millrudder_clock::Instant;
 use millrudder_control_state::{Command, Reply};
 use millrudder_staleness::MAX_CONFIRMATION_AGE;
 use speedy::Readable;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Greatest staleness of a configuration that a core machine publishes, compared to the one acknowledged last: the
 /// greatest age of a confirmation by a quorum, and the delay of a message.
-pub const STALENESS_BOUND: u64 = (MAX_CONFIRMATION_AGE.as_millis() as u64 + 100) * MILLISECOND;
+pub const STALENESS_BOUND: Duration = MAX_CONFIRMATION_AGE.saturating_add(Duration::from_millis(100));
 /// A dispatcher that can reach a core machine with a quorum gets an acknowledged configuration within this time.
-pub const PROPAGATION_BOUND: u64 = 6 * SECOND;
+pub const PROPAGATION_BOUND: Duration = Duration::from_secs(6);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Adopted {
@@ -38,7 +39,7 @@
     /// The request by which each configuration took effect.
     effects: BTreeMap<Vec<u8>, RequestId>,
     /// Acknowledged versions with their times, each higher than all before.
-    acknowledged: Vec<(u64, u64)>,
+    acknowledged: Vec<(Instant, u64)>,
     highest_fencing: u64,
     highest_act: u64,
     adopted: BTreeMap<usize, Adopted>,
@@ -52,7 +53,7 @@
     pub fn observe(
         &mut self,
         machine_id: MachineId,
-        now: u64,
+        now: Instant,
         observation: Observation,
     ) -> Result<(), Violation> {
         match observation {
@@ -82,7 +83,7 @@
     }
 
     /// Records the response of a core machine to an operator.
-    pub fn responded(&mut self, request: Request, response: Response, now: u64) {
+    pub fn responded(&mut self, request: Request, response: Response, now: Instant) {
         let Request::Put { configuration, .. } = request else { return };
         let highest = self.acknowledged.last().map_or(0, |(_, version)| *version);
         if response == Response::Accepted && configuration.version > highest {
@@ -91,14 +92,14 @@
     }
 
     /// The highest version acknowledged up to a true time.
-    pub fn acknowledged_at(&self, time: u64) -> u64 {
+    pub fn acknowledged_at(&self, time: Instant) -> u64 {
         let before = self.acknowledged.partition_point(|(at, _)| *at <= time);
         before.checked_sub(1).map_or(0, |index| self.acknowledged[index].1)
     }
 
     /// When a version above this was first acknowledged.
-    fn acknowledged_since(&self, version: u64) -> u64 {
-        self.acknowledged.iter().find(|(_, known)| *known > version).map_or(0, |(at, _)| *at)
+    fn acknowledged_since(&self, version: u64) -> Instant {
+        self.acknowledged.iter().find(|(_, known)| *known > version).map_or(Instant::ORIGIN, |(at, _)| *at)
     }
 
     /// Checks that the history of operators is linearizable.
@@ -113,8 +114,8 @@
         Err(Violation::NotLinearizable { history: shrink(operations) })
     }
 
-    fn check_published(&self, machine: MachineId, now: u64, published: u64) -> Result<(), Violation> {
-        let acknowledged = self.acknowledged_at(now.saturating_sub(STALENESS_BOUND));
+    fn check_published(&self, machine: MachineId, now: Instant, published: u64) -> Result<(), Violation> {
+        let acknowledged = self.acknowledged_at(now.checked_sub(STALENESS_BOUND).unwrap_or(Instant::ORIGIN));
         if published >= acknowledged {
             return Ok(());
         }
@@ -165,7 +166,7 @@
         Ok(())
     }
 
-    fn acted(&mut self, machine: MachineId, at: u64, number: u64) -> Result<(), Violation> {
+    fn acted(&mut self, machine: MachineId, at: Instant, number: u64) -> Result<(), Violation> {
         let later = self.highest_act;
         if number < later {
             return Err(Violation::ActedAfterSuccessor { machine, number, later, at });
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -1,12 +1,11 @@
 //! A simulated core machine: the production node and placement manager in a shell like the production one.
 
-use crate::clock::Clock;
+use crate::clock::{whole_millis, Clock};
 use crate::control_machine::ControlMachine;
 use crate::event::{Call, Connection, Effect, Observation, Payload, ProcessInput, Target};
 use crate::history::{Request, Response};
 use crate::mechanism::{Mechanism, Mutant};
 use crate::pending_requests::{PendingRequests, RequestStep};
-use crate::{MILLISECOND, SECOND};
 use millrudder_chain::{
     CoreConfig, CoreNode, DiskWrite, FencingToken, Input, NodeId, Output, RequestId, Role, SimulatedDisk,
 };
@@ -22,13 +21,14 @@
 use speedy::Writable;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// The singleton role of the core machine that acts for all of them.
 const CONTROLLER: &str = "controller";
 /// Pause between two reads of the platform's worker list.
-const LIST_INTERVAL: u64 = 400 * MILLISECOND;
+const LIST_INTERVAL: Duration = Duration::from_millis(400);
 /// Pause between two sweeps for requests that timed out.
-const SWEEP_INTERVAL: u64 = SECOND / 4;
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Records of this many bytes cause a checkpoint: few, so that hundreds of changes cause many checkpoints.
 const CHECKPOINT_BYTES: usize = 4 << 10;
 /// Commands retained in memory: so few that a peer that was down needs a snapshot.
@@ -68,11 +68,12 @@
     confirming: Option<Confirming>,
     followed_epoch: u64,
     fencing: Option<FencingToken>,
-    read_list_at: u64,
-    sweep_at: u64,
+    /// When the worker list is read next; `None` without the lease.
+    read_list_at: Option<Instant>,
+    sweep_at: Instant,
     leaving: bool,
     /// Total duration of the clock stalls handled so far.
-    stalled: u64,
+    stalled: Option<Duration>,
 }
 
 /// The linearizable read in flight that confirms the state of this machine.
@@ -85,9 +86,9 @@
 /// The environment in which a core process handles an input.
 pub struct CoreContext<'a> {
     /// Reading of the machine's steady clock.
-    pub now: u64,
+    pub now: Instant,
     /// Total duration of the clock's stalls.
-    pub stalled: u64,
+    pub stalled: Duration,
     /// The machine's disk.
     pub disk: &'a mut SimulatedDisk,
     /// Receives the effects.
@@ -99,7 +100,13 @@
     ///
     /// # Panics
     /// The settings are invalid.
-    pub fn start(settings: CoreSettings, mutant: Mutant, disk: &SimulatedDisk, seed: u64, now: u64) -> Self {
+    pub fn start(
+        settings: CoreSettings,
+        mutant: Mutant,
+        disk: &SimulatedDisk,
+        seed: u64,
+        now: Instant,
+    ) -> Self {
         let state = match mutant.is_enabled(Mechanism::RecordsReplayed) {
             true => disk.state(),
             false => disk.state_at_checkpoint(),
@@ -112,14 +119,10 @@
         if settings.bootstrap && state.is_none() {
             config.bootstrap_addresses = settings.seeds.iter().map(SocketAddr::to_string).collect();
         }
-        let node = CoreNode::<M>::new(config, state, seed, Instant::from_micros(now))
-            .expect("the settings fit together");
+        let node = CoreNode::<M>::new(config, state, seed, now).expect("the settings fit together");
         let mut manager = PlacementManager::new(settings.tolerated_losses);
         let control_state = node.machine().state();
-        manager.handle(
-            Instant::from_millis(now / MILLISECOND),
-            PlacementInput::Committed(control_state.placement().clone()),
-        );
+        manager.handle(whole_millis(now), PlacementInput::Committed(control_state.placement().clone()));
         let mut process = CoreProcess {
             manager,
             pending_requests: PendingRequests::new(seed),
@@ -134,10 +137,10 @@
             confirming: None,
             followed_epoch: control_state.placement().epoch.0,
             fencing: None,
-            read_list_at: u64::MAX,
+            read_list_at: None,
             sweep_at: now,
             leaving: false,
-            stalled: u64::MAX,
+            stalled: None,
             settings,
             mutant,
             node,
@@ -158,14 +161,13 @@
     }
 
     /// When the next tick is due, by the machine's steady clock.
-    pub fn next_deadline(&self, now: u64) -> u64 {
-        let manager = self
-            .manager
-            .next_deadline(Instant::from_millis(now / MILLISECOND))
-            .map(|due| due.as_millis() * MILLISECOND);
-        let read_barrier = self.read_barrier.next_deadline().map(|due| due.as_millis() * MILLISECOND);
-        let shell = manager.into_iter().chain(read_barrier).chain([self.read_list_at, self.sweep_at]).min();
-        self.node.next_deadline().as_micros().min(shell.unwrap_or(u64::MAX))
+    pub fn next_deadline(&self, now: Instant) -> Instant {
+        let manager = self.manager.next_deadline(whole_millis(now)).map(whole_millis);
+        let read_barrier = self.read_barrier.next_deadline().map(whole_millis);
+        let shell =
+            manager.into_iter().chain(read_barrier).chain(self.read_list_at).chain([self.sweep_at]).min();
+        let node = self.node.next_deadline();
+        shell.map_or(node, |shell| shell.min(node))
     }
 
     /// Handles an input.
@@ -182,7 +184,7 @@
             ProcessInput::ShutdownRequested => {
                 self.leaving = true;
                 self.drive_barrier(context, BarrierInput::ShuttingDown);
-                self.node.handle(Instant::from_micros(context.now), Input::Leave);
+                self.node.handle(context.now, Input::Leave);
             }
             ProcessInput::OperatorCall { call, request } => self.on_request(context, call, request),
         }
@@ -192,15 +194,15 @@
     /// Handles the completion of all writes up to `token`.
     pub fn persisted(&mut self, context: &mut CoreContext<'_>, token: millrudder_chain::PersistToken) {
         self.detect_clock_stall(context);
-        self.node.handle(Instant::from_micros(context.now), Input::Persisted { token });
+        self.node.handle(context.now, Input::Persisted { token });
         self.finish(context);
     }
 
     /// After a clock stall, confirmations from before it may be older than they appear.
     fn detect_clock_stall(&mut self, context: &mut CoreContext<'_>) {
-        let before = std::mem::replace(&mut self.stalled, context.stalled);
-        if context.stalled > before {
-            self.node.handle(Instant::from_micros(context.now), Input::ClockStalled);
+        let before = self.stalled.replace(context.stalled);
+        if before.is_some_and(|before| context.stalled > before) {
+            self.node.handle(context.now, Input::ClockStalled);
             self.drive_barrier(context, BarrierInput::ClockStalled);
             self.finish(context);
         }
@@ -208,32 +210,26 @@
 
     fn finish(&mut self, context: &mut CoreContext<'_>) {
         let contact = self.has_quorum_contact(context.now);
-        if self.read_barrier.is_due(Instant::from_millis(context.now / MILLISECOND), contact) {
+        if self.read_barrier.is_due(whole_millis(context.now), contact) {
             self.drive_barrier(context, BarrierInput::Tick);
         }
         self.carry_out(context);
     }
 
-    fn has_quorum_contact(&self, now: u64) -> bool {
-        !self.mutant.is_enabled(Mechanism::QuorumContact)
-            || self.node.has_quorum_contact(Instant::from_micros(now))
+    fn has_quorum_contact(&self, now: Instant) -> bool {
+        !self.mutant.is_enabled(Mechanism::QuorumContact) || self.node.has_quorum_contact(now)
     }
 
     /// Whether this process, which got SIGTERM, has left the core.
-    pub fn can_leave(&self, now: u64) -> bool {
-        self.leaving && self.node.can_leave(Instant::from_micros(now))
+    pub fn can_leave(&self, now: Instant) -> bool {
+        self.leaving && self.node.can_leave(now)
     }
 
     /// Passes an input to the read barrier and applies its outputs.
     fn drive_barrier(&mut self, context: &mut CoreContext<'_>, input: BarrierInput) {
         let mut output = Vec::new();
         let contact = self.has_quorum_contact(context.now);
-        self.read_barrier.handle(
-            Instant::from_millis(context.now / MILLISECOND),
-            contact,
-            input,
-            &mut output,
-        );
+        self.read_barrier.handle(whole_millis(context.now), contact, input, &mut output);
         for output in output {
             self.apply_barrier_output(context, output);
         }
@@ -245,7 +241,7 @@
             BarrierOutput::AbandonRead { read } => {
                 if let Some(confirming) = self.confirming.take_if(|confirming| confirming.read == read) {
                     let request_id = confirming.request_id;
-                    self.node.handle(Instant::from_micros(context.now), Input::Abandon { request_id });
+                    self.node.handle(context.now, Input::Abandon { request_id });
                 }
             }
             BarrierOutput::Send { connection, part } => self.send_state_part(context, connection, part),
@@ -268,7 +264,7 @@
         }
         let request_id = self.pending_requests.next_request_id(&self.mutant);
         self.confirming = Some(Confirming { request_id, read });
-        self.node.handle(Instant::from_micros(context.now), Input::Read { request_id });
+        self.node.handle(context.now, Input::Read { request_id });
     }
 
     fn send_state_part(&self, context: &mut CoreContext<'_>, connection: ConnectionId, part: StatePart) {
@@ -299,8 +295,8 @@
     }
 
     /// The fencing token if this process holds the controller's lease.
-    pub fn holds(&self, now: u64) -> Option<FencingToken> {
-        self.node.holds(Instant::from_micros(now), &Role(CONTROLLER.to_owned()))
+    pub fn holds(&self, now: Instant) -> Option<FencingToken> {
+        self.node.holds(now, &Role(CONTROLLER.to_owned()))
     }
 
     fn on_dialed(&mut self, context: &mut CoreContext<'_>, connection: Connection, address: SocketAddr) {
@@ -325,7 +321,7 @@
             Payload::Core { to, message } => {
                 let from = self.peers.get(&connection).copied().filter(|_| to == self.node.id());
                 if let Some(from) = from {
-                    self.node.handle(Instant::from_micros(context.now), Input::Message { from, message });
+                    self.node.handle(context.now, Input::Message { from, message });
                 }
             }
             Payload::Workers { list } if self.current_list.adopt_received(WorkerListVersion::from(&list)) => {
@@ -342,7 +338,7 @@
         self.peers.insert(connection, id);
         self.addresses.insert(id, address);
         self.add_core_address(address);
-        self.node.handle(Instant::from_micros(context.now), Input::PeerSeen { id, address: text.to_owned() });
+        self.node.handle(context.now, Input::PeerSeen { id, address: text.to_owned() });
         let addresses = self.core_addresses();
         self.send_to_registrants(context, &addresses);
     }
@@ -409,7 +405,7 @@
     }
 
     fn on_tick(&mut self, context: &mut CoreContext<'_>) {
-        self.node.handle(Instant::from_micros(context.now), Input::Tick);
+        self.node.handle(context.now, Input::Tick);
         self.manage(context, PlacementInput::Tick);
         self.read_list(context);
         self.sweep(context);
@@ -421,7 +417,7 @@
         }
         self.sweep_at = context.now + SWEEP_INTERVAL;
         for (request_id, call) in self.pending_requests.take_overdue(context.now) {
-            self.node.handle(Instant::from_micros(context.now), Input::Abandon { request_id });
+            self.node.handle(context.now, Input::Abandon { request_id });
             context.effects.push(Effect::Response { call, response: Response::Unavailable });
         }
     }
@@ -431,8 +427,10 @@
             true => self.holds(context.now),
             false => self.fencing,
         };
-        let Some(fencing) = fencing.filter(|_| context.now >= self.read_list_at) else { return };
-        self.read_list_at = context.now + LIST_INTERVAL;
+        let Some(fencing) = fencing.filter(|_| self.read_list_at.is_some_and(|at| context.now >= at)) else {
+            return;
+        };
+        self.read_list_at = Some(context.now + LIST_INTERVAL);
         context.effects.push(Effect::Observe(Observation::ActedAsLeaseHolder { fencing }));
         let same = self.workers.fencing == fencing.0;
         let number = if same { self.workers.number + 1 } else { 1 };
@@ -462,29 +460,27 @@
     }
 
     fn on_request(&mut self, context: &mut CoreContext<'_>, call: Call, request: Request) {
-        let open = self.read_barrier.accepts_requests(Instant::from_millis(context.now / MILLISECOND));
+        let open = self.read_barrier.accepts_requests(whole_millis(context.now));
         let state = self.node.machine().state();
         let step =
             self.pending_requests.handle_request(context.now, call, request, open, state, &self.mutant);
         match step {
             RequestStep::Response(response) => context.effects.push(Effect::Response { call, response }),
             RequestStep::Submit { request_id, command } => {
-                self.node.handle(Instant::from_micros(context.now), Input::Submit { request_id, command });
+                self.node.handle(context.now, Input::Submit { request_id, command });
                 if !self.mutant.is_enabled(Mechanism::CommitBeforeResponse) {
                     context.effects.push(Effect::Response { call, response: Response::Accepted });
                 }
             }
-            RequestStep::Read { request_id } => {
-                self.node.handle(Instant::from_micros(context.now), Input::Read { request_id })
-            }
+            RequestStep::Read { request_id } => self.node.handle(context.now, Input::Read { request_id }),
         }
     }
 
     fn manage(&mut self, context: &mut CoreContext<'_>, input: PlacementInput) {
-        if let Some(placement) = self.manager.handle(Instant::from_millis(context.now / MILLISECOND), input) {
+        if let Some(placement) = self.manager.handle(whole_millis(context.now), input) {
             let request_id = self.pending_requests.next_request_id(&self.mutant);
             let command = Command::SetPlacement { placement };
-            self.node.handle(Instant::from_micros(context.now), Input::Submit { request_id, command });
+            self.node.handle(context.now, Input::Submit { request_id, command });
         }
     }
 
@@ -540,7 +536,7 @@
     fn written(&mut self, context: &mut CoreContext<'_>, token: millrudder_chain::PersistToken) {
         context.effects.push(Effect::Sync);
         if !self.mutant.is_enabled(Mechanism::SyncBeforePersisted) {
-            self.node.handle(Instant::from_micros(context.now), Input::Persisted { token });
+            self.node.handle(context.now, Input::Persisted { token });
         }
     }
 
@@ -575,7 +571,7 @@
 
     fn on_lease(&mut self, context: &mut CoreContext<'_>, fencing: Option<FencingToken>) {
         self.fencing = fencing;
-        self.read_list_at = fencing.map_or(u64::MAX, |_| context.now);
+        self.read_list_at = fencing.map(|_| context.now);
         self.drive_barrier(context, BarrierInput::ControllerLease { is_held: fencing.is_some() });
         self.manage(context, PlacementInput::ControllerLease { is_held: fencing.is_some() });
     }
--- a/system/testing/simulation/src/dispatcher.rs
+++ b/system/testing/simulation/src/dispatcher.rs
@@ -3,7 +3,6 @@
 
 use crate::event::{Connection, Effect, Observation, Payload, ProcessInput, Target};
 use crate::mechanism::{Mechanism, Mutant};
-use crate::MILLISECOND;
 use millrudder_clock::Instant;
 use millrudder_protocol::control::{FromCore, Registrant, ToCore, WorkerList};
 use millrudder_protocol::message::Message;
@@ -15,23 +14,24 @@
 use millrudder_staleness::{ConnectionPlanner, ConnectionStep};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// Number of core machines to which a dispatcher is connected.
 const CORE_LINKS: usize = 2;
 /// Pause between two polls for retries.
-const POLL_INTERVAL: u64 = 50 * MILLISECOND;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause between two staleness checks.
-const STALENESS_CHECK_INTERVAL: u64 = 400 * MILLISECOND;
+const STALENESS_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// A request without a response is retried after this time.
-const RETRY_INTERVAL: u64 = 250 * MILLISECOND;
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// A client gives up after this time.
-const CLIENT_TIMEOUT: u64 = 4_000 * MILLISECOND;
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// A process that polls so much later than scheduled has stalled, as in `millrudder-delivery`.
-const STALL_THRESHOLD: u64 = 1_000 * MILLISECOND;
+const STALL_THRESHOLD: Duration = Duration::from_millis(1_000);
 /// For so long after a stall, messages may be stale when they are read: they are returned and not executed.
-const STALE_READ_WINDOW: u64 = 100 * MILLISECOND;
+const STALE_READ_WINDOW: Duration = Duration::from_millis(100);
 /// Pause between two pings to a store.
-const PING_INTERVAL: u64 = 1_000 * MILLISECOND;
+const PING_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Settings of a dispatcher process.
 #[derive(Clone, Debug)]
@@ -45,13 +45,13 @@
     /// Addresses of all core machines.
     pub seeds: Vec<SocketAddr>,
     /// Pause between two messages of its clients.
-    pub message_interval: u64,
+    pub message_interval: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    first: u64,
-    sent: u64,
+    first: Instant,
+    sent: Instant,
 }
 
 /// The requests in flight on one connection.
@@ -78,17 +78,17 @@
     /// The store that each connection was opened to, closed ones included.
     owners: BTreeMap<Connection, StoreId>,
     pending: BTreeMap<MessageId, Pending>,
-    reports: BTreeMap<(MessageId, LeaseToken), u64>,
+    reports: BTreeMap<(MessageId, LeaseToken), Instant>,
     executed: BTreeSet<MessageId>,
     last_unique: u64,
-    poll_at: u64,
-    message_at: u64,
-    ping_at: u64,
-    ask_at: u64,
+    poll_at: Instant,
+    message_at: Instant,
+    ping_at: Instant,
+    ask_at: Instant,
     /// Leases that are read before this time are returned.
-    stale_until: u64,
+    stale_until: Instant,
     /// Total duration of the clock stalls handled so far.
-    stalled: u64,
+    stalled: Option<Duration>,
     /// Barriers that were not reached yet, by connection.
     barriers: BTreeMap<Connection, u64>,
     last_barrier: u64,
@@ -99,16 +99,16 @@
 /// The environment in which a dispatcher process handles an input.
 pub struct DispatcherContext<'a> {
     /// Reading of the machine's steady clock.
-    pub now: u64,
+    pub now: Instant,
     /// Total duration of the clock's stalls.
-    pub stalled: u64,
+    pub stalled: Duration,
     /// Receives the effects.
     pub effects: &'a mut Vec<Effect>,
 }
 
 impl Dispatcher {
     /// Starts a process without state.
-    pub fn start(settings: DispatcherSettings, mutant: Mutant, seed: u64, now: u64) -> Self {
+    pub fn start(settings: DispatcherSettings, mutant: Mutant, seed: u64, now: Instant) -> Self {
         let mut connection_planner = ConnectionPlanner::new(CORE_LINKS, seed);
         for address in &settings.seeds {
             connection_planner.add_address(*address);
@@ -130,8 +130,8 @@
             message_at: now,
             ping_at: now,
             ask_at: now,
-            stale_until: 0,
-            stalled: u64::MAX,
+            stale_until: Instant::ORIGIN,
+            stalled: None,
             barriers: BTreeMap::new(),
             last_barrier: 0,
             sending: true,
@@ -165,7 +165,7 @@
     }
 
     /// When the next tick is due, by the machine's steady clock.
-    pub fn next_deadline(&self) -> u64 {
+    pub fn next_deadline(&self) -> Instant {
         self.poll_at
     }
 
@@ -175,8 +175,8 @@
             self.stale_until = context.now + STALE_READ_WINDOW;
             self.send_barriers(context);
         }
-        let before = std::mem::replace(&mut self.stalled, context.stalled);
-        if context.stalled > before {
+        let before = self.stalled.replace(context.stalled);
+        if before.is_some_and(|before| context.stalled > before) {
             self.send_barriers(context);
         }
         match input {
@@ -217,7 +217,7 @@
             self.new_message(context);
         }
         let now = context.now;
-        let due = |sent: u64| now - sent >= RETRY_INTERVAL;
+        let due = |sent: Instant| now - sent >= RETRY_INTERVAL;
         let late = self.pending.iter().filter(|(_, pending)| due(pending.sent));
         for id in late.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.send_accept(context, id);
@@ -236,7 +236,7 @@
 
     /// Moves connections from core machines that do not confirm their state to others.
     fn apply_connection_plan(&mut self, context: &mut DispatcherContext<'_>) {
-        for step in self.connection_planner.poll(Instant::from_millis(context.now / MILLISECOND)) {
+        for step in self.connection_planner.poll(Instant::from_millis(context.now.as_millis())) {
             match step {
                 ConnectionStep::Open(address) => {
                     self.cores.insert(address, None);
@@ -263,7 +263,7 @@
     fn register(&mut self, context: &mut DispatcherContext<'_>, connection: Connection, address: SocketAddr) {
         if let Some(open) = self.cores.get_mut(&address) {
             *open = Some(connection);
-            self.connection_planner.handle_opened(Instant::from_millis(context.now / MILLISECOND), address);
+            self.connection_planner.handle_opened(Instant::from_millis(context.now.as_millis()), address);
             let DispatcherSettings { name, zone, .. } = self.settings.clone();
             let message = ToCore::Register {
                 registrant: Registrant::Dispatcher { name, zone },
@@ -278,7 +278,7 @@
     fn on_closed(&mut self, context: &mut DispatcherContext<'_>, connection: Connection) {
         if let Some(address) = self.core_of(connection) {
             self.cores.insert(address, None);
-            self.connection_planner.handle_closed(Instant::from_millis(context.now / MILLISECOND), address);
+            self.connection_planner.handle_closed(Instant::from_millis(context.now.as_millis()), address);
         }
         self.stores.retain(|_, open| *open != connection);
         if self.mutant.is_enabled(Mechanism::ResponseOnSameConnection) {
@@ -294,7 +294,7 @@
 
     fn on_core(&mut self, context: &mut DispatcherContext<'_>, connection: Connection, message: FromCore) {
         let Some(core) = self.core_of(connection) else { return };
-        let now = Instant::from_millis(context.now / MILLISECOND);
+        let now = Instant::from_millis(context.now.as_millis());
         let any = !self.mutant.is_enabled(Mechanism::OnlyNewerAdopted);
         match message {
             FromCore::Configuration { configuration }
@@ -396,7 +396,7 @@
     }
 
     /// Drops clients that have given up; the outcome of their messages stays in doubt.
-    fn drop_clients(&mut self, now: u64) {
+    fn drop_clients(&mut self, now: Instant) {
         self.pending.retain(|_, pending| now - pending.first < CLIENT_TIMEOUT);
     }
 
@@ -459,7 +459,7 @@
         }
         let in_doubt = context.now < self.stale_until || self.barriers.contains_key(&connection);
         if in_doubt && !self.executed.contains(&id) {
-            let retry_after_ms = (STALE_READ_WINDOW / MILLISECOND) as u32;
+            let retry_after_ms = STALE_READ_WINDOW.as_millis() as u32;
             return self.attempted(context, id, token, AttemptOutcome::NotRun { retry_after_ms });
         }
         if self.executed.insert(id) {
@@ -489,7 +489,7 @@
 
 /// Asks a core machine whether the adopted state is current.
 fn ask(context: &mut DispatcherContext<'_>, connection: Connection) {
-    let message = ToCore::StalenessCheck { sent_at_ms: context.now / MILLISECOND };
+    let message = ToCore::StalenessCheck { sent_at_ms: context.now.as_millis() };
     context.effects.push(Effect::Send { connection, payload: Payload::ToCore(message) });
 }
 
--- a/system/testing/simulation/src/explore.rs
+++ b/system/testing/simulation/src/explore.rs
@@ -8,6 +8,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Mutex;
 use std::thread;
+use std::time::Duration;
 
 /// A failed run, so that it can be reproduced.
 #[derive(Debug)]
@@ -46,7 +47,7 @@
     /// When the window starts.
     pub start: ExplorationStart,
     /// Length of the window.
-    pub window: u64,
+    pub window: Duration,
     /// Faults are injected after each step whose number is a multiple of this.
     pub stride: usize,
     /// Number of threads.
--- a/system/testing/simulation/src/fault.rs
+++ b/system/testing/simulation/src/fault.rs
@@ -1,6 +1,8 @@
 //! Faults that a plan injects, and when.
 
 use crate::machine_id::MachineId;
+use millrudder_clock::Instant;
+use std::time::Duration;
 
 /// A fault of the simulated world.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -11,82 +13,82 @@
         /// The machine.
         machine_id: MachineId,
         /// How long the process is down.
-        downtime: u64,
+        downtime: Duration,
     },
     /// The machine loses power, and with it all unsynced writes.
     PowerLoss {
         /// The machine.
         machine_id: MachineId,
         /// How long the process is down.
-        downtime: u64,
+        downtime: Duration,
     },
     /// Every machine with a disk loses power.
     PowerLossOfAll {
         /// How long the process is down.
-        downtime: u64,
+        downtime: Duration,
     },
     /// The disk is lost; the machine restarts with an empty one.
     Wipe {
         /// The machine.
         machine_id: MachineId,
         /// How long the process is down.
-        downtime: u64,
+        downtime: Duration,
     },
     /// The disk is lost while every other machine, dispatchers included, loses power.
     WipeWithPowerLossOfOthers {
         /// The machine.
         machine_id: MachineId,
         /// How long the process is down.
-        downtime: u64,
+        downtime: Duration,
     },
     /// The machine is replaced by one at another address with an empty disk.
     Replace {
         /// The machine.
         machine_id: MachineId,
         /// How long the process is down.
-        downtime: u64,
+        downtime: Duration,
     },
     /// SIGTERM: the process announces that it leaves, continues to serve for a while, and ends.
     Shutdown {
         /// The machine.
         machine_id: MachineId,
         /// How long the process is down.
-        downtime: u64,
+        downtime: Duration,
     },
     /// The process does not run; the machine's steady clock continues.
     Freeze {
         /// The machine.
         machine_id: MachineId,
         /// How long the fault lasts.
-        duration: u64,
+        duration: Duration,
     },
     /// The machine is suspended; its steady clock stalls.
     Suspend {
         /// The machine.
         machine_id: MachineId,
         /// How long the fault lasts.
-        duration: u64,
+        duration: Duration,
     },
     /// A machine is partitioned from all others; operators still reach it.
     Isolate {
         /// The machine.
         machine_id: MachineId,
         /// How long the fault lasts.
-        duration: u64,
+        duration: Duration,
     },
     /// These machines are partitioned from all others, and can communicate among each other.
     Partition {
         /// The machines.
         machine_ids: Vec<MachineId>,
         /// How long the fault lasts.
-        duration: u64,
+        duration: Duration,
     },
     /// These machines are partitioned from the other machines with disks; dispatchers reach both sides.
     PartitionDisks {
         /// The machines.
         machine_ids: Vec<MachineId>,
         /// How long the fault lasts.
-        duration: u64,
+        duration: Duration,
     },
     /// Messages in one direction are blocked.
     PartitionOneWay {
@@ -95,14 +97,14 @@
         /// The receiver.
         to: MachineId,
         /// How long the fault lasts.
-        duration: u64,
+        duration: Duration,
     },
     /// Messages from this machine are blocked, while it receives those of the others.
     BlockOutbound {
         /// The machine.
         machine_id: MachineId,
         /// How long the fault lasts.
-        duration: u64,
+        duration: Duration,
     },
     /// All connections of a machine are reset.
     ResetConnections {
@@ -114,12 +116,12 @@
         /// The machine.
         machine_id: MachineId,
         /// How long the fault lasts.
-        duration: u64,
+        duration: Duration,
     },
     /// Responses to operators are lost.
     LoseResponses {
         /// How long the fault lasts.
-        duration: u64,
+        duration: Duration,
     },
 }
 
@@ -130,7 +132,7 @@
     }
 
     /// How long the fault lasts.
-    pub fn duration(&self) -> u64 {
+    pub fn duration(&self) -> Duration {
         match self {
             Fault::Kill { downtime, .. }
             | Fault::PowerLoss { downtime, .. }
@@ -148,7 +150,7 @@
             | Fault::BlockOutbound { duration, .. }
             | Fault::SlowDisk { duration, .. }
             | Fault::LoseResponses { duration } => *duration,
-            Fault::ResetConnections { .. } => 0,
+            Fault::ResetConnections { .. } => Duration::ZERO,
         }
     }
 }
@@ -157,11 +159,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trigger {
     /// At a true time.
-    At(u64),
+    At(Instant),
     /// Directly after the n-th delivery or sync.
     Step(u64),
     /// As soon as, from a true time on, all machines are members and every replica is complete.
-    OnceComplete(u64),
+    OnceComplete(Instant),
 }
 
 /// A fault and when it is injected.
--- a/system/testing/simulation/src/fault_injection.rs
+++ b/system/testing/simulation/src/fault_injection.rs
@@ -5,16 +5,18 @@
 use crate::fault::Fault;
 use crate::machine_id::MachineId;
 use crate::mechanism::Mechanism;
+use crate::random_time::random_duration;
 use crate::world::World;
-use crate::{MILLISECOND, SECOND};
 use millrudder_chain::SimulatedDisk;
+use millrudder_clock::Instant;
+use std::time::Duration;
 
 /// A process that got SIGTERM continues to serve for so long.
-const SHUTDOWN_DELAY: u64 = 250 * MILLISECOND;
+const SHUTDOWN_DELAY: Duration = Duration::from_millis(250);
 /// The platform kills a process so long after SIGTERM.
-const SHUTDOWN_GRACE: u64 = 6 * SECOND;
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(6);
 /// Greatest additional delay of a restart after a power loss.
-const MAX_RESTART_DELAY: u64 = 50 * MILLISECOND;
+const MAX_RESTART_DELAY: Duration = Duration::from_millis(50);
 
 impl<M: ControlMachine> World<M> {
     /// Injects a fault now. One that would lose more disks at a time than are tolerated is skipped.
@@ -53,19 +55,19 @@
             Fault::Partition { machine_ids, duration } => self.partition(machine_ids, *duration),
             Fault::PartitionDisks { machine_ids, duration } => self.partition_disks(machine_ids, *duration),
             Fault::PartitionOneWay { from, to, duration } => {
-                self.network.partition(*from, *to, self.now + duration)
+                self.network.partition(*from, *to, self.now + *duration)
             }
             Fault::BlockOutbound { machine_id, duration } => {
                 for other in self.machine_ids() {
-                    self.network.partition(*machine_id, other, self.now + duration);
+                    self.network.partition(*machine_id, other, self.now + *duration);
                 }
             }
             Fault::ResetConnections { machine_id } => self.reset(*machine_id),
             Fault::SlowDisk { machine_id, duration } => {
-                let until = self.now + duration;
+                let until = self.now + *duration;
                 self.machine(*machine_id).slow_until = until;
             }
-            Fault::LoseResponses { duration } => self.lose_responses_until = self.now + duration,
+            Fault::LoseResponses { duration } => self.lose_responses_until = self.now + *duration,
         }
     }
 
@@ -95,7 +97,7 @@
             < self.plan.cluster_size.tolerated_losses as usize
     }
 
-    fn kill(&mut self, machine_id: MachineId, downtime: u64) {
+    fn kill(&mut self, machine_id: MachineId, downtime: Duration) {
         self.end_process(machine_id);
         match machine_id {
             MachineId::Core(index) => {
@@ -111,14 +113,14 @@
         self.schedule_start(machine_id, self.now + downtime);
     }
 
-    fn lose_power(&mut self, machine_id: MachineId, downtime: u64) {
+    fn lose_power(&mut self, machine_id: MachineId, downtime: Duration) {
         self.end_process(machine_id);
         match machine_id {
             MachineId::Core(index) => self.cores[index].disk.crash(0),
             MachineId::Store(index) => self.stores[index].disk.lose_power(),
             _ => {}
         }
-        let later = self.random.u64(0..MAX_RESTART_DELAY);
+        let later = random_duration(&mut self.random, Duration::ZERO..MAX_RESTART_DELAY);
         self.schedule_start(machine_id, self.now + downtime + later);
     }
 
@@ -136,7 +138,7 @@
         }
         let machine = self.machine(machine_id);
         machine.incarnation += 1;
-        machine.frozen_until = 0;
+        machine.frozen_until = Instant::ORIGIN;
     }
 
     fn wipe(&mut self, machine_id: MachineId) {
@@ -161,14 +163,14 @@
         }
     }
 
-    fn shut_down(&mut self, machine_id: MachineId, downtime: u64) {
+    fn shut_down(&mut self, machine_id: MachineId, downtime: Duration) {
         let grace = match machine_id {
             MachineId::Core(_) | MachineId::Store(_)
                 if self.plan.mutant.is_enabled(Mechanism::GracefulLeave) =>
             {
                 SHUTDOWN_GRACE
             }
-            _ => 0,
+            _ => Duration::ZERO,
         };
         self.deliver(machine_id, ProcessInput::ShutdownRequested);
         self.faults_end = self.faults_end.max(self.now + grace + downtime + MAX_RESTART_DELAY);
@@ -176,13 +178,13 @@
         self.schedule_end(machine_id, self.now + linger, downtime, self.now + grace);
     }
 
-    fn freeze(&mut self, machine_id: MachineId, duration: u64) {
+    fn freeze(&mut self, machine_id: MachineId, duration: Duration) {
         let until = self.now + duration;
         let machine = self.machine(machine_id);
         machine.frozen_until = machine.frozen_until.max(until);
     }
 
-    fn suspend(&mut self, machine_id: MachineId, duration: u64) {
+    fn suspend(&mut self, machine_id: MachineId, duration: Duration) {
         if !self.is_running(machine_id) {
             return;
         }
@@ -195,7 +197,7 @@
         }
     }
 
-    fn partition(&mut self, machine_ids: &[MachineId], duration: u64) {
+    fn partition(&mut self, machine_ids: &[MachineId], duration: Duration) {
         let until = self.now + duration;
         for inside in machine_ids {
             for outside in self.machine_ids() {
@@ -207,7 +209,7 @@
         }
     }
 
-    fn partition_disks(&mut self, machine_ids: &[MachineId], duration: u64) {
+    fn partition_disks(&mut self, machine_ids: &[MachineId], duration: Duration) {
         let until = self.now + duration;
         let (ours, theirs): (Vec<MachineId>, Vec<MachineId>) =
             self.disks().into_iter().partition(|machine_id| machine_ids.contains(machine_id));
--- a/system/testing/simulation/src/lib.rs
+++ b/system/testing/simulation/src/lib.rs
@@ -13,6 +13,8 @@
 //! Guaranteed: a run depends on its plan and seed alone, so that each failure can be reproduced. Times of the world are
 //! true time; each machine has a [`clock::Clock`] of its own that deviates from it.
 
+use std::time::Duration;
+
 pub mod checks;
 pub mod clock;
 pub mod control_machine;
@@ -31,6 +33,7 @@
 pub mod operator;
 pub mod pending_requests;
 pub mod plan;
+mod random_time;
 pub mod recovery;
 pub mod shrink;
 pub mod store_disk;
@@ -38,7 +41,7 @@
 pub mod violation;
 pub mod world;
 
-/// Microseconds of a millisecond.
-pub const MILLISECOND: u64 = 1_000;
-/// Microseconds of a second.
-pub const SECOND: u64 = 1_000_000;
+/// One millisecond.
+pub const MILLISECOND: Duration = Duration::from_millis(1);
+/// One second.
+pub const SECOND: Duration = Duration::from_secs(1);
--- a/system/testing/simulation/src/linearizability.rs
+++ b/system/testing/simulation/src/linearizability.rs
@@ -154,15 +154,15 @@
 
 /// The history up to the first response that makes it not linearizable.
 fn shortest_prefix(operations: &[Operation]) -> Vec<Operation> {
-    let mut answers: Vec<u64> =
+    let mut responses: Vec<u64> =
         operations.iter().filter_map(|operation| operation.responded.map(|(at, _)| at)).collect();
-    answers.sort_unstable();
+    responses.sort_unstable();
     let prefix = |until: u64| -> Vec<Operation> {
         let begun = operations.iter().filter(|operation| operation.invoked <= until);
         begun.map(|operation| truncate(operation, until)).collect()
     };
-    let first = answers.partition_point(|until| is_linearizable(&prefix(*until)));
-    answers.get(first).map_or_else(|| operations.to_vec(), |until| prefix(*until))
+    let first = responses.partition_point(|until| is_linearizable(&prefix(*until)));
+    responses.get(first).map_or_else(|| operations.to_vec(), |until| prefix(*until))
 }
 
 fn truncate(operation: &Operation, until: u64) -> Operation {
--- a/system/testing/simulation/src/message_log.rs
+++ b/system/testing/simulation/src/message_log.rs
@@ -1,5 +1,6 @@
 //! Log of the messages that were acknowledged to dispatchers, for the checks.
 
+use millrudder_clock::Instant;
 use millrudder_protocol::MessageId;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,16 +8,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct MessageLog {
     /// When each message was first acknowledged as accepted (true time).
-    accepted: BTreeMap<MessageId, u64>,
+    accepted: BTreeMap<MessageId, Instant>,
     /// Messages whose success was acknowledged.
     recorded: BTreeSet<MessageId>,
     /// When each dispatcher last received an acknowledgement (true time).
-    last: BTreeMap<usize, u64>,
+    last: BTreeMap<usize, Instant>,
 }
 
 impl MessageLog {
     /// Records that a message was acknowledged to a dispatcher as accepted.
-    pub fn accepted(&mut self, dispatcher: usize, id: MessageId, now: u64) {
+    pub fn accepted(&mut self, dispatcher: usize, id: MessageId, now: Instant) {
         self.accepted.entry(id).or_insert(now);
         self.last.insert(dispatcher, now);
     }
@@ -37,7 +38,7 @@
     }
 
     /// When this dispatcher last had a message accepted (true time).
-    pub fn last_accepted(&self, dispatcher: usize) -> u64 {
+    pub fn last_accepted(&self, dispatcher: usize) -> Instant {
         self.last.get(&dispatcher).copied().unwrap_or_default()
     }
 }
--- a/system/testing/simulation/src/network.rs
+++ b/system/testing/simulation/src/network.rs
@@ -2,10 +2,13 @@
 
 use crate::event::Connection;
 use crate::machine_id::MachineId;
+use crate::random_time::random_duration;
+use millrudder_clock::Instant;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Ordinary delay of a message.
-const DELAY: std::ops::Range<u64> = 300..2_500;
+const DELAY: std::ops::Range<Duration> = Duration::from_micros(300)..Duration::from_micros(2_500);
 
 /// The state of a connection at its two ends.
 #[derive(Clone, Copy, Debug)]
@@ -19,9 +22,9 @@
     /// Whether it is open at the acceptor.
     pub acceptor_open: bool,
     /// Time of the last arrival at the dialer and at the acceptor.
-    last_arrival: [u64; 2],
+    last_arrival: [Instant; 2],
     /// Since when at least one direction is blocked.
-    pub blocked_since: Option<u64>,
+    pub blocked_since: Option<Instant>,
 }
 
 impl Link {
@@ -59,28 +62,28 @@
     links: BTreeMap<Connection, Link>,
     next: u64,
     /// Until when messages from the first machine to the second are blocked.
-    partitions: BTreeMap<(MachineId, MachineId), u64>,
+    partitions: BTreeMap<(MachineId, MachineId), Instant>,
 }
 
 impl Network {
     /// Blocks one direction until a time.
-    pub fn partition(&mut self, from: MachineId, to: MachineId, until: u64) {
+    pub fn partition(&mut self, from: MachineId, to: MachineId, until: Instant) {
         let partitioned_until = self.partitions.entry((from, to)).or_default();
         *partitioned_until = until.max(*partitioned_until);
     }
 
     /// When a message from one machine is no longer blocked on its way to the other.
-    pub fn passes_at(&self, from: MachineId, to: MachineId, now: u64) -> u64 {
+    pub fn passes_at(&self, from: MachineId, to: MachineId, now: Instant) -> Instant {
         self.partitions.get(&(from, to)).copied().unwrap_or_default().max(now)
     }
 
     /// Whether messages from one machine to the other are blocked now.
-    pub fn is_partitioned(&self, from: MachineId, to: MachineId, now: u64) -> bool {
+    pub fn is_partitioned(&self, from: MachineId, to: MachineId, now: Instant) -> bool {
         self.passes_at(from, to, now) > now
     }
 
     /// Whether the two machines can communicate in both directions.
-    pub fn can_communicate(&self, one: MachineId, other: MachineId, now: u64) -> bool {
+    pub fn can_communicate(&self, one: MachineId, other: MachineId, now: Instant) -> bool {
         !self.is_partitioned(one, other, now) && !self.is_partitioned(other, one, now)
     }
 
@@ -92,7 +95,7 @@
             acceptor,
             dialer_open: true,
             acceptor_open: true,
-            last_arrival: [0, 0],
+            last_arrival: [Instant::ORIGIN; 2],
             blocked_since: None,
         };
         self.links.insert(Connection(self.next), link);
@@ -131,12 +134,12 @@
         &mut self,
         connection: Connection,
         to: MachineId,
-        now: u64,
+        now: Instant,
         random: &mut fastrand::Rng,
-    ) -> u64 {
+    ) -> Instant {
         let Some(link) = self.links.get(&connection) else { return now };
         let passes_at = self.passes_at(link.other(to), to, now);
-        let at = passes_at + random.u64(DELAY);
+        let at = passes_at + random_duration(random, DELAY);
         let direction = usize::from(link.acceptor == to);
         let Some(link) = self.links.get_mut(&connection) else { return at };
         link.last_arrival[direction] = link.last_arrival[direction].max(at);
--- a/system/testing/simulation/src/operator.rs
+++ b/system/testing/simulation/src/operator.rs
@@ -3,12 +3,14 @@
 
 use crate::event::Call;
 use crate::history::{Configuration, ContentId, Request, Response};
-use crate::{MILLISECOND, SECOND};
+use crate::random_time::{random_duration, whole_micros};
+use crate::MILLISECOND;
+use std::time::Duration;
 
 /// An operator retries a call without a response after this time.
-pub const CALL_TIMEOUT: u64 = SECOND;
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before a retry at another machine.
-const RETRY_PAUSE: std::ops::Range<u64> = 50 * MILLISECOND..300 * MILLISECOND;
+const RETRY_PAUSE: std::ops::Range<Duration> = Duration::from_millis(50)..Duration::from_millis(300);
 /// Greatest step between two versions.
 const MAX_VERSION_STEP: u64 = 3;
 
@@ -33,7 +35,7 @@
     /// The call in flight.
     pub in_flight: Option<InFlightCall>,
     /// Longest pause between two requests.
-    pub max_pause: u64,
+    pub max_pause: Duration,
     /// Accepted updates; now and then one of them is sent again.
     accepted: Vec<Request>,
     bodies: u64,
@@ -41,7 +43,7 @@
 
 impl Operator {
     /// An operator that has sent nothing yet.
-    pub fn new(index: usize, max_pause: u64) -> Self {
+    pub fn new(index: usize, max_pause: Duration) -> Self {
         Operator {
             index,
             current: 0,
@@ -74,11 +76,11 @@
     }
 
     /// Handles a response, of which a definite one ends the request. Returns the pause before the next call.
-    pub fn responded(&mut self, response: Response, random: &mut fastrand::Rng) -> u64 {
+    pub fn responded(&mut self, response: Response, random: &mut fastrand::Rng) -> Duration {
         self.in_flight = None;
         let Some(request) = self.request else { return self.pause(random) };
         match (request, response) {
-            (_, Response::Unavailable) => return random.u64(RETRY_PAUSE),
+            (_, Response::Unavailable) => return random_duration(random, RETRY_PAUSE),
             (Request::Put { configuration, .. }, Response::Accepted) => {
                 self.current = self.current.max(configuration.version);
                 if !self.accepted.contains(&request) {
@@ -88,7 +90,7 @@
             (Request::Put { .. }, _) => {
                 // Another operator was faster: read the current version first.
                 self.request = Some(Request::Get);
-                return random.u64(RETRY_PAUSE) / 8;
+                return Duration::from_micros(whole_micros(random_duration(random, RETRY_PAUSE)) / 8);
             }
             (Request::Get, Response::Current(current)) => {
                 self.current = current.map_or(0, |current| current.version);
@@ -100,9 +102,9 @@
     }
 
     /// Handles a call that timed out. Returns the pause before the retry.
-    pub fn timed_out(&mut self, random: &mut fastrand::Rng) -> u64 {
+    pub fn timed_out(&mut self, random: &mut fastrand::Rng) -> Duration {
         self.in_flight = None;
-        random.u64(RETRY_PAUSE)
+        random_duration(random, RETRY_PAUSE)
     }
 
     /// The number of accepted updates.
@@ -110,7 +112,8 @@
         self.accepted.len()
     }
 
-    fn pause(&self, random: &mut fastrand::Rng) -> u64 {
-        random.u64(MILLISECOND..=self.max_pause.max(2 * MILLISECOND))
+    fn pause(&self, random: &mut fastrand::Rng) -> Duration {
+        let longest = self.max_pause.max(2 * MILLISECOND);
+        Duration::from_micros(random.u64(whole_micros(MILLISECOND)..=whole_micros(longest)))
     }
 }
--- a/system/testing/simulation/src/pending_requests.rs
+++ b/system/testing/simulation/src/pending_requests.rs
@@ -4,12 +4,14 @@
 use crate::history::{Configuration, Request, Response};
 use crate::mechanism::{Mechanism, Mutant};
 use millrudder_chain::RequestId;
+use millrudder_clock::Instant;
 use millrudder_control_state::{Command, ControlState, Reply};
 use millrudder_protocol::control::ConfigurationText;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// How long a request may wait for the chain.
-const REQUEST_TIMEOUT: u64 = 850_000;
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(850);
 
 /// The next step of a request.
 #[derive(Clone, Debug)]
@@ -33,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     call: Call,
-    since: u64,
+    since: Instant,
 }
 
 /// Pending requests of operators, by the request to the chain that they wait for.
@@ -54,7 +56,7 @@
     /// none.
     pub fn handle_request(
         &mut self,
-        now: u64,
+        now: Instant,
         call: Call,
         request: Request,
         open: bool,
@@ -77,7 +79,7 @@
         }
     }
 
-    fn wait(&mut self, now: u64, call: Call, mutant: &Mutant) -> RequestId {
+    fn wait(&mut self, now: Instant, call: Call, mutant: &Mutant) -> RequestId {
         let request_id = self.next_request_id(mutant);
         self.waiting.insert(request_id, Waiting { call, since: now });
         request_id
@@ -125,8 +127,8 @@
     }
 
     /// Removes the requests that have timed out, and returns them with their calls.
-    pub fn take_overdue(&mut self, now: u64) -> Vec<(RequestId, Call)> {
-        let overdue = |waiting: &Waiting| now.saturating_sub(waiting.since) >= REQUEST_TIMEOUT;
+    pub fn take_overdue(&mut self, now: Instant) -> Vec<(RequestId, Call)> {
+        let overdue = |waiting: &Waiting| now - waiting.since >= REQUEST_TIMEOUT;
         let late = self.waiting.iter().filter(|(_, waiting)| overdue(waiting));
         let late: Vec<_> = late.map(|(request_id, waiting)| (*request_id, waiting.call)).collect();
         self.waiting.retain(|_, waiting| !overdue(waiting));
--- a/system/testing/simulation/src/plan.rs
+++ b/system/testing/simulation/src/plan.rs
@@ -3,19 +3,22 @@
 use crate::fault::{Fault, PlannedFault, Trigger};
 use crate::machine_id::MachineId;
 use crate::mechanism::Mutant;
+use crate::random_time::random_duration;
 use crate::{MILLISECOND, SECOND};
+use millrudder_clock::Instant;
 use std::fmt;
+use std::time::Duration;
 
 /// Faults of a random plan are injected within this time.
-const FAULTS_WITHIN: u64 = 6 * SECOND;
+const FAULTS_WITHIN: Duration = Duration::from_secs(6);
 /// Greatest number of faults of a random plan.
 const MAX_FAULTS: usize = 6;
 /// Number of faults of a random plan with overlapping faults.
 const OVERLAPPING_FAULTS: std::ops::RangeInclusive<usize> = 3..=9;
 /// Overlapping faults are injected within this time.
-const OVERLAPPING_FAULTS_WITHIN: u64 = 8 * SECOND;
+const OVERLAPPING_FAULTS_WITHIN: Duration = Duration::from_secs(8);
 /// A long partition, as the users' deployments have them.
-const LONG_PARTITION: u64 = 20 * SECOND;
+const LONG_PARTITION: Duration = Duration::from_secs(20);
 
 /// The number of machines of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,9 +58,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// Longest pause of an operator between two requests.
-    pub max_operator_pause: u64,
+    pub max_operator_pause: Duration,
     /// Pause of a dispatcher between two messages of its clients.
-    pub message_interval: u64,
+    pub message_interval: Duration,
 }
 
 impl Default for Load {
@@ -82,7 +85,7 @@
     /// Disabled mechanisms.
     pub mutant: Mutant,
     /// The system must have recovered within this time after the end of the last fault.
-    pub recovery_timeout: u64,
+    pub recovery_timeout: Duration,
 }
 
 impl Plan {
@@ -112,7 +115,7 @@
     }
 
     /// A random plan with more faults, which overlap: partitions, suspensions, slow disks, power losses.
-    pub fn random_overlapping(seed: u64, from: u64) -> Plan {
+    pub fn random_overlapping(seed: u64, from: Instant) -> Plan {
         let mut random = fastrand::Rng::with_seed(seed ^ 0xface);
         let mut plan = Plan::random(seed, from);
         plan.faults.clear();
@@ -130,12 +133,12 @@
         &mut self,
         random: &mut fastrand::Rng,
         count: usize,
-        within: std::ops::Range<u64>,
+        within: std::ops::Range<Instant>,
         draw: fn(&mut fastrand::Rng, &ClusterSize) -> Fault,
     ) {
         for _ in 0..count {
             let fault = draw(random, &self.cluster_size);
-            let at = random.u64(within.clone());
+            let at = within.start + random_duration(random, Duration::ZERO..within.end - within.start);
             let trigger =
                 if fault.takes_disk() && random.bool() { Trigger::OnceComplete(at) } else { Trigger::At(at) };
             self.faults.push(PlannedFault { trigger, fault });
@@ -144,7 +147,7 @@
     }
 
     /// A random plan; its faults are injected after the true time `from`.
-    pub fn random(seed: u64, from: u64) -> Plan {
+    pub fn random(seed: u64, from: Instant) -> Plan {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut plan = Plan::without_faults(seed);
         plan.fault_rates = FaultRates {
@@ -164,10 +167,10 @@
 pub fn random_fault(random: &mut fastrand::Rng, cluster_size: &ClusterSize) -> Fault {
     let machine_id = random_machine(random, cluster_size);
     let disk = random_disk_machine(random, cluster_size);
-    let downtime = random.u64(50 * MILLISECOND..2 * SECOND);
+    let downtime = random_duration(random, 50 * MILLISECOND..2 * SECOND);
     let duration = match random.u8(0..6) {
         0 => LONG_PARTITION,
-        _ => random.u64(20 * MILLISECOND..3 * SECOND),
+        _ => random_duration(random, 20 * MILLISECOND..3 * SECOND),
     };
     match random.u8(0..20) {
         0 | 1 => Fault::Kill { machine_id, downtime },
@@ -192,8 +195,8 @@
 fn random_overlapping_fault(random: &mut fastrand::Rng, cluster_size: &ClusterSize) -> Fault {
     let machine_id = random_machine(random, cluster_size);
     let disk = random_disk_machine(random, cluster_size);
-    let downtime = random.u64(50 * MILLISECOND..2 * SECOND);
-    let duration = random.u64(100 * MILLISECOND..6 * SECOND);
+    let downtime = random_duration(random, 50 * MILLISECOND..2 * SECOND);
+    let duration = random_duration(random, 100 * MILLISECOND..6 * SECOND);
     match random.u8(0..12) {
         0 | 1 => Fault::PartitionDisks { machine_ids: random_disk_group(random, cluster_size), duration },
         2 | 3 => Fault::SlowDisk { machine_id: disk, duration },
--- a/system/testing/simulation/src/recovery.rs
+++ b/system/testing/simulation/src/recovery.rs
@@ -6,18 +6,19 @@
 use crate::violation::Violation;
 use crate::world::World;
 use millrudder_chain::NodeId;
+use millrudder_clock::Instant;
 use millrudder_protocol::StoreId;
 use std::collections::BTreeMap;
 
 /// Since when each dispatcher has been able to reach a core machine with a quorum (true time).
 #[derive(Clone, Debug, Default)]
 pub struct PropagationTracker {
-    since: BTreeMap<usize, u64>,
+    since: BTreeMap<usize, Instant>,
 }
 
 impl PropagationTracker {
     /// Handles a restart of a dispatcher's process.
-    pub fn restarted(&mut self, dispatcher: usize, now: u64) {
+    pub fn restarted(&mut self, dispatcher: usize, now: Instant) {
         self.since.insert(dispatcher, now);
     }
 }
@@ -65,8 +66,11 @@
                 continue;
             }
             let Some(process) = &self.dispatchers[index].process else { continue };
-            let (held, acknowledged) =
-                (process.configuration(), self.checks.acknowledged_at(self.now - PROPAGATION_BOUND));
+            let (held, acknowledged) = (
+                process.configuration(),
+                self.checks
+                    .acknowledged_at(self.now.checked_sub(PROPAGATION_BOUND).unwrap_or(Instant::ORIGIN)),
+            );
             if held < acknowledged {
                 return Err(Violation::NotPropagated {
                     dispatcher: machine_id,
@@ -171,12 +175,12 @@
     }
 
     /// Whether the cluster is complete, and has served requests that came after a true time.
-    pub fn has_recovered_since(&self, since: u64) -> bool {
+    pub fn has_recovered_since(&self, since: Instant) -> bool {
         self.unrecovered_since(since).is_none()
     }
 
     /// A condition of [`World::has_recovered_since`] that does not hold.
-    pub(crate) fn unrecovered_since(&self, since: u64) -> Option<&'static str> {
+    pub(crate) fn unrecovered_since(&self, since: Instant) -> Option<&'static str> {
         let served = |index: usize| self.checks.messages.last_accepted(index) > since;
         let newest = self.checks.acknowledged_at(self.now);
         let has_newest = |index: usize| {
--- a/system/testing/simulation/src/store_disk.rs
+++ b/system/testing/simulation/src/store_disk.rs
@@ -4,13 +4,15 @@
 //! one by one with their ages, not folded into one state; a killed process loses none of them; and a sync covers all
 //! records appended when it starts. The simulated folders of `millrudder-checkpoint-store` work on bytes below both.
 
+use crate::random_time::whole_micros;
+use millrudder_clock::Instant;
 use millrudder_queue::{DiskRecord, Recovered, Ticket};
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
 struct Appended {
     /// When it was appended (true time).
-    at: u64,
+    at: Instant,
     ticket: Ticket,
     record: DiskRecord,
 }
@@ -27,7 +29,7 @@
 
 impl StoreDisk {
     /// Appends a record at true time `at`.
-    pub fn append(&mut self, at: u64, ticket: Ticket, record: DiskRecord) {
+    pub fn append(&mut self, at: Instant, ticket: Ticket, record: DiskRecord) {
         self.records.push(Appended { at, ticket, record });
     }
 
@@ -59,8 +61,8 @@
     }
 
     /// The records that a process recovers which starts at true time `now`.
-    pub fn recover(&self, now: u64) -> Vec<Recovered> {
-        let age = |at: u64| Duration::from_millis(now.saturating_sub(at) / crate::MILLISECOND);
+    pub fn recover(&self, now: Instant) -> Vec<Recovered> {
+        let age = |at: Instant| Duration::from_millis(whole_micros(now - at) / 1_000);
         let recovered =
             |appended: &Appended| Recovered { record: appended.record.clone(), age: age(appended.at) };
         self.records.iter().map(recovered).collect()
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -1,10 +1,9 @@
 //! A store machine: the true state machine in a shell like that of the system's program.
 
-use crate::clock::Clock;
+use crate::clock::{whole_millis, Clock};
 use crate::event::{Connection, Effect, Payload, ProcessInput, Target};
 use crate::mechanism::{Mechanism, Mutant};
 use crate::store_disk::StoreDisk;
-use crate::MILLISECOND;
 use millrudder_clock::Instant;
 use millrudder_protocol::control::{CaughtUpShard, FromCore, Registrant, ToCore};
 use millrudder_protocol::placement::Placement;
@@ -13,11 +12,12 @@
 use millrudder_queue::{Config, ConnectionId, DiskRecord, Input, Output, StoreNode};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// Pause between two heartbeats to the core.
-const HEARTBEAT_INTERVAL: u64 = 100 * MILLISECOND;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between two reports of shards that have caught up.
-const FILLED_REPORT_INTERVAL: u64 = 500 * MILLISECOND;
+const FILLED_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Settings of a store process.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default)]
 struct Filled {
     shards: BTreeSet<CaughtUpShard>,
-    report_at: u64,
+    report_at: Instant,
 }
 
 /// The running process of a store.
@@ -69,26 +69,21 @@
     /// Connections that other stores opened.
     accepted: BTreeMap<StoreId, Connection>,
     filled: Filled,
-    heartbeat_at: u64,
+    heartbeat_at: Instant,
 }
 
 /// The environment in which a store process handles an input.
 pub struct StoreContext<'a> {
     /// Reading of the machine's steady clock.
-    pub now: u64,
+    pub now: Instant,
     /// True time, for the ages of records on the disk.
-    pub true_now: u64,
+    pub true_now: Instant,
     /// The machine's disk.
     pub disk: &'a mut StoreDisk,
     /// Receives the effects.
     pub effects: &'a mut Vec<Effect>,
 }
 
-/// A reading of a steady clock in whole milliseconds, as the program takes it.
-fn reading(micros: u64) -> Instant {
-    Instant::from_millis(micros / MILLISECOND)
-}
-
 impl StoreProcess {
     /// Starts a process with the records of the disk.
     pub fn start(
@@ -96,12 +91,12 @@
         mutant: Mutant,
         disk: &StoreDisk,
         seed: u64,
-        now: u64,
-        true_now: u64,
+        now: Instant,
+        true_now: Instant,
     ) -> Self {
         let config = Config { seed, ..Config::default() };
         let recovered = disk.recover(true_now).into_iter();
-        let node = StoreNode::new(config, settings.id, settings.zone.clone(), reading(now), recovered);
+        let node = StoreNode::new(config, settings.id, settings.zone.clone(), whole_millis(now), recovered);
         StoreProcess {
             node,
             cores: settings.seeds.clone(),
@@ -133,9 +128,9 @@
     }
 
     /// When the next tick is due, by the machine's steady clock.
-    pub fn next_deadline(&self) -> u64 {
-        let node = self.node.next_deadline().map(|due| due.as_millis() * MILLISECOND);
-        self.heartbeat_at.min(node.unwrap_or(u64::MAX))
+    pub fn next_deadline(&self) -> Instant {
+        let node = self.node.next_deadline().map(whole_millis);
+        node.map_or(self.heartbeat_at, |due| due.min(self.heartbeat_at))
     }
 
     /// The placement that it has adopted.
@@ -144,14 +139,14 @@
     }
 
     /// Whether it serves every shard of which it is the primary.
-    pub fn serves_all(&self, now: u64) -> bool {
+    pub fn serves_all(&self, now: Instant) -> bool {
         let led = self.placement.shards_of_primary(self.settings.id).count();
-        self.node.health(reading(now)).primary_shards as usize == led
+        self.node.health(whole_millis(now)).primary_shards as usize == led
     }
 
     /// Whether other stores have taken over all its shards.
-    pub fn can_leave(&self, now: u64) -> bool {
-        self.node.health(reading(now)).primary_shards == 0
+    pub fn can_leave(&self, now: Instant) -> bool {
+        self.node.health(whole_millis(now)).primary_shards == 0
     }
 
     /// Handles an input.
@@ -168,7 +163,7 @@
             ProcessInput::Tick => {}
             ProcessInput::ShutdownRequested => {
                 self.feed_node(context, Input::Leaving);
-                self.heartbeat_at = 0;
+                self.heartbeat_at = Instant::ORIGIN;
             }
             ProcessInput::OperatorCall { .. } => {}
         }
@@ -176,7 +171,7 @@
     }
 
     fn tick(&mut self, context: &mut StoreContext<'_>) {
-        let now = reading(context.now);
+        let now = whole_millis(context.now);
         if self.node.next_deadline().is_some_and(|due| due <= now) {
             self.feed_node(context, Input::Tick);
         }
@@ -283,7 +278,7 @@
                 self.reconcile_connections(context, &placement);
                 self.placement = placement.clone();
                 self.feed_node(context, Input::Placement(placement));
-                self.heartbeat_at = 0;
+                self.heartbeat_at = Instant::ORIGIN;
             }
             FromCore::Configuration { configuration } => {
                 self.configuration_version = self.configuration_version.max(configuration.version);
@@ -326,7 +321,7 @@
     fn feed_node(&mut self, context: &mut StoreContext<'_>, input: Input) {
         let joins = matches!(&input, Input::Store { message: BetweenStores::Promise { .. }, .. });
         let mut output = Vec::new();
-        self.node.handle(reading(context.now), input, &mut output);
+        self.node.handle(whole_millis(context.now), input, &mut output);
         for action in output {
             self.carry_out(context, action, joins);
         }
@@ -359,8 +354,8 @@
             }
             Output::CaughtUp { filled } => {
                 self.filled.shards.insert(filled);
-                self.filled.report_at = 0;
-                self.heartbeat_at = 0;
+                self.filled.report_at = Instant::ORIGIN;
+                self.heartbeat_at = Instant::ORIGIN;
             }
             Output::Orphaned { .. } | Output::Released { .. } => {}
         }
--- a/system/testing/simulation/src/violation.rs
+++ b/system/testing/simulation/src/violation.rs
@@ -3,8 +3,10 @@
 use crate::history::{ContentId, Operation, Request};
 use crate::machine_id::MachineId;
 use millrudder_chain::View;
+use millrudder_clock::Instant;
 use millrudder_protocol::MessageId;
 use std::collections::BTreeSet;
+use std::time::Duration;
 use thiserror::Error;
 
 /// A violation of an invariant; times are true times.
@@ -18,7 +20,7 @@
     },
     /// A core machine published a configuration older than the staleness bound allows.
     #[error(
-        "{machine:?} published configuration {published} at {at}, {acknowledged} had been acknowledged {age} us before"
+        "{machine:?} published configuration {published} at {at:?}, {acknowledged} had been acknowledged {age:?} before"
     )]
     StalePublished {
         /// The core machine.
@@ -28,13 +30,13 @@
         /// The version that had been acknowledged.
         acknowledged: u64,
         /// When it was detected.
-        at: u64,
+        at: Instant,
         /// How long before the later version had been acknowledged.
-        age: u64,
+        age: Duration,
     },
     /// A dispatcher did not get an acknowledged configuration in time, although it could reach one that has it.
     #[error(
-        "{dispatcher:?} has configuration {held} at {at}, although it could reach {acknowledged}, which was acknowledged"
+        "{dispatcher:?} has configuration {held} at {at:?}, although it could reach {acknowledged}, which was acknowledged"
     )]
     NotPropagated {
         /// The dispatcher.
@@ -44,7 +46,7 @@
         /// The version that had been acknowledged.
         acknowledged: u64,
         /// When it was detected.
-        at: u64,
+        at: Instant,
     },
     /// A dispatcher adopted older state.
     #[error("{dispatcher:?} regressed from {before} to {now}")]
@@ -85,7 +87,7 @@
         number: u64,
     },
     /// A lease holder acted after a later one.
-    #[error("{machine:?} acted at {at} under lease {number} after another had acted under {later}")]
+    #[error("{machine:?} acted at {at:?} under lease {number} after another had acted under {later}")]
     ActedAfterSuccessor {
         /// The core machine.
         machine: MachineId,
@@ -94,17 +96,17 @@
         /// The later fencing token.
         later: u64,
         /// When it was detected.
-        at: u64,
+        at: Instant,
     },
     /// The primary of an accepted message does not know it.
-    #[error("message {id} was accepted and its primary {primary:?} does not know it at {at}")]
+    #[error("message {id} was accepted and its primary {primary:?} does not know it at {at:?}")]
     MessageLost {
         /// The message.
         id: MessageId,
         /// The primary.
         primary: MachineId,
         /// When it was detected.
-        at: u64,
+        at: Instant,
     },
     /// A message was executed again after its success was acknowledged.
     #[error("message {id} was executed again after its success was acknowledged")]
@@ -113,12 +115,12 @@
         id: MessageId,
     },
     /// The system did not recover in time.
-    #[error("not recovered at {at}: {what}")]
+    #[error("not recovered at {at:?}: {what}")]
     NotRecovered {
         /// The condition that does not hold.
         what: &'static str,
         /// When it was detected.
-        at: u64,
+        at: Instant,
     },
 }
 
--- a/system/testing/simulation/src/world/connections.rs
+++ b/system/testing/simulation/src/world/connections.rs
@@ -7,15 +7,18 @@
 use crate::dispatcher::Dispatcher;
 use crate::event::{Connection, Payload, ProcessInput, Target};
 use crate::machine_id::MachineId;
+use crate::random_time::{random_duration, whole_micros};
 use crate::store_machine::StoreProcess;
-use crate::MILLISECOND;
+use millrudder_clock::Instant;
+use std::time::Duration;
 
 /// A connection that is blocked for this time is closed at both ends.
-const CONNECTION_TIMEOUT: u64 = 1_600 * MILLISECOND;
+const CONNECTION_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// Delay until the peer notices that a connection is closed.
-const CLOSE_NOTICE: std::ops::Range<u64> = 500..3_000;
+const CLOSE_NOTICE: std::ops::Range<Duration> = Duration::from_micros(500)..Duration::from_micros(3_000);
 /// The same where messages are delayed.
-const DELAYED_CLOSE_NOTICE: std::ops::Range<u64> = 3_000..1_500_000;
+const DELAYED_CLOSE_NOTICE: std::ops::Range<Duration> =
+    Duration::from_micros(3_000)..Duration::from_micros(1_500_000);
 /// Where messages arrive after the close, closed connections are forgotten in every so many rounds only.
 const FORGET_CLOSED_EVERY: u64 = 20;
 
@@ -64,7 +67,7 @@
             return self.send_between_cores(at, connection, to, payload);
         }
         if matches!(to, MachineId::Dispatcher(_)) && self.random.f64() < self.plan.fault_rates.after_close {
-            let late = at + self.random.u64(LONG_DELAY);
+            let late = at + random_duration(&mut self.random, LONG_DELAY);
             let payload = payload.clone();
             self.schedule(late, Event::Arrive { connection, to, payload, after_close: true });
         }
@@ -74,15 +77,15 @@
     /// Sends a message between core machines, which may be delayed or duplicated.
     pub(super) fn send_between_cores(
         &mut self,
-        at: u64,
+        at: Instant,
         connection: Connection,
         to: MachineId,
         payload: Payload,
     ) {
         let late = self.random.f64() < self.plan.fault_rates.delayed;
-        let at = if late { at + self.random.u64(LONG_DELAY) } else { at };
+        let at = if late { at + random_duration(&mut self.random, LONG_DELAY) } else { at };
         if self.random.f64() < self.plan.fault_rates.duplicated {
-            let again = at + self.random.u64(LONG_DELAY);
+            let again = at + random_duration(&mut self.random, LONG_DELAY);
             let payload = payload.clone();
             self.schedule(again, Event::Arrive { connection, to, payload, after_close: false });
         }
@@ -121,7 +124,7 @@
     pub(crate) fn notify_peer_closed(&mut self, connection: Connection, machine_id: MachineId) {
         let Some(link) = self.network.link(connection).copied() else { return };
         let late = self.random.f64() < self.plan.fault_rates.delayed;
-        let after = self.random.u64(if late { DELAYED_CLOSE_NOTICE } else { CLOSE_NOTICE });
+        let after = random_duration(&mut self.random, if late { DELAYED_CLOSE_NOTICE } else { CLOSE_NOTICE });
         self.schedule(self.now + after, Event::Closed { connection, at: link.other(machine_id) });
     }
 
@@ -148,7 +151,7 @@
                 self.notify_peer_closed(connection, other);
             }
         }
-        let rounds = self.now / CHECK_INTERVAL;
+        let rounds = self.now.as_micros() / whole_micros(CHECK_INTERVAL);
         if self.plan.fault_rates.after_close == 0.0 || rounds.is_multiple_of(FORGET_CLOSED_EVERY) {
             self.network.forget_closed();
         }
--- a/system/testing/simulation/src/world/event.rs
+++ b/system/testing/simulation/src/world/event.rs
@@ -4,6 +4,8 @@
 use crate::history::{Request, Response};
 use crate::machine_id::MachineId;
 use millrudder_chain::PersistToken;
+use millrudder_clock::Instant;
+use std::time::Duration;
 
 /// A scheduled event.
 #[derive(Clone, Debug)]
@@ -25,7 +27,7 @@
     },
     Tick {
         process: ProcessId,
-        at: u64,
+        at: Instant,
     },
     Start {
         machine_id: MachineId,
@@ -33,8 +35,8 @@
     /// The process ends once it has left, or at the latest time.
     End {
         process: ProcessId,
-        downtime: u64,
-        latest: u64,
+        downtime: Duration,
+        latest: Instant,
     },
     InjectFault(usize),
     Dial,
--- a/system/testing/simulation/src/world/mod.rs
+++ b/system/testing/simulation/src/world/mod.rs
@@ -18,50 +18,53 @@
 use crate::network::Network;
 use crate::operator::Operator;
 use crate::plan::Plan;
+use crate::random_time::random_duration;
 use crate::recovery::PropagationTracker;
 use crate::store_disk::StoreDisk;
 use crate::store_machine::StoreMachine;
 use crate::violation::Violation;
 use crate::{MILLISECOND, SECOND};
 use millrudder_chain::SimulatedDisk;
+use millrudder_clock::Instant;
 use millrudder_control_state::ControlState;
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::StoreId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// Pause between two rounds of dialing.
-const DIAL_INTERVAL: u64 = 40 * MILLISECOND;
+const DIAL_INTERVAL: Duration = Duration::from_millis(40);
 /// Pause between two polls whether a process that got SIGTERM has left.
-const LEAVE_POLL_INTERVAL: u64 = 20 * MILLISECOND;
+const LEAVE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Additional delay of a delayed message.
-const LONG_DELAY: std::ops::Range<u64> = 3_000..2_000_000;
+const LONG_DELAY: std::ops::Range<Duration> = Duration::from_micros(3_000)..Duration::from_micros(2_000_000);
 /// Pause between two checks of the cluster as a whole.
-const CHECK_INTERVAL: u64 = 100 * MILLISECOND;
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Greatest deviation of a clock's rate from true time, in parts per million.
 const CLOCK_RATE_PPM: u64 = 500;
 /// The cluster must have bootstrapped by then.
-const BOOTSTRAP_TIMEOUT: u64 = 20 * SECOND;
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(20);
 /// Identity of the first disk of store 0; those of the other stores follow.
 const FIRST_STORE_ID: u64 = 100;
 /// A fault whose step is not reached within this time is skipped.
-const STEP_FAULT_TIMEOUT: u64 = 10 * SECOND;
+const STEP_FAULT_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a run continues after the recovery.
-const FINAL_RUN: u64 = 400 * MILLISECOND;
+const FINAL_RUN: Duration = Duration::from_millis(400);
 
 /// State that machines of every kind have.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MachineState {
     pub incarnation: u32,
-    pub frozen_until: u64,
-    pub slow_until: u64,
-    pub sync_free_at: u64,
+    pub frozen_until: Instant,
+    pub slow_until: Instant,
+    pub sync_free_at: Instant,
     /// Number of replacements by a machine at another address.
     pub generation: u8,
-    tick_at: Option<u64>,
+    tick_at: Option<Instant>,
     /// Whether it lost a disk that is not restored yet.
     pub disk_lost: bool,
-    pub starts_at: Option<u64>,
+    pub starts_at: Option<Instant>,
 }
 
 /// A dispatcher's machine.
@@ -83,12 +86,12 @@
     pub(crate) operators: Vec<Operator>,
     pub(crate) machines: BTreeMap<MachineId, MachineState>,
     pub(crate) network: Network,
-    events: BTreeMap<(u64, u64), Event>,
+    events: BTreeMap<(Instant, u64), Event>,
     sequence: u64,
     calls: BTreeMap<Call, (usize, usize, Request)>,
     next_call: u64,
     /// True time.
-    pub now: u64,
+    pub now: Instant,
     /// Number of deliveries and syncs so far.
     pub steps: u64,
     /// Number of events processed so far.
@@ -98,10 +101,10 @@
     pub(crate) propagation: PropagationTracker,
     /// The newest placement of any core machine so far.
     pub(crate) newest_placement: Placement,
-    pub(crate) lose_responses_until: u64,
+    pub(crate) lose_responses_until: Instant,
     injected: Vec<bool>,
     /// When the last fault ends.
-    pub faults_end: u64,
+    pub faults_end: Instant,
     pub(crate) violation: Option<Violation>,
     bootstrapping: bool,
 }
@@ -112,9 +115,9 @@
         let mut random = fastrand::Rng::with_seed(plan.seed ^ 0x5eed);
         let cluster_size = plan.cluster_size;
         let mut clock = || Clock {
-            offset: random.u64(0..1_000 * SECOND),
+            offset: random_duration(&mut random, Duration::ZERO..1_000 * SECOND),
             rate_ppm: random.u64(0..CLOCK_RATE_PPM),
-            stalled: 0,
+            stalled: Duration::ZERO,
         };
         let core =
             |clock| CoreMachine { process: None, disk: SimulatedDisk::default(), clock, lost_a_disk: false };
@@ -144,15 +147,15 @@
             sequence: 0,
             calls: BTreeMap::new(),
             next_call: 0,
-            now: 0,
+            now: Instant::ORIGIN,
             steps: 0,
             processed_events: 0,
             checks: Checks::default(),
             propagation: PropagationTracker::default(),
             newest_placement: Placement::default(),
-            lose_responses_until: 0,
+            lose_responses_until: Instant::ORIGIN,
             injected: Vec::new(),
-            faults_end: 0,
+            faults_end: Instant::ORIGIN,
             violation: None,
             bootstrapping: true,
             plan,
@@ -167,8 +170,8 @@
     /// An invariant was violated, or the bootstrap timed out.
     pub fn bootstrapped(plan: Plan) -> Result<World<M>, Violation> {
         let mut world = World::new(Plan { faults: Vec::new(), ..plan.clone() });
-        while !world.has_recovered_since(0) {
-            if world.now > BOOTSTRAP_TIMEOUT {
+        while !world.has_recovered_since(Instant::ORIGIN) {
+            if world.now > Instant::ORIGIN + BOOTSTRAP_TIMEOUT {
                 return Err(Violation::NotRecovered {
                     what: "the cluster has not bootstrapped",
                     at: world.now,
@@ -183,7 +186,7 @@
 
     /// Continues from here with another plan.
     pub fn resume(&mut self, plan: Plan) {
-        self.random = fastrand::Rng::with_seed(plan.seed ^ self.now);
+        self.random = fastrand::Rng::with_seed(plan.seed ^ self.now.as_micros());
         self.injected = vec![false; plan.faults.len()];
         self.faults_end = self.now;
         self.bootstrapping = false;
@@ -222,13 +225,13 @@
             machine_ids.chain((0..cluster_size.dispatchers).map(MachineId::Dispatcher)).collect();
         for machine_id in machine_ids {
             self.machines.insert(machine_id, MachineState::default());
-            let at = self.random.u64(0..100 * MILLISECOND);
-            self.schedule(at, Event::Start { machine_id });
+            let delay = random_duration(&mut self.random, Duration::ZERO..100 * MILLISECOND);
+            self.schedule(Instant::ORIGIN + delay, Event::Start { machine_id });
         }
-        self.schedule(0, Event::Dial);
-        self.schedule(CHECK_INTERVAL, Event::CheckInvariants);
+        self.schedule(Instant::ORIGIN, Event::Dial);
+        self.schedule(Instant::ORIGIN + CHECK_INTERVAL, Event::CheckInvariants);
         for operator in 0..cluster_size.operators {
-            self.schedule(2 * SECOND, Event::OperatorTurn { operator });
+            self.schedule(Instant::ORIGIN + 2 * SECOND, Event::OperatorTurn { operator });
         }
         self.injected = vec![false; self.plan.faults.len()];
     }
@@ -288,7 +291,7 @@
     ///
     /// # Errors
     /// An invariant was violated.
-    pub fn run_until(&mut self, until: u64) -> Result<(), Violation> {
+    pub fn run_until(&mut self, until: Instant) -> Result<(), Violation> {
         while self.step_before(until)? {}
         self.now = self.now.max(until);
         Ok(())
@@ -322,7 +325,7 @@
     ///
     /// # Errors
     /// An invariant was violated.
-    pub fn step_before(&mut self, until: u64) -> Result<bool, Violation> {
+    pub fn step_before(&mut self, until: Instant) -> Result<bool, Violation> {
         let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= until) else {
             return Ok(false);
         };
@@ -333,7 +336,7 @@
         let frozen_until = event
             .handled_by()
             .and_then(|machine_id| self.machines.get(&machine_id))
-            .map_or(0, |one| one.frozen_until);
+            .map_or(Instant::ORIGIN, |one| one.frozen_until);
         if frozen_until > self.now {
             self.events.insert((frozen_until, sequence), event);
             return Ok(true);
@@ -349,18 +352,24 @@
         }
     }
 
-    pub(crate) fn schedule_start(&mut self, machine_id: MachineId, at: u64) {
+    pub(crate) fn schedule_start(&mut self, machine_id: MachineId, at: Instant) {
         self.machine(machine_id).starts_at = Some(at);
         self.schedule(at, Event::Start { machine_id });
     }
 
-    pub(crate) fn schedule_end(&mut self, machine_id: MachineId, at: u64, downtime: u64, latest: u64) {
+    pub(crate) fn schedule_end(
+        &mut self,
+        machine_id: MachineId,
+        at: Instant,
+        downtime: Duration,
+        latest: Instant,
+    ) {
         let process = self.process_of(machine_id);
         self.schedule(at, Event::End { process, downtime, latest });
     }
 
     /// Ends a process that got SIGTERM once it has left, or at the latest time.
-    fn end(&mut self, process: ProcessId, downtime: u64, latest: u64) {
+    fn end(&mut self, process: ProcessId, downtime: Duration, latest: Instant) {
         let machine_id = process.machine_id;
         if self.process_of(machine_id) != process || !self.is_up(machine_id) {
             return;
@@ -384,7 +393,7 @@
         }
     }
 
-    fn schedule(&mut self, at: u64, event: Event) {
+    fn schedule(&mut self, at: Instant, event: Event) {
         self.sequence += 1;
         self.events.insert((at.max(self.now), self.sequence), event);
     }
--- a/system/testing/simulation/src/world/operator_calls.rs
+++ b/system/testing/simulation/src/world/operator_calls.rs
@@ -7,9 +7,11 @@
 use crate::history::{Request, Response};
 use crate::machine_id::MachineId;
 use crate::operator::{self, InFlightCall};
+use crate::random_time::random_duration;
+use std::time::Duration;
 
 /// Delay of a call or a response between an operator and a machine.
-const CALL_DELAY: std::ops::Range<u64> = 300..3_000;
+const CALL_DELAY: std::ops::Range<Duration> = Duration::from_micros(300)..Duration::from_micros(3_000);
 
 impl<M: ControlMachine> World<M> {
     pub(super) fn operator_calls(&mut self, operator: usize) {
@@ -21,7 +23,7 @@
         self.operators[operator].in_flight = Some(InFlightCall { call, operation });
         self.calls.insert(call, (operator, operation, request));
         let late = self.random.f64() < self.plan.fault_rates.delayed;
-        let way = self.random.u64(if late { LONG_DELAY } else { CALL_DELAY });
+        let way = random_duration(&mut self.random, if late { LONG_DELAY } else { CALL_DELAY });
         let at = MachineId::Core(machine);
         self.schedule(self.now + way, Event::CallArrives { call, at, request });
         self.schedule(self.now + operator::CALL_TIMEOUT, Event::CallTimedOut { call, operator });
@@ -42,7 +44,7 @@
             return;
         }
         self.checks.responded(request, response, self.now);
-        let at = self.now + self.random.u64(CALL_DELAY);
+        let at = self.now + random_duration(&mut self.random, CALL_DELAY);
         self.schedule(at, Event::ResponseArrives { call, operator, response });
     }
 
--- a/system/testing/simulation/src/world/processes.rs
+++ b/system/testing/simulation/src/world/processes.rs
@@ -8,19 +8,21 @@
 use crate::dispatcher::{Dispatcher, DispatcherContext, DispatcherSettings};
 use crate::event::{Effect, ProcessId, ProcessInput};
 use crate::machine_id::MachineId;
+use crate::random_time::random_duration;
 use crate::store_disk::StoreDisk;
 use crate::store_machine::{StoreContext, StoreMachine, StoreProcess, StoreSettings};
-use crate::MILLISECOND;
 use millrudder_chain::PersistToken;
+use millrudder_clock::Instant;
 use millrudder_protocol::{DispatcherId, StoreId};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// Duration of a sync.
-const SYNC_TIME: std::ops::Range<u64> = 1_500..6_000;
+const SYNC_TIME: std::ops::Range<Duration> = Duration::from_micros(1_500)..Duration::from_micros(6_000);
 /// Duration of a sync of a slow disk.
-const SLOW_SYNC_TIME: std::ops::Range<u64> = 50 * MILLISECOND..600 * MILLISECOND;
+const SLOW_SYNC_TIME: std::ops::Range<Duration> = Duration::from_millis(50)..Duration::from_millis(600);
 /// Delay of a timer.
-const TIMER_DELAY: std::ops::Range<u64> = 0..2_000;
+const TIMER_DELAY: std::ops::Range<Duration> = Duration::from_micros(0)..Duration::from_micros(2_000);
 /// Difference between the identities of two disks of the same machine.
 const DISK_ID_STEP: u64 = 1_000;
 
@@ -175,7 +177,7 @@
         };
         let Some(due) = due else { return };
         let due = clock.true_time(self.now, due);
-        let lateness = self.random.u64(TIMER_DELAY);
+        let lateness = random_duration(&mut self.random, TIMER_DELAY);
         let machine = self.machine(machine_id);
         if machine.tick_at.is_some_and(|at| at <= due + TIMER_DELAY.end) {
             return;
@@ -186,7 +188,7 @@
         self.schedule(at, Event::Tick { process, at });
     }
 
-    pub(super) fn tick(&mut self, process: ProcessId, at: u64) {
+    pub(super) fn tick(&mut self, process: ProcessId, at: Instant) {
         let same = self.process_of(process.machine_id) == process;
         if same && self.machine(process.machine_id).tick_at == Some(at) {
             self.machine(process.machine_id).tick_at = None;
@@ -195,8 +197,9 @@
     }
 
     pub(super) fn start_sync(&mut self, machine_id: MachineId) {
-        let slow = self.machine(machine_id).slow_until > self.now;
-        let takes = self.random.u64(if slow { SLOW_SYNC_TIME } else { SYNC_TIME });
+        let now = self.now;
+        let slow = self.machine(machine_id).slow_until > now;
+        let takes = random_duration(&mut self.random, if slow { SLOW_SYNC_TIME } else { SYNC_TIME });
         let token = match machine_id {
             MachineId::Core(index) => self.cores[index].disk.last_token(),
             MachineId::Store(index) => {
@@ -207,7 +210,6 @@
             }
             _ => return,
         };
-        let now = self.now;
         let machine = self.machine(machine_id);
         let at = machine.sync_free_at.max(now + takes);
         machine.sync_free_at = at;
--- a/system/testing/simulation/tests/control/consecutive_disk_losses.rs
+++ b/system/testing/simulation/tests/control/consecutive_disk_losses.rs
@@ -4,6 +4,7 @@
     bootstrapped_worlds, expect_no_violation, expect_violation, explore, explore_after_repair, play_seeds,
     random_plan, seeds, without,
 };
+use millrudder_clock::Instant;
 use millrudder_simulation::explore::Failure;
 use millrudder_simulation::fault::{Fault, Trigger};
 use millrudder_simulation::machine_id::MachineId;
@@ -11,11 +12,12 @@
 use millrudder_simulation::plan::Plan;
 use millrudder_simulation::violation::Violation;
 use millrudder_simulation::{MILLISECOND, SECOND};
+use std::time::Duration;
 
 /// When the first disk is lost.
-const FIRST: u64 = 3 * SECOND;
+const FIRST: Duration = Duration::from_secs(3);
 /// How long a machine that loses its disk is down.
-const DOWN: u64 = 400 * MILLISECOND;
+const DOWN: Duration = Duration::from_millis(400);
 
 fn plan() -> Plan {
     let mut plan = Plan::without_faults(3);
@@ -24,7 +26,7 @@
 }
 
 fn first(fault: Fault) -> Plan {
-    plan().with(Trigger::At(FIRST), fault)
+    plan().with(Trigger::At(Instant::ORIGIN + FIRST), fault)
 }
 
 /// The loss of the disk of each machine of a kind but one.
--- a/system/testing/simulation/tests/control/partitioned_core.rs
+++ b/system/testing/simulation/tests/control/partitioned_core.rs
@@ -4,6 +4,7 @@
     bootstrapped_worlds, expect_no_violation, expect_violation, explore, play_seeds, random_plan, seeds,
     without,
 };
+use millrudder_clock::Instant;
 use millrudder_simulation::explore::Failure;
 use millrudder_simulation::fault::{Fault, Trigger};
 use millrudder_simulation::machine_id::MachineId;
@@ -11,11 +12,12 @@
 use millrudder_simulation::plan::{FaultRates, Load, Plan};
 use millrudder_simulation::violation::Violation;
 use millrudder_simulation::{MILLISECOND, SECOND};
+use std::time::Duration;
 
 /// A partition as the users' deployments have it.
-const LONG: u64 = 20 * SECOND;
+const LONG: Duration = Duration::from_secs(20);
 /// A partition that is longer than every time-out.
-const ENOUGH: u64 = 5 * SECOND;
+const ENOUGH: Duration = Duration::from_secs(5);
 
 /// Operators with short pauses, a fifth of whose responses are lost.
 fn plan() -> Plan {
@@ -28,11 +30,11 @@
 /// Restarts a dispatcher meanwhile.
 fn with_restart(plan: Plan) -> Plan {
     let restart = Fault::Kill { machine_id: MachineId::Dispatcher(0), downtime: 100 * MILLISECOND };
-    plan.with(Trigger::At(6 * SECOND), restart)
+    plan.with(Trigger::At(Instant::ORIGIN + 6 * SECOND), restart)
 }
 
 /// Each core machine, alone or with a dispatcher that reaches no other, partitioned in both directions or one, or frozen.
-fn partitions(duration: u64) -> Vec<Fault> {
+fn partitions(duration: Duration) -> Vec<Fault> {
     let of_machine = |index: usize| {
         let machine_id = MachineId::Core(index);
         vec![
@@ -45,7 +47,7 @@
     (0..3).flat_map(of_machine).collect()
 }
 
-fn at_every_step(plan: &Plan, duration: u64, stride: usize) -> Result<(), Failure> {
+fn at_every_step(plan: &Plan, duration: Duration, stride: usize) -> Result<(), Failure> {
     explore(plan, partitions(duration), 300 * MILLISECOND, stride)
 }
 
--- a/system/testing/simulation/tests/control/support.rs
+++ b/system/testing/simulation/tests/control/support.rs
@@ -12,6 +12,7 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::thread;
+use std::time::Duration;
 
 /// Random runs use this many threads, unless `SIMULATION_THREADS` sets another number.
 pub const THREADS: usize = 4;
@@ -45,7 +46,12 @@
 }
 
 /// Explores from a bootstrapped world.
-pub fn explore(plan: &Plan, faults: Vec<Fault>, window: u64, default_stride: usize) -> Result<(), Failure> {
+pub fn explore(
+    plan: &Plan,
+    faults: Vec<Fault>,
+    window: Duration,
+    default_stride: usize,
+) -> Result<(), Failure> {
     explore_from(&bootstrapped(plan.seed), plan, ExplorationStart::Immediate, faults, window, default_stride)
 }
 
@@ -53,7 +59,7 @@
 pub fn explore_after_repair(
     plan: &Plan,
     faults: Vec<Fault>,
-    window: u64,
+    window: Duration,
     default_stride: usize,
 ) -> Result<(), Failure> {
     explore_from(
@@ -72,7 +78,7 @@
     plan: &Plan,
     start: ExplorationStart,
     faults: Vec<Fault>,
-    window: u64,
+    window: Duration,
     default_stride: usize,
 ) -> Result<(), Failure>
 where
