--- a/system/testing/simulation/src/checks.rs
+++ b/system/testing/simulation/src/checks.rs
@@ -151,9 +151,10 @@
         let text = String::from_utf8_lossy(&configuration.json).into_owned();
         // A duplicate of a request gets the remembered reply, and has no second effect.
         let first = *self.effects.entry(configuration.json).or_insert(request_id);
-        match first == request_id {
-            true => Ok(()),
-            false => Err(Violation::DuplicateEffect { text }),
+        if first == request_id {
+            Ok(())
+        } else {
+            Err(Violation::DuplicateEffect { text })
         }
     }
 
--- a/system/testing/simulation/src/core_machine.rs
+++ b/system/testing/simulation/src/core_machine.rs
@@ -107,9 +107,10 @@
         seed: u64,
         now: Instant,
     ) -> Self {
-        let state = match mutant.is_enabled(Mechanism::RecordsReplayed) {
-            true => disk.state(),
-            false => disk.state_at_checkpoint(),
+        let state = if mutant.is_enabled(Mechanism::RecordsReplayed) {
+            disk.state()
+        } else {
+            disk.state_at_checkpoint()
         };
         let mut config = CoreConfig::new(settings.address.to_string());
         config.minimum_members = settings.tolerated_losses as usize + 1;
@@ -133,7 +134,7 @@
             registrants: BTreeMap::new(),
             workers: WorkerList::default(),
             current_list: CurrentWorkerList::default(),
-            read_barrier: ReadBarrier::new(numbers(control_state, &WorkerList::default())),
+            read_barrier: ReadBarrier::new(state_versions(control_state, &WorkerList::default())),
             confirming: None,
             followed_epoch: control_state.placement().epoch.0,
             fencing: None,
@@ -175,24 +176,28 @@
         self.detect_clock_stall(context);
         match input {
             ProcessInput::Connected { connection, target } => {
-                self.on_dialed(context, connection, target.address)
+                self.handle_connected(context, connection, target.address)
+            }
+            ProcessInput::Closed { connection } => self.handle_closed(context, connection),
+            ProcessInput::Received { connection, payload } => {
+                self.handle_payload(context, connection, payload)
             }
-            ProcessInput::Closed { connection } => self.on_closed(context, connection),
-            ProcessInput::Received { connection, payload } => self.on_payload(context, connection, payload),
             ProcessInput::Synced => {}
-            ProcessInput::Tick => self.on_tick(context),
+            ProcessInput::Tick => self.handle_tick(context),
             ProcessInput::ShutdownRequested => {
                 self.leaving = true;
                 self.drive_barrier(context, BarrierInput::ShuttingDown);
                 self.node.handle(context.now, Input::Leave);
             }
-            ProcessInput::OperatorCall { call, request } => self.on_request(context, call, request),
+            ProcessInput::OperatorCall { call, request } => {
+                self.handle_operator_request(context, call, request)
+            }
         }
         self.finish(context);
     }
 
     /// Handles the completion of all writes up to `token`.
-    pub fn persisted(&mut self, context: &mut CoreContext<'_>, token: millrudder_chain::PersistToken) {
+    pub fn handle_persisted(&mut self, context: &mut CoreContext<'_>, token: millrudder_chain::PersistToken) {
         self.detect_clock_stall(context);
         self.node.handle(context.now, Input::Persisted { token });
         self.finish(context);
@@ -237,7 +242,7 @@
 
     fn apply_barrier_output(&mut self, context: &mut CoreContext<'_>, output: BarrierOutput) {
         match output {
-            BarrierOutput::StartRead { read } => self.start_confirming(context, read),
+            BarrierOutput::StartRead { read } => self.start_confirmation(context, read),
             BarrierOutput::AbandonRead { read } => {
                 if let Some(confirming) = self.confirming.take_if(|confirming| confirming.read == read) {
                     let request_id = confirming.request_id;
@@ -257,7 +262,7 @@
         }
     }
 
-    fn start_confirming(&mut self, context: &mut CoreContext<'_>, read: ReadNumber) {
+    fn start_confirmation(&mut self, context: &mut CoreContext<'_>, read: ReadNumber) {
         if !self.mutant.is_enabled(Mechanism::QuorumContact) {
             // The mutant completes the read without a confirmation.
             return self.drive_barrier(context, BarrierInput::ReadCompleted { read });
@@ -299,7 +304,12 @@
         self.node.holds(now, &Role(CONTROLLER.to_owned()))
     }
 
-    fn on_dialed(&mut self, context: &mut CoreContext<'_>, connection: Connection, address: SocketAddr) {
+    fn handle_connected(
+        &mut self,
+        context: &mut CoreContext<'_>,
+        connection: Connection,
+        address: SocketAddr,
+    ) {
         self.dialed.insert(address, connection);
         let payload = Payload::Peer { id: self.node.id(), address: self.settings.address.to_string() };
         context.effects.push(Effect::Send { connection, payload });
@@ -308,16 +318,16 @@
         self.drive_barrier(context, BarrierInput::PeerOpened);
     }
 
-    fn on_closed(&mut self, context: &mut CoreContext<'_>, connection: Connection) {
+    fn handle_closed(&mut self, context: &mut CoreContext<'_>, connection: Connection) {
         self.dialed.retain(|_, dialed| *dialed != connection);
         self.peers.remove(&connection);
         self.registrants.remove(&connection);
         self.drive_barrier(context, BarrierInput::Closed { connection: ConnectionId(connection.0) });
     }
 
-    fn on_payload(&mut self, context: &mut CoreContext<'_>, connection: Connection, payload: Payload) {
+    fn handle_payload(&mut self, context: &mut CoreContext<'_>, connection: Connection, payload: Payload) {
         match payload {
-            Payload::Peer { id, address } => self.on_peer(context, connection, id, &address),
+            Payload::Peer { id, address } => self.handle_peer(context, connection, id, &address),
             Payload::Core { to, message } => {
                 let from = self.peers.get(&connection).copied().filter(|_| to == self.node.id());
                 if let Some(from) = from {
@@ -328,12 +338,12 @@
                 self.workers = list;
                 self.publish_state(context);
             }
-            Payload::ToCore(message) => self.on_client(context, connection, message),
+            Payload::ToCore(message) => self.handle_registrant_message(context, connection, message),
             _ => {}
         }
     }
 
-    fn on_peer(&mut self, context: &mut CoreContext<'_>, connection: Connection, id: NodeId, text: &str) {
+    fn handle_peer(&mut self, context: &mut CoreContext<'_>, connection: Connection, id: NodeId, text: &str) {
         let Ok(address) = text.parse::<SocketAddr>() else { return };
         self.peers.insert(connection, id);
         self.addresses.insert(id, address);
@@ -343,10 +353,21 @@
         self.send_to_registrants(context, &addresses);
     }
 
-    fn on_client(&mut self, context: &mut CoreContext<'_>, connection: Connection, message: ToCore) {
+    fn handle_registrant_message(
+        &mut self,
+        context: &mut CoreContext<'_>,
+        connection: Connection,
+        message: ToCore,
+    ) {
         match message {
             ToCore::Register { registrant, configuration_version, placement_epoch } => {
-                self.on_register(context, connection, registrant, configuration_version, placement_epoch);
+                self.handle_registration(
+                    context,
+                    connection,
+                    registrant,
+                    configuration_version,
+                    placement_epoch,
+                );
             }
             // The read barrier decides whether the state may be confirmed.
             ToCore::StalenessCheck { sent_at_ms } => {
@@ -376,7 +397,7 @@
         }
     }
 
-    fn on_register(
+    fn handle_registration(
         &mut self,
         context: &mut CoreContext<'_>,
         connection: Connection,
@@ -404,7 +425,7 @@
         self.drive_barrier(context, BarrierInput::Registered { connection, kind, versions });
     }
 
-    fn on_tick(&mut self, context: &mut CoreContext<'_>) {
+    fn handle_tick(&mut self, context: &mut CoreContext<'_>) {
         self.node.handle(context.now, Input::Tick);
         self.manage(context, PlacementInput::Tick);
         self.read_list(context);
@@ -423,9 +444,10 @@
     }
 
     fn read_list(&mut self, context: &mut CoreContext<'_>) {
-        let fencing = match self.mutant.is_enabled(Mechanism::LeaseChecked) {
-            true => self.holds(context.now),
-            false => self.fencing,
+        let fencing = if self.mutant.is_enabled(Mechanism::LeaseChecked) {
+            self.holds(context.now)
+        } else {
+            self.fencing
         };
         let Some(fencing) = fencing.filter(|_| self.read_list_at.is_some_and(|at| context.now >= at)) else {
             return;
@@ -455,11 +477,11 @@
 
     /// Reports the versions of this machine's state to the read barrier, which decides to whom it is sent.
     fn publish_state(&mut self, context: &mut CoreContext<'_>) {
-        let numbers = numbers(self.node.machine().state(), &self.workers);
-        self.drive_barrier(context, BarrierInput::StateChanged(numbers));
+        let versions = state_versions(self.node.machine().state(), &self.workers);
+        self.drive_barrier(context, BarrierInput::StateChanged(versions));
     }
 
-    fn on_request(&mut self, context: &mut CoreContext<'_>, call: Call, request: Request) {
+    fn handle_operator_request(&mut self, context: &mut CoreContext<'_>, call: Call, request: Request) {
         let open = self.read_barrier.accepts_requests(whole_millis(context.now));
         let state = self.node.machine().state();
         let step =
@@ -506,7 +528,7 @@
                         reply,
                     };
                     context.effects.push(Effect::Observe(observation));
-                    self.on_committed(context, reply);
+                    self.handle_committed(context, reply);
                 }
                 Output::SnapshotInstalled { .. } => self.follow_state(context),
                 Output::Reply { request_id, reply } => {
@@ -516,16 +538,16 @@
                         context.effects.push(Effect::Response { call, response });
                     }
                 }
-                Output::ReadReady { request_id } => self.on_read_ready(context, request_id),
+                Output::ReadReady { request_id } => self.handle_read_ready(context, request_id),
                 Output::ViewChanged(view) => {
                     context.effects.push(Effect::Observe(Observation::ViewEntered { view }));
                     self.add_view_addresses();
                 }
                 Output::LeaseGranted { fencing_token: fencing, .. } => {
                     context.effects.push(Effect::Observe(Observation::LeaseGranted { fencing }));
-                    self.on_lease(context, Some(fencing));
+                    self.handle_lease_change(context, Some(fencing));
                 }
-                Output::LeaseLost { .. } => self.on_lease(context, None),
+                Output::LeaseLost { .. } => self.handle_lease_change(context, None),
                 Output::QuorumContactGained | Output::QuorumContactLost => {
                     self.drive_barrier(context, BarrierInput::Tick)
                 }
@@ -540,7 +562,7 @@
         }
     }
 
-    fn on_read_ready(&mut self, context: &mut CoreContext<'_>, request_id: RequestId) {
+    fn handle_read_ready(&mut self, context: &mut CoreContext<'_>, request_id: RequestId) {
         let confirming = self.confirming.take_if(|confirming| confirming.request_id == request_id);
         if let Some(confirming) = confirming {
             return self.drive_barrier(context, BarrierInput::ReadCompleted { read: confirming.read });
@@ -552,7 +574,7 @@
         }
     }
 
-    fn on_committed(&mut self, context: &mut CoreContext<'_>, reply: Reply) {
+    fn handle_committed(&mut self, context: &mut CoreContext<'_>, reply: Reply) {
         if matches!(reply, Reply::ConfigurationAccepted | Reply::PlacementSet) {
             self.follow_state(context);
         }
@@ -569,7 +591,7 @@
         }
     }
 
-    fn on_lease(&mut self, context: &mut CoreContext<'_>, fencing: Option<FencingToken>) {
+    fn handle_lease_change(&mut self, context: &mut CoreContext<'_>, fencing: Option<FencingToken>) {
         self.fencing = fencing;
         self.read_list_at = fencing.map(|_| context.now);
         self.drive_barrier(context, BarrierInput::ControllerLease { is_held: fencing.is_some() });
@@ -613,7 +635,7 @@
 }
 
 /// The versions of a core machine's state.
-fn numbers(state: &ControlState, list: &WorkerList) -> StateVersions {
+fn state_versions(state: &ControlState, list: &WorkerList) -> StateVersions {
     StateVersions {
         configuration_version: state.configuration().version,
         placement_epoch: state.placement().epoch.0,
--- a/system/testing/simulation/src/dispatcher.rs
+++ b/system/testing/simulation/src/dispatcher.rs
@@ -180,11 +180,13 @@
             self.send_barriers(context);
         }
         match input {
-            ProcessInput::Connected { connection, target } => self.on_dialed(context, connection, target),
-            ProcessInput::Closed { connection } => self.on_closed(context, connection),
+            ProcessInput::Connected { connection, target } => {
+                self.handle_connected(context, connection, target)
+            }
+            ProcessInput::Closed { connection } => self.handle_closed(context, connection),
             ProcessInput::Received { connection, payload } => match payload {
-                Payload::FromCore(message) => self.on_core(context, connection, message),
-                Payload::ToDispatcher(message) => self.on_store(context, connection, message),
+                Payload::FromCore(message) => self.handle_core_message(context, connection, message),
+                Payload::ToDispatcher(message) => self.handle_store_message(context, connection, message),
                 _ => {}
             },
             ProcessInput::Tick => self.poll(context),
@@ -250,7 +252,12 @@
         }
     }
 
-    fn on_dialed(&mut self, context: &mut DispatcherContext<'_>, connection: Connection, target: Target) {
+    fn handle_connected(
+        &mut self,
+        context: &mut DispatcherContext<'_>,
+        connection: Connection,
+        target: Target,
+    ) {
         let Some(store) = target.store else { return self.register(context, connection, target.address) };
         self.stores.insert(store, connection);
         self.links.insert(connection, StoreLink::default());
@@ -275,7 +282,7 @@
         }
     }
 
-    fn on_closed(&mut self, context: &mut DispatcherContext<'_>, connection: Connection) {
+    fn handle_closed(&mut self, context: &mut DispatcherContext<'_>, connection: Connection) {
         if let Some(address) = self.core_of(connection) {
             self.cores.insert(address, None);
             self.connection_planner.handle_closed(Instant::from_millis(context.now.as_millis()), address);
@@ -292,7 +299,12 @@
         open.map(|(address, _)| *address)
     }
 
-    fn on_core(&mut self, context: &mut DispatcherContext<'_>, connection: Connection, message: FromCore) {
+    fn handle_core_message(
+        &mut self,
+        context: &mut DispatcherContext<'_>,
+        connection: Connection,
+        message: FromCore,
+    ) {
         let Some(core) = self.core_of(connection) else { return };
         let now = Instant::from_millis(context.now.as_millis());
         let any = !self.mutant.is_enabled(Mechanism::OnlyNewerAdopted);
@@ -410,7 +422,7 @@
         self.links.get_mut(&current.unwrap_or(connection))
     }
 
-    fn on_store(
+    fn handle_store_message(
         &mut self,
         context: &mut DispatcherContext<'_>,
         connection: Connection,
--- a/system/testing/simulation/src/pending_requests.rs
+++ b/system/testing/simulation/src/pending_requests.rs
@@ -88,9 +88,10 @@
     /// A new request id.
     pub fn next_request_id(&mut self, mutant: &Mutant) -> RequestId {
         self.last_id += 1;
-        match mutant.is_enabled(Mechanism::UniqueRequestIds) {
-            true => RequestId(self.random.u128(1..)),
-            false => RequestId(self.last_id),
+        if mutant.is_enabled(Mechanism::UniqueRequestIds) {
+            RequestId(self.random.u128(1..))
+        } else {
+            RequestId(self.last_id)
         }
     }
 
--- a/system/testing/simulation/src/plan.rs
+++ b/system/testing/simulation/src/plan.rs
@@ -226,9 +226,10 @@
 }
 
 fn random_disk_machine(random: &mut fastrand::Rng, cluster_size: &ClusterSize) -> MachineId {
-    match random.bool() {
-        true => MachineId::Core(random.usize(0..cluster_size.cores)),
-        false => MachineId::Store(random.usize(0..cluster_size.stores)),
+    if random.bool() {
+        MachineId::Core(random.usize(0..cluster_size.cores))
+    } else {
+        MachineId::Store(random.usize(0..cluster_size.stores))
     }
 }
 
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -152,9 +152,13 @@
     /// Handles an input.
     pub fn handle(&mut self, context: &mut StoreContext<'_>, input: ProcessInput) {
         match input {
-            ProcessInput::Connected { connection, target } => self.on_dialed(context, connection, target),
-            ProcessInput::Closed { connection } => self.on_closed(context, connection),
-            ProcessInput::Received { connection, payload } => self.on_payload(context, connection, payload),
+            ProcessInput::Connected { connection, target } => {
+                self.handle_connected(context, connection, target)
+            }
+            ProcessInput::Closed { connection } => self.handle_closed(context, connection),
+            ProcessInput::Received { connection, payload } => {
+                self.handle_payload(context, connection, payload)
+            }
             ProcessInput::Synced => {
                 if let Some(ticket) = context.disk.end_sync() {
                     self.feed_node(context, Input::Synced { ticket });
@@ -195,7 +199,7 @@
         }
     }
 
-    fn on_dialed(&mut self, context: &mut StoreContext<'_>, connection: Connection, target: Target) {
+    fn handle_connected(&mut self, context: &mut StoreContext<'_>, connection: Connection, target: Target) {
         let Some(store) = target.store else {
             self.to_cores.insert(target.address, connection);
             return self.register(context, connection);
@@ -219,7 +223,7 @@
         context.effects.push(Effect::Send { connection, payload: Payload::ToCore(message) });
     }
 
-    fn on_closed(&mut self, context: &mut StoreContext<'_>, connection: Connection) {
+    fn handle_closed(&mut self, context: &mut StoreContext<'_>, connection: Connection) {
         self.to_cores.retain(|_, open| *open != connection);
         let dialed = self.dialed.iter().find(|(_, open)| **open == connection).map(|(store, _)| *store);
         if let Some(store) = dialed {
@@ -239,10 +243,10 @@
         }
     }
 
-    fn on_payload(&mut self, context: &mut StoreContext<'_>, connection: Connection, payload: Payload) {
+    fn handle_payload(&mut self, context: &mut StoreContext<'_>, connection: Connection, payload: Payload) {
         let caller = self.inbound.get(&connection).copied();
         match (payload, caller) {
-            (Payload::FromCore(message), _) => self.on_core(context, connection, message),
+            (Payload::FromCore(message), _) => self.handle_core_message(context, connection, message),
             (Payload::Addressed { store }, None) if store == self.settings.id => {
                 self.inbound.insert(connection, Inbound::Caller);
             }
@@ -272,7 +276,12 @@
         }
     }
 
-    fn on_core(&mut self, context: &mut StoreContext<'_>, connection: Connection, message: FromCore) {
+    fn handle_core_message(
+        &mut self,
+        context: &mut StoreContext<'_>,
+        connection: Connection,
+        message: FromCore,
+    ) {
         match message {
             FromCore::Placement { placement } if placement.epoch > self.placement.epoch => {
                 self.reconcile_connections(context, &placement);
--- a/system/testing/simulation/src/world/processes.rs
+++ b/system/testing/simulation/src/world/processes.rs
@@ -240,7 +240,7 @@
         let stalled = clock.stalled;
         disk.finish(token);
         if let Some(process) = process {
-            process.persisted(&mut CoreContext { now, stalled, disk, effects: &mut effects }, token);
+            process.handle_persisted(&mut CoreContext { now, stalled, disk, effects: &mut effects }, token);
         }
         self.carry_out(machine_id, effects);
         self.arm(machine_id);
