--- a/coordination/checkpoint-store/src/simulated/crash_test.rs
+++ b/coordination/checkpoint-store/src/simulated/crash_test.rs
@@ -116,9 +116,13 @@
     /// Kills the process at each change of the workload. What the next process recovers must outlast every loss of
     /// power that follows, before and after a further sync.
     ///
+    /// Returns the number of kills.
+    ///
     /// # Panics
     /// The store recovered something else than the model allows.
-    pub fn kill_process_at_every_change(&self) {
+    #[must_use]
+    pub fn kill_process_at_every_change(&self) -> usize {
+        let mut kills = 0;
         for changes in 0.. {
             let folder = SimulatedFolder::new(0);
             let mut model = self.empty.clone();
@@ -133,7 +137,9 @@
             if !was_interrupted {
                 break;
             }
+            kills += 1;
         }
+        kills
     }
 
     /// Loses power with random outcomes early in the workload, and again in the recovery from that or soon after it.
--- a/coordination/segments/tests/power_loss.rs
+++ b/coordination/segments/tests/power_loss.rs
@@ -52,7 +52,8 @@
 
 #[test]
 fn what_is_recovered_from_a_killed_process_outlasts_a_later_power_loss() {
-    crash_test(&Model::default()).kill_process_at_every_change();
+    let kills = crash_test(&Model::default()).kill_process_at_every_change();
+    assert!(kills > 20, "{kills} kills tried");
 }
 
 #[test]
