--- a/system/runtime/node/src/core/event.rs
+++ b/system/runtime/node/src/core/event.rs
@@ -3,7 +3,7 @@
 use crate::core::messages::ToCorePort;
 use crate::core::operator::request::{OperatorRequest, OperatorResponse};
 use crate::listen::InboundEvent;
-use millrudder_discovery::{CallFailure, CallId, Page};
+use millrudder_discovery::CallResult;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use tokio::sync::oneshot;
@@ -30,7 +30,7 @@
         reply: oneshot::Sender<OperatorResponse>,
     },
     /// A call to the platform's list of workers has ended.
-    WorkerListCall(CallEvent),
+    WorkerListCall(CallResult),
     /// The settings are to be read again.
     Reload {
         /// The settings file.
@@ -42,21 +42,3 @@
         done: oneshot::Sender<()>,
     },
 }
-
-/// A call to the platform's list of workers has ended.
-pub enum CallEvent {
-    /// It was answered with a page of the list.
-    Answered {
-        /// The call.
-        call: CallId,
-        /// The page.
-        page: Page,
-    },
-    /// It was not answered, or not with a page.
-    Failed {
-        /// The call.
-        call: CallId,
-        /// Why.
-        failure: CallFailure,
-    },
-}
--- a/system/runtime/node/src/core/worker_list_reader.rs
+++ b/system/runtime/node/src/core/worker_list_reader.rs
@@ -3,14 +3,14 @@
 //! The decisions are those of a [`ListReader`]; this shell makes its calls over HTTP and turns the list into the form in
 //! which it is sent to dispatchers.
 
-use crate::core::event::{CallEvent, Event};
+use crate::core::event::Event;
 use http::header::RETRY_AFTER;
 use http::uri::PathAndQuery;
 use http::{HeaderMap, StatusCode};
 use millrudder_clock::Instant;
 use millrudder_discovery::{
-    difference, Call, CallFailure, Instance, InstanceState, ListReader, ListSnapshot, Page, PollSchedule,
-    ReaderInput, ReaderOutput,
+    difference, Call, CallFailure, CallResult, Instance, InstanceState, ListReader, ListSnapshot, Page,
+    PollSchedule, ReaderInput, ReaderOutput,
 };
 use millrudder_protocol::control::{WorkerEntry, WorkerList, WorkerState};
 use millrudder_protocol::Address;
@@ -102,12 +102,8 @@
     }
 
     /// A call has ended; returns the list, where it is complete and has changed.
-    pub fn handle_call(&mut self, now: Instant, event: CallEvent) -> Option<WorkerList> {
-        let input = match event {
-            CallEvent::Answered { call, page } => ReaderInput::Answered { call, page },
-            CallEvent::Failed { call, failure } => ReaderInput::Failed { call, failure },
-        };
-        let snapshot = self.handle(now, input)?;
+    pub fn handle_call(&mut self, now: Instant, ended: CallResult) -> Option<WorkerList> {
+        let snapshot = self.handle(now, ReaderInput::CallEnded(ended))?;
         let active = self.active.as_mut()?;
         let is_first = active.published.number == 0;
         let is_unchanged = difference(&active.read, &snapshot.list).is_empty();
@@ -146,11 +142,8 @@
         tokio::task::spawn_local(async move {
             let target = Target { address, max_connections: 1 };
             let fetched = client.fetch(target, path, MAX_PAGE_BYTES, CALL_TIMEOUT).await;
-            let event = match page(fetched) {
-                Ok(page) => CallEvent::Answered { call: id, page },
-                Err(failure) => CallEvent::Failed { call: id, failure },
-            };
-            drop(events.send(Event::WorkerListCall(event)));
+            let ended = CallResult { call: id, result: page(fetched) };
+            drop(events.send(Event::WorkerListCall(ended)));
         });
     }
 }
--- a/system/state/discovery/src/call.rs
+++ b/system/state/discovery/src/call.rs
@@ -1,6 +1,6 @@
 //! Calls of the platform's API.
 
-use crate::page::PageToken;
+use crate::page::{Page, PageToken};
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -41,6 +41,15 @@
     }
 }
 
+/// How a call ended.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CallResult {
+    /// The call.
+    pub call: CallId,
+    /// The page that it returned, or why it returned none.
+    pub result: Result<Page, CallFailure>,
+}
+
 /// Why a call returned no page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
--- a/system/state/discovery/src/lib.rs
+++ b/system/state/discovery/src/lib.rs
@@ -5,7 +5,7 @@
 //! asks for, and gets a [`ListSnapshot`] after each read; [`difference`] compares two lists.
 //!
 //! ```
-//! use millrudder_discovery::{CallFailure, ListReader, PollSchedule, Page, ReaderInput, ReaderOutput};
+//! use millrudder_discovery::{CallResult, ListReader, PollSchedule, Page, ReaderInput, ReaderOutput};
 //! use millrudder_clock::Instant;
 //! use std::time::Duration;
 //!
@@ -21,7 +21,7 @@
 //! assert_eq!(call.target(), "/instances");
 //!
 //! let page = Page::from_json(br#"{"instances": [], "nextToken": null}"#)?;
-//! let output = reader.handle(start, ReaderInput::Answered { call: call.id, page });
+//! let output = reader.handle(start, ReaderInput::CallEnded(CallResult { call: call.id, result: Ok(page) }));
 //! let Some(ReaderOutput::Complete(snapshot)) = output else { panic!("it was the last page") };
 //! assert!(snapshot.list.is_empty());
 //! assert_eq!(reader.next_deadline(), start + Duration::from_secs(1));
@@ -40,7 +40,7 @@
 mod reader;
 
 pub use address::WorkerAddress;
-pub use call::{Call, CallFailure, CallId};
+pub use call::{Call, CallFailure, CallId, CallResult};
 pub use difference::{difference, WorkerChange};
 pub use instance::{Instance, InstanceId, InstanceState, SoftwareVersion};
 pub use list::WorkerList;
--- a/system/state/discovery/src/reader.rs
+++ b/system/state/discovery/src/reader.rs
@@ -1,7 +1,7 @@
 //! State machine that polls the complete list, page by page.
 
 use crate::backoff::Backoff;
-use crate::call::{Call, CallFailure, CallId};
+use crate::call::{Call, CallFailure, CallId, CallResult};
 use crate::list::WorkerList;
 use crate::page::{Page, PageToken};
 use crate::poll_schedule::PollSchedule;
@@ -26,20 +26,8 @@
 pub enum ReaderInput {
     /// [`ListReader::next_deadline`] is reached. Earlier ticks are ignored.
     Tick,
-    /// A call returned a page.
-    Answered {
-        /// The call.
-        call: CallId,
-        /// The page.
-        page: Page,
-    },
-    /// A call failed.
-    Failed {
-        /// The call.
-        call: CallId,
-        /// Why.
-        failure: CallFailure,
-    },
+    /// A call has ended.
+    CallEnded(CallResult),
 }
 
 /// Outputs of the reader.
@@ -131,13 +119,12 @@
     pub fn handle(&mut self, now: Instant, input: ReaderInput) -> Option<ReaderOutput> {
         match input {
             ReaderInput::Tick => self.tick(now),
-            ReaderInput::Answered { call, page } => {
+            ReaderInput::CallEnded(CallResult { call, result }) => {
                 let read = self.take_read(call)?;
-                self.handle_page(now, read, page)
-            }
-            ReaderInput::Failed { call, failure } => {
-                self.take_read(call)?;
-                Some(self.handle_failure(now, failure))
+                match result {
+                    Ok(page) => self.handle_page(now, read, page),
+                    Err(failure) => Some(self.handle_failure(now, failure)),
+                }
             }
         }
     }
--- a/system/state/discovery/tests/reader.rs
+++ b/system/state/discovery/tests/reader.rs
@@ -4,8 +4,8 @@
 
 use millrudder_clock::Instant;
 use millrudder_discovery::{
-    AbandonReason, Call, CallFailure, CallId, Instance, ListReader, ListSnapshot, Page, PageToken,
-    PollSchedule, ReaderInput, ReaderOutput, WorkerList,
+    AbandonReason, Call, CallFailure, CallId, CallResult, Instance, ListReader, ListSnapshot, Page,
+    PageToken, PollSchedule, ReaderInput, ReaderOutput, WorkerList,
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -49,11 +49,11 @@
 }
 
 fn answer(reader: &mut ListReader, now: Instant, call: CallId, page: Page) -> Option<ReaderOutput> {
-    reader.handle(now, ReaderInput::Answered { call, page })
+    reader.handle(now, ReaderInput::CallEnded(CallResult { call, result: Ok(page) }))
 }
 
 fn fail(reader: &mut ListReader, now: Instant, call: CallId, failure: CallFailure) -> Option<ReaderOutput> {
-    reader.handle(now, ReaderInput::Failed { call, failure })
+    reader.handle(now, ReaderInput::CallEnded(CallResult { call, result: Err(failure) }))
 }
 
 #[test]
