--- a/system/state/intake/src/deadlines.rs
+++ b/system/state/intake/src/deadlines.rs
@@ -37,6 +37,11 @@
         self.by_time.first().map(|deadline| deadline.at)
     }
 
+    /// The call whose deadline is the next, if it is reached.
+    pub fn first_due(&self, now: Instant) -> Option<CallNumber> {
+        self.due(now).next()
+    }
+
     /// Calls whose deadline is reached, in the order of the deadlines.
     pub fn due(&self, now: Instant) -> impl Iterator<Item = CallNumber> + '_ {
         self.by_time.iter().take_while(move |deadline| deadline.at <= now).map(|deadline| deadline.call)
--- a/system/state/intake/src/queries.rs
+++ b/system/state/intake/src/queries.rs
@@ -105,15 +105,11 @@
 
     /// Advances all queries whose deadline is reached.
     pub fn handle_tick(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
-        while let Some(call) = self.next_due(now) {
+        while let Some(call) = self.deadlines.first_due(now) {
             self.ask_next(now, call, stores, outputs);
         }
     }
 
-    fn next_due(&self, now: Instant) -> Option<CallNumber> {
-        self.deadlines.due(now).next()
-    }
-
     /// Handles another placement: where it names other replicas, that the former ones do not know a message proves
     /// nothing.
     pub fn handle_placement(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
--- a/system/state/intake/src/submissions.rs
+++ b/system/state/intake/src/submissions.rs
@@ -128,15 +128,11 @@
 
     /// Advances all submissions whose deadline is reached.
     pub fn handle_tick(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
-        while let Some(call) = self.next_due(now) {
+        while let Some(call) = self.deadlines.first_due(now) {
             self.advance(now, call, stores, outputs);
         }
     }
 
-    fn next_due(&self, now: Instant) -> Option<CallNumber> {
-        self.deadlines.due(now).next()
-    }
-
     /// Messages that a store may have accepted without an answer yet, or whose withdrawal is not confirmed.
     pub fn in_doubt(&self, is_of_shard: impl Fn(ShardId) -> bool) -> Vec<MessageId> {
         let attempts = self.pending.values().flat_map(|pending| pending.attempts.values());
