--- a/system/state/queue/src/node/accept.rs
+++ b/system/state/queue/src/node/accept.rs
@@ -48,7 +48,7 @@
             self.grant_at_accept(id, dispatcher);
         }
         self.mark_full_state_changed(id);
-        self.when_durable(id, Effect::Accepted { connection, request });
+        self.when_durable(id, Effect::AcknowledgeAccept { connection, request });
         match self.lease_of(id) {
             None => self.when_durable(id, Effect::Schedule),
             Some(lease) if lease.dispatcher != dispatcher => {
@@ -109,7 +109,7 @@
         if let Some(primary) = entry.primary.as_mut() {
             primary.set_accepted_by(Acceptor { dispatcher, at: now });
         }
-        self.when_durable(id, Effect::Accepted { connection, request });
+        self.when_durable(id, Effect::AcknowledgeAccept { connection, request });
     }
 
     /// The message is durable: its dispatcher is told so, and of its lease if it has one.
@@ -159,7 +159,7 @@
                 }
             }
         }
-        self.when_durable(id, Effect::Withdrawn { connection });
+        self.when_durable(id, Effect::AcknowledgeWithdrawal { connection });
     }
 
     /// Ends a message that is not to run, at whatever stage it is.
--- a/system/state/queue/src/node/attempts.rs
+++ b/system/state/queue/src/node/attempts.rs
@@ -63,7 +63,7 @@
                 return;
             }
         }
-        self.when_durable(id, Effect::Recorded { connection, token });
+        self.when_durable(id, Effect::AcknowledgeOutcome { connection, token });
     }
 
     /// A lease is over without an outcome that counts; the message waits so long at least.
@@ -182,14 +182,16 @@
     /// A version is durable: applies an effect that waited for it.
     pub(super) fn apply_effect(&mut self, id: MessageId, effect: Effect) {
         match effect {
-            Effect::Accepted { connection, request } => self.acknowledge_accept(connection, request, id),
+            Effect::AcknowledgeAccept { connection, request } => {
+                self.acknowledge_accept(connection, request, id)
+            }
             Effect::Schedule | Effect::Retry => self.schedule_persisted(id),
             Effect::Deliver { token } => self.deliver(id, token),
-            Effect::Recorded { connection, token } => {
+            Effect::AcknowledgeOutcome { connection, token } => {
                 self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token })
             }
-            Effect::Ended => self.handle_end_durable(id),
-            Effect::Withdrawn { connection } => {
+            Effect::ContinueAfterEnd => self.handle_end_durable(id),
+            Effect::AcknowledgeWithdrawal { connection } => {
                 self.send_to_dispatcher(connection, ToDispatcher::Withdrawn { id })
             }
         }
@@ -207,7 +209,7 @@
         self.unschedule(id, Stage::Ended);
         self.remember_order_key(id);
         self.apply_record(id, Record::Ended { id, end });
-        self.when_durable(id, Effect::Ended);
+        self.when_durable(id, Effect::ContinueAfterEnd);
         self.set_expiry(id);
     }
 
--- a/system/state/queue/src/node/callbacks.rs
+++ b/system/state/queue/src/node/callbacks.rs
@@ -125,7 +125,7 @@
             self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
             return;
         }
-        self.when_durable(id, Effect::Recorded { connection, token });
+        self.when_durable(id, Effect::AcknowledgeOutcome { connection, token });
     }
 
     fn complete_callback(&mut self, id: MessageId) {
--- a/system/state/queue/src/node/takeover.rs
+++ b/system/state/queue/src/node/takeover.rs
@@ -279,7 +279,7 @@
             return;
         }
         primary.set_stage(Stage::Ended);
-        if primary.defer_until_durable(Effect::Ended).is_some() {
+        if primary.defer_until_durable(Effect::ContinueAfterEnd).is_some() {
             self.enqueue_callback(id);
         }
     }
--- a/system/state/queue/src/primary_entry.rs
+++ b/system/state/queue/src/primary_entry.rs
@@ -29,19 +29,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
     /// Tell the dispatcher that the message is accepted.
-    Accepted { connection: ConnectionId, request: RequestNumber },
+    AcknowledgeAccept { connection: ConnectionId, request: RequestNumber },
     /// A message that was accepted without a lease may be scheduled.
     Schedule,
     /// The grant under this token may be used.
     Deliver { token: LeaseToken },
     /// Tell the dispatcher that the lease's outcome is durable.
-    Recorded { connection: ConnectionId, token: LeaseToken },
+    AcknowledgeOutcome { connection: ConnectionId, token: LeaseToken },
     /// The failed attempt is counted: the next one may be scheduled.
     Retry,
     /// The message's end is durable: the next one of its key, and its call-back, may follow.
-    Ended,
+    ContinueAfterEnd,
     /// Tell the dispatcher that the message does not run.
-    Withdrawn { connection: ConnectionId },
+    AcknowledgeWithdrawal { connection: ConnectionId },
 }
 
 /// An effect and the version it waits for.
