--- a/system/runtime/node/src/clock.rs
+++ b/system/runtime/node/src/clock.rs
@@ -29,8 +29,8 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    /// The present reading, cut to whole microseconds, for the core node.
-    pub fn micros(&self) -> Instant {
+    /// The present reading, cut to whole microseconds: the core node's leases and proofs of contact are counted in these.
+    pub fn precise_now(&self) -> Instant {
         Instant::from_micros(self.start.elapsed().as_micros() as u64)
     }
 
--- a/system/runtime/node/src/core/host/barrier.rs
+++ b/system/runtime/node/src/core/host/barrier.rs
@@ -14,7 +14,7 @@
 impl CoreHost {
     /// Lets the barrier act on the time, where that is due.
     pub(super) fn poll_barrier(&mut self) {
-        let has_quorum = self.node.has_quorum_contact(self.clock.micros());
+        let has_quorum = self.node.has_quorum_contact(self.clock.precise_now());
         if self.barrier.is_due(self.clock.now(), has_quorum) {
             self.handle_barrier(BarrierInput::Tick);
         }
@@ -24,7 +24,7 @@
     pub(super) fn handle_barrier(&mut self, input: BarrierInput) {
         let mut outputs = Vec::new();
         let now = self.clock.now();
-        let has_quorum = self.node.has_quorum_contact(self.clock.micros());
+        let has_quorum = self.node.has_quorum_contact(self.clock.precise_now());
         self.barrier.handle(now, has_quorum, input, &mut outputs);
         self.log_confirmation(self.barrier.has_quorum(now));
         for output in outputs {
@@ -56,13 +56,13 @@
     fn start_confirming_read(&mut self, number: ReadNumber) {
         let request_id = self.operator_requests.draw_request_id();
         self.confirming_read = Some(ConfirmingRead { request_id, number });
-        self.node.handle(self.clock.micros(), Input::Read { request_id });
+        self.node.handle(self.clock.precise_now(), Input::Read { request_id });
     }
 
     fn abandon_confirming_read(&mut self, number: ReadNumber) {
         if let Some(read) = self.confirming_read.take_if(|read| read.number == number) {
             let request_id = read.request_id;
-            self.node.handle(self.clock.micros(), Input::Abandon { request_id });
+            self.node.handle(self.clock.precise_now(), Input::Abandon { request_id });
         }
     }
 
@@ -121,7 +121,7 @@
 
     /// Adopts a list of workers that this machine has read, and sends it to the other core machines.
     pub(super) fn adopt_own_list(&mut self, list: WorkerList) {
-        let lease = self.node.holds(self.clock.micros(), &controller::role()).map(|fencing| fencing.0);
+        let lease = self.node.holds(self.clock.precise_now(), &controller::role()).map(|fencing| fencing.0);
         if self.workers.adopt_own(&list, lease) {
             self.peers.send_all(&ToCorePort::Workers { list });
             self.publish_state();
--- a/system/runtime/node/src/core/host/inbound.rs
+++ b/system/runtime/node/src/core/host/inbound.rs
@@ -53,7 +53,7 @@
     fn handle_core_message(&mut self, connection: ConnectionId, to: NodeId, message: CoreMessage) {
         let from = self.directory.peer_on(connection).filter(|_| to == self.node.id());
         if let Some(from) = from {
-            self.node.handle(self.clock.micros(), Input::Message { from, message });
+            self.node.handle(self.clock.precise_now(), Input::Message { from, message });
         }
     }
 
@@ -65,7 +65,7 @@
         self.directory.introduce(connection, id, address);
         self.peers.connect(address);
         let seen = Input::PeerSeen { id, address: text.to_owned() };
-        self.node.handle(self.clock.micros(), seen);
+        self.node.handle(self.clock.precise_now(), seen);
         self.registrants.send_all(&self.core_addresses());
     }
 
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -191,7 +191,7 @@
 
     fn tick(&mut self) {
         self.check_clocks();
-        self.node.handle(self.clock.micros(), Input::Tick);
+        self.node.handle(self.clock.precise_now(), Input::Tick);
         self.handle_placement(PlacementInput::Tick);
         let now = self.clock.now();
         self.reader.tick(now);
@@ -202,7 +202,7 @@
         self.check_clocks();
         match report {
             JournalReport::Persisted { token } => {
-                self.node.handle(self.clock.micros(), Input::Persisted { token });
+                self.node.handle(self.clock.precise_now(), Input::Persisted { token });
                 Ok(())
             }
             JournalReport::Failed { error } => Err(error.into()),
@@ -213,7 +213,7 @@
     fn check_clocks(&mut self) {
         if self.clock_stalls.detect_stall(self.clock.now(), time_of_day()) {
             log::warn!("clock stall detected, giving up leases and quorum contact");
-            self.node.handle(self.clock.micros(), Input::ClockStalled);
+            self.node.handle(self.clock.precise_now(), Input::ClockStalled);
             self.handle_barrier(BarrierInput::ClockStalled);
             self.carry_out_all();
         }
@@ -247,12 +247,12 @@
     fn leave(&mut self, done: oneshot::Sender<()>) {
         self.leaving = Some(done);
         self.handle_barrier(BarrierInput::ShuttingDown);
-        self.node.handle(self.clock.micros(), Input::Leave);
+        self.node.handle(self.clock.precise_now(), Input::Leave);
     }
 
     /// Reports once the core can do without this machine, after it was asked to stop.
     fn poll_departure(&mut self) {
-        if self.leaving.is_some() && self.node.can_leave(self.clock.micros()) {
+        if self.leaving.is_some() && self.node.can_leave(self.clock.precise_now()) {
             self.leaving.take().map(|done| done.send(()));
         }
     }
--- a/system/runtime/node/src/core/host/operator.rs
+++ b/system/runtime/node/src/core/host/operator.rs
@@ -23,7 +23,7 @@
     ) {
         let is_serving = self.barrier.accepts_requests(self.clock.now());
         let step = self.operator_requests.accept(request, reply, is_serving);
-        let now = self.clock.micros();
+        let now = self.clock.precise_now();
         match step {
             NextStep::Done => {}
             NextStep::Submit { request_id, command } => {
@@ -41,7 +41,7 @@
         }
         self.swept_at = now;
         for request_id in self.operator_requests.take_abandoned() {
-            self.node.handle(self.clock.micros(), Input::Abandon { request_id });
+            self.node.handle(self.clock.precise_now(), Input::Abandon { request_id });
         }
     }
 
--- a/system/runtime/node/src/core/host/outputs.rs
+++ b/system/runtime/node/src/core/host/outputs.rs
@@ -39,7 +39,7 @@
             log::info!(epoch = placement.epoch.0; "placement proposed");
             let request_id = self.operator_requests.draw_request_id();
             let command = Command::SetPlacement { placement };
-            self.node.handle(self.clock.micros(), Input::Submit { request_id, command });
+            self.node.handle(self.clock.precise_now(), Input::Submit { request_id, command });
         }
     }
 
--- a/system/runtime/node/src/core/host/retirements.rs
+++ b/system/runtime/node/src/core/host/retirements.rs
@@ -23,7 +23,7 @@
             healthy_machines: well,
         };
         let command = Command::Retire { request };
-        self.node.handle(self.clock.micros(), Input::Submit { request_id, command });
+        self.node.handle(self.clock.precise_now(), Input::Submit { request_id, command });
     }
 
     /// Core processes on a retiring machine: those that were there when the retirement was agreed on, and those that have
@@ -52,7 +52,7 @@
         }
         let machines = Vec::from_iter(names.iter().map(String::as_str)).join(" ");
         log::info!(machines:%; "retirements changed");
-        self.node.handle(self.clock.micros(), Input::Decommission { ids });
+        self.node.handle(self.clock.precise_now(), Input::Decommission { ids });
         self.handle_placement(PlacementInput::Retiring(names));
     }
 
@@ -73,7 +73,7 @@
         if state.retiring_core_members(name).is_none() {
             return OperatorResponse::UnknownMachine;
         }
-        let now = self.clock.micros();
+        let now = self.clock.precise_now();
         let has_shards = state.placement().stores.iter().any(|store| store.name == name);
         let is_needed = self.core_processes_on(name).into_iter().any(|id| !self.node.is_dispensable(now, id));
         let progress = match has_shards || is_needed {
