--- a/system/runtime/node/src/core/event.rs
+++ b/system/runtime/node/src/core/event.rs
@@ -37,7 +37,7 @@
         file: PathBuf,
     },
     /// The process is asked to stop.
-    Leaving {
+    ShutdownRequested {
         /// Is sent to once the core can do without this machine.
         done: oneshot::Sender<()>,
     },
--- a/system/runtime/node/src/core/host/mod.rs
+++ b/system/runtime/node/src/core/host/mod.rs
@@ -88,7 +88,7 @@
     is_confirmed: bool,
     seeds: Arc<ArcSwap<Vec<SocketAddr>>>,
     /// Set once the process is asked to stop; sent to when it may end.
-    leaving: Option<oneshot::Sender<()>>,
+    shutdown: Option<oneshot::Sender<()>>,
 }
 
 impl CoreHost {
@@ -122,7 +122,7 @@
             confirming_read: None,
             is_confirmed: false,
             seeds: Arc::new(ArcSwap::from_pointee(settings.seeds)),
-            leaving: None,
+            shutdown: None,
             node,
         }
     }
@@ -232,7 +232,7 @@
                 }
             }
             Event::Reload { file } => self.reload(&file),
-            Event::Leaving { done } => self.leave(done),
+            Event::ShutdownRequested { done } => self.begin_shutdown(done),
         }
     }
 
@@ -244,16 +244,16 @@
         self.handle_barrier(BarrierInput::PeerOpened);
     }
 
-    fn leave(&mut self, done: oneshot::Sender<()>) {
-        self.leaving = Some(done);
+    fn begin_shutdown(&mut self, done: oneshot::Sender<()>) {
+        self.shutdown = Some(done);
         self.handle_barrier(BarrierInput::ShuttingDown);
         self.node.handle(self.clock.precise_now(), Input::Leave);
     }
 
     /// Reports once the core can do without this machine, after it was asked to stop.
     fn poll_departure(&mut self) {
-        if self.leaving.is_some() && self.node.can_leave(self.clock.precise_now()) {
-            self.leaving.take().map(|done| done.send(()));
+        if self.shutdown.is_some() && self.node.can_leave(self.clock.precise_now()) {
+            self.shutdown.take().map(|done| done.send(()));
         }
     }
 }
--- a/system/runtime/node/src/core/mod.rs
+++ b/system/runtime/node/src/core/mod.rs
@@ -83,7 +83,7 @@
         log::info!("shutting down, leaving the core");
         let longest = grace.saturating_sub(STOP_MARGIN);
         let (done, departure) = oneshot::channel();
-        drop(events.send(Event::Leaving { done }));
+        drop(events.send(Event::ShutdownRequested { done }));
         let finish_within = OPERATOR_DRAIN_TIMEOUT.min(longest);
         stop.begin(StopPlan { accept_for: Duration::ZERO, finish_within });
         let (_, departure) = tokio::join!(server, timeout(longest, departure));
--- a/system/runtime/node/src/edge/event.rs
+++ b/system/runtime/node/src/edge/event.rs
@@ -57,5 +57,5 @@
         file: PathBuf,
     },
     /// The process is asked to stop: nothing new is to be delivered.
-    Leaving,
+    ShutdownRequested,
 }
--- a/system/runtime/node/src/edge/host/mod.rs
+++ b/system/runtime/node/src/edge/host/mod.rs
@@ -55,7 +55,7 @@
     control: ControlReplica,
     placement: Placement,
     configuration: SharedConfiguration,
-    is_leaving: bool,
+    is_shutting_down: bool,
     readiness: Readiness,
 }
 
@@ -94,7 +94,7 @@
             ping_at: Instant::ORIGIN,
             placement: Placement::default(),
             configuration,
-            is_leaving: false,
+            is_shutting_down: false,
             readiness: Readiness::default(),
             name,
             zone,
@@ -162,7 +162,7 @@
         let has_state = self.configuration.active.load().is_some() && self.control.was_confirmed();
         let can_accept = has_state && self.stores.any_open();
         let is_idle = self.delivery.idle() && !self.clients.has_submissions();
-        self.readiness.update(can_accept && !self.is_leaving, is_idle);
+        self.readiness.update(can_accept && !self.is_shutting_down, is_idle);
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -182,8 +182,8 @@
                 self.handle_delivery(delivery::Input::CallBackResult { attempt, result });
             }
             Event::Reload { file } => self.control.reload(&file),
-            Event::Leaving => {
-                self.is_leaving = true;
+            Event::ShutdownRequested => {
+                self.is_shutting_down = true;
                 self.stores.send_all(&FromDispatcher::ShuttingDown);
                 self.handle_delivery(delivery::Input::Leaving);
             }
--- a/system/runtime/node/src/edge/host/stores.rs
+++ b/system/runtime/node/src/edge/host/stores.rs
@@ -43,7 +43,7 @@
         self.stores.send(store, hello);
         let credits = self.delivery.credits();
         self.stores.send(store, FromDispatcher::Credits { credits });
-        if self.is_leaving {
+        if self.is_shutting_down {
             self.stores.send(store, FromDispatcher::ShuttingDown);
         }
     }
--- a/system/runtime/node/src/edge/mod.rs
+++ b/system/runtime/node/src/edge/mod.rs
@@ -77,7 +77,7 @@
         let finish_within = grace.saturating_sub(STOP_MARGIN);
         let deadline = Instant::now() + finish_within;
         stop.begin(StopPlan { accept_for: ACCEPT_WHILE_STOPPING.min(finish_within), finish_within });
-        drop(events.send(Event::Leaving));
+        drop(events.send(Event::ShutdownRequested));
         let _ = server.await;
         wait_until_idle(&readiness, deadline).await;
     };
--- a/system/runtime/node/src/storage/event.rs
+++ b/system/runtime/node/src/storage/event.rs
@@ -26,5 +26,5 @@
         file: PathBuf,
     },
     /// The process is asked to stop: shards are to go to other stores.
-    Leaving,
+    ShutdownRequested,
 }
--- a/system/runtime/node/src/storage/host/mod.rs
+++ b/system/runtime/node/src/storage/host/mod.rs
@@ -196,8 +196,8 @@
             Event::StoreLink { store, event } => self.handle_store_link(store, event),
             Event::Core(message) => self.handle_core(message),
             Event::Reload { file } => self.control.reload(&file),
-            Event::Leaving => {
-                self.handle(Input::Leaving);
+            Event::ShutdownRequested => {
+                self.handle(Input::ShutdownRequested);
                 self.request_heartbeat();
             }
         }
--- a/system/runtime/node/src/storage/mod.rs
+++ b/system/runtime/node/src/storage/mod.rs
@@ -60,7 +60,7 @@
     let stopped = async {
         signals.wait_for_stop(|| drop(events.send(Event::Reload { file: file.clone() }))).await;
         log::info!("shutting down, handing shards over to other stores");
-        drop(events.send(Event::Leaving));
+        drop(events.send(Event::ShutdownRequested));
         let deadline = Instant::now() + grace.saturating_sub(STOP_MARGIN);
         while !drain.is_drained() && Instant::now() < deadline {
             sleep(DRAIN_POLL_INTERVAL).await;
--- a/system/state/queue/src/api.rs
+++ b/system/state/queue/src/api.rs
@@ -85,7 +85,7 @@
     /// The disk failed: nothing is acknowledged or served from now on.
     DiskFailed,
     /// The process received SIGTERM: it serves on until the placement gives its shards to others.
-    Leaving,
+    ShutdownRequested,
     /// Nothing but that time has passed.
     Tick,
 }
--- a/system/state/queue/src/dispatchers.rs
+++ b/system/state/queue/src/dispatchers.rs
@@ -46,7 +46,7 @@
     /// From this store.
     distance: Distance,
     /// It stops; nothing more is granted to it.
-    leaving: bool,
+    is_shutting_down: bool,
     last_message_at: Instant,
     /// Placement in force at its last `Hello`.
     epoch: Epoch,
@@ -64,7 +64,7 @@
         Incarnation {
             connection: None,
             distance: Distance::default(),
-            leaving: false,
+            is_shutting_down: false,
             last_message_at: now,
             epoch: Epoch::default(),
             announced_leases: BTreeMap::new(),
@@ -168,13 +168,13 @@
     }
 
     /// It stops: nothing more is granted to it.
-    pub fn set_leaving(&mut self) {
-        self.leaving = true;
+    pub fn set_shutting_down(&mut self) {
+        self.is_shutting_down = true;
     }
 
     /// Something may be granted to it.
     pub fn is_open(&self) -> bool {
-        self.connection.is_some() && !self.leaving
+        self.connection.is_some() && !self.is_shutting_down
     }
 
     /// Leases that were not confirmed in time.
--- a/system/state/queue/src/node/connections.rs
+++ b/system/state/queue/src/node/connections.rs
@@ -146,10 +146,10 @@
     }
 
     /// A dispatcher stops: nothing more is granted to it, and it keeps its leases.
-    pub(super) fn handle_dispatcher_leaving(&mut self, connection: ConnectionId) {
+    pub(super) fn handle_dispatcher_shutdown(&mut self, connection: ConnectionId) {
         let Some(dispatcher) = self.dispatchers.of(connection) else { return };
         if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
-            incarnation.set_leaving();
+            incarnation.set_shutting_down();
         }
         self.close_credits(dispatcher);
     }
--- a/system/state/queue/src/node/mod.rs
+++ b/system/state/queue/src/node/mod.rs
@@ -58,7 +58,7 @@
     callbacks: Callbacks,
     watchdog: Watchdog,
     /// The process is to stop: it serves on until the placement gives its shards to others.
-    is_leaving: bool,
+    is_shutting_down: bool,
 }
 
 impl StoreNode {
@@ -81,7 +81,7 @@
             dispatchers: Dispatchers::default(),
             callbacks: Callbacks::default(),
             watchdog: Watchdog::default(),
-            is_leaving: false,
+            is_shutting_down: false,
         };
         node.recover(recovered);
         node.set_scrub_timer();
@@ -128,7 +128,7 @@
             Input::StoreClosed { store } => self.handle_store_closed(store),
             Input::Synced { ticket } => self.handle_local_synced(ticket),
             Input::DiskFailed => self.handle_disk_failed(),
-            Input::Leaving => self.is_leaving = true,
+            Input::ShutdownRequested => self.is_shutting_down = true,
             Input::Tick => {}
         }
     }
@@ -183,7 +183,7 @@
             FromDispatcher::Query { request, id, with_body: body } => {
                 self.handle_query(connection, request, id, body)
             }
-            FromDispatcher::ShuttingDown => self.handle_dispatcher_leaving(connection),
+            FromDispatcher::ShuttingDown => self.handle_dispatcher_shutdown(connection),
             FromDispatcher::Ping => self.send_to_dispatcher(connection, ToDispatcher::Pong),
             FromDispatcher::Barrier { number } => {
                 self.send_to_dispatcher(connection, ToDispatcher::BarrierReached { number })
@@ -255,7 +255,7 @@
             oldest_unsynced_ms: wire_millis(self.replication.oldest_unsynced(now)),
             disk_bytes: self.table.bytes(),
             live_messages: self.table.live(),
-            is_shutting_down: self.is_leaving,
+            is_shutting_down: self.is_shutting_down,
             primary_shards: u32::try_from(serving).unwrap_or(u32::MAX),
         }
     }
--- a/system/state/queue/tests/cluster/faults.rs
+++ b/system/state/queue/tests/cluster/faults.rs
@@ -141,7 +141,7 @@
     /// A store is stopped as planned: it serves until its shards are elsewhere, then its process ends and starts again.
     pub fn roll(&mut self, store: usize, serves_ms: u64, down_ms: u64) {
         self.stores[store].leaving = true;
-        self.input(store, Input::Leaving);
+        self.input(store, Input::ShutdownRequested);
         self.run_until(self.now_ms + serves_ms);
         self.lose_store(store, down_ms, false, false);
         self.run_until(self.now_ms + down_ms);
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -166,7 +166,7 @@
             }
             ProcessInput::Tick => {}
             ProcessInput::ShutdownRequested => {
-                self.feed_node(context, Input::Leaving);
+                self.feed_node(context, Input::ShutdownRequested);
                 self.heartbeat_at = Instant::ORIGIN;
             }
             ProcessInput::OperatorCall { .. } => {}
