--- a/system/runtime/node/src/edge/front/mod.rs
+++ b/system/runtime/node/src/edge/front/mod.rs
@@ -16,6 +16,7 @@
 use query::MessageQuery;
 use response::{problem, problem_for_now};
 use std::sync::Arc;
+use std::time::Duration;
 use submission::ClientMessage;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -59,10 +60,9 @@
     let answer = if sent.is_ok() { answer.await.ok() } else { None };
     match answer {
         Some(SubmissionResult::Accepted { id }) => accepted(id),
-        Some(SubmissionResult::Rejected { retry_after_ms }) => {
-            let seconds = retry_after_ms.div_ceil(1000).max(1);
+        Some(SubmissionResult::Rejected { retry_after }) => {
             problem(StatusCode::SERVICE_UNAVAILABLE, "no store can take the message now; it will not run")
-                .with_header(RETRY_AFTER, HeaderValue::from(seconds))
+                .with_header(RETRY_AFTER, HeaderValue::from(whole_seconds(retry_after)))
         }
         Some(SubmissionResult::InDoubt) | None => {
             problem(StatusCode::GATEWAY_TIMEOUT, "the message may have been kept; nothing is promised")
@@ -70,6 +70,12 @@
     }
 }
 
+/// A value of `Retry-After` (RFC 9110, section 10.2.3) that does not end before `retry_after`, and is not zero.
+fn whole_seconds(retry_after: Duration) -> u64 {
+    let has_rest = retry_after.subsec_nanos() > 0;
+    (retry_after.as_secs() + u64::from(has_rest)).max(1)
+}
+
 fn accepted(id: MessageId) -> Response {
     let name = HeaderValue::from_str(&id.to_string());
     let response = Response::empty(StatusCode::ACCEPTED);
@@ -78,3 +84,6 @@
         Err(_) => response,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/system/state/intake/src/interface.rs
+++ b/system/state/intake/src/interface.rs
@@ -5,6 +5,7 @@
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::store::{FromDispatcher, ToDispatcher};
 use millrudder_protocol::{LeaseToken, MessageId, StoreId};
+use std::time::Duration;
 
 /// Number that the embedder gives a client's request; never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -40,8 +41,8 @@
     },
     /// No store has the message or will have it: it never runs.
     Rejected {
-        /// When the client may try again, in milliseconds.
-        retry_after_ms: u32,
+        /// When the client may try again.
+        retry_after: Duration,
     },
     /// A store may have the message; it is being withdrawn, but may have run.
     InDoubt,
--- a/system/state/intake/src/submissions.rs
+++ b/system/state/intake/src/submissions.rs
@@ -18,8 +18,8 @@
 
 /// Delay before the shard's primary is asked again, where it was not ready.
 const RETRY_DELAY: Duration = Duration::from_millis(15);
-/// Retry-After of clients where no store can accept their message, in milliseconds.
-const RETRY_AFTER_MS: u32 = 300;
+/// Retry-After of clients where no store can accept their message.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// An attempt that may have left the message at a store.
 struct Attempt {
@@ -221,7 +221,8 @@
         pending.attempts.remove(&request);
         match reason {
             AcceptRejection::Full { retry_after_ms } if pending.fixed_id.is_some() => {
-                self.end_unaccepted(call, retry_after_ms, stores, outputs);
+                let retry_after = Duration::from_millis(u64::from(retry_after_ms));
+                self.end_unaccepted(call, retry_after, stores, outputs);
             }
             // The same primary may be ready a moment later.
             AcceptRejection::NotPrimary { .. } if pending.fixed_id.is_some() => {
@@ -248,7 +249,7 @@
         let Some(pending) = self.pending.get(&call) else { return };
         let deadline = pending.submission.deadline;
         if now >= deadline {
-            self.end_unaccepted(call, RETRY_AFTER_MS, stores, outputs);
+            self.end_unaccepted(call, RETRY_AFTER, stores, outputs);
             return;
         }
         if let Some(sent_at) = pending.last_in_time(now, timeout) {
@@ -267,7 +268,7 @@
         // A new placement or an opened connection advances it before.
         match pending.fixed_id.and_then(|id| stores.await_next_primary(now, id.shard, deadline)) {
             Some(until) => self.deadlines.set(call, until),
-            None => self.end_unaccepted(call, RETRY_AFTER_MS, stores, outputs),
+            None => self.end_unaccepted(call, RETRY_AFTER, stores, outputs),
         }
     }
 
@@ -317,13 +318,13 @@
     fn end_unaccepted(
         &mut self,
         call: CallNumber,
-        retry_after_ms: u32,
+        retry_after: Duration,
         stores: &StoreDirectory,
         outputs: &mut Vec<Output>,
     ) {
         let Some(ended) = self.remove(call) else { return };
         let result = if ended.attempts.is_empty() {
-            SubmissionResult::Rejected { retry_after_ms }
+            SubmissionResult::Rejected { retry_after }
         } else {
             SubmissionResult::InDoubt
         };
--- a/system/state/intake/tests/intake.rs
+++ b/system/state/intake/tests/intake.rs
@@ -8,6 +8,7 @@
 use millrudder_protocol::placement::{Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::store::{AcceptRejection, FromDispatcher, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{Address, Epoch, LeaseToken, MessageId, RequestNumber, ShardId, StoreId};
+use std::time::Duration;
 
 const HERE: StoreId = StoreId(1);
 const THERE: StoreId = StoreId(2);
@@ -280,7 +281,8 @@
     let (store, request, _) = accept_request(&test.submit(TargetShard::ByName("key".into()))).unwrap();
     let reason = AcceptRejection::Full { retry_after_ms: 2500 };
     let outputs = test.receive(5, store, ToDispatcher::Rejected { request, reason });
-    assert_eq!(submission_result(&outputs), Some(SubmissionResult::Rejected { retry_after_ms: 2500 }));
+    let retry_after = Duration::from_millis(2500);
+    assert_eq!(submission_result(&outputs), Some(SubmissionResult::Rejected { retry_after }));
 }
 
 #[test]
