--- a/system/runtime/node/src/storage/catch_up.rs
+++ b/system/runtime/node/src/storage/catch_up.rs
@@ -1,4 +1,4 @@
-//! Reports to the core of shards that this store has been filled with.
+//! Reports to the core of shards that this store has caught up with as a learner.
 
 use millrudder_clock::Instant;
 use millrudder_protocol::control::CaughtUpShard;
@@ -20,17 +20,18 @@
 
 impl CatchUpReports {
     /// A shard's primary says that this store lacks nothing of it; that is to be reported at once.
-    pub fn add(&mut self, filled: CaughtUpShard) {
-        self.shards.insert(filled);
+    pub fn add(&mut self, shard: CaughtUpShard) {
+        self.shards.insert(shard);
         self.due_at = Instant::ORIGIN;
     }
 
     /// Forgets all shards but those that `store` still learns by this placement or by a later one.
     pub fn follow(&mut self, placement: &Placement, store: StoreId) {
-        self.shards.retain(|filled| {
-            let change = placement.shard(filled.shard).and_then(|entry| entry.change);
-            let learns = change.is_some_and(|change| change.joins == store && change.epoch == filled.change);
-            learns || filled.change > placement.epoch
+        self.shards.retain(|caught_up| {
+            let change = placement.shard(caught_up.shard).and_then(|entry| entry.change);
+            let learns =
+                change.is_some_and(|change| change.joins == store && change.epoch == caught_up.change);
+            learns || caught_up.change > placement.epoch
         });
     }
 
--- a/system/runtime/node/src/storage/host/control.rs
+++ b/system/runtime/node/src/storage/host/control.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Shards in which another store is being filled to replace `store`.
+/// Shards in which another store catches up to replace `store`.
 fn shards_handed_over(placement: &Placement, store: StoreId) -> u32 {
     let leaves = |shard: &&ShardEntry| shard.change.is_some_and(|change| change.leaves == Some(store));
     u32::try_from(placement.shards.iter().filter(leaves).count()).unwrap_or(u32::MAX)
--- a/system/runtime/node/src/storage/host/mod.rs
+++ b/system/runtime/node/src/storage/host/mod.rs
@@ -66,7 +66,7 @@
     catch_up: CatchUpReports,
     heartbeat_at: Instant,
     drain: DrainProgress,
-    /// Shards in which another store is being filled to replace this one.
+    /// Shards in which another store catches up to replace this one.
     handing_over: u32,
     /// The disk has no space for new messages.
     is_disk_full: bool,
@@ -228,8 +228,8 @@
             Output::ToDispatcher { connection, message } => self.send_to_dispatcher(connection, &message),
             Output::ToStore { store, message } => self.links.send(store, message),
             Output::CloseDispatcher { connection } => self.close_connection(connection),
-            Output::CaughtUp { filled } => {
-                self.catch_up.add(filled);
+            Output::CaughtUp { shard } => {
+                self.catch_up.add(shard);
                 self.request_heartbeat();
             }
             Output::Orphaned { id, cause } => {
--- a/system/runtime/node/src/storage/mod.rs
+++ b/system/runtime/node/src/storage/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! **State.** A store owns the replicas of the shards that the placement gives it: messages, their leases and their ends.
 //! What must outlast a crash is durable in its record log ([`disk`]), as is the store's identity, which belongs to the disk
-//! and not to the machine. Connections, the replica of the control state and the shards that it is being filled with are
+//! and not to the machine. Connections, the replica of the control state and the shards that it learns are
 //! kept in memory only.
 //!
 //! **Order.** Nothing is acknowledged to a dispatcher or another store before the records that it rests on are reported as
--- a/system/state/protocol/src/control.rs
+++ b/system/state/protocol/src/control.rs
@@ -50,7 +50,7 @@
 pub struct CaughtUpShard {
     /// The shard.
     pub shard: ShardId,
-    /// Epoch that identifies the membership change in which the learner was filled.
+    /// Epoch that identifies the membership change in which the learner caught up.
     pub change: Epoch,
 }
 
--- a/system/state/protocol/src/placement.rs
+++ b/system/state/protocol/src/placement.rs
@@ -38,7 +38,7 @@
 /// the store that joins may become a replica, or not, at any time without losing what was acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct MemberChange {
-    /// The learner: it gets every write and is filled with what was written before.
+    /// The learner: it gets every write, and what was written before.
     pub joins: StoreId,
     /// The replica that it replaces; absent where it is one more.
     pub leaves: Option<StoreId>,
@@ -163,7 +163,7 @@
         replicas
     }
 
-    /// The store that is being filled.
+    /// The learner of the change in progress.
     pub fn learner(&self) -> Option<StoreId> {
         self.change.map(|change| change.joins)
     }
--- a/system/state/queue/src/api.rs
+++ b/system/state/queue/src/api.rs
@@ -139,7 +139,7 @@
     /// This store has all that the shard's replicas have: the core may count it as a replica.
     CaughtUp {
         /// The shard and the change of members that made this store its learner.
-        filled: CaughtUpShard,
+        shard: CaughtUpShard,
     },
     /// A message was orphaned and is scheduled again: to be counted and logged.
     Orphaned {
--- a/system/state/queue/src/node/mod.rs
+++ b/system/state/queue/src/node/mod.rs
@@ -207,7 +207,9 @@
             BetweenStores::Scrubbed { shard, term, differing } => {
                 self.handle_scrubbed(from, shard, term, &differing);
             }
-            BetweenStores::LearnerCaughtUp { shard, term, change } => self.handle_filled(shard, term, change),
+            BetweenStores::LearnerCaughtUp { shard, term, change } => {
+                self.handle_learner_caught_up(shard, term, change)
+            }
             BetweenStores::Ping => self.context.send_to_store(from, BetweenStores::Pong),
         }
     }
--- a/system/state/queue/src/node/replica.rs
+++ b/system/state/queue/src/node/replica.rs
@@ -87,9 +87,9 @@
     }
 
     /// The shard's primary says that this learner lacks nothing.
-    pub(super) fn handle_filled(&mut self, shard: ShardId, term: Epoch, change: Epoch) {
+    pub(super) fn handle_learner_caught_up(&mut self, shard: ShardId, term: Epoch, change: Epoch) {
         if term >= self.promises.term_of(shard) && !self.replication.is_disk_failed() {
-            self.context.outputs.push(Output::CaughtUp { filled: CaughtUpShard { shard, change } });
+            self.context.outputs.push(Output::CaughtUp { shard: CaughtUpShard { shard, change } });
         }
     }
 }
--- a/system/state/queue/src/node/replication.rs
+++ b/system/state/queue/src/node/replication.rs
@@ -42,9 +42,9 @@
         self.replication.assign_replicas(&mut self.context, &mut self.table, &self.primary_terms, id);
     }
 
-    /// Fills a learner of a shard that is served with what it lacks.
-    pub(super) fn fill_learner(&mut self, shard: ShardId, store: StoreId) {
-        self.replication.fill_learner(&self.table, &self.primary_terms, shard, store);
+    /// Sends a learner of a shard that is served what it lacks.
+    pub(super) fn catch_up_learner(&mut self, shard: ShardId, store: StoreId) {
+        self.replication.catch_up_learner(&self.table, &self.primary_terms, shard, store);
     }
 
     /// A store has synced everything up to `number`.
@@ -103,7 +103,7 @@
         self.replication.handle_connected(&mut self.context, &mut self.table, &self.primary_terms, store);
         for shard in self.primary_terms.shards() {
             self.send_prepare(shard, store);
-            self.fill_learner(shard, store);
+            self.catch_up_learner(shard, store);
         }
     }
 
@@ -124,7 +124,7 @@
         }
         let learner = self.primary_terms.get(shard).and_then(|primary_term| primary_term.learner());
         if let Some(learner) = learner {
-            self.fill_learner(shard, learner);
+            self.catch_up_learner(shard, learner);
         }
     }
 }
--- a/system/state/queue/src/node/takeover.rs
+++ b/system/state/queue/src/node/takeover.rs
@@ -186,7 +186,7 @@
             self.handle_withdraw(withdrawal.connection, withdrawal.id);
         }
         if let Some(learner) = self.primary_terms.get(shard).and_then(PrimaryTerm::learner) {
-            self.fill_learner(shard, learner);
+            self.catch_up_learner(shard, learner);
         }
     }
 
--- a/system/state/queue/src/primary_term.rs
+++ b/system/state/queue/src/primary_term.rs
@@ -215,7 +215,7 @@
         self.memberships.iter().any(|membership| membership.contains(store))
     }
 
-    /// The store that is being filled.
+    /// The learner: the store that catches up to become a replica.
     pub fn learner(&self) -> Option<StoreId> {
         self.change.map(|change| change.joins)
     }
--- a/system/state/queue/src/replication/peer.rs
+++ b/system/state/queue/src/replication/peer.rs
@@ -42,8 +42,8 @@
     catch_up: BTreeSet<MessageId>,
     /// Bytes of repair in flight.
     repair_bytes: usize,
-    /// Shards of which it is a learner being filled; with the last write of the filling once that was sent.
-    filling: BTreeMap<ShardId, Option<RequestNumber>>,
+    /// Shards of which it is a learner; with the last write that it has to catch up with once that was sent.
+    learner_shards: BTreeMap<ShardId, Option<RequestNumber>>,
 }
 
 impl Peer {
@@ -58,7 +58,7 @@
             latency_at: now,
             catch_up: BTreeSet::new(),
             repair_bytes: 0,
-            filling: BTreeMap::new(),
+            learner_shards: BTreeMap::new(),
         }
     }
 
@@ -95,9 +95,9 @@
         self.catch_up.pop_first()
     }
 
-    /// It is connected and has something to catch up with, or a shard to be filled with.
+    /// It is connected and has something to catch up with, or is the learner of a shard.
     pub fn has_catch_up(&self) -> bool {
-        self.is_connected && !(self.catch_up.is_empty() && self.filling.is_empty())
+        self.is_connected && !(self.catch_up.is_empty() && self.learner_shards.is_empty())
     }
 
     /// Bytes of repair that may be sent to it now.
@@ -106,8 +106,8 @@
     }
 
     /// It is a learner of the shard; the messages that it lacks are added to its catch-up.
-    pub fn start_filling(&mut self, shard: ShardId) {
-        self.filling.insert(shard, None);
+    pub fn begin_catch_up_of(&mut self, shard: ShardId) {
+        self.learner_shards.insert(shard, None);
     }
 
     /// Adds a `Write` that is in flight from now on; gives its number.
@@ -191,14 +191,14 @@
         self.overdue = 0;
         self.repair_bytes = 0;
         self.catch_up.clear();
-        self.filling.clear();
+        self.learner_shards.clear();
         self.outstanding.drain(..).flat_map(|outstanding| outstanding.messages).collect()
     }
 
-    /// Shards whose filling is on its disk.
-    pub fn take_filled(&mut self) -> Vec<ShardId> {
+    /// Shards that it has caught up with as a learner: what it lacked of them is on its disk.
+    pub fn take_caught_up(&mut self) -> Vec<ShardId> {
         let last = RequestNumber(self.next_number.saturating_sub(1));
-        for (shard, sent) in &mut self.filling {
+        for (shard, sent) in &mut self.learner_shards {
             let first = MessageId { shard: *shard, unique: 0 };
             let end = MessageId { shard: *shard, unique: u64::MAX };
             let is_sent = self.catch_up.range(first..=end).next().is_none();
@@ -209,17 +209,21 @@
         let oldest = self.outstanding.front().map(|oldest| oldest.number);
         let is_written =
             |sent: &Option<RequestNumber>| sent.is_some_and(|sent| oldest.is_none_or(|oldest| oldest > sent));
-        let filled: Vec<ShardId> =
-            self.filling.iter().filter(|(_, sent)| is_written(sent)).map(|(shard, _)| *shard).collect();
-        for shard in &filled {
-            self.filling.remove(shard);
+        let caught_up: Vec<ShardId> = self
+            .learner_shards
+            .iter()
+            .filter(|(_, sent)| is_written(sent))
+            .map(|(shard, _)| *shard)
+            .collect();
+        for shard in &caught_up {
+            self.learner_shards.remove(shard);
         }
-        filled
+        caught_up
     }
 
     /// Another store is primary of the shard now.
     pub fn drop_shard(&mut self, shard: ShardId) {
-        self.filling.remove(&shard);
+        self.learner_shards.remove(&shard);
         self.catch_up.retain(|id| id.shard != shard);
     }
 }
--- a/system/state/queue/src/replication/repair.rs
+++ b/system/state/queue/src/replication/repair.rs
@@ -1,4 +1,4 @@
-//! As primary: what too few stores have, or were too slow to write, is sent to further ones; learners are filled.
+//! As primary: what too few stores have, or were too slow to write, is sent to further ones; learners catch up.
 
 use super::peer::Peer;
 use super::{Batch, Replication, SyncAction};
@@ -88,7 +88,7 @@
             self.peers.iter().filter(|(_, peer)| peer.has_catch_up()).map(|(store, _)| *store).collect();
         for store in busy {
             self.send_catch_up_to(context, table, terms, store);
-            self.notify_filled(context, terms, store);
+            self.notify_caught_up(context, terms, store);
         }
     }
 
@@ -115,14 +115,14 @@
     }
 
     /// Tells a learner of the shards of which it lacks nothing any more.
-    fn notify_filled(&mut self, context: &mut Context, terms: &PrimaryTerms, store: StoreId) {
+    fn notify_caught_up(&mut self, context: &mut Context, terms: &PrimaryTerms, store: StoreId) {
         let Some(peer) = self.peers.get_mut(&store) else { return };
-        for shard in peer.take_filled() {
+        for shard in peer.take_caught_up() {
             let Some(primary_term) = terms.get(shard) else { continue };
             let (term, change) = (primary_term.number(), primary_term.change());
             if let Some(change) = change.filter(|change| change.joins == store) {
-                let filled = BetweenStores::LearnerCaughtUp { shard, term, change: change.epoch };
-                context.send_to_store(store, filled);
+                let caught_up = BetweenStores::LearnerCaughtUp { shard, term, change: change.epoch };
+                context.send_to_store(store, caught_up);
             }
         }
     }
@@ -208,8 +208,8 @@
         self.assign_pending(context, table, terms, queued);
     }
 
-    /// Fills a learner of a shard that is served with what it lacks.
-    pub fn fill_learner(
+    /// Sends a learner of a shard that is served what it lacks.
+    pub fn catch_up_learner(
         &mut self,
         table: &MessageTable,
         terms: &PrimaryTerms,
@@ -225,7 +225,7 @@
         };
         let Some(peer) = self.peers.get_mut(&store).filter(|peer| peer.is_connected()) else { return };
         peer.add_catch_up(table.ids_of(shard).filter(lacks));
-        peer.start_filling(shard);
+        peer.begin_catch_up_of(shard);
     }
 }
 
--- a/system/state/queue/tests/cluster/manager.rs
+++ b/system/state/queue/tests/cluster/manager.rs
@@ -162,8 +162,8 @@
         for (number, shard) in placement.shards.iter_mut().enumerate() {
             let Some(change) = shard.change else { continue };
             let store = self.stores.iter().find(|store| store.id == change.joins);
-            let is_this = |filled: &CaughtUpShard| {
-                usize::from(filled.shard.0) == number && filled.change == change.epoch
+            let is_this = |caught_up: &CaughtUpShard| {
+                usize::from(caught_up.shard.0) == number && caught_up.change == change.epoch
             };
             if store.is_some_and(|store| store.caught_up.iter().any(is_this)) {
                 shard.replicas = shard.replicas_after(&change);
--- a/system/state/queue/tests/cluster/stores.rs
+++ b/system/state/queue/tests/cluster/stores.rs
@@ -168,8 +168,8 @@
                     }
                 }
             }
-            Output::CaughtUp { filled } => {
-                self.stores[index].caught_up.insert(filled);
+            Output::CaughtUp { shard } => {
+                self.stores[index].caught_up.insert(shard);
             }
             Output::Orphaned { id, cause } => self.orphans.push(Orphan { at_ms: self.now_ms, id, cause }),
             Output::Released { id } => {
--- a/system/state/queue/tests/harness/mod.rs
+++ b/system/state/queue/tests/harness/mod.rs
@@ -305,7 +305,7 @@
                 }
             }
             Output::CloseDispatcher { connection } => self.closed.push(connection),
-            Output::CaughtUp { filled } => self.caught_up.push((index, filled)),
+            Output::CaughtUp { shard } => self.caught_up.push((index, shard)),
             Output::Orphaned { id, cause } => self.orphans.push(Orphan { id, cause }),
             Output::Released { id } => {
                 self.released.insert(id);
--- a/system/testing/simulation/src/store_machine.rs
+++ b/system/testing/simulation/src/store_machine.rs
@@ -361,8 +361,8 @@
             Output::CloseDispatcher { connection } => {
                 context.effects.push(Effect::Close { connection: Connection(connection.0) });
             }
-            Output::CaughtUp { filled } => {
-                self.filled.shards.insert(filled);
+            Output::CaughtUp { shard } => {
+                self.filled.shards.insert(shard);
                 self.filled.report_at = Instant::ORIGIN;
                 self.heartbeat_at = Instant::ORIGIN;
             }
