--- a/coordination/chain/src/node/view_change.rs
+++ b/coordination/chain/src/node/view_change.rs
@@ -11,13 +11,13 @@
 /// The member at index `n` of the target waits `n` times so long before its first proposal, so that proposals rarely
 /// collide.
 const PROPOSAL_STAGGER: Duration = Duration::from_millis(60);
-/// Shortest pause before the next attempt of the same node.
-const MIN_RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// The first pause is shorter than this.
-const MAX_RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// The pause doubles so often at most. An attempt aborts the one before: voters with slow disks need time for both
+/// Lower bound of the first backoff before the next attempt of the same node.
+const MIN_INITIAL_BACKOFF: Duration = Duration::from_millis(150);
+/// Upper bound of the first backoff (exclusive).
+const MAX_INITIAL_BACKOFF: Duration = Duration::from_millis(400);
+/// The backoff doubles so often at most. An attempt aborts the one before: voters with slow disks need time for both
 /// phases.
-const MAX_PAUSE_DOUBLINGS: u32 = 3;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// Interval between two checks whether the nodes that are brought up are complete.
 const CATCH_UP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct ProposalTimer {
     due: Option<Instant>,
-    /// Attempts since the view last changed, as far as they lengthen the pause.
+    /// Attempts since the view last changed, as far as they lengthen the backoff.
     attempts: u32,
     random: fastrand::Rng,
 }
@@ -60,10 +60,10 @@
 
     /// An attempt starts now; those that fail follow each other less and less often.
     fn start_attempt(&mut self, now: Instant) {
-        let range = MIN_RETRY_PAUSE.as_micros() as u64..MAX_RETRY_PAUSE.as_micros() as u64;
-        let pause = Duration::from_micros(self.random.u64(range) << self.attempts);
-        self.attempts = (self.attempts + 1).min(MAX_PAUSE_DOUBLINGS);
-        self.due = Some(now + pause);
+        let range = MIN_INITIAL_BACKOFF.as_micros() as u64..MAX_INITIAL_BACKOFF.as_micros() as u64;
+        let backoff = Duration::from_micros(self.random.u64(range) << self.attempts);
+        self.attempts = (self.attempts + 1).min(MAX_BACKOFF_DOUBLINGS);
+        self.due = Some(now + backoff);
     }
 
     /// The attempt has to wait for nodes that are brought up.
--- a/coordination/chain/src/replica/replication.rs
+++ b/coordination/chain/src/replica/replication.rs
@@ -73,7 +73,7 @@
             return;
         };
         if progress.is_idle() {
-            progress.restart_pause(now);
+            progress.restart_retry_timeout(now);
             if !self.store.log().contains(progress.acked()) {
                 self.begin_transfer(&mut progress);
             }
--- a/coordination/chain/src/replication_progress.rs
+++ b/coordination/chain/src/replication_progress.rs
@@ -7,8 +7,8 @@
 use crate::transfer::Transfer;
 use crate::{Position, Sequence, SnapshotId};
 
-/// Commands are sent again for a gap at most once in this fraction of the pause before an unanswered message is retried.
-const GAP_RETRIES_PER_PAUSE: u32 = 16;
+/// Commands are sent again for a gap at most once in this fraction of the time-out after which an unanswered message is retried.
+const GAP_RETRIES_PER_TIMEOUT: u32 = 16;
 
 /// How far one receiver has been brought up.
 #[derive(Clone, Copy, Debug)]
@@ -64,8 +64,8 @@
         self.sent == self.acked.sequence && self.transfer.is_none()
     }
 
-    /// Nothing was in flight until now: the pause before a retry starts now.
-    pub(crate) fn restart_pause(&mut self, now: Instant) {
+    /// Nothing was in flight until now: the time-out of a retry starts now.
+    pub(crate) fn restart_retry_timeout(&mut self, now: Instant) {
         self.progress_at = now;
     }
 
@@ -114,7 +114,7 @@
 
     /// The receiver lacks the commands before those that it got: they are sent again, unless they just were.
     pub(crate) fn handle_gap(&mut self, now: Instant, retry_after: Duration) {
-        let may_rewind = now - self.rewound_at >= retry_after / GAP_RETRIES_PER_PAUSE;
+        let may_rewind = now - self.rewound_at >= retry_after / GAP_RETRIES_PER_TIMEOUT;
         if may_rewind && self.transfer.is_none() {
             self.rewind(now);
         }
--- a/coordination/membership/src/timers.rs
+++ b/coordination/membership/src/timers.rs
@@ -7,8 +7,8 @@
 
 use crate::config::Config;
 
-/// Longest pause between attempts to join, as a multiple of the first.
-const MAX_JOIN_PAUSE_FACTOR: u32 = 8;
+/// Longest backoff between attempts to join, as a multiple of the first.
+const MAX_JOIN_BACKOFF_FACTOR: u32 = 8;
 
 /// Timers of probes, gossip, reconnection and joining.
 #[derive(Clone, Debug)]
@@ -17,8 +17,8 @@
     gossip: Option<Instant>,
     reconnect: Instant,
     join: Option<Instant>,
-    /// Pause after the next attempt to join.
-    join_pause: Duration,
+    /// Backoff after the next attempt to join.
+    join_backoff: Duration,
 }
 
 impl Timers {
@@ -30,7 +30,7 @@
             gossip: None,
             reconnect: now + config.reconnect_interval + random_fraction(config.reconnect_interval, random),
             join: None,
-            join_pause: config.join_interval,
+            join_backoff: config.join_interval,
         }
     }
 
@@ -80,7 +80,7 @@
     /// Attempts to join begin now, `interval` apart at first.
     pub fn start_joining(&mut self, now: Instant, interval: Duration) {
         self.join = Some(now);
-        self.join_pause = interval;
+        self.join_backoff = interval;
     }
 
     /// Whether an attempt to join is due.
@@ -88,10 +88,10 @@
         self.join.is_some_and(|due| due <= now)
     }
 
-    /// An attempt to join was made: ends the attempts, or plans the next one after a pause that doubles.
+    /// An attempt to join was made: ends the attempts, or plans the next one after a backoff that doubles.
     pub fn finish_join_attempt(&mut self, now: Instant, is_joined: bool, interval: Duration) {
-        self.join = (!is_joined).then(|| now + self.join_pause);
-        self.join_pause = (self.join_pause * 2).min(interval * MAX_JOIN_PAUSE_FACTOR);
+        self.join = (!is_joined).then(|| now + self.join_backoff);
+        self.join_backoff = (self.join_backoff * 2).min(interval * MAX_JOIN_BACKOFF_FACTOR);
     }
 }
 
