--- a/src/rules.rs
+++ b/src/rules.rs
@@ -22,37 +22,38 @@
 #[derive(Default)]
 pub struct Balancer {
     settings: Settings,
-    rng: Random,
+    rng: SeededRng,
     now: f64,
     workers: Vec<Worker>,
-    kinds: BTreeMap<Option<u32>, Kind>,
+    kinds: BTreeMap<Option<u32>, KindStats>,
     pools: Vec<Pool>,
     pending: BTreeMap<RequestId, Pending>,
     parked: Vec<RequestId>,
-    parked_timer: bool,
+    parked_timer_armed: bool,
     /// Mean running time by class, for jobs without a hint.
-    class_time: Vec<DecayingMean>,
-    all_speed: DecayingMean,
-    mean_work: DecayingMean,
+    class_running_time: Vec<DecayingRatio>,
+    fleet_speed: DecayingRatio,
+    mean_work: DecayingRatio,
     /// How long jobs wait for their start.
-    start_waits: DecayingMean,
-    mean_value: DecayingMean,
+    start_waits: DecayingRatio,
+    mean_value: DecayingRatio,
     arrivals: DecayingCount,
     /// By tenant: arrivals lately, and what was left of our part of its quota at the latest.
     tenants: Vec<(DecayingCount, f64)>,
     started_at: Option<f64>,
-    renewed_at: f64,
-    renew_now: bool,
+    refreshed_at: f64,
+    refresh_due: bool,
     /// Arrivals a millisecond, and the length of a step, as the index uses them.
     arrival_rate: f64,
-    step: f64,
-    /// How far indices are ties: none where we hold a job at each worker, `INDEX_TIE` where one of hundreds.
-    spread: f64,
+    step_ms: f64,
+    /// How far indices are ties: none where we hold a job at each worker, `INDEX_TIE_TOLERANCE` where one of
+    /// hundreds.
+    tie_tolerance: f64,
     /// A timer is armed at which attempts are judged lost.
-    lost_timer: bool,
+    lost_timer_armed: bool,
     retry_tokens: f64,
     /// What a unit of work must earn to be taken on (log, in means).
-    price: f64,
+    log_price: f64,
     list_failures: u32,
     /// Workers out by hand, and since when: apart from lists, restarts and what we keep of a worker.
     banned: BTreeMap<WorkerId, f64>,
@@ -60,11 +61,11 @@
 
 const TIMER_LIST: u64 = 0;
 const TIMER_PARKED: u64 = 1;
-const TIMER_LOST: u64 = 2;
+const TIMER_LOST_ATTEMPTS: u64 = 2;
 /// From here on one a request, for its second copy.
-const TIMER_HEDGE: u64 = 3;
+const TIMER_HEDGE_BASE: u64 = 3;
 
-fn positive(x: Option<f64>) -> Option<f64> {
+fn finite_positive(x: Option<f64>) -> Option<f64> {
     x.filter(|x| x.is_finite() && *x > 0.0)
 }
 
@@ -78,7 +79,7 @@
             self.started_at = Some(self.now);
             self.arrivals.at = self.now;
             if self.settings.list_by_call {
-                self.ask(out);
+                self.request_list(out);
             }
         }
         match event {
@@ -86,8 +87,8 @@
             Event::Request(request) => self.on_request(request, out),
             Event::First { .. } => {}
             Event::Progress { id, attempt, .. } => self.on_progress(id, attempt),
-            Event::Probed { worker, load, .. } => self.on_load(worker, load),
-            Event::Lapsed { id } => self.end(id),
+            Event::Probed { worker, load, .. } => self.on_load_report(worker, load),
+            Event::Lapsed { id } => self.finish(id),
             Event::Ban { worker, on } => self.on_ban(worker, on, out),
             Event::Settings { settings, from } => self.on_settings(*settings, &from),
             Event::Timer { token } => self.on_timer(token, out),
@@ -103,13 +104,13 @@
     fn on_timer(&mut self, token: u64, out: &mut Vec<Action>) {
         match token {
             TIMER_LIST => out.push(Action::Watch),
-            TIMER_LOST => self.watch(out),
+            TIMER_LOST_ATTEMPTS => self.detect_lost_attempts(out),
             TIMER_PARKED => {
-                self.parked_timer = false;
+                self.parked_timer_armed = false;
                 self.dispatch_parked(true, out);
                 self.arm_parked_timer(out);
             }
-            _ => self.hedge(token - TIMER_HEDGE, out),
+            _ => self.hedge(token - TIMER_HEDGE_BASE, out),
         }
     }
 }
--- a/src/rules/learned_state.rs
+++ b/src/rules/learned_state.rs
@@ -8,7 +8,7 @@
 use super::constants::RETRY_BURST;
 use super::Balancer;
 use crate::interface::{Action, WorkerId};
-use crate::state::{DecayingMean, InFlight, Kind, Worker};
+use crate::state::{DecayingRatio, InFlight, KindStats, Worker};
 use serde::{Deserialize, Serialize};
 
 /// Version of this form. Another version's state is rejected whole: to start afresh is safe, to misread is
@@ -19,7 +19,7 @@
 /// More attempts than this are not accepted from a predecessor.
 const MAX_ATTEMPTS: usize = 1_000_000;
 /// Numbers of a predecessor's requests start here, where our own never come.
-const PREDECESSOR: u64 = 1 << 63;
+const PREDECESSOR_ID_FLAG: u64 = 1 << 63;
 
 /// Work (ms on a standard core, or a count) and the time it took (ms), both decaying: their quotient is a
 /// mean.
@@ -59,7 +59,7 @@
     pub mean_value: Mean,
     /// What is pooled over the workers of one kind.
     pub kinds: Vec<LearnedKind>,
-    /// What is known of each worker.
+    /// What is learned of each worker.
     pub workers: Vec<LearnedWorker>,
     /// Workers ejected by hand, and since when.
     pub banned: Vec<(WorkerId, f64)>,
@@ -82,7 +82,7 @@
     pub reported_slots: Mean,
 }
 
-/// What is known of one worker.
+/// What is learned of one worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedWorker {
     /// The worker.
@@ -145,49 +145,50 @@
     Number,
 }
 
-fn mean(speed: DecayingMean) -> Mean {
-    (speed.work, speed.time)
+fn sums_of(ratio: DecayingRatio) -> Mean {
+    (ratio.numerator, ratio.denominator)
 }
 
-fn speed((work, time): Mean) -> DecayingMean {
-    DecayingMean { work, time }
+fn ratio_from((numerator, denominator): Mean) -> DecayingRatio {
+    DecayingRatio { numerator, denominator }
 }
 
-fn is_mean((work, time): Mean) -> bool {
+fn is_valid_mean((work, time): Mean) -> bool {
     work.is_finite() && time.is_finite() && work >= 0.0 && time >= 0.0
 }
 
-fn is_amount(x: f64) -> bool {
+fn is_valid_amount(x: f64) -> bool {
     x.is_finite() && x >= 0.0
 }
 
 /// Times may lie before all others, never after.
-fn is_time(x: f64) -> bool {
+fn is_valid_time(x: f64) -> bool {
     !x.is_nan() && x < f64::INFINITY
 }
 
 impl LearnedState {
-    fn check(&self, classes: usize) -> Result<(), LearnedStateError> {
+    fn validate(&self, classes: usize) -> Result<(), LearnedStateError> {
         if self.version != LEARNED_STATE_VERSION {
             return Err(LearnedStateError::Version(self.version));
         }
         let flights: usize = self.workers.iter().map(|w| w.in_flight.len()).sum();
-        let classes = self.class_time.len() == classes;
-        if !classes || self.workers.len().max(self.banned.len()) > MAX_WORKERS || flights > MAX_ATTEMPTS {
+        let same_classes = self.class_time.len() == classes;
+        if !same_classes || self.workers.len().max(self.banned.len()) > MAX_WORKERS || flights > MAX_ATTEMPTS
+        {
             return Err(LearnedStateError::Size);
         }
         let means = [self.all_speed, self.mean_work, self.start_waits, self.mean_value];
-        let sound = means.iter().chain(&self.class_time).all(|m| is_mean(*m))
-            && is_amount(self.arrivals.0)
-            && is_time(self.arrivals.1)
-            && is_time(self.exported_at)
-            && self.started_at.is_none_or(is_time)
-            && is_amount(self.retry_tokens)
+        let valid = means.iter().chain(&self.class_time).all(|m| is_valid_mean(*m))
+            && is_valid_amount(self.arrivals.0)
+            && is_valid_time(self.arrivals.1)
+            && is_valid_time(self.exported_at)
+            && self.started_at.is_none_or(is_valid_time)
+            && is_valid_amount(self.retry_tokens)
             && self.price.is_finite()
-            && self.kinds.iter().all(LearnedKind::is_sound)
-            && self.banned.iter().all(|(_, since)| is_time(*since))
-            && self.workers.iter().all(LearnedWorker::is_sound);
-        if sound {
+            && self.kinds.iter().all(LearnedKind::is_valid)
+            && self.banned.iter().all(|(_, since)| is_valid_time(*since))
+            && self.workers.iter().all(LearnedWorker::is_valid);
+        if valid {
             Ok(())
         } else {
             Err(LearnedStateError::Number)
@@ -196,40 +197,42 @@
 }
 
 impl LearnedKind {
-    fn is_sound(&self) -> bool {
-        is_mean(self.speed)
-            && is_mean(self.reported_slots)
-            && is_amount(self.cores)
-            && is_amount(self.usual_slots)
+    fn is_valid(&self) -> bool {
+        is_valid_mean(self.speed)
+            && is_valid_mean(self.reported_slots)
+            && is_valid_amount(self.cores)
+            && is_valid_amount(self.usual_slots)
     }
 }
 
 impl LearnedWorker {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let times = [self.ejected_until, self.listed_since, self.last_seen_at, self.warm_up_turn];
-        let flight = |f: &LearnedAttempt| is_amount(f.slots) && is_amount(f.work) && is_time(f.sent_at);
-        is_mean(self.speed)
+        let flight = |f: &LearnedAttempt| {
+            is_valid_amount(f.slots) && is_valid_amount(f.work) && is_valid_time(f.sent_at)
+        };
+        is_valid_mean(self.speed)
             && self.knee >= 0.0
             && (0.0..=1.0).contains(&self.errors)
-            && times.into_iter().chain(self.ready_at).chain(self.restored_at).all(is_time)
+            && times.into_iter().chain(self.ready_at).chain(self.restored_at).all(is_valid_time)
             && self.in_flight.iter().all(flight)
     }
 
     fn of(worker: &Worker) -> Self {
-        let out = worker.in_flight.iter().filter(|f| f.occupied_until.is_none());
+        let open = worker.in_flight.iter().filter(|f| f.occupied_until.is_none());
         LearnedWorker {
             id: worker.id,
             ready_at: worker.ready_at,
             restored_at: worker.restored_at,
             restored: worker.restored,
-            speed: mean(worker.speed),
+            speed: sums_of(worker.speed),
             knee: worker.knee,
-            errors: worker.errors,
+            errors: worker.failure_rate,
             ejected_until: worker.ejected_until,
             warm_up_turn: worker.warm_up_turn,
             listed_since: worker.listed_since,
             last_seen_at: worker.last_seen_at,
-            in_flight: out
+            in_flight: open
                 .map(|f| LearnedAttempt {
                     request: f.request,
                     attempt: f.attempt,
@@ -245,12 +248,12 @@
 impl Balancer {
     /// What a successor is given.
     pub fn export(&self) -> LearnedState {
-        let kind = |(kind, known): (&Option<u32>, &Kind)| LearnedKind {
+        let kind = |(kind, learned): (&Option<u32>, &KindStats)| LearnedKind {
             kind: *kind,
-            speed: mean(known.speed),
-            cores: known.cores,
-            usual_slots: known.usual_slots,
-            reported_slots: mean(known.reported_slots),
+            speed: sums_of(learned.speed),
+            cores: learned.cores,
+            usual_slots: learned.mean_own_slots,
+            reported_slots: sums_of(learned.reported_slots),
         };
         LearnedState {
             version: LEARNED_STATE_VERSION,
@@ -258,12 +261,12 @@
             started_at: self.started_at,
             arrivals: (self.arrivals.sum, self.arrivals.at),
             retry_tokens: self.retry_tokens,
-            price: self.price,
-            class_time: self.class_time.iter().map(|s| mean(*s)).collect(),
-            all_speed: mean(self.all_speed),
-            mean_work: mean(self.mean_work),
-            start_waits: mean(self.start_waits),
-            mean_value: mean(self.mean_value),
+            price: self.log_price,
+            class_time: self.class_running_time.iter().map(|s| sums_of(*s)).collect(),
+            all_speed: sums_of(self.fleet_speed),
+            mean_work: sums_of(self.mean_work),
+            start_waits: sums_of(self.start_waits),
+            mean_value: sums_of(self.mean_value),
             kinds: self.kinds.iter().map(kind).collect(),
             workers: self.workers.iter().map(LearnedWorker::of).collect(),
             banned: self.banned.iter().map(|(id, since)| (*id, *since)).collect(),
@@ -275,39 +278,43 @@
     ///
     /// # Errors
     /// It cannot be used; nothing of it has been taken in.
-    pub fn import(&mut self, memory: &LearnedState) -> Result<(), LearnedStateError> {
-        memory.check(self.class_time.len())?;
-        self.started_at = memory.started_at.or(self.started_at);
-        (self.arrivals.sum, self.arrivals.at) = memory.arrivals;
-        self.retry_tokens = memory.retry_tokens.min(RETRY_BURST);
-        self.price = memory.price;
-        self.class_time = memory.class_time.iter().map(|m| speed(*m)).collect();
-        self.all_speed = speed(memory.all_speed);
-        self.mean_work = speed(memory.mean_work);
-        self.start_waits = speed(memory.start_waits);
-        self.mean_value = speed(memory.mean_value);
-        for known in &memory.kinds {
-            let kind = self.kinds.entry(known.kind).or_default();
-            (kind.speed, kind.reported_slots) = (speed(known.speed), speed(known.reported_slots));
-            (kind.cores, kind.usual_slots) = (known.cores, known.usual_slots);
+    pub fn import(&mut self, learned: &LearnedState) -> Result<(), LearnedStateError> {
+        learned.validate(self.class_running_time.len())?;
+        self.started_at = learned.started_at.or(self.started_at);
+        (self.arrivals.sum, self.arrivals.at) = learned.arrivals;
+        self.retry_tokens = learned.retry_tokens.min(RETRY_BURST);
+        self.log_price = learned.price;
+        self.class_running_time = learned.class_time.iter().map(|m| ratio_from(*m)).collect();
+        self.fleet_speed = ratio_from(learned.all_speed);
+        self.mean_work = ratio_from(learned.mean_work);
+        self.start_waits = ratio_from(learned.start_waits);
+        self.mean_value = ratio_from(learned.mean_value);
+        for learned in &learned.kinds {
+            let kind = self.kinds.entry(learned.kind).or_default();
+            (kind.speed, kind.reported_slots) =
+                (ratio_from(learned.speed), ratio_from(learned.reported_slots));
+            (kind.cores, kind.mean_own_slots) = (learned.cores, learned.usual_slots);
         }
-        let longest = self.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
-        for known in &memory.workers {
-            let Some(i) = self.find(known.id) else { continue };
+        let longest_deadline = self.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+        for learned in &learned.workers {
+            let Some(i) = self.position_of(learned.id) else { continue };
             let worker = &mut self.workers[i];
-            if worker.ready_at > known.ready_at {
+            if worker.ready_at > learned.ready_at {
                 continue;
             }
             // Perhaps a start that no list has named yet: a crash that was seen.
-            (worker.ready_at, worker.restored_at) = (known.ready_at, known.restored_at);
-            (worker.speed, worker.restored) = (speed(known.speed), known.restored);
-            (worker.knee, worker.errors) = (known.knee, known.errors);
-            (worker.ejected_until, worker.warm_up_turn) = (known.ejected_until, known.warm_up_turn);
-            (worker.listed_since, worker.last_seen_at) = (known.listed_since, known.last_seen_at);
-            known.in_flight.iter().for_each(|flight| worker.push(foreign(flight, longest)));
+            (worker.ready_at, worker.restored_at) = (learned.ready_at, learned.restored_at);
+            (worker.speed, worker.restored) = (ratio_from(learned.speed), learned.restored);
+            (worker.knee, worker.failure_rate) = (learned.knee, learned.errors);
+            (worker.ejected_until, worker.warm_up_turn) = (learned.ejected_until, learned.warm_up_turn);
+            (worker.listed_since, worker.last_seen_at) = (learned.listed_since, learned.last_seen_at);
+            learned
+                .in_flight
+                .iter()
+                .for_each(|flight| worker.push(predecessor_attempt(flight, longest_deadline)));
         }
-        self.banned.extend(memory.banned.iter().copied());
-        self.renew_now = true;
+        self.banned.extend(learned.banned.iter().copied());
+        self.refresh_due = true;
         Ok(())
     }
 
@@ -319,8 +326,8 @@
         attempt: usize,
         out: &mut Vec<Action>,
     ) -> bool {
-        let Some(i) = self.find(worker) else { return false };
-        let ended = self.workers[i].take(PREDECESSOR | request, attempt).is_some();
+        let Some(i) = self.position_of(worker) else { return false };
+        let ended = self.workers[i].remove(PREDECESSOR_ID_FLAG | request, attempt).is_some();
         if ended {
             self.dispatch_parked(false, out);
         }
@@ -330,14 +337,14 @@
     /// The predecessor is gone, and its jobs with it: none of them counts any more.
     pub fn foreign_gone(&mut self, out: &mut Vec<Action>) {
         for worker in &mut self.workers {
-            let foreign: Vec<(u64, usize)> = worker
+            let predecessor_attempts: Vec<(u64, usize)> = worker
                 .in_flight
                 .iter()
-                .filter(|f| f.request >= PREDECESSOR)
+                .filter(|f| f.request >= PREDECESSOR_ID_FLAG)
                 .map(|f| (f.request, f.attempt))
                 .collect();
-            for (request, attempt) in foreign {
-                worker.take(request, attempt);
+            for (request, attempt) in predecessor_attempts {
+                worker.remove(request, attempt);
             }
         }
         self.dispatch_parked(false, out);
@@ -347,9 +354,9 @@
 /// Work that goes on there, as after an attempt of our own that was given up: it takes room, and is neither
 /// late nor lost by our judgement. No client waits longer than the longest deadline, whatever becomes of
 /// its sender.
-fn foreign(flight: &LearnedAttempt, longest: f64) -> InFlight {
+fn predecessor_attempt(flight: &LearnedAttempt, longest_deadline: f64) -> InFlight {
     InFlight {
-        request: PREDECESSOR | flight.request,
+        request: PREDECESSOR_ID_FLAG | flight.request,
         attempt: flight.attempt,
         slots: flight.slots,
         work: flight.work,
@@ -357,7 +364,7 @@
         reported_at: flight.sent_at,
         start_due_at: f64::INFINITY,
         max_run_time: f64::INFINITY,
-        occupied_until: Some(flight.sent_at + longest),
+        occupied_until: Some(flight.sent_at + longest_deadline),
         ..InFlight::default()
     }
 }
--- a/src/rules/records.rs
+++ b/src/rules/records.rs
@@ -1,21 +1,21 @@
 //! How a dispatcher's records begin, are found, and go over to new settings. Nothing here decides.
 
-use super::constants::{MIN_PRICE, RETRY_BURST, TENANT_BURST};
-use super::{positive, Balancer};
+use super::constants::{MIN_LOG_PRICE, RETRY_BURST, TENANT_BURST_REQUESTS};
+use super::{finite_positive, Balancer};
 use crate::interface::{RequestId, Settings, WorkerId};
-use crate::state::{DecayingCount, DecayingMean, Pool, Random, Worker};
+use crate::state::{DecayingCount, DecayingRatio, Pool, SeededRng, Worker};
 use fastrand::Rng;
 
 impl Balancer {
     /// An instance that knows no worker yet. Equal settings, seeds and events give equal actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Balancer {
-            rng: Random(Rng::with_seed(seed)),
-            class_time: vec![DecayingMean::default(); settings.classes.len()],
-            tenants: vec![(DecayingCount::default(), TENANT_BURST); settings.tenants.len()],
-            renewed_at: f64::NEG_INFINITY,
+            rng: SeededRng(Rng::with_seed(seed)),
+            class_running_time: vec![DecayingRatio::default(); settings.classes.len()],
+            tenants: vec![(DecayingCount::default(), TENANT_BURST_REQUESTS); settings.tenants.len()],
+            refreshed_at: f64::NEG_INFINITY,
             retry_tokens: RETRY_BURST,
-            price: MIN_PRICE,
+            log_price: MIN_LOG_PRICE,
             settings,
             ..Balancer::default()
         }
@@ -28,22 +28,23 @@
 
     /// What was learnt of a class goes with it, not with its place; what was learnt of workers stays.
     pub(super) fn on_settings(&mut self, settings: Settings, from: &[Option<usize>]) {
-        let known = |f: &Option<usize>| f.and_then(|i| self.class_time.get(i)).copied().unwrap_or_default();
-        self.class_time = from.iter().map(known).collect();
+        let learned =
+            |f: &Option<usize>| f.and_then(|i| self.class_running_time.get(i)).copied().unwrap_or_default();
+        self.class_running_time = from.iter().map(learned).collect();
         for request in self.pending.values_mut().map(|p| &mut p.request) {
             let before = request.class.take();
             request.class = before.and_then(|class| from.iter().position(|f| *f == Some(class)));
         }
-        self.tenants.resize(settings.tenants.len(), (DecayingCount::default(), TENANT_BURST));
-        (self.settings, self.renew_now) = (settings, true);
+        self.tenants.resize(settings.tenants.len(), (DecayingCount::default(), TENANT_BURST_REQUESTS));
+        (self.settings, self.refresh_due) = (settings, true);
     }
 
-    pub(super) fn find(&self, id: WorkerId) -> Option<usize> {
+    pub(super) fn position_of(&self, id: WorkerId) -> Option<usize> {
         self.workers.binary_search_by_key(&id, |w| w.id).ok()
     }
 
     pub(super) fn worker(&self, id: WorkerId) -> Option<&Worker> {
-        self.find(id).map(|i| &self.workers[i])
+        self.position_of(id).map(|i| &self.workers[i])
     }
 
     /// The pool of a kind in a zone, which begins here if there is none yet.
@@ -56,19 +57,19 @@
     }
 
     /// How long after its start a job is reported.
-    pub(super) fn progress_delay(&self) -> f64 {
+    pub(super) fn start_report_delay(&self) -> f64 {
         if self.settings.reports_starts {
             0.0
         } else {
-            self.progress()
+            self.progress_interval()
         }
     }
 
-    pub(super) fn progress(&self) -> f64 {
-        positive(Some(self.settings.progress)).unwrap_or(f64::INFINITY)
+    pub(super) fn progress_interval(&self) -> f64 {
+        finite_positive(Some(self.settings.progress)).unwrap_or(f64::INFINITY)
     }
 
-    pub(super) fn end(&mut self, id: RequestId) {
+    pub(super) fn finish(&mut self, id: RequestId) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.ended = true;
             pending.parked = false;
--- a/src/rules/scheduling.rs
+++ b/src/rules/scheduling.rs
@@ -2,7 +2,7 @@
 //! copy, answered.
 
 use super::constants::*;
-use super::{positive, Balancer, TIMER_HEDGE, TIMER_LOST, TIMER_PARKED};
+use super::{finite_positive, Balancer, TIMER_HEDGE_BASE, TIMER_LOST_ATTEMPTS, TIMER_PARKED};
 use crate::interface::*;
 use crate::state::*;
 
@@ -13,16 +13,17 @@
         }
         let id = request.id;
         let class = request.class.and_then(|c| self.settings.classes.get(c)).cloned().unwrap_or_default();
-        let longest = positive(Some(class.deadline)).unwrap_or(f64::MAX).min(1e9);
-        let hint = positive(request.hint).map(|h| h.min(longest));
-        let work = hint.unwrap_or_else(|| self.class_work(request.class, &class));
-        let slots = positive(Some(request.slots)).unwrap_or(1.0).max(1.0);
-        self.arrivals.count(self.now, ARRIVAL_MS);
-        self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
+        let longest_work = finite_positive(Some(class.deadline)).unwrap_or(f64::MAX).min(1e9);
+        let hint = finite_positive(request.hint).map(|h| h.min(longest_work));
+        let work = hint.unwrap_or_else(|| self.expected_work(request.class, &class));
+        let slots = finite_positive(Some(request.slots)).unwrap_or(1.0).max(1.0);
+        self.arrivals.count(self.now, ARRIVAL_TIME_CONSTANT_MS);
+        self.retry_tokens = (self.retry_tokens + RETRY_RATIO).min(RETRY_BURST);
         self.mean_work.add(work * slots, 1.0, 200.0);
         let value = class.value * if self.settings.value_by_work { work } else { 1.0 };
-        let weight = if self.in_share(request.tenant) { 1.0 } else { self.settings.over_quota_value };
-        let value = value * weight;
+        let quota_weight =
+            if self.is_within_quota(request.tenant) { 1.0 } else { self.settings.over_quota_value };
+        let value = value * quota_weight;
         self.mean_value.add(value, 1.0, 200.0);
         let pending = Pending {
             request: Request { slots, ..request },
@@ -30,62 +31,70 @@
             max_attempts: self.settings.limits.max_attempts.max(1),
             work,
             value,
-            weight,
+            quota_weight,
             arrived_at: self.now,
             ..Pending::default()
         };
-        let earns = value / (work * slots) / (self.mean_value.mean() / self.mean_work.mean());
+        let relative_value =
+            value / (work * slots) / (self.mean_value.ratio_or_one() / self.mean_work.ratio_or_one());
         self.pending.insert(id, pending);
-        let borne = if self.settings.promise_weight > 0.0 { TOLERATED_LATE_PROMISED } else { TOLERATED_LATE };
-        self.adjust_price(-borne * weight);
-        if self.price > MIN_PRICE && earns.ln() + PRICE_SPREAD * (self.rng.0.f64() - 0.5) < self.price {
-            self.answer(id, out);
+        let tolerated = if self.settings.promise_weight > 0.0 {
+            TOLERATED_LATE_SHARE_PROMISED
         } else {
-            self.place(id, out);
+            TOLERATED_LATE_SHARE
+        };
+        self.adjust_price(-tolerated * quota_weight);
+        if self.log_price > MIN_LOG_PRICE
+            && relative_value.ln() + LOG_PRICE_SPREAD * (self.rng.0.f64() - 0.5) < self.log_price
+        {
+            self.refuse_or_fail(id, out);
+        } else {
+            self.dispatch(id, out);
         }
     }
 
     /// Traffic within its tenant's share: a tenant that sends no more than its share of what we see, or that
     /// has not used up our even part of its quota. What is beyond earns little (one tenant's burst).
-    fn in_share(&mut self, tenant: Option<usize>) -> bool {
+    fn is_within_quota(&mut self, tenant: Option<usize>) -> bool {
         let Some(t) = tenant.filter(|t| *t < self.tenants.len()) else { return true };
-        let conf = &self.settings.tenants[t];
-        let quota = conf.quota_per_s / 1000.0 / f64::from(self.settings.replicas.max(1));
-        let (seen, unused) = &mut self.tenants[t];
-        let since = self.now - seen.at;
-        seen.count(self.now, ARRIVAL_MS);
-        *unused = (*unused + quota * since).min((quota * ARRIVAL_MS).max(TENANT_BURST));
-        let within = seen.sum <= conf.share * self.arrivals.sum || *unused >= 1.0;
-        *unused = (*unused - 1.0).max(0.0);
+        let tenant_settings = &self.settings.tenants[t];
+        let quota = tenant_settings.quota_per_s / 1000.0 / f64::from(self.settings.replicas.max(1));
+        let (arrivals, unused_quota) = &mut self.tenants[t];
+        let since = self.now - arrivals.at;
+        arrivals.count(self.now, ARRIVAL_TIME_CONSTANT_MS);
+        *unused_quota = (*unused_quota + quota * since)
+            .min((quota * ARRIVAL_TIME_CONSTANT_MS).max(TENANT_BURST_REQUESTS));
+        let within = arrivals.sum <= tenant_settings.share * self.arrivals.sum || *unused_quota >= 1.0;
+        *unused_quota = (*unused_quota - 1.0).max(0.0);
         within
     }
 
     /// Overload that no dispatcher sees whole: each late start of ours raises the price that a unit of work
     /// must earn to be taken on, each arrival lowers it.
     pub(super) fn adjust_price(&mut self, late: f64) {
-        self.price = (self.price + PRICE_STEP * late).clamp(MIN_PRICE, MAX_PRICE);
+        self.log_price = (self.log_price + LOG_PRICE_STEP * late).clamp(MIN_LOG_PRICE, MAX_LOG_PRICE);
     }
 
-    fn class_work(&self, index: Option<usize>, class: &Class) -> f64 {
-        let seen = index.and_then(|c| self.class_time.get(c)).and_then(|s| s.rate());
-        seen.or(self.mean_work.rate()).or(positive(Some(class.latency_target))).unwrap_or(1.0)
+    fn expected_work(&self, index: Option<usize>, class: &Class) -> f64 {
+        let seen = index.and_then(|c| self.class_running_time.get(c)).and_then(|s| s.ratio());
+        seen.or(self.mean_work.ratio()).or(finite_positive(Some(class.latency_target))).unwrap_or(1.0)
     }
 
     /// Sends a request that is not out, holds it, or gives its final answer.
-    pub(super) fn place(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else { return };
         if pending.ended || pending.open_attempts().next().is_some() {
             return;
         }
-        let left = pending.request.deadline - self.now - self.margin();
+        let left = pending.request.deadline - self.now - self.answer_margin();
         // One that never left here cost no worker anything.
         let retry = pending.attempts.iter().any(|a| a.outcome != Some(Outcome::Ignored));
         if !self.may_retry(pending) || left <= 0.0 || retry && self.retry_tokens < 1.0 {
-            return self.answer(id, out);
+            return self.refuse_or_fail(id, out);
         }
         match self.select_worker(id) {
             // Its group is gone: no list change brings it back in time. Nor does one end a ban.
-            None if retry || !self.banned.is_empty() => self.answer(id, out),
+            None if retry || !self.banned.is_empty() => self.refuse_or_fail(id, out),
             Some(Some(chosen)) => {
                 self.retry_tokens -= f64::from(u32::from(retry));
                 self.send(id, chosen, out);
@@ -95,13 +104,13 @@
     }
 
     /// Rule 1: time before the client's deadline at which a parked request is answered, a look ahead.
-    fn margin(&self) -> f64 {
+    fn answer_margin(&self) -> f64 {
         PARKED_CHECK_MS.max(self.settings.period) + 2.0 * self.settings.period.max(0.0) + 1.0
     }
 
     /// Rule 2: is a further attempt allowed at all, given what the earlier ones may have done?
     pub(super) fn may_retry(&self, pending: &Pending) -> bool {
-        match (pending.first_run(), pending.class.effect) {
+        match (pending.first_possible_run(), pending.class.effect) {
             _ if pending.attempts.len() >= pending.max_attempts => false,
             (None, _) | (_, Effect::Idempotent) => true,
             (Some(_), Effect::AtMostOnce) => false,
@@ -110,26 +119,26 @@
     }
 
     fn send(&mut self, id: RequestId, to: WorkerId, out: &mut Vec<Action>) {
-        let Some(i) = self.find(to) else { return };
-        let turn = self.turn(&self.workers[i]);
-        let slack = self.pending.get(&id).map_or(0.0, |p| self.slack(p));
-        let delay = PARKED_CHECK_MS.max(self.mean_time());
+        let Some(i) = self.position_of(to) else { return };
+        let turn = self.warm_up_turn(&self.workers[i]);
+        let slack = self.pending.get(&id).map_or(0.0, |p| self.start_slack(p));
+        let delay = PARKED_CHECK_MS.max(self.mean_running_time());
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let worker = &mut self.workers[i];
-        let flight = pending.open_attempt(to, self.now);
+        let flight = pending.start_attempt(to, self.now);
         let first = flight.attempt == 0;
         worker.push(InFlight { start_due_at: self.now + LATE_START_SHARE * slack, ..flight });
         worker.warm_up_turn = turn.map_or(worker.warm_up_turn, |t| t.0);
         worker.restored = false;
         let lag = self.pools[worker.pool].start_lag;
         out.push(Action::Send { id, worker: to, timeout: 0.0 });
-        if !std::mem::replace(&mut self.lost_timer, true) {
-            out.push(Action::Timer { token: TIMER_LOST, delay });
+        if !std::mem::replace(&mut self.lost_timer_armed, true) {
+            out.push(Action::Timer { token: TIMER_LOST_ATTEMPTS, delay });
         }
-        let repeats = pending.class.effect != Effect::AtMostOnce && first;
-        let copies = self.settings.limits.hedging && self.settings.reports_starts;
-        if copies && repeats && lag.is_finite() {
-            let token = TIMER_HEDGE.saturating_add(id);
+        let may_repeat = pending.class.effect != Effect::AtMostOnce && first;
+        let may_hedge = self.settings.limits.hedging && self.settings.reports_starts;
+        if may_hedge && may_repeat && lag.is_finite() {
+            let token = TIMER_HEDGE_BASE.saturating_add(id);
             out.push(Action::Timer { token, delay: 3.0 * lag });
         }
     }
@@ -139,12 +148,12 @@
     pub(super) fn hedge(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else { return };
         let [Attempt { worker, outcome: None, .. }] = pending.attempts[..] else { return };
-        let waits = |w: &Worker| w.flight(id, 0).is_some_and(|f| f.started_at.is_none());
-        let gain = HEDGE_GAIN * pending.value / self.mean_value.mean().max(1e-9);
-        let price = self.settings.prices.waste * pending.work / self.mean_work.mean();
-        let late = self.now + self.margin() >= pending.request.deadline || !self.parked.is_empty();
-        let vain = pending.ended || late || price >= gain || !self.may_retry(pending);
-        if vain || !self.worker(worker).is_some_and(waits) {
+        let awaits_start = |w: &Worker| w.find_unfinished(id, 0).is_some_and(|f| f.started_at.is_none());
+        let gain = HEDGE_SUCCESS_PROBABILITY * pending.value / self.mean_value.ratio_or_one().max(1e-9);
+        let waste_price = self.settings.prices.waste * pending.work / self.mean_work.ratio_or_one();
+        let late = self.now + self.answer_margin() >= pending.request.deadline || !self.parked.is_empty();
+        let not_worth_it = pending.ended || late || waste_price >= gain || !self.may_retry(pending);
+        if not_worth_it || !self.worker(worker).is_some_and(awaits_start) {
             return;
         }
         if let Some(to) = self.select_worker(id).flatten() {
@@ -163,26 +172,26 @@
     }
 
     pub(super) fn arm_parked_timer(&mut self, out: &mut Vec<Action>) {
-        if !self.parked_timer && !self.parked.is_empty() {
-            self.parked_timer = true;
+        if !self.parked_timer_armed && !self.parked.is_empty() {
+            self.parked_timer_armed = true;
             out.push(Action::Timer { token: TIMER_PARKED, delay: PARKED_CHECK_MS.max(self.settings.period) });
         }
     }
 
     /// Sends what can be sent of the parked requests, the highest value first and the youngest of equals (the
     /// oldest are the least likely to be in time); answers those that waiting can only harm.
-    pub(super) fn dispatch_parked(&mut self, sweep: bool, out: &mut Vec<Action>) {
+    pub(super) fn dispatch_parked(&mut self, check_all: bool, out: &mut Vec<Action>) {
         // Most events free nothing: look before sorting, stop after a few misses (CPU).
-        let takes = |w: &Worker| w.mode == Mode::Ready && w.ejected_until <= self.now && !self.full(w);
-        if self.parked.is_empty() || !(sweep || self.workers.iter().any(takes)) {
+        let accepts = |w: &Worker| w.mode == Mode::Ready && w.ejected_until <= self.now && !self.is_full(w);
+        if self.parked.is_empty() || !(check_all || self.workers.iter().any(accepts)) {
             return;
         }
         let mut parked: Vec<(f64, RequestId)> = Vec::with_capacity(self.parked.len());
         for id in std::mem::take(&mut self.parked) {
             let Some(pending) = self.pending.get(&id).filter(|p| p.parked && !p.ended) else { continue };
-            let value = self.value(pending);
-            if value <= 0.0 || pending.request.deadline - self.now <= self.margin() {
-                self.answer(id, out);
+            let value = self.remaining_value(pending);
+            if value <= 0.0 || pending.request.deadline - self.now <= self.answer_margin() {
+                self.refuse_or_fail(id, out);
             } else {
                 parked.push((value, id));
             }
@@ -193,7 +202,7 @@
             let before = out.len();
             if misses < 4 {
                 self.pending.entry(id).and_modify(|p| p.parked = false);
-                self.place(id, out);
+                self.dispatch(id, out);
                 misses += u32::from(out.len() == before);
             } else {
                 self.parked.push(id);
@@ -202,32 +211,32 @@
     }
 
     /// Time that a job may wait for its start before it will probably be late.
-    fn slack(&self, pending: &Pending) -> f64 {
-        (pending.latency_target() - pending.work / self.all_speed.mean()).max(0.0)
+    fn start_slack(&self, pending: &Pending) -> f64 {
+        (pending.latency_target() - pending.work / self.fleet_speed.ratio_or_one()).max(0.0)
     }
 
     /// From then on an answer earns nothing. A late one that waited for as long as jobs run has no chance.
     pub(super) fn worthless_after(&self, pending: &Pending) -> f64 {
-        let late = if pending.class.late_value > 0.0 { self.mean_time() } else { 0.0 };
-        pending.arrived_at + self.slack(pending) + late
+        let late = if pending.class.late_value > 0.0 { self.mean_running_time() } else { 0.0 };
+        pending.arrived_at + self.start_slack(pending) + late
     }
 
     /// What an answer may still earn.
-    pub(super) fn value(&self, pending: &Pending) -> f64 {
-        match self.now - pending.arrived_at - self.slack(pending) {
-            over if over <= 0.0 => pending.value,
+    pub(super) fn remaining_value(&self, pending: &Pending) -> f64 {
+        match self.now - pending.arrived_at - self.start_slack(pending) {
+            overdue if overdue <= 0.0 => pending.value,
             _ if self.now <= self.worthless_after(pending) => pending.value * pending.class.late_value,
             _ => 0.0,
         }
     }
 
     /// Rule 1 and 2: the final answer. BUSY is a promise that nothing happened or that repeats are harmless.
-    pub(super) fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn refuse_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else { return };
-        let (effect, group) = (pending.class.effect, pending.class.dedup_scope);
-        let harmless =
-            effect == Effect::Idempotent || effect == Effect::Deduplicated && group == DedupScope::All;
-        if harmless || pending.first_run().is_none() {
+        let (effect, dedup_scope) = (pending.class.effect, pending.class.dedup_scope);
+        let repeats_are_harmless =
+            effect == Effect::Idempotent || effect == Effect::Deduplicated && dedup_scope == DedupScope::All;
+        if repeats_are_harmless || pending.first_possible_run().is_none() {
             // By our next arrivals the price or the queues may be down; longer, and what they ask is late.
             let (limits, wait) = (&self.settings.limits, 1.0 / self.arrival_rate.max(1e-3));
             let retry_after = if limits.retry_after { wait.min(limits.max_retry_after) } else { 0.0 };
@@ -235,13 +244,13 @@
         } else {
             out.push(Action::Fail { id });
         }
-        self.end(id);
+        self.finish(id);
     }
 
     /// Calls off the other copies of a request of which one has started or been served.
-    pub(super) fn cancel_others(&self, id: RequestId, but: usize, out: &mut Vec<Action>) {
+    pub(super) fn cancel_others(&self, id: RequestId, except: usize, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id).filter(|_| self.settings.limits.cancel) else { return };
-        for (attempt, _) in pending.open_attempts().filter(|(k, _)| *k != but) {
+        for (attempt, _) in pending.open_attempts().filter(|(k, _)| *k != except) {
             out.push(Action::Cancel { id, attempt });
         }
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -19,28 +19,28 @@
     /// A run of more than this is late by itself.
     pub max_run_time: f64,
     /// What a late start counts: less beyond the tenant's share.
-    pub weight: f64,
+    pub late_weight: f64,
     pub occupied_until: Option<f64>,
 }
 
 /// Work served and the core time it took, both fading with each job.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct DecayingMean {
-    pub work: f64,
-    pub time: f64,
+pub(crate) struct DecayingRatio {
+    pub numerator: f64,
+    pub denominator: f64,
 }
 
-impl DecayingMean {
-    pub fn add(&mut self, work: f64, time: f64, memory: f64) {
-        let keep = 1.0 - 1.0 / memory;
-        self.work = self.work * keep + work;
-        self.time = self.time * keep + time;
+impl DecayingRatio {
+    pub fn add(&mut self, numerator: f64, denominator: f64, sample_memory: f64) {
+        let keep = 1.0 - 1.0 / sample_memory;
+        self.numerator = self.numerator * keep + numerator;
+        self.denominator = self.denominator * keep + denominator;
     }
-    pub fn rate(self) -> Option<f64> {
-        (self.work > 0.0 && self.time > 0.0).then(|| self.work / self.time)
+    pub fn ratio(self) -> Option<f64> {
+        (self.numerator > 0.0 && self.denominator > 0.0).then(|| self.numerator / self.denominator)
     }
-    pub fn mean(self) -> f64 {
-        self.rate().unwrap_or(1.0)
+    pub fn ratio_or_one(self) -> f64 {
+        self.ratio().unwrap_or(1.0)
     }
 }
 
@@ -76,11 +76,11 @@
     pub in_subset: bool,
     /// Slots of ours beyond which completions did not rise: a job that we sent had to wait.
     pub knee: f64,
-    pub speed: DecayingMean,
+    pub speed: DecayingRatio,
     /// The entry of its index table at its present count, once read.
-    pub index: Option<f64>,
+    pub cached_index: Option<f64>,
     /// The whole list that is being read names it; since when no list does.
-    pub listed: bool,
+    pub in_current_list: bool,
     pub unlisted_since: Option<f64>,
     /// When it was last listed anew, started or dropped, and when it last gave a sign of life.
     pub listed_since: f64,
@@ -88,18 +88,18 @@
     /// Latest send among its jobs that have started.
     pub latest_started_send: f64,
     /// Share of failures in its latest outcomes, and the time until which nothing is sent after them.
-    pub errors: f64,
+    pub failure_rate: f64,
     pub ejected_until: f64,
     pub warm_up_turn: f64,
     /// When it was restored by hand, and whether it has not been used since.
     pub restored_at: Option<f64>,
     pub restored: bool,
     /// When a job of ours was last reset there, and how many at that moment.
-    pub resets: (f64, u32),
+    pub last_reset: (f64, u32),
 }
 
 impl Worker {
-    pub fn unknown() -> Self {
+    pub fn new() -> Self {
         let never = f64::NEG_INFINITY;
         let times = Worker {
             last_seen_at: never,
@@ -110,7 +110,7 @@
         Worker { warm_up_turn: never, knee: f64::INFINITY, ..times }
     }
     /// It is warming up from then: it was ejected by hand to be restarted, which lists say seconds later.
-    pub fn start(&self) -> Option<f64> {
+    pub fn warm_up_start(&self) -> Option<f64> {
         if self.restored_at > self.ready_at {
             self.restored_at
         } else {
@@ -122,20 +122,20 @@
         self.last_seen_at < self.listed_since
     }
     /// Attempts of ours that have not ended, without those whose work may still be there.
-    pub fn open_flights(&self) -> impl Iterator<Item = &InFlight> {
+    pub fn unfinished(&self) -> impl Iterator<Item = &InFlight> {
         self.in_flight.iter().filter(|f| f.occupied_until.is_none())
     }
-    pub fn flight(&self, request: RequestId, attempt: usize) -> Option<&InFlight> {
-        self.open_flights().find(|f| f.request == request && f.attempt == attempt)
+    pub fn find_unfinished(&self, request: RequestId, attempt: usize) -> Option<&InFlight> {
+        self.unfinished().find(|f| f.request == request && f.attempt == attempt)
     }
     /// Counts jobs of ours that were reset there at this moment.
-    pub fn reset(&mut self, now: f64) -> u32 {
-        self.resets = (now, if self.resets.0 == now { self.resets.1 + 1 } else { 1 });
-        self.resets.1
+    pub fn count_reset(&mut self, now: f64) -> u32 {
+        self.last_reset = (now, if self.last_reset.0 == now { self.last_reset.1 + 1 } else { 1 });
+        self.last_reset.1
     }
     /// Slots of ours at work there, as far as was reported.
     pub fn running(&self) -> f64 {
-        self.open_flights().filter(|f| f.started_at.is_some()).map(|f| f.slots).sum()
+        self.unfinished().filter(|f| f.started_at.is_some()).map(|f| f.slots).sum()
     }
     /// Forgets ended attempts whose work is over by now.
     pub fn expire(&mut self, now: f64) {
@@ -144,13 +144,13 @@
     }
     pub fn push(&mut self, flight: InFlight) {
         self.slots += flight.slots;
-        self.index = None;
+        self.cached_index = None;
         self.in_flight.push(flight);
     }
-    pub fn take(&mut self, request: RequestId, attempt: usize) -> Option<InFlight> {
+    pub fn remove(&mut self, request: RequestId, attempt: usize) -> Option<InFlight> {
         let i = self.in_flight.iter().position(|f| f.request == request && f.attempt == attempt)?;
         let flight = self.in_flight.swap_remove(i);
-        self.index = None;
+        self.cached_index = None;
         self.slots = if self.in_flight.is_empty() { 0.0 } else { self.slots - flight.slots };
         Some(flight)
     }
@@ -158,12 +158,12 @@
 
 /// What is pooled over the workers of one kind; cores: most slots seen at work at once on one.
 #[derive(Default)]
-pub(crate) struct Kind {
-    pub speed: DecayingMean,
+pub(crate) struct KindStats {
+    pub speed: DecayingRatio,
     pub cores: f64,
     /// Mean slots of ours at one of them lately, and of all by load reports.
-    pub usual_slots: f64,
-    pub reported_slots: DecayingMean,
+    pub mean_own_slots: f64,
+    pub reported_slots: DecayingRatio,
 }
 
 #[derive(Default)]
@@ -173,9 +173,9 @@
     pub speed: f64,
     pub cores: f64,
     /// Mean slots in use at one of them by load reports, and those that others than us use.
-    pub reported_slots: DecayingMean,
+    pub reported_slots: DecayingRatio,
     pub others_slots: f64,
-    pub index: f64,
+    pub baseline_index: f64,
     pub start_lag: f64,
 }
 
@@ -207,7 +207,7 @@
     pub work: f64,
     /// What an answer in time earns.
     pub value: f64,
-    pub weight: f64,
+    pub quota_weight: f64,
     pub arrived_at: f64,
     pub attempts: Vec<Attempt>,
     pub ended: bool,
@@ -220,7 +220,7 @@
         self.class.latency_target + self.class.target_stretch * self.work
     }
     /// Opens its next attempt, at this worker; what is kept of it there.
-    pub fn open_attempt(&mut self, worker: WorkerId, now: f64) -> InFlight {
+    pub fn start_attempt(&mut self, worker: WorkerId, now: f64) -> InFlight {
         self.parked = false;
         self.attempts.push(Attempt { worker, sent_at: now, outcome: None });
         InFlight {
@@ -231,7 +231,7 @@
             sent_at: now,
             reported_at: now,
             max_run_time: if self.class.latency_target > 0.0 { self.latency_target() } else { f64::INFINITY },
-            weight: self.weight,
+            late_weight: self.quota_weight,
             ..InFlight::default()
         }
     }
@@ -240,15 +240,15 @@
         self.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none())
     }
     /// The first attempt that may have run: what binds all later ones.
-    pub fn first_run(&self) -> Option<&Attempt> {
+    pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| a.may_have_run())
     }
 }
 
-pub(crate) struct Random(pub Rng);
+pub(crate) struct SeededRng(pub Rng);
 
-impl Default for Random {
+impl Default for SeededRng {
     fn default() -> Self {
-        Random(Rng::with_seed(0))
+        SeededRng(Rng::with_seed(0))
     }
 }
