--- a/src/rules/index.rs
+++ b/src/rules/index.rs
@@ -1,5 +1,5 @@
-//! The index of equation (15), and the estimates that it rests on: our arrival rate, workers' speeds, and
-//! the jobs that others have there.
+//! The Whittle index of equation (15), and the estimates that it is computed from: this dispatcher's arrival
+//! rate, the workers' speeds, and the jobs that other dispatchers have at them.
 
 use super::constants::*;
 use super::Balancer;
@@ -7,8 +7,12 @@
 use crate::state::*;
 use std::collections::BTreeMap;
 
-/// Equation (15) with C = 1 and without pD, which `select_worker` adds where refusal is possible. `n` may lie
-/// between whole counts. Finite and non-increasing for any n: past e^600 the power goes on with its exponent.
+/// The Whittle index by equation (15), with C = 1 and without the term pD for the cost of blocking
+/// (`select_worker` subtracts a term of that form for crossing zones).
+///
+/// `p` and `q` are the probabilities of an arrival and of a completion in one time step. `n` is the number of
+/// jobs at the worker and need not be whole. The result is finite and does not increase with `n`: above e^600
+/// the power term grows linearly with its exponent instead of exponentially.
 pub fn whittle_index(p: f64, q: f64, n: f64) -> f64 {
     let edge_factor = if q < p || p * (1.0 + MIN_RELATIVE_GAP) > 1.0 {
         1.0 - MIN_RELATIVE_GAP
@@ -26,28 +30,31 @@
 }
 
 impl Balancer {
+    /// Expected running time of an average request on an average worker (ms).
     pub(super) fn mean_running_time(&self) -> f64 {
         self.mean_work.ratio_or_one() / self.fleet_speed.ratio_or_one()
     }
 
-    /// Share of its capacity that a worker has at least, from its last start.
+    /// Fraction of its full capacity that a worker has at least, given when it last started.
     pub(super) fn warm_up_fraction(&self, ready_at: Option<f64>) -> f64 {
         let rules = &self.settings.rules;
         let warm_up_progress = ready_at.map_or(f64::INFINITY, |at| (self.now - at).max(0.0) / rules.warm_up);
         (rules.warm_up_from + (1.0 - rules.warm_up_from) * warm_up_progress).min(1.0)
     }
 
-    /// Work a millisecond of one core of a warm worker, from served work only; its kind's mean stands before.
+    /// Work (ms on a standard core) that one core of a warm worker does per ms. Learned from served jobs
+    /// only, with the mean of its kind as the prior.
     pub(super) fn estimated_speed(&self, worker: &Worker) -> f64 {
         let kind_speed = self.pools[worker.pool].speed;
         let prior = PRIOR_JOBS * self.mean_work.ratio_or_one();
-        // Jobs that overstay count before they end: a stalled worker yields no outcomes to learn from.
+        // Running jobs count as soon as they exceed their expected time, because a stalled worker yields no
+        // outcomes to learn from.
         let overrun = |f: &InFlight| f.started_at.map(|s| (self.now - s - f.work / kind_speed).max(0.0));
         let total_overrun = worker.unfinished().filter_map(overrun).sum::<f64>();
         (worker.speed.numerator + prior) / (worker.speed.denominator + prior / kind_speed + total_overrun)
     }
 
-    /// Renews what the index of every worker rests on.
+    /// Refreshes the estimates behind the index of every worker, unless they are recent.
     pub(super) fn refresh_estimates(&mut self) {
         let since = self.now - self.refreshed_at;
         let interval =
@@ -63,7 +70,7 @@
         self.arrival_rate =
             arrivals / (ARRIVAL_TIME_CONSTANT_MS * (1.0 - (-observed_ms / ARRIVAL_TIME_CONSTANT_MS).exp()));
         let mut fastest = self.arrival_rate.max(1e-9);
-        // Without start notes the first of progress tells, a while later.
+        // Without start reports, the first progress report shows that a job has started, with a delay.
         let (mut late_starts, report_delay) = (0.0, self.start_report_delay());
         let mut own_slots = BTreeMap::<Option<u32>, (f64, f64)>::new();
         for i in 0..self.workers.len() {
@@ -123,15 +130,19 @@
         }
     }
 
-    /// The entry of a worker's table at its present count, by core: our jobs there, and those of the others:
-    /// by its pool's load reports, or else as many of each as we have on a mean worker of its kind (pooled,
-    /// as our count at one is 0 or 1 among hundreds of us). Only the holder of a turn sends to
-    /// a worker that is warming up.
+    /// Whittle index of a worker at its present number of slots in use per core: those of this dispatcher's
+    /// jobs and those of other dispatchers'.
+    ///
+    /// The slots of the others come from the load reports of its pool. Without reports, every other
+    /// dispatcher is assumed to use as many as this one does on an average worker of its kind (averaged over
+    /// the kind, because one of hundreds of dispatchers has 0 or 1 job at a single worker). Others do not
+    /// count at a worker that is warming up: only the dispatcher whose turn it is sends to it.
     pub(super) fn worker_index(&self, worker: &Worker) -> f64 {
         let warm_up_fraction = self.warm_up_fraction(worker.warm_up_start());
         let speed = self.estimated_speed(worker) * warm_up_fraction / self.mean_work.ratio_or_one();
         let pool = &self.pools[worker.pool];
-        // Nothing of our own to tell it by: at 200 workers most are like that, and the exponentials cost.
+        // This dispatcher has no data of its own on the worker. That holds for most of 200 workers, and the
+        // exponentials of the index are expensive.
         if worker.in_flight.is_empty()
             && worker.speed.denominator == 0.0
             && worker.reported_slots.is_none()
--- a/src/rules/learned_state.rs
+++ b/src/rules/learned_state.rs
@@ -1,9 +1,9 @@
-//! What the module has learnt, given to a successor (an upgrade): read out, and taken in before the first
-//! event but the list. Nothing here decides.
+//! Export of the learned state to a successor process (an upgrade), and its import there: after the worker
+//! list and before any other event. Nothing here decides.
 //!
-//! Times are those of the clock that both processes count by. Jobs under way stay with the process that
-//! sent them; the successor counts them at their workers, in the index and so against the budgets of
-//! workers that are warming up, until it is notified that they have ended.
+//! Both processes must use the same clock. Open attempts stay with the process that sent them. The successor
+//! counts them at their workers, in the index and so against the budgets of workers that are warming up,
+//! until it is notified that they have ended.
 
 use super::constants::RETRY_BURST;
 use super::Balancer;
@@ -11,106 +11,107 @@
 use crate::state::{DecayingRatio, InFlight, KindStats, Worker};
 use serde::{Deserialize, Serialize};
 
-/// Version of this form. Another version's state is rejected whole: to start afresh is safe, to misread is
-/// not.
+/// Version of the learned state's format. State of another version is rejected as a whole: to start without
+/// is safe, to misread it is not.
 pub const LEARNED_STATE_VERSION: u32 = 2;
-/// More workers than this are not accepted from a predecessor: far beyond any fleet.
+/// Most workers that are accepted from a predecessor: far more than any fleet has.
 const MAX_WORKERS: usize = 100_000;
-/// More attempts than this are not accepted from a predecessor.
+/// Most attempts that are accepted from a predecessor.
 const MAX_ATTEMPTS: usize = 1_000_000;
-/// Numbers of a predecessor's requests start here, where our own never come.
+/// Set in the numbers of a predecessor's requests, so that they never equal this instance's own.
 const PREDECESSOR_ID_FLAG: u64 = 1 << 63;
 
-/// Work (ms on a standard core, or a count) and the time it took (ms), both decaying: their quotient is a
-/// mean.
+/// Numerator and denominator of a mean, such as work (ms on a standard core) and the time it took (ms). Both
+/// decay exponentially with each sample.
 pub type Mean = (f64, f64);
 
-/// All that is worth passing on. Plain numbers; the caller translates identifiers of workers, classes and
-/// kinds.
+/// The learned state of one instance, as plain numbers. The caller translates the identifiers of workers,
+/// classes and kinds.
 ///
-/// The field names of the encoded form are those of version 2.
+/// Where a `rename` is given, the field has that name in the encoded form of version 2.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
     /// [`LEARNED_STATE_VERSION`] of the writer.
     pub version: u32,
-    /// When it was exported.
+    /// Time of the export.
     #[serde(rename = "at")]
     pub exported_at: f64,
-    /// When the first event came.
+    /// Time of the first event.
     #[serde(rename = "began")]
     pub started_at: Option<f64>,
-    /// Sum of arrivals, decaying, and as of when.
+    /// Exponentially decaying count of arrivals, and the time of its value.
     pub arrivals: (f64, f64),
-    /// Retries that may still be made at once.
+    /// Retries that the retry budget allows now.
     pub retry_tokens: f64,
-    /// Logarithm of what a unit of work must earn to be accepted, in means.
+    /// Admission price: logarithm of the value that a unit of work must earn to be accepted, relative to the
+    /// mean value of a unit of work.
     pub price: f64,
-    /// Mean running time by class.
+    /// Mean running time by class (ms).
     pub class_time: Vec<Mean>,
-    /// Speed of all workers taken together.
+    /// Mean speed of all workers: work (ms on a standard core) per ms.
     pub all_speed: Mean,
-    /// Work of a request.
+    /// Mean work of a request (ms on a standard core, times its slots).
     pub mean_work: Mean,
-    /// How long jobs wait for their start.
+    /// Mean time from the send of a job to its start (ms).
     #[serde(rename = "waits")]
     pub start_waits: Mean,
-    /// Value of a request.
+    /// Mean value of a request.
     #[serde(rename = "mean_worth")]
     pub mean_value: Mean,
-    /// What is pooled over the workers of one kind.
+    /// Estimates over all workers of each kind.
     pub kinds: Vec<LearnedKind>,
-    /// What is learned of each worker.
+    /// What was learned about each worker.
     pub workers: Vec<LearnedWorker>,
-    /// Workers ejected by hand, and since when.
+    /// Workers that operators have ejected, and since when.
     pub banned: Vec<(WorkerId, f64)>,
 }
 
-/// What is pooled over the workers of one kind.
+/// Estimates over all workers of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedKind {
-    /// The kind; `None`: workers whose kind the list does not say.
+    /// The kind; `None`: workers whose kind the list does not give.
     pub kind: Option<u32>,
-    /// Speed of one core.
+    /// Work (ms on a standard core) per ms of core time.
     pub speed: Mean,
-    /// Most slots seen at work at once on one worker.
+    /// Most slots seen running at once on one worker, or reported free there.
     pub cores: f64,
     /// Mean slots of this dispatcher's jobs at one worker.
     #[serde(rename = "usual")]
     pub usual_slots: f64,
-    /// Mean slots in use at one worker by load reports.
+    /// Mean slots in use at one worker, by load reports.
     #[serde(rename = "heard")]
     pub reported_slots: Mean,
 }
 
-/// What is learned of one worker.
+/// What was learned about one worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedWorker {
     /// The worker.
     pub id: WorkerId,
-    /// When the process started that this is about.
+    /// When the process started that this was learned about; `None`: long ago.
     pub ready_at: Option<f64>,
-    /// When it was last restored by hand ...
+    /// When operators last restored it, unless a start of its process is known from while it was ejected.
     #[serde(rename = "returned")]
     pub restored_at: Option<f64>,
-    /// ... and whether it has not been sent a job since.
+    /// Operators have restored it, and no job has been sent to it since.
     #[serde(rename = "put_back")]
     pub restored: bool,
-    /// Its speed.
+    /// Work (ms on a standard core) per ms of core time, from jobs served while it was warm.
     pub speed: Mean,
-    /// Slots of this dispatcher's jobs beyond which its completions did not rise.
+    /// Slots of this dispatcher's jobs beyond which its throughput does not rise.
     pub knee: f64,
-    /// Fraction of its latest outcomes that failed.
+    /// Failed fraction of its latest outcomes, as an exponential moving average.
     pub errors: f64,
-    /// It is ejected until then.
+    /// It is ejected until this time.
     #[serde(rename = "hold_until")]
     pub ejected_until: f64,
-    /// The last turn of its warm-up budget that was used.
+    /// Number of the last turn that was used to send to it while it warmed up.
     #[serde(rename = "cold_turn")]
     pub warm_up_turn: f64,
-    /// When it was last listed anew, started or unlisted.
+    /// When it was last added to the list, started anew or disappeared from the list.
     #[serde(rename = "since")]
     pub listed_since: f64,
-    /// When it last gave a sign of life.
+    /// When it last answered or reported on a job.
     #[serde(rename = "sign")]
     pub last_seen_at: f64,
     /// Attempts there that have not ended.
@@ -121,27 +122,27 @@
 /// An attempt that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedAttempt {
-    /// The sender's number of the request.
+    /// The request, by the number that the exporting process uses.
     pub request: u64,
     /// The attempt, from 0.
     pub attempt: usize,
     /// Slots that it takes.
     pub slots: f64,
-    /// Its work (ms on a standard core).
+    /// Expected work (ms on a standard core).
     pub work: f64,
     /// When it was sent.
     #[serde(rename = "sent")]
     pub sent_at: f64,
 }
 
-/// Why a predecessor's state is rejected.
+/// Why the state of a predecessor is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LearnedStateError {
-    /// It is of another version.
+    /// It has another version than [`LEARNED_STATE_VERSION`]: this one.
     Version(u32),
-    /// More classes, workers or attempts than there can be.
+    /// It has another number of classes than the settings, or too many workers or attempts.
     Size,
-    /// A number that is none, or out of its range.
+    /// A number is not finite, or out of its range.
     Number,
 }
 
@@ -161,7 +162,7 @@
     x.is_finite() && x >= 0.0
 }
 
-/// Times may lie before all others, never after.
+/// A time may be negative infinity (never), but not positive infinity.
 fn is_valid_time(x: f64) -> bool {
     !x.is_nan() && x < f64::INFINITY
 }
@@ -246,7 +247,7 @@
 }
 
 impl Balancer {
-    /// What a successor is given.
+    /// Exports the learned state for a successor.
     pub fn export(&self) -> LearnedState {
         let kind = |(kind, learned): (&Option<u32>, &KindStats)| LearnedKind {
             kind: *kind,
@@ -273,11 +274,11 @@
         }
     }
 
-    /// Takes a predecessor's memory in: after the list and before the first request. Of a worker that the
-    /// list does not name, or that has restarted since, nothing holds.
+    /// Imports the learned state of a predecessor: after the worker list and before the first request. What
+    /// it holds about a worker that the list does not name, or that has restarted since, is ignored.
     ///
     /// # Errors
-    /// It cannot be used; nothing of it has been taken in.
+    /// The state cannot be used; none of it has been imported.
     pub fn import(&mut self, learned: &LearnedState) -> Result<(), LearnedStateError> {
         learned.validate(self.class_running_time.len())?;
         self.started_at = learned.started_at.or(self.started_at);
@@ -302,7 +303,7 @@
             if worker.ready_at > learned.ready_at {
                 continue;
             }
-            // Perhaps a start that no list has named yet: a crash that was seen.
+            // The start may be later than the listed one: that of a process whose crash the predecessor saw.
             (worker.ready_at, worker.restored_at) = (learned.ready_at, learned.restored_at);
             (worker.speed, worker.restored) = (ratio_from(learned.speed), learned.restored);
             (worker.knee, worker.failure_rate) = (learned.knee, learned.errors);
@@ -318,7 +319,7 @@
         Ok(())
     }
 
-    /// A job of the predecessor's has ended at this worker; false if none such is known.
+    /// Notes that an attempt of the predecessor has ended at this worker. Returns false if it is not known.
     pub fn foreign_ended(
         &mut self,
         worker: WorkerId,
@@ -334,7 +335,7 @@
         ended
     }
 
-    /// The predecessor is gone, and its jobs with it: none of them counts any more.
+    /// Notes that the predecessor has ended, and its attempts with it: none of them counts any more.
     pub fn foreign_gone(&mut self, out: &mut Vec<Action>) {
         for worker in &mut self.workers {
             let predecessor_attempts: Vec<(u64, usize)> = worker
@@ -351,9 +352,9 @@
     }
 }
 
-/// Work that goes on there, as after an attempt of our own that was given up: it takes room, and is neither
-/// late nor lost by our judgement. No client waits longer than the longest deadline, whatever becomes of
-/// its sender.
+/// Record of a predecessor's attempt. Like an own attempt that was given up, it occupies slots, and is never
+/// judged late or lost. It ends at the latest after the longest deadline of any class, beyond which no client
+/// waits, so that it does not stay if the predecessor's notice is lost.
 fn predecessor_attempt(flight: &LearnedAttempt, longest_deadline: f64) -> InFlight {
     InFlight {
         request: PREDECESSOR_ID_FLAG | flight.request,
--- a/src/rules/lost_attempts.rs
+++ b/src/rules/lost_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that are lost, and jobs that wait past their use.
+//! Detects attempts that are lost, and jobs that wait for their start until an answer is worth nothing.
 
 use super::constants::*;
 use super::{Balancer, TIMER_LOST_ATTEMPTS};
@@ -6,9 +6,10 @@
 use crate::state::*;
 
 impl Balancer {
-    /// Judges attempts lost (the job, its answer, or a worker that hangs) by notes that do not come: a
-    /// started job's within a few progress times, else a first sign within some mean running times. Its slots
-    /// are free; it is called off and sent again, or given up where that is not allowed.
+    /// Treats attempts as lost (the job or its answer was lost, or the worker hangs) when expected reports do
+    /// not come: a progress report on a started job within a few progress intervals, a first report on any
+    /// other within a few mean start waits. A lost attempt no longer counts at its worker. It is cancelled so
+    /// that the request is sent again, or the request is answered where that is not allowed.
     pub(super) fn detect_lost_attempts(&mut self, out: &mut Vec<Action>) {
         let (mut lost, mut worthless, mut next_check) = (Vec::new(), Vec::new(), f64::INFINITY);
         let (mean_time, progress_interval) = (self.mean_running_time(), self.progress_interval());
@@ -26,8 +27,8 @@
                 let Some(flight) = worker.find_unfinished(*id, k) else { continue };
                 let started = flight.started_at.is_some();
                 let lag = 2.0 * self.pools[worker.pool].start_lag.min(mean_time);
-                // Where starts are reported, one that does not come may wait in a deep queue, but not behind
-                // later ones in a queue served in order.
+                // Where starts are reported, a job without a report may still wait in a deep queue. Where
+                // workers start jobs in order, it cannot wait behind jobs that were sent later.
                 let overtaken =
                     self.settings.fifo && !started && worker.latest_started_send > flight.sent_at + lag;
                 let timeout = match (started, self.settings.reports_starts) {
@@ -55,7 +56,7 @@
                 if silent {
                     self.eject_unresponsive(i);
                 }
-                // It had counted as a late start: what is lost is no overload.
+                // Takes back the late start that it counted as: a lost job is no sign of overload.
                 if flight.started_at.is_none() && flight.start_due_at == f64::INFINITY {
                     self.adjust_price(-flight.late_weight);
                 }
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Each start is reported, and of none of this one: it waits in queues, past its use in the way of
-    /// others.
+    /// Whether all attempts of a request still wait for their start, as far as reports show. Once its answer
+    /// is worth nothing, such a request only delays others in the workers' queues.
     fn awaits_start(&self, id: RequestId, pending: &Pending) -> bool {
         let started_or_unknown = |(k, a): (usize, &Attempt)| {
             let flight = self.worker(a.worker).and_then(|w| w.find_unfinished(id, k));
@@ -85,13 +86,13 @@
         };
         let reports_queueing =
             self.settings.reports_starts && self.settings.limits.cancel && pending.class.latency_target > 0.0;
-        // Running times are guesses till some have been seen.
+        // Running times are mere guesses until enough jobs of the class have been served.
         let samples =
             pending.request.class.and_then(|c| self.class_running_time.get(c)).map_or(0.0, |s| s.denominator);
         reports_queueing && samples >= SPEED_MEMORY_JOBS && !pending.open_attempts().any(started_or_unknown)
     }
 
-    /// Longer than jobs wait for their start.
+    /// A time (ms) longer than jobs normally wait for their start.
     pub(super) fn long_start_wait(&self) -> f64 {
         self.mean_running_time()
             + LOST_START_WAITS * self.start_waits.ratio().unwrap_or(self.mean_running_time())
--- a/src/rules/outcomes.rs
+++ b/src/rules/outcomes.rs
@@ -1,12 +1,12 @@
-//! What is learnt of a worker by notes, load reports and outcomes, and how long one that fails is left
-//! alone.
+//! What is learned about a worker from start and progress reports, load reports and outcomes, and for how
+//! long a failing worker is ejected.
 
 use super::constants::*;
 use super::{finite_positive, Balancer};
 use crate::interface::*;
 
 impl Balancer {
-    /// After an outcome the request is closed, or needs a further attempt or its final answer.
+    /// Records the outcome of an attempt. The request is then closed, retried or given its final answer.
     pub(super) fn on_outcome(&mut self, event: Event, out: &mut Vec<Action>) {
         let Event::Outcome { id, attempt, worker, outcome, latency, closed, load } = event else { return };
         self.on_load_report(worker, load);
@@ -25,6 +25,8 @@
         self.dispatch_parked(false, out);
     }
 
+    /// A start or progress report. The first one of a job shows how long the job waited for its start, and
+    /// with that whether the start was late and whether the worker was full.
     pub(super) fn on_progress(&mut self, id: RequestId, attempt: usize) {
         let Some(at) = self.pending.get(&id).and_then(|p| p.attempts.get(attempt)) else { return };
         let (mean_time, now, mut late) = (self.mean_running_time(), self.now, 0.0);
@@ -57,13 +59,13 @@
         self.adjust_price(late);
     }
 
-    /// A load report: late and noisy, so it fades to what is reported of the worker's pool.
+    /// A load report. Reports are late and noisy, so their effect decays to the mean of the worker's pool.
     pub(super) fn on_load_report(&mut self, worker_id: WorkerId, load: Option<Load>) {
         let (Some(load), Some(i)) = (load, self.position_of(worker_id)) else { return };
         let mean_time = self.mean_running_time();
         let kind = self.kinds.entry(self.pools[self.workers[i].pool].kind).or_default();
         kind.cores = kind.cores.max(load.free_slots.unwrap_or(0.0).min(64.0));
-        // Errors that others met there are as good as our own.
+        // Errors that other dispatchers got count like this dispatcher's own.
         let errors = load.errors_per_s.unwrap_or(0.0) * mean_time / 1000.0;
         let failure_rate = errors / (errors + kind.cores.max(1.0));
         if (ERROR_THRESHOLD..=1.0).contains(&failure_rate) {
@@ -78,7 +80,8 @@
         self.pools[self.workers[i].pool].reported_slots.add(slots.max(0.0), 1.0, LOAD_REPORT_MEMORY);
     }
 
-    /// Books an outcome on its request and worker; false if it is not a first one.
+    /// Records an outcome with its request and worker. Returns false if the attempt is unknown or already has
+    /// an outcome.
     fn record_outcome(
         &mut self,
         id: RequestId,
@@ -121,7 +124,7 @@
                 }
             }
             Outcome::TimedOut | Outcome::Canceled => {
-                // The work may go on: count it as still there for about as long again as a job takes.
+                // The work may continue: it counts as still there for a mean running time.
                 flight.occupied_until = Some(self.now + mean_time);
                 let silent = outcome == Outcome::TimedOut && worker.last_seen_at < flight.sent_at;
                 worker.push(flight);
@@ -131,7 +134,7 @@
             }
             Outcome::Ignored => {}
             Outcome::Failed | Outcome::QueueFull | Outcome::ConnectError | Outcome::ResetByPeer => {
-                // One that fails fast is always the emptiest: ejected, longer each time.
+                // A worker that fails fast always looks the least loaded, so it is ejected, longer each time.
                 worker.failure_rate += ERROR_EWMA_WEIGHT;
                 let full = outcome == Outcome::QueueFull;
                 late = if full && attempt == 0 && flight.start_due_at.is_finite() {
@@ -140,7 +143,7 @@
                     0.0
                 };
                 let crashed = outcome == Outcome::ResetByPeer && worker.count_reset(self.now) >= CRASH_RESETS;
-                // One that has just answered is there: the way to it broke.
+                // A worker that has just answered is up: only the connection failed.
                 let recently_seen =
                     outcome == Outcome::ConnectError && self.now - worker.last_seen_at < RECENTLY_SEEN_MS;
                 let may_be_isolated =
@@ -149,12 +152,14 @@
                     return true;
                 }
                 if crashed && worker.in_flight.is_empty() {
-                    // Its process died. It comes back warming up before a list says so, and crashed again.
+                    // Its process died. It will be back, and warming up, before a list reports the restart;
+                    // workers that were then sent a full load crashed again.
                     (worker.ready_at, worker.listed_since) = (Some(self.now), self.now);
                 }
                 self.eject(i, if full { mean_time } else { MAX_EJECTION_MS });
                 if outcome == Outcome::ConnectError {
-                    // It may be gone, which lists say late: till some of our jobs would have met it.
+                    // The worker may be gone, which lists report late. It is ejected until it would have
+                    // received a few jobs.
                     let subset_size =
                         self.workers.iter().filter(|w| w.in_subset && w.mode == Mode::Ready).count();
                     let ejection_ms = (CONNECT_ERROR_SKIPPED_JOBS * subset_size as f64
@@ -168,25 +173,27 @@
         true
     }
 
-    /// A worker that fails is ejected, longer the more of its latest outcomes failed.
+    /// Ejects a worker that gave no answer or report, longer the more of its latest outcomes failed.
     pub(super) fn eject_unresponsive(&mut self, i: usize) {
         let worker = &mut self.workers[i];
         worker.failure_rate += ERROR_EWMA_WEIGHT * (1.0 - worker.failure_rate);
         self.eject(i, MAX_EJECTION_MS);
     }
 
-    /// One that is full for about as long as one of its jobs runs, at the most.
+    /// Ejects a worker for `max_ms` times the failed fraction of its latest outcomes. `max_ms` is a mean
+    /// running time for a worker that reported a full queue.
     fn eject(&mut self, i: usize, max_ms: f64) {
         let worker = &mut self.workers[i];
         let share = if worker.unproven() { UNPROVEN_EJECTION_FACTOR } else { worker.failure_rate };
         worker.ejected_until = self.now + max_ms * share;
     }
 
-    /// Its estimate alone still draws a job whenever the others are busy, and each comes late.
+    /// Ejects a worker that is much slower than its kind. By its index alone it would still get a job
+    /// whenever the other workers are busy, and each such job would be late.
     pub(super) fn eject_slow(&mut self, i: usize) {
         let worker = &self.workers[i];
         let relative_speed = self.estimated_speed(worker) / self.pools[worker.pool].speed;
-        // Under overload what it still serves in time counts.
+        // Not under overload, when the jobs that it still serves in time are needed.
         if relative_speed < SLOW_SPEED_RATIO && self.log_price <= MIN_LOG_PRICE && self.parked.is_empty() {
             self.workers[i].ejected_until = self.now + MAX_EJECTION_MS * (1.0 - relative_speed);
         }
--- a/src/rules/records.rs
+++ b/src/rules/records.rs
@@ -1,4 +1,4 @@
-//! How a dispatcher's records begin, are found, and go over to new settings. Nothing here decides.
+//! Creates, finds and removes a dispatcher's records, and adapts them to new settings. Nothing here decides.
 
 use super::constants::{MIN_LOG_PRICE, RETRY_BURST, TENANT_BURST_REQUESTS};
 use super::{finite_positive, Balancer};
@@ -7,7 +7,7 @@
 use fastrand::Rng;
 
 impl Balancer {
-    /// An instance that knows no worker yet. Equal settings, seeds and events give equal actions.
+    /// Creates an instance that knows no worker yet. Equal settings, seeds and events give equal actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Balancer {
             rng: SeededRng(Rng::with_seed(seed)),
@@ -26,7 +26,8 @@
         &self.settings
     }
 
-    /// What was learnt of a class goes with it, not with its place; what was learnt of workers stays.
+    /// Applies new settings. What was learned about a class moves with the class to its new index (`from`
+    /// holds the old ones); what was learned about workers stays.
     pub(super) fn on_settings(&mut self, settings: Settings, from: &[Option<usize>]) {
         let learned =
             |f: &Option<usize>| f.and_then(|i| self.class_running_time.get(i)).copied().unwrap_or_default();
@@ -47,7 +48,7 @@
         self.position_of(id).map(|i| &self.workers[i])
     }
 
-    /// The pool of a kind in a zone, which begins here if there is none yet.
+    /// Index of the pool of a kind in a zone, which is created if there is none yet.
     pub(super) fn pool_of(&mut self, kind: Option<u32>, zone: Option<u32>) -> usize {
         let known = self.pools.iter().position(|p| (p.kind, p.zone) == (kind, zone));
         known.unwrap_or_else(|| {
@@ -56,7 +57,7 @@
         })
     }
 
-    /// How long after its start a job is reported.
+    /// How long after its start the first report on a job comes (ms).
     pub(super) fn start_report_delay(&self) -> f64 {
         if self.settings.reports_starts {
             0.0
@@ -65,10 +66,12 @@
         }
     }
 
+    /// Interval of progress reports (ms); infinite if there are none.
     pub(super) fn progress_interval(&self) -> f64 {
         finite_positive(Some(self.settings.progress)).unwrap_or(f64::INFINITY)
     }
 
+    /// Marks a request as ended, and removes it once all its attempts have an outcome.
     pub(super) fn finish(&mut self, id: RequestId) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.ended = true;
--- a/src/rules/scheduling.rs
+++ b/src/rules/scheduling.rs
@@ -1,5 +1,5 @@
-//! What becomes of a request: taken on or refused, sent, parked until a worker has capacity, given a second
-//! copy, answered.
+//! The course of a request: admission or refusal, sending, parking until a worker has capacity, hedging, and
+//! the final answer.
 
 use super::constants::*;
 use super::{finite_positive, Balancer, TIMER_HEDGE_BASE, TIMER_LOST_ATTEMPTS, TIMER_PARKED};
@@ -7,6 +7,8 @@
 use crate::state::*;
 
 impl Balancer {
+    /// Estimates the work and value of a new request, and admits it if its value is above the admission
+    /// price.
     pub(super) fn on_request(&mut self, request: Request, out: &mut Vec<Action>) {
         if self.pending.contains_key(&request.id) {
             return;
@@ -53,8 +55,10 @@
         }
     }
 
-    /// Traffic within its tenant's share: a tenant that sends no more than its share of what we see, or that
-    /// has not used up our even part of its quota. What is beyond earns little (one tenant's burst).
+    /// Counts a request of a tenant, and returns whether it is within the tenant's quota: the tenant sends no
+    /// more than its share of this dispatcher's traffic, or has not used up this dispatcher's part of its
+    /// quota, which is divided evenly. Requests beyond that have little value, so that the burst of one
+    /// tenant does not displace the others.
     fn is_within_quota(&mut self, tenant: Option<usize>) -> bool {
         let Some(t) = tenant.filter(|t| *t < self.tenants.len()) else { return true };
         let tenant_settings = &self.settings.tenants[t];
@@ -69,31 +73,33 @@
         within
     }
 
-    /// Overload that no dispatcher sees whole: each late start of ours raises the price that a unit of work
-    /// must earn to be taken on, each arrival lowers it.
+    /// Responds to overload, which no dispatcher sees as a whole: each late start at this dispatcher raises
+    /// the admission price, each arrival lowers it (`late` is then negative).
     pub(super) fn adjust_price(&mut self, late: f64) {
         self.log_price = (self.log_price + LOG_PRICE_STEP * late).clamp(MIN_LOG_PRICE, MAX_LOG_PRICE);
     }
 
+    /// Expected work of a request without a hint (ms on a standard core).
     fn expected_work(&self, index: Option<usize>, class: &Class) -> f64 {
         let seen = index.and_then(|c| self.class_running_time.get(c)).and_then(|s| s.ratio());
         seen.or(self.mean_work.ratio()).or(finite_positive(Some(class.latency_target))).unwrap_or(1.0)
     }
 
-    /// Sends a request that is not out, holds it, or gives its final answer.
+    /// Sends a request that has no open attempt to a worker, parks it, or gives its final answer.
     pub(super) fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else { return };
         if pending.ended || pending.open_attempts().next().is_some() {
             return;
         }
         let left = pending.request.deadline - self.now - self.answer_margin();
-        // One that never left here cost no worker anything.
+        // An attempt that was never sent cost no worker anything, so it uses up no retry.
         let retry = pending.attempts.iter().any(|a| a.outcome != Some(Outcome::Ignored));
         if !self.may_retry(pending) || left <= 0.0 || retry && self.retry_tokens < 1.0 {
             return self.refuse_or_fail(id, out);
         }
         match self.select_worker(id) {
-            // Its group is gone: no list change brings it back in time. Nor does one end a ban.
+            // No worker may take it: those within its deduplication scope are gone, or operators have ejected
+            // the workers. A list change would not help in time.
             None if retry || !self.banned.is_empty() => self.refuse_or_fail(id, out),
             Some(Some(chosen)) => {
                 self.retry_tokens -= f64::from(u32::from(retry));
@@ -103,12 +109,13 @@
         }
     }
 
-    /// Rule 1: time before the client's deadline at which a parked request is answered, a look ahead.
+    /// Rule 1: how long before the client's deadline a parked request is answered (ms), so that this happens
+    /// at the last check before it.
     fn answer_margin(&self) -> f64 {
         PARKED_CHECK_MS.max(self.settings.period) + 2.0 * self.settings.period.max(0.0) + 1.0
     }
 
-    /// Rule 2: is a further attempt allowed at all, given what the earlier ones may have done?
+    /// Rule 2: whether a further attempt is allowed, given what the earlier ones may have done.
     pub(super) fn may_retry(&self, pending: &Pending) -> bool {
         match (pending.first_possible_run(), pending.class.effect) {
             _ if pending.attempts.len() >= pending.max_attempts => false,
@@ -118,6 +125,7 @@
         }
     }
 
+    /// Sends a request to a worker, and arms the timers for lost attempts and for hedging.
     fn send(&mut self, id: RequestId, to: WorkerId, out: &mut Vec<Action>) {
         let Some(i) = self.position_of(to) else { return };
         let turn = self.warm_up_turn(&self.workers[i]);
@@ -143,8 +151,9 @@
         }
     }
 
-    /// A job that waits behind work of others gets a second copy (hedging) on a worker with room, where the
-    /// class allows one and the price of its wasted work is below what it may save.
+    /// Hedges a job that waits behind the work of other dispatchers: sends a second copy to a worker with
+    /// capacity, where the class allows that and the price of the work that is wasted is below the expected
+    /// gain.
     pub(super) fn hedge(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else { return };
         let [Attempt { worker, outcome: None, .. }] = pending.attempts[..] else { return };
@@ -161,8 +170,8 @@
         }
     }
 
-    /// Keeps a request until a worker can take it. Timers cannot be withdrawn: only one that looks at all
-    /// parked requests is armed at a time, or they multiply with every look (timer flood).
+    /// Keeps a request until a worker can take it. Timers cannot be cancelled, so only one timer for all
+    /// parked requests is armed at a time; otherwise their number would grow with every check.
     fn park(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         if !std::mem::replace(&mut pending.parked, true) {
@@ -171,6 +180,7 @@
         }
     }
 
+    /// Arms the timer that checks parked requests, if there are any and it is not armed.
     pub(super) fn arm_parked_timer(&mut self, out: &mut Vec<Action>) {
         if !self.parked_timer_armed && !self.parked.is_empty() {
             self.parked_timer_armed = true;
@@ -178,10 +188,12 @@
         }
     }
 
-    /// Sends what can be sent of the parked requests, the highest value first and the youngest of equals (the
-    /// oldest are the least likely to be in time); answers those that waiting can only harm.
+    /// Sends the parked requests that workers can take: highest value first, and among equals the newest
+    /// first, because the oldest are the least likely to be answered in time. Answers those that are worth
+    /// nothing any more or near their deadline. With `check_all`, does so even if no worker has capacity.
     pub(super) fn dispatch_parked(&mut self, check_all: bool, out: &mut Vec<Action>) {
-        // Most events free nothing: look before sorting, stop after a few misses (CPU).
+        // To save CPU time: most events free no capacity, so that is checked before sorting, and the search
+        // stops after a few requests that no worker could take.
         let accepts = |w: &Worker| w.mode == Mode::Ready && w.ejected_until <= self.now && !self.is_full(w);
         if self.parked.is_empty() || !(check_all || self.workers.iter().any(accepts)) {
             return;
@@ -210,18 +222,20 @@
         }
     }
 
-    /// Time that a job may wait for its start before it will probably be late.
+    /// How long after its arrival a job may start and still be expected to end within its latency target
+    /// (ms).
     fn start_slack(&self, pending: &Pending) -> f64 {
         (pending.latency_target() - pending.work / self.fleet_speed.ratio_or_one()).max(0.0)
     }
 
-    /// From then on an answer earns nothing. A late one that waited for as long as jobs run has no chance.
+    /// Time after which a waiting job is worth nothing. Where late answers have a value, a mean running time
+    /// is added: a job that waits even longer has no chance.
     pub(super) fn worthless_after(&self, pending: &Pending) -> f64 {
         let late = if pending.class.late_value > 0.0 { self.mean_running_time() } else { 0.0 };
         pending.arrived_at + self.start_slack(pending) + late
     }
 
-    /// What an answer may still earn.
+    /// Value that a request which has not started may still earn.
     pub(super) fn remaining_value(&self, pending: &Pending) -> f64 {
         match self.now - pending.arrived_at - self.start_slack(pending) {
             overdue if overdue <= 0.0 => pending.value,
@@ -230,14 +244,16 @@
         }
     }
 
-    /// Rule 1 and 2: the final answer. BUSY is a promise that nothing happened or that repeats are harmless.
+    /// Rules 1 and 2: gives the final answer. A refusal (BUSY) promises that the job did not run or that
+    /// repeating it is harmless; where that cannot be promised, the answer is a failure.
     pub(super) fn refuse_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else { return };
         let (effect, dedup_scope) = (pending.class.effect, pending.class.dedup_scope);
         let repeats_are_harmless =
             effect == Effect::Idempotent || effect == Effect::Deduplicated && dedup_scope == DedupScope::All;
         if repeats_are_harmless || pending.first_possible_run().is_none() {
-            // By our next arrivals the price or the queues may be down; longer, and what they ask is late.
+            // Advises to retry after the mean time between arrivals: by then the admission price or the
+            // queues may be lower, and after a longer wait the client's own deadline may be too near.
             let (limits, wait) = (&self.settings.limits, 1.0 / self.arrival_rate.max(1e-3));
             let retry_after = if limits.retry_after { wait.min(limits.max_retry_after) } else { 0.0 };
             out.push(Action::Refuse { id, retry_after });
@@ -247,7 +263,7 @@
         self.finish(id);
     }
 
-    /// Calls off the other copies of a request of which one has started or been served.
+    /// Cancels all open attempts of a request but one: that has started or was served, or it is `usize::MAX`.
     pub(super) fn cancel_others(&self, id: RequestId, except: usize, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id).filter(|_| self.settings.limits.cancel) else { return };
         for (attempt, _) in pending.open_attempts().filter(|(k, _)| *k != except) {
--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -1,5 +1,5 @@
-//! Which worker gets a job: the choice by index, among the part of the fleet that we keep to, of those with
-//! room, within the budgets of workers that are warming up.
+//! Selects the worker for a job: the one with the highest index among those with capacity in this
+//! dispatcher's subset of the fleet, within the load budgets of workers that are warming up.
 
 use super::constants::*;
 use super::Balancer;
@@ -7,9 +7,11 @@
 use crate::state::*;
 
 impl Balancer {
-    /// Highest index over workers that are ready, able, allowed by the effect rules and within the warm-up
-    /// budget. Workers that are ejected count only if no other is left, those outside our part if none in
-    /// it has room. None: there is no such worker, full or not.
+    /// Returns the worker with the highest index among those that are ready, of the required kind, within the
+    /// deduplication scope, not full and within their warm-up budget. Ejected workers are considered only if
+    /// all eligible ones are ejected, workers outside the subset only if none in it can take the job.
+    ///
+    /// `Some(None)`: no eligible worker can take the job now. `None`: there is no eligible worker at all.
     pub(super) fn select_worker(&mut self, id: RequestId) -> Option<Option<WorkerId>> {
         self.refresh_estimates();
         let pending = self.pending.get(&id)?;
@@ -22,7 +24,8 @@
             _ => None,
         };
         let last_tried = pending.attempts.last().map(|a| a.worker);
-        // A crossing costs its price: as blocking costs pD, with D the delay that loses as much value.
+        // Penalty for crossing zones, in the form of the blocking term pD of the index: p is the arrival
+        // rate, D the delay that would lose as much value as the crossing costs.
         let delay = CROSS_ZONE_FACTOR
             * self.arrival_rate
             * self.settings.prices.cross_zone
@@ -30,7 +33,8 @@
         let cross_zone_penalty = delay * self.mean_value.ratio_or_one() / pending.value.max(1e-9);
         let (own_zone, required_kind, load) =
             (self.settings.zone, class.kind, pending.work * pending.request.slots);
-        // Full ones are waited for, or every overload would send its rest to workers known to fail.
+        // A full worker that is not ejected is waited for. Otherwise every overload would send the excess to
+        // workers that are known to fail.
         let (mut any_not_set_aside, mut any_eligible) = (false, false);
         let mut candidates = Vec::with_capacity(self.workers.len());
         for i in 0..self.workers.len() {
@@ -57,10 +61,10 @@
             }
             let penalty = if pool.zone == own_zone { 0.0 } else { cross_zone_penalty };
             let index = worker.cached_index.unwrap_or_else(|| self.worker_index(worker));
-            // One that was restored shows what it is by a job, however poor its index was.
+            // A restored worker gets a job to be measured by, however low its index was.
             let bonus = if worker.restored { RESTORED_BONUS } else { 0.0 };
-            // One that is warming up is anybody's whose turn it is; a part that is all full or ejected, no
-            // bound.
+            // Any dispatcher may use a worker that is warming up, when it is its turn. The subset is no limit
+            // while all workers in it are full or ejected.
             let outside_subset =
                 !worker.in_subset && !worker.restored && self.warm_up_fraction(worker.warm_up_start()) >= 1.0;
             candidates.push((index - penalty + bonus, i, set_aside, outside_subset));
@@ -75,9 +79,12 @@
         any_eligible.then_some(candidates.get(chosen).map(|w| self.workers[w.1].id))
     }
 
-    /// Where news of few workers is fresh, we keep to a part of the fleet in each zone: handshakes and what
-    /// is learnt of a worker then serve many jobs. The part are whole cells, which repeats may not leave, by
-    /// rendezvous hash of our number: all of us together cover the fleet, and changes move few.
+    /// Selects the subset of the workers of each zone that this dispatcher keeps to if it cannot get recent
+    /// load reports from all. Each connection, and what is learned about each worker, then serves more jobs.
+    ///
+    /// Whole cells are selected where retries may not leave a cell. The order is by rendezvous hashing on the
+    /// instance number: together the dispatchers cover the fleet, and a change of the list moves few workers
+    /// in or out.
     pub(super) fn select_subset(&mut self) {
         let (instance_seed, classes) = (u64::from(self.settings.instance) << 32, &self.settings.classes);
         let by_cell =
@@ -101,19 +108,21 @@
                 let in_subset = taken < subset_size;
                 for (_, _, _, i) in group {
                     self.workers[*i].in_subset = in_subset;
-                    // One that is ejected keeps its place, and another is drawn beside it.
+                    // An ejected worker stays in the subset, and a further one is added in its place.
                     taken += f64::from(u8::from(self.workers[*i].ejected_until <= self.now));
                 }
             }
         }
     }
 
-    /// A worker at the count where its completions stop rising for us: a job of ours waits there, and more
-    /// would only wait behind it (seconds of queue, all late).
+    /// Whether a worker has as many jobs of this dispatcher as it can run: one of them waits for its start,
+    /// or their slots exceed the knee. Further jobs would only wait behind them; without this check, queues
+    /// were seconds long and all answers late.
     pub(super) fn is_full(&self, worker: &Worker) -> bool {
         let lag = 4.0 * self.pools[worker.pool].start_lag + 2.0 * self.settings.period;
         let has_free_core = worker.slots < self.pools[worker.pool].cores;
-        // A worker that was seen since has not started it for so long that it was lost: no queue.
+        // A job that has waited this long, at a worker that has answered since it was sent, was lost: it does
+        // not show a queue.
         let lost_before = self.now - self.long_start_wait();
         let not_lost = |f: &InFlight| f.sent_at >= lost_before || worker.last_seen_at <= f.sent_at;
         let waits = |f: &InFlight| {
@@ -123,11 +132,14 @@
         self.settings.reports_starts && (past_knee || worker.unfinished().any(waits))
     }
 
-    /// Rule 4, each dispatcher alone: dispatchers take turns at a worker that is warming up, one job a turn.
-    /// Turns come at the pace at which mean jobs fill a share of the budget; each of us holds one in
-    /// `replicas`. It stays open for a while, for dispatchers with little traffic; what that adds to a
-    /// window is off the pace. So the sum over all is bounded however uneven traffic is. Gives our last
-    /// turn, and whether it is open.
+    /// Rule 4, without communication between dispatchers: they take turns at a worker that is warming up, and
+    /// send it one job per turn. Returns the number of this dispatcher's latest turn and whether it is open;
+    /// `None` if the worker is not warming up or no mean work is known yet.
+    ///
+    /// Turns follow each other at the rate at which average jobs use up `WARM_UP_SAFETY` of the budget, and
+    /// every `replicas`-th turn is this dispatcher's. A turn stays open for a while, so that dispatchers with
+    /// little traffic can use theirs; the rate is reduced by what this can add to a window of the budget. The
+    /// sum over all dispatchers is therefore bounded however unevenly traffic is distributed.
     pub(super) fn warm_up_turn(&self, worker: &Worker) -> Option<(f64, bool)> {
         let rules = &self.settings.rules;
         let start =
@@ -153,6 +165,7 @@
         Some((round, round >= 0.0 && open))
     }
 
+    /// Whether a job of this load (work times slots) may be sent now, given the worker's warm-up.
     fn fits_warm_up_budget(&self, worker: &Worker, load: f64) -> bool {
         let max_load = MAX_WARM_UP_JOB_SIZE * self.mean_work.ratio().unwrap_or(0.0);
         self.warm_up_turn(worker)
--- a/src/rules/worker_list.rs
+++ b/src/rules/worker_list.rs
@@ -1,4 +1,5 @@
-//! The worker list: when to ask for it, what it says of a worker, and the workers that operators take out.
+//! The worker list: when to call for it, how it changes the records of workers, and the workers that
+//! operators eject.
 
 use super::constants::*;
 use super::{Balancer, TIMER_LIST};
@@ -6,9 +7,12 @@
 use crate::state::*;
 
 impl Balancer {
-    /// Discovery answers one call after another. Where a fleet's come at once and soon again, each waits till
-    /// it is given up, and nobody is answered any more: calls are spread over the time that the fleet's take,
-    /// twice as long after each failure, with full jitter. Within `list_interval` no change counts as known.
+    /// Calls for the worker list after a random delay (exponential backoff with full jitter).
+    ///
+    /// Discovery answers calls one after another. If all dispatchers call at once and retry soon, each call
+    /// waits until it times out, and nobody gets an answer. So calls are spread over the time that those of
+    /// all dispatchers take, and over twice that after each further failure. The delay is at most
+    /// `list_interval`, within which no change of the list counts as known.
     pub(super) fn request_list(&mut self, out: &mut Vec<Action>) {
         let list_interval = self.settings.rules.list_interval;
         let fleet_round_ms = LIST_CALL_MS * f64::from(self.settings.replicas.saturating_sub(1));
@@ -22,6 +26,7 @@
         out.push(if delay > 0.0 { Action::Timer { token: TIMER_LIST, delay } } else { Action::Watch });
     }
 
+    /// Applies a worker list, or a change of it, to the records.
     pub(super) fn on_list(&mut self, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
         if kind == ListKind::Unavailable {
             self.list_failures += 1;
@@ -49,15 +54,16 @@
                 Ok(i) if entry.mode == Mode::Gone => self.mark_unlisted(i, out),
                 Ok(i) => {
                     let worker = &mut self.workers[i];
-                    // A drain seen binds until a newer start is ready, where only draining does: older lists
-                    // name drained workers again.
+                    // Where only an entry that shows draining binds, it does so until a newer start is listed
+                    // as ready, because outdated lists may name a drained worker as ready again.
                     let drain_persists = unlisted_stay_open && worker.mode == Mode::Draining;
                     if ready_at > worker.ready_at && (entry.mode == Mode::Ready || !drain_persists) {
-                        // Restarted: nothing we learnt of the old process holds; attempts out get outcomes.
+                        // Restarted: nothing learned about the old process applies. Open attempts are kept,
+                        // as their outcomes are still to come.
                         let (in_flight, restored) = (std::mem::take(&mut worker.in_flight), worker.restored);
                         *worker = Worker { restored, ..new_worker(in_flight) };
                     } else {
-                        // The same process, or an older list of it: keep what we know.
+                        // The same process, or an outdated entry: keep what is known.
                         (worker.cell, worker.pool, worker.in_current_list) = (entry.cell, pool, true);
                         worker.mode = if drain_persists { Mode::Draining } else { entry.mode };
                         worker.unlisted_since = None;
@@ -75,7 +81,7 @@
                 self.mark_unlisted(i, out);
             }
         }
-        // Bound on memory: of the workers that no list names any more, the latest few are kept.
+        // Bounds memory: of the workers that have disappeared from the list, only the latest are kept.
         let mut unlisted_since: Vec<f64> = self.workers.iter().filter_map(|w| w.unlisted_since).collect();
         if unlisted_since.len() > MAX_UNLISTED_WORKERS {
             unlisted_since.sort_by(|a, b| b.total_cmp(a));
@@ -88,8 +94,8 @@
         self.dispatch_parked(false, out);
     }
 
-    /// A list that calls a live worker gone, or names it no more: where that does not bind, it stays and our
-    /// own outcomes decide.
+    /// Handles a worker that is listed as gone or has disappeared from the list. Under `unlisted_stay_open`
+    /// it stays in use, and the outcomes of its attempts decide.
     fn mark_unlisted(&mut self, i: usize, out: &mut Vec<Action>) {
         let worker = &mut self.workers[i];
         if worker.unlisted_since.is_none() {
@@ -102,8 +108,9 @@
         }
     }
 
-    /// A worker is taken out to be restarted: restored it is warming up, which lists say seconds later.
-    /// What it did before holds no more, and its next job is soon.
+    /// Operators eject a worker, or restore it. They eject workers to restart them, and lists report restarts
+    /// seconds late, so a restored worker counts as warming up. Its earlier failures no longer count, and it
+    /// gets a job soon.
     pub(super) fn on_ban(&mut self, id: WorkerId, on: bool, out: &mut Vec<Action>) {
         if on {
             self.banned.entry(id).or_insert(self.now);
@@ -117,8 +124,9 @@
         }
     }
 
-    /// Rule 5: closes the idle connections to a worker that is not ready, on the notice and again whenever an
-    /// attempt of ours ends there, whose connection becomes idle only then; also if we forgot the worker.
+    /// Rule 5: closes the idle connections to a worker that is not ready. This happens when the list reports
+    /// it, and again whenever an attempt ends there, because its connection becomes idle only then; also if
+    /// the record of the worker has been removed.
     pub(super) fn close_idle_connections(&self, id: WorkerId, out: &mut Vec<Action>) {
         if self.worker(id).is_none_or(|w| w.mode != Mode::Ready) {
             out.push(Action::Release { worker: id });
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,29 +1,33 @@
-//! What a dispatcher remembers: records and running sums. Nothing here decides; what is kept, for how long and
-//! to what end is in `src/rules.rs` and its modules.
+//! State that a dispatcher keeps: records and running means. Nothing here decides; what is kept, for how long
+//! and why is in `src/rules.rs` and its modules.
 
 use crate::interface::*;
 use fastrand::Rng;
 
-/// One attempt of ours that is out at a worker (or whose work may still be there after a time-out).
+/// One attempt that was sent to a worker and has not ended, or whose work may still run there after a
+/// time-out or a cancellation.
 #[derive(Default)]
 pub(crate) struct InFlight {
     pub request: RequestId,
     pub attempt: usize,
     pub slots: f64,
+    /// Expected work (ms on a standard core).
     pub work: f64,
     pub sent_at: f64,
     pub started_at: Option<f64>,
+    /// When its last start or progress report came; the time of the send before the first.
     pub reported_at: f64,
-    /// A start after this is late; infinite once it was judged.
+    /// A start after this time is late; infinite once the start has been judged.
     pub start_due_at: f64,
-    /// A run of more than this is late by itself.
+    /// A running time above this (ms) makes the answer late, however soon the job started.
     pub max_run_time: f64,
-    /// What a late start counts: less beyond the tenant's share.
+    /// Weight of a late start in the admission price: less for a request beyond its tenant's quota.
     pub late_weight: f64,
+    /// The attempt has ended, but its work is assumed to occupy the worker until this time.
     pub occupied_until: Option<f64>,
 }
 
-/// Work served and the core time it took, both fading with each job.
+/// Two sums whose quotient is a mean; older samples decay exponentially with each new one.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingRatio {
     pub numerator: f64,
@@ -31,11 +35,13 @@
 }
 
 impl DecayingRatio {
+    /// Adds one sample; about the last `sample_memory` samples count.
     pub fn add(&mut self, numerator: f64, denominator: f64, sample_memory: f64) {
         let keep = 1.0 - 1.0 / sample_memory;
         self.numerator = self.numerator * keep + numerator;
         self.denominator = self.denominator * keep + denominator;
     }
+    /// The mean; `None` before the first sample.
     pub fn ratio(self) -> Option<f64> {
         (self.numerator > 0.0 && self.denominator > 0.0).then(|| self.numerator / self.denominator)
     }
@@ -44,7 +50,7 @@
     }
 }
 
-/// A count that fades with time, and as of when.
+/// A count that decays exponentially with time: its value `sum` at time `at`.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingCount {
     pub sum: f64,
@@ -61,44 +67,56 @@
     }
 }
 
+/// What this dispatcher knows of one worker.
 #[derive(Default)]
 pub(crate) struct Worker {
     pub id: WorkerId,
+    /// Index of its pool.
     pub pool: usize,
-    /// Slots in use by others by its latest load report, and when that came.
+    /// When its latest load report came, and the slots that other dispatchers use according to it.
     pub reported_slots: Option<(f64, f64)>,
     pub cell: i64,
     pub mode: Mode,
+    /// When its process last started, by the list or as observed here; `None`: long ago.
     pub ready_at: Option<f64>,
     pub in_flight: Vec<InFlight>,
+    /// Sum of the slots of `in_flight`.
     pub slots: f64,
-    /// In our part of the fleet.
+    /// It belongs to the subset of the fleet that this dispatcher keeps to.
     pub in_subset: bool,
-    /// Slots of ours beyond which completions did not rise: a job that we sent had to wait.
+    /// Slots of this dispatcher's jobs beyond which throughput does not rise (the knee of the throughput
+    /// curve), learned from jobs that had to wait for their start.
     pub knee: f64,
+    /// Work (ms on a standard core) per ms of core time, from jobs served while it was warm.
     pub speed: DecayingRatio,
-    /// The entry of its index table at its present count, once read.
+    /// Its Whittle index, if it was computed since the last change that affects it.
     pub cached_index: Option<f64>,
-    /// The whole list that is being read names it; since when no list does.
+    /// The worker list that is being processed names it.
     pub in_current_list: bool,
+    /// Since when it has disappeared from the list, or is listed as gone.
     pub unlisted_since: Option<f64>,
-    /// When it was last listed anew, started or dropped, and when it last gave a sign of life.
+    /// When it was last added to the list, started anew or disappeared from the list.
     pub listed_since: f64,
+    /// When it last answered or reported on a job.
     pub last_seen_at: f64,
-    /// Latest send among its jobs that have started.
+    /// Latest time of sending among its jobs that have started.
     pub latest_started_send: f64,
-    /// Share of failures in its latest outcomes, and the time until which nothing is sent after them.
+    /// Failed fraction of its latest outcomes, as an exponential moving average.
     pub failure_rate: f64,
+    /// It is ejected until this time: used only if no other worker is eligible.
     pub ejected_until: f64,
+    /// Number of the last turn that was used to send to it while it warmed up.
     pub warm_up_turn: f64,
-    /// When it was restored by hand, and whether it has not been used since.
+    /// When operators last restored it, unless a start of its process is known from while it was ejected.
     pub restored_at: Option<f64>,
+    /// Operators have restored it, and no job has been sent to it since.
     pub restored: bool,
-    /// When a job of ours was last reset there, and how many at that moment.
+    /// When a job of this dispatcher was last reset there, and how many were at that moment.
     pub last_reset: (f64, u32),
 }
 
 impl Worker {
+    /// A worker of which nothing is known yet.
     pub fn new() -> Self {
         let never = f64::NEG_INFINITY;
         let times = Worker {
@@ -109,7 +127,8 @@
         };
         Worker { warm_up_turn: never, knee: f64::INFINITY, ..times }
     }
-    /// It is warming up from then: it was ejected by hand to be restarted, which lists say seconds later.
+    /// When its warm-up began. Operators eject a worker to restart it, and lists report the restart seconds
+    /// late, so a restored worker counts as started when it was restored.
     pub fn warm_up_start(&self) -> Option<f64> {
         if self.restored_at > self.ready_at {
             self.restored_at
@@ -117,27 +136,27 @@
             self.ready_at
         }
     }
-    /// No sign of life since it was last listed anew, started or dropped.
+    /// It has not answered since it was last added to the list, started anew or disappeared from the list.
     pub fn unproven(&self) -> bool {
         self.last_seen_at < self.listed_since
     }
-    /// Attempts of ours that have not ended, without those whose work may still be there.
+    /// Attempts that have not ended: without those that have and whose work may still run there.
     pub fn unfinished(&self) -> impl Iterator<Item = &InFlight> {
         self.in_flight.iter().filter(|f| f.occupied_until.is_none())
     }
     pub fn find_unfinished(&self, request: RequestId, attempt: usize) -> Option<&InFlight> {
         self.unfinished().find(|f| f.request == request && f.attempt == attempt)
     }
-    /// Counts jobs of ours that were reset there at this moment.
+    /// Counts one reset, and returns the number of resets at this moment.
     pub fn count_reset(&mut self, now: f64) -> u32 {
         self.last_reset = (now, if self.last_reset.0 == now { self.last_reset.1 + 1 } else { 1 });
         self.last_reset.1
     }
-    /// Slots of ours at work there, as far as was reported.
+    /// Slots of this dispatcher's jobs that have been reported as started.
     pub fn running(&self) -> f64 {
         self.unfinished().filter(|f| f.started_at.is_some()).map(|f| f.slots).sum()
     }
-    /// Forgets ended attempts whose work is over by now.
+    /// Removes ended attempts whose work is assumed to be over by now.
     pub fn expire(&mut self, now: f64) {
         self.in_flight.retain(|f| f.occupied_until.is_none_or(|t| t > now));
         self.slots = self.in_flight.iter().map(|f| f.slots).sum();
@@ -156,36 +175,44 @@
     }
 }
 
-/// What is pooled over the workers of one kind; cores: most slots seen at work at once on one.
+/// Estimates over all workers of one kind.
 #[derive(Default)]
 pub(crate) struct KindStats {
+    /// Work (ms on a standard core) per ms of core time.
     pub speed: DecayingRatio,
+    /// Most slots seen running at once on one worker, or reported free there.
     pub cores: f64,
-    /// Mean slots of ours at one of them lately, and of all by load reports.
+    /// Recent mean of the slots of this dispatcher's jobs at one worker.
     pub mean_own_slots: f64,
+    /// Mean slots in use at one worker, by load reports.
     pub reported_slots: DecayingRatio,
 }
 
+/// The workers of one kind in one zone, and the estimates for one of them as of the last refresh.
 #[derive(Default)]
 pub(crate) struct Pool {
     pub kind: Option<u32>,
     pub zone: Option<u32>,
     pub speed: f64,
     pub cores: f64,
-    /// Mean slots in use at one of them by load reports, and those that others than us use.
+    /// Mean slots in use at one worker, by load reports.
     pub reported_slots: DecayingRatio,
+    /// Mean slots that jobs of other dispatchers use at one worker.
     pub others_slots: f64,
+    /// Whittle index of a warm worker that this dispatcher has no jobs at and no own data of.
     pub baseline_index: f64,
+    /// Shortest time from the send of a job to its reported start (ms): that of an idle worker.
     pub start_lag: f64,
 }
 
 impl Pool {
-    /// Nothing is known of it yet.
+    /// A pool of which nothing is known yet.
     pub fn new(kind: Option<u32>, zone: Option<u32>) -> Self {
         Pool { kind, zone, cores: 1.0, speed: 1.0, start_lag: f64::INFINITY, ..Pool::default() }
     }
 }
 
+/// One attempt of a request; without an outcome it has not ended.
 pub(crate) struct Attempt {
     pub worker: WorkerId,
     pub sent_at: f64,
@@ -198,28 +225,34 @@
     }
 }
 
+/// A request that has no final answer yet, or has attempts without an outcome.
 #[derive(Default)]
 pub(crate) struct Pending {
     pub request: Request,
-    /// Its class and the bound on its attempts, as they were when it came.
+    /// Its class as it was when the request arrived.
     pub class: Class,
+    /// Limit on its attempts as it was when the request arrived.
     pub max_attempts: usize,
+    /// Expected work (ms on a standard core).
     pub work: f64,
-    /// What an answer in time earns.
+    /// Value of an answer within the latency target.
     pub value: f64,
+    /// 1 within its tenant's quota, `over_quota_value` beyond it.
     pub quota_weight: f64,
     pub arrived_at: f64,
     pub attempts: Vec<Attempt>,
+    /// It has its final answer, or needs none any more.
     pub ended: bool,
+    /// It waits in this dispatcher until a worker can take it.
     pub parked: bool,
 }
 
 impl Pending {
-    /// An answer within this time earns the full value.
+    /// An answer within this time after the arrival (ms) earns the full value.
     pub fn latency_target(&self) -> f64 {
         self.class.latency_target + self.class.target_stretch * self.work
     }
-    /// Opens its next attempt, at this worker; what is kept of it there.
+    /// Adds its next attempt, at this worker, and returns the record to keep with the worker.
     pub fn start_attempt(&mut self, worker: WorkerId, now: f64) -> InFlight {
         self.parked = false;
         self.attempts.push(Attempt { worker, sent_at: now, outcome: None });
@@ -235,16 +268,17 @@
             ..InFlight::default()
         }
     }
-    /// Attempts without an outcome, with their numbers.
+    /// Attempts without an outcome, with their indices.
     pub fn open_attempts(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none())
     }
-    /// The first attempt that may have run: what binds all later ones.
+    /// The first attempt that may have run. It limits where and until when a further one may be sent.
     pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| a.may_have_run())
     }
 }
 
+/// A random number generator with a default seed, for the derived defaults of what holds it.
 pub(crate) struct SeededRng(pub Rng);
 
 impl Default for SeededRng {
