--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! Decides, for a dispatcher that pushes jobs to workers, which worker gets each job.
 //!
-//! Each worker has a table of Whittle indices (Ayesta, Gupta, Verloop, "Load balancing with heterogeneous
-//! schedulers", equation 15) over the number of this dispatcher's own jobs in flight there, built from its
-//! estimated speed and this dispatcher's arrival rate; a job goes to the ready worker with the highest index.
-//! The library does no I/O and reads no clock: feed it events, carry out its actions.
+//! A job goes to the ready worker with the highest Whittle index (Ayesta, Gupta, Verloop, "Load balancing
+//! with heterogeneous schedulers", equation 15). The index of a worker is a function of its estimated speed,
+//! this dispatcher's arrival rate, and the number of jobs at the worker: this dispatcher's own, and an estimate
+//! of those of other dispatchers. The library does no I/O and reads no clock: feed it events, and carry out
+//! its actions.
 //!
 //! ```
 //! use millrudder::{Action, Balancer, Class, Entry, Event, ListKind, Mode, Request, Settings};
