--- a/balancer/benchlink/src/wire.rs
+++ b/balancer/benchlink/src/wire.rs
@@ -495,8 +495,8 @@
             value_by_work: self.counted_by == "work",
             reports_starts: specifics.tells_start,
             fifo: specifics.queue_order == "fifo",
-            progress: specifics.progress,
-            reports: self.reporting.how == "piggyback",
+            progress_interval: specifics.progress,
+            load_reports: self.reporting.how == "piggyback",
             promise_weight: self.goal.kept_promises,
             tolerated_misses: self.goal.borne_misses,
             prices: mr::Prices {
@@ -684,7 +684,7 @@
             }
             Message::UnderWay { xid, hop } => {
                 let Some(open) = self.open.get(xid.as_str()) else { return Ok(None) };
-                mr::Event::First { id: open.id, attempt: hop }
+                mr::Event::AnswerStarted { id: open.id, attempt: hop }
             }
             Message::Lapsed { xid } => {
                 let Some(open) = self.open.get_mut(xid.as_str()) else { return Ok(None) };
--- a/balancer/config/src/reload.rs
+++ b/balancer/config/src/reload.rs
@@ -88,7 +88,7 @@
         (settings.instance, settings.replicas) = (running.instance, running.replicas);
         (settings.zone, settings.zones) = (running.zone, running.zones);
         (settings.list_by_call, settings.tenants) = (running.list_by_call, running.tenants.clone());
-        settings.reports = running.reports;
+        settings.load_reports = running.load_reports;
         (settings, names)
     }
 }
--- a/balancer/core/src/dispatch/legacy/golden_tests.rs
+++ b/balancer/core/src/dispatch/legacy/golden_tests.rs
@@ -26,7 +26,7 @@
         kind: Some(0),
         speed: (21.0, 22.0),
         cores: 23.0,
-        usual_slots: 24.0,
+        mean_own_slots: 24.0,
         reported_slots: (25.0, 26.0),
     };
     mr::LearnedState {
@@ -37,7 +37,7 @@
         retry_tokens: 35.0,
         price: 36.0,
         class_time: vec![(37.0, 38.0)],
-        all_speed: (39.0, 40.0),
+        fleet_speed: (39.0, 40.0),
         mean_work: (41.0, 42.0),
         start_waits: (43.0, 44.0),
         mean_value: (45.0, 46.0),
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -214,12 +214,12 @@
             PeerRequest::Landed { hop, job, attempt } => {
                 let Some(worker) = self.hops.find(&hop) else { return };
                 let mut actions = Vec::new();
-                self.balancer.foreign_ended(worker, job, attempt, &mut actions);
+                self.balancer.predecessor_attempt_ended(worker, job, attempt, &mut actions);
                 self.act_all(actions);
             }
             PeerRequest::Gone => {
                 let mut actions = Vec::new();
-                self.balancer.foreign_gone(&mut actions);
+                self.balancer.predecessor_gone(&mut actions);
                 self.act_all(actions);
             }
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -154,11 +154,11 @@
     /// Workers report when a job starts.
     pub reports_starts: bool,
     /// Interval of progress reports on running jobs (ms); 0: there are none.
-    pub progress: f64,
+    pub progress_interval: f64,
     /// Workers start waiting jobs in the order of their arrival.
     pub fifo: bool,
     /// Workers send load reports with outcomes.
-    pub reports: bool,
+    pub load_reports: bool,
     /// Weight of kept latency targets in the site's goal, where accepting a request and missing its target
     /// costs more than refusing it within the target; 0: this does not count.
     pub promise_weight: f64,
@@ -293,7 +293,7 @@
     /// A client's request.
     Request(Request),
     /// The first part of a streamed answer has arrived.
-    First {
+    AnswerStarted {
         /// The request.
         id: RequestId,
         /// Its attempt, from 0.
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -107,7 +107,7 @@
         match event {
             Event::List { kind, entries } => self.on_list(kind, entries, out),
             Event::Request(request) => self.on_request(request, out),
-            Event::First { .. } => {}
+            Event::AnswerStarted { .. } => {}
             Event::Progress { id, attempt, .. } => self.on_progress(id, attempt),
             Event::Probed { worker, load, .. } => self.on_load_report(worker, load),
             Event::Lapsed { id } => self.finish(id),
--- a/src/rules/learned_state.rs
+++ b/src/rules/learned_state.rs
@@ -49,7 +49,8 @@
     /// Mean running time by class (ms).
     pub class_time: Vec<Mean>,
     /// Mean speed of all workers: work (ms on a standard core) per ms.
-    pub all_speed: Mean,
+    #[serde(rename = "all_speed")]
+    pub fleet_speed: Mean,
     /// Mean work of a request (ms on a standard core, times its slots).
     pub mean_work: Mean,
     /// Mean time from the send of a job to its start (ms).
@@ -77,7 +78,7 @@
     pub cores: f64,
     /// Mean slots of this dispatcher's jobs at one worker.
     #[serde(rename = "usual")]
-    pub usual_slots: f64,
+    pub mean_own_slots: f64,
     /// Mean slots in use at one worker, by load reports.
     #[serde(rename = "heard")]
     pub reported_slots: Mean,
@@ -178,7 +179,7 @@
         {
             return Err(LearnedStateError::Size);
         }
-        let means = [self.all_speed, self.mean_work, self.start_waits, self.mean_value];
+        let means = [self.fleet_speed, self.mean_work, self.start_waits, self.mean_value];
         let valid = means.iter().chain(&self.class_time).all(|m| is_valid_mean(*m))
             && is_valid_amount(self.arrivals.0)
             && is_valid_time(self.arrivals.1)
@@ -202,7 +203,7 @@
         is_valid_mean(self.speed)
             && is_valid_mean(self.reported_slots)
             && is_valid_amount(self.cores)
-            && is_valid_amount(self.usual_slots)
+            && is_valid_amount(self.mean_own_slots)
     }
 }
 
@@ -253,7 +254,7 @@
             kind: *kind,
             speed: sums_of(learned.speed),
             cores: learned.cores,
-            usual_slots: learned.mean_own_slots,
+            mean_own_slots: learned.mean_own_slots,
             reported_slots: sums_of(learned.reported_slots),
         };
         LearnedState {
@@ -264,7 +265,7 @@
             retry_tokens: self.retry_tokens,
             price: self.log_price,
             class_time: self.class_running_time.iter().map(|s| sums_of(*s)).collect(),
-            all_speed: sums_of(self.fleet_speed),
+            fleet_speed: sums_of(self.fleet_speed),
             mean_work: sums_of(self.mean_work),
             start_waits: sums_of(self.start_waits),
             mean_value: sums_of(self.mean_value),
@@ -286,7 +287,7 @@
         self.retry_tokens = learned.retry_tokens.min(RETRY_BURST);
         self.log_price = learned.price;
         self.class_running_time = learned.class_time.iter().map(|m| ratio_from(*m)).collect();
-        self.fleet_speed = ratio_from(learned.all_speed);
+        self.fleet_speed = ratio_from(learned.fleet_speed);
         self.mean_work = ratio_from(learned.mean_work);
         self.start_waits = ratio_from(learned.start_waits);
         self.mean_value = ratio_from(learned.mean_value);
@@ -294,7 +295,7 @@
             let kind = self.kinds.entry(learned.kind).or_default();
             (kind.speed, kind.reported_slots) =
                 (ratio_from(learned.speed), ratio_from(learned.reported_slots));
-            (kind.cores, kind.mean_own_slots) = (learned.cores, learned.usual_slots);
+            (kind.cores, kind.mean_own_slots) = (learned.cores, learned.mean_own_slots);
         }
         let longest_deadline = self.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
         for learned in &learned.workers {
@@ -320,7 +321,7 @@
     }
 
     /// Notes that an attempt of the predecessor has ended at this worker. Returns false if it is not known.
-    pub fn foreign_ended(
+    pub fn predecessor_attempt_ended(
         &mut self,
         worker: WorkerId,
         request: u64,
@@ -336,7 +337,7 @@
     }
 
     /// Notes that the predecessor has ended, and its attempts with it: none of them counts any more.
-    pub fn foreign_gone(&mut self, out: &mut Vec<Action>) {
+    pub fn predecessor_gone(&mut self, out: &mut Vec<Action>) {
         for worker in &mut self.workers {
             let predecessor_attempts: Vec<(u64, usize)> = worker
                 .in_flight
--- a/src/rules/records.rs
+++ b/src/rules/records.rs
@@ -68,7 +68,7 @@
 
     /// Interval of progress reports (ms); infinite if there are none.
     pub(super) fn progress_interval(&self) -> f64 {
-        finite_positive(Some(self.settings.progress)).unwrap_or(f64::INFINITY)
+        finite_positive(Some(self.settings.progress_interval)).unwrap_or(f64::INFINITY)
     }
 
     /// Marks a request as ended, and removes it once all its attempts have an outcome.
--- a/system/state/delivery/src/service/settings.rs
+++ b/system/state/delivery/src/service/settings.rs
@@ -36,7 +36,7 @@
         replicas: site.dispatchers.max(1),
         zone: Some(site.zone),
         classes: vec![class],
-        reports: true,
+        load_reports: true,
         prices: Prices { cross_zone: site.cross_zone_price, ..Prices::default() },
         limits: Limits { max_attempts: 1, ..Limits::default() },
         rules: Rules {
--- a/system/state/delivery/tests/index.rs
+++ b/system/state/delivery/tests/index.rs
@@ -44,7 +44,7 @@
     let keep = 1.0 - 1.0 / ARRIVALS_REMEMBERED;
     let mean_work = (memory.mean_work.0 * keep + work) / (memory.mean_work.1 * keep + 1.0);
     let kind = memory.kinds.iter().find(|kind| rate(kind.speed).is_some());
-    let usual = kind.and_then(|kind| rate(kind.speed)).or(rate(memory.all_speed)).unwrap_or(1.0);
+    let usual = kind.and_then(|kind| rate(kind.speed)).or(rate(memory.fleet_speed)).unwrap_or(1.0);
     let speed = |worker: &LearnedWorker, usual: f64| {
         let prior = PRIOR_JOBS * mean_work;
         (worker.speed.0 + prior) / (worker.speed.1 + prior / usual)
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -467,7 +467,7 @@
                     Event::Outcome { id, attempt, worker: 9, outcome, latency: x, closed: false, load: None },
                     Event::Started { id, attempt },
                     Event::Progress { id, attempt, share: x },
-                    Event::First { id, attempt },
+                    Event::AnswerStarted { id, attempt },
                     Event::Lapsed { id },
                     Event::Probed { worker: 9, outcome, latency: x, load: Some(Load::default()) },
                 ] {
@@ -515,7 +515,7 @@
         period: PERIOD,
         list_by_call: list_by_ask,
         reports_starts: tells_start,
-        progress: 300.0,
+        progress_interval: 300.0,
         classes: vec![
             class(Effect::Idempotent, DedupScope::All),
             class(Effect::Deduplicated, DedupScope::Cell),
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -112,14 +112,14 @@
     end(&mut new, 1, next.unwrap(), Outcome::Ok, now + 1.0);
     let mut out = Vec::new();
     for (id, worker) in &busy {
-        assert!(new.foreign_ended(*worker, *id, 0, &mut out));
-        assert!(!new.foreign_ended(*worker, *id, 0, &mut out), "once");
+        assert!(new.predecessor_attempt_ended(*worker, *id, 0, &mut out));
+        assert!(!new.predecessor_attempt_ended(*worker, *id, 0, &mut out), "once");
     }
     assert_eq!(ask(&mut new, 2, now + 1.0), Some(2), "idle again, the fast one is best");
     // A predecessor that dies takes its jobs with it.
     let mut orphan = started(4, now);
     orphan.import(&old.export()).unwrap();
-    orphan.foreign_gone(&mut out);
+    orphan.predecessor_gone(&mut out);
     assert_eq!(ask(&mut orphan, 1, now), Some(2));
 }
 
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -326,7 +326,7 @@
         Event::Started { id: 77, attempt: 0 },
         Event::Progress { id: 77, attempt: 0, share: f64::NAN },
         Event::Lapsed { id: 77 },
-        Event::First { id: 77, attempt: 3 },
+        Event::AnswerStarted { id: 77, attempt: 3 },
         Event::Timer { token: 123_456 },
     ] {
         assert!(s.run(event).is_empty());
@@ -504,7 +504,7 @@
     for effect in [Effect::Idempotent, Effect::AtMostOnce] {
         let base = settings(vec![class(effect, DedupScope::All)]);
         let limits = Limits { max_attempts: 3, cancel: true, ..Limits::default() };
-        let base = Settings { reports_starts: true, progress: 400.0, limits, ..base };
+        let base = Settings { reports_starts: true, progress_interval: 400.0, limits, ..base };
         let mut s = Script::new(base, vec![entry(0, 0), entry(1, 0)]);
         let to = sent(&s.request(1, 0)).unwrap();
         s.now += 5.0;
@@ -671,7 +671,7 @@
     };
     for (effect, group) in [(Effect::AtMostOnce, DedupScope::All), (Effect::Deduplicated, DedupScope::Cell)] {
         let kind = Class { dedup_window: 300.0, ..class(effect, group) };
-        let base = Settings { progress: 400.0, limits: limits.clone(), ..settings(vec![kind]) };
+        let base = Settings { progress_interval: 400.0, limits: limits.clone(), ..settings(vec![kind]) };
         let mut s = Script::new(base, vec![entry(0, 0), entry(1, 1)]);
         s.request(1, 0);
         assert!(s.advance(4000.0).contains(&Action::Fail { id: 1 }), "{effect:?}");
@@ -710,7 +710,7 @@
         // Not given up for being late.
         let patient = Class { latency_target: 2_000.0, ..class(Effect::Idempotent, DedupScope::All) };
         let base = settings(vec![patient]);
-        let base = Settings { reports_starts: true, progress: 1000.0, fifo, limits, ..base };
+        let base = Settings { reports_starts: true, progress_interval: 1000.0, fifo, limits, ..base };
         let mut s = Script::new(base, vec![entry(0, 0)]);
         let serve = |s: &mut Script, id| {
             assert_eq!(sent(&s.request(id, 0)), Some(0));
--- a/tests/support/day.rs
+++ b/tests/support/day.rs
@@ -173,7 +173,7 @@
             Due::Upgrade => self.upgrade(),
             Due::PredecessorGone => {
                 let mut actions = Vec::new();
-                self.balancer.foreign_gone(&mut actions);
+                self.balancer.predecessor_gone(&mut actions);
                 self.carry_out(actions);
             }
         }
@@ -254,8 +254,8 @@
         if self.settings.reports_starts {
             self.event(Event::Started { id, attempt });
         }
-        if self.settings.progress > 0.0 {
-            self.after(self.settings.progress, Due::Progress { id, attempt });
+        if self.settings.progress_interval > 0.0 {
+            self.after(self.settings.progress_interval, Due::Progress { id, attempt });
         }
     }
 
@@ -263,7 +263,7 @@
         // Some lose their way, after which no more come.
         if self.open(id, attempt) && self.dice.f64() < 0.97 {
             self.event(Event::Progress { id, attempt, share: 0.5 });
-            self.after(self.settings.progress, Due::Progress { id, attempt });
+            self.after(self.settings.progress_interval, Due::Progress { id, attempt });
         }
     }
 
@@ -275,7 +275,7 @@
         let (worker, latency) = (done.worker, self.now - done.sent);
         if foreign {
             let mut actions = Vec::new();
-            self.balancer.foreign_ended(worker, id, attempt, &mut actions);
+            self.balancer.predecessor_attempt_ended(worker, id, attempt, &mut actions);
             return self.carry_out(actions);
         }
         let closed = job.answered || outcome == Outcome::Ok;
@@ -328,7 +328,7 @@
 
 /// Names of types and fields now, and as they were when the digests were recorded. The digests are of text that holds
 /// them; only so may a name change without recording the digests anew.
-const RECORDED_NAMES: [(&str, &str); 18] = [
+const RECORDED_NAMES: [(&str, &str); 19] = [
     ("LearnedState {", "Memory {"),
     ("LearnedKind {", "KindMemory {"),
     ("LearnedWorker {", "WorkerMemory {"),
@@ -337,7 +337,8 @@
     ("started_at:", "began:"),
     ("start_waits:", "waits:"),
     ("mean_value:", "mean_worth:"),
-    ("usual_slots:", "usual:"),
+    ("fleet_speed:", "all_speed:"),
+    ("mean_own_slots:", "usual:"),
     ("reported_slots:", "heard:"),
     ("restored_at:", "returned:"),
     ("restored:", "put_back:"),
