--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -1,4 +1,5 @@
-//! Workers out by hand: nothing goes there until the call back, and soon after it something does.
+//! Workers that operators have ejected: nothing is sent there until they are restored, and soon after that a
+//! job is.
 
 use millrudder::*;
 
@@ -63,7 +64,8 @@
         self.run(Event::Request(request))
     }
 
-    /// A job every 50 ms for this long; each is served by the next. Which workers had one, and when first.
+    /// Makes a request every 50 ms for this long, each served before the next. Returns the worker and time of
+    /// each send.
     fn work(&mut self, ms: f64) -> Vec<(WorkerId, f64)> {
         let (end, mut used) = (self.now + ms, Vec::new());
         while self.now < end {
@@ -126,7 +128,7 @@
     let mut s = Script::new(1, 4);
     s.work(5000.0);
     for _ in 0..10 {
-        // Set aside for failures, and slow before that.
+        // Failed health checks.
         s.run(Event::Probed { worker: 0, outcome: Outcome::Failed, latency: 5.0, load: None });
     }
     s.ban(0, true);
@@ -139,7 +141,8 @@
 
 #[test]
 fn one_that_is_put_back_is_cold_before_any_list_says_so() {
-    // It was restarted while it was out. Taken for warm, a burst pushed it over before the list told.
+    // The worker was restarted while it was ejected. It counted as warm, and a burst overloaded it before the
+    // list reported the restart.
     let mut s = Script::new(1, 1);
     s.work(4000.0);
     s.ban(0, true);
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -1,10 +1,13 @@
-//! Random and hostile event sequences; an independent checker holds rules 1 to 3 and the cold budget.
+//! Random and adversarial sequences of events. An independent checker verifies the module's rules 1 to 5: one
+//! answer in time, permitted retries only, nothing to draining workers, the warm-up budget, and closed idle
+//! connections.
 
 use millrudder::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
 
+// The settings of these scripts; times in ms.
 const PERIOD: f64 = 2.0;
 const SLACK: f64 = 8.0;
 const GRACE: f64 = 500.0;
@@ -13,7 +16,7 @@
 const COLD_FROM: f64 = 0.3;
 const FALL: f64 = 2000.0;
 const MULTIPLE: f64 = 2.5;
-/// Every job of these scripts takes this long on the one core of a warm worker.
+/// Running time (ms) of every job of these scripts on the one core of a warm worker.
 const WORK: f64 = 100.0;
 
 #[derive(Clone, Debug)]
@@ -28,7 +31,7 @@
     Burst {
         class: usize,
     },
-    /// Ends the n-th attempt that is out.
+    /// Ends the n-th open attempt.
     End {
         n: usize,
         outcome: usize,
@@ -49,21 +52,21 @@
     Replace {
         present: u8,
     },
-    /// A list of an earlier time, the start times gone back (0: left out), one worker named twice.
+    /// An outdated list: start times are earlier by this (ms; 0: left out), and one worker is named twice.
     Older {
         by: f64,
     },
-    /// Starts in the future, a worker never heard of.
+    /// A list that names a start in the future, or an unknown worker as draining or gone.
     Ahead {
         worker: WorkerId,
     },
     ListFails,
-    /// Operators take it out or put it back.
+    /// Operators eject a worker or restore it.
     Ban {
         worker: WorkerId,
         on: bool,
     },
-    /// New settings: classes in another order, one with another effect, fewer attempts.
+    /// New settings: classes in another order, one with another effect, another limit on attempts.
     Retune {
         turn: usize,
         attempts: usize,
@@ -81,7 +84,8 @@
     proptest::collection::vec(step(hint), 1..160)
 }
 
-/// With new settings now and then. Hints tell the truth here: what a lie can do to a cold budget is open (roadmap).
+/// Steps with new settings now and then. Hints are true here: how far a false hint can exceed the warm-up
+/// budget is an open issue (roadmap).
 fn retuned() -> impl Strategy<Value = Vec<Step>> {
     let hint = prop_oneof![4 => Just(Some(WORK)), 1 => Just(None)];
     let retune = (0usize..4, 1usize..6).prop_map(|(turn, attempts)| Step::Retune { turn, attempts });
@@ -114,11 +118,12 @@
 }
 
 struct Open {
-    /// As it was when the request came, and the bound on its attempts.
+    /// Its class as it was when the request arrived.
     class: Class,
+    /// Limit on its attempts as it was when the request arrived.
     most_attempts: usize,
     deadline: f64,
-    /// Worker, time of the send, outcome.
+    /// Worker, time of sending and outcome of each attempt.
     attempts: Vec<(WorkerId, f64, Option<Outcome>)>,
     ended: bool,
 }
@@ -129,15 +134,17 @@
     now: f64,
     open: BTreeMap<RequestId, Open>,
     timers: Vec<(f64, u64)>,
-    /// One job runs at a time on each worker of these scripts.
+    /// The attempt that each worker runs: one at a time in these scripts.
     running: BTreeMap<WorkerId, (RequestId, usize)>,
-    /// Since when, and the start of the process that was told off.
+    /// Workers that are closed to new jobs by the list: since when, and the start of the process that was
+    /// listed so.
     told_off: BTreeMap<WorkerId, (f64, Option<f64>)>,
     started_at: BTreeMap<WorkerId, f64>,
     cold_sends: Vec<(WorkerId, f64)>,
     banned: BTreeSet<WorkerId>,
-    /// Workers with connections of ours; draining ones with the time from which idle ones must be closed.
+    /// Workers to which this dispatcher has connections.
     connected: BTreeSet<WorkerId>,
+    /// Workers whose idle connections must be closed, and since when.
     unclosed: BTreeMap<WorkerId, f64>,
     next: RequestId,
     seed: u64,
@@ -165,7 +172,7 @@
         let stays = self.settings.rules.unlisted_stay_open;
         for e in &entries {
             if e.mode == Mode::Ready {
-                // Where only draining binds, it does until a newer start.
+                // With `unlisted_stay_open`, a drain holds until a newer start.
                 let bound = |(_, start): &(f64, Option<f64>)| stays && e.ready_at <= *start;
                 if !self.told_off.get(&e.worker).is_some_and(bound) {
                     self.told_off.remove(&e.worker);
@@ -278,7 +285,7 @@
         }
     }
 
-    /// Moves the clock, delivering timers and the time-outs at clients' deadlines.
+    /// Moves the clock, firing timers and ending attempts with a time-out at their clients' deadlines.
     fn advance(&mut self, by: f64) {
         let end = self.now + by;
         loop {
@@ -381,7 +388,7 @@
                     Ignored,
                 ];
                 if let Some((id, attempt)) = self.out(n) {
-                    // Every job of these scripts runs for WORK, so that the budget's unit is known.
+                    // Every job of these scripts runs for WORK, so that the budget can be counted in jobs.
                     self.start(id, attempt);
                     self.advance(WORK);
                     self.end(id, attempt, all[outcome % all.len()]);
@@ -420,7 +427,7 @@
                 self.list(ListKind::Replace, (0..6).chain([3]).map(older).collect());
             }
             Step::Ahead { worker } if worker >= 6 => {
-                // Named as gone or draining before it was ever named as ready: nothing goes there.
+                // Listed as gone or draining before it was ever listed as ready: nothing may be sent there.
                 let mode = if worker == 6 { Mode::Gone } else { Mode::Draining };
                 self.list(ListKind::Update, vec![self.entry(worker, mode)]);
             }
@@ -473,7 +480,7 @@
                 ] {
                     self.event(event);
                 }
-                // Repeated and late outcomes of real attempts.
+                // A repeated outcome of a real attempt.
                 let known = self.open.iter().find(|(_, o)| o.attempts.iter().any(|a| a.2.is_some()));
                 if let Some((id, open)) = known {
                     let attempt = open.attempts.iter().position(|a| a.2.is_some()).unwrap();
--- a/tests/index.rs
+++ b/tests/index.rs
@@ -1,5 +1,5 @@
-//! The closed form (15) against proposition 3, whose stationary probabilities are solved here from the
-//! transition matrix of section 5.2.
+//! Compares the closed form of the index, equation (15) of the paper, with its definition by proposition 3.
+//! The stationary probabilities in that are computed here from the transition matrix of section 5.2.
 
 use millrudder::whittle_index;
 
@@ -45,7 +45,7 @@
     let cost = |pi: &[f64]| pi.iter().enumerate().map(|(m, x)| m as f64 * x).sum::<f64>();
     let kept = |pi: &[f64]| pi[..pi.len() - 1].iter().sum::<f64>();
     let difference = kept(&high) - kept(&low);
-    // Far out on a worker that is mostly idle the two policies hardly differ: rounding would decide.
+    // At large n on a worker that is mostly idle, the two policies differ by less than rounding errors.
     (difference > 1e-7).then(|| -(cost(&high) - cost(&low)) / difference)
 }
 
@@ -79,7 +79,7 @@
 
 #[test]
 fn it_never_rises_and_stays_finite() {
-    // Between whole counts it is read only at the small steps that the tables use (p and q up to 0.1).
+    // Between whole counts the index is only used at small time steps (p and q up to 0.1).
     for (p, part) in [(1e-6, 0.25), (0.001, 0.25), (0.1, 0.25), (0.5, 1.0), (0.99, 1.0)] {
         for q in [1e-6, 0.001, 0.0999, 0.1, 0.1001, 0.5, 0.999] {
             let part = if q > 0.1001 { 1.0 } else { part };
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,8 +1,8 @@
-//! `make test` passes over the tests that KNOWN-RED.txt names, and over no others.
+//! `make test` skips the tests that KNOWN-RED.txt names, and no others.
 //!
-//! It used to pass each name as `--skip NAME` to every test program, which passes over any test whose name contains that one,
-//! in every package; and only `.ci/run` did so, so that README's `make test` stopped at the first known failure and left the
-//! packages after it untested.
+//! Guards against two earlier faults. Each name was passed as `--skip NAME` to every test program, which
+//! skips all tests whose names contain it, in every package. And only `.ci/run` did this, so that `make test`
+//! of the README stopped at the first known failure and left the packages after it untested.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -19,14 +19,14 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// A folder of this test's own below the build folder.
+/// A separate folder for one test, below the build folder.
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
-/// The arguments with which a test program of this name is started.
+/// The arguments that `.ci/run-test` passes to a test program of this name.
 fn arguments(folder: &Path, package: &str, program: &str, list: &str) -> Vec<String> {
     let program = folder.join(program);
     fs::write(&program, "#!/bin/sh\nfor argument in \"$@\"; do echo \"$argument\"; done\n")
@@ -72,7 +72,7 @@
     assert_eq!(arguments(&folder, "a-package", "decoders-01", ""), ["--nocapture"]);
 }
 
-/// An entry that matches nothing would pass over nothing, or name a test that is gone.
+/// A malformed entry would skip nothing, or name a test that no longer exists.
 #[test]
 fn every_entry_names_a_package_a_target_a_test_a_cause_and_an_issue() {
     for line in fs::read_to_string(root().join("KNOWN-RED.txt")).expect("the list").lines() {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What holds of the decision module's files: who may decide, and how they are laid out.
+//! Checks on the source files of the decision module: which of them may decide, and their layout.
 
 use std::fs;
 use std::path::Path;
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -1,4 +1,5 @@
-//! Many dispatchers that share nothing but discovery and the workers: what each does must not hurt when all do it.
+//! Many dispatchers that share nothing but discovery and the workers: behaviour that is harmless for one must
+//! stay so when all of them do the same.
 
 use millrudder::*;
 use std::cmp::Reverse;
@@ -25,7 +26,7 @@
     }
 }
 
-/// Discovery as one service: calls one after another, each a while, also those whose callers have given up.
+/// Discovery as a single service: it handles calls one after another, even those whose callers have given up.
 struct Discovery {
     free_at: f64,
     call_ms: f64,
@@ -33,7 +34,7 @@
 }
 
 impl Discovery {
-    /// When a call made now is answered or given up, and which.
+    /// Makes a call now. Returns when it ends, and whether it is answered (or else given up).
     fn call(&mut self, now: f64) -> (f64, bool) {
         self.free_at = self.free_at.max(now) + self.call_ms;
         if self.free_at - now <= self.patience {
@@ -46,14 +47,14 @@
 
 #[test]
 fn after_a_release_every_dispatcher_is_answered_by_a_discovery_with_many_callers() {
-    // All asked at the same moment and again within 2.5 s: each call waited until it was given up, 61 of 100
-    // dispatchers never had a list in 22 s (herd+vast, seed 32442124685).
+    // All dispatchers called at the same moment and again within 2.5 s. Each call waited until it was given
+    // up, and 61 of 100 dispatchers got no list in 22 s (scenario herd+vast, seed 32442124685).
     let mut fleet: Vec<Balancer> =
         (0..FLEET).map(|me| Balancer::new(settings(me), 7 + u64::from(me))).collect();
     let mut discovery = Discovery { free_at: 0.0, call_ms: 50.0, patience: 2_000.0 };
     let (mut due, mut answered, mut calls) = (BinaryHeap::new(), vec![false; fleet.len()], 0);
     let mut out = Vec::new();
-    // In whole microseconds, whose, and the timer; none: a call that is given up.
+    // Time in whole microseconds, dispatcher, and its timer's token; no token: its call is given up.
     type Due = Reverse<(u64, usize, Option<u64>)>;
     let mut act = |now: f64, who: usize, out: &mut Vec<Action>, due: &mut BinaryHeap<Due>| {
         let at = |ms: f64| (ms * 1000.0) as u64;
@@ -118,8 +119,8 @@
     Event::Request(Request { id, class: Some(0), slots: 1.0, deadline, ..Request::default() })
 }
 
-/// A dispatcher with a request each 150 ms, each served in 200 ms by a worker that is `up`; where the first attempts
-/// went, and how many requests were served.
+/// Runs one dispatcher with a request every 150 ms, each served in 200 ms by a worker that is `up`. Returns
+/// where the first attempts were sent, and how many requests were served.
 fn first_choices(me: u32, requests: u64, up: impl Fn(WorkerId) -> bool) -> (Vec<WorkerId>, usize) {
     let mut balancer = Balancer::new(keyed(me), 40 + u64::from(me));
     let (mut out, mut first, mut served, mut now) = (Vec::new(), Vec::new(), 0, 0.0);
@@ -157,8 +158,8 @@
 
 #[test]
 fn each_keeps_to_a_part_of_the_fleet_and_together_they_cover_it() {
-    // Each had a connection to each worker and heard of it every 9 s: handshakes and probes were most of what the
-    // days at size lost.
+    // Each dispatcher had a connection to each worker and got a load report from it every 9 s: in simulations
+    // of large fleets, handshakes and probes were most of the cost.
     let mut sums = [0usize; 60];
     for me in 0..FLEET {
         let (chosen, _) = first_choices(me, 60, |_| true);
@@ -177,8 +178,9 @@
     assert!(served > 130, "{served} of 200 served");
 }
 
-/// What so many dispatchers send, each with a request every 150 ms (on the mean, as a Poisson process, with `dice`) of which each is served after its worker's time (ms);
-/// worker 60 starts cold 3 s later and is told to all at once. When (ms from then) each job was sent, and to whom.
+/// Runs this many dispatchers, each with a request every 150 ms (with `dice`: as a Poisson process with that
+/// mean) that is served after `time` of its worker (ms). Worker 60 starts 3 s later, and all dispatchers are
+/// notified of it at once. Returns when each job was sent (ms from that start) and to which worker.
 fn sends(
     replicas: u32,
     until: f64,
@@ -252,9 +254,10 @@
 }
 
 fn check_cold_budget(sends: &[f64]) {
-    // One core of it does five such jobs a second when warm; the module sees one core at work there.
+    // Jobs per second that one core of the worker does: five when warm. The module sees one core in use
+    // there.
     let capacity = |age: f64| 5.0 * (0.31 + 0.69 * age / 9_000.0).min(1.0);
-    // From 9 s on it is warm, and bounded no more.
+    // From 9 s on it is warm and has no budget.
     for (i, first) in sends.iter().enumerate().filter(|(_, at)| **at < 7_000.0) {
         let window = sends[i..].iter().take_while(|at| **at < first + 2_000.0).count() as f64;
         let most = 3.0 * capacity(first + 1_000.0) * 2.0 + 2.0;
@@ -266,8 +269,9 @@
 
 #[test]
 fn choices_follow_the_workers_speeds_and_no_worker_is_everybodys() {
-    // Half of the fleet, by its kind, does a job in 125 ms, the other half in 200 ms. Each of us has about one job out
-    // and hears nothing of the others; by own counts alone all would take the fast half.
+    // One kind, half of the fleet, does a job in 125 ms, the other in 200 ms. Each dispatcher has about one
+    // open attempt and knows nothing of the others; by its own counts alone, each would use only the fast
+    // half.
     let mut sums = [0usize; 60];
     let dice = Some(fastrand::Rng::with_seed(5));
     let all = sends(FLEET, 15_000.0, dice, |worker| if worker % 2 == 0 { 200.0 } else { 125.0 });
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,4 @@
-//! A successor with its predecessor's memory decides as that one would have; without it, it does not.
+//! A successor that has imported its predecessor's learned state decides as the predecessor would have.
 
 use millrudder::*;
 
@@ -44,7 +44,7 @@
     balancer
 }
 
-/// Sends a job; which worker got it.
+/// Makes a request. Returns the worker that it is sent to.
 fn ask(balancer: &mut Balancer, id: u64, now: f64) -> Option<u32> {
     let mut out = Vec::new();
     let request = Request { id, class: Some(0), slots: 1.0, deadline: now + 5000.0, ..Request::default() };
@@ -68,7 +68,7 @@
     balancer.handle(now, event, &mut Vec::new());
 }
 
-/// Worker 2 takes 20 ms for a job, the others 200 ms; gives the balancer and the time.
+/// A balancer that has learned that worker 2 takes 20 ms for a job and the others 200 ms, and the time.
 fn experienced() -> (Balancer, f64) {
     let (mut balancer, mut now) = (started(4, 1000.0), 1000.0);
     for id in 0..200 {
@@ -88,7 +88,7 @@
     new.import(&old.export()).unwrap();
     assert_eq!(ask(&mut old, 1000, now), Some(2));
     assert_eq!(ask(&mut new, 0, now), Some(2), "the one that was fast");
-    // Without the memory all are alike, and the draw decides.
+    // Without the learned state all workers are equal, and the choice is random.
     let blind = |seed| {
         let mut fresh = Balancer::new(settings(), seed);
         fresh.handle(now, list(4, None), &mut Vec::new());
@@ -105,7 +105,7 @@
     new.import(&old.export()).unwrap();
     let mut idle = started(4, now);
     idle.import(&LearnedState { workers: Vec::new(), ..old.export() }).unwrap();
-    // With the old one's jobs counted, the next goes where both together have the highest index.
+    // With the predecessor's jobs counted, the next job goes to the worker that the predecessor would choose.
     let next = ask(&mut new, 1, now);
     assert_eq!(next, ask(&mut old, 2000, now));
     assert_ne!(next, ask(&mut idle, 1, now), "alone, it would have taken the fast one");
@@ -116,7 +116,7 @@
         assert!(!new.predecessor_attempt_ended(*worker, *id, 0, &mut out), "once");
     }
     assert_eq!(ask(&mut new, 2, now + 1.0), Some(2), "idle again, the fast one is best");
-    // A predecessor that dies takes its jobs with it.
+    // When the predecessor ends, its jobs no longer count.
     let mut orphan = started(4, now);
     orphan.import(&old.export()).unwrap();
     orphan.predecessor_gone(&mut out);
@@ -139,7 +139,7 @@
     new.import(&memory).unwrap();
     assert_ne!(ask(&mut new, 1, now), Some(2), "set aside");
     assert_eq!(new.export().workers[2].ejected_until, memory.workers[2].ejected_until);
-    // Worker 0 has started anew since: nothing of the old process holds.
+    // Worker 0 has restarted since: nothing that was learned about the old process applies.
     let mut later = Balancer::new(settings(), 7);
     later.handle(now, list(4, Some(now)), &mut Vec::new());
     later.import(&memory).unwrap();
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,4 +1,4 @@
-//! Scripted events against the module.
+//! Scripted sequences of events against the decision module.
 
 use millrudder::*;
 
@@ -60,7 +60,7 @@
         }));
         out
     }
-    /// Moves the clock, delivering timers; what was done meanwhile.
+    /// Moves the clock, firing the timers that are due. Returns their actions.
     fn advance(&mut self, by: f64) -> Vec<Action> {
         let (end, mut done) = (self.now + by, Vec::new());
         loop {
@@ -177,7 +177,8 @@
     }
 }
 
-/// Guards against a list that is wrong: called gone or left out binds only where the rules say so.
+/// Guards against wrong lists: a worker that is listed as gone or left out is closed only where the rules say
+/// so.
 #[test]
 fn where_only_draining_binds_an_emptied_list_changes_nothing_and_a_drain_outlives_older_lists() {
     let mut with = settings(vec![class(Effect::Idempotent, DedupScope::All)]);
@@ -277,7 +278,8 @@
         s.now += 100.0;
         s.outcome(id, 0, 0, Outcome::Ok);
     }
-    // The warm one leaves; one of its kind starts now: 1 job in 100 ms, cold at 0.3 of that.
+    // The warm worker leaves, and one of its kind starts now. Warm, it does 1 job in 100 ms; at its start,
+    // 0.3 of that.
     s.run(Event::List {
         kind: ListKind::Replace,
         entries: vec![Entry { ready_at: Some(s.now), ..entry(1, 0) }],
@@ -287,7 +289,8 @@
         sends += u32::from(sent(&s.request(id, 0)).is_some());
         s.now += 5.0;
     }
-    // Over the first second it can do 3 jobs; the budget of a 2 s window at its start is 15 for all, 7.5 for us.
+    // In its first second it can do 3 jobs. Its budget for a window of 2 s is 15 jobs for all dispatchers,
+    // 7.5 for this one.
     assert!((1..=7).contains(&sends), "{sends}");
 }
 
@@ -304,7 +307,8 @@
         assert_eq!(s.run(Event::Timer { token }), vec![Action::Watch]);
     }
     let mean = |waits: &[f64]| waits.iter().sum::<f64>() / waits.len() as f64;
-    // Two dispatchers: the first again within 156 ms, later ones within 2.5 s, which is well inside `ask_within`.
+    // Two dispatchers: the first retry comes within 156 ms, later ones within 2.5 s, well inside
+    // `list_interval`.
     assert!(waits[0] <= 156.25 && waits.iter().all(|w| (0.0..=2500.0).contains(w)), "{waits:?}");
     assert!((800.0..1700.0).contains(&mean(&waits[5..])), "{waits:?}");
     assert_eq!(sent(&s.request(1, 0)), Some(0), "the old list still holds");
@@ -345,7 +349,7 @@
     assert!(s.outcome(1, 0, 0, Outcome::Ok).is_empty(), "a repeated outcome");
 }
 
-/// Overload: seconds of queue stood at every worker and nearly all answers were late.
+/// Guards against queues under overload: every worker had seconds of queue, and nearly all answers were late.
 #[test]
 fn once_a_job_waits_at_each_worker_the_rest_is_held_and_the_dearest_goes_first() {
     let dear = Class { value: 9.0, ..class(Effect::Idempotent, DedupScope::All) };
@@ -383,7 +387,7 @@
     s
 }
 
-/// A job waited behind work of other dispatchers though a worker of its cell stood free.
+/// Guards against a job that waits behind the work of other dispatchers while a worker of its cell is idle.
 #[test]
 fn a_waiting_job_gets_a_copy_in_its_group_and_the_loser_is_called_off() {
     for (waste, copied) in [(0.04, true), (0.3, false)] {
@@ -414,7 +418,8 @@
     }
 }
 
-/// A hint that lies made a worker look fast beyond measure, and so a cold one of its kind too.
+/// Guards against false hints: one made a worker look far too fast, and with it a warming-up worker of its
+/// kind.
 #[test]
 fn a_lying_hint_does_not_open_the_cold_budget() {
     let mut s = Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![entry(0, 0)]);
@@ -445,7 +450,8 @@
     assert!((1..=8).contains(&sends), "{sends}");
 }
 
-/// Many dispatchers, each seeing only its own few jobs, took a worker that all of them use for an idle one.
+/// Regression: each of many dispatchers sees only its own few jobs: a worker that all of them used looked
+/// idle to each.
 #[test]
 fn among_many_a_worker_in_usual_use_is_not_taken_for_idle() {
     let first = |replicas| {
@@ -476,7 +482,8 @@
     assert_eq!((first(1), first(8)), (0, 1), "alone the faster one, among many the unused one");
 }
 
-/// A worker that answered every second job with an error was forgiven by each served one.
+/// Guards against failures that a served job cancels out: a worker that failed every second job stayed in
+/// use.
 #[test]
 fn a_worker_that_errs_half_the_time_is_set_aside() {
     let mut s = Script::new(
@@ -498,7 +505,8 @@
     assert!((5..90).contains(&to_bad), "{to_bad}");
 }
 
-/// Answers that never came held their slots until the client's deadline, and made a sound worker look slow.
+/// Regression: jobs whose answers were lost occupied their slots until the client's deadline, and made a
+/// healthy worker look slow.
 #[test]
 fn a_job_without_its_progress_notes_is_called_off_and_sent_again() {
     for effect in [Effect::Idempotent, Effect::AtMostOnce] {
@@ -526,7 +534,8 @@
     }
 }
 
-/// In an overload that no dispatcher sees whole every job was sent into a queue of seconds, and all were late.
+/// Regression: in an overload that no dispatcher sees as a whole, every job was sent into queues of seconds,
+/// and all were late.
 #[test]
 fn late_starts_make_it_refuse_what_earns_least() {
     let cheap = Class { value: 1.0, ..class(Effect::Idempotent, DedupScope::All) };
@@ -555,8 +564,9 @@
     assert_eq!(play(200..240, 2.0), [0, 0], "prompt starts again");
 }
 
-/// Hundreds of dispatchers, each with less than a job as its part of a cold worker's budget, sent it nothing at
-/// all; with turns the sum over all of them stays inside the budget, also if some have far more traffic.
+/// Regression: hundreds of dispatchers, each with less than one job as its part of a warming-up worker's
+/// budget, sent it nothing at all. With turns they do, and the sum over all stays within the budget even if
+/// some have far more traffic.
 #[test]
 fn turns_at_a_cold_worker_stay_inside_the_budget_of_all() {
     const REPLICAS: u32 = 300;
@@ -610,7 +620,8 @@
     }
 }
 
-/// The list's word that a worker drains closes its idle connections at once, and again after each outcome there.
+/// Idle connections are closed as soon as the list shows the worker as draining, and again after each outcome
+/// there.
 #[test]
 fn idle_connections_to_a_draining_worker_are_closed() {
     let mut s = Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![entry(0, 0)]);
@@ -622,7 +633,8 @@
     assert!(s.outcome(1, 0, 0, Outcome::Ok).contains(&release));
 }
 
-/// One club sending three times its share took the place of all others: its surplus goes first.
+/// Guards against one tenant displacing all others by sending three times its share: its surplus is refused
+/// first.
 #[test]
 fn what_a_tenant_sends_beyond_its_share_is_refused_first() {
     let tenant = |share| Tenant { quota_per_s: 20.0 * share, share };
@@ -638,7 +650,8 @@
         let mut refused = [0.0f64; 2];
         for id in 0..600u64 {
             s.now += 10.0;
-            // The first tenant sends ninety a second of its ten and fills the queues, the other its ten.
+            // The first tenant has a quota of 10 requests per second, sends 90 and fills the queues; the
+            // second sends the 10 of its quota.
             let tenant = usize::from(id % 10 == 0);
             let deadline = s.now + 5000.0;
             let tried = Request { id, class: Some(0), slots: 1.0, deadline, ..Request::default() };
@@ -658,10 +671,11 @@
     assert!((alike[0] - alike[1]).abs() < 0.2, "{alike:?}");
 }
 
-/// An attempt judged lost that may not be sent again held its request until the client's deadline.
+/// Regression: a request whose lost attempt may not be retried was kept until the client's deadline.
 #[test]
 fn what_is_given_up_is_answered_at_once() {
-    // Progress every 400 ms, no starts told: what gives no sign is lost by expected time.
+    // Progress reports every 400 ms and no start reports: a job without reports is lost after its expected
+    // time.
     let limits = Limits {
         max_attempts: 3,
         cancel: true,
@@ -676,7 +690,7 @@
         s.request(1, 0);
         assert!(s.advance(4000.0).contains(&Action::Fail { id: 1 }), "{effect:?}");
     }
-    // No budget for retries left: refused in the same round, and told when to return.
+    // With the retry budget used up, the request is refused in the same call, with advice when to retry.
     let base = Settings { limits, ..settings(vec![class(Effect::Idempotent, DedupScope::All)]) };
     let mut s = Script::new(base, (0..4).map(|w| entry(w, 0)).collect());
     let refused = (0..60).any(|id| {
@@ -688,7 +702,7 @@
     assert!(refused);
 }
 
-/// A keyed request whose group is gone waited for it until its deadline.
+/// Regression: a deduplicated request that had no worker left in its scope waited for one until its deadline.
 #[test]
 fn a_retry_whose_group_is_gone_is_answered_at_once() {
     let mut s = Script::new(
@@ -701,13 +715,13 @@
     assert!(s.outcome(1, 0, to, Outcome::ResetByPeer).contains(&Action::Fail { id: 1 }));
 }
 
-/// Nine in ten workers lost a third of their answers, notes too: each such job made its worker full until the
-/// client's deadline, and counted as overload.
+/// Regression: nine in ten workers lost a third of their answers and reports: each lost job made its worker
+/// count as full until the client's deadline, and counted as overload.
 #[test]
 fn a_job_that_later_ones_passed_is_lost_where_the_queue_is_served_in_order() {
     for fifo in [true, false] {
         let limits = Limits { max_attempts: 2, cancel: true, ..Limits::default() };
-        // Not given up for being late.
+        // A long latency target, so that no job is given up for being late.
         let patient = Class { latency_target: 2_000.0, ..class(Effect::Idempotent, DedupScope::All) };
         let base = settings(vec![patient]);
         let base = Settings { reports_starts: true, progress_interval: 1000.0, fifo, limits, ..base };
@@ -725,7 +739,8 @@
         s.run(Event::Started { id: 49, attempt: 0 });
         s.now += 20.0;
         s.request(50, 0);
-        // The worker is full by it for a while; it is heard of, and another job passes it.
+        // Job 50 makes the worker count as full for a while. The worker answers, and a later job overtakes
+        // job 50.
         let mut done = s.advance(48.0);
         s.outcome(49, 0, 0, Outcome::Ok);
         done.extend(s.advance(150.0));
@@ -737,7 +752,8 @@
     }
 }
 
-/// With room for none but the running jobs, "full" was taken for a failure: workers stood idle for seconds.
+/// Regression: at workers that queue no jobs, an outcome "queue full" counted as a failure: they were left
+/// idle for seconds.
 #[test]
 fn a_full_worker_is_left_alone_for_about_a_running_time() {
     let mut s = Script::new(
@@ -759,7 +775,7 @@
     assert!(used(&mut s, 70..74));
 }
 
-/// A list named hundreds of workers that did not exist: each drew jobs as an idle one.
+/// Regression: a list named hundreds of workers that did not exist: each looked idle and was sent jobs.
 #[test]
 fn a_newly_listed_worker_that_never_answers_gets_one_job_and_is_left_alone_for_long() {
     let base = settings(vec![class(Effect::Idempotent, DedupScope::All)]);
@@ -777,7 +793,8 @@
     assert!((50..60).all(|id| sent(&s.request(id, 0)) != Some(9)));
 }
 
-/// A job that could only be late was held until near its deadline, though those in time went first.
+/// Regression: a job that could only be late was parked until near its deadline, although jobs that could be
+/// in time went first.
 #[test]
 fn a_held_job_that_is_late_without_a_place_is_answered_long_before_its_deadline() {
     let late = Class { late_value: 0.5, ..class(Effect::AtMostOnce, DedupScope::All) };
@@ -796,7 +813,8 @@
     assert!(s.advance(900.0).iter().any(refused));
 }
 
-/// Workers brought down by what they began came back cold before a list told, were filled and fell over again.
+/// Regression: workers that crashed under the jobs they had started came back, warming up, before a list
+/// reported it; they were sent a full load and crashed again.
 #[test]
 fn a_worker_at_which_all_is_reset_at_once_is_taken_as_cold() {
     let sends_after = |resets: u64| {
@@ -821,7 +839,7 @@
 
 #[test]
 fn a_stray_reset_does_not_set_a_worker_aside() {
-    // On a day on which connections broke now and then, most workers were left alone most of the time.
+    // When connections broke now and then, most workers were ejected most of the time.
     let class = class(Effect::Idempotent, DedupScope::All);
     let mut s = Script::new(settings(vec![class]), vec![entry(0, 0), entry(1, 0)]);
     let to = sent(&s.request(1, 0)).unwrap();
@@ -834,7 +852,7 @@
 
 #[test]
 fn an_attempt_that_never_left_uses_up_no_retry() {
-    // Kept connections that had died cost the budget that is meant to spare workers.
+    // Kept-alive connections that had died used up the retry budget, which is meant to protect workers.
     let class = class(Effect::AtMostOnce, DedupScope::All);
     let mut s = Script::new(settings(vec![class]), vec![entry(0, 0), entry(1, 0)]);
     for id in 1..30 {
@@ -846,7 +864,8 @@
 
 #[test]
 fn a_worker_whose_running_times_alone_make_jobs_late_is_left_alone() {
-    // Its estimate still drew a job whenever the others were busy: two in a hundred came late on such days.
+    // By its index the slow worker still got a job whenever the others were busy: two in a hundred answers
+    // were late in such simulations.
     let tells =
         Settings { reports_starts: true, ..settings(vec![class(Effect::Idempotent, DedupScope::All)]) };
     let mut s = Script::new(tells, (0..3).map(|w| entry(w, 0)).collect());
@@ -900,14 +919,16 @@
 
 #[test]
 fn a_job_that_waits_until_a_start_would_be_late_is_called_off_and_answered_at_once() {
-    // Late starts kept the places that later jobs still had time for: 99 % served in time before a release, 80 % in the 5 s
-    // after it (join+vast, seed 1060834082237), with queues 30 deep at some workers and empty ones elsewhere.
+    // Jobs that could only be late occupied places that later jobs could still have used: 99 % were served in
+    // time before a release, 80 % in the 5 s after it (scenario join+vast, seed 1060834082237), with queues
+    // of 30 jobs at some workers and none at others.
     for (effect, group) in [(Effect::AtMostOnce, DedupScope::All), (Effect::Deduplicated, DedupScope::Cell)] {
         let limits = Limits { max_attempts: 3, cancel: true, ..Limits::default() };
         let kind = Class { target_stretch: 2.0, ..class(effect, group) };
         let base = Settings { limits, reports_starts: true, ..settings(vec![kind]) };
         let mut s = Script::new(base, vec![entry(0, 0), entry(1, 0)]);
-        // Jobs of 100 ms: wanted within 200 ms and twice that, so a start is of use for 300 ms.
+        // Jobs take 100 ms and should be answered within 200 ms plus twice their work, so a start is in time
+        // for 300 ms.
         for id in 0..40 {
             let to = sent(&s.request(id, 0)).unwrap();
             s.run(Event::Started { id, attempt: 0 });
@@ -921,8 +942,8 @@
         let done = s.advance(150.0);
         let ends = [Action::Cancel { id: 100, attempt: 0 }, Action::Fail { id: 100 }];
         assert!(done.windows(2).any(|pair| pair == ends), "{effect:?}: {done:?}");
-        // Nor is one at the start, when nothing is known of running times: with one job seen that ran for 15 times its
-        // class's aim, the next was given up after 20 ms.
+        // Nor is a job given up while little is known about running times: after a single job that ran for 15
+        // times the latency target of its class, the next one was given up after 20 ms.
         let base = s.balancer.settings().clone();
         let mut fresh = Script::new(base, vec![entry(0, 0), entry(1, 0)]);
         let to = sent(&fresh.request(0, 0)).unwrap();
@@ -934,15 +955,16 @@
             !fresh.advance(1_000.0).contains(&Action::Fail { id: 1 }),
             "{effect:?}: nothing is known yet"
         );
-        // One that runs is never given up for being late.
+        // A running job is never given up for being late.
         assert!(!s.advance(4_000.0).contains(&Action::Fail { id: 101 }), "{effect:?}");
     }
 }
 
 #[test]
 fn a_worker_that_fails_for_others_is_left_at_our_first_error_and_a_stray_one_is_no_reason() {
-    // Each of 100 dispatchers met the same seven failing workers 3 to 4 times each before it left them (join+vast): some
-    // 1,200 errors a day, and the retries that they used up. Their reports told of 20 to 30 errors a second.
+    // Each of 100 dispatchers got 3 to 4 errors from each of the same seven failing workers before it ejected
+    // them (scenario join+vast): some 1,200 errors in a simulated day, which used up retries. The workers'
+    // load reports showed 20 to 30 errors per second.
     let class = class(Effect::Idempotent, DedupScope::All);
     for (errors_per_s, left) in [(30.0, true), (0.0, false)] {
         let mut s = Script::new(settings(vec![class.clone()]), vec![entry(0, 0), entry(1, 0)]);
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,5 +1,5 @@
-//! The pages for readers of the code are true to it: each file and folder that they name exists, and each type that
-//! stands before a file is in it.
+//! Checks the documentation pages against the code: each file and folder that they name exists, and each type
+//! that is named with a file is defined there.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -9,7 +9,7 @@
 /// Folders at the root whose paths the pages name.
 const ROOTS: [&str; 9] =
     ["src/", "tests/", "balancer/", "coordination/", "system/", "testing/", "deploy/", "docs/", "journal/"];
-/// Headings of the glossary whose tables name what no longer exists.
+/// Heading of the glossary from which on the tables list names that no longer exist.
 const OLD_NAMES: &str = "## Old names to new";
 
 fn root() -> PathBuf {
@@ -20,18 +20,18 @@
     fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// The text of a page that speaks of the present.
+/// The text of a page without its lists of former names.
 fn present(page: &str) -> String {
     let text = read(&root().join(page));
     text.split(OLD_NAMES).next().unwrap_or_default().to_owned()
 }
 
-/// What stands between backquotes, line by line.
+/// The texts between backquotes, line by line.
 fn quoted(text: &str) -> impl Iterator<Item = &str> {
     text.lines().flat_map(|line| line.split('`').skip(1).step_by(2))
 }
 
-/// A path of the repository; patterns and commands are none.
+/// Whether a text is a path of the repository, as opposed to a pattern or a command.
 fn is_path(text: &str) -> bool {
     let plain = |c: char| c.is_ascii_alphanumeric() || "/._-".contains(c);
     ROOTS.iter().any(|folder| text.starts_with(folder)) && text.chars().all(plain)
@@ -62,7 +62,8 @@
     assert!(missing.is_empty(), "{missing:#?}");
 }
 
-/// Types of the form "`Type` (`path/of/file.rs`)", also several before one file or several files.
+/// Types with the files that they are named with, in the form "`Type` (`path/of/file.rs`)". There may be
+/// several types and several files.
 fn types_with_files(text: &str) -> Vec<(Vec<String>, Vec<String>)> {
     let mut found = Vec::new();
     for (position, _) in text.match_indices(" (`") {
@@ -105,7 +106,7 @@
     assert!(missing.is_empty(), "{missing:#?}");
 }
 
-/// Pages that name tests, with what they say of earlier names cut off.
+/// Adds all pages below a folder, without their lists of former names.
 fn all_pages(folder: &Path, pages: &mut Vec<(PathBuf, String)>) {
     for entry in fs::read_dir(folder).expect("a folder of pages") {
         let path = entry.expect("an entry").path();
@@ -118,7 +119,7 @@
     }
 }
 
-/// Names of all functions in the sources below a folder.
+/// Adds the names of all functions in the sources below a folder.
 fn function_names(folder: &Path, names: &mut BTreeSet<String>) {
     for entry in fs::read_dir(folder).expect("a folder of sources") {
         let path = entry.expect("an entry").path();
@@ -136,17 +137,19 @@
     }
 }
 
-/// Names of tests are sentences; other names that stand on the pages are shorter.
+/// Least number of underscores in the name of a test. Test names are sentences; other names on the pages are
+/// shorter.
 const UNDERSCORES_OF_A_TEST: usize = 4;
 
-/// Names that a page abbreviates, with `…` before or after them, are not looked up.
+/// Whether a word is the name of a test. Names that a page abbreviates with `…` before or after are not
+/// looked up.
 fn is_test_name(word: &str) -> bool {
     let is_abbreviated = word.starts_with('_') || word.ends_with('_');
     let is_snake_case = word.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_');
     is_snake_case && !is_abbreviated && word.matches('_').count() >= UNDERSCORES_OF_A_TEST
 }
 
-/// A command with the old name of a test runs no test at all, and ends green.
+/// A command with a former name of a test runs no test at all, and still succeeds.
 #[test]
 fn every_test_on_the_pages_exists() {
     let mut pages = Vec::new();
--- a/tests/recorded_choices.rs
+++ b/tests/recorded_choices.rs
@@ -1,9 +1,9 @@
-//! Seeded random days, each action and all that was learnt folded into one digest a day. The digests were recorded
-//! before `src/rules.rs` was split by concern: a change that is to change no decision leaves each of them as it is,
-//! and one that is to change decisions records them anew and says so.
+//! Simulated days from seeds. All actions and the learned state of a day make up one digest. The digests were
+//! recorded before `src/rules.rs` was split by concern. A change that should not affect decisions must leave
+//! all of them unchanged; one that should must record them anew and say so.
 //!
-//! Floating point is compared to the last bit, so the figures hold for the C library of the build image (glibc on
-//! x86-64), whose `exp` and `ln` they rest on.
+//! Floating-point numbers are compared to the last bit, so the digests hold for the C library of the build
+//! image (glibc on x86-64), which computes `exp` and `ln`.
 
 mod support;
 
@@ -11,9 +11,9 @@
 use std::fmt::Write;
 use support::{Day, Digest};
 
-/// Days that are played, by seed.
+/// Number of simulated days; their seeds count from 0.
 const DAYS: u64 = 30;
-/// As printed by `cargo test --test recorded_choices -- --nocapture`.
+/// Digest of each day, as printed by `cargo test --test recorded_choices -- --nocapture`.
 const RECORDED: [u64; DAYS as usize] = [
     0xa515_18f7_2377_0a4c,
     0x1a8e_caa2_816e_5339,
@@ -46,7 +46,7 @@
     0x574e_13f6_3416_9318,
     0x391f_f3be_52af_465b,
 ];
-/// Of the index at small and large rates and counts, also where `q` is close to `p`.
+/// Digest of the index at small and large rates and counts, also where `q` is close to `p`.
 const RECORDED_INDEX: u64 = 0xf0f5_bf19_da3b_b432;
 
 #[test]
--- a/tests/support/day.rs
+++ b/tests/support/day.rs
@@ -1,4 +1,4 @@
-//! One day of a dispatcher's decision module among simulated workers, clients, discovery and operators.
+//! Simulates one day of a decision module with its workers, clients, discovery and operators.
 
 mod changes;
 
@@ -9,20 +9,22 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// When a day ends, and how long after its start what recurs first happens (ms).
+/// Time at which a day ends (ms).
 const DAY_MS: f64 = 10_000.0;
+/// Delay of the first of each recurring occurrence (ms).
 const FIRST_MS: f64 = 100.0;
-/// Sizes of fleets.
+/// Numbers of workers.
 const FLEETS: [u32; 5] = [3, 8, 20, 60, 150];
-/// Shares of a fleet's capacity that arrivals ask for.
+/// Load: the arriving work as a fraction of the fleet's capacity.
 const LOADS: [f64; 4] = [0.03, 0.2, 0.7, 1.4];
-/// Mean work of a job (ms on a standard core), and what a job takes before and after it runs.
+/// Mean work of a job (ms on a standard core).
 const WORK: f64 = 60.0;
+/// Network delay to or from a worker (ms).
 const WAY_MS: f64 = 1.0;
-/// Arrivals are no denser on the mean (ms), outside bursts.
+/// Shortest mean time between arrivals outside bursts (ms).
 const LEAST_GAP_MS: f64 = 6.0;
 
-/// What is due to happen.
+/// An occurrence that is scheduled.
 enum Due {
     Arrival,
     Started { id: RequestId, attempt: usize },
@@ -48,7 +50,7 @@
     work: f64,
     answered: bool,
     attempts: Vec<Attempt>,
-    /// The process that took it.
+    /// Number of the dispatcher process that accepted it.
     process: u64,
 }
 
@@ -58,7 +60,7 @@
     balancer: Balancer,
     machines: Vec<Machine>,
     jobs: BTreeMap<RequestId, Job>,
-    /// By time (us) and order of entry.
+    /// Scheduled occurrences by time (us) and order of scheduling.
     due: BTreeMap<(u64, u64), Due>,
     entered: u64,
     now: f64,
@@ -102,7 +104,7 @@
         day
     }
 
-    /// Plays the day out; the digest of all actions and of what was learnt.
+    /// Runs the day to its end. Returns the digest of all actions and of the learned state.
     pub fn run(mut self) -> u64 {
         while let Some(((at, _), due)) = self.due.pop_first() {
             self.now = at as f64 / 1000.0;
@@ -123,7 +125,7 @@
         self.due.insert((at, self.entered), due);
     }
 
-    /// After a time that is exponentially distributed.
+    /// Schedules an occurrence after an exponentially distributed time with this mean.
     fn some_time(&mut self, mean: f64, due: Due) {
         let delay = -(1.0 - self.dice.f64()).ln() * mean;
         self.after(delay, due);
@@ -210,7 +212,7 @@
         job.attempts.push(Attempt { worker, sent: self.now, open: true });
         let work = job.work;
         match self.fate(worker) {
-            // Neither a note nor an answer comes.
+            // Neither a report nor an answer comes.
             None => {}
             Some(outcome) if outcome.never_ran() => {
                 self.after(2.0 * WAY_MS, Due::Ended { id, attempt, outcome });
@@ -241,7 +243,7 @@
         }
     }
 
-    /// The attempt, if it is one of this process's that has not ended.
+    /// Whether an attempt is open and was sent by the present process.
     fn open(&self, id: RequestId, attempt: usize) -> bool {
         let job = self.jobs.get(&id).filter(|j| j.process == self.process);
         job.and_then(|j| j.attempts.get(attempt)).is_some_and(|a| a.open)
@@ -260,7 +262,7 @@
     }
 
     fn progress(&mut self, id: RequestId, attempt: usize) {
-        // Some lose their way, after which no more come.
+        // Some reports are lost, and then no more come.
         if self.open(id, attempt) && self.dice.f64() < 0.97 {
             self.event(Event::Progress { id, attempt, share: 0.5 });
             self.after(self.settings.progress_interval, Due::Progress { id, attempt });
@@ -288,7 +290,7 @@
         }
     }
 
-    /// Its process has died: all that it had is reset at the same moment.
+    /// Resets all other attempts at a worker at the same moment: its process has died.
     fn reset_others(&mut self, worker: WorkerId) {
         let here = |a: &Attempt| a.open && a.worker == worker;
         let mut lost = Vec::new();
@@ -326,8 +328,8 @@
     }
 }
 
-/// Names of types and fields now, and as they were when the digests were recorded. The digests are of text that holds
-/// them; only so may a name change without recording the digests anew.
+/// Names of types and fields, now and when the digests were recorded. The digested text contains these names,
+/// so they are mapped back; otherwise the digests would change with each rename.
 const RECORDED_NAMES: [(&str, &str); 19] = [
     ("LearnedState {", "Memory {"),
     ("LearnedKind {", "KindMemory {"),
--- a/tests/support/day/changes.rs
+++ b/tests/support/day/changes.rs
@@ -1,17 +1,21 @@
-//! What changes around the dispatcher in the course of a day: lists, workers, operators and upgrades.
+//! Changes around the dispatcher during a day: lists, workers, operators and upgrades.
 
 use super::{with_recorded_names, Day, Due, CLASSES};
 use millrudder::*;
 use std::fmt::Write;
 
-/// Mean time between changes to the list, load reports, an operator's acts, and upgrades (ms).
+/// Mean time between changes of the list (ms).
 const CHANGE_MS: f64 = 500.0;
+/// Mean time between load reports (ms).
 const REPORT_MS: f64 = 100.0;
+/// Mean time between commands of operators (ms).
 const OPERATOR_MS: f64 = 400.0;
+/// Mean time between upgrades (ms).
 const UPGRADE_MS: f64 = 6_000.0;
-/// How long a predecessor stays after an upgrade (ms).
+/// Time from an upgrade to the end of the predecessor (ms).
 const PREDECESSOR_MS: f64 = 1_500.0;
-/// Workers of a crowded day that the first list names and the next ones do not: more than the module keeps.
+/// Additional workers on some days that the first list names and later ones do not: more than the module
+/// keeps.
 const CROWD: u32 = 1_100;
 
 impl Day {
@@ -41,7 +45,7 @@
         self.event(Event::List { kind: ListKind::Unavailable, entries: Vec::new() });
     }
 
-    /// One worker changes, and lists tell of it.
+    /// One worker changes, and a list may report it.
     pub(super) fn change_list(&mut self) {
         let now = self.now;
         let i = self.dice.usize(..self.machines.len());
@@ -70,7 +74,7 @@
         self.some_time(CHANGE_MS, Due::ListChange);
     }
 
-    /// More workers than the module keeps come and go.
+    /// Lists more workers than the module keeps, and removes them again.
     pub(super) fn crowd(&mut self) {
         let first = self.machines.len() as u32;
         let any = self.machines[0].entry.clone();
@@ -90,7 +94,7 @@
         match self.dice.usize(..16) {
             0 => self.retune(),
             1..8 => self.event(Event::Ban { worker, on: true }),
-            // A restart that lists tell of before it is put back.
+            // A restart that lists report before the worker is restored.
             8 => self.machines[worker as usize].entry.ready_at = Some(self.now),
             _ => self.put_back(),
         }
@@ -103,7 +107,7 @@
         }
     }
 
-    /// New settings: the classes in another order, one of them new.
+    /// Applies new settings: the classes in another order, one of them new.
     fn retune(&mut self) {
         let turn = self.dice.usize(..CLASSES);
         self.settings.classes.rotate_left(turn);
@@ -113,7 +117,7 @@
         self.event(Event::Settings { settings: Box::new(self.settings.clone()), from });
     }
 
-    /// A successor takes over; what was out goes on as its predecessor's.
+    /// A successor takes over; open attempts stay with the predecessor.
     pub(super) fn upgrade(&mut self) {
         let memory = self.balancer.export();
         let learnt = with_recorded_names(format!("{memory:?}"));
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -1,4 +1,4 @@
-//! A digest of what is written to it.
+//! A digest of the text that is written to it.
 
 use std::fmt;
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Seeded days of one dispatcher: arrivals, workers, lists, operators and upgrades on a simulated clock.
+//! Simulation of one dispatcher for a day, from a seed: arrivals, workers, lists, operators and upgrades.
 
 mod day;
 mod digest;
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -1,24 +1,25 @@
-//! Sites of every sort, by seed: settings, and machines that work at their own speeds and fail in their own ways.
+//! Random sites: settings, and workers with different speeds and failure rates.
 
 use fastrand::Rng;
 use millrudder::*;
 
-/// Classes of each site.
+/// Number of classes of each site.
 pub const CLASSES: usize = 6;
-/// Tenants of each site.
+/// Number of tenants of each site.
 pub const TENANTS: usize = 2;
 
-/// One worker as it truly is.
+/// The true state of one worker, which the dispatcher can only estimate.
 pub struct Machine {
     pub entry: Entry,
-    /// Work done a millisecond on each core.
+    /// Work (ms on a standard core) that each core does per ms.
     pub speed: f64,
-    /// When each core is free.
+    /// Time at which each core becomes free.
     pub free_at: Vec<f64>,
-    /// Share of its jobs that end in a failure.
+    /// Fraction of its jobs that fail.
     pub failing: f64,
-    /// Refuses connections.
+    /// It refuses connections.
     pub down: bool,
+    /// Lists name it.
     pub named: bool,
 }
 
@@ -27,7 +28,7 @@
         !self.down && self.entry.mode != Mode::Gone
     }
 
-    /// Runs a job that is there from `ready` on; when it starts and ends.
+    /// Runs a job that arrives at time `ready`. Returns the times of its start and end.
     pub fn run(&mut self, work: f64, ready: f64) -> (f64, f64) {
         let core = self.free_at.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("it has a core");
         let start = core.max(ready);
@@ -94,7 +95,7 @@
     }
 }
 
-/// Settings by their dice; `kinds` and `zones` of workers.
+/// Random settings for a site with this many kinds and zones of workers.
 pub fn settings(dice: &mut Rng, kinds: u32, zones: u32) -> Settings {
     let replicas = pick(dice, &[1, 2, 2, 20, 100]);
     let tenant = |quota_per_s, share| Tenant { quota_per_s, share };
