--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -57,7 +57,7 @@
         self.run(Event::Ban { worker, on });
     }
 
-    fn ask(&mut self) -> Vec<Action> {
+    fn request(&mut self) -> Vec<Action> {
         self.next += 1;
         let deadline = self.now + 5000.0;
         let request = Request { id: self.next, class: Some(0), slots: 1.0, deadline, ..Request::default() };
@@ -66,10 +66,10 @@
 
     /// Makes a request every 50 ms for this long, each served before the next. Returns the worker and time of
     /// each send.
-    fn work(&mut self, ms: f64) -> Vec<(WorkerId, f64)> {
+    fn serve_requests(&mut self, ms: f64) -> Vec<(WorkerId, f64)> {
         let (end, mut used) = (self.now + ms, Vec::new());
         while self.now < end {
-            let sent = self.ask().iter().find_map(|a| match a {
+            let sent = self.request().iter().find_map(|a| match a {
                 Action::Send { worker, .. } => Some(*worker),
                 _ => None,
             });
@@ -86,79 +86,79 @@
     }
 }
 
-fn had(used: &[(WorkerId, f64)], worker: WorkerId) -> bool {
+fn was_used(used: &[(WorkerId, f64)], worker: WorkerId) -> bool {
     used.iter().any(|u| u.0 == worker)
 }
 
 #[test]
-fn a_ban_outlives_lists_departure_and_restart_and_one_call_ends_it() {
+fn a_ban_outlives_lists_and_restarts_and_ends_with_one_restore_command() {
     let mut s = Script::new(1, 3);
-    assert!(had(&s.work(3000.0), 1));
+    assert!(was_used(&s.serve_requests(3000.0), 1));
     s.ban(1, true);
     s.ban(1, true);
     let all = |at| vec![entry(0, None), entry(1, at), entry(2, None)];
     s.list(ListKind::Replace, all(None));
-    assert!(!had(&s.work(1000.0), 1), "a whole list");
+    assert!(!was_used(&s.serve_requests(1000.0), 1), "after a whole list");
     s.list(ListKind::Update, vec![Entry { mode: Mode::Gone, ..entry(1, None) }]);
     s.list(ListKind::Update, vec![entry(1, Some(s.now))]);
-    assert!(!had(&s.work(1000.0), 1), "left, and listed anew after a restart");
+    assert!(!was_used(&s.serve_requests(1000.0), 1), "gone, and listed again after a restart");
     s.list(ListKind::Replace, vec![entry(0, None)]);
     s.list(ListKind::Replace, all(Some(s.now)));
-    assert!(!had(&s.work(1000.0), 1), "in no list for a while");
+    assert!(!was_used(&s.serve_requests(1000.0), 1), "missing from a list for a while");
     s.ban(1, false);
-    let used = s.work(2000.0);
-    assert!(had(&used, 1), "one call back is enough: {used:?}");
+    let used = s.serve_requests(2000.0);
+    assert!(was_used(&used, 1), "one restore command is enough: {used:?}");
 }
 
 #[test]
-fn a_ban_goes_over_to_a_successor() {
+fn a_ban_is_kept_by_a_successor() {
     let mut old = Script::new(1, 2);
-    old.work(1000.0);
+    old.serve_requests(1000.0);
     old.ban(1, true);
     let mut new = Script::new(1, 2);
     new.now = old.now;
     new.balancer.import(&old.balancer.export()).unwrap();
-    assert!(!had(&new.work(2000.0), 1));
+    assert!(!was_used(&new.serve_requests(2000.0), 1));
     new.ban(1, false);
-    assert!(had(&new.work(2000.0), 1));
+    assert!(was_used(&new.serve_requests(2000.0), 1));
 }
 
 #[test]
-fn one_that_is_put_back_is_used_soon_however_poor_it_was() {
+fn a_restored_worker_is_used_soon_whatever_its_record() {
     let mut s = Script::new(1, 4);
-    s.work(5000.0);
+    s.serve_requests(5000.0);
     for _ in 0..10 {
         // Failed health checks.
         s.run(Event::Probed { worker: 0, outcome: Outcome::Failed, latency: 5.0, load: None });
     }
     s.ban(0, true);
-    assert!(!had(&s.work(3000.0), 0));
+    assert!(!was_used(&s.serve_requests(3000.0), 0));
     s.ban(0, false);
-    let used = s.work(3000.0);
+    let used = s.serve_requests(3000.0);
     let first = used.iter().find(|u| u.0 == 0).expect("used within 3 s").1;
     assert!(first < s.now - 1000.0, "{used:?}");
 }
 
 #[test]
-fn one_that_is_put_back_is_cold_before_any_list_says_so() {
+fn a_restored_worker_counts_as_warming_up_before_any_list_reports_it() {
     // The worker was restarted while it was ejected. It counted as warm, and a burst overloaded it before the
     // list reported the restart.
     let mut s = Script::new(1, 1);
-    s.work(4000.0);
+    s.serve_requests(4000.0);
     s.ban(0, true);
-    s.work(2000.0);
+    s.serve_requests(2000.0);
     s.ban(0, false);
-    let sent = (0..200).filter(|_| s.ask().iter().any(|a| matches!(a, Action::Send { .. }))).count();
-    assert!(sent <= 2, "{sent} at once");
+    let sent = (0..200).filter(|_| s.request().iter().any(|a| matches!(a, Action::Send { .. }))).count();
+    assert!(sent <= 2, "{sent} jobs sent at once");
 }
 
 #[test]
-fn with_all_workers_out_by_hand_jobs_end_at_once_with_advice() {
+fn with_all_workers_banned_requests_are_refused_at_once_with_retry_advice() {
     let mut s = Script::new(1, 2);
-    s.work(1000.0);
+    s.serve_requests(1000.0);
     s.ban(0, true);
     s.ban(1, true);
-    let answers = s.ask();
+    let answers = s.request();
     assert!(
         answers.iter().any(|a| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0.0)),
         "{answers:?}"
--- a/tests/index.rs
+++ b/tests/index.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn at_zero_it_is_the_papers_value() {
+fn at_zero_jobs_the_index_has_the_value_of_the_paper() {
     for (p, q) in [(0.1, 0.3), (0.3, 0.1), (0.05, 0.9), (0.9, 0.05)] {
         let expected = p * (q + p - 1.0) / q;
         assert!((whittle_index(p, q, 0.0) - expected).abs() < 1e-9, "{p} {q}");
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn it_never_rises_and_stays_finite() {
+fn the_index_never_rises_with_the_count_and_stays_finite() {
     // Between whole counts the index is only used at small time steps (p and q up to 0.1).
     for (p, part) in [(1e-6, 0.25), (0.001, 0.25), (0.1, 0.25), (0.5, 1.0), (0.99, 1.0)] {
         for q in [1e-6, 0.001, 0.0999, 0.1, 0.1001, 0.5, 0.999] {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn near_equal_rates_move_to_the_edge_of_the_gap() {
+fn nearly_equal_rates_are_moved_apart_to_the_least_gap() {
     assert_eq!(whittle_index(0.1, 0.1, 3.0), whittle_index(0.1, 0.105, 3.0));
     assert_eq!(whittle_index(0.1, 0.0999, 3.0), whittle_index(0.1, 0.095, 3.0));
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn only_the_tests_of_a_listed_program_are_passed_over_and_by_their_whole_names() {
+fn only_the_listed_tests_of_a_program_are_skipped_and_by_their_whole_names() {
     let folder = folder("listed");
     let found = arguments(&folder, "a-package", "decoders-0123456789abcdef", LIST);
     let expected = [
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-const FLEET: u32 = 100;
+const DISPATCHERS: u32 = 100;
 
 fn settings(me: u32) -> Settings {
     let class = Class {
@@ -17,7 +17,7 @@
     };
     Settings {
         instance: me,
-        replicas: FLEET,
+        replicas: DISPATCHERS,
         period: 2.0,
         list_by_call: true,
         classes: vec![class],
@@ -30,33 +30,33 @@
 struct Discovery {
     free_at: f64,
     call_ms: f64,
-    patience: f64,
+    call_timeout_ms: f64,
 }
 
 impl Discovery {
     /// Makes a call now. Returns when it ends, and whether it is answered (or else given up).
     fn call(&mut self, now: f64) -> (f64, bool) {
         self.free_at = self.free_at.max(now) + self.call_ms;
-        if self.free_at - now <= self.patience {
+        if self.free_at - now <= self.call_timeout_ms {
             (self.free_at, true)
         } else {
-            (now + self.patience, false)
+            (now + self.call_timeout_ms, false)
         }
     }
 }
 
 #[test]
-fn after_a_release_every_dispatcher_is_answered_by_a_discovery_with_many_callers() {
+fn after_a_release_discovery_answers_every_one_of_many_dispatchers() {
     // All dispatchers called at the same moment and again within 2.5 s. Each call waited until it was given
     // up, and 61 of 100 dispatchers got no list in 22 s (scenario herd+vast, seed 32442124685).
-    let mut fleet: Vec<Balancer> =
-        (0..FLEET).map(|me| Balancer::new(settings(me), 7 + u64::from(me))).collect();
-    let mut discovery = Discovery { free_at: 0.0, call_ms: 50.0, patience: 2_000.0 };
-    let (mut due, mut answered, mut calls) = (BinaryHeap::new(), vec![false; fleet.len()], 0);
+    let mut dispatchers: Vec<Balancer> =
+        (0..DISPATCHERS).map(|me| Balancer::new(settings(me), 7 + u64::from(me))).collect();
+    let mut discovery = Discovery { free_at: 0.0, call_ms: 50.0, call_timeout_ms: 2_000.0 };
+    let (mut due, mut answered, mut calls) = (BinaryHeap::new(), vec![false; dispatchers.len()], 0);
     let mut out = Vec::new();
     // Time in whole microseconds, dispatcher, and its timer's token; no token: its call is given up.
     type Due = Reverse<(u64, usize, Option<u64>)>;
-    let mut act = |now: f64, who: usize, out: &mut Vec<Action>, due: &mut BinaryHeap<Due>| {
+    let mut carry_out = |now: f64, who: usize, out: &mut Vec<Action>, due: &mut BinaryHeap<Due>| {
         let at = |ms: f64| (ms * 1000.0) as u64;
         for action in out.drain(..) {
             match action {
@@ -72,9 +72,9 @@
             }
         }
     };
-    for (who, balancer) in fleet.iter_mut().enumerate() {
+    for (who, balancer) in dispatchers.iter_mut().enumerate() {
         balancer.handle(0.0, Event::List { kind: ListKind::Restored, entries: Vec::new() }, &mut out);
-        act(0.0, who, &mut out, &mut due);
+        carry_out(0.0, who, &mut out, &mut due);
     }
     while let Some(Reverse((at, who, timer))) = due.pop() {
         let now = at as f64 / 1000.0;
@@ -85,11 +85,11 @@
             Some(token) => Event::Timer { token },
             None => Event::List { kind: ListKind::Unavailable, entries: Vec::new() },
         };
-        fleet[who].handle(now, event, &mut out);
-        act(now, who, &mut out, &mut due);
+        dispatchers[who].handle(now, event, &mut out);
+        carry_out(now, who, &mut out, &mut due);
     }
     let without = answered.iter().filter(|a| !**a).count();
-    assert!(without == 0 && calls < 3 * fleet.len(), "{without} were never answered, {calls} calls");
+    assert!(without == 0 && calls < 3 * dispatchers.len(), "{without} were never answered, {calls} calls");
 }
 
 /// Sixty workers in cells of four.
@@ -106,7 +106,7 @@
     (0..60).map(entry).collect()
 }
 
-fn keyed(me: u32) -> Settings {
+fn deduplicated_settings(me: u32) -> Settings {
     let mut settings = settings(me);
     (settings.classes[0].effect, settings.classes[0].dedup_scope) = (Effect::Deduplicated, DedupScope::Cell);
     settings.classes[0].dedup_window = 7_500.0;
@@ -122,7 +122,7 @@
 /// Runs one dispatcher with a request every 150 ms, each served in 200 ms by a worker that is `up`. Returns
 /// where the first attempts were sent, and how many requests were served.
 fn first_choices(me: u32, requests: u64, up: impl Fn(WorkerId) -> bool) -> (Vec<WorkerId>, usize) {
-    let mut balancer = Balancer::new(keyed(me), 40 + u64::from(me));
+    let mut balancer = Balancer::new(deduplicated_settings(me), 40 + u64::from(me));
     let (mut out, mut first, mut served, mut now) = (Vec::new(), Vec::new(), 0, 0.0);
     balancer.handle(now, Event::List { kind: ListKind::Replace, entries: workers() }, &mut out);
     for id in 0..requests {
@@ -157,37 +157,38 @@
 }
 
 #[test]
-fn each_keeps_to_a_part_of_the_fleet_and_together_they_cover_it() {
+fn each_dispatcher_keeps_to_a_subset_of_the_fleet_and_together_they_cover_it() {
     // Each dispatcher had a connection to each worker and got a load report from it every 9 s: in simulations
     // of large fleets, handshakes and probes were most of the cost.
-    let mut sums = [0usize; 60];
-    for me in 0..FLEET {
+    let mut sends_by_worker = [0usize; 60];
+    for me in 0..DISPATCHERS {
         let (chosen, _) = first_choices(me, 60, |_| true);
         assert!(distinct(&chosen) <= 24, "{me} used {}", distinct(&chosen));
-        chosen.iter().for_each(|w| sums[*w as usize] += 1);
+        chosen.iter().for_each(|w| sends_by_worker[*w as usize] += 1);
     }
-    let mean = sums.iter().sum::<usize>() as f64 / 60.0;
-    let (least, most) = (*sums.iter().min().unwrap() as f64, *sums.iter().max().unwrap() as f64);
-    assert!(least > 0.4 * mean && most < 1.7 * mean, "{least} to {most}, {mean} on the mean");
+    let mean = sends_by_worker.iter().sum::<usize>() as f64 / 60.0;
+    let (least, most) =
+        (*sends_by_worker.iter().min().unwrap() as f64, *sends_by_worker.iter().max().unwrap() as f64);
+    assert!(least > 0.4 * mean && most < 1.7 * mean, "{least} to {most}, the mean is {mean}");
 }
 
 #[test]
-fn where_the_part_is_lost_the_rest_serves() {
-    let part: std::collections::BTreeSet<_> = first_choices(3, 60, |_| true).0.into_iter().collect();
-    let (_, served) = first_choices(3, 200, |worker| !part.contains(&worker));
+fn when_a_dispatchers_subset_fails_the_other_workers_serve() {
+    let subset: std::collections::BTreeSet<_> = first_choices(3, 60, |_| true).0.into_iter().collect();
+    let (_, served) = first_choices(3, 200, |worker| !subset.contains(&worker));
     assert!(served > 130, "{served} of 200 served");
 }
 
-/// Runs this many dispatchers, each with a request every 150 ms (with `dice`: as a Poisson process with that
+/// Runs this many dispatchers, each with a request every 150 ms (with `rng`: as a Poisson process with that
 /// mean) that is served after `time` of its worker (ms). Worker 60 starts 3 s later, and all dispatchers are
 /// notified of it at once. Returns when each job was sent (ms from that start) and to which worker.
 fn sends(
     replicas: u32,
     until: f64,
-    mut dice: Option<fastrand::Rng>,
+    mut rng: Option<fastrand::Rng>,
     time: impl Fn(WorkerId) -> f64,
 ) -> Vec<(f64, WorkerId)> {
-    const TOLD: f64 = 3_000.0;
+    const LISTED_AT_MS: f64 = 3_000.0;
     let mut due: BinaryHeap<Reverse<(u64, u32, u8, u64)>> = BinaryHeap::new();
     let rules = Rules {
         list_interval: 10_000.0,
@@ -198,15 +199,15 @@
         overload_time: 2_000.0,
         ..Rules::default()
     };
-    let settings = |me| Settings { replicas, rules: rules.clone(), ..keyed(me) };
-    let mut fleet: Vec<Balancer> =
+    let settings = |me| Settings { replicas, rules: rules.clone(), ..deduplicated_settings(me) };
+    let mut dispatchers: Vec<Balancer> =
         (0..replicas).map(|me| Balancer::new(settings(me), 90 + u64::from(me))).collect();
-    let mut to = vec![std::collections::BTreeMap::<u64, WorkerId>::new(); fleet.len()];
+    let mut to = vec![std::collections::BTreeMap::<u64, WorkerId>::new(); dispatchers.len()];
     let (mut out, mut sends) = (Vec::new(), Vec::new());
-    for (me, balancer) in (0u32..).zip(&mut fleet) {
+    for (me, balancer) in (0u32..).zip(&mut dispatchers) {
         balancer.handle(0.0, Event::List { kind: ListKind::Replace, entries: workers() }, &mut out);
         due.push(Reverse((u64::from(me) * 1_500, me, 0, 0)));
-        due.push(Reverse(((TOLD * 1_000.0) as u64, me, 3, 0)));
+        due.push(Reverse(((LISTED_AT_MS * 1_000.0) as u64, me, 3, 0)));
     }
     while let Some(Reverse((at, me, what, id))) = due.pop() {
         let now = at as f64 / 1_000.0;
@@ -216,7 +217,7 @@
         let worker = to[me as usize].get(&id).copied().unwrap_or_default();
         let event = match what {
             0 => {
-                let gap = dice.as_mut().map_or(1.0, |dice| -(1.0 - dice.f64()).ln()) * 150_000.0;
+                let gap = rng.as_mut().map_or(1.0, |rng| -(1.0 - rng.f64()).ln()) * 150_000.0;
                 due.push(Reverse((at + gap as u64, me, 0, id + 1)));
                 request(id, now)
             }
@@ -226,18 +227,19 @@
                 Event::Outcome { id, attempt: 0, worker, outcome, latency, closed: true, load: None }
             }
             _ => {
-                let cold = Entry { worker: 60, cell: 15, ready_at: Some(TOLD), ..workers()[0].clone() };
-                Event::List { kind: ListKind::Update, entries: vec![cold] }
+                let warming_up =
+                    Entry { worker: 60, cell: 15, ready_at: Some(LISTED_AT_MS), ..workers()[0].clone() };
+                Event::List { kind: ListKind::Update, entries: vec![warming_up] }
             }
         };
         out.clear();
-        fleet[me as usize].handle(now, event, &mut out);
+        dispatchers[me as usize].handle(now, event, &mut out);
         for action in &out {
             if let Action::Send { id, worker, .. } = action {
                 to[me as usize].insert(*id, *worker);
                 due.push(Reverse((at + 1_000, me, 1, *id)));
                 due.push(Reverse((at + (time(*worker) * 1_000.0) as u64, me, 2, *id)));
-                sends.push((now - TOLD, *worker));
+                sends.push((now - LISTED_AT_MS, *worker));
             }
         }
     }
@@ -245,15 +247,15 @@
 }
 
 #[test]
-fn a_cold_worker_is_used_by_all_and_pushed_over_by_none() {
-    for replicas in [FLEET, 300] {
+fn a_warming_up_worker_is_used_but_not_overloaded_by_many_dispatchers() {
+    for replicas in [DISPATCHERS, 300] {
         let sends = sends(replicas, 15_000.0, None, |_| 200.0);
-        let cold: Vec<f64> = sends.iter().filter(|(_, to)| *to == 60).map(|(at, _)| *at).collect();
-        check_cold_budget(&cold);
+        let warming_up: Vec<f64> = sends.iter().filter(|(_, to)| *to == 60).map(|(at, _)| *at).collect();
+        check_warm_up_budget(&warming_up);
     }
 }
 
-fn check_cold_budget(sends: &[f64]) {
+fn check_warm_up_budget(sends: &[f64]) {
     // Jobs per second that one core of the worker does: five when warm. The module sees one core in use
     // there.
     let capacity = |age: f64| 5.0 * (0.31 + 0.69 * age / 9_000.0).min(1.0);
@@ -261,24 +263,27 @@
     for (i, first) in sends.iter().enumerate().filter(|(_, at)| **at < 7_000.0) {
         let window = sends[i..].iter().take_while(|at| **at < first + 2_000.0).count() as f64;
         let most = 3.0 * capacity(first + 1_000.0) * 2.0 + 2.0;
-        assert!(window <= most, "{window} jobs in 2 s from {first} ms after its start, {most} at the most");
+        assert!(
+            window <= most,
+            "{window} jobs in 2 s from {first} ms after its start, at most {most} allowed"
+        );
     }
     let early = sends.iter().filter(|at| **at < 4_000.0).count();
-    assert!(early >= 6, "it is used while it warms: {early} jobs in 4 s");
+    assert!(early >= 6, "it is used while it warms up: {early} jobs in 4 s");
 }
 
 #[test]
-fn choices_follow_the_workers_speeds_and_no_worker_is_everybodys() {
+fn choices_follow_the_workers_speeds_and_no_worker_is_chosen_by_all() {
     // One kind, half of the fleet, does a job in 125 ms, the other in 200 ms. Each dispatcher has about one
     // open attempt and knows nothing of the others; by its own counts alone, each would use only the fast
     // half.
-    let mut sums = [0usize; 60];
-    let dice = Some(fastrand::Rng::with_seed(5));
-    let all = sends(FLEET, 15_000.0, dice, |worker| if worker % 2 == 0 { 200.0 } else { 125.0 });
-    all.iter().filter(|(_, to)| *to < 60).for_each(|(_, to)| sums[*to as usize] += 1);
-    let of = |kind: usize| sums.iter().skip(kind).step_by(2).sum::<usize>() as f64;
+    let mut sends_by_worker = [0usize; 60];
+    let rng = Some(fastrand::Rng::with_seed(5));
+    let all = sends(DISPATCHERS, 15_000.0, rng, |worker| if worker % 2 == 0 { 200.0 } else { 125.0 });
+    all.iter().filter(|(_, to)| *to < 60).for_each(|(_, to)| sends_by_worker[*to as usize] += 1);
+    let of = |kind: usize| sends_by_worker.iter().skip(kind).step_by(2).sum::<usize>() as f64;
     let (slow, fast) = (of(0), of(1));
     assert!((1.6..5.0).contains(&(fast / slow)), "{} times as many, 1.6 times as fast", fast / slow);
-    let (mean, most) = ((slow + fast) / 60.0, *sums.iter().max().unwrap() as f64);
-    assert!(most < 2.5 * mean, "{most} went to one worker, {mean} on the mean");
+    let (mean, most) = ((slow + fast) / 60.0, *sends_by_worker.iter().max().unwrap() as f64);
+    assert!(most < 2.5 * mean, "{most} went to one worker, the mean is {mean}");
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -2,13 +2,13 @@
 
 use millrudder::*;
 
-fn class(effect: Effect, group: DedupScope) -> Class {
+fn class(effect: Effect, dedup_scope: DedupScope) -> Class {
     Class {
         latency_target: 200.0,
         deadline: 5000.0,
         value: 1.0,
         effect,
-        dedup_scope: group,
+        dedup_scope,
         dedup_window: 2000.0,
         ..Class::default()
     }
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_not_repeated() {
+fn an_at_most_once_request_that_may_have_run_is_failed_not_retried() {
     for outcome in [Outcome::Failed, Outcome::ResetByPeer, Outcome::TimedOut, Outcome::Canceled] {
         let mut s = Script::new(
             settings(vec![class(Effect::AtMostOnce, DedupScope::All)]),
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_goes_to_another_worker() {
+fn an_at_most_once_request_that_never_ran_is_retried_on_another_worker() {
     let mut s = Script::new(
         settings(vec![class(Effect::AtMostOnce, DedupScope::All)]),
         vec![entry(0, 0), entry(1, 0)],
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_repeated_only_in_its_cell_and_window() {
+fn a_deduplicated_request_is_retried_only_within_its_cell_and_window() {
     for seed in 0..6 {
         let entries = vec![entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 1)];
         let mut s = Script::new(settings(vec![class(Effect::Deduplicated, DedupScope::Cell)]), entries);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_drained_worker_gets_nothing_new() {
+fn a_draining_worker_gets_no_new_jobs() {
     let mut s = Script::new(
         settings(vec![class(Effect::Idempotent, DedupScope::All)]),
         vec![entry(0, 0), entry(1, 0)],
@@ -180,12 +180,12 @@
 /// Guards against wrong lists: a worker that is listed as gone or left out is closed only where the rules say
 /// so.
 #[test]
-fn where_only_draining_binds_an_emptied_list_changes_nothing_and_a_drain_outlives_older_lists() {
-    let mut with = settings(vec![class(Effect::Idempotent, DedupScope::All)]);
-    with.rules.unlisted_stay_open = true;
+fn with_unlisted_stay_open_an_empty_list_changes_nothing_and_a_drain_outlives_older_lists() {
+    let mut settings = settings(vec![class(Effect::Idempotent, DedupScope::All)]);
+    settings.rules.unlisted_stay_open = true;
     let at = |worker, mode, ready_at| Entry { mode, ready_at, ..entry(worker, 0) };
     let first = Some(-50_000.0);
-    let mut s = Script::new(with, vec![at(0, Mode::Ready, first), at(1, Mode::Ready, None)]);
+    let mut s = Script::new(settings, vec![at(0, Mode::Ready, first), at(1, Mode::Ready, None)]);
     s.run(Event::List { kind: ListKind::Replace, entries: vec![] });
     s.run(Event::List { kind: ListKind::Update, entries: vec![at(1, Mode::Gone, None)] });
     let to: Vec<_> = (0..2).map(|id| sent(&s.request(id, 0))).collect();
@@ -207,11 +207,11 @@
     }
     s.now += 10_000.0;
     s.run(Event::List { kind: ListKind::Update, entries: vec![at(0, Mode::Ready, Some(-20_000.0))] });
-    assert!((90..99).any(|id| sent(&s.request(id, 0)) == Some(0)), "a newer start is open again");
+    assert!((90..99).any(|id| sent(&s.request(id, 0)) == Some(0)), "it is used again after a newer start");
 }
 
 #[test]
-fn with_no_worker_a_request_is_refused_in_time_and_timers_do_not_multiply() {
+fn without_workers_requests_are_refused_in_time_and_timers_do_not_multiply() {
     let mut s = Script::new(settings(vec![class(Effect::AtMostOnce, DedupScope::All)]), vec![]);
     let mut due: Vec<(f64, u64)> = Vec::new();
     let mut answered = 0;
@@ -250,27 +250,27 @@
 }
 
 #[test]
-fn a_worker_that_fails_fast_does_not_draw_all_traffic() {
+fn a_worker_that_fails_fast_does_not_attract_all_traffic() {
     let mut s = Script::new(
         settings(vec![class(Effect::Idempotent, DedupScope::All)]),
         vec![entry(0, 0), entry(1, 0)],
     );
-    let mut to_bad = 0;
+    let mut sent_to_bad = 0;
     for id in 0..100 {
         s.now += 20.0;
         let to = sent(&s.request(id, 0)).unwrap();
         let mut next = Some((to, 0));
         while let Some((to, attempt)) = next {
-            to_bad += u32::from(to == 0);
+            sent_to_bad += u32::from(to == 0);
             let outcome = if to == 0 { Outcome::ConnectError } else { Outcome::Ok };
             next = sent(&s.outcome(id, attempt, to, outcome)).map(|w| (w, attempt + 1));
         }
     }
-    assert!((1..25).contains(&to_bad), "{to_bad}");
+    assert!((1..25).contains(&sent_to_bad), "{sent_to_bad}");
 }
 
 #[test]
-fn a_cold_worker_gets_no_more_than_our_part_of_the_budget() {
+fn a_warming_up_worker_gets_no_more_than_this_dispatchers_part_of_its_budget() {
     let mut s = Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![entry(0, 0)]);
     for id in 0..40 {
         s.request(id, 0);
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_failed_list_call_is_repeated_later_and_later() {
+fn a_failed_list_call_is_retried_with_exponential_backoff() {
     let base = settings(vec![class(Effect::Idempotent, DedupScope::All)]);
     let mut s = Script::new(Settings { list_by_call: true, ..base }, vec![entry(0, 0)]);
     let mut waits = Vec::new();
@@ -311,11 +311,11 @@
     // `list_interval`.
     assert!(waits[0] <= 156.25 && waits.iter().all(|w| (0.0..=2500.0).contains(w)), "{waits:?}");
     assert!((800.0..1700.0).contains(&mean(&waits[5..])), "{waits:?}");
-    assert_eq!(sent(&s.request(1, 0)), Some(0), "the old list still holds");
+    assert_eq!(sent(&s.request(1, 0)), Some(0), "the previous list still applies");
 }
 
 #[test]
-fn odd_input_is_ignored() {
+fn unknown_repeated_or_invalid_events_are_ignored() {
     let mut s = Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![entry(0, 0)]);
     for event in [
         Event::Outcome {
@@ -335,7 +335,7 @@
     ] {
         assert!(s.run(event).is_empty());
     }
-    let odd = Request {
+    let invalid = Request {
         id: 1,
         class: Some(99),
         hint: Some(f64::NEG_INFINITY),
@@ -343,7 +343,7 @@
         deadline: s.now + 100.0,
         ..Request::default()
     };
-    assert_eq!(sent(&s.run(Event::Request(odd))), Some(0));
+    assert_eq!(sent(&s.run(Event::Request(invalid))), Some(0));
     let to = s.outcome(1, 0, 0, Outcome::Ok);
     assert!(to.is_empty());
     assert!(s.outcome(1, 0, 0, Outcome::Ok).is_empty(), "a repeated outcome");
@@ -351,10 +351,12 @@
 
 /// Guards against queues under overload: every worker had seconds of queue, and nearly all answers were late.
 #[test]
-fn once_a_job_waits_at_each_worker_the_rest_is_held_and_the_dearest_goes_first() {
-    let dear = Class { value: 9.0, ..class(Effect::Idempotent, DedupScope::All) };
-    let base =
-        Settings { reports_starts: true, ..settings(vec![class(Effect::Idempotent, DedupScope::All), dear]) };
+fn once_a_job_waits_at_each_worker_others_are_parked_and_the_most_valuable_goes_first() {
+    let valuable = Class { value: 9.0, ..class(Effect::Idempotent, DedupScope::All) };
+    let base = Settings {
+        reports_starts: true,
+        ..settings(vec![class(Effect::Idempotent, DedupScope::All), valuable])
+    };
     let mut s = Script::new(base, vec![entry(0, 0)]);
     assert_eq!(sent(&s.request(0, 0)), Some(0));
     s.now += 1.0;
@@ -362,10 +364,14 @@
     assert_eq!(sent(&s.request(1, 0)), Some(0), "nothing waits yet");
     s.now += 50.0;
     for (id, class) in [(2, 0), (3, 1), (4, 0)] {
-        assert_eq!(sent(&s.request(id, class)), None, "job 1 waits");
+        assert_eq!(sent(&s.request(id, class)), None, "job 1 waits for its start");
     }
     s.outcome(0, 0, 0, Outcome::Ok);
-    assert_eq!(sent(&s.run(Event::Started { id: 1, attempt: 0 })), None, "its start was late: one at a time");
+    assert_eq!(
+        sent(&s.run(Event::Started { id: 1, attempt: 0 })),
+        None,
+        "its start was late, so only one job is sent at a time"
+    );
     s.now += 50.0;
     let actions = s.outcome(1, 0, 0, Outcome::Ok);
     assert!(actions.contains(&Action::Send { id: 3, worker: 0, timeout: 0.0 }), "{actions:?}");
@@ -389,7 +395,7 @@
 
 /// Guards against a job that waits behind the work of other dispatchers while a worker of its cell is idle.
 #[test]
-fn a_waiting_job_gets_a_copy_in_its_group_and_the_loser_is_called_off() {
+fn a_waiting_job_is_hedged_within_its_dedup_scope_and_the_slower_copy_is_cancelled() {
     for (waste, copied) in [(0.04, true), (0.3, false)] {
         let mut s = hedging(waste);
         let (mut to, mut id) = (2, 0);
@@ -421,7 +427,7 @@
 /// Guards against false hints: one made a worker look far too fast, and with it a warming-up worker of its
 /// kind.
 #[test]
-fn a_lying_hint_does_not_open_the_cold_budget() {
+fn a_false_hint_does_not_raise_the_budget_of_a_warming_up_worker() {
     let mut s = Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![entry(0, 0)]);
     for id in 0..60 {
         let hint = Some(if id % 10 == 0 { 1e300 } else { 100.0 });
@@ -453,7 +459,7 @@
 /// Regression: each of many dispatchers sees only its own few jobs: a worker that all of them used looked
 /// idle to each.
 #[test]
-fn among_many_a_worker_in_usual_use_is_not_taken_for_idle() {
+fn among_many_dispatchers_a_worker_that_others_use_does_not_count_as_idle() {
     let first = |replicas| {
         let base = Settings { replicas, ..settings(vec![class(Effect::Idempotent, DedupScope::All)]) };
         let slower = Entry { kind: Some(1), ..entry(1, 0) };
@@ -485,30 +491,30 @@
 /// Guards against failures that a served job cancels out: a worker that failed every second job stayed in
 /// use.
 #[test]
-fn a_worker_that_errs_half_the_time_is_set_aside() {
+fn a_worker_that_fails_half_of_its_jobs_is_ejected() {
     let mut s = Script::new(
         settings(vec![class(Effect::Idempotent, DedupScope::All)]),
         vec![entry(0, 0), entry(1, 0)],
     );
-    let (mut to_bad, mut bad_turn) = (0, false);
+    let (mut sent_to_bad, mut bad_turn) = (0, false);
     for id in 0..200 {
         s.now += 20.0;
         let mut next = sent(&s.request(id, 0)).map(|w| (w, 0));
         while let Some((to, attempt)) = next {
-            to_bad += u32::from(to == 0);
+            sent_to_bad += u32::from(to == 0);
             bad_turn ^= to == 0;
             s.now += 5.0;
             let outcome = if to == 0 && bad_turn { Outcome::Failed } else { Outcome::Ok };
             next = sent(&s.outcome(id, attempt, to, outcome)).map(|w| (w, attempt + 1));
         }
     }
-    assert!((5..90).contains(&to_bad), "{to_bad}");
+    assert!((5..90).contains(&sent_to_bad), "{sent_to_bad}");
 }
 
 /// Regression: jobs whose answers were lost occupied their slots until the client's deadline, and made a
 /// healthy worker look slow.
 #[test]
-fn a_job_without_its_progress_notes_is_called_off_and_sent_again() {
+fn a_job_without_progress_reports_is_cancelled_and_sent_again() {
     for effect in [Effect::Idempotent, Effect::AtMostOnce] {
         let base = settings(vec![class(effect, DedupScope::All)]);
         let limits = Limits { max_attempts: 3, cancel: true, ..Limits::default() };
@@ -520,14 +526,14 @@
         s.now += 400.0;
         s.run(Event::Progress { id: 1, attempt: 0, share: 0.5 });
         s.now += 450.0;
-        let called_off = Action::Cancel { id: 1, attempt: 0 };
-        assert!(!s.advance(100.0).contains(&called_off), "the next note is not overdue yet");
+        let cancelled = Action::Cancel { id: 1, attempt: 0 };
+        assert!(!s.advance(100.0).contains(&cancelled), "the next report is not overdue yet");
         let repeats = effect == Effect::Idempotent;
         let done = s.advance(600.0);
-        assert_eq!(done.contains(&called_off), repeats);
-        let given_up =
+        assert_eq!(done.contains(&cancelled), repeats);
+        let failed =
             done.contains(&Action::Fail { id: 1 }) || s.advance(400.0).contains(&Action::Fail { id: 1 });
-        assert_eq!(given_up, !repeats, "one that may not be repeated is given up a note later");
+        assert_eq!(failed, !repeats, "one that may not be retried is given up a report later");
         if repeats {
             assert_eq!(sent(&s.outcome(1, 0, to, Outcome::Canceled)), Some(1 - to));
         }
@@ -537,12 +543,12 @@
 /// Regression: in an overload that no dispatcher sees as a whole, every job was sent into queues of seconds,
 /// and all were late.
 #[test]
-fn late_starts_make_it_refuse_what_earns_least() {
+fn late_starts_make_it_refuse_the_least_valuable_requests() {
     let cheap = Class { value: 1.0, ..class(Effect::Idempotent, DedupScope::All) };
-    let dear = Class { value: 6.0, ..cheap.clone() };
-    let base = Settings { reports_starts: true, replicas: 50, ..settings(vec![cheap, dear]) };
+    let valuable = Class { value: 6.0, ..cheap.clone() };
+    let base = Settings { reports_starts: true, replicas: 50, ..settings(vec![cheap, valuable]) };
     let mut s = Script::new(base, (0..8).map(|w| entry(w, 0)).collect());
-    let mut play = |ids: std::ops::Range<u64>, wait: f64| {
+    let mut serve = |ids: std::ops::Range<u64>, wait: f64| {
         let mut refused = [0; 2];
         for id in ids {
             s.now += 100.0;
@@ -557,18 +563,21 @@
         }
         refused
     };
-    assert_eq!(play(0..40, 2.0), [0, 0], "prompt starts");
-    let [cheap, dear] = play(40..120, 400.0);
-    assert!(cheap > 15 && dear < cheap / 2, "late starts: {cheap} cheap and {dear} dear ones refused");
-    play(120..200, 2.0);
-    assert_eq!(play(200..240, 2.0), [0, 0], "prompt starts again");
+    assert_eq!(serve(0..40, 2.0), [0, 0], "prompt starts");
+    let [cheap, valuable] = serve(40..120, 400.0);
+    assert!(
+        cheap > 15 && valuable < cheap / 2,
+        "late starts: {cheap} cheap and {valuable} valuable ones refused"
+    );
+    serve(120..200, 2.0);
+    assert_eq!(serve(200..240, 2.0), [0, 0], "prompt starts again");
 }
 
 /// Regression: hundreds of dispatchers, each with less than one job as its part of a warming-up worker's
 /// budget, sent it nothing at all. With turns they do, and the sum over all stays within the budget even if
 /// some have far more traffic.
 #[test]
-fn turns_at_a_cold_worker_stay_inside_the_budget_of_all() {
+fn turns_at_a_warming_up_worker_stay_within_the_budget_of_all_dispatchers() {
     const REPLICAS: u32 = 300;
     const WORK: f64 = 100.0;
     let mut sends: Vec<f64> = Vec::new();
@@ -612,7 +621,7 @@
         }
     }
     sends.sort_by(f64::total_cmp);
-    assert!(sends.len() > 100, "cold workers get work: {}", sends.len());
+    assert!(sends.len() > 100, "warming-up workers get jobs: {}", sends.len());
     for from in (0..60).map(|i| f64::from(i) * 100.0) {
         let sent = sends.iter().filter(|t| **t >= from && **t < from + 2000.0).count() as f64 * WORK;
         let budget = 2.5 * (0.3 + 0.7 * from / 8000.0) * 2000.0;
@@ -636,14 +645,14 @@
 /// Guards against one tenant displacing all others by sending three times its share: its surplus is refused
 /// first.
 #[test]
-fn what_a_tenant_sends_beyond_its_share_is_refused_first() {
+fn requests_beyond_a_tenants_share_are_refused_first() {
     let tenant = |share| Tenant { quota_per_s: 20.0 * share, share };
-    let refused = |over_share_worth| {
+    let refused = |over_quota_value| {
         let base = Settings {
             reports_starts: true,
             replicas: 1,
             tenants: vec![tenant(0.5), tenant(0.5)],
-            over_quota_value: over_share_worth,
+            over_quota_value,
             ..settings(vec![class(Effect::Idempotent, DedupScope::All)])
         };
         let mut s = Script::new(base, (0..8).map(|w| entry(w, 0)).collect());
@@ -673,7 +682,7 @@
 
 /// Regression: a request whose lost attempt may not be retried was kept until the client's deadline.
 #[test]
-fn what_is_given_up_is_answered_at_once() {
+fn a_lost_attempt_that_may_not_be_retried_is_answered_at_once() {
     // Progress reports every 400 ms and no start reports: a job without reports is lost after its expected
     // time.
     let limits = Limits {
@@ -683,8 +692,10 @@
         max_retry_after: 900.0,
         ..Limits::default()
     };
-    for (effect, group) in [(Effect::AtMostOnce, DedupScope::All), (Effect::Deduplicated, DedupScope::Cell)] {
-        let kind = Class { dedup_window: 300.0, ..class(effect, group) };
+    for (effect, dedup_scope) in
+        [(Effect::AtMostOnce, DedupScope::All), (Effect::Deduplicated, DedupScope::Cell)]
+    {
+        let kind = Class { dedup_window: 300.0, ..class(effect, dedup_scope) };
         let base = Settings { progress_interval: 400.0, limits: limits.clone(), ..settings(vec![kind]) };
         let mut s = Script::new(base, vec![entry(0, 0), entry(1, 1)]);
         s.request(1, 0);
@@ -704,7 +715,7 @@
 
 /// Regression: a deduplicated request that had no worker left in its scope waited for one until its deadline.
 #[test]
-fn a_retry_whose_group_is_gone_is_answered_at_once() {
+fn a_retry_without_a_worker_left_in_its_dedup_scope_is_answered_at_once() {
     let mut s = Script::new(
         settings(vec![class(Effect::Deduplicated, DedupScope::Cell)]),
         vec![entry(0, 0), entry(1, 1), entry(2, 2)],
@@ -718,7 +729,7 @@
 /// Regression: nine in ten workers lost a third of their answers and reports: each lost job made its worker
 /// count as full until the client's deadline, and counted as overload.
 #[test]
-fn a_job_that_later_ones_passed_is_lost_where_the_queue_is_served_in_order() {
+fn a_job_that_later_ones_overtook_is_lost_where_workers_start_jobs_in_order() {
     for fifo in [true, false] {
         let limits = Limits { max_attempts: 2, cancel: true, ..Limits::default() };
         // A long latency target, so that no job is given up for being late.
@@ -755,7 +766,7 @@
 /// Regression: at workers that queue no jobs, an outcome "queue full" counted as a failure: they were left
 /// idle for seconds.
 #[test]
-fn a_full_worker_is_left_alone_for_about_a_running_time() {
+fn a_full_worker_is_ejected_for_about_a_running_time() {
     let mut s = Script::new(
         settings(vec![class(Effect::Idempotent, DedupScope::All)]),
         vec![entry(0, 0), entry(1, 0)],
@@ -777,7 +788,7 @@
 
 /// Regression: a list named hundreds of workers that did not exist: each looked idle and was sent jobs.
 #[test]
-fn a_newly_listed_worker_that_never_answers_gets_one_job_and_is_left_alone_for_long() {
+fn a_newly_listed_worker_that_never_answers_gets_one_job_and_is_ejected_for_long() {
     let base = settings(vec![class(Effect::Idempotent, DedupScope::All)]);
     let mut s = Script::new(base, vec![entry(0, 0)]);
     for id in 0..20 {
@@ -786,9 +797,9 @@
     }
     s.run(Event::List { kind: ListKind::Update, entries: vec![entry(9, 1)] });
     let to: Vec<_> = (30..40).map(|id| (id, sent(&s.request(id, 0)))).collect();
-    let ghost: Vec<_> = to.iter().filter(|t| t.1 == Some(9)).collect();
-    assert_eq!(ghost.len(), 1, "one at a time before a sign of life: {to:?}");
-    s.outcome(ghost[0].0, 0, 9, Outcome::ConnectError);
+    let sent_to_new: Vec<_> = to.iter().filter(|t| t.1 == Some(9)).collect();
+    assert_eq!(sent_to_new.len(), 1, "one at a time before the first answer: {to:?}");
+    s.outcome(sent_to_new[0].0, 0, 9, Outcome::ConnectError);
     s.now += 9000.0;
     assert!((50..60).all(|id| sent(&s.request(id, 0)) != Some(9)));
 }
@@ -796,7 +807,7 @@
 /// Regression: a job that could only be late was parked until near its deadline, although jobs that could be
 /// in time went first.
 #[test]
-fn a_held_job_that_is_late_without_a_place_is_answered_long_before_its_deadline() {
+fn a_parked_job_that_can_only_be_late_is_answered_long_before_its_deadline() {
     let late = Class { late_value: 0.5, ..class(Effect::AtMostOnce, DedupScope::All) };
     let mut s = Script::new(Settings { reports_starts: true, ..settings(vec![late]) }, vec![entry(0, 0)]);
     for id in 0..10 {
@@ -816,7 +827,7 @@
 /// Regression: workers that crashed under the jobs they had started came back, warming up, before a list
 /// reported it; they were sent a full load and crashed again.
 #[test]
-fn a_worker_at_which_all_is_reset_at_once_is_taken_as_cold() {
+fn a_worker_whose_jobs_are_all_reset_at_once_counts_as_warming_up() {
     let sends_after = |resets: u64| {
         let base = settings(vec![class(Effect::AtMostOnce, DedupScope::All)]);
         let mut s = Script::new(Settings { replicas: 1, ..base }, vec![entry(0, 0)]);
@@ -838,7 +849,7 @@
 }
 
 #[test]
-fn a_stray_reset_does_not_set_a_worker_aside() {
+fn an_isolated_reset_does_not_eject_a_worker() {
     // When connections broke now and then, most workers were ejected most of the time.
     let class = class(Effect::Idempotent, DedupScope::All);
     let mut s = Script::new(settings(vec![class]), vec![entry(0, 0), entry(1, 0)]);
@@ -851,7 +862,7 @@
 }
 
 #[test]
-fn an_attempt_that_never_left_uses_up_no_retry() {
+fn an_attempt_that_was_never_sent_uses_up_no_retry() {
     // Kept-alive connections that had died used up the retry budget, which is meant to protect workers.
     let class = class(Effect::AtMostOnce, DedupScope::All);
     let mut s = Script::new(settings(vec![class]), vec![entry(0, 0), entry(1, 0)]);
@@ -863,12 +874,12 @@
 }
 
 #[test]
-fn a_worker_whose_running_times_alone_make_jobs_late_is_left_alone() {
+fn a_worker_whose_running_times_alone_make_jobs_late_is_ejected() {
     // By its index the slow worker still got a job whenever the others were busy: two in a hundred answers
     // were late in such simulations.
-    let tells =
+    let reporting =
         Settings { reports_starts: true, ..settings(vec![class(Effect::Idempotent, DedupScope::All)]) };
-    let mut s = Script::new(tells, (0..3).map(|w| entry(w, 0)).collect());
+    let mut s = Script::new(reporting, (0..3).map(|w| entry(w, 0)).collect());
     let (mut ends, mut late): (Vec<(f64, RequestId, WorkerId)>, usize) = (Vec::new(), 0);
     for id in 0..3000u64 {
         s.advance(4.0);
@@ -886,7 +897,7 @@
 }
 
 #[test]
-fn a_worker_that_took_a_job_and_said_nothing_is_set_aside() {
+fn a_worker_that_does_not_answer_a_job_is_ejected() {
     let class = class(Effect::Idempotent, DedupScope::All);
     let mut s = Script::new(settings(vec![class]), vec![entry(0, 0), entry(1, 0)]);
     let to = sent(&s.request(1, 0)).unwrap();
@@ -900,7 +911,7 @@
 }
 
 #[test]
-fn a_connection_that_fails_right_after_a_sign_of_life_does_not_set_a_worker_aside() {
+fn a_connection_that_fails_right_after_an_answer_does_not_eject_the_worker() {
     for (age, stays) in [(10.0, true), (5000.0, false)] {
         let class = class(Effect::Idempotent, DedupScope::All);
         let mut s = Script::new(settings(vec![class]), vec![entry(0, 0), entry(1, 0)]);
@@ -918,13 +929,15 @@
 }
 
 #[test]
-fn a_job_that_waits_until_a_start_would_be_late_is_called_off_and_answered_at_once() {
+fn a_job_that_waits_until_its_start_would_be_late_is_cancelled_and_answered_at_once() {
     // Jobs that could only be late occupied places that later jobs could still have used: 99 % were served in
     // time before a release, 80 % in the 5 s after it (scenario join+vast, seed 1060834082237), with queues
     // of 30 jobs at some workers and none at others.
-    for (effect, group) in [(Effect::AtMostOnce, DedupScope::All), (Effect::Deduplicated, DedupScope::Cell)] {
+    for (effect, dedup_scope) in
+        [(Effect::AtMostOnce, DedupScope::All), (Effect::Deduplicated, DedupScope::Cell)]
+    {
         let limits = Limits { max_attempts: 3, cancel: true, ..Limits::default() };
-        let kind = Class { target_stretch: 2.0, ..class(effect, group) };
+        let kind = Class { target_stretch: 2.0, ..class(effect, dedup_scope) };
         let base = Settings { limits, reports_starts: true, ..settings(vec![kind]) };
         let mut s = Script::new(base, vec![entry(0, 0), entry(1, 0)]);
         // Jobs take 100 ms and should be answered within 200 ms plus twice their work, so a start is in time
@@ -961,7 +974,7 @@
 }
 
 #[test]
-fn a_worker_that_fails_for_others_is_left_at_our_first_error_and_a_stray_one_is_no_reason() {
+fn a_worker_that_fails_for_other_dispatchers_is_ejected_at_the_first_error_but_not_for_an_isolated_one() {
     // Each of 100 dispatchers got 3 to 4 errors from each of the same seven failing workers before it ejected
     // them (scenario join+vast): some 1,200 errors in a simulated day, which used up retries. The workers'
     // load reports showed 20 to 30 errors per second.
--- a/tests/recorded_choices.rs
+++ b/tests/recorded_choices.rs
@@ -50,7 +50,7 @@
 const RECORDED_INDEX: u64 = 0xf0f5_bf19_da3b_b432;
 
 #[test]
-fn no_choice_differs_from_those_recorded() {
+fn no_decision_differs_from_those_recorded() {
     let digests: Vec<u64> = (0..DAYS).map(|seed| Day::new(seed).run()).collect();
     digests.iter().for_each(|digest| println!("    {digest:#018x},"));
     assert_eq!(digests, RECORDED);
@@ -63,7 +63,7 @@
         for part in [0.001, 0.5, 0.94, 0.951, 0.96, 1.0, 1.02, 1.049, 1.06, 2.0, 30.0] {
             for n in [0.0, 0.3, 1.0, 2.5, 7.0, 40.0, 900.0, 1e6] {
                 let index = whittle_index(p, f64::min(p * part, 1.0), n);
-                write!(digest, "{index:?} ").expect("a digest takes all");
+                write!(digest, "{index:?} ").expect("writing to a digest never fails");
             }
         }
     }
--- a/tests/support/day.rs
+++ b/tests/support/day.rs
@@ -12,26 +12,26 @@
 /// Time at which a day ends (ms).
 const DAY_MS: f64 = 10_000.0;
 /// Delay of the first of each recurring occurrence (ms).
-const FIRST_MS: f64 = 100.0;
+const FIRST_OCCURRENCE_MS: f64 = 100.0;
 /// Numbers of workers.
-const FLEETS: [u32; 5] = [3, 8, 20, 60, 150];
+const FLEET_SIZES: [u32; 5] = [3, 8, 20, 60, 150];
 /// Load: the arriving work as a fraction of the fleet's capacity.
 const LOADS: [f64; 4] = [0.03, 0.2, 0.7, 1.4];
 /// Mean work of a job (ms on a standard core).
-const WORK: f64 = 60.0;
+const MEAN_WORK_MS: f64 = 60.0;
 /// Network delay to or from a worker (ms).
-const WAY_MS: f64 = 1.0;
+const NETWORK_DELAY_MS: f64 = 1.0;
 /// Shortest mean time between arrivals outside bursts (ms).
-const LEAST_GAP_MS: f64 = 6.0;
+const MIN_MEAN_GAP_MS: f64 = 6.0;
 
 /// An occurrence that is scheduled.
-enum Due {
+enum Occurrence {
     Arrival,
     Started { id: RequestId, attempt: usize },
     Progress { id: RequestId, attempt: usize },
     Ended { id: RequestId, attempt: usize, outcome: Outcome },
     Deadline { id: RequestId },
-    Lapse { id: RequestId },
+    ClientLeaves { id: RequestId },
     Timer { token: u64, process: u64 },
     ListChange,
     Report,
@@ -55,17 +55,17 @@
 }
 
 pub struct Day {
-    dice: Rng,
+    rng: Rng,
     settings: Settings,
     balancer: Balancer,
     machines: Vec<Machine>,
     jobs: BTreeMap<RequestId, Job>,
     /// Scheduled occurrences by time (us) and order of scheduling.
-    due: BTreeMap<(u64, u64), Due>,
-    entered: u64,
+    scheduled_occurrences: BTreeMap<(u64, u64), Occurrence>,
+    scheduled_count: u64,
     now: f64,
     /// Mean time between arrivals (ms).
-    gap: f64,
+    mean_gap_ms: f64,
     next: RequestId,
     process: u64,
     digest: Digest,
@@ -73,62 +73,68 @@
 
 impl Day {
     pub fn new(seed: u64) -> Self {
-        let mut dice = Rng::with_seed(seed);
-        let (kinds, zones) = (dice.u32(1..4), dice.u32(1..4));
-        let settings = site::settings(&mut dice, kinds, zones);
-        let size = FLEETS[seed as usize % FLEETS.len()];
-        let machines = site::machines(&mut dice, size, kinds, zones);
+        let mut rng = Rng::with_seed(seed);
+        let (kinds, zones) = (rng.u32(1..4), rng.u32(1..4));
+        let settings = site::settings(&mut rng, kinds, zones);
+        let size = FLEET_SIZES[seed as usize % FLEET_SIZES.len()];
+        let machines = site::machines(&mut rng, size, kinds, zones);
         let capacity: f64 = machines.iter().map(|m| m.speed * m.free_at.len() as f64).sum();
-        let load = LOADS[dice.usize(..LOADS.len())];
+        let load = LOADS[rng.usize(..LOADS.len())];
         let mut day = Day {
             balancer: Balancer::new(settings.clone(), seed),
-            dice,
+            rng,
             settings,
             machines,
             jobs: BTreeMap::new(),
-            due: BTreeMap::new(),
-            entered: 0,
+            scheduled_occurrences: BTreeMap::new(),
+            scheduled_count: 0,
             now: 1000.0,
-            gap: (WORK / capacity / load).max(LEAST_GAP_MS),
+            mean_gap_ms: (MEAN_WORK_MS / capacity / load).max(MIN_MEAN_GAP_MS),
             next: 1,
             process: 0,
             digest: Digest::new(),
         };
         day.list(ListKind::Restored);
-        for due in [Due::Arrival, Due::ListChange, Due::Report, Due::Operator, Due::Upgrade] {
-            day.after(FIRST_MS, due);
+        for occurrence in [
+            Occurrence::Arrival,
+            Occurrence::ListChange,
+            Occurrence::Report,
+            Occurrence::Operator,
+            Occurrence::Upgrade,
+        ] {
+            day.after(FIRST_OCCURRENCE_MS, occurrence);
         }
         if seed % 12 == 7 {
-            day.crowd();
+            day.list_excess_workers();
         }
         day
     }
 
     /// Runs the day to its end. Returns the digest of all actions and of the learned state.
     pub fn run(mut self) -> u64 {
-        while let Some(((at, _), due)) = self.due.pop_first() {
+        while let Some(((at, _), occurrence)) = self.scheduled_occurrences.pop_first() {
             self.now = at as f64 / 1000.0;
             if self.now > DAY_MS {
                 break;
             }
-            self.happen(due);
+            self.handle_occurrence(occurrence);
         }
-        let learnt = self.balancer.export();
-        let learnt = with_recorded_names(format!("{learnt:?}"));
-        write!(self.digest, "{learnt}").expect("a digest takes all");
+        let learned = self.balancer.export();
+        let learned = with_recorded_names(format!("{learned:?}"));
+        write!(self.digest, "{learned}").expect("writing to a digest never fails");
         self.digest.value()
     }
 
-    fn after(&mut self, delay: f64, due: Due) {
-        self.entered += 1;
+    fn after(&mut self, delay: f64, occurrence: Occurrence) {
+        self.scheduled_count += 1;
         let at = ((self.now + delay) * 1000.0).round() as u64;
-        self.due.insert((at, self.entered), due);
+        self.scheduled_occurrences.insert((at, self.scheduled_count), occurrence);
     }
 
     /// Schedules an occurrence after an exponentially distributed time with this mean.
-    fn some_time(&mut self, mean: f64, due: Due) {
-        let delay = -(1.0 - self.dice.f64()).ln() * mean;
-        self.after(delay, due);
+    fn after_random_time(&mut self, mean: f64, occurrence: Occurrence) {
+        let delay = -(1.0 - self.rng.f64()).ln() * mean;
+        self.after(delay, occurrence);
     }
 
     fn event(&mut self, event: Event) {
@@ -138,42 +144,47 @@
     }
 
     fn carry_out(&mut self, actions: Vec<Action>) {
-        write!(self.digest, "{:?} {actions:?}", self.now).expect("a digest takes all");
+        write!(self.digest, "{:?} {actions:?}", self.now).expect("writing to a digest never fails");
         for action in actions {
             match action {
                 Action::Send { id, worker, .. } => self.start_attempt(id, worker),
                 Action::Refuse { id, .. } | Action::Fail { id } => self.answered(id),
                 Action::Cancel { id, attempt } => {
-                    self.after(WAY_MS, Due::Ended { id, attempt, outcome: Outcome::Canceled });
+                    self.after(
+                        NETWORK_DELAY_MS,
+                        Occurrence::Ended { id, attempt, outcome: Outcome::Canceled },
+                    );
                 }
                 Action::Timer { token, delay } => {
-                    self.after(delay, Due::Timer { token, process: self.process })
+                    self.after(delay, Occurrence::Timer { token, process: self.process })
                 }
-                Action::Watch | Action::Fetch if self.dice.f64() < 0.3 => self.list_lost(),
+                Action::Watch | Action::Fetch if self.rng.f64() < 0.3 => self.list_unavailable(),
                 Action::Watch | Action::Fetch => self.list(ListKind::Update),
                 Action::Probe { .. } | Action::Release { .. } => {}
             }
         }
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.arrive(),
-            Due::Started { id, attempt } => self.started(id, attempt),
-            Due::Progress { id, attempt } => self.progress(id, attempt),
-            Due::Ended { id, attempt, outcome } => self.end(id, attempt, outcome),
-            Due::Deadline { id } => self.deadline(id),
-            Due::Lapse { id } => {
+    fn handle_occurrence(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Arrival => self.arrive(),
+            Occurrence::Started { id, attempt } => self.started(id, attempt),
+            Occurrence::Progress { id, attempt } => self.progress(id, attempt),
+            Occurrence::Ended { id, attempt, outcome } => self.end_attempt(id, attempt, outcome),
+            Occurrence::Deadline { id } => self.deadline(id),
+            Occurrence::ClientLeaves { id } => {
                 self.answered(id);
                 self.event(Event::Lapsed { id });
             }
-            Due::Timer { token, process } if process == self.process => self.event(Event::Timer { token }),
-            Due::Timer { .. } => {}
-            Due::ListChange => self.change_list(),
-            Due::Report => self.report(),
-            Due::Operator => self.operate(),
-            Due::Upgrade => self.upgrade(),
-            Due::PredecessorGone => {
+            Occurrence::Timer { token, process } if process == self.process => {
+                self.event(Event::Timer { token })
+            }
+            Occurrence::Timer { .. } => {}
+            Occurrence::ListChange => self.change_list(),
+            Occurrence::Report => self.report(),
+            Occurrence::Operator => self.operate(),
+            Occurrence::Upgrade => self.upgrade(),
+            Occurrence::PredecessorGone => {
                 let mut actions = Vec::new();
                 self.balancer.predecessor_gone(&mut actions);
                 self.carry_out(actions);
@@ -182,58 +193,61 @@
     }
 
     fn arrive(&mut self) {
-        let (id, class) = (self.next, self.dice.usize(..CLASSES + 1));
+        let (id, class) = (self.next, self.rng.usize(..CLASSES + 1));
         self.next += 1;
-        let work = WORK * 0.5 * (1.0 - self.dice.f64()).recip().min(20.0);
-        let hint = match self.dice.usize(..10) {
+        let work = MEAN_WORK_MS * 0.5 * (1.0 - self.rng.f64()).recip().min(20.0);
+        let hint = match self.rng.usize(..10) {
             0..4 => Some(work),
-            4 => Some([f64::NAN, -1.0, 0.0, 1e300, work * 30.0][self.dice.usize(..5)]),
+            4 => Some([f64::NAN, -1.0, 0.0, 1e300, work * 30.0][self.rng.usize(..5)]),
             _ => None,
         };
-        let slots = [1.0, 1.0, 1.0, 2.0, f64::NAN][self.dice.usize(..5)];
-        let tenant = (self.dice.f64() < 0.6).then(|| self.dice.usize(..TENANTS + 1));
-        let deadline = self.now + [60.0, 900.0, 5_000.0][self.dice.usize(..3)];
+        let slots = [1.0, 1.0, 1.0, 2.0, f64::NAN][self.rng.usize(..5)];
+        let tenant = (self.rng.f64() < 0.6).then(|| self.rng.usize(..TENANTS + 1));
+        let deadline = self.now + [60.0, 900.0, 5_000.0][self.rng.usize(..3)];
         let job = Job { work, answered: false, attempts: Vec::new(), process: self.process };
         self.jobs.insert(id, job);
-        self.after(deadline - self.now, Due::Deadline { id });
-        if self.dice.f64() < 0.05 {
-            let patience = 60.0 * self.dice.f64();
-            self.after(patience, Due::Lapse { id });
+        self.after(deadline - self.now, Occurrence::Deadline { id });
+        if self.rng.f64() < 0.05 {
+            let patience = 60.0 * self.rng.f64();
+            self.after(patience, Occurrence::ClientLeaves { id });
         }
         let class = (class < CLASSES).then_some(class);
         self.event(Event::Request(Request { id, class, hint, slots, tenant, deadline, memory: 0.0 }));
         let burst = self.now % 4_000.0 < 250.0;
-        self.some_time(if burst { self.gap / 6.0 } else { self.gap }, Due::Arrival);
+        self.after_random_time(
+            if burst { self.mean_gap_ms / 6.0 } else { self.mean_gap_ms },
+            Occurrence::Arrival,
+        );
     }
 
     fn start_attempt(&mut self, id: RequestId, worker: WorkerId) {
-        let job = self.jobs.get_mut(&id).expect("sent is only what was asked");
+        let job = self.jobs.get_mut(&id).expect("only known requests are sent");
         let attempt = job.attempts.len();
         job.attempts.push(Attempt { worker, sent: self.now, open: true });
         let work = job.work;
-        match self.fate(worker) {
+        match self.draw_outcome(worker) {
             // Neither a report nor an answer comes.
             None => {}
             Some(outcome) if outcome.never_ran() => {
-                self.after(2.0 * WAY_MS, Due::Ended { id, attempt, outcome });
+                self.after(2.0 * NETWORK_DELAY_MS, Occurrence::Ended { id, attempt, outcome });
             }
             Some(outcome) => {
-                let (start, end) = self.machines[worker as usize].run(work, self.now + WAY_MS);
-                self.after(start - self.now, Due::Started { id, attempt });
-                self.after(end - self.now + WAY_MS, Due::Ended { id, attempt, outcome });
+                let (start, end) = self.machines[worker as usize].run(work, self.now + NETWORK_DELAY_MS);
+                self.after(start - self.now, Occurrence::Started { id, attempt });
+                self.after(end - self.now + NETWORK_DELAY_MS, Occurrence::Ended { id, attempt, outcome });
             }
         }
     }
 
-    fn fate(&mut self, worker: WorkerId) -> Option<Outcome> {
-        let chance = self.dice.f64();
+    fn draw_outcome(&mut self, worker: WorkerId) -> Option<Outcome> {
+        let chance = self.rng.f64();
         let Some(machine) = self.machines.get(worker as usize).filter(|m| m.reachable()) else {
             return Some(Outcome::ConnectError);
         };
-        if chance < machine.failing {
+        if chance < machine.failure_rate {
             return Some(Outcome::Failed);
         }
-        match self.dice.usize(..60) {
+        match self.rng.usize(..60) {
             0 => None,
             5 => Some(Outcome::ConnectError),
             1 => Some(Outcome::Ignored),
@@ -257,33 +271,33 @@
             self.event(Event::Started { id, attempt });
         }
         if self.settings.progress_interval > 0.0 {
-            self.after(self.settings.progress_interval, Due::Progress { id, attempt });
+            self.after(self.settings.progress_interval, Occurrence::Progress { id, attempt });
         }
     }
 
     fn progress(&mut self, id: RequestId, attempt: usize) {
         // Some reports are lost, and then no more come.
-        if self.open(id, attempt) && self.dice.f64() < 0.97 {
+        if self.open(id, attempt) && self.rng.f64() < 0.97 {
             self.event(Event::Progress { id, attempt, share: 0.5 });
-            self.after(self.settings.progress_interval, Due::Progress { id, attempt });
+            self.after(self.settings.progress_interval, Occurrence::Progress { id, attempt });
         }
     }
 
-    fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
+    fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let foreign = job.process != self.process;
+        let of_predecessor = job.process != self.process;
         let Some(done) = job.attempts.get_mut(attempt).filter(|a| a.open) else { return };
         done.open = false;
         let (worker, latency) = (done.worker, self.now - done.sent);
-        if foreign {
+        if of_predecessor {
             let mut actions = Vec::new();
             self.balancer.predecessor_attempt_ended(worker, id, attempt, &mut actions);
             return self.carry_out(actions);
         }
         let closed = job.answered || outcome == Outcome::Ok;
         job.answered |= closed;
-        let told = self.dice.f64() < 0.3 && !outcome.never_ran();
-        let load = told.then(|| self.load(worker));
+        let reports_load = self.rng.f64() < 0.3 && !outcome.never_ran();
+        let load = reports_load.then(|| self.load(worker));
         self.event(Event::Outcome { id, attempt, worker, outcome, latency, closed, load });
         if outcome == Outcome::ResetByPeer {
             self.reset_others(worker);
@@ -298,14 +312,14 @@
             lost.extend((0..job.attempts.len()).filter(|k| here(&job.attempts[*k])).map(|k| (*id, k)));
         }
         for (id, attempt) in lost {
-            self.after(0.0, Due::Ended { id, attempt, outcome: Outcome::ResetByPeer });
+            self.after(0.0, Occurrence::Ended { id, attempt, outcome: Outcome::ResetByPeer });
         }
     }
 
     fn deadline(&mut self, id: RequestId) {
         let Some(job) = self.jobs.get(&id) else { return };
         for attempt in (0..job.attempts.len()).filter(|k| job.attempts[*k].open).collect::<Vec<_>>() {
-            self.end(id, attempt, Outcome::TimedOut);
+            self.end_attempt(id, attempt, Outcome::TimedOut);
         }
         self.answered(id);
     }
@@ -318,11 +332,11 @@
         let machine = &self.machines[worker as usize];
         let busy = machine.free_at.iter().filter(|at| **at > self.now).count() as f64;
         let cores = machine.free_at.len() as f64;
-        match self.dice.usize(..5) {
+        match self.rng.usize(..5) {
             0 => Load { in_flight: Some(busy * 1.5), ..Load::default() },
             1 => Load { busy: Some(busy / cores), ..Load::default() },
             2 => Load { free_slots: Some(cores - busy), ..Load::default() },
-            3 => Load { errors_per_s: Some(machine.failing * 80.0), ..Load::default() },
+            3 => Load { errors_per_s: Some(machine.failure_rate * 80.0), ..Load::default() },
             _ => Load { in_flight: Some(f64::INFINITY), ..Load::default() },
         }
     }
