--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! A job goes to the ready worker with the highest Whittle index (Ayesta, Gupta, Verloop, "Load balancing
 //! with heterogeneous schedulers", equation 15). The index of a worker is a function of its estimated speed,
-//! this dispatcher's arrival rate, and the number of jobs at the worker: this dispatcher's own, and an estimate
-//! of those of other dispatchers. The library does no I/O and reads no clock: feed it events, and carry out
-//! its actions.
+//! this dispatcher's arrival rate, and the number of jobs at the worker: this dispatcher's own, and an
+//! estimate of those of other dispatchers. The library does no I/O and reads no clock: feed it events, and
+//! carry out its actions.
 //!
 //! ```
 //! use millrudder::{Action, Balancer, Class, Entry, Event, ListKind, Mode, Request, Settings};
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -37,6 +37,7 @@
     pending: BTreeMap<RequestId, Pending>,
     /// Requests that wait in this dispatcher until a worker can take them.
     parked: Vec<RequestId>,
+    /// The timer that checks parked requests is armed.
     parked_timer_armed: bool,
     /// Mean running time (ms) by class: the expected work of requests without a hint.
     class_running_time: Vec<DecayingRatio>,
@@ -46,7 +47,9 @@
     mean_work: DecayingRatio,
     /// Mean time from the send of a job to its start (ms).
     start_waits: DecayingRatio,
+    /// Mean value of a request.
     mean_value: DecayingRatio,
+    /// Recent arrivals at this dispatcher.
     arrivals: DecayingCount,
     /// For each tenant: its recent arrivals, and the unused requests of this dispatcher's part of its quota.
     tenants: Vec<(DecayingCount, f64)>,
--- a/src/rules/constants.rs
+++ b/src/rules/constants.rs
@@ -13,7 +13,15 @@
 pub(super) const MIN_RELATIVE_GAP: f64 = 0.05;
 /// Number of recent served jobs in a worker's speed estimate.
 pub(super) const SPEED_MEMORY_JOBS: f64 = 16.0;
-/// Number of jobs that the mean speed of the worker's kind counts for in that estimate, as a prior.
+/// Number of recent served jobs in the speed estimate of a kind of workers.
+pub(super) const KIND_SPEED_MEMORY_JOBS: f64 = SPEED_MEMORY_JOBS * 4.0;
+/// Number of recent served jobs in the mean speed of the fleet, and in the mean running time of a class.
+pub(super) const FLEET_SPEED_MEMORY_JOBS: f64 = SPEED_MEMORY_JOBS * 8.0;
+/// Number of recent requests in the means of work and value.
+pub(super) const REQUEST_MEMORY: f64 = 200.0;
+/// Upper bound of the expected work of a request (ms on a standard core), whatever its hint.
+pub(super) const MAX_WORK_MS: f64 = 1e9;
+/// Number of jobs that the mean speed of the worker's kind counts for in the worker's estimate, as a prior.
 pub(super) const PRIOR_JOBS: f64 = 2.0;
 /// Time constant of the estimated arrival rate (ms).
 pub(super) const ARRIVAL_TIME_CONSTANT_MS: f64 = 5000.0;
@@ -32,6 +40,13 @@
 pub(super) const PARKED_CHECK_MS: f64 = 20.0;
 /// A job that waits for its start longer than this fraction of a mean running time found its worker full.
 pub(super) const KNEE_WAIT_SHARE: f64 = 0.25;
+/// Parked requests that no worker could take after which dispatching them stops, to save CPU time.
+pub(super) const MAX_PARKED_MISSES: u32 = 4;
+/// A request may be hedged if its job has not started after this many start lags of its pool.
+pub(super) const HEDGE_START_LAGS: f64 = 3.0;
+/// A job that has not started after this many start lags of its pool (plus two batches of events) waits, even
+/// if its worker seems to have a free core.
+pub(super) const WAITING_START_LAGS: f64 = 4.0;
 /// Assumed probability that a hedged copy saves a waiting job; the price of the copy is compared with it.
 pub(super) const HEDGE_SUCCESS_PROBABILITY: f64 = 0.07;
 /// The speed measured on one served job counts up to this multiple of the known speed, as hints may be false.
@@ -66,6 +81,8 @@
 pub(super) const LOAD_REPORT_MEMORY: f64 = 8.0;
 /// Time constant with which the report of one worker decays to the mean of its pool (ms).
 pub(super) const LOAD_REPORT_TIME_CONSTANT_MS: f64 = 1000.0;
+/// Upper limit on the free slots of a load report that count as cores of the worker.
+pub(super) const MAX_REPORTED_CORES: f64 = 64.0;
 /// A started job is lost after this many progress intervals without a report (see `detect_lost_attempts`).
 pub(super) const LOST_PROGRESS_INTERVALS: f64 = 1.6;
 /// A job without any report is lost after this many mean start waits (see `detect_lost_attempts`).
@@ -98,6 +115,9 @@
 pub(super) const MAX_UNLISTED_WORKERS: usize = 1000;
 /// How long a dispatcher's turn at a warming-up worker stays open, as a fraction of `overload_time`.
 pub(super) const TURN_WINDOW_SHARE: f64 = 0.25;
+/// Fractional part of the golden ratio. It spreads the first turn at a warming-up worker over the
+/// dispatchers, by the time of the worker's start.
+pub(super) const TURN_SPREAD: f64 = 0.618_034;
 /// Largest job that is sent to a warming-up worker, as a multiple of the mean work.
 pub(super) const MAX_WARM_UP_JOB_SIZE: f64 = 2.0;
 /// Added to the index of a worker that operators have restored. Above any index, so it gets the next job.
--- a/src/rules/outcomes.rs
+++ b/src/rules/outcomes.rs
@@ -64,7 +64,7 @@
         let (Some(load), Some(i)) = (load, self.position_of(worker_id)) else { return };
         let mean_time = self.mean_running_time();
         let kind = self.kinds.entry(self.pools[self.workers[i].pool].kind).or_default();
-        kind.cores = kind.cores.max(load.free_slots.unwrap_or(0.0).min(64.0));
+        kind.cores = kind.cores.max(load.free_slots.unwrap_or(0.0).min(MAX_REPORTED_CORES));
         // Errors that other dispatchers got count like this dispatcher's own.
         let errors = load.errors_per_s.unwrap_or(0.0) * mean_time / 1000.0;
         let failure_rate = errors / (errors + kind.cores.max(1.0));
@@ -113,10 +113,10 @@
                 if time.is_finite() && time > 0.0 && !is_warming_up {
                     worker.speed.add(work, time, SPEED_MEMORY_JOBS);
                     let kind = self.kinds.entry(self.pools[worker.pool].kind).or_default();
-                    kind.speed.add(work, time, SPEED_MEMORY_JOBS * 4.0);
-                    self.fleet_speed.add(work, time, SPEED_MEMORY_JOBS * 8.0);
+                    kind.speed.add(work, time, KIND_SPEED_MEMORY_JOBS);
+                    self.fleet_speed.add(work, time, FLEET_SPEED_MEMORY_JOBS);
                     if let Some(running_time) = class.and_then(|c| self.class_running_time.get_mut(c)) {
-                        running_time.add(time, 1.0, SPEED_MEMORY_JOBS * 8.0);
+                        running_time.add(time, 1.0, FLEET_SPEED_MEMORY_JOBS);
                     }
                 }
                 if time > flight.max_run_time && !is_warming_up {
--- a/src/rules/scheduling.rs
+++ b/src/rules/scheduling.rs
@@ -15,18 +15,18 @@
         }
         let id = request.id;
         let class = request.class.and_then(|c| self.settings.classes.get(c)).cloned().unwrap_or_default();
-        let longest_work = finite_positive(Some(class.deadline)).unwrap_or(f64::MAX).min(1e9);
+        let longest_work = finite_positive(Some(class.deadline)).unwrap_or(f64::MAX).min(MAX_WORK_MS);
         let hint = finite_positive(request.hint).map(|h| h.min(longest_work));
         let work = hint.unwrap_or_else(|| self.expected_work(request.class, &class));
         let slots = finite_positive(Some(request.slots)).unwrap_or(1.0).max(1.0);
         self.arrivals.count(self.now, ARRIVAL_TIME_CONSTANT_MS);
         self.retry_tokens = (self.retry_tokens + RETRY_RATIO).min(RETRY_BURST);
-        self.mean_work.add(work * slots, 1.0, 200.0);
+        self.mean_work.add(work * slots, 1.0, REQUEST_MEMORY);
         let value = class.value * if self.settings.value_by_work { work } else { 1.0 };
         let quota_weight =
             if self.is_within_quota(request.tenant) { 1.0 } else { self.settings.over_quota_value };
         let value = value * quota_weight;
-        self.mean_value.add(value, 1.0, 200.0);
+        self.mean_value.add(value, 1.0, REQUEST_MEMORY);
         let pending = Pending {
             request: Request { slots, ..request },
             class,
@@ -147,7 +147,7 @@
         let may_hedge = self.settings.limits.hedging && self.settings.reports_starts;
         if may_hedge && may_repeat && lag.is_finite() {
             let token = TIMER_HEDGE_BASE.saturating_add(id);
-            out.push(Action::Timer { token, delay: 3.0 * lag });
+            out.push(Action::Timer { token, delay: HEDGE_START_LAGS * lag });
         }
     }
 
@@ -212,7 +212,7 @@
         let mut misses = 0;
         for (_, id) in parked {
             let before = out.len();
-            if misses < 4 {
+            if misses < MAX_PARKED_MISSES {
                 self.pending.entry(id).and_modify(|p| p.parked = false);
                 self.dispatch(id, out);
                 misses += u32::from(out.len() == before);
--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -119,7 +119,7 @@
     /// or their slots exceed the knee. Further jobs would only wait behind them; without this check, queues
     /// were seconds long and all answers late.
     pub(super) fn is_full(&self, worker: &Worker) -> bool {
-        let lag = 4.0 * self.pools[worker.pool].start_lag + 2.0 * self.settings.period;
+        let lag = WAITING_START_LAGS * self.pools[worker.pool].start_lag + 2.0 * self.settings.period;
         let has_free_core = worker.slots < self.pools[worker.pool].cores;
         // A job that has waited this long, at a worker that has answered since it was sent, was lost: it does
         // not show a queue.
@@ -150,11 +150,14 @@
             self.mean_work.ratio().filter(|w| *w > 0.0)? / (warm_speed * self.pools[worker.pool].cores);
         let turns_per_ms =
             WARM_UP_SAFETY * rules.overload_multiple / (mean_job_ms * (1.0 + TURN_WINDOW_SHARE));
+        // Capacity since the start, as the time in which a warm worker has as much.
         let warm_capacity_ms =
             rules.warm_up_from * age + (1.0 - rules.warm_up_from) * age * age / (2.0 * rules.warm_up);
         let replicas = f64::from(self.settings.replicas.max(1));
-        let own_turn =
-            (f64::from(self.settings.instance) + (start * 0.618_034).fract() * replicas).rem_euclid(replicas);
+        // Number of this dispatcher's turn in each round of `replicas` turns. It depends on the start, so
+        // that not always the same dispatchers come first.
+        let own_turn = (f64::from(self.settings.instance) + (start * TURN_SPREAD).fract() * replicas)
+            .rem_euclid(replicas);
         let round = ((turns_per_ms * warm_capacity_ms - own_turn) / replicas).floor();
         let open_turns = (turns_per_ms
             * self.warm_up_fraction(worker.warm_up_start())
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -189,6 +189,11 @@
     time: impl Fn(WorkerId) -> f64,
 ) -> Vec<(f64, WorkerId)> {
     const LISTED_AT_MS: f64 = 3_000.0;
+    const ARRIVAL: u8 = 0;
+    const START: u8 = 1;
+    const END: u8 = 2;
+    const LIST: u8 = 3;
+    // Time (us), dispatcher, what happens, and the request.
     let mut due: BinaryHeap<Reverse<(u64, u32, u8, u64)>> = BinaryHeap::new();
     let rules = Rules {
         list_interval: 10_000.0,
@@ -206,8 +211,8 @@
     let (mut out, mut sends) = (Vec::new(), Vec::new());
     for (me, balancer) in (0u32..).zip(&mut dispatchers) {
         balancer.handle(0.0, Event::List { kind: ListKind::Replace, entries: workers() }, &mut out);
-        due.push(Reverse((u64::from(me) * 1_500, me, 0, 0)));
-        due.push(Reverse(((LISTED_AT_MS * 1_000.0) as u64, me, 3, 0)));
+        due.push(Reverse((u64::from(me) * 1_500, me, ARRIVAL, 0)));
+        due.push(Reverse(((LISTED_AT_MS * 1_000.0) as u64, me, LIST, 0)));
     }
     while let Some(Reverse((at, me, what, id))) = due.pop() {
         let now = at as f64 / 1_000.0;
@@ -216,13 +221,13 @@
         }
         let worker = to[me as usize].get(&id).copied().unwrap_or_default();
         let event = match what {
-            0 => {
+            ARRIVAL => {
                 let gap = rng.as_mut().map_or(1.0, |rng| -(1.0 - rng.f64()).ln()) * 150_000.0;
-                due.push(Reverse((at + gap as u64, me, 0, id + 1)));
+                due.push(Reverse((at + gap as u64, me, ARRIVAL, id + 1)));
                 request(id, now)
             }
-            1 => Event::Started { id, attempt: 0 },
-            2 => {
+            START => Event::Started { id, attempt: 0 },
+            END => {
                 let (outcome, latency) = (Outcome::Ok, time(worker));
                 Event::Outcome { id, attempt: 0, worker, outcome, latency, closed: true, load: None }
             }
@@ -237,8 +242,8 @@
         for action in &out {
             if let Action::Send { id, worker, .. } = action {
                 to[me as usize].insert(*id, *worker);
-                due.push(Reverse((at + 1_000, me, 1, *id)));
-                due.push(Reverse((at + (time(*worker) * 1_000.0) as u64, me, 2, *id)));
+                due.push(Reverse((at + 1_000, me, START, *id)));
+                due.push(Reverse((at + (time(*worker) * 1_000.0) as u64, me, END, *id)));
                 sends.push((now - LISTED_AT_MS, *worker));
             }
         }
