--- a/balancer/benchlink/src/wire.rs
+++ b/balancer/benchlink/src/wire.rs
@@ -772,7 +772,7 @@
                     &mut *reply,
                     &("SOUND_OUT", me, &self.worker_names[*worker as usize]),
                 )?,
-                mr::Action::Release { worker } => serde_json::to_writer(
+                mr::Action::CloseIdleConnections { worker } => serde_json::to_writer(
                     &mut *reply,
                     &("RELEASE", me, &self.worker_names[*worker as usize]),
                 )?,
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -484,7 +484,7 @@
                     load: None,
                 }),
             },
-            mr::Action::Release { worker } => self.next_hops.release(worker),
+            mr::Action::CloseIdleConnections { worker } => self.next_hops.release(worker),
             mr::Action::Timer { token, delay } => {
                 self.timers.arm(self.clock.now() + delay.max(0.0), Due::Module(token));
             }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -406,7 +406,7 @@
         worker: WorkerId,
     },
     /// Closes the idle connections to a worker.
-    Release {
+    CloseIdleConnections {
         /// The worker.
         worker: WorkerId,
     },
--- a/src/rules/worker_list.rs
+++ b/src/rules/worker_list.rs
@@ -114,7 +114,7 @@
     pub(super) fn on_ban(&mut self, id: WorkerId, on: bool, out: &mut Vec<Action>) {
         if on {
             self.banned.entry(id).or_insert(self.now);
-            out.push(Action::Release { worker: id });
+            out.push(Action::CloseIdleConnections { worker: id });
         } else if let (Some(since), Some(i)) = (self.banned.remove(&id), self.position_of(id)) {
             let (worker, now) = (&mut self.workers[i], self.now);
             worker.restored_at = (worker.ready_at < Some(since)).then_some(now);
@@ -129,7 +129,7 @@
     /// the record of the worker has been removed.
     pub(super) fn close_idle_connections(&self, id: WorkerId, out: &mut Vec<Action>) {
         if self.worker(id).is_none_or(|w| w.mode != Mode::Ready) {
-            out.push(Action::Release { worker: id });
+            out.push(Action::CloseIdleConnections { worker: id });
         }
     }
 }
--- a/system/state/delivery/src/service/module.rs
+++ b/system/state/delivery/src/service/module.rs
@@ -77,7 +77,7 @@
                 Action::Refuse { id, .. } | Action::Fail { id } => {
                     self.on_refused(now, id, out);
                 }
-                Action::Release { worker } => self.close_idle(worker, out),
+                Action::CloseIdleConnections { worker } => self.close_idle(worker, out),
                 Action::Timer { token, delay } => {
                     let due = now + delay.max(1.0).ceil() as u64;
                     self.timers.insert((due.next_multiple_of(TIMER_GRID_MS), token));
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -304,7 +304,7 @@
                 self.timers.push((now + delay, token));
             }
             Action::Probe { .. } => assert!(self.settings.limits.probes),
-            Action::Release { worker } => {
+            Action::CloseIdleConnections { worker } => {
                 self.must_close_since.remove(&worker);
                 self.connected.remove(&worker);
             }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -636,7 +636,7 @@
     let mut s = Script::new(settings(vec![class(Effect::Idempotent, DedupScope::All)]), vec![entry(0, 0)]);
     s.request(1, 0);
     let drains = |w| Entry { mode: Mode::Draining, ..entry(w, 0) };
-    let release = Action::Release { worker: 0 };
+    let release = Action::CloseIdleConnections { worker: 0 };
     let actions = s.run(Event::List { kind: ListKind::Update, entries: vec![drains(0)] });
     assert_eq!(actions, vec![release.clone()]);
     assert!(s.outcome(1, 0, 0, Outcome::Ok).contains(&release));
--- a/tests/support/day.rs
+++ b/tests/support/day.rs
@@ -144,7 +144,8 @@
     }
 
     fn carry_out(&mut self, actions: Vec<Action>) {
-        write!(self.digest, "{:?} {actions:?}", self.now).expect("writing to a digest never fails");
+        let text = with_recorded_names(format!("{actions:?}"));
+        write!(self.digest, "{:?} {text}", self.now).expect("writing to a digest never fails");
         for action in actions {
             match action {
                 Action::Send { id, worker, .. } => self.start_attempt(id, worker),
@@ -160,7 +161,7 @@
                 }
                 Action::Watch | Action::Fetch if self.rng.f64() < 0.3 => self.list_unavailable(),
                 Action::Watch | Action::Fetch => self.list(ListKind::Update),
-                Action::Probe { .. } | Action::Release { .. } => {}
+                Action::Probe { .. } | Action::CloseIdleConnections { .. } => {}
             }
         }
     }
@@ -344,7 +345,8 @@
 
 /// Names of types and fields, now and when the digests were recorded. The digested text contains these names,
 /// so they are mapped back; otherwise the digests would change with each rename.
-const RECORDED_NAMES: [(&str, &str); 19] = [
+const RECORDED_NAMES: [(&str, &str); 20] = [
+    ("CloseIdleConnections {", "Release {"),
     ("LearnedState {", "Memory {"),
     ("LearnedKind {", "KindMemory {"),
     ("LearnedWorker {", "WorkerMemory {"),
