--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -8,8 +8,9 @@
 
 impl Balancer {
     /// Returns the worker with the highest index among those that are ready, of the required kind, within the
-    /// deduplication scope, not full and within their warm-up budget. Ejected workers are considered only if
-    /// all eligible ones are ejected, workers outside the subset only if none in it can take the job.
+    /// deduplication scope, not full and within their warm-up budget. Ejected workers, and the one that the
+    /// request was sent to last, are considered only if there are no other eligible ones; workers outside the
+    /// subset only if none in it can take the job.
     ///
     /// `Some(None)`: no eligible worker can take the job now. `None`: there is no eligible worker at all.
     pub(super) fn select_worker(&mut self, id: RequestId) -> Option<Option<WorkerId>> {
@@ -35,7 +36,7 @@
             (self.settings.zone, class.kind, pending.work * pending.request.slots);
         // A full worker that is not ejected is waited for. Otherwise every overload would send the excess to
         // workers that are known to fail.
-        let (mut any_not_set_aside, mut any_eligible) = (false, false);
+        let (mut any_preferred, mut any_eligible) = (false, false);
         let mut candidates = Vec::with_capacity(self.workers.len());
         for i in 0..self.workers.len() {
             let worker = &self.workers[i];
@@ -53,8 +54,9 @@
                 continue;
             }
             any_eligible = true;
-            let set_aside = worker.ejected_until > self.now || Some(worker.id) == last_tried;
-            any_not_set_aside |= !set_aside;
+            // Ejected workers, and the one that the request was sent to last.
+            let avoided = worker.ejected_until > self.now || Some(worker.id) == last_tried;
+            any_preferred |= !avoided;
             let awaiting_first_answer = worker.unproven() && !worker.in_flight.is_empty();
             if awaiting_first_answer || self.is_full(worker) || !self.fits_warm_up_budget(worker, load) {
                 continue;
@@ -67,10 +69,10 @@
             // while all workers in it are full or ejected.
             let outside_subset =
                 !worker.in_subset && !worker.restored && self.warm_up_fraction(worker.warm_up_start()) >= 1.0;
-            candidates.push((index - penalty + bonus, i, set_aside, outside_subset));
+            candidates.push((index - penalty + bonus, i, avoided, outside_subset));
             self.workers[i].cached_index = Some(index);
         }
-        candidates.retain(|(_, _, set_aside, _)| *set_aside != any_not_set_aside);
+        candidates.retain(|(_, _, avoided, _)| *avoided != any_preferred);
         let any_in_subset = candidates.iter().any(|w| !w.3);
         candidates.retain(|(_, _, _, outside_subset)| !(any_in_subset && *outside_subset));
         let best = candidates.iter().fold(f64::NEG_INFINITY, |best, w| best.max(w.0));
