--- a/balancer/benchlink/src/wire.rs
+++ b/balancer/benchlink/src/wire.rs
@@ -495,8 +495,8 @@
             value_by_work: self.counted_by == "work",
             reports_starts: specifics.tells_start,
             fifo: specifics.queue_order == "fifo",
-            progress: specifics.progress,
-            reports: self.reporting.how == "piggyback",
+            progress_interval: specifics.progress,
+            load_reports: self.reporting.how == "piggyback",
             promise_weight: self.goal.kept_promises,
             tolerated_misses: self.goal.borne_misses,
             prices: mr::Prices {
@@ -684,7 +684,7 @@
             }
             Message::UnderWay { xid, hop } => {
                 let Some(open) = self.open.get(xid.as_str()) else { return Ok(None) };
-                mr::Event::First { id: open.id, attempt: hop }
+                mr::Event::AnswerStarted { id: open.id, attempt: hop }
             }
             Message::Lapsed { xid } => {
                 let Some(open) = self.open.get_mut(xid.as_str()) else { return Ok(None) };
@@ -772,7 +772,7 @@
                     &mut *reply,
                     &("SOUND_OUT", me, &self.worker_names[*worker as usize]),
                 )?,
-                mr::Action::Release { worker } => serde_json::to_writer(
+                mr::Action::CloseIdleConnections { worker } => serde_json::to_writer(
                     &mut *reply,
                     &("RELEASE", me, &self.worker_names[*worker as usize]),
                 )?,
