--- a/balancer/core/src/dispatch/legacy/tests.rs
+++ b/balancer/core/src/dispatch/handover_state/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `legacy`.
+//! Unit tests of `handover_state`.
 
 use super::*;
 use millrudder_testing::garbage;
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -1,18 +1,18 @@
 //! The core: one coroutine that owns the module's `Balancer`, the jobs, and all deadlines and timers. It feeds
 //! the module what happens, in order, and carries out its actions in order.
 
+mod handover_state;
 mod jobs;
-mod legacy;
 #[cfg(test)]
-mod orders;
-mod retune;
+mod random_order_tests;
+mod settings_reload;
 mod timers;
 mod translate;
 
-use crate::next_hop::{NextHops, Way};
-use crate::transport_map::{Call, TransportMap};
+use crate::worker_list::{Call, TransportMap};
+use crate::worker_transport::{NextHops, Way};
+pub use handover_state::{Legacy, LegacyError};
 use jobs::{AttemptState, Entry, Jobs, Settled};
-pub use legacy::{Legacy, LegacyError};
 use millrudder as mr;
 use millrudder_config::{Config, Names};
 use millrudder_exchange::clock::Clock;
@@ -22,8 +22,8 @@
     Answer, AttemptEnd, AttemptId, Exchange, Failure, HopId, Inbox, Job, JobNews, JobState, LoadReport,
     MapNews, Message, Order, OrderResult, PeerProcess, PeerRequest, Progress, Reply, Ticket, Transfer,
 };
-use retune::Dropped;
-pub use retune::{Newer, Tuned};
+use settings_reload::Dropped;
+pub use settings_reload::{Newer, Tuned};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use timers::{Due, Timers};
--- a/balancer/core/src/dispatch/orders.rs
+++ b/balancer/core/src/dispatch/random_order_tests.rs
@@ -3,7 +3,7 @@
 //! before a request's first byte and its last (`Stop`); time stands until it is turned on.
 
 use super::*;
-use crate::next_hop::{Hop, Stop};
+use crate::worker_transport::{Hop, Stop};
 use millrudder_exchange::{Front, HopState, MapEntry, OrderHandle, Verbatim};
 use std::collections::BTreeSet;
 use std::sync::Mutex;
--- a/balancer/core/src/dispatch/retune/tests.rs
+++ b/balancer/core/src/dispatch/settings_reload/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `retune`.
+//! Unit tests of `settings_reload`.
 
 use super::*;
 
--- a/balancer/core/src/dispatch/translate.rs
+++ b/balancer/core/src/dispatch/translate.rs
@@ -2,7 +2,7 @@
 //!
 //! next hop = worker, delivery attempt = attempt, transport map = list, defer = refuse.
 
-use crate::next_hop::Hop;
+use crate::worker_transport::Hop;
 use millrudder as mr;
 use millrudder_config::{position, Names};
 use millrudder_exchange::counters::Counters;
--- a/balancer/core/src/next_hop/tests.rs
+++ b/balancer/core/src/worker_transport/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `next_hop`.
+//! Unit tests of `worker_transport`.
 
 use super::*;
 use millrudder_exchange::{AttemptEnd, Front, Inbox, Message, Verbatim};
--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -8,8 +8,8 @@
 use millrudder_config::settings::Settings;
 use millrudder_config::{Config, Source};
 use millrudder_core::dispatch::{Around, Dispatch, Legacy, Newer};
-use millrudder_core::next_hop::{self, NextHops};
-use millrudder_core::transport_map::TransportMap;
+use millrudder_core::worker_list::TransportMap;
+use millrudder_core::worker_transport::{self, NextHops};
 use millrudder_exchange::clock::{span, Clock};
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::intake::Classes;
@@ -92,7 +92,7 @@
     signals::listen(signals, reload, exchange.clone(), counters.clone(), log.clone())
         .map_err(StartError::Signals)?;
 
-    let limits = next_hop::Limits {
+    let limits = worker_transport::Limits {
         connections: config.budget.next_hops,
         connect_timeout: config.settings.limits.connect_timeout,
         conn_idle: config.conn_idle,
--- a/balancer/exchange/src/lib.rs
+++ b/balancer/exchange/src/lib.rs
@@ -15,7 +15,7 @@
 mod operator_order;
 mod peer_process;
 mod progress;
-mod transport_map;
+mod worker_list;
 
 pub mod clock;
 pub mod counters;
@@ -33,4 +33,4 @@
 pub use operator_order::{Order, OrderHandle, OrderResult, PendingOrder};
 pub use peer_process::{PeerProcess, PeerRequest, PeerRole, Transfer};
 pub use progress::Progress;
-pub use transport_map::{HopId, HopState, MapEntry, MapNews};
+pub use worker_list::{HopId, HopState, MapEntry, MapNews};
--- a/balancer/exchange/src/message.rs
+++ b/balancer/exchange/src/message.rs
@@ -4,7 +4,7 @@
 use crate::job::{Job, Reply, Ticket};
 use crate::operator_order::PendingOrder;
 use crate::peer_process::PeerRequest;
-use crate::transport_map::{HopId, MapNews};
+use crate::worker_list::{HopId, MapNews};
 use std::sync::Arc;
 
 /// All that reaches the dispatch coroutine.
