--- a/balancer/config/src/lib.rs
+++ b/balancer/config/src/lib.rs
@@ -70,7 +70,7 @@
     pub inbound: usize,
     /// Inbound connections beyond which new jobs are deferred.
     pub inbound_jobs: usize,
-    pub next_hops: usize,
+    pub worker_connections: usize,
     /// Bytes that all inbound connections together may hold of requests.
     pub buffers: usize,
 }
@@ -79,11 +79,11 @@
     /// The next hops need few: an accepted job gives its connection back at the 202.
     pub fn of(sockets: usize, memory_mb: usize) -> Self {
         let free = sockets - OWN_DESCRIPTORS;
-        let next_hops = (free / 4).min(256);
-        let inbound = free - next_hops;
+        let worker_connections = (free / 4).min(256);
+        let inbound = free - worker_connections;
         let buffers = memory_mb * 1024 * 1024 / BUFFERS_PART;
         let reserve = CALL_BACK_RESERVE.min(inbound / 4);
-        Budget { inbound, inbound_jobs: inbound - reserve, next_hops, buffers }
+        Budget { inbound, inbound_jobs: inbound - reserve, worker_connections, buffers }
     }
 }
 
--- a/balancer/config/src/tests.rs
+++ b/balancer/config/src/tests.rs
@@ -55,7 +55,7 @@
 fn descriptors_are_shared_out_within_the_limit() {
     for sockets in [LEAST_SOCKETS, 256, 1024, 4096] {
         let budget = Budget::of(sockets, 32);
-        assert!(budget.inbound + budget.next_hops + OWN_DESCRIPTORS <= sockets);
-        assert!(budget.inbound_jobs < budget.inbound && budget.next_hops >= 12, "{budget:?}");
+        assert!(budget.inbound + budget.worker_connections + OWN_DESCRIPTORS <= sockets);
+        assert!(budget.inbound_jobs < budget.inbound && budget.worker_connections >= 12, "{budget:?}");
     }
 }
--- a/balancer/core/src/dispatch/handover_state.rs
+++ b/balancer/core/src/dispatch/handover_state.rs
@@ -1,9 +1,9 @@
-//! What a process leaves to its successor: the transport map with its position, bans, what the module has learnt.
-//! Numbers of next hops, classes and kinds are this process's own, so names go with them.
+//! What a process leaves to its successor: the worker list with its position, bans, what the module has learnt.
+//! Numbers of workers, classes and kinds are this process's own, so names go with them.
 
 use millrudder as mr;
 use millrudder_config::{position, Names};
-use millrudder_exchange::{HopId, MapEntry, MapNews};
+use millrudder_exchange::{WorkerEntry, WorkerId, WorkerListUpdate};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -31,9 +31,10 @@
 pub struct Legacy {
     pub(super) version: u32,
     pub(super) generation: Option<u64>,
-    pub(super) map: Vec<MapEntry>,
+    pub(super) map: Vec<WorkerEntry>,
     /// Names by number.
-    pub(super) hops: Vec<String>,
+    #[serde(rename = "hops")]
+    pub(super) workers: Vec<String>,
     pub(super) classes: Vec<String>,
     pub(super) kinds: Vec<String>,
     pub(super) memory: mr::LearnedState,
@@ -42,13 +43,13 @@
 impl Legacy {
     pub(super) fn new(
         generation: Option<u64>,
-        map: Vec<MapEntry>,
-        hops: Vec<String>,
+        map: Vec<WorkerEntry>,
+        workers: Vec<String>,
         names: &Names,
         memory: mr::LearnedState,
     ) -> Self {
         let (classes, kinds) = (names.classes.clone(), names.kinds.clone());
-        Legacy { version: VERSION, generation, map, hops, classes, kinds, memory }
+        Legacy { version: VERSION, generation, map, workers, classes, kinds, memory }
     }
 
     pub(super) fn encode(&self) -> Vec<u8> {
@@ -71,8 +72,8 @@
     }
 
     /// The map, as the predecessor held it.
-    pub fn map(&self) -> MapNews {
-        MapNews { whole: true, generation: self.generation, entries: self.map.clone() }
+    pub fn map(&self) -> WorkerListUpdate {
+        WorkerListUpdate { whole: true, generation: self.generation, entries: self.map.clone() }
     }
 
     pub fn generation(&self) -> Option<u64> {
@@ -80,9 +81,9 @@
     }
 
     /// The memory in a successor's numbers; what has no name there is left out.
-    pub(super) fn memory(&self, names: &Names, mut number: impl FnMut(&str) -> HopId) -> mr::LearnedState {
-        let numbers: Vec<HopId> = self.hops.iter().map(|name| number(name)).collect();
-        let hop = |id: HopId| numbers.get(id as usize).copied();
+    pub(super) fn memory(&self, names: &Names, mut number: impl FnMut(&str) -> WorkerId) -> mr::LearnedState {
+        let numbers: Vec<WorkerId> = self.workers.iter().map(|name| number(name)).collect();
+        let new_id = |id: WorkerId| numbers.get(id as usize).copied();
         let kind = |known: &mr::LearnedKind| {
             let kind = match known.kind {
                 None => None,
@@ -95,12 +96,12 @@
             known.and_then(|i| self.memory.class_time.get(i)).copied().unwrap_or_default()
         };
         let worker =
-            |known: &mr::LearnedWorker| Some(mr::LearnedWorker { id: hop(known.id)?, ..known.clone() });
+            |known: &mr::LearnedWorker| Some(mr::LearnedWorker { id: new_id(known.id)?, ..known.clone() });
         mr::LearnedState {
             class_time: names.classes.iter().map(time).collect(),
             kinds: self.memory.kinds.iter().filter_map(kind).collect(),
             workers: self.memory.workers.iter().filter_map(worker).collect(),
-            banned: self.memory.banned.iter().filter_map(|(id, at)| Some((hop(*id)?, *at))).collect(),
+            banned: self.memory.banned.iter().filter_map(|(id, at)| Some((new_id(*id)?, *at))).collect(),
             ..self.memory.clone()
         }
     }
--- a/balancer/core/src/dispatch/handover_state/golden_tests.rs
+++ b/balancer/core/src/dispatch/handover_state/golden_tests.rs
@@ -3,7 +3,7 @@
 use super::Legacy;
 use millrudder as mr;
 use millrudder_config::Names;
-use millrudder_exchange::{HopState, MapEntry};
+use millrudder_exchange::{WorkerEntry, WorkerState};
 use millrudder_testing::golden::Golden;
 
 fn memory() -> mr::LearnedState {
@@ -47,8 +47,8 @@
     }
 }
 
-fn entry(name: &str, state: HopState) -> MapEntry {
-    MapEntry {
+fn entry(name: &str, state: WorkerState) -> WorkerEntry {
+    WorkerEntry {
         name: name.to_owned(),
         address: Some(([10, 0, 0, 4], 8080).into()),
         zone: "zone-1".to_owned(),
@@ -63,8 +63,8 @@
 #[test]
 fn all_that_is_left_to_a_successor() {
     let names = Names { classes: vec!["a".to_owned()], kinds: vec!["large".to_owned()], ..Names::default() };
-    let unresolved = MapEntry { address: None, started_at: None, ..entry("s-2", HopState::Leaving) };
-    let map = vec![entry("s-1", HopState::Active), unresolved];
+    let unresolved = WorkerEntry { address: None, started_at: None, ..entry("s-2", WorkerState::Leaving) };
+    let map = vec![entry("s-1", WorkerState::Active), unresolved];
     let legacy = Legacy::new(Some(41), map, vec!["s-1".to_owned(), "s-2".to_owned()], &names, memory());
     let mut golden = Golden::open("tests/golden/legacy.txt");
     golden.check("legacy", &legacy, Legacy::encode, |bytes| Legacy::decode(bytes).unwrap());
--- a/balancer/core/src/dispatch/handover_state/tests.rs
+++ b/balancer/core/src/dispatch/handover_state/tests.rs
@@ -16,8 +16,8 @@
         banned: vec![(1, 5.0)],
         ..mr::LearnedState::default()
     };
-    let hops = vec!["s-1".to_owned(), "s-2".to_owned()];
-    let old = Legacy::new(Some(41), Vec::new(), hops, &names(&["a", "b"], &["x", "y"]), memory);
+    let workers = vec!["s-1".to_owned(), "s-2".to_owned()];
+    let old = Legacy::new(Some(41), Vec::new(), workers, &names(&["a", "b"], &["x", "y"]), memory);
     let old = Legacy::decode(&old.encode()).unwrap();
     let number = |name: &str| if name == "s-2" { 7 } else { 9 };
     let new = old.memory(&names(&["b", "c"], &["y"]), number);
--- a/balancer/core/src/dispatch/jobs.rs
+++ b/balancer/core/src/dispatch/jobs.rs
@@ -1,31 +1,31 @@
 //! The jobs that are here, and their delivery attempts.
 
 use millrudder::{Limits, Outcome};
-use millrudder_exchange::{AttemptId, HopId, Job, Reply, Ticket};
+use millrudder_exchange::{AttemptId, Job, Reply, Ticket, WorkerId};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Waits until an earlier attempt at the same next hop has been called off there.
+    /// Waits until an earlier attempt at the same worker has been called off there.
     Parked,
     Sent,
     Accepted,
-    /// Given up; the next hop has not yet said that it knows.
+    /// Given up; the worker has not yet said that it knows.
     CallingOff,
-    /// Its outcome is booked, and its next hop may have it all the same: it gets no other attempt of the job.
+    /// Its outcome is booked, and its worker may have it all the same: it gets no other attempt of the job.
     Unheard,
     Over,
 }
 
 pub struct Attempt {
-    pub hop: HopId,
+    pub worker: WorkerId,
     pub sent: f64,
     /// Clock time at which we stop waiting.
     pub until: f64,
     pub state: AttemptState,
     started: bool,
-    /// Its outcome once the next hop knows that it is given up: where a job may not have two attempts out, the module
+    /// Its outcome once the worker knows that it is given up: where a job may not have two attempts out, the module
     /// must not send again before that.
     owes: Option<Outcome>,
 }
@@ -72,10 +72,10 @@
 
 /// An attempt as it was when its outcome came.
 pub struct Settled {
-    pub hop: HopId,
+    pub worker: WorkerId,
     pub sent: f64,
     pub answered: bool,
-    /// It had left for its next hop ...
+    /// It had left for its worker ...
     pub was_sent: bool,
     /// ... which is known to hold it.
     pub was_accepted: bool,
@@ -87,13 +87,13 @@
         Entry { job, reply: Owed(Some(reply)), attempts: Vec::new(), most_attempts, alone }
     }
 
-    pub fn add(&mut self, hop: HopId, sent: f64, until: f64, state: AttemptState) {
-        self.attempts.push(Attempt { hop, sent, until, state, started: false, owes: None });
+    pub fn add(&mut self, worker: WorkerId, sent: f64, until: f64, state: AttemptState) {
+        self.attempts.push(Attempt { worker, sent, until, state, started: false, owes: None });
     }
 
-    /// The attempt that this next hop may still hold.
-    pub fn at(&self, hop: HopId) -> Option<AttemptState> {
-        let held = |a: &&Attempt| a.hop == hop && a.state != AttemptState::Over;
+    /// The attempt that this worker may still hold.
+    pub fn at(&self, worker: WorkerId) -> Option<AttemptState> {
+        let held = |a: &&Attempt| a.worker == worker && a.state != AttemptState::Over;
         self.attempts.iter().rev().find(held).map(|a| a.state)
     }
 
@@ -101,7 +101,7 @@
         (0..self.attempts.len()).filter(|i| self.attempts[*i].is_live()).collect()
     }
 
-    /// `told`: its next hop is called off. `later`: the outcome that `called_off` gives out in the end, if this is not yet
+    /// `told`: its worker is called off. `later`: the outcome that `called_off` gives out in the end, if this is not yet
     /// the attempt's end.
     pub fn give_up(&mut self, number: usize, told: bool, later: Option<Outcome>) -> Option<Settled> {
         let answered = self.reply.is_settled();
@@ -115,7 +115,7 @@
         if attempt.state != AttemptState::CallingOff {
             attempt.state = if was_sent && told { AttemptState::CallingOff } else { AttemptState::Over };
         }
-        Some(Settled { hop: attempt.hop, sent: attempt.sent, answered, was_sent, was_accepted })
+        Some(Settled { worker: attempt.worker, sent: attempt.sent, answered, was_sent, was_accepted })
     }
 
     fn is_over(&self) -> bool {
@@ -143,11 +143,11 @@
         self.by_trace.get(trace_id).copied()
     }
 
-    /// The attempt of this job that is out at this next hop.
-    pub fn attempt_at(&self, trace_id: &str, hop: HopId) -> Option<AttemptId> {
+    /// The attempt of this job that is out at this worker.
+    pub fn attempt_at(&self, trace_id: &str, worker: WorkerId) -> Option<AttemptId> {
         let ticket = self.find(trace_id)?;
         let attempts = &self.entries.get(&ticket)?.attempts;
-        let number = attempts.iter().rposition(|a| a.hop == hop && a.is_out())?;
+        let number = attempts.iter().rposition(|a| a.worker == worker && a.is_out())?;
         Some(AttemptId { ticket, number })
     }
 
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Books the end of an attempt; none if it has had one. Of a next hop that said nothing it is not known that it does not
+    /// Books the end of an attempt; none if it has had one. Of a worker that said nothing it is not known that it does not
     /// have the job, unless it has been called off.
     pub fn settle(&mut self, id: AttemptId, outcome: Outcome) -> Option<Settled> {
         let entry = self.entries.get_mut(&id.ticket)?;
@@ -184,7 +184,13 @@
         let unheard = outcome == Outcome::TimedOut && attempt.state != AttemptState::CallingOff;
         attempt.state = if unheard { AttemptState::Unheard } else { AttemptState::Over };
         attempt.owes = None;
-        Some(Settled { hop: attempt.hop, sent: attempt.sent, answered, was_sent: true, was_accepted: true })
+        Some(Settled {
+            worker: attempt.worker,
+            sent: attempt.sent,
+            answered,
+            was_sent: true,
+            was_accepted: true,
+        })
     }
 
     /// The outcome that waits for this attempt's call-off.
@@ -193,15 +199,15 @@
     }
 
     /// A call-off is through; gives the attempt that waited for it, now sent.
-    pub fn called_off(&mut self, id: AttemptId) -> Option<(AttemptId, HopId)> {
+    pub fn called_off(&mut self, id: AttemptId) -> Option<(AttemptId, WorkerId)> {
         let entry = self.entries.get_mut(&id.ticket)?;
         let attempt = entry.attempts.get_mut(id.number).filter(|a| a.state == AttemptState::CallingOff)?;
         attempt.state = AttemptState::Over;
-        let hop = attempt.hop;
-        let waits = |a: &Attempt| a.hop == hop && a.state == AttemptState::Parked;
+        let worker = attempt.worker;
+        let waits = |a: &Attempt| a.worker == worker && a.state == AttemptState::Parked;
         let number = entry.attempts.iter().position(waits)?;
         entry.attempts[number].state = AttemptState::Sent;
-        Some((AttemptId { ticket: id.ticket, number }, hop))
+        Some((AttemptId { ticket: id.ticket, number }, worker))
     }
 
     pub fn forget_if_over(&mut self, ticket: Ticket) {
--- a/balancer/core/src/dispatch/jobs/tests.rs
+++ b/balancer/core/src/dispatch/jobs/tests.rs
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn a_second_attempt_waits_for_the_call_off_at_the_same_hop() {
-    // A next hop gets one attempt of a job at a time, also while a DELETE is on its way.
+fn a_second_attempt_waits_for_the_call_off_at_the_same_worker() {
+    // A worker gets one attempt of a job at a time, also while a DELETE is on its way.
     let mut jobs = jobs();
     jobs.accept(FIRST);
     let entry = jobs.get_mut(1).unwrap();
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -9,8 +9,8 @@
 mod timers;
 mod translate;
 
-use crate::worker_list::{Call, TransportMap};
-use crate::worker_transport::{NextHops, Way};
+use crate::worker_list::{Call, WorkerListWatcher};
+use crate::worker_transport::{HttpTransport, WorkerTransport};
 pub use handover_state::{Legacy, LegacyError};
 use jobs::{AttemptState, Entry, Jobs, Settled};
 use millrudder as mr;
@@ -19,39 +19,40 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::shutdown::Stopping;
 use millrudder_exchange::{
-    Answer, AttemptEnd, AttemptId, Exchange, Failure, HopId, Inbox, Job, JobNews, JobState, LoadReport,
-    MapNews, Message, Order, OrderResult, PeerProcess, PeerRequest, Progress, Reply, Ticket, Transfer,
+    Answer, AttemptEnd, AttemptId, Exchange, Failure, Inbox, Job, JobNews, JobState, LoadReport, Message,
+    Order, OrderResult, PeerProcess, PeerRequest, Progress, Reply, Ticket, Transfer, WorkerId,
+    WorkerListUpdate,
 };
 use settings_reload::Dropped;
 pub use settings_reload::{Newer, Tuned};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use timers::{Due, Timers};
-use translate::Hops;
+use translate::WorkerTable;
 
 /// The module answers the time-out at the deadline; what it has left open this much later (ms, inside the
 /// rules' `answer_slack`) is answered as failed.
 const OVERDUE_MS: f64 = 5.0;
 /// Kept connections are looked through this often (ms) ...
 const TIDY_MS: f64 = 500.0;
-/// ... and waits for an answer of next hops and of discovery this often.
+/// ... and waits for an answer of workers and of discovery this often.
 const OVERLOOK_MS: f64 = 50.0;
 
 /// Where lists are pushed, an agent of this dispatcher's own holds them, and what it has counts as told: a watch there that
 /// has failed is opened anew so soon (ms), with no regard to other dispatchers.
 const PUSHED_AGAIN_MS: f64 = 50.0;
 
-pub struct Dispatch<W = NextHops> {
+pub struct Dispatch<W = HttpTransport> {
     balancer: mr::Balancer,
     names: Names,
     jobs: Jobs,
-    hops: Hops,
+    workers: WorkerTable,
     timers: Timers,
     /// Events that actions caused, for the module to see after the actions that caused them.
     queued: VecDeque<mr::Event>,
     exchange: Exchange,
-    next_hops: W,
-    transport_map: TransportMap,
+    transport: W,
+    worker_list: WorkerListWatcher,
     /// Of the map that is held.
     generation: Option<u64>,
     peer_process: PeerProcess,
@@ -63,10 +64,10 @@
 }
 
 /// What dispatch acts through.
-pub struct Around<W = NextHops> {
+pub struct Around<W = HttpTransport> {
     pub exchange: Exchange,
-    pub next_hops: W,
-    pub transport_map: TransportMap,
+    pub transport: W,
+    pub worker_list: WorkerListWatcher,
     pub peer_process: PeerProcess,
     pub newer: Newer,
     pub counters: Arc<Counters>,
@@ -74,9 +75,9 @@
     pub clock: Clock,
 }
 
-impl<W: Way> Dispatch<W> {
+impl<W: WorkerTransport> Dispatch<W> {
     pub fn new(config: &Config, around: Around<W>) -> Self {
-        let Around { exchange, next_hops, transport_map, peer_process, newer, counters, stopping, clock } =
+        let Around { exchange, transport, worker_list, peer_process, newer, counters, stopping, clock } =
             around;
         let settings = config.settings.clone();
         let dropped_stay = settings.rules.unlisted_stay_open;
@@ -84,12 +85,12 @@
             balancer: mr::Balancer::new(settings, config.seed),
             names: config.names.clone(),
             jobs: Jobs::default(),
-            hops: Hops::new(dropped_stay),
+            workers: WorkerTable::new(dropped_stay),
             timers: Timers::default(),
             queued: VecDeque::new(),
             exchange,
-            next_hops,
-            transport_map,
+            transport,
+            worker_list,
             generation: None,
             peer_process,
             newer,
@@ -103,7 +104,7 @@
     /// Runs until a stop is asked for and nothing is owed any more.
     ///
     /// `legacy`: a predecessor's, of whose map `known` is the copy.
-    pub fn run(mut self, inbox: &Inbox, known: Option<MapNews>, legacy: Option<&Legacy>) {
+    pub fn run(mut self, inbox: &Inbox, known: Option<WorkerListUpdate>, legacy: Option<&Legacy>) {
         self.begin(known, legacy);
         while !self.is_done() {
             if let Ok(message) = inbox.recv_timeout(self.timers.wait(self.clock.now())) {
@@ -116,12 +117,12 @@
         }
     }
 
-    fn begin(&mut self, known: Option<MapNews>, legacy: Option<&Legacy>) {
-        let known = known.unwrap_or(MapNews { whole: true, generation: None, entries: Vec::new() });
+    fn begin(&mut self, known: Option<WorkerListUpdate>, legacy: Option<&Legacy>) {
+        let known = known.unwrap_or(WorkerListUpdate { whole: true, generation: None, entries: Vec::new() });
         self.on_map(known, mr::ListKind::Restored);
         legacy.into_iter().for_each(|legacy| self.inherit(legacy));
         if self.lists_are_pushed() {
-            self.transport_map.ask(Call::Watch);
+            self.worker_list.ask(Call::Watch);
         }
         self.timers.arm(self.clock.now() + TIDY_MS, Due::Tidy);
         self.timers.arm(self.clock.now() + OVERLOOK_MS, Due::Overlook);
@@ -152,23 +153,23 @@
             Message::Accepted { attempt } => self.on_accepted(attempt),
             Message::Ended { attempt, end, load } => self.on_ended(attempt, end, load.as_ref()),
             Message::CalledOff { attempt } => self.on_called_off(attempt),
-            Message::Probed { hop, end, latency, load } => {
+            Message::Probed { worker, end, latency, load } => {
                 let outcome = end.map_or(mr::Outcome::Ok, translate::outcome);
                 let load = load.map(|l| translate::load(&self.names, &l));
-                self.feed(mr::Event::Probed { worker: hop, outcome, latency, load });
+                self.feed(mr::Event::Probed { worker, outcome, latency, load });
             }
-            Message::Map(news) => {
+            Message::WorkerList(news) => {
                 let kind = if news.whole { mr::ListKind::Replace } else { mr::ListKind::Update };
                 self.on_map(news, kind);
             }
-            Message::MapUnavailable if self.lists_are_pushed() => {
+            Message::WorkerListUnavailable if self.lists_are_pushed() => {
                 self.timers.arm(self.clock.now() + PUSHED_AGAIN_MS, Due::Watch);
             }
-            Message::MapUnavailable => {
+            Message::WorkerListUnavailable => {
                 self.feed(mr::Event::List { kind: mr::ListKind::Unavailable, entries: Vec::new() });
             }
             Message::Retuned => self.on_settings(),
-            Message::Discovery(address) => self.transport_map.turn_to(address),
+            Message::Discovery(address) => self.worker_list.turn_to(address),
             Message::Stop => self.on_stop(),
             Message::Ordered(asked) => asked.carry_out(|order| self.on_order(order)),
             Message::PeerRequest(ask) => self.on_ask(ask),
@@ -177,15 +178,15 @@
     }
 
     fn inherit(&mut self, legacy: &Legacy) {
-        let memory = legacy.memory(&self.names, |name| self.hops.number(name));
-        let names = self.hops.names();
+        let memory = legacy.memory(&self.names, |name| self.workers.number(name));
+        let names = self.workers.names();
         match self.balancer.import(&memory) {
             Ok(()) => self.counters.legacies.add(),
             // To start afresh is safe; bans are not for the module to lose.
             Err(_) => self.counters.legacies_bad.add(),
         }
         for (worker, _) in &memory.banned {
-            self.hops.ban(&names[*worker as usize], true);
+            self.workers.ban(&names[*worker as usize], true);
             self.feed(mr::Event::Ban { worker: *worker, on: true });
         }
     }
@@ -193,26 +194,26 @@
     /// Jobs from now on are under the new settings; those that are here keep theirs.
     fn on_settings(&mut self) {
         let Some(Tuned { mut settings, mut names, conn_idle }) = self.newer.take() else { return };
-        self.next_hops.retime(settings.limits.connect_timeout, conn_idle);
+        self.transport.retime(settings.limits.connect_timeout, conn_idle);
         let classes = (&self.names.classes, self.balancer.settings());
         let from = self.dropped.merge(classes, &mut names, &mut settings, self.clock.now());
         self.names = names;
-        self.hops.dropped_stay = settings.rules.unlisted_stay_open;
+        self.workers.dropped_stay = settings.rules.unlisted_stay_open;
         self.feed(mr::Event::Settings { settings: Box::new(settings), from });
     }
 
     fn on_ask(&mut self, ask: PeerRequest) {
         match ask {
             PeerRequest::Export(give) => {
-                let (map, hops) = (self.hops.lines(), self.hops.names());
-                let legacy = Legacy::new(self.generation, map, hops, &self.names, self.balancer.export());
+                let (map, workers) = (self.workers.lines(), self.workers.names());
+                let legacy = Legacy::new(self.generation, map, workers, &self.names, self.balancer.export());
                 let _ = give.send(legacy.encode());
             }
             PeerRequest::UnderWay(give) => {
-                let _ = give.send((self.jobs.ids(), self.next_hops.keep_a_part()));
+                let _ = give.send((self.jobs.ids(), self.transport.keep_a_part()));
             }
-            PeerRequest::Landed { hop, job, attempt } => {
-                let Some(worker) = self.hops.find(&hop) else { return };
+            PeerRequest::Landed { worker: name, job, attempt } => {
+                let Some(worker) = self.workers.find(&name) else { return };
                 let mut actions = Vec::new();
                 self.balancer.foreign_ended(worker, job, attempt, &mut actions);
                 self.act_all(actions);
@@ -230,12 +231,12 @@
         self.feed_queued();
     }
 
-    fn on_map(&mut self, news: MapNews, kind: mr::ListKind) {
+    fn on_map(&mut self, news: WorkerListUpdate, kind: mr::ListKind) {
         if news.whole {
-            self.hops.expect_all();
+            self.workers.expect_all();
         }
         self.generation = news.generation.or(self.generation);
-        let entries = news.entries.iter().map(|entry| self.hops.entry(&self.names, entry)).collect();
+        let entries = news.entries.iter().map(|entry| self.workers.entry(&self.names, entry)).collect();
         self.feed(mr::Event::List { kind, entries });
     }
 
@@ -244,7 +245,7 @@
             Order::Disable(name) => (name, true),
             Order::Enable(name) => (name, false),
         };
-        let worker = self.hops.ban(name, on).ok_or("no list has ever named it")?;
+        let worker = self.workers.ban(name, on).ok_or("no list has ever named it")?;
         if on { &self.counters.bans } else { &self.counters.bans_ended }.add();
         self.feed(mr::Event::Ban { worker, on });
         Ok(())
@@ -285,7 +286,7 @@
         }
     }
 
-    /// A call-back: matched by the job's id and the next hop's name, and dropped if it fits no live attempt.
+    /// A call-back: matched by the job's id and the worker's name, and dropped if it fits no live attempt.
     fn on_news(&mut self, news: JobNews) {
         self.counters.news.add();
         if self.peer_process.is_open() && self.jobs.find(&news.trace_id).is_none() {
@@ -297,8 +298,8 @@
             }
             return;
         }
-        let hop = self.hops.find(&news.from);
-        let Some(attempt) = hop.and_then(|hop| self.jobs.attempt_at(&news.trace_id, hop)) else {
+        let worker = self.workers.find(&news.from);
+        let Some(attempt) = worker.and_then(|worker| self.jobs.attempt_at(&news.trace_id, worker)) else {
             self.counters.news_stale.add();
             return;
         };
@@ -351,14 +352,14 @@
         self.settle(attempt, translate::outcome(end), load);
     }
 
-    /// The next hop holds a given-up attempt no more: one of the same job that waited for that may go.
+    /// The worker holds a given-up attempt no more: one of the same job that waited for that may go.
     fn on_called_off(&mut self, attempt: AttemptId) {
         if let Some(outcome) = self.jobs.owing(attempt) {
             return self.settle(attempt, outcome, None);
         }
-        let Some((parked, hop)) = self.jobs.called_off(attempt) else { return };
-        if self.hops.is_active(hop) {
-            self.deliver(parked, hop);
+        let Some((parked, worker)) = self.jobs.called_off(attempt) else { return };
+        if self.workers.is_active(worker) {
+            self.deliver(parked, worker);
         } else {
             // Told meanwhile that it leaves: a send now would come too late (rule 3).
             self.settle(parked, mr::Outcome::Ignored, None);
@@ -378,14 +379,14 @@
     fn book(&mut self, attempt: AttemptId, settled: &Settled, outcome: mr::Outcome, load: Option<mr::Load>) {
         translate::count(&self.counters, outcome);
         self.tell_neighbour(|| Transfer::Landed {
-            hop: self.hops.name(settled.hop),
+            worker: self.workers.name(settled.worker),
             job: attempt.ticket,
             attempt: attempt.number,
         });
         self.queued.push_back(mr::Event::Outcome {
             id: attempt.ticket,
             attempt: attempt.number,
-            worker: settled.hop,
+            worker: settled.worker,
             outcome,
             latency: self.clock.now() - settled.sent,
             closed: settled.answered,
@@ -425,14 +426,14 @@
     }
 
     /// Nothing is owed for a job any more: what has not been sent of it ends as never sent, by whatever path it was on
-    /// its way. What a next hop may have is called off only as the module says.
+    /// its way. What a worker may have is called off only as the module says.
     fn hold_back(&mut self, ticket: Ticket) {
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
         let live = entry.live().into_iter().map(|number| (number, entry.attempts[number].state));
         for (number, state) in live.collect::<Vec<_>>() {
             let attempt = AttemptId { ticket, number };
             match state {
-                AttemptState::Sent => self.next_hops.hold_back(attempt),
+                AttemptState::Sent => self.transport.hold_back(attempt),
                 AttemptState::Parked => {
                     if let Some(settled) = self.jobs.settle(attempt, mr::Outcome::Ignored) {
                         self.book(attempt, &settled, mr::Outcome::Ignored, None);
@@ -475,8 +476,8 @@
             mr::Action::Cancel { id, attempt } => {
                 self.give_up(AttemptId { ticket: id, number: attempt }, mr::Outcome::Canceled);
             }
-            mr::Action::Probe { worker } => match self.hops.locate(worker) {
-                Some(hop) => self.next_hops.probe(hop),
+            mr::Action::Probe { worker } => match self.workers.locate(worker) {
+                Some(worker) => self.transport.probe(worker),
                 None => self.queued.push_back(mr::Event::Probed {
                     worker,
                     outcome: mr::Outcome::ConnectError,
@@ -484,16 +485,16 @@
                     load: None,
                 }),
             },
-            mr::Action::Release { worker } => self.next_hops.release(worker),
+            mr::Action::Release { worker } => self.transport.release(worker),
             mr::Action::Timer { token, delay } => {
                 self.timers.arm(self.clock.now() + delay.max(0.0), Due::Module(token));
             }
-            mr::Action::Watch => self.transport_map.ask(Call::Watch),
-            mr::Action::Fetch => self.transport_map.ask(Call::Fetch),
+            mr::Action::Watch => self.worker_list.ask(Call::Watch),
+            mr::Action::Fetch => self.worker_list.ask(Call::Fetch),
         }
     }
 
-    fn send(&mut self, ticket: Ticket, hop: HopId, timeout: f64) {
+    fn send(&mut self, ticket: Ticket, worker: WorkerId, timeout: f64) {
         let now = self.clock.now();
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
         let until = match timeout {
@@ -503,57 +504,58 @@
         let attempt = AttemptId { ticket, number: entry.attempts.len() };
         let answered = entry.reply.is_settled();
         let over = answered || until <= now || attempt.number >= entry.most_attempts;
-        // A next hop gets one attempt of a job at a time.
-        let state = match entry.at(hop) {
+        // A worker gets one attempt of a job at a time.
+        let state = match entry.at(worker) {
             _ if over => AttemptState::Over,
             None => AttemptState::Sent,
             Some(AttemptState::CallingOff) => AttemptState::Parked,
             Some(_) => AttemptState::Over,
         };
-        entry.add(hop, now, until, state);
+        entry.add(worker, now, until, state);
         if until < entry.job.deadline {
             self.timers.arm(until, Due::Attempt(attempt));
         }
         match state {
             AttemptState::Over => {
-                let nothing_sent = Settled { hop, sent: now, answered, was_sent: false, was_accepted: false };
+                let nothing_sent =
+                    Settled { worker, sent: now, answered, was_sent: false, was_accepted: false };
                 self.book(attempt, &nothing_sent, mr::Outcome::Ignored, None);
             }
-            AttemptState::Sent => self.deliver(attempt, hop),
+            AttemptState::Sent => self.deliver(attempt, worker),
             _ => {}
         }
     }
 
-    fn deliver(&mut self, attempt: AttemptId, hop: HopId) {
+    fn deliver(&mut self, attempt: AttemptId, worker: WorkerId) {
         let Some(entry) = self.jobs.get_mut(attempt.ticket) else { return };
         let (job, until) = (entry.job.clone(), entry.attempts[attempt.number].until);
         self.counters.attempts_sent.add();
-        match self.hops.locate(hop) {
-            Some(place) => self.next_hops.deliver(attempt, place, job, until),
+        match self.workers.locate(worker) {
+            Some(place) => self.transport.deliver(attempt, place, job, until),
             // The map named it without an address: it cannot be connected to.
             None => self.end_later(attempt, AttemptEnd::NotConnected),
         }
     }
 
-    /// Reports an end through the exchange, as next hops do: the module must not be called from its own actions.
+    /// Reports an end through the exchange, as workers do: the module must not be called from its own actions.
     fn end_later(&self, attempt: AttemptId, end: AttemptEnd) {
         self.exchange.put(Message::Ended { attempt, end, load: None });
     }
 
-    /// Stops waiting for an attempt and tells its next hop so, where the settings allow that: elsewhere what is not sent
+    /// Stops waiting for an attempt and tells its worker so, where the settings allow that: elsewhere what is not sent
     /// yet stays so, and the rest takes its course.
     fn give_up(&mut self, attempt: AttemptId, outcome: mr::Outcome) {
         let told = self.balancer.settings().limits.cancel;
         let Some(entry) = self.jobs.get_mut(attempt.ticket) else { return };
         let job = entry.job.clone();
-        // Where no two may be out together, the module hears of it once the next hop has.
+        // Where no two may be out together, the module hears of it once the worker has.
         let later = told && entry.alone && !entry.reply.is_settled() && self.clock.now() < job.deadline;
         let Some(gone) = entry.give_up(attempt.number, told, later.then_some(outcome)) else { return };
-        let hop = self.hops.locate(gone.hop).filter(|_| gone.was_sent);
-        let waits = later && hop.is_some();
-        match hop {
-            Some(hop) if told => self.next_hops.call_off(attempt, hop, job, gone.was_accepted, later),
-            _ => self.next_hops.hold_back(attempt),
+        let worker = self.workers.locate(gone.worker).filter(|_| gone.was_sent);
+        let waits = later && worker.is_some();
+        match worker {
+            Some(worker) if told => self.transport.call_off(attempt, worker, job, gone.was_accepted, later),
+            _ => self.transport.hold_back(attempt),
         }
         if !waits {
             self.jobs.forget_if_over(attempt.ticket);
@@ -571,15 +573,15 @@
                 self.feed_queued();
             }
             Due::Tidy => {
-                self.next_hops.tidy();
+                self.transport.tidy();
                 self.timers.arm(self.clock.now() + TIDY_MS, Due::Tidy);
             }
             Due::Overlook => {
-                self.next_hops.cut_overdue();
-                self.transport_map.tidy();
+                self.transport.cut_overdue();
+                self.worker_list.tidy();
                 self.timers.arm(self.clock.now() + OVERLOOK_MS, Due::Overlook);
             }
-            Due::Watch => self.transport_map.ask(Call::Watch),
+            Due::Watch => self.worker_list.ask(Call::Watch),
             Due::StopHard => self.fail_all(),
         }
     }
--- a/balancer/core/src/dispatch/random_order_tests.rs
+++ b/balancer/core/src/dispatch/random_order_tests.rs
@@ -3,14 +3,14 @@
 //! before a request's first byte and its last (`Stop`); time stands until it is turned on.
 
 use super::*;
-use crate::worker_transport::{Hop, Stop};
-use millrudder_exchange::{Front, HopState, MapEntry, OrderHandle, Verbatim};
+use crate::worker_transport::{Stop, WorkerEndpoint};
+use millrudder_exchange::{Front, OrderHandle, Verbatim, WorkerEntry, WorkerState};
 use std::collections::BTreeSet;
 use std::sync::Mutex;
 
 const SEEDS: u64 = 400;
 const STEPS: usize = 300;
-const HOPS: u32 = 5;
+const WORKERS: u32 = 5;
 const CLASSES: [&str; 3] = ["safe", "keyed", "unsafe"];
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,17 +19,17 @@
     Coming,
     /// The last byte is held back.
     Begun,
-    /// The next hop has it; no 202 has come.
+    /// The worker has it; no 202 has come.
     Written,
     Held,
-    /// The next hop has it and its 202 was lost: the dispatcher has closed the connection.
+    /// The worker has it and its 202 was lost: the dispatcher has closed the connection.
     Unheard,
     Over,
 }
 
 struct Flight {
     id: AttemptId,
-    hop: Hop,
+    worker: WorkerEndpoint,
     job: Arc<Job>,
     stop: Stop,
     at: At,
@@ -41,7 +41,7 @@
 #[derive(Default)]
 struct Net {
     flights: Vec<Flight>,
-    /// Call-offs on their way to next hops.
+    /// Call-offs on their way to workers.
     deletes: Vec<AttemptId>,
 }
 
@@ -54,14 +54,14 @@
 #[derive(Clone, Default)]
 struct Model(Arc<Mutex<Net>>);
 
-impl Way for Model {
-    fn deliver(&self, id: AttemptId, hop: Hop, job: Arc<Job>, _until: f64) {
-        let stop = Stop::of_delivery(hop.open.clone());
+impl WorkerTransport for Model {
+    fn deliver(&self, id: AttemptId, worker: WorkerEndpoint, job: Arc<Job>, _until: f64) {
+        let stop = Stop::of_delivery(worker.open.clone());
         let (at, reached, proven_unrun) = (At::Coming, false, false);
-        self.0.lock().unwrap().flights.push(Flight { id, hop, job, stop, at, reached, proven_unrun });
+        self.0.lock().unwrap().flights.push(Flight { id, worker, job, stop, at, reached, proven_unrun });
     }
 
-    fn call_off(&self, id: AttemptId, _hop: Hop, _job: Arc<Job>, accepted: bool, _firm: bool) {
+    fn call_off(&self, id: AttemptId, _worker: WorkerEndpoint, _job: Arc<Job>, accepted: bool, _firm: bool) {
         let mut net = self.0.lock().unwrap();
         match net.find(id) {
             Some(f) if matches!(f.at, At::Coming | At::Begun | At::Written) => f.stop.leave(accepted),
@@ -75,8 +75,8 @@
         }
     }
 
-    fn probe(&self, _hop: Hop) {}
-    fn release(&self, _hop: HopId) {}
+    fn probe(&self, _worker: WorkerEndpoint) {}
+    fn release(&self, _worker: WorkerId) {}
     fn retime(&self, _connect_timeout: f64, _conn_idle: f64) {}
     fn keep_a_part(&self) -> usize {
         0
@@ -129,13 +129,13 @@
     Config::from_json(text.as_bytes()).unwrap()
 }
 
-fn line(hop: u32, state: HopState) -> MapEntry {
-    MapEntry {
-        name: format!("s-{hop}"),
-        address: Some(([127, 0, 0, 1], 100 + hop as u16).into()),
+fn line(worker: u32, state: WorkerState) -> WorkerEntry {
+    WorkerEntry {
+        name: format!("s-{worker}"),
+        address: Some(([127, 0, 0, 1], 100 + worker as u16).into()),
         zone: "z".to_owned(),
         kind: "m".to_owned(),
-        cell: i64::from(hop % 2),
+        cell: i64::from(worker % 2),
         state,
         weight: 1.0,
         started_at: None,
@@ -150,8 +150,8 @@
         let (exchange, inbox) = Exchange::new();
         let around = Around {
             exchange,
-            next_hops: net.clone(),
-            transport_map: TransportMap::unheard(clock),
+            transport: net.clone(),
+            worker_list: WorkerListWatcher::unheard(clock),
             peer_process: PeerProcess::default(),
             newer: Newer::default(),
             counters: Arc::default(),
@@ -159,8 +159,8 @@
             clock,
         };
         let mut dispatch = Dispatch::new(&config(cancel, copies, told), around);
-        let entries = (0..HOPS).map(|hop| line(hop, HopState::Active)).collect();
-        dispatch.begin(Some(MapNews { whole: true, generation: Some(1), entries }), None);
+        let entries = (0..WORKERS).map(|worker| line(worker, WorkerState::Active)).collect();
+        dispatch.begin(Some(WorkerListUpdate { whole: true, generation: Some(1), entries }), None);
         World {
             dispatch,
             net,
@@ -257,24 +257,24 @@
     }
 
     fn change_list(&mut self) {
-        let hop = self.dice.u32(..HOPS);
-        let state = [HopState::Active, HopState::Leaving, HopState::Left][self.dice.usize(..3)];
+        let worker = self.dice.u32(..WORKERS);
+        let state = [WorkerState::Active, WorkerState::Leaving, WorkerState::Left][self.dice.usize(..3)];
         match state {
-            HopState::Active => self.draining.remove(&hop),
-            _ => self.draining.insert(hop),
+            WorkerState::Active => self.draining.remove(&worker),
+            _ => self.draining.insert(worker),
         };
-        self.tell(format!("s-{hop} is {state:?}"));
-        let entries = vec![line(hop, state)];
-        self.take(Message::Map(MapNews { whole: false, generation: None, entries }));
+        self.tell(format!("s-{worker} is {state:?}"));
+        let entries = vec![line(worker, state)];
+        self.take(Message::WorkerList(WorkerListUpdate { whole: false, generation: None, entries }));
     }
 
     fn ban(&mut self) {
-        let hop = self.dice.u32(..HOPS);
-        let name = format!("s-{hop}");
-        let order = if self.banned.remove(&hop) {
+        let worker = self.dice.u32(..WORKERS);
+        let name = format!("s-{worker}");
+        let order = if self.banned.remove(&worker) {
             Order::Enable(name)
         } else {
-            self.banned.insert(hop);
+            self.banned.insert(worker);
             Order::Disable(name)
         };
         self.tell(format!("{order:?}"));
@@ -283,26 +283,26 @@
     }
 
     /// The first byte leaves: whatever path the attempt came.
-    fn begins(&mut self, id: AttemptId, hop: u32) {
-        self.tell(format!("attempt {}.{} begins at s-{hop}", id.ticket, id.number));
+    fn begins(&mut self, id: AttemptId, worker: u32) {
+        self.tell(format!("attempt {}.{} begins at s-{worker}", id.ticket, id.number));
         self.sent += 1;
         let client = &self.clients[id.ticket as usize];
         self.check(
             !client.left && client.answers.is_empty(),
             "nothing is sent of a job that nobody waits for",
         );
-        self.check(!self.draining.contains(&hop), "nothing new to a worker that leaves");
-        self.check(!self.banned.contains(&hop), "nothing new to a banned worker");
+        self.check(!self.draining.contains(&worker), "nothing new to a worker that leaves");
+        self.check(!self.banned.contains(&worker), "nothing new to a banned worker");
         let net = self.net.0.lock().unwrap();
         for f in net.flights.iter().filter(|f| f.id.ticket == id.ticket && f.id != id) {
             let out = matches!(f.at, At::Begun | At::Written | At::Held | At::Unheard);
             self.check(!(out && self.alone), "no two attempts out where the settings allow one");
-            self.check(!(out && f.hop.id == hop), "one attempt of a job at a worker");
+            self.check(!(out && f.worker.id == worker), "one attempt of a job at a worker");
             self.check(client.class != 2 || !f.reached || f.proven_unrun, "an unsafe job is sent once");
         }
     }
 
-    /// Something happens to one attempt on its way, or at its next hop.
+    /// Something happens to one attempt on its way, or at its worker.
     fn network(&mut self) {
         let net = self.net.0.lock().unwrap();
         let live: Vec<usize> = (0..net.flights.len()).filter(|i| net.flights[*i].at != At::Over).collect();
@@ -311,7 +311,7 @@
         let chance = self.dice.u8(..10);
         let (mut net, shared) = (self.net.0.lock().unwrap(), self.net.clone());
         let f = &mut net.flights[i];
-        let (id, hop, job, at, left) = (f.id, f.hop.id, f.job.clone(), f.at, f.stop.is_left());
+        let (id, worker, job, at, left) = (f.id, f.worker.id, f.job.clone(), f.at, f.stop.is_left());
         drop(net);
         let set = |at: At, reached: bool, unrun: bool| {
             let mut net = shared.0.lock().unwrap();
@@ -330,7 +330,7 @@
             }
         };
         let news = |state: JobState| {
-            let (trace_id, from) = (job.trace_id.clone(), format!("s-{hop}"));
+            let (trace_id, from) = (job.trace_id.clone(), format!("s-{worker}"));
             Message::News(JobNews { trace_id, from, state, load: None, body: None })
         };
         let done = || JobState::Done { result: job.trace_id.as_bytes().to_vec() };
@@ -344,7 +344,7 @@
                 self.take(ends(end(AttemptEnd::NotSent)));
             }
             (At::Coming, _) => {
-                self.begins(id, hop);
+                self.begins(id, worker);
                 set(At::Begun, false, true);
             }
             (At::Begun, _) if !wanted(false) => {
--- a/balancer/core/src/dispatch/settings_reload.rs
+++ b/balancer/core/src/dispatch/settings_reload.rs
@@ -14,7 +14,7 @@
 pub struct Tuned {
     pub settings: mr::Settings,
     pub names: Names,
-    /// How long a kept connection to a next hop may stand idle (ms).
+    /// How long a kept connection to a worker may stand idle (ms).
     pub conn_idle: f64,
 }
 
--- a/balancer/core/src/dispatch/translate.rs
+++ b/balancer/core/src/dispatch/translate.rs
@@ -1,27 +1,27 @@
 //! The house's words to the module's, and back. The only place where both are known.
 //!
-//! next hop = worker, delivery attempt = attempt, transport map = list, defer = refuse.
+//! worker = worker, delivery attempt = attempt, worker list = list, defer = refuse.
 
-use crate::worker_transport::Hop;
+use crate::worker_transport::WorkerEndpoint;
 use millrudder as mr;
 use millrudder_config::{position, Names};
 use millrudder_exchange::counters::Counters;
-use millrudder_exchange::{AttemptEnd, HopId, HopState, Job, LoadReport, MapEntry, Ticket};
+use millrudder_exchange::{AttemptEnd, Job, LoadReport, Ticket, WorkerEntry, WorkerId, WorkerState};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Next hops by name: each keeps its number, also when its address changes or it has left the map.
+/// Workers by name: each keeps its number, also when its address changes or it has left the map.
 #[derive(Default)]
-pub struct Hops {
-    numbers: HashMap<String, HopId>,
+pub struct WorkerTable {
+    numbers: HashMap<String, WorkerId>,
     known: Vec<Known>,
     /// The settings' `dropped_stay_open`: what the map names no more, or as gone, may still get jobs.
     pub dropped_stay: bool,
 }
 
-/// What the transport map said last of one.
+/// What the worker list said last of one.
 struct Known {
     address: Option<SocketAddr>,
     active: bool,
@@ -30,7 +30,7 @@
     /// Both together, also for attempts that are on their way there.
     open: Arc<AtomicBool>,
     /// Its line, as long as the map has one.
-    line: Option<MapEntry>,
+    line: Option<WorkerEntry>,
 }
 
 impl Known {
@@ -39,12 +39,12 @@
     }
 }
 
-impl Hops {
+impl WorkerTable {
     pub fn new(dropped_stay: bool) -> Self {
-        Hops { dropped_stay, ..Hops::default() }
+        WorkerTable { dropped_stay, ..WorkerTable::default() }
     }
 
-    pub fn find(&self, name: &str) -> Option<HopId> {
+    pub fn find(&self, name: &str) -> Option<WorkerId> {
         self.numbers.get(name).copied()
     }
 
@@ -55,21 +55,21 @@
         names
     }
 
-    pub fn name(&self, id: HopId) -> String {
+    pub fn name(&self, id: WorkerId) -> String {
         self.numbers.iter().find(|(_, known)| **known == id).map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
     /// The map as of now.
-    pub fn lines(&self) -> Vec<MapEntry> {
+    pub fn lines(&self) -> Vec<WorkerEntry> {
         self.known.iter().filter_map(|known| known.line.clone()).collect()
     }
 
     /// The number of one that a predecessor knew by name.
-    pub fn number(&mut self, name: &str) -> HopId {
+    pub fn number(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.find(name) {
             return id;
         }
-        let id = self.known.len() as HopId;
+        let id = self.known.len() as WorkerId;
         self.numbers.insert(name.to_owned(), id);
         self.known.push(Known {
             address: None,
@@ -81,18 +81,18 @@
         id
     }
 
-    pub fn locate(&self, id: HopId) -> Option<Hop> {
+    pub fn locate(&self, id: WorkerId) -> Option<WorkerEndpoint> {
         let known = self.known.get(id as usize)?;
-        Some(Hop { id, address: known.address?, open: known.open.clone() })
+        Some(WorkerEndpoint { id, address: known.address?, open: known.open.clone() })
     }
 
     /// Nothing new may go to one that leaves.
-    pub fn is_active(&self, id: HopId) -> bool {
+    pub fn is_active(&self, id: WorkerId) -> bool {
         self.known.get(id as usize).is_some_and(|known| known.open.load(Ordering::Acquire))
     }
 
     /// Takes one out or puts it back; none if no map has ever named it.
-    pub fn ban(&mut self, name: &str, on: bool) -> Option<HopId> {
+    pub fn ban(&mut self, name: &str, on: bool) -> Option<WorkerId> {
         let id = self.find(name)?;
         self.known[id as usize].banned = on;
         self.known[id as usize].settle();
@@ -108,25 +108,25 @@
         }
     }
 
-    pub fn entry(&mut self, names: &Names, entry: &MapEntry) -> mr::Entry {
+    pub fn entry(&mut self, names: &Names, entry: &WorkerEntry) -> mr::Entry {
         let worker = self.number(&entry.name);
         let known = &mut self.known[worker as usize];
         known.address = entry.address.or(known.address);
         known.active = match entry.state {
-            HopState::Left if self.dropped_stay => known.active,
-            state => state == HopState::Active,
+            WorkerState::Left if self.dropped_stay => known.active,
+            state => state == WorkerState::Active,
         };
         known.settle();
-        known.line = Some(entry.clone()).filter(|line| line.state != HopState::Left);
+        known.line = Some(entry.clone()).filter(|line| line.state != WorkerState::Left);
         mr::Entry {
             worker,
             zone: position(&names.zones, &entry.zone),
             kind: position(&names.kinds, &entry.kind),
             cell: entry.cell,
             mode: match entry.state {
-                HopState::Active => mr::Mode::Ready,
-                HopState::Leaving => mr::Mode::Draining,
-                HopState::Left => mr::Mode::Gone,
+                WorkerState::Active => mr::Mode::Ready,
+                WorkerState::Leaving => mr::Mode::Draining,
+                WorkerState::Left => mr::Mode::Gone,
             },
             weight: entry.weight,
             // The clock starts at Unix time, so this is a time of the clock already.
--- a/balancer/core/src/dispatch/translate/tests.rs
+++ b/balancer/core/src/dispatch/translate/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn entry(name: &str, address: &str, state: HopState) -> MapEntry {
-    MapEntry {
+fn entry(name: &str, address: &str, state: WorkerState) -> WorkerEntry {
+    WorkerEntry {
         name: name.to_owned(),
         address: address.parse().ok(),
         zone: "z".to_owned(),
@@ -23,31 +23,31 @@
 
 #[test]
 fn a_ban_outlives_what_maps_say() {
-    let (names, mut hops) = (names(), Hops::default());
-    assert_eq!(hops.ban("s-1", true), None, "never listed");
-    hops.entry(&names, &entry("s-1", "127.0.0.1:1", HopState::Active));
-    assert_eq!(hops.ban("s-1", true), Some(0));
-    hops.entry(&names, &entry("s-1", "127.0.0.1:1", HopState::Left));
-    hops.entry(&names, &entry("s-1", "127.0.0.1:2", HopState::Active));
-    assert!(!hops.is_active(0), "an attempt that waited for a call-off there must not go");
-    hops.ban("s-1", false);
-    assert!(hops.is_active(0));
+    let (names, mut workers) = (names(), WorkerTable::default());
+    assert_eq!(workers.ban("s-1", true), None, "never listed");
+    workers.entry(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Active));
+    assert_eq!(workers.ban("s-1", true), Some(0));
+    workers.entry(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Left));
+    workers.entry(&names, &entry("s-1", "127.0.0.1:2", WorkerState::Active));
+    assert!(!workers.is_active(0), "an attempt that waited for a call-off there must not go");
+    workers.ban("s-1", false);
+    assert!(workers.is_active(0));
 }
 
 #[test]
-fn a_next_hop_keeps_its_number_when_its_address_changes() {
-    let (names, mut hops) = (names(), Hops::default());
-    let first = hops.entry(&names, &entry("s-1", "127.0.0.1:1", HopState::Active));
-    hops.entry(&names, &entry("s-2", "127.0.0.1:2", HopState::Active));
-    let again = hops.entry(&names, &entry("s-1", "127.0.0.1:9", HopState::Leaving));
+fn a_worker_keeps_its_number_when_its_address_changes() {
+    let (names, mut workers) = (names(), WorkerTable::default());
+    let first = workers.entry(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Active));
+    workers.entry(&names, &entry("s-2", "127.0.0.1:2", WorkerState::Active));
+    let again = workers.entry(&names, &entry("s-1", "127.0.0.1:9", WorkerState::Leaving));
     assert_eq!((first.worker, again.worker), (0, 0));
-    assert_eq!(hops.locate(0).unwrap().address.port(), 9);
-    assert!(!hops.is_active(0) && hops.is_active(1));
+    assert_eq!(workers.locate(0).unwrap().address.port(), 9);
+    assert!(!workers.is_active(0) && workers.is_active(1));
     // Gone without an address: attempts that are out there can still be called off.
-    assert_eq!(hops.entry(&names, &entry("s-1", "", HopState::Left)).mode, mr::Mode::Gone);
-    assert!(hops.locate(0).is_some());
-    hops.expect_all();
-    assert!(!hops.is_active(1), "a whole list that does not name it");
+    assert_eq!(workers.entry(&names, &entry("s-1", "", WorkerState::Left)).mode, mr::Mode::Gone);
+    assert!(workers.locate(0).is_some());
+    workers.expect_all();
+    assert!(!workers.is_active(1), "a whole list that does not name it");
     assert_eq!((first.zone, first.kind, first.ready_at), (Some(0), Some(1), Some(1_700_000_000_000.0)));
 }
 
--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -1,4 +1,4 @@
-//! The core: the decision module with the jobs (`dispatch`), the way to next hops (`worker_transport`) and discovery
+//! The core: the decision module with the jobs (`dispatch`), the way to workers (`worker_transport`) and discovery
 //! (`worker_list`). Fronts reach it through the exchange alone.
 
 pub mod dispatch;
--- a/balancer/core/src/worker_list/mod.rs
+++ b/balancer/core/src/worker_list/mod.rs
@@ -1,5 +1,5 @@
-//! Discovery's list of next hops: following its changes.
+//! Discovery's list of workers: following its changes.
 
 mod watch;
 
-pub use watch::{Call, TransportMap};
+pub use watch::{Call, WorkerListWatcher};
--- a/balancer/core/src/worker_list/watch.rs
+++ b/balancer/core/src/worker_list/watch.rs
@@ -56,7 +56,7 @@
 type UnderWay = Arc<Mutex<(Arc<Cut>, f64)>>;
 
 /// The handle by which dispatch asks.
-pub struct TransportMap {
+pub struct WorkerListWatcher {
     calls: mpsc::Sender<Call>,
     under_way: UnderWay,
     clock: Clock,
@@ -79,7 +79,7 @@
     (f64::from(held) + LATE_MS).max(TURN_MS)
 }
 
-impl TransportMap {
+impl WorkerListWatcher {
     /// `generation` is that of the list held already, if any: changes since then are told first.
     pub fn follow(
         discovery: SocketAddr,
@@ -104,13 +104,13 @@
             log,
         };
         may::go!(move || follower.run());
-        TransportMap { calls, under_way, clock }
+        WorkerListWatcher { calls, under_way, clock }
     }
 
     /// One whose calls nobody makes.
     #[cfg(test)]
     pub fn unheard(clock: Clock) -> Self {
-        TransportMap { calls: mpsc::channel().0, under_way: UnderWay::default(), clock }
+        WorkerListWatcher { calls: mpsc::channel().0, under_way: UnderWay::default(), clock }
     }
 
     pub fn ask(&self, call: Call) {
@@ -161,7 +161,7 @@
         if let Err(problem) = called {
             self.counters.map_failures.add();
             slog::warn!(self.log, "discovery call failed"; "at" => %self.discovery, "problem" => %problem);
-            self.exchange.put(Message::MapUnavailable);
+            self.exchange.put(Message::WorkerListUnavailable);
         }
     }
 
@@ -236,7 +236,7 @@
         let list = self.fetch(&target, &cut).and_then(|response| self.read(&response))?;
         self.generation = Some(list.generation);
         self.counters.map_changes.add();
-        self.exchange.put(Message::Map(list.news));
+        self.exchange.put(Message::WorkerList(list.news));
         Ok(())
     }
 
--- a/balancer/core/src/worker_list/watch/tests.rs
+++ b/balancer/core/src/worker_list/watch/tests.rs
@@ -26,7 +26,7 @@
     let (exchange, inbox) = Exchange::new();
     let (counters, log) = (Arc::new(Counters::default()), Logger::root(slog::Discard, slog::o!()));
     let at = listener.local_addr().unwrap();
-    let map = TransportMap::follow(at, Some(1), exchange, counters.clone(), Clock::start(), log);
+    let map = WorkerListWatcher::follow(at, Some(1), exchange, counters.clone(), Clock::start(), log);
     let bad = [
         r#"{"generation":2,"reset":true}"#,
         r#"{"generation":2,"reset":true,"instances":[]}"#,
@@ -43,7 +43,7 @@
         let answer =
             format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}");
         peer.write_all(answer.as_bytes()).unwrap();
-        assert!(matches!(inbox.recv(), Ok(Message::MapUnavailable)), "{body}");
+        assert!(matches!(inbox.recv(), Ok(Message::WorkerListUnavailable)), "{body}");
         assert_eq!((counters.map_bad.get(), counters.map_failures.get()), (i, i), "{body}");
     }
 }
@@ -55,7 +55,7 @@
     let (exchange, inbox) = Exchange::new();
     let (counters, log) = (Arc::new(Counters::default()), Logger::root(slog::Discard, slog::o!()));
     let at = listener.local_addr().unwrap();
-    let map = TransportMap::follow(at, Some(1), exchange, counters.clone(), Clock::start(), log);
+    let map = WorkerListWatcher::follow(at, Some(1), exchange, counters.clone(), Clock::start(), log);
     map.ask(Call::Watch);
     let mut silent = Vec::new();
     listener.set_nonblocking(true).unwrap();
@@ -73,13 +73,13 @@
             let length = body.len();
             write!(peer, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}")
                 .unwrap();
-            assert!(matches!(inbox.recv(), Ok(Message::Map(_))));
+            assert!(matches!(inbox.recv(), Ok(Message::WorkerList(_))));
         } else {
             map.cut(f64::INFINITY);
             silent.push(peer);
         }
     }
-    assert!(matches!(inbox.recv(), Ok(Message::MapUnavailable)));
+    assert!(matches!(inbox.recv(), Ok(Message::WorkerListUnavailable)));
     assert_eq!((counters.map_silent.get(), counters.map_failures.get()), (2, 1));
 }
 
@@ -89,7 +89,7 @@
     let (exchange, inbox) = Exchange::new();
     let log = Logger::root(slog::Discard, slog::o!());
     let at = listener.local_addr().unwrap();
-    let map = TransportMap::follow(at, Some(1), exchange, Arc::default(), Clock::start(), log);
+    let map = WorkerListWatcher::follow(at, Some(1), exchange, Arc::default(), Clock::start(), log);
     map.ask(Call::Watch);
     let _silent = listener.accept().unwrap();
     while inbox.try_recv().is_err() {
--- a/balancer/core/src/worker_transport/attempt.rs
+++ b/balancer/core/src/worker_transport/attempt.rs
@@ -1,7 +1,7 @@
-//! One conversation with a next hop: a delivery attempt, a call-off or a probe.
+//! One conversation with a worker: a delivery attempt, a call-off or a probe.
 
 use super::pool::{Connection, NoConnection};
-use super::{Hop, Shared, Stop};
+use super::{Shared, Stop, WorkerEndpoint};
 use millrudder_exchange::clock::span;
 use millrudder_exchange::{AttemptEnd, AttemptId, Job, Message};
 use millrudder_wire::converse::{self, Broken};
@@ -17,18 +17,25 @@
 
 /// A delivery attempt up to its 202 or its end. Never sends a second time by itself: whether a job may be
 /// repeated is the module's to decide.
-pub(super) fn deliver(shared: &Shared, attempt: AttemptId, hop: &Hop, job: &Job, until: f64, stop: &Stop) {
-    let request = || job_request(hop, job, until - shared.clock.now());
-    let result = converse(shared, hop, request, stop);
+pub(super) fn deliver(
+    shared: &Shared,
+    attempt: AttemptId,
+    worker: &WorkerEndpoint,
+    job: &Job,
+    until: f64,
+    stop: &Stop,
+) {
+    let request = || job_request(worker, job, until - shared.clock.now());
+    let result = converse(shared, worker, request, stop);
     if stop.is_left() {
         let (accepted, firm) = (stop.accepted.load(Ordering::Acquire), stop.firm.load(Ordering::Acquire));
         return match result {
-            Ok(Response { status: 202, .. }) => delete(shared, attempt, hop, job, firm),
+            Ok(Response { status: 202, .. }) => delete(shared, attempt, worker, job, firm),
             Err(AttemptEnd::Reset | AttemptEnd::Silent) if accepted => {
-                delete(shared, attempt, hop, job, firm)
+                delete(shared, attempt, worker, job, firm)
             }
-            // A 202 that was lost: the close does not tell a next hop that has sent one.
-            Err(AttemptEnd::Silent) if firm => delete(shared, attempt, hop, job, firm),
+            // A 202 that was lost: the close does not tell a worker that has sent one.
+            Err(AttemptEnd::Silent) if firm => delete(shared, attempt, worker, job, firm),
             // Ended by itself, never written, or its connection is closed by now.
             _ => shared.exchange.put(Message::CalledOff { attempt }),
         };
@@ -52,42 +59,42 @@
     }
 }
 
-fn job_request(hop: &Hop, job: &Job, left: f64) -> Vec<u8> {
+fn job_request(worker: &WorkerEndpoint, job: &Job, left: f64) -> Vec<u8> {
     let expires = format!("{}u", (left.max(0.0) * 1000.0) as u64);
     let mut headers = vec![("X-Trace-Id", job.trace_id.as_str()), ("X-Expires-In", &expires)];
     let verbatim = &job.verbatim;
     headers.extend(verbatim.idempotency_key.as_deref().map(|key| ("Idempotency-Key", key)));
     headers.extend(verbatim.content_type.as_deref().map(|kind| ("Content-Type", kind)));
-    http::request(&verbatim.method, &verbatim.target, &hop.address.to_string(), &headers, &verbatim.body)
+    http::request(&verbatim.method, &verbatim.target, &worker.address.to_string(), &headers, &verbatim.body)
 }
 
-/// Tells the next hop that an accepted job is given up; `firm`: until it has answered or the job's time is over.
-pub(super) fn delete(shared: &Shared, attempt: AttemptId, hop: &Hop, job: &Job, firm: bool) {
+/// Tells the worker that an accepted job is given up; `firm`: until it has answered or the job's time is over.
+pub(super) fn delete(shared: &Shared, attempt: AttemptId, worker: &WorkerEndpoint, job: &Job, firm: bool) {
     let target = format!("/jobs/{}", job.trace_id);
-    let request = http::request("DELETE", &target, &hop.address.to_string(), &[], b"");
-    // Whatever the answer: the attempt is given up. Without one the next hop may not know.
-    while converse_within(shared, hop, &request).is_err() && firm && shared.clock.now() < job.deadline {
+    let request = http::request("DELETE", &target, &worker.address.to_string(), &[], b"");
+    // Whatever the answer: the attempt is given up. Without one the worker may not know.
+    while converse_within(shared, worker, &request).is_err() && firm && shared.clock.now() < job.deadline {
         may::coroutine::sleep(span(CALL_OFF_AGAIN_MS));
     }
     shared.exchange.put(Message::CalledOff { attempt });
 }
 
-pub(super) fn probe(shared: &Shared, hop: &Hop) {
+pub(super) fn probe(shared: &Shared, worker: &WorkerEndpoint) {
     let sent = shared.clock.now();
-    let request = http::request("GET", "/status/load", &hop.address.to_string(), &[], b"");
-    let result = converse_within(shared, hop, &request);
+    let request = http::request("GET", "/status/load", &worker.address.to_string(), &[], b"");
+    let result = converse_within(shared, worker, &request);
     let latency = shared.clock.now() - sent;
     let (end, load) = match &result {
         Ok(response) if response.status == 200 => (None, report::of_probe(response)),
         Ok(response) => (Some(AttemptEnd::Failed), report::of_probe(response)),
         Err(end) => (Some(*end), None),
     };
-    shared.exchange.put(Message::Probed { hop: hop.id, end, latency, load });
+    shared.exchange.put(Message::Probed { worker: worker.id, end, latency, load });
 }
 
 /// A conversation that is given up after a short while. What it asks may be asked again: a kept connection that
 /// had died is replaced by another.
-fn converse_within(shared: &Shared, hop: &Hop, request: &[u8]) -> Result<Response, AttemptEnd> {
+fn converse_within(shared: &Shared, worker: &WorkerEndpoint, request: &[u8]) -> Result<Response, AttemptEnd> {
     let stop = std::sync::Arc::new(Stop::default());
     let late = stop.clone();
     may::go!(move || {
@@ -95,7 +102,7 @@
         late.cut.now();
     });
     loop {
-        match converse(shared, hop, || request.to_vec(), &stop) {
+        match converse(shared, worker, || request.to_vec(), &stop) {
             Err(AttemptEnd::NotSent) if !stop.cut.is_done() => {}
             result => return result,
         }
@@ -106,38 +113,38 @@
 /// request is worded only then: how long a job's client still waits is told as of its first byte.
 fn converse(
     shared: &Shared,
-    hop: &Hop,
+    worker: &WorkerEndpoint,
     request: impl FnOnce() -> Vec<u8>,
     stop: &Stop,
 ) -> Result<Response, AttemptEnd> {
     let wanted = || stop.may_begin() && !stop.cut.is_done();
-    let connection = shared.pool.take(hop, wanted).map_err(|none| match none {
+    let connection = shared.pool.take(worker, wanted).map_err(|none| match none {
         NoConnection::NoDescriptor => AttemptEnd::NotSent,
         NoConnection::NotConnected => AttemptEnd::NotConnected,
     })?;
     if !stop.may_begin() {
-        // Given up or answered, or its next hop leaves since the connection was asked for: nothing is sent, and the
+        // Given up or answered, or its worker leaves since the connection was asked for: nothing is sent, and the
         // connection serves the next attempt.
-        shared.pool.keep(hop.id, connection, false);
+        shared.pool.keep(worker.id, connection, false);
         return Err(AttemptEnd::NotSent);
     }
     stop.answer_by(shared.clock.now() + shared.pool.limits().answer_time());
     match converse::converse(&connection.socket, &request(), &stop.cut, || stop.may_send()) {
         Ok(response) => {
-            give_back(shared, hop, connection, &response);
+            give_back(shared, worker, connection, &response);
             Ok(response)
         }
-        // Our own close is not the next hop's.
+        // Our own close is not the worker's.
         Err(Broken::AfterWritten(_)) if stop.cut.is_done() => Err(AttemptEnd::Silent),
         Err(Broken::AfterWritten(_)) => {
-            connection.kept_since.into_iter().for_each(|since| shared.pool.forget_older(hop.id, since));
+            connection.kept_since.into_iter().for_each(|since| shared.pool.forget_older(worker.id, since));
             Err(AttemptEnd::Reset)
         }
         Err(Broken::BeforeWritten(_)) if stop.cut.is_done() || !stop.may_send() => Err(AttemptEnd::NotSent),
         Err(Broken::BeforeWritten(_)) => Err(match connection.kept_since {
-            // It had died while it stood idle: nothing is known of the next hop.
+            // It had died while it stood idle: nothing is known of the worker.
             Some(since) => {
-                shared.pool.forget_older(hop.id, since);
+                shared.pool.forget_older(worker.id, since);
                 AttemptEnd::NotSent
             }
             None => AttemptEnd::NotConnected,
@@ -145,9 +152,9 @@
     }
 }
 
-fn give_back(shared: &Shared, hop: &Hop, connection: Connection, response: &Response) {
+fn give_back(shared: &Shared, worker: &WorkerEndpoint, connection: Connection, response: &Response) {
     if response.keep_alive {
-        shared.pool.keep(hop.id, connection, response.status != 202);
+        shared.pool.keep(worker.id, connection, response.status != 202);
     }
 }
 
--- a/balancer/core/src/worker_transport/attempt/tests.rs
+++ b/balancer/core/src/worker_transport/attempt/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn answers_of_next_hops_follow_the_protocols_table() {
+fn answers_of_workers_follow_the_protocols_table() {
     let answer = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(end_of(&answer("202 Accepted")), None);
     assert_eq!(end_of(&answer("500 Error")), Some(AttemptEnd::Failed));
--- a/balancer/core/src/worker_transport/mod.rs
+++ b/balancer/core/src/worker_transport/mod.rs
@@ -1,4 +1,4 @@
-//! The server side: connections to next hops, delivery attempts on them, call-offs, probes.
+//! The server side: connections to workers, delivery attempts on them, call-offs, probes.
 //!
 //! It knows jobs and attempts by the exchange's types only and reports all that happens through the exchange.
 
@@ -7,7 +7,7 @@
 
 use millrudder_exchange::clock::{span, Clock};
 use millrudder_exchange::counters::Counters;
-use millrudder_exchange::{AttemptId, Exchange, HopId, Job, PeerProcess};
+use millrudder_exchange::{AttemptId, Exchange, Job, PeerProcess, WorkerId};
 use millrudder_wire::socket::Cut;
 use pool::Pool;
 use std::collections::HashMap;
@@ -15,10 +15,10 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Where a next hop is, as of now.
+/// Where a worker is, as of now.
 #[derive(Clone, Debug)]
-pub struct Hop {
-    pub id: HopId,
+pub struct WorkerEndpoint {
+    pub id: WorkerId,
     pub address: SocketAddr,
     /// New jobs may go there: neither told to leave nor banned.
     pub open: Arc<AtomicBool>,
@@ -28,18 +28,18 @@
 pub(crate) struct Stop {
     /// The attempt is given up ...
     left: AtomicBool,
-    /// ... though its next hop is known to hold the job.
+    /// ... though its worker is known to hold the job.
     accepted: AtomicBool,
     /// ... and its call-off is told until it is answered.
     firm: AtomicBool,
     /// Nobody waits for the job's answer any more: what has not been sent is not sent.
     unowed: AtomicBool,
-    /// Of a delivery attempt's next hop: a call-off goes also to one that leaves.
+    /// Of a delivery attempt's worker: a call-off goes also to one that leaves.
     open: Option<Arc<AtomicBool>>,
     /// Its connection is not worth waiting for any longer.
     cut: Cut,
-    /// Clock time (bits of ms) by which a next hop that is there has answered; none before there is a connection: what is
-    /// waited for until then, a descriptor too, says nothing of the next hop.
+    /// Clock time (bits of ms) by which a worker that is there has answered; none before there is a connection: what is
+    /// waited for until then, a descriptor too, says nothing of the worker.
     due: AtomicU64,
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// What the coroutines of all next hops share.
+/// What the coroutines of all workers share.
 struct Shared {
     pool: Pool,
     /// Attempts whose answer is awaited.
@@ -106,26 +106,26 @@
     clock: Clock,
 }
 
-/// A way to next hops of one kind: what dispatch asks of it.
-pub trait Way {
+/// A way to workers of one kind: what dispatch asks of it.
+pub trait WorkerTransport {
     /// Starts a delivery attempt; its end or its acceptance comes through the exchange.
-    fn deliver(&self, attempt: AttemptId, hop: Hop, job: Arc<Job>, until: f64);
+    fn deliver(&self, attempt: AttemptId, worker: WorkerEndpoint, job: Arc<Job>, until: f64);
 
-    /// Gives an attempt up: the next hop is told once it has accepted, and a 202 on its way is waited for a
+    /// Gives an attempt up: the worker is told once it has accepted, and a 202 on its way is waited for a
     /// little, as closing the connection instead costs both sides a new one. `accepted`: it is known to hold the
     /// job, by a call-back too, which may come before the 202. `CalledOff` follows either way.
     ///
-    /// `firm`: only once the next hop has answered, or the job's time is over; it is told again until then.
-    fn call_off(&self, attempt: AttemptId, hop: Hop, job: Arc<Job>, accepted: bool, firm: bool);
+    /// `firm`: only once the worker has answered, or the job's time is over; it is told again until then.
+    fn call_off(&self, attempt: AttemptId, worker: WorkerEndpoint, job: Arc<Job>, accepted: bool, firm: bool);
 
     /// The job has its answer, or its client has left: the attempt goes on only if its last byte is out, else it ends
-    /// as not sent. That needs no permission to call off: the next hop has nothing.
+    /// as not sent. That needs no permission to call off: the worker has nothing.
     fn hold_back(&self, attempt: AttemptId);
 
-    fn probe(&self, hop: Hop);
+    fn probe(&self, worker: WorkerEndpoint);
 
-    /// Closes the idle connections to a next hop.
-    fn release(&self, hop: HopId);
+    /// Closes the idle connections to a worker.
+    fn release(&self, worker: WorkerId);
 
     /// New settings: how long a connect may take and a kept connection may stand idle (ms).
     fn retime(&self, connect_timeout: f64, conn_idle: f64);
@@ -142,9 +142,9 @@
 }
 
 #[derive(Clone)]
-pub struct NextHops(Arc<Shared>);
+pub struct HttpTransport(Arc<Shared>);
 
-impl NextHops {
+impl HttpTransport {
     /// `neighbour` says what another process of an upgrade may hold of the connections.
     pub fn new(
         limits: pool::Limits,
@@ -154,7 +154,7 @@
         clock: Clock,
     ) -> Self {
         let pool = Pool::new(limits, peer_process, counters.clone(), clock);
-        NextHops(Arc::new(Shared { pool, waiting: Mutex::default(), exchange, counters, clock }))
+        HttpTransport(Arc::new(Shared { pool, waiting: Mutex::default(), exchange, counters, clock }))
     }
 
     fn waiting(&self) -> std::sync::MutexGuard<'_, HashMap<AttemptId, Arc<Stop>>> {
@@ -162,18 +162,25 @@
     }
 }
 
-impl Way for NextHops {
-    fn deliver(&self, attempt: AttemptId, hop: Hop, job: Arc<Job>, until: f64) {
-        let stop = Arc::new(Stop::of_delivery(hop.open.clone()));
+impl WorkerTransport for HttpTransport {
+    fn deliver(&self, attempt: AttemptId, worker: WorkerEndpoint, job: Arc<Job>, until: f64) {
+        let stop = Arc::new(Stop::of_delivery(worker.open.clone()));
         self.waiting().insert(attempt, stop.clone());
         let shared = self.0.clone();
         may::go!(move || {
-            attempt::deliver(&shared, attempt, &hop, &job, until, &stop);
+            attempt::deliver(&shared, attempt, &worker, &job, until, &stop);
             shared.waiting.lock().unwrap_or_else(PoisonError::into_inner).remove(&attempt);
         });
     }
 
-    fn call_off(&self, attempt: AttemptId, hop: Hop, job: Arc<Job>, accepted: bool, firm: bool) {
+    fn call_off(
+        &self,
+        attempt: AttemptId,
+        worker: WorkerEndpoint,
+        job: Arc<Job>,
+        accepted: bool,
+        firm: bool,
+    ) {
         let unanswered = self.waiting().remove(&attempt);
         let shared = self.0.clone();
         shared.counters.calls_off.add();
@@ -186,7 +193,7 @@
                     stop.cut.now();
                 });
             }
-            None => drop(may::go!(move || attempt::delete(&shared, attempt, &hop, &job, firm))),
+            None => drop(may::go!(move || attempt::delete(&shared, attempt, &worker, &job, firm))),
         }
     }
 
@@ -196,14 +203,14 @@
         }
     }
 
-    fn probe(&self, hop: Hop) {
+    fn probe(&self, worker: WorkerEndpoint) {
         let shared = self.0.clone();
         shared.counters.probes.add();
-        may::go!(move || attempt::probe(&shared, &hop));
+        may::go!(move || attempt::probe(&shared, &worker));
     }
 
-    fn release(&self, hop: HopId) {
-        self.0.pool.release(hop);
+    fn release(&self, worker: WorkerId) {
+        self.0.pool.release(worker);
     }
 
     fn retime(&self, connect_timeout: f64, conn_idle: f64) {
--- a/balancer/core/src/worker_transport/pool.rs
+++ b/balancer/core/src/worker_transport/pool.rs
@@ -1,9 +1,9 @@
-//! Kept connections to next hops, within the descriptor budget.
+//! Kept connections to workers, within the descriptor budget.
 
-use super::Hop;
+use super::WorkerEndpoint;
 use millrudder_exchange::clock::{span, Clock};
 use millrudder_exchange::counters::Counters;
-use millrudder_exchange::{HopId, PeerProcess};
+use millrudder_exchange::{PeerProcess, WorkerId};
 use millrudder_wire::socket::Socket;
 use std::collections::BTreeMap;
 use std::io;
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Kept connections are dropped at this share of the time at which the next hop's machine may close them: a
+/// Kept connections are dropped at this share of the time at which the worker's machine may close them: a
 /// request written after that close ends as a reset, which may have run.
 const IDLE_SHARE: f64 = 0.6;
 const LEAST_IDLE_MS: f64 = 100.0;
@@ -19,7 +19,7 @@
 const DOUBLES_MS: f64 = 3_000.0;
 /// Retries and call-offs of an old process's jobs need a few connections.
 const LEAST_PART: usize = 4;
-/// How often a free descriptor is looked for when all that next hops may use are taken.
+/// How often a free descriptor is looked for when all that workers may use are taken.
 const PLACE_PAUSE_MS: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -34,13 +34,13 @@
     pub rest: f64,
 }
 
-/// The settings' limit on a connect tells how long the way to a next hop may take; an answer takes its own time.
+/// The settings' limit on a connect tells how long the way to a worker may take; an answer takes its own time.
 const ANSWER_FACTOR: f64 = 2.0;
 const LEAST_ANSWER_MS: f64 = 200.0;
 const MOST_ANSWER_MS: f64 = 2_000.0;
 
 impl Limits {
-    /// A next hop that is there says within this time (ms) whether it takes a job; that does not depend on its queue.
+    /// A worker that is there says within this time (ms) whether it takes a job; that does not depend on its queue.
     pub fn answer_time(&self) -> f64 {
         (ANSWER_FACTOR * self.connect_timeout).clamp(LEAST_ANSWER_MS, MOST_ANSWER_MS)
     }
@@ -58,12 +58,12 @@
 /// Why there is no connection.
 #[derive(Debug)]
 pub enum NoConnection {
-    /// Of this program's doing: nothing is known of the next hop.
+    /// Of this program's doing: nothing is known of the worker.
     NoDescriptor,
     NotConnected,
 }
 
-/// What a connect may fail with before it asks the next hop.
+/// What a connect may fail with before it asks the worker.
 fn is_local(error: &io::Error) -> bool {
     use nix::errno::Errno;
     let local = [Errno::EMFILE, Errno::ENFILE, Errno::ENOBUFS, Errno::ENOMEM, Errno::EADDRNOTAVAIL];
@@ -112,8 +112,8 @@
     limits: Mutex<Limits>,
     peer_process: PeerProcess,
     open: Arc<AtomicUsize>,
-    /// By next hop, the latest used last: it is used next, so that the others grow old and go.
-    kept: Mutex<BTreeMap<HopId, Vec<Kept>>>,
+    /// By worker, the latest used last: it is used next, so that the others grow old and go.
+    kept: Mutex<BTreeMap<WorkerId, Vec<Kept>>>,
     counters: Arc<Counters>,
     clock: Clock,
 }
@@ -136,8 +136,12 @@
     }
 
     /// A kept connection, or a new one; waits for a descriptor while `wanted`, and for as long as a connect may take.
-    pub fn take(&self, hop: &Hop, wanted: impl Fn() -> bool) -> Result<Connection, NoConnection> {
-        if let Some(connection) = self.take_kept(hop) {
+    pub fn take(
+        &self,
+        worker: &WorkerEndpoint,
+        wanted: impl Fn() -> bool,
+    ) -> Result<Connection, NoConnection> {
+        if let Some(connection) = self.take_kept(worker) {
             self.counters.connections_reused.add();
             return Ok(connection);
         }
@@ -145,10 +149,10 @@
             self.counters.connections_lacking.add();
             return Err(NoConnection::NoDescriptor);
         };
-        match Socket::connect(hop.address, span(self.limits().connect_timeout)) {
+        match Socket::connect(worker.address, span(self.limits().connect_timeout)) {
             Ok(socket) => {
                 self.counters.connections_out.add();
-                Ok(Connection { socket, kept_since: None, address: hop.address, _place: place })
+                Ok(Connection { socket, kept_since: None, address: worker.address, _place: place })
             }
             Err(error) if is_local(&error) => {
                 self.counters.connections_lacking.add();
@@ -163,26 +167,26 @@
 
     /// Gives a connection back whose last response was read whole and allows another request.
     /// `rests`: its last response must not be taken for the next one's.
-    pub fn keep(&self, hop: HopId, connection: Connection, rests: bool) {
+    pub fn keep(&self, worker: WorkerId, connection: Connection, rests: bool) {
         let since = self.clock.now();
         let until = if rests { since + self.limits().rest } else { since };
-        self.kept().entry(hop).or_default().push(Kept { connection, since, until });
+        self.kept().entry(worker).or_default().push(Kept { connection, since, until });
     }
 
     /// A kept connection was found dead: those that have stood idle as long will be.
-    pub fn forget_older(&self, hop: HopId, since: f64) {
+    pub fn forget_older(&self, worker: WorkerId, since: f64) {
         self.counters.connections_died.add();
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.died(now - since, now, self.limits().conn_idle * IDLE_SHARE);
         drop(idle);
-        if let Some(list) = self.kept().get_mut(&hop) {
+        if let Some(list) = self.kept().get_mut(&worker) {
             list.retain(|kept| kept.since > since);
         }
     }
 
-    pub fn release(&self, hop: HopId) {
-        drop(self.kept().remove(&hop));
+    pub fn release(&self, worker: WorkerId) {
+        drop(self.kept().remove(&worker));
     }
 
     pub fn tidy(&self) {
@@ -195,7 +199,7 @@
 
     /// What the other process of an upgrade may hold is not ours.
     fn most(&self) -> usize {
-        self.limits().connections.saturating_sub(self.peer_process.next_hops()).max(1)
+        self.limits().connections.saturating_sub(self.peer_process.worker_connections()).max(1)
     }
 
     /// From now on at most so many are open here as are now, and half of all: the rest is the other process's.
@@ -207,14 +211,14 @@
         part
     }
 
-    fn take_kept(&self, hop: &Hop) -> Option<Connection> {
+    fn take_kept(&self, worker: &WorkerEndpoint) -> Option<Connection> {
         let fresh = self.fresh_since();
         let mut kept = self.kept();
-        let (list, now) = (kept.get_mut(&hop.id)?, self.clock.now());
+        let (list, now) = (kept.get_mut(&worker.id)?, self.clock.now());
         while let Some(i) = list.iter().rposition(|kept| kept.until <= now) {
             let Kept { connection, since, .. } = list.remove(i);
-            // The address of the same next hop may have changed since.
-            if since >= fresh && connection.address == hop.address && connection.socket.is_quiet() {
+            // The address of the same worker may have changed since.
+            if since >= fresh && connection.address == worker.address && connection.socket.is_quiet() {
                 return Some(Connection { kept_since: Some(since), ..connection });
             }
         }
@@ -251,14 +255,14 @@
         let mut kept = self.kept();
         let oldest = kept
             .iter()
-            .filter_map(|(hop, list)| list.first().map(|k| (k.since, *hop)))
+            .filter_map(|(worker, list)| list.first().map(|k| (k.since, *worker)))
             .min_by(|a, b| a.0.total_cmp(&b.0));
-        let Some(list) = oldest.and_then(|(_, hop)| kept.get_mut(&hop)) else { return false };
+        let Some(list) = oldest.and_then(|(_, worker)| kept.get_mut(&worker)) else { return false };
         list.remove(0);
         true
     }
 
-    fn kept(&self) -> std::sync::MutexGuard<'_, BTreeMap<HopId, Vec<Kept>>> {
+    fn kept(&self) -> std::sync::MutexGuard<'_, BTreeMap<WorkerId, Vec<Kept>>> {
         self.kept.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/balancer/core/src/worker_transport/pool/tests.rs
+++ b/balancer/core/src/worker_transport/pool/tests.rs
@@ -16,10 +16,10 @@
     )
 }
 
-/// A next hop's listener, and what it accepted.
-fn hop(id: HopId) -> (Hop, TcpListener) {
+/// A worker's listener, and what it accepted.
+fn worker(id: WorkerId) -> (WorkerEndpoint, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    (Hop { id, address: listener.local_addr().unwrap(), open: Arc::default() }, listener)
+    (WorkerEndpoint { id, address: listener.local_addr().unwrap(), open: Arc::default() }, listener)
 }
 
 fn in_coroutine(test: impl FnOnce() + Send + 'static) {
@@ -28,26 +28,26 @@
 
 #[test]
 fn a_kept_connection_is_used_again_unless_it_may_have_been_closed() {
-    // A request written after the next hop's idle close ends as a reset: it may have run, and is lost.
+    // A request written after the worker's idle close ends as a reset: it may have run, and is lost.
     in_coroutine(|| {
-        let (hop, listener) = hop(1);
+        let (worker, listener) = worker(1);
         let (pool, counters) = pool(8, 1e9);
-        pool.keep(1, pool.take(&hop, || true).unwrap(), false);
+        pool.keep(1, pool.take(&worker, || true).unwrap(), false);
         let peer: TcpStream = listener.accept().unwrap().0;
-        pool.keep(1, pool.take(&hop, || true).unwrap(), false);
+        pool.keep(1, pool.take(&worker, || true).unwrap(), false);
         assert_eq!(counters.connections_reused.get(), 1);
         drop(peer);
         while pool.kept().values().flatten().any(|k| k.connection.socket.is_quiet()) {
             may::coroutine::yield_now();
         }
-        drop(pool.take(&hop, || true).unwrap());
+        drop(pool.take(&worker, || true).unwrap());
         assert_eq!((counters.connections_reused.get(), counters.connections_out.get()), (1, 2));
     });
     in_coroutine(|| {
-        let (hop, _listener) = hop(1);
+        let (worker, _listener) = worker(1);
         let (pool, counters) = pool(8, -1.0);
-        pool.keep(1, pool.take(&hop, || true).unwrap(), false);
-        drop(pool.take(&hop, || true).unwrap());
+        pool.keep(1, pool.take(&worker, || true).unwrap(), false);
+        drop(pool.take(&worker, || true).unwrap());
         assert_eq!(counters.connections_reused.get(), 0, "stood idle too long");
     });
 }
@@ -56,16 +56,16 @@
 fn a_connection_rests_before_a_second_answer_could_be_taken_for_the_next_jobs() {
     // A "never ran" that came twice, the second time for the job behind it, let that one be sent elsewhere as well.
     in_coroutine(|| {
-        let (hop, _listener) = hop(1);
+        let (worker, _listener) = worker(1);
         let (pool, counters) = pool(8, 1e9);
-        let resting = pool.take(&hop, || true).unwrap();
+        let resting = pool.take(&worker, || true).unwrap();
         pool.keep(1, resting, true);
-        pool.keep(1, pool.take(&hop, || true).unwrap(), false);
+        pool.keep(1, pool.take(&worker, || true).unwrap(), false);
         assert_eq!(counters.connections_out.get(), 2, "it rests");
-        pool.keep(1, pool.take(&hop, || true).unwrap(), false);
+        pool.keep(1, pool.take(&worker, || true).unwrap(), false);
         assert_eq!(counters.connections_reused.get(), 1, "the other does not");
         pool.kept().values_mut().flatten().for_each(|kept| kept.until -= 120_000.0);
-        let both = [(); 2].map(|()| pool.take(&hop, || true).unwrap());
+        let both = [(); 2].map(|()| pool.take(&worker, || true).unwrap());
         assert_eq!((counters.connections_out.get(), counters.connections_reused.get()), (2, 3));
         drop(both);
     });
@@ -74,9 +74,9 @@
 #[test]
 fn one_dead_kept_connection_condemns_those_idle_as_long() {
     in_coroutine(|| {
-        let (hop, _listener) = hop(1);
+        let (worker, _listener) = worker(1);
         let (pool, _) = pool(8, 1e9);
-        let [old, middle, young] = [(); 3].map(|()| pool.take(&hop, || true).unwrap());
+        let [old, middle, young] = [(); 3].map(|()| pool.take(&worker, || true).unwrap());
         [old, middle, young].into_iter().for_each(|connection| pool.keep(1, connection, false));
         for (kept, since) in pool.kept().get_mut(&1).unwrap().iter_mut().zip([1.0, 2.0, 3.0]) {
             kept.since = since;
@@ -103,12 +103,12 @@
 fn the_budget_holds_and_the_oldest_kept_connection_makes_room() {
     // Without a bound of its own a storm of attempts would take the descriptors that accept needs.
     in_coroutine(|| {
-        let ((first, _a), (second, _b)) = (hop(1), hop(2));
+        let ((first, _a), (second, _b)) = (worker(1), worker(2));
         let (pool, counters) = pool(2, 1e9);
         let busy = pool.take(&first, || true).unwrap();
         pool.keep(1, pool.take(&first, || true).unwrap(), false);
         let other = pool.take(&second, || true).unwrap();
-        // Of this program's doing: it must not count against the next hop.
+        // Of this program's doing: it must not count against the worker.
         assert!(matches!(pool.take(&second, || false), Err(NoConnection::NoDescriptor)), "both are in use");
         assert_eq!((counters.connections_out.get(), counters.connects_failed.get()), (3, 0));
         drop((busy, other));
--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -8,8 +8,8 @@
 use millrudder_config::settings::Settings;
 use millrudder_config::{Config, Source};
 use millrudder_core::dispatch::{Around, Dispatch, Legacy, Newer};
-use millrudder_core::worker_list::TransportMap;
-use millrudder_core::worker_transport::{self, NextHops};
+use millrudder_core::worker_list::WorkerListWatcher;
+use millrudder_core::worker_transport::{self, HttpTransport};
 use millrudder_exchange::clock::{span, Clock};
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::intake::Classes;
@@ -93,18 +93,19 @@
         .map_err(StartError::Signals)?;
 
     let limits = worker_transport::Limits {
-        connections: config.budget.next_hops,
+        connections: config.budget.worker_connections,
         connect_timeout: config.settings.limits.connect_timeout,
         conn_idle: config.conn_idle,
         call_off_grace: CALL_OFF_GRACE_MS,
         rest: REST_MS,
     };
-    let next_hops = NextHops::new(limits, exchange.clone(), peer_process.clone(), counters.clone(), clock);
+    let transport =
+        HttpTransport::new(limits, exchange.clone(), peer_process.clone(), counters.clone(), clock);
     let (generation, known) = match &legacy {
         Some(legacy) => (legacy.generation(), Some(legacy.map())),
         None => config.known.clone().map(|list| (Some(list.generation), Some(list.news))).unwrap_or_default(),
     };
-    let map = TransportMap::follow(
+    let worker_list = WorkerListWatcher::follow(
         config.discovery,
         generation,
         exchange.clone(),
@@ -129,8 +130,8 @@
     let sender = SenderSide::new(shares.http, core.clone());
     let around = Around {
         exchange: exchange.clone(),
-        next_hops,
-        transport_map: map,
+        transport,
+        worker_list,
         peer_process: peer_process.clone(),
         newer,
         counters,
--- a/balancer/exchange/src/exchange/tests.rs
+++ b/balancer/exchange/src/exchange/tests.rs
@@ -39,12 +39,12 @@
 fn orders_go_before_all_that_waits() {
     let (exchange, inbox) = Exchange::new();
     exchange.put(Message::Stop);
-    exchange.put(Message::MapUnavailable);
+    exchange.put(Message::WorkerListUnavailable);
     let awaited = exchange.order(Order::Disable("s-1".to_owned()));
     let Ok(Message::Ordered(asked)) = inbox.try_recv() else { panic!("not the order") };
     asked.carry_out(|_| Ok(()));
     assert_eq!(awaited.look(), Some(Ok(())));
     assert!(matches!(inbox.try_recv(), Ok(Message::Stop)));
-    assert!(matches!(inbox.try_recv(), Ok(Message::MapUnavailable)));
+    assert!(matches!(inbox.try_recv(), Ok(Message::WorkerListUnavailable)));
     assert!(inbox.try_recv().is_err(), "nothing is given out twice");
 }
--- a/balancer/exchange/src/lib.rs
+++ b/balancer/exchange/src/lib.rs
@@ -33,4 +33,4 @@
 pub use operator_order::{Order, OrderHandle, OrderResult, PendingOrder};
 pub use peer_process::{PeerProcess, PeerRequest, PeerRole, Transfer};
 pub use progress::Progress;
-pub use worker_list::{HopId, HopState, MapEntry, MapNews};
+pub use worker_list::{WorkerEntry, WorkerId, WorkerListUpdate, WorkerState};
--- a/balancer/exchange/src/message.rs
+++ b/balancer/exchange/src/message.rs
@@ -4,7 +4,7 @@
 use crate::job::{Job, Reply, Ticket};
 use crate::operator_order::PendingOrder;
 use crate::peer_process::PeerRequest;
-use crate::worker_list::{HopId, MapNews};
+use crate::worker_list::{WorkerId, WorkerListUpdate};
 use std::sync::Arc;
 
 /// All that reaches the dispatch coroutine.
@@ -47,7 +47,7 @@
     /// `end`: none if the probe passed.
     Probed {
         /// The worker.
-        hop: HopId,
+        worker: WorkerId,
         /// How it failed.
         end: Option<AttemptEnd>,
         /// How long it took (ms).
@@ -56,9 +56,9 @@
         load: Option<LoadReport>,
     },
     /// A list of workers, or a change of it.
-    Map(MapNews),
+    WorkerList(WorkerListUpdate),
     /// A call at discovery failed.
-    MapUnavailable,
+    WorkerListUnavailable,
     /// New settings wait for the core.
     Retuned,
     /// From now on discovery is here.
--- a/balancer/exchange/src/peer_process.rs
+++ b/balancer/exchange/src/peer_process.rs
@@ -34,7 +34,7 @@
     /// An attempt of this process has ended at its worker.
     Landed {
         /// The worker.
-        hop: String,
+        worker: String,
         /// The job.
         job: Ticket,
         /// The attempt, from 0.
@@ -63,7 +63,7 @@
     theirs: Mutex<HashSet<String>>,
     /// What the other holds, or may, of the descriptors meant for inbound connections and for next hops.
     inbound: AtomicUsize,
-    next_hops: AtomicUsize,
+    worker_connections: AtomicUsize,
 }
 
 impl PeerProcess {
@@ -150,9 +150,9 @@
     }
 
     /// Descriptors that the other holds, or may: this process has so many fewer.
-    pub fn share(&self, inbound: usize, next_hops: usize) {
+    pub fn share(&self, inbound: usize, worker_connections: usize) {
         self.0.inbound.store(inbound, Ordering::Release);
-        self.0.next_hops.store(next_hops, Ordering::Release);
+        self.0.worker_connections.store(worker_connections, Ordering::Release);
     }
 
     /// Inbound descriptors that the other process holds, or may.
@@ -161,8 +161,8 @@
     }
 
     /// Descriptors to workers that the other process holds, or may.
-    pub fn next_hops(&self) -> usize {
-        self.0.next_hops.load(Ordering::Acquire)
+    pub fn worker_connections(&self) -> usize {
+        self.0.worker_connections.load(Ordering::Acquire)
     }
 
     fn parcels(&self) -> MutexGuard<'_, VecDeque<Transfer>> {
@@ -183,7 +183,7 @@
     /// An attempt of the other process has ended at its worker.
     Landed {
         /// The worker.
-        hop: String,
+        worker: String,
         /// The job.
         job: Ticket,
         /// The attempt, from 0.
--- a/balancer/exchange/src/peer_process/tests.rs
+++ b/balancer/exchange/src/peer_process/tests.rs
@@ -14,7 +14,7 @@
     assert!(matches!(peer.take(), Some(Transfer::Ended(id)) if id == "b"));
     peer.close();
     assert!(!peer.is_theirs("a") && peer.take().is_none());
-    assert_eq!((peer.inbound(), peer.next_hops()), (0, 0), "all of the budget is ours again");
+    assert_eq!((peer.inbound(), peer.worker_connections()), (0, 0), "all of the budget is ours again");
 }
 
 #[test]
--- a/balancer/exchange/src/worker_list.rs
+++ b/balancer/exchange/src/worker_list.rs
@@ -3,11 +3,11 @@
 use serde::{Deserialize, Serialize};
 
 /// A worker, numbered by the transport map.
-pub type HopId = u32;
+pub type WorkerId = u32;
 
 /// One line of the transport map.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MapEntry {
+pub struct WorkerEntry {
     /// Its name.
     pub name: String,
     /// Its address; `None` where the list gives none that can be used.
@@ -19,7 +19,7 @@
     /// Its cell.
     pub cell: i64,
     /// Its state.
-    pub state: HopState,
+    pub state: WorkerState,
     /// Its weight.
     pub weight: f64,
     /// Unix time in milliseconds; none: long ago.
@@ -28,7 +28,7 @@
 
 /// State of a worker by the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HopState {
+pub enum WorkerState {
     /// It takes jobs.
     Active,
     /// It is draining.
@@ -39,11 +39,11 @@
 
 /// A list of workers, or a change of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MapNews {
+pub struct WorkerListUpdate {
     /// Workers that are not named have left.
     pub whole: bool,
     /// Discovery's number of the map with these changes.
     pub generation: Option<u64>,
     /// Its entries.
-    pub entries: Vec<MapEntry>,
+    pub entries: Vec<WorkerEntry>,
 }
--- a/balancer/fronts/http/src/tests.rs
+++ b/balancer/fronts/http/src/tests.rs
@@ -172,7 +172,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let socket = Socket::connect(listener.local_addr().unwrap(), Duration::from_secs(60)).unwrap();
         let doors = Doors::new(
-            Budget { inbound: 9, inbound_jobs: 4, next_hops: 1, buffers: 100 },
+            Budget { inbound: 9, inbound_jobs: 4, worker_connections: 1, buffers: 100 },
             PeerProcess::default(),
         );
         let [first, second, known] = [(); 3].map(|()| doors.enter(socket.waker(), 0.0));
--- a/balancer/upgrade/src/lib.rs
+++ b/balancer/upgrade/src/lib.rs
@@ -89,8 +89,8 @@
                 _ if !giver => {}
                 Transfer::Began(id) => link.send(&Message::Began { id }, None)?,
                 Transfer::Ended(id) => link.send(&Message::Ended { id }, None)?,
-                Transfer::Landed { hop, job, attempt } => {
-                    link.send(&Message::Landed { worker: hop, job, attempt }, None)?;
+                Transfer::Landed { worker, job, attempt } => {
+                    link.send(&Message::Landed { worker, job, attempt }, None)?;
                 }
             }
         }
@@ -114,10 +114,10 @@
             (Message::Drain { on: true }, _) => self.core.drain.begin(self.core.clock.now()),
             (Message::Drain { on: false }, _) => self.core.drain.end(),
             (Message::Landed { worker, job, attempt }, _) => {
-                self.core.exchange.ask(PeerRequest::Landed { hop: worker, job, attempt });
+                self.core.exchange.ask(PeerRequest::Landed { worker, job, attempt });
             }
             (Message::Held { inbound }, _) => {
-                self.peer_process().share(inbound, self.peer_process().next_hops());
+                self.peer_process().share(inbound, self.peer_process().worker_connections());
             }
             (message, _) => return Some(message),
         }
--- a/balancer/wire/src/list.rs
+++ b/balancer/wire/src/list.rs
@@ -1,12 +1,12 @@
 //! Discovery's JSON to entries of the transport map.
 
 use crate::json::{JsonError, Node};
-use millrudder_exchange::{HopState, MapEntry, MapNews};
+use millrudder_exchange::{WorkerEntry, WorkerListUpdate, WorkerState};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
     pub generation: u64,
-    pub news: MapNews,
+    pub news: WorkerListUpdate,
 }
 
 /// All or nothing: a list with one bad entry is refused whole, and the old one stands.
@@ -18,24 +18,24 @@
     let entries = node.at("instances").items()?.iter().map(read_entry).collect::<Result<_, _>>()?;
     Ok(List {
         generation,
-        news: MapNews { whole: node.at("reset").flag()?, generation: Some(generation), entries },
+        news: WorkerListUpdate { whole: node.at("reset").flag()?, generation: Some(generation), entries },
     })
 }
 
-fn read_entry(node: &Node) -> Result<MapEntry, JsonError> {
+fn read_entry(node: &Node) -> Result<WorkerEntry, JsonError> {
     let state = match node.at("lifecycle").text()? {
-        Some("active") => HopState::Active,
-        Some("leaving") => HopState::Leaving,
-        Some("left") => HopState::Left,
+        Some("active") => WorkerState::Active,
+        Some("leaving") => WorkerState::Leaving,
+        Some("left") => WorkerState::Left,
         _ => return node.at("lifecycle").wrong("active, leaving or left"),
     };
     let address = match node.at("hostPort").text()?.map(str::parse) {
         Some(Ok(address)) => Some(address),
         // One that has left needs none; one to send to does.
-        None if state == HopState::Left => None,
+        None if state == WorkerState::Left => None,
         _ => return node.at("hostPort").wrong("an address with a port"),
     };
-    Ok(MapEntry {
+    Ok(WorkerEntry {
         name: node.at("instanceId").needed_text()?.to_owned(),
         address,
         zone: node.at("zone").text()?.unwrap_or_default().to_owned(),
