--- a/balancer/core/src/dispatch/handover_state.rs
+++ b/balancer/core/src/dispatch/handover_state.rs
@@ -15,7 +15,7 @@
 
 /// Why bytes are not what a predecessor of this version leaves.
 #[derive(Debug, Error)]
-pub enum LegacyError {
+pub enum HandoverStateError {
     /// They are no CBOR, or lack a field.
     #[error(transparent)]
     Malformed(#[from] ciborium::de::Error<std::io::Error>),
@@ -28,7 +28,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Legacy {
+pub struct HandoverState {
     pub(super) version: u32,
     pub(super) generation: Option<u64>,
     pub(super) map: Vec<WorkerEntry>,
@@ -40,7 +40,7 @@
     pub(super) memory: mr::LearnedState,
 }
 
-impl Legacy {
+impl HandoverState {
     pub(super) fn new(
         generation: Option<u64>,
         map: Vec<WorkerEntry>,
@@ -49,7 +49,7 @@
         memory: mr::LearnedState,
     ) -> Self {
         let (classes, kinds) = (names.classes.clone(), names.kinds.clone());
-        Legacy { version: VERSION, generation, map, workers, classes, kinds, memory }
+        HandoverState { version: VERSION, generation, map, workers, classes, kinds, memory }
     }
 
     pub(super) fn encode(&self) -> Vec<u8> {
@@ -63,16 +63,16 @@
     ///
     /// # Errors
     /// [`LegacyError`]: the bytes are of another form, or of none.
-    pub fn decode(bytes: &[u8]) -> Result<Self, LegacyError> {
-        let legacy: Legacy = ciborium::de::from_reader_with_recursion_limit(bytes, MAX_NESTING)?;
+    pub fn decode(bytes: &[u8]) -> Result<Self, HandoverStateError> {
+        let legacy: HandoverState = ciborium::de::from_reader_with_recursion_limit(bytes, MAX_NESTING)?;
         match legacy.version {
             VERSION => Ok(legacy),
-            found => Err(LegacyError::Version { found }),
+            found => Err(HandoverStateError::Version { found }),
         }
     }
 
     /// The map, as the predecessor held it.
-    pub fn map(&self) -> WorkerListUpdate {
+    pub fn worker_list(&self) -> WorkerListUpdate {
         WorkerListUpdate { whole: true, generation: self.generation, entries: self.map.clone() }
     }
 
--- a/balancer/core/src/dispatch/handover_state/golden_tests.rs
+++ b/balancer/core/src/dispatch/handover_state/golden_tests.rs
@@ -1,6 +1,6 @@
 //! What a process leaves to its successor, byte for byte as earlier versions write it.
 
-use super::Legacy;
+use super::HandoverState;
 use millrudder as mr;
 use millrudder_config::Names;
 use millrudder_exchange::{WorkerEntry, WorkerState};
@@ -65,8 +65,9 @@
     let names = Names { classes: vec!["a".to_owned()], kinds: vec!["large".to_owned()], ..Names::default() };
     let unresolved = WorkerEntry { address: None, started_at: None, ..entry("s-2", WorkerState::Leaving) };
     let map = vec![entry("s-1", WorkerState::Active), unresolved];
-    let legacy = Legacy::new(Some(41), map, vec!["s-1".to_owned(), "s-2".to_owned()], &names, memory());
+    let legacy =
+        HandoverState::new(Some(41), map, vec!["s-1".to_owned(), "s-2".to_owned()], &names, memory());
     let mut golden = Golden::open("tests/golden/legacy.txt");
-    golden.check("legacy", &legacy, Legacy::encode, |bytes| Legacy::decode(bytes).unwrap());
+    golden.check("legacy", &legacy, HandoverState::encode, |bytes| HandoverState::decode(bytes).unwrap());
     golden.finish();
 }
--- a/balancer/core/src/dispatch/handover_state/tests.rs
+++ b/balancer/core/src/dispatch/handover_state/tests.rs
@@ -17,20 +17,26 @@
         ..mr::LearnedState::default()
     };
     let workers = vec!["s-1".to_owned(), "s-2".to_owned()];
-    let old = Legacy::new(Some(41), Vec::new(), workers, &names(&["a", "b"], &["x", "y"]), memory);
-    let old = Legacy::decode(&old.encode()).unwrap();
+    let old = HandoverState::new(Some(41), Vec::new(), workers, &names(&["a", "b"], &["x", "y"]), memory);
+    let old = HandoverState::decode(&old.encode()).unwrap();
     let number = |name: &str| if name == "s-2" { 7 } else { 9 };
     let new = old.memory(&names(&["b", "c"], &["y"]), number);
     assert_eq!(new.class_time, [(2.0, 1.0), (0.0, 0.0)]);
     assert_eq!((new.kinds[0].kind, new.kinds[0].cores), (Some(0), 4.0));
     assert_eq!(new.banned, [(7, 5.0)]);
-    assert_eq!((old.map().whole, old.map().generation), (true, Some(41)));
+    assert_eq!((old.worker_list().whole, old.worker_list().generation), (true, Some(41)));
 }
 
 #[test]
 fn what_is_no_legacy_is_refused_not_misread() {
-    let old = Legacy::new(Some(41), Vec::new(), Vec::new(), &names(&["a"], &[]), mr::LearnedState::default());
-    garbage(21, &old.encode(), |bytes| drop(Legacy::decode(bytes)));
-    let other = Legacy { version: VERSION + 1, ..old };
-    assert!(Legacy::decode(&other.encode()).unwrap_err().to_string().contains("form 2"));
+    let old = HandoverState::new(
+        Some(41),
+        Vec::new(),
+        Vec::new(),
+        &names(&["a"], &[]),
+        mr::LearnedState::default(),
+    );
+    garbage(21, &old.encode(), |bytes| drop(HandoverState::decode(bytes)));
+    let other = HandoverState { version: VERSION + 1, ..old };
+    assert!(HandoverState::decode(&other.encode()).unwrap_err().to_string().contains("form 2"));
 }
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::worker_list::{Call, WorkerListWatcher};
 use crate::worker_transport::{HttpTransport, WorkerTransport};
-pub use handover_state::{Legacy, LegacyError};
+pub use handover_state::{HandoverState, HandoverStateError};
 use jobs::{AttemptState, Entry, Jobs, Settled};
 use millrudder as mr;
 use millrudder_config::{Config, Names};
@@ -24,7 +24,7 @@
     WorkerListUpdate,
 };
 use settings_reload::Dropped;
-pub use settings_reload::{Newer, Tuned};
+pub use settings_reload::{PendingSettings, ReloadedSettings};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use timers::{Due, Timers};
@@ -56,7 +56,7 @@
     /// Of the map that is held.
     generation: Option<u64>,
     peer_process: PeerProcess,
-    newer: Newer,
+    pending_settings: PendingSettings,
     dropped: Dropped,
     counters: Arc<Counters>,
     stopping: Stopping,
@@ -64,21 +64,29 @@
 }
 
 /// What dispatch acts through.
-pub struct Around<W = HttpTransport> {
+pub struct DispatchDependencies<W = HttpTransport> {
     pub exchange: Exchange,
     pub transport: W,
     pub worker_list: WorkerListWatcher,
     pub peer_process: PeerProcess,
-    pub newer: Newer,
+    pub pending_settings: PendingSettings,
     pub counters: Arc<Counters>,
     pub stopping: Stopping,
     pub clock: Clock,
 }
 
 impl<W: WorkerTransport> Dispatch<W> {
-    pub fn new(config: &Config, around: Around<W>) -> Self {
-        let Around { exchange, transport, worker_list, peer_process, newer, counters, stopping, clock } =
-            around;
+    pub fn new(config: &Config, dependencies: DispatchDependencies<W>) -> Self {
+        let DispatchDependencies {
+            exchange,
+            transport,
+            worker_list,
+            peer_process,
+            pending_settings,
+            counters,
+            stopping,
+            clock,
+        } = dependencies;
         let settings = config.settings.clone();
         let dropped_stay = settings.rules.unlisted_stay_open;
         Dispatch {
@@ -93,7 +101,7 @@
             worker_list,
             generation: None,
             peer_process,
-            newer,
+            pending_settings,
             dropped: Dropped::default(),
             counters,
             stopping,
@@ -104,8 +112,8 @@
     /// Runs until a stop is asked for and nothing is owed any more.
     ///
     /// `legacy`: a predecessor's, of whose map `known` is the copy.
-    pub fn run(mut self, inbox: &Inbox, known: Option<WorkerListUpdate>, legacy: Option<&Legacy>) {
-        self.begin(known, legacy);
+    pub fn run(mut self, inbox: &Inbox, known: Option<WorkerListUpdate>, handover: Option<&HandoverState>) {
+        self.begin(known, handover);
         while !self.is_done() {
             if let Ok(message) = inbox.recv_timeout(self.timers.wait(self.clock.now())) {
                 self.take(message);
@@ -117,10 +125,10 @@
         }
     }
 
-    fn begin(&mut self, known: Option<WorkerListUpdate>, legacy: Option<&Legacy>) {
+    fn begin(&mut self, known: Option<WorkerListUpdate>, handover: Option<&HandoverState>) {
         let known = known.unwrap_or(WorkerListUpdate { whole: true, generation: None, entries: Vec::new() });
         self.on_map(known, mr::ListKind::Restored);
-        legacy.into_iter().for_each(|legacy| self.inherit(legacy));
+        handover.into_iter().for_each(|handover| self.inherit(handover));
         if self.lists_are_pushed() {
             self.worker_list.ask(Call::Watch);
         }
@@ -177,8 +185,8 @@
         }
     }
 
-    fn inherit(&mut self, legacy: &Legacy) {
-        let memory = legacy.memory(&self.names, |name| self.workers.number(name));
+    fn inherit(&mut self, handover: &HandoverState) {
+        let memory = handover.memory(&self.names, |name| self.workers.number(name));
         let names = self.workers.names();
         match self.balancer.import(&memory) {
             Ok(()) => self.counters.legacies.add(),
@@ -193,7 +201,10 @@
 
     /// Jobs from now on are under the new settings; those that are here keep theirs.
     fn on_settings(&mut self) {
-        let Some(Tuned { mut settings, mut names, conn_idle }) = self.newer.take() else { return };
+        let Some(ReloadedSettings { mut settings, mut names, conn_idle }) = self.pending_settings.take()
+        else {
+            return;
+        };
         self.transport.retime(settings.limits.connect_timeout, conn_idle);
         let classes = (&self.names.classes, self.balancer.settings());
         let from = self.dropped.merge(classes, &mut names, &mut settings, self.clock.now());
@@ -206,8 +217,9 @@
         match ask {
             PeerRequest::Export(give) => {
                 let (map, workers) = (self.workers.lines(), self.workers.names());
-                let legacy = Legacy::new(self.generation, map, workers, &self.names, self.balancer.export());
-                let _ = give.send(legacy.encode());
+                let handover =
+                    HandoverState::new(self.generation, map, workers, &self.names, self.balancer.export());
+                let _ = give.send(handover.encode());
             }
             PeerRequest::UnderWay(give) => {
                 let _ = give.send((self.jobs.ids(), self.transport.keep_a_part()));
--- a/balancer/core/src/dispatch/random_order_tests.rs
+++ b/balancer/core/src/dispatch/random_order_tests.rs
@@ -148,17 +148,17 @@
         let (cancel, copies, told) = (dice.u8(..4) > 0, dice.bool(), dice.bool());
         let (clock, net) = (Clock::by_hand(), Model::default());
         let (exchange, inbox) = Exchange::new();
-        let around = Around {
+        let dependencies = DispatchDependencies {
             exchange,
             transport: net.clone(),
             worker_list: WorkerListWatcher::unheard(clock),
             peer_process: PeerProcess::default(),
-            newer: Newer::default(),
+            pending_settings: PendingSettings::default(),
             counters: Arc::default(),
             stopping: Stopping::new(3_000.0),
             clock,
         };
-        let mut dispatch = Dispatch::new(&config(cancel, copies, told), around);
+        let mut dispatch = Dispatch::new(&config(cancel, copies, told), dependencies);
         let entries = (0..WORKERS).map(|worker| line(worker, WorkerState::Active)).collect();
         dispatch.begin(Some(WorkerListUpdate { whole: true, generation: Some(1), entries }), None);
         World {
--- a/balancer/core/src/dispatch/settings_reload.rs
+++ b/balancer/core/src/dispatch/settings_reload.rs
@@ -11,7 +11,7 @@
 const ON_THE_WAY_MS: f64 = 1_000.0;
 
 /// What a reload brings the core.
-pub struct Tuned {
+pub struct ReloadedSettings {
     pub settings: mr::Settings,
     pub names: Names,
     /// How long a kept connection to a worker may stand idle (ms).
@@ -20,15 +20,15 @@
 
 /// New settings on their way to the core; only the latest count.
 #[derive(Clone, Default)]
-pub struct Newer(Arc<Mutex<Option<Tuned>>>);
+pub struct PendingSettings(Arc<Mutex<Option<ReloadedSettings>>>);
 
-impl Newer {
-    pub fn put(&self, tuned: Tuned, exchange: &Exchange) {
+impl PendingSettings {
+    pub fn put(&self, tuned: ReloadedSettings, exchange: &Exchange) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(tuned);
         exchange.put(Message::Retuned);
     }
 
-    pub(super) fn take(&self) -> Option<Tuned> {
+    pub(super) fn take(&self) -> Option<ReloadedSettings> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 }
--- a/balancer/core/src/worker_transport/mod.rs
+++ b/balancer/core/src/worker_transport/mod.rs
@@ -147,7 +147,7 @@
 impl HttpTransport {
     /// `neighbour` says what another process of an upgrade may hold of the connections.
     pub fn new(
-        limits: pool::Limits,
+        limits: pool::ConnectionLimits,
         exchange: Exchange,
         peer_process: PeerProcess,
         counters: Arc<Counters>,
@@ -189,7 +189,7 @@
                 stop.firm.store(firm, Ordering::Release);
                 stop.leave(accepted);
                 may::go!(move || {
-                    may::coroutine::sleep(span(shared.pool.limits().call_off_grace));
+                    may::coroutine::sleep(span(shared.pool.limits().cancel_grace));
                     stop.cut.now();
                 });
             }
@@ -235,7 +235,7 @@
     }
 }
 
-pub use pool::Limits;
+pub use pool::ConnectionLimits;
 
 #[cfg(test)]
 mod tests;
--- a/balancer/core/src/worker_transport/pool.rs
+++ b/balancer/core/src/worker_transport/pool.rs
@@ -23,15 +23,15 @@
 const PLACE_PAUSE_MS: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct ConnectionLimits {
     pub connections: usize,
     pub connect_timeout: f64,
     pub conn_idle: f64,
     /// How long the 202 of an attempt that is given up is waited for (ms).
-    pub call_off_grace: f64,
+    pub cancel_grace: f64,
     /// An answer may come twice, the second some milliseconds late: taken for the next job's, it would say that one had
     /// failed or had never run. A connection on which an answer said more than that a job is taken rests so long (ms).
-    pub rest: f64,
+    pub reuse_delay: f64,
 }
 
 /// The settings' limit on a connect tells how long the way to a worker may take; an answer takes its own time.
@@ -39,7 +39,7 @@
 const LEAST_ANSWER_MS: f64 = 200.0;
 const MOST_ANSWER_MS: f64 = 2_000.0;
 
-impl Limits {
+impl ConnectionLimits {
     /// A worker that is there says within this time (ms) whether it takes a job; that does not depend on its queue.
     pub fn answer_time(&self) -> f64 {
         (ANSWER_FACTOR * self.connect_timeout).clamp(LEAST_ANSWER_MS, MOST_ANSWER_MS)
@@ -109,7 +109,7 @@
 pub struct Pool {
     idle: Mutex<IdleLimit>,
     /// The times in it change with the settings.
-    limits: Mutex<Limits>,
+    limits: Mutex<ConnectionLimits>,
     peer_process: PeerProcess,
     open: Arc<AtomicUsize>,
     /// By worker, the latest used last: it is used next, so that the others grow old and go.
@@ -119,13 +119,18 @@
 }
 
 impl Pool {
-    pub fn new(limits: Limits, peer_process: PeerProcess, counters: Arc<Counters>, clock: Clock) -> Self {
+    pub fn new(
+        limits: ConnectionLimits,
+        peer_process: PeerProcess,
+        counters: Arc<Counters>,
+        clock: Clock,
+    ) -> Self {
         let idle = Mutex::new(IdleLimit { learnt: f64::INFINITY, at: 0.0 });
         let (limits, open, kept) = (Mutex::new(limits), Arc::default(), Mutex::default());
         Pool { idle, limits, peer_process, open, kept, counters, clock }
     }
 
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> ConnectionLimits {
         *self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -169,7 +174,7 @@
     /// `rests`: its last response must not be taken for the next one's.
     pub fn keep(&self, worker: WorkerId, connection: Connection, rests: bool) {
         let since = self.clock.now();
-        let until = if rests { since + self.limits().rest } else { since };
+        let until = if rests { since + self.limits().reuse_delay } else { since };
         self.kept().entry(worker).or_default().push(Kept { connection, since, until });
     }
 
--- a/balancer/core/src/worker_transport/pool/tests.rs
+++ b/balancer/core/src/worker_transport/pool/tests.rs
@@ -7,7 +7,13 @@
     let (counters, clock) = (Arc::new(Counters::default()), Clock::start());
     (
         Pool::new(
-            Limits { connections, connect_timeout: 5000.0, conn_idle, call_off_grace: 0.0, rest: 60_000.0 },
+            ConnectionLimits {
+                connections,
+                connect_timeout: 5000.0,
+                conn_idle,
+                cancel_grace: 0.0,
+                reuse_delay: 60_000.0,
+            },
             PeerProcess::default(),
             counters.clone(),
             clock,
--- a/balancer/core/src/worker_transport/tests.rs
+++ b/balancer/core/src/worker_transport/tests.rs
@@ -9,21 +9,26 @@
 const ATTEMPT: AttemptId = AttemptId { ticket: 1, number: 0 };
 
 /// A delivery attempt that has reached its worker, which has not answered yet.
-fn under_way(call_off_grace: f64) -> (HttpTransport, WorkerEndpoint, Arc<Job>, TcpStream, Inbox) {
+fn under_way(cancel_grace: f64) -> (HttpTransport, WorkerEndpoint, Arc<Job>, TcpStream, Inbox) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (transport, worker, job, inbox) = begun(&listener, call_off_grace);
+    let (transport, worker, job, inbox) = begun(&listener, cancel_grace);
     let mut peer = listener.accept().unwrap().0;
     assert!(read_to(&mut peer, "body").starts_with("POST /api HTTP/1.1"));
     (transport, worker, job, peer, inbox)
 }
 
-fn begun(listener: &TcpListener, call_off_grace: f64) -> (HttpTransport, WorkerEndpoint, Arc<Job>, Inbox) {
+fn begun(listener: &TcpListener, cancel_grace: f64) -> (HttpTransport, WorkerEndpoint, Arc<Job>, Inbox) {
     let open = Arc::new(AtomicBool::new(true));
     let worker = WorkerEndpoint { id: 3, address: listener.local_addr().unwrap(), open };
     let (exchange, inbox) = Exchange::new();
     let clock = Clock::start();
-    let limits =
-        Limits { connections: 4, connect_timeout: 60_000.0, conn_idle: 1e9, call_off_grace, rest: 60_000.0 };
+    let limits = ConnectionLimits {
+        connections: 4,
+        connect_timeout: 60_000.0,
+        conn_idle: 1e9,
+        cancel_grace,
+        reuse_delay: 60_000.0,
+    };
     let transport = HttpTransport::new(limits, exchange, PeerProcess::default(), Arc::default(), clock);
     let verbatim = Verbatim {
         method: "POST".to_owned(),
--- a/balancer/dispatcher/src/reload.rs
+++ b/balancer/dispatcher/src/reload.rs
@@ -3,7 +3,7 @@
 use crate::logging::Threshold;
 use millrudder_config::settings::Settings;
 use millrudder_config::{classes, Source};
-use millrudder_core::dispatch::{Newer, Tuned};
+use millrudder_core::dispatch::{PendingSettings, ReloadedSettings};
 use millrudder_exchange::clock::Clock;
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::intake::Classes;
@@ -21,7 +21,7 @@
     pub admission_gate: AdmissionGate,
     pub threshold: Threshold,
     /// Where new settings go: the core, the fronts, the planned stop.
-    pub newer: Newer,
+    pub pending_settings: PendingSettings,
     pub classes: Classes,
     pub stopping: Stopping,
     pub advice: Advice,
@@ -46,7 +46,7 @@
                 self.advice.allow(platform.settings.limits.retry_after);
                 // The core first: no front lets a job in whose class it does not know.
                 let (settings, names, conn_idle) = (platform.settings, platform.names, platform.conn_idle);
-                self.newer.put(Tuned { settings, names, conn_idle }, exchange);
+                self.pending_settings.put(ReloadedSettings { settings, names, conn_idle }, exchange);
                 self.classes.replace(taken, self.clock.now());
                 exchange.put(Message::Discovery(platform.discovery));
             }
--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -7,7 +7,7 @@
 use millrudder_admission::Capacity;
 use millrudder_config::settings::Settings;
 use millrudder_config::{Config, Source};
-use millrudder_core::dispatch::{Around, Dispatch, Legacy, Newer};
+use millrudder_core::dispatch::{Dispatch, DispatchDependencies, HandoverState, PendingSettings};
 use millrudder_core::worker_list::WorkerListWatcher;
 use millrudder_core::worker_transport::{self, HttpTransport};
 use millrudder_exchange::clock::{span, Clock};
@@ -75,7 +75,7 @@
     let shares = config.budget.share_out(&settings);
     let capacity = Capacity { places: shares.places, bytes: shares.bodies };
     let admission_gate = AdmissionGate::new(capacity, &shares.weights, clock);
-    let (newer, classes) = (Newer::default(), Classes::new(config.classes()));
+    let (pending_settings, classes) = (PendingSettings::default(), Classes::new(config.classes()));
     let advice = Advice::new(config.settings.limits.retry_after);
     let reload = files.map(|(source, file)| Reload {
         source,
@@ -83,7 +83,7 @@
         running: settings.clone(),
         admission_gate: admission_gate.clone(),
         threshold,
-        newer: newer.clone(),
+        pending_settings: pending_settings.clone(),
         classes: classes.clone(),
         stopping: stopping.clone(),
         advice: advice.clone(),
@@ -92,17 +92,17 @@
     signals::listen(signals, reload, exchange.clone(), counters.clone(), log.clone())
         .map_err(StartError::Signals)?;
 
-    let limits = worker_transport::Limits {
+    let limits = worker_transport::ConnectionLimits {
         connections: config.budget.worker_connections,
         connect_timeout: config.settings.limits.connect_timeout,
         conn_idle: config.conn_idle,
-        call_off_grace: CALL_OFF_GRACE_MS,
-        rest: REST_MS,
+        cancel_grace: CALL_OFF_GRACE_MS,
+        reuse_delay: REST_MS,
     };
     let transport =
         HttpTransport::new(limits, exchange.clone(), peer_process.clone(), counters.clone(), clock);
     let (generation, known) = match &legacy {
-        Some(legacy) => (legacy.generation(), Some(legacy.map())),
+        Some(legacy) => (legacy.generation(), Some(legacy.worker_list())),
         None => config.known.clone().map(|list| (Some(list.generation), Some(list.news))).unwrap_or_default(),
     };
     let worker_list = WorkerListWatcher::follow(
@@ -128,17 +128,17 @@
     };
     let control = settings.upgrade.control.as_deref().map(|path| status::open(path, &core)).transpose()?;
     let sender = SenderSide::new(shares.http, core.clone());
-    let around = Around {
+    let dependencies = DispatchDependencies {
         exchange: exchange.clone(),
         transport,
         worker_list,
         peer_process: peer_process.clone(),
-        newer,
+        pending_settings,
         counters,
         stopping,
         clock,
     };
-    let dispatch = Dispatch::new(&config, around);
+    let dispatch = Dispatch::new(&config, dependencies);
 
     if let Some(address) = config.mgmt {
         let desk = operators::bind(address).and_then(|listener| operators::open(listener, core.clone()));
@@ -205,8 +205,8 @@
     }
 }
 
-fn read_legacy(bytes: &[u8], log: &Logger) -> Option<Legacy> {
-    Legacy::decode(bytes)
+fn read_legacy(bytes: &[u8], log: &Logger) -> Option<HandoverState> {
+    HandoverState::decode(bytes)
         .map_err(|why| slog::warn!(log, "upgrade: what the old process knows cannot be used"; "why" => %why))
         .ok()
 }
