--- a/balancer/core/src/dispatch/handover_state.rs
+++ b/balancer/core/src/dispatch/handover_state.rs
@@ -8,10 +8,10 @@
 use thiserror::Error;
 
 /// Of this form; another is refused whole.
-const VERSION: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 
 /// Deepest nesting of the CBOR that is read; what is written nests less deeply.
-const MAX_NESTING: usize = 16;
+const MAX_CBOR_DEPTH: usize = 16;
 
 /// Why bytes are not what a predecessor of this version leaves.
 #[derive(Debug, Error)]
@@ -20,8 +20,8 @@
     #[error(transparent)]
     Malformed(#[from] ciborium::de::Error<std::io::Error>),
     /// Another version of the program wrote them.
-    #[error("a legacy of form {found}, {VERSION} is wanted")]
-    Version {
+    #[error("a state of form {found}, {FORMAT_VERSION} is wanted")]
+    UnsupportedVersion {
         /// The form that they say they have.
         found: u32,
     },
@@ -31,25 +31,35 @@
 pub struct HandoverState {
     pub(super) version: u32,
     pub(super) generation: Option<u64>,
-    pub(super) map: Vec<WorkerEntry>,
+    #[serde(rename = "map")]
+    pub(super) worker_list: Vec<WorkerEntry>,
     /// Names by number.
     #[serde(rename = "hops")]
-    pub(super) workers: Vec<String>,
+    pub(super) worker_names: Vec<String>,
     pub(super) classes: Vec<String>,
     pub(super) kinds: Vec<String>,
-    pub(super) memory: mr::LearnedState,
+    #[serde(rename = "memory")]
+    pub(super) learned_state: mr::LearnedState,
 }
 
 impl HandoverState {
     pub(super) fn new(
         generation: Option<u64>,
-        map: Vec<WorkerEntry>,
-        workers: Vec<String>,
+        worker_list: Vec<WorkerEntry>,
+        worker_names: Vec<String>,
         names: &Names,
-        memory: mr::LearnedState,
+        learned_state: mr::LearnedState,
     ) -> Self {
         let (classes, kinds) = (names.classes.clone(), names.kinds.clone());
-        HandoverState { version: VERSION, generation, map, workers, classes, kinds, memory }
+        HandoverState {
+            version: FORMAT_VERSION,
+            generation,
+            worker_list,
+            worker_names,
+            classes,
+            kinds,
+            learned_state,
+        }
     }
 
     pub(super) fn encode(&self) -> Vec<u8> {
@@ -64,16 +74,16 @@
     /// # Errors
     /// [`LegacyError`]: the bytes are of another form, or of none.
     pub fn decode(bytes: &[u8]) -> Result<Self, HandoverStateError> {
-        let legacy: HandoverState = ciborium::de::from_reader_with_recursion_limit(bytes, MAX_NESTING)?;
-        match legacy.version {
-            VERSION => Ok(legacy),
-            found => Err(HandoverStateError::Version { found }),
+        let state: HandoverState = ciborium::de::from_reader_with_recursion_limit(bytes, MAX_CBOR_DEPTH)?;
+        match state.version {
+            FORMAT_VERSION => Ok(state),
+            found => Err(HandoverStateError::UnsupportedVersion { found }),
         }
     }
 
     /// The map, as the predecessor held it.
     pub fn worker_list(&self) -> WorkerListUpdate {
-        WorkerListUpdate { whole: true, generation: self.generation, entries: self.map.clone() }
+        WorkerListUpdate { whole: true, generation: self.generation, entries: self.worker_list.clone() }
     }
 
     pub fn generation(&self) -> Option<u64> {
@@ -81,9 +91,13 @@
     }
 
     /// The memory in a successor's numbers; what has no name there is left out.
-    pub(super) fn memory(&self, names: &Names, mut number: impl FnMut(&str) -> WorkerId) -> mr::LearnedState {
-        let numbers: Vec<WorkerId> = self.workers.iter().map(|name| number(name)).collect();
-        let new_id = |id: WorkerId| numbers.get(id as usize).copied();
+    pub(super) fn learned_state(
+        &self,
+        names: &Names,
+        mut assign_id: impl FnMut(&str) -> WorkerId,
+    ) -> mr::LearnedState {
+        let ids: Vec<WorkerId> = self.worker_names.iter().map(|name| assign_id(name)).collect();
+        let new_id = |id: WorkerId| ids.get(id as usize).copied();
         let kind = |known: &mr::LearnedKind| {
             let kind = match known.kind {
                 None => None,
@@ -93,16 +107,21 @@
         };
         let time = |name: &String| {
             let known = self.classes.iter().position(|class| class == name);
-            known.and_then(|i| self.memory.class_time.get(i)).copied().unwrap_or_default()
+            known.and_then(|i| self.learned_state.class_time.get(i)).copied().unwrap_or_default()
         };
         let worker =
             |known: &mr::LearnedWorker| Some(mr::LearnedWorker { id: new_id(known.id)?, ..known.clone() });
         mr::LearnedState {
             class_time: names.classes.iter().map(time).collect(),
-            kinds: self.memory.kinds.iter().filter_map(kind).collect(),
-            workers: self.memory.workers.iter().filter_map(worker).collect(),
-            banned: self.memory.banned.iter().filter_map(|(id, at)| Some((new_id(*id)?, *at))).collect(),
-            ..self.memory.clone()
+            kinds: self.learned_state.kinds.iter().filter_map(kind).collect(),
+            workers: self.learned_state.workers.iter().filter_map(worker).collect(),
+            banned: self
+                .learned_state
+                .banned
+                .iter()
+                .filter_map(|(id, at)| Some((new_id(*id)?, *at)))
+                .collect(),
+            ..self.learned_state.clone()
         }
     }
 }
--- a/balancer/core/src/dispatch/handover_state/golden_tests.rs
+++ b/balancer/core/src/dispatch/handover_state/golden_tests.rs
@@ -6,7 +6,7 @@
 use millrudder_exchange::{WorkerEntry, WorkerState};
 use millrudder_testing::golden::Golden;
 
-fn memory() -> mr::LearnedState {
+fn learned_state() -> mr::LearnedState {
     let flight = mr::LearnedAttempt { request: 71, attempt: 2, slots: 1.5, work: 72.0, sent_at: 73.0 };
     let worker = mr::LearnedWorker {
         id: 1,
@@ -61,13 +61,18 @@
 }
 
 #[test]
-fn all_that_is_left_to_a_successor() {
+fn handover_state_matches_the_golden_file() {
     let names = Names { classes: vec!["a".to_owned()], kinds: vec!["large".to_owned()], ..Names::default() };
     let unresolved = WorkerEntry { address: None, started_at: None, ..entry("s-2", WorkerState::Leaving) };
-    let map = vec![entry("s-1", WorkerState::Active), unresolved];
-    let legacy =
-        HandoverState::new(Some(41), map, vec!["s-1".to_owned(), "s-2".to_owned()], &names, memory());
+    let worker_list = vec![entry("s-1", WorkerState::Active), unresolved];
+    let state = HandoverState::new(
+        Some(41),
+        worker_list,
+        vec!["s-1".to_owned(), "s-2".to_owned()],
+        &names,
+        learned_state(),
+    );
     let mut golden = Golden::open("tests/golden/legacy.txt");
-    golden.check("legacy", &legacy, HandoverState::encode, |bytes| HandoverState::decode(bytes).unwrap());
+    golden.check("legacy", &state, HandoverState::encode, |bytes| HandoverState::decode(bytes).unwrap());
     golden.finish();
 }
--- a/balancer/core/src/dispatch/handover_state/tests.rs
+++ b/balancer/core/src/dispatch/handover_state/tests.rs
@@ -9,18 +9,18 @@
 }
 
 #[test]
-fn numbers_are_translated_by_name() {
-    let memory = mr::LearnedState {
+fn ids_are_translated_by_name() {
+    let learned = mr::LearnedState {
         class_time: vec![(1.0, 1.0), (2.0, 1.0)],
         kinds: vec![mr::LearnedKind { kind: Some(1), cores: 4.0, ..mr::LearnedKind::default() }],
         banned: vec![(1, 5.0)],
         ..mr::LearnedState::default()
     };
     let workers = vec!["s-1".to_owned(), "s-2".to_owned()];
-    let old = HandoverState::new(Some(41), Vec::new(), workers, &names(&["a", "b"], &["x", "y"]), memory);
+    let old = HandoverState::new(Some(41), Vec::new(), workers, &names(&["a", "b"], &["x", "y"]), learned);
     let old = HandoverState::decode(&old.encode()).unwrap();
     let number = |name: &str| if name == "s-2" { 7 } else { 9 };
-    let new = old.memory(&names(&["b", "c"], &["y"]), number);
+    let new = old.learned_state(&names(&["b", "c"], &["y"]), number);
     assert_eq!(new.class_time, [(2.0, 1.0), (0.0, 0.0)]);
     assert_eq!((new.kinds[0].kind, new.kinds[0].cores), (Some(0), 4.0));
     assert_eq!(new.banned, [(7, 5.0)]);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_is_no_legacy_is_refused_not_misread() {
+fn malformed_handover_state_is_rejected() {
     let old = HandoverState::new(
         Some(41),
         Vec::new(),
@@ -37,6 +37,6 @@
         mr::LearnedState::default(),
     );
     garbage(21, &old.encode(), |bytes| drop(HandoverState::decode(bytes)));
-    let other = HandoverState { version: VERSION + 1, ..old };
+    let other = HandoverState { version: FORMAT_VERSION + 1, ..old };
     assert!(HandoverState::decode(&other.encode()).unwrap_err().to_string().contains("form 2"));
 }
--- a/balancer/core/src/dispatch/jobs/tests.rs
+++ b/balancer/core/src/dispatch/jobs/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use millrudder_exchange::{Answer, Failure, Front, Verbatim};
 
-fn entry() -> Entry {
+fn entry() -> JobEntry {
     let verbatim = Verbatim {
         method: "POST".to_owned(),
         target: "/api".to_owned(),
@@ -20,13 +20,13 @@
         deadline: 5000.0,
         verbatim,
     };
-    Entry::new(Arc::new(job), Reply::new(|| {}), &Limits { max_attempts: 5, ..Limits::default() })
+    JobEntry::new(Arc::new(job), Reply::new(|| {}), &Limits { max_attempts: 5, ..Limits::default() })
 }
 
 fn jobs() -> Jobs {
     let mut jobs = Jobs::default();
     jobs.insert(1, entry());
-    jobs.get_mut(1).unwrap().add(7, 0.0, 5000.0, AttemptState::Sent);
+    jobs.get_mut(1).unwrap().add_attempt(7, 0.0, 5000.0, AttemptState::Sent);
     jobs
 }
 
@@ -37,80 +37,80 @@
     // Call-backs repeat and cross call-offs: a second outcome would be booked on the worker twice.
     let mut jobs = jobs();
     assert_eq!(jobs.attempt_at("t1", 7), Some(FIRST));
-    assert!(jobs.settle(FIRST, Outcome::Ok).is_some());
-    assert!(jobs.settle(FIRST, Outcome::Ok).is_none());
+    assert!(jobs.end_attempt(FIRST, Outcome::Ok).is_some());
+    assert!(jobs.end_attempt(FIRST, Outcome::Ok).is_none());
     assert!(jobs.get_mut(1).unwrap().give_up(0, true, None).is_none());
     assert_eq!(jobs.attempt_at("t1", 7), None);
 }
 
 #[test]
-fn a_second_attempt_waits_for_the_call_off_at_the_same_worker() {
+fn a_second_attempt_waits_for_the_cancel_at_the_same_worker() {
     // A worker gets one attempt of a job at a time, also while a DELETE is on its way.
     let mut jobs = jobs();
     jobs.accept(FIRST);
     let entry = jobs.get_mut(1).unwrap();
-    assert_eq!(entry.at(7), Some(AttemptState::Accepted));
+    assert_eq!(entry.state_at(7), Some(AttemptState::Accepted));
     assert!(entry.give_up(0, true, None).is_some_and(|s| s.was_sent));
-    assert_eq!(entry.at(7), Some(AttemptState::CallingOff));
-    entry.add(7, 1.0, 5000.0, AttemptState::Parked);
+    assert_eq!(entry.state_at(7), Some(AttemptState::Cancelling));
+    entry.add_attempt(7, 1.0, 5000.0, AttemptState::AwaitingCancel);
     let second = AttemptId { ticket: 1, number: 1 };
     assert_eq!(jobs.attempt_at("t1", 7), None, "the parked one has not been sent");
-    assert_eq!(jobs.called_off(FIRST), Some((second, 7)));
+    assert_eq!(jobs.cancelled(FIRST), Some((second, 7)));
     assert_eq!(jobs.attempt_at("t1", 7), Some(second));
-    assert_eq!(jobs.called_off(FIRST), None, "once");
+    assert_eq!(jobs.cancelled(FIRST), None, "once");
 }
 
 #[test]
-fn where_no_two_may_be_out_an_outcome_waits_for_the_call_off() {
+fn without_parallel_attempts_an_outcome_waits_for_the_cancel() {
     // Sent again while the DELETE could not reach a cut-off worker: a second copy, which the site did not allow.
     let mut jobs = jobs();
     jobs.accept(FIRST);
     let entry = jobs.get_mut(1).unwrap();
     assert!(entry.give_up(0, true, Some(Outcome::Canceled)).is_some_and(|s| s.was_sent));
     assert!(entry.give_up(0, true, Some(Outcome::Canceled)).is_none(), "it is told once");
-    assert_eq!(jobs.owing(FIRST), Some(Outcome::Canceled));
+    assert_eq!(jobs.deferred_outcome(FIRST), Some(Outcome::Canceled));
     assert_eq!(jobs.attempt_at("t1", 7), Some(FIRST), "its result still counts");
     // The job's own end waits for nobody: nothing is sent after it.
     let entry = jobs.get_mut(1).unwrap();
     assert!(entry.give_up(0, true, None).is_some_and(|s| !s.was_sent), "and is not told again");
-    assert_eq!((jobs.owing(FIRST), jobs.attempt_at("t1", 7)), (None, None));
+    assert_eq!((jobs.deferred_outcome(FIRST), jobs.attempt_at("t1", 7)), (None, None));
 }
 
 #[test]
-fn one_that_was_silent_may_have_the_job_and_gets_it_no_second_time() {
+fn a_silent_worker_is_not_sent_the_same_job_again() {
     // Its 202 was lost: found by a random order, seed 22.
     let mut jobs = jobs();
-    assert!(jobs.settle(FIRST, Outcome::TimedOut).is_some());
+    assert!(jobs.end_attempt(FIRST, Outcome::TimedOut).is_some());
     let entry = jobs.get_mut(1).unwrap();
-    assert_eq!((entry.at(7), entry.live().len()), (Some(AttemptState::Unheard), 0));
+    assert_eq!((entry.state_at(7), entry.live_attempts().len()), (Some(AttemptState::Unresolved), 0));
     assert_eq!(jobs.attempt_at("t1", 7), None, "its outcome is booked");
 }
 
 #[test]
-fn nothing_waits_for_a_call_off_that_is_not_made() {
+fn an_attempt_given_up_without_a_cancel_ends_at_once() {
     let mut jobs = jobs();
     jobs.accept(FIRST);
     let entry = jobs.get_mut(1).unwrap();
     assert!(entry.give_up(0, false, None).is_some_and(|s| s.was_sent));
-    assert_eq!((entry.at(7), entry.live().len()), (None, 0));
+    assert_eq!((entry.state_at(7), entry.live_attempts().len()), (None, 0));
     assert_eq!(jobs.attempt_at("t1", 7), None);
 }
 
 #[test]
-fn a_job_stays_until_answered_and_settled() {
+fn a_job_stays_until_answered_and_all_attempts_end() {
     let mut jobs = jobs();
-    jobs.get_mut(1).unwrap().reply.take_owed().unwrap().give(Answer::Failed(Failure::Late));
-    jobs.forget_if_over(1);
+    jobs.get_mut(1).unwrap().reply.take().unwrap().give(Answer::Failed(Failure::Late));
+    jobs.forget_if_finished(1);
     assert_eq!(jobs.find("t1"), Some(1), "an attempt is out");
-    assert_eq!(jobs.owed(), 0);
-    jobs.settle(FIRST, Outcome::Ok);
-    jobs.forget_if_over(1);
+    assert_eq!(jobs.unanswered(), 0);
+    jobs.end_attempt(FIRST, Outcome::Ok);
+    jobs.forget_if_finished(1);
     assert_eq!(jobs.find("t1"), None);
 }
 
 #[test]
-fn a_start_is_told_once() {
+fn a_start_is_reported_once() {
     let mut jobs = jobs();
-    assert!(jobs.note_start(FIRST));
-    assert!(!jobs.note_start(FIRST));
+    assert!(jobs.record_start(FIRST));
+    assert!(!jobs.record_start(FIRST));
 }
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -9,10 +9,10 @@
 mod timers;
 mod translate;
 
-use crate::worker_list::{Call, WorkerListWatcher};
+use crate::worker_list::{ListRequest, WorkerListWatcher};
 use crate::worker_transport::{HttpTransport, WorkerTransport};
 pub use handover_state::{HandoverState, HandoverStateError};
-use jobs::{AttemptState, Entry, Jobs, Settled};
+use jobs::{AttemptState, EndedAttempt, JobEntry, Jobs};
 use millrudder as mr;
 use millrudder_config::{Config, Names};
 use millrudder_exchange::clock::Clock;
@@ -23,7 +23,7 @@
     Order, OrderResult, PeerProcess, PeerRequest, Progress, Reply, Ticket, Transfer, WorkerId,
     WorkerListUpdate,
 };
-use settings_reload::Dropped;
+use settings_reload::DroppedClasses;
 pub use settings_reload::{PendingSettings, ReloadedSettings};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -32,15 +32,15 @@
 
 /// The module answers the time-out at the deadline; what it has left open this much later (ms, inside the
 /// rules' `answer_slack`) is answered as failed.
-const OVERDUE_MS: f64 = 5.0;
+const ANSWER_OVERDUE_MS: f64 = 5.0;
 /// Kept connections are looked through this often (ms) ...
-const TIDY_MS: f64 = 500.0;
+const CLOSE_STALE_INTERVAL_MS: f64 = 500.0;
 /// ... and waits for an answer of workers and of discovery this often.
-const OVERLOOK_MS: f64 = 50.0;
+const ABORT_OVERDUE_INTERVAL_MS: f64 = 50.0;
 
 /// Where lists are pushed, an agent of this dispatcher's own holds them, and what it has counts as told: a watch there that
 /// has failed is opened anew so soon (ms), with no regard to other dispatchers.
-const PUSHED_AGAIN_MS: f64 = 50.0;
+const REOPEN_WATCH_DELAY_MS: f64 = 50.0;
 
 pub struct Dispatch<W = HttpTransport> {
     balancer: mr::Balancer,
@@ -57,7 +57,7 @@
     generation: Option<u64>,
     peer_process: PeerProcess,
     pending_settings: PendingSettings,
-    dropped: Dropped,
+    dropped_classes: DroppedClasses,
     counters: Arc<Counters>,
     stopping: Stopping,
     clock: Clock,
@@ -88,12 +88,12 @@
             clock,
         } = dependencies;
         let settings = config.settings.clone();
-        let dropped_stay = settings.rules.unlisted_stay_open;
+        let keep_dropped_open = settings.rules.unlisted_stay_open;
         Dispatch {
             balancer: mr::Balancer::new(settings, config.seed),
             names: config.names.clone(),
             jobs: Jobs::default(),
-            workers: WorkerTable::new(dropped_stay),
+            workers: WorkerTable::new(keep_dropped_open),
             timers: Timers::default(),
             queued: VecDeque::new(),
             exchange,
@@ -102,7 +102,7 @@
             generation: None,
             peer_process,
             pending_settings,
-            dropped: Dropped::default(),
+            dropped_classes: DroppedClasses::default(),
             counters,
             stopping,
             clock,
@@ -115,25 +115,25 @@
     pub fn run(mut self, inbox: &Inbox, known: Option<WorkerListUpdate>, handover: Option<&HandoverState>) {
         self.begin(known, handover);
         while !self.is_done() {
-            if let Ok(message) = inbox.recv_timeout(self.timers.wait(self.clock.now())) {
-                self.take(message);
+            if let Ok(message) = inbox.recv_timeout(self.timers.time_to_next(self.clock.now())) {
+                self.handle_message(message);
                 while let Ok(message) = inbox.try_recv() {
-                    self.take(message);
+                    self.handle_message(message);
                 }
             }
-            self.fire_due();
+            self.run_due_timers();
         }
     }
 
     fn begin(&mut self, known: Option<WorkerListUpdate>, handover: Option<&HandoverState>) {
         let known = known.unwrap_or(WorkerListUpdate { whole: true, generation: None, entries: Vec::new() });
-        self.on_map(known, mr::ListKind::Restored);
-        handover.into_iter().for_each(|handover| self.inherit(handover));
+        self.on_worker_list(known, mr::ListKind::Restored);
+        handover.into_iter().for_each(|handover| self.import_handover_state(handover));
         if self.lists_are_pushed() {
-            self.worker_list.ask(Call::Watch);
+            self.worker_list.request(ListRequest::Watch);
         }
-        self.timers.arm(self.clock.now() + TIDY_MS, Due::Tidy);
-        self.timers.arm(self.clock.now() + OVERLOOK_MS, Due::Overlook);
+        self.timers.set(self.clock.now() + CLOSE_STALE_INTERVAL_MS, Due::CloseStale);
+        self.timers.set(self.clock.now() + ABORT_OVERDUE_INTERVAL_MS, Due::AbortOverdue);
     }
 
     /// Lists come unasked, as the module sees it: the watch is held here, and the module is told of no failure.
@@ -141,61 +141,61 @@
         !self.balancer.settings().list_by_call
     }
 
-    fn fire_due(&mut self) {
+    fn run_due_timers(&mut self) {
         let now = self.clock.now();
-        while let Some(due) = self.timers.due(now) {
-            self.fire(due);
+        while let Some(due) = self.timers.pop_due(now) {
+            self.on_due(due);
         }
     }
 
     fn is_done(&self) -> bool {
         let now = self.clock.now();
-        self.stopping.grace_is_over(now) && self.jobs.owed() == 0
+        self.stopping.grace_is_over(now) && self.jobs.unanswered() == 0
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
             Message::Submitted { ticket, job, reply } => self.on_submitted(ticket, job, reply),
             Message::Withdrawn { ticket } => self.on_withdrawn(ticket),
-            Message::News(news) => self.on_news(news),
+            Message::News(news) => self.on_call_back(news),
             Message::Accepted { attempt } => self.on_accepted(attempt),
             Message::Ended { attempt, end, load } => self.on_ended(attempt, end, load.as_ref()),
-            Message::CalledOff { attempt } => self.on_called_off(attempt),
+            Message::CalledOff { attempt } => self.on_cancelled(attempt),
             Message::Probed { worker, end, latency, load } => {
                 let outcome = end.map_or(mr::Outcome::Ok, translate::outcome);
                 let load = load.map(|l| translate::load(&self.names, &l));
-                self.feed(mr::Event::Probed { worker, outcome, latency, load });
+                self.handle_event(mr::Event::Probed { worker, outcome, latency, load });
             }
             Message::WorkerList(news) => {
                 let kind = if news.whole { mr::ListKind::Replace } else { mr::ListKind::Update };
-                self.on_map(news, kind);
+                self.on_worker_list(news, kind);
             }
             Message::WorkerListUnavailable if self.lists_are_pushed() => {
-                self.timers.arm(self.clock.now() + PUSHED_AGAIN_MS, Due::Watch);
+                self.timers.set(self.clock.now() + REOPEN_WATCH_DELAY_MS, Due::ReopenWatch);
             }
             Message::WorkerListUnavailable => {
-                self.feed(mr::Event::List { kind: mr::ListKind::Unavailable, entries: Vec::new() });
+                self.handle_event(mr::Event::List { kind: mr::ListKind::Unavailable, entries: Vec::new() });
             }
             Message::Retuned => self.on_settings(),
-            Message::Discovery(address) => self.worker_list.turn_to(address),
+            Message::Discovery(address) => self.worker_list.switch_to(address),
             Message::Stop => self.on_stop(),
-            Message::Ordered(asked) => asked.carry_out(|order| self.on_order(order)),
-            Message::PeerRequest(ask) => self.on_ask(ask),
+            Message::Ordered(pending) => pending.carry_out(|order| self.on_order(order)),
+            Message::PeerRequest(request) => self.on_peer_request(request),
             Message::Nudge => {}
         }
     }
 
-    fn inherit(&mut self, handover: &HandoverState) {
-        let memory = handover.memory(&self.names, |name| self.workers.number(name));
+    fn import_handover_state(&mut self, handover: &HandoverState) {
+        let learned = handover.learned_state(&self.names, |name| self.workers.assign_id(name));
         let names = self.workers.names();
-        match self.balancer.import(&memory) {
+        match self.balancer.import(&learned) {
             Ok(()) => self.counters.legacies.add(),
             // To start afresh is safe; bans are not for the module to lose.
             Err(_) => self.counters.legacies_bad.add(),
         }
-        for (worker, _) in &memory.banned {
+        for (worker, _) in &learned.banned {
             self.workers.ban(&names[*worker as usize], true);
-            self.feed(mr::Event::Ban { worker: *worker, on: true });
+            self.handle_event(mr::Event::Ban { worker: *worker, on: true });
         }
     }
 
@@ -205,51 +205,56 @@
         else {
             return;
         };
-        self.transport.retime(settings.limits.connect_timeout, conn_idle);
+        self.transport.set_timeouts(settings.limits.connect_timeout, conn_idle);
         let classes = (&self.names.classes, self.balancer.settings());
-        let from = self.dropped.merge(classes, &mut names, &mut settings, self.clock.now());
+        let from = self.dropped_classes.merge(classes, &mut names, &mut settings, self.clock.now());
         self.names = names;
-        self.workers.dropped_stay = settings.rules.unlisted_stay_open;
-        self.feed(mr::Event::Settings { settings: Box::new(settings), from });
-    }
-
-    fn on_ask(&mut self, ask: PeerRequest) {
-        match ask {
-            PeerRequest::Export(give) => {
-                let (map, workers) = (self.workers.lines(), self.workers.names());
-                let handover =
-                    HandoverState::new(self.generation, map, workers, &self.names, self.balancer.export());
-                let _ = give.send(handover.encode());
+        self.workers.keep_dropped_open = settings.rules.unlisted_stay_open;
+        self.handle_event(mr::Event::Settings { settings: Box::new(settings), from });
+    }
+
+    fn on_peer_request(&mut self, request: PeerRequest) {
+        match request {
+            PeerRequest::Export(reply) => {
+                let (worker_list, worker_names) = (self.workers.entries(), self.workers.names());
+                let handover = HandoverState::new(
+                    self.generation,
+                    worker_list,
+                    worker_names,
+                    &self.names,
+                    self.balancer.export(),
+                );
+                let _ = reply.send(handover.encode());
             }
-            PeerRequest::UnderWay(give) => {
-                let _ = give.send((self.jobs.ids(), self.transport.keep_a_part()));
+            PeerRequest::UnderWay(reply) => {
+                let _ = reply.send((self.jobs.ids(), self.transport.share_connections()));
             }
             PeerRequest::Landed { worker: name, job, attempt } => {
-                let Some(worker) = self.workers.find(&name) else { return };
+                let Some(worker) = self.workers.id_of(&name) else { return };
                 let mut actions = Vec::new();
                 self.balancer.foreign_ended(worker, job, attempt, &mut actions);
-                self.act_all(actions);
+                self.execute_all(actions);
             }
             PeerRequest::Gone => {
                 let mut actions = Vec::new();
                 self.balancer.foreign_gone(&mut actions);
-                self.act_all(actions);
+                self.execute_all(actions);
             }
         }
     }
 
-    fn act_all(&mut self, actions: Vec<mr::Action>) {
-        actions.into_iter().for_each(|action| self.act(action));
-        self.feed_queued();
+    fn execute_all(&mut self, actions: Vec<mr::Action>) {
+        actions.into_iter().for_each(|action| self.execute(action));
+        self.handle_queued_events();
     }
 
-    fn on_map(&mut self, news: WorkerListUpdate, kind: mr::ListKind) {
+    fn on_worker_list(&mut self, news: WorkerListUpdate, kind: mr::ListKind) {
         if news.whole {
-            self.workers.expect_all();
+            self.workers.begin_full_list();
         }
         self.generation = news.generation.or(self.generation);
-        let entries = news.entries.iter().map(|entry| self.workers.entry(&self.names, entry)).collect();
-        self.feed(mr::Event::List { kind, entries });
+        let entries = news.entries.iter().map(|entry| self.workers.apply(&self.names, entry)).collect();
+        self.handle_event(mr::Event::List { kind, entries });
     }
 
     fn on_order(&mut self, order: &Order) -> OrderResult {
@@ -259,7 +264,7 @@
         };
         let worker = self.workers.ban(name, on).ok_or("no list has ever named it")?;
         if on { &self.counters.bans } else { &self.counters.bans_ended }.add();
-        self.feed(mr::Event::Ban { worker, on });
+        self.handle_event(mr::Event::Ban { worker, on });
         Ok(())
     }
 
@@ -277,40 +282,40 @@
             return;
         }
         self.counters.taken.add();
-        self.tell_neighbour(|| Transfer::Began(job.trace_id.clone()));
+        self.notify_peer_process(|| Transfer::Began(job.trace_id.clone()));
         let request = translate::request(&self.names, ticket, &job);
-        self.timers.arm(job.deadline, Due::Deadline(ticket));
+        self.timers.set(job.deadline, Due::Deadline(ticket));
         reply.note(|progress| progress.accepted = true);
-        self.jobs.insert(ticket, Entry::new(job, reply, &self.balancer.settings().limits));
-        self.feed(mr::Event::Request(request));
+        self.jobs.insert(ticket, JobEntry::new(job, reply, &self.balancer.settings().limits));
+        self.handle_event(mr::Event::Request(request));
     }
 
     fn on_withdrawn(&mut self, ticket: Ticket) {
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
-        if entry.reply.take_owed().is_some() {
+        if entry.reply.take().is_some() {
             let job = entry.job.clone();
-            self.tell_neighbour(|| Transfer::Ended(job.trace_id.clone()));
+            self.notify_peer_process(|| Transfer::Ended(job.trace_id.clone()));
             self.counters.withdrawn.add();
             self.queued.push_back(mr::Event::Lapsed { id: ticket });
-            self.hold_back(ticket);
-            self.jobs.forget_if_over(ticket);
-            self.feed_queued();
+            self.withhold_unsent(ticket);
+            self.jobs.forget_if_finished(ticket);
+            self.handle_queued_events();
         }
     }
 
     /// A call-back: matched by the job's id and the worker's name, and dropped if it fits no live attempt.
-    fn on_news(&mut self, news: JobNews) {
+    fn on_call_back(&mut self, news: JobNews) {
         self.counters.news.add();
         if self.peer_process.is_open() && self.jobs.find(&news.trace_id).is_none() {
-            let passed = news.body.map(|body| self.peer_process.put(Transfer::News(body)));
-            if matches!(passed, Some(Ok(()))) {
+            let passed_on = news.body.map(|body| self.peer_process.put(Transfer::News(body)));
+            if matches!(passed_on, Some(Ok(()))) {
                 self.counters.news_passed_on.add();
             } else {
                 self.counters.news_stale.add();
             }
             return;
         }
-        let worker = self.workers.find(&news.from);
+        let worker = self.workers.id_of(&news.from);
         let Some(attempt) = worker.and_then(|worker| self.jobs.attempt_at(&news.trace_id, worker)) else {
             self.counters.news_stale.add();
             return;
@@ -318,25 +323,25 @@
         let (id, number) = (attempt.ticket, attempt.number);
         match news.state {
             JobState::Started => {
-                if self.jobs.note_start(attempt) {
-                    self.tell(id, |progress| {
+                if self.jobs.record_start(attempt) {
+                    self.note_progress(id, |progress| {
                         progress.starts += 1;
                         progress.share = 0.0;
                     });
-                    self.feed(mr::Event::Started { id, attempt: number });
+                    self.handle_event(mr::Event::Started { id, attempt: number });
                 }
             }
             JobState::Running { share } => {
-                self.tell(id, |progress| progress.share = share.clamp(0.0, 1.0));
-                self.feed(mr::Event::Progress { id, attempt: number, share });
+                self.note_progress(id, |progress| progress.share = share.clamp(0.0, 1.0));
+                self.handle_event(mr::Event::Progress { id, attempt: number, share });
             }
             JobState::Done { result } => {
                 self.answer(id, Answer::Served { result });
-                self.settle(attempt, mr::Outcome::Ok, news.load.as_ref());
+                self.end_attempt(attempt, mr::Outcome::Ok, news.load.as_ref());
             }
-            JobState::Failed => self.settle(attempt, mr::Outcome::Failed, news.load.as_ref()),
-            JobState::Returned => self.settle(attempt, mr::Outcome::QueueFull, news.load.as_ref()),
-            JobState::Lost => self.settle(attempt, mr::Outcome::ResetByPeer, news.load.as_ref()),
+            JobState::Failed => self.end_attempt(attempt, mr::Outcome::Failed, news.load.as_ref()),
+            JobState::Returned => self.end_attempt(attempt, mr::Outcome::QueueFull, news.load.as_ref()),
+            JobState::Lost => self.end_attempt(attempt, mr::Outcome::ResetByPeer, news.load.as_ref()),
         }
     }
 
@@ -351,71 +356,77 @@
             AttemptEnd::Silent if self.jobs.has_started(attempt) => return self.jobs.accept(attempt),
             // Its 202 may be lost, and then no close of the connection gives it up: where no two may be out it is called off
             // as if it had been accepted, or, where that is not allowed, waited for.
-            AttemptEnd::Silent if self.jobs.is_alone(attempt.ticket) => {
+            AttemptEnd::Silent if self.jobs.is_exclusive(attempt.ticket) => {
                 if !self.balancer.settings().limits.cancel {
                     return self.jobs.accept(attempt);
                 }
                 self.give_up(attempt, mr::Outcome::TimedOut);
-                return self.feed_queued();
+                return self.handle_queued_events();
             }
             AttemptEnd::Refused => drop(self.answer(attempt.ticket, Answer::Failed(Failure::Refused))),
             _ => {}
         }
-        self.settle(attempt, translate::outcome(end), load);
+        self.end_attempt(attempt, translate::outcome(end), load);
     }
 
     /// The worker holds a given-up attempt no more: one of the same job that waited for that may go.
-    fn on_called_off(&mut self, attempt: AttemptId) {
-        if let Some(outcome) = self.jobs.owing(attempt) {
-            return self.settle(attempt, outcome, None);
+    fn on_cancelled(&mut self, attempt: AttemptId) {
+        if let Some(outcome) = self.jobs.deferred_outcome(attempt) {
+            return self.end_attempt(attempt, outcome, None);
         }
-        let Some((parked, worker)) = self.jobs.called_off(attempt) else { return };
-        if self.workers.is_active(worker) {
-            self.deliver(parked, worker);
+        let Some((waiting, worker)) = self.jobs.cancelled(attempt) else { return };
+        if self.workers.accepts_jobs(worker) {
+            self.deliver(waiting, worker);
         } else {
             // Told meanwhile that it leaves: a send now would come too late (rule 3).
-            self.settle(parked, mr::Outcome::Ignored, None);
+            self.end_attempt(waiting, mr::Outcome::Ignored, None);
         }
     }
 
     /// Books the one outcome of an attempt; whatever comes later for it is dropped.
-    fn settle(&mut self, attempt: AttemptId, outcome: mr::Outcome, load: Option<&LoadReport>) {
-        let Some(settled) = self.jobs.settle(attempt, outcome) else { return };
-        self.jobs.forget_if_over(attempt.ticket);
+    fn end_attempt(&mut self, attempt: AttemptId, outcome: mr::Outcome, load: Option<&LoadReport>) {
+        let Some(ended) = self.jobs.end_attempt(attempt, outcome) else { return };
+        self.jobs.forget_if_finished(attempt.ticket);
         let load = load.map(|l| translate::load(&self.names, l));
-        self.book(attempt, &settled, outcome, load);
-        self.feed_queued();
+        self.record_outcome(attempt, &ended, outcome, load);
+        self.handle_queued_events();
     }
 
     /// Counts an outcome and queues it for the module.
-    fn book(&mut self, attempt: AttemptId, settled: &Settled, outcome: mr::Outcome, load: Option<mr::Load>) {
+    fn record_outcome(
+        &mut self,
+        attempt: AttemptId,
+        ended: &EndedAttempt,
+        outcome: mr::Outcome,
+        load: Option<mr::Load>,
+    ) {
         translate::count(&self.counters, outcome);
-        self.tell_neighbour(|| Transfer::Landed {
-            worker: self.workers.name(settled.worker),
+        self.notify_peer_process(|| Transfer::Landed {
+            worker: self.workers.name(ended.worker),
             job: attempt.ticket,
             attempt: attempt.number,
         });
         self.queued.push_back(mr::Event::Outcome {
             id: attempt.ticket,
             attempt: attempt.number,
-            worker: settled.worker,
+            worker: ended.worker,
             outcome,
-            latency: self.clock.now() - settled.sent,
-            closed: settled.answered,
+            latency: self.clock.now() - ended.sent_at,
+            closed: ended.answered,
             load,
         });
     }
 
     /// Of what both processes of an upgrade have to know. It may be lost with the other process, never delay this one.
-    fn tell_neighbour(&self, parcel: impl FnOnce() -> Transfer) {
+    fn notify_peer_process(&self, transfer: impl FnOnce() -> Transfer) {
         if self.peer_process.is_open() {
-            let _ = self.peer_process.put(parcel());
+            let _ = self.peer_process.put(transfer());
         }
     }
 
     /// Whoever follows the job sees how far it has come.
-    fn tell(&mut self, ticket: Ticket, change: impl FnOnce(&mut Progress)) {
-        if let Some(reply) = self.jobs.get_mut(ticket).and_then(|entry| entry.reply.owed()) {
+    fn note_progress(&mut self, ticket: Ticket, change: impl FnOnce(&mut Progress)) {
+        if let Some(reply) = self.jobs.get_mut(ticket).and_then(|entry| entry.reply.get()) {
             reply.note(change);
         }
     }
@@ -423,57 +434,57 @@
     /// Gives the one answer; false if it was given before or the client has gone.
     fn answer(&mut self, ticket: Ticket, answer: Answer) -> bool {
         let Some(entry) = self.jobs.get_mut(ticket) else { return false };
-        let Some(reply) = entry.reply.take_owed() else { return false };
+        let Some(reply) = entry.reply.take() else { return false };
         let job = entry.job.clone();
-        self.tell_neighbour(|| Transfer::Ended(job.trace_id.clone()));
+        self.notify_peer_process(|| Transfer::Ended(job.trace_id.clone()));
         match answer {
             Answer::Served { .. } => self.counters.answered_served.add(),
             Answer::Defer { .. } => self.counters.answered_deferred.add(),
             Answer::Failed(_) => self.counters.answered_failed.add(),
         }
         reply.give(answer);
-        self.hold_back(ticket);
-        self.jobs.forget_if_over(ticket);
+        self.withhold_unsent(ticket);
+        self.jobs.forget_if_finished(ticket);
         true
     }
 
     /// Nothing is owed for a job any more: what has not been sent of it ends as never sent, by whatever path it was on
     /// its way. What a worker may have is called off only as the module says.
-    fn hold_back(&mut self, ticket: Ticket) {
+    fn withhold_unsent(&mut self, ticket: Ticket) {
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
-        let live = entry.live().into_iter().map(|number| (number, entry.attempts[number].state));
+        let live = entry.live_attempts().into_iter().map(|number| (number, entry.attempts[number].state));
         for (number, state) in live.collect::<Vec<_>>() {
             let attempt = AttemptId { ticket, number };
             match state {
-                AttemptState::Sent => self.transport.hold_back(attempt),
-                AttemptState::Parked => {
-                    if let Some(settled) = self.jobs.settle(attempt, mr::Outcome::Ignored) {
-                        self.book(attempt, &settled, mr::Outcome::Ignored, None);
+                AttemptState::Sent => self.transport.withhold_unsent(attempt),
+                AttemptState::AwaitingCancel => {
+                    if let Some(ended) = self.jobs.end_attempt(attempt, mr::Outcome::Ignored) {
+                        self.record_outcome(attempt, &ended, mr::Outcome::Ignored, None);
                     }
                 }
-                AttemptState::CallingOff => self.give_up(attempt, mr::Outcome::Canceled),
+                AttemptState::Cancelling => self.give_up(attempt, mr::Outcome::Canceled),
                 _ => {}
             }
         }
     }
 
     /// Gives the module an event, then those that its actions caused, and carries out what it says to each.
-    fn feed(&mut self, event: mr::Event) {
+    fn handle_event(&mut self, event: mr::Event) {
         self.queued.push_back(event);
-        self.feed_queued();
+        self.handle_queued_events();
     }
 
-    fn feed_queued(&mut self) {
+    fn handle_queued_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.queued.pop_front() {
             self.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.execute(action);
             }
         }
     }
 
-    fn act(&mut self, action: mr::Action) {
+    fn execute(&mut self, action: mr::Action) {
         match action {
             mr::Action::Send { id, worker, timeout } => self.send(id, worker, timeout),
             mr::Action::Refuse { id, retry_after } => {
@@ -488,7 +499,7 @@
             mr::Action::Cancel { id, attempt } => {
                 self.give_up(AttemptId { ticket: id, number: attempt }, mr::Outcome::Canceled);
             }
-            mr::Action::Probe { worker } => match self.workers.locate(worker) {
+            mr::Action::Probe { worker } => match self.workers.endpoint(worker) {
                 Some(worker) => self.transport.probe(worker),
                 None => self.queued.push_back(mr::Event::Probed {
                     worker,
@@ -497,41 +508,41 @@
                     load: None,
                 }),
             },
-            mr::Action::Release { worker } => self.transport.release(worker),
+            mr::Action::Release { worker } => self.transport.close_idle(worker),
             mr::Action::Timer { token, delay } => {
-                self.timers.arm(self.clock.now() + delay.max(0.0), Due::Module(token));
+                self.timers.set(self.clock.now() + delay.max(0.0), Due::ModuleTimer(token));
             }
-            mr::Action::Watch => self.worker_list.ask(Call::Watch),
-            mr::Action::Fetch => self.worker_list.ask(Call::Fetch),
+            mr::Action::Watch => self.worker_list.request(ListRequest::Watch),
+            mr::Action::Fetch => self.worker_list.request(ListRequest::Fetch),
         }
     }
 
     fn send(&mut self, ticket: Ticket, worker: WorkerId, timeout: f64) {
         let now = self.clock.now();
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
-        let until = match timeout {
+        let expires_at = match timeout {
             cap if cap != 0.0 => entry.job.deadline.min(now + cap),
             _ => entry.job.deadline,
         };
         let attempt = AttemptId { ticket, number: entry.attempts.len() };
-        let answered = entry.reply.is_settled();
-        let over = answered || until <= now || attempt.number >= entry.most_attempts;
+        let answered = entry.reply.is_closed();
+        let is_rejected = answered || expires_at <= now || attempt.number >= entry.max_attempts;
         // A worker gets one attempt of a job at a time.
-        let state = match entry.at(worker) {
-            _ if over => AttemptState::Over,
+        let state = match entry.state_at(worker) {
+            _ if is_rejected => AttemptState::Ended,
             None => AttemptState::Sent,
-            Some(AttemptState::CallingOff) => AttemptState::Parked,
-            Some(_) => AttemptState::Over,
+            Some(AttemptState::Cancelling) => AttemptState::AwaitingCancel,
+            Some(_) => AttemptState::Ended,
         };
-        entry.add(worker, now, until, state);
-        if until < entry.job.deadline {
-            self.timers.arm(until, Due::Attempt(attempt));
+        entry.add_attempt(worker, now, expires_at, state);
+        if expires_at < entry.job.deadline {
+            self.timers.set(expires_at, Due::AttemptTimeout(attempt));
         }
         match state {
-            AttemptState::Over => {
+            AttemptState::Ended => {
                 let nothing_sent =
-                    Settled { worker, sent: now, answered, was_sent: false, was_accepted: false };
-                self.book(attempt, &nothing_sent, mr::Outcome::Ignored, None);
+                    EndedAttempt { worker, sent_at: now, answered, was_sent: false, was_accepted: false };
+                self.record_outcome(attempt, &nothing_sent, mr::Outcome::Ignored, None);
             }
             AttemptState::Sent => self.deliver(attempt, worker),
             _ => {}
@@ -540,93 +551,99 @@
 
     fn deliver(&mut self, attempt: AttemptId, worker: WorkerId) {
         let Some(entry) = self.jobs.get_mut(attempt.ticket) else { return };
-        let (job, until) = (entry.job.clone(), entry.attempts[attempt.number].until);
+        let (job, expires_at) = (entry.job.clone(), entry.attempts[attempt.number].expires_at);
         self.counters.attempts_sent.add();
-        match self.workers.locate(worker) {
-            Some(place) => self.transport.deliver(attempt, place, job, until),
+        match self.workers.endpoint(worker) {
+            Some(endpoint) => self.transport.deliver(attempt, endpoint, job, expires_at),
             // The map named it without an address: it cannot be connected to.
-            None => self.end_later(attempt, AttemptEnd::NotConnected),
+            None => self.report_end(attempt, AttemptEnd::NotConnected),
         }
     }
 
     /// Reports an end through the exchange, as workers do: the module must not be called from its own actions.
-    fn end_later(&self, attempt: AttemptId, end: AttemptEnd) {
+    fn report_end(&self, attempt: AttemptId, end: AttemptEnd) {
         self.exchange.put(Message::Ended { attempt, end, load: None });
     }
 
     /// Stops waiting for an attempt and tells its worker so, where the settings allow that: elsewhere what is not sent
     /// yet stays so, and the rest takes its course.
     fn give_up(&mut self, attempt: AttemptId, outcome: mr::Outcome) {
-        let told = self.balancer.settings().limits.cancel;
+        let may_cancel = self.balancer.settings().limits.cancel;
         let Some(entry) = self.jobs.get_mut(attempt.ticket) else { return };
         let job = entry.job.clone();
         // Where no two may be out together, the module hears of it once the worker has.
-        let later = told && entry.alone && !entry.reply.is_settled() && self.clock.now() < job.deadline;
-        let Some(gone) = entry.give_up(attempt.number, told, later.then_some(outcome)) else { return };
-        let worker = self.workers.locate(gone.worker).filter(|_| gone.was_sent);
-        let waits = later && worker.is_some();
+        let wait_for_cancel =
+            may_cancel && entry.exclusive && !entry.reply.is_closed() && self.clock.now() < job.deadline;
+        let Some(ended) = entry.give_up(attempt.number, may_cancel, wait_for_cancel.then_some(outcome))
+        else {
+            return;
+        };
+        let worker = self.workers.endpoint(ended.worker).filter(|_| ended.was_sent);
+        let is_waiting = wait_for_cancel && worker.is_some();
         match worker {
-            Some(worker) if told => self.transport.call_off(attempt, worker, job, gone.was_accepted, later),
-            _ => self.transport.hold_back(attempt),
+            Some(worker) if may_cancel => {
+                self.transport.cancel(attempt, worker, job, ended.was_accepted, wait_for_cancel)
+            }
+            _ => self.transport.withhold_unsent(attempt),
         }
-        if !waits {
-            self.jobs.forget_if_over(attempt.ticket);
-            self.book(attempt, &gone, outcome, None);
+        if !is_waiting {
+            self.jobs.forget_if_finished(attempt.ticket);
+            self.record_outcome(attempt, &ended, outcome, None);
         }
     }
 
-    fn fire(&mut self, due: Due) {
+    fn on_due(&mut self, due: Due) {
         match due {
-            Due::Module(token) => self.feed(mr::Event::Timer { token }),
+            Due::ModuleTimer(token) => self.handle_event(mr::Event::Timer { token }),
             Due::Deadline(ticket) => self.on_deadline(ticket),
-            Due::Overdue(ticket) => self.on_overdue(ticket),
-            Due::Attempt(attempt) => {
+            Due::AnswerOverdue(ticket) => self.on_answer_overdue(ticket),
+            Due::AttemptTimeout(attempt) => {
                 self.give_up(attempt, mr::Outcome::TimedOut);
-                self.feed_queued();
+                self.handle_queued_events();
             }
-            Due::Tidy => {
-                self.transport.tidy();
-                self.timers.arm(self.clock.now() + TIDY_MS, Due::Tidy);
+            Due::CloseStale => {
+                self.transport.close_stale();
+                self.timers.set(self.clock.now() + CLOSE_STALE_INTERVAL_MS, Due::CloseStale);
             }
-            Due::Overlook => {
-                self.transport.cut_overdue();
-                self.worker_list.tidy();
-                self.timers.arm(self.clock.now() + OVERLOOK_MS, Due::Overlook);
+            Due::AbortOverdue => {
+                self.transport.abort_overdue();
+                self.worker_list.abort_overdue();
+                self.timers.set(self.clock.now() + ABORT_OVERDUE_INTERVAL_MS, Due::AbortOverdue);
             }
-            Due::Watch => self.worker_list.ask(Call::Watch),
-            Due::StopHard => self.fail_all(),
+            Due::ReopenWatch => self.worker_list.request(ListRequest::Watch),
+            Due::FailUnanswered => self.fail_unanswered(),
         }
     }
 
     /// The client's time is up: every attempt that is still out has timed out.
     fn on_deadline(&mut self, ticket: Ticket) {
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
-        for number in entry.live() {
+        for number in entry.live_attempts() {
             self.give_up(AttemptId { ticket, number }, mr::Outcome::TimedOut);
         }
-        self.feed_queued();
-        self.timers.arm(self.clock.now() + OVERDUE_MS, Due::Overdue(ticket));
+        self.handle_queued_events();
+        self.timers.set(self.clock.now() + ANSWER_OVERDUE_MS, Due::AnswerOverdue(ticket));
     }
 
-    fn on_overdue(&mut self, ticket: Ticket) {
+    fn on_answer_overdue(&mut self, ticket: Ticket) {
         if self.answer(ticket, Answer::Failed(Failure::Late)) {
             self.counters.answered_overdue.add();
-            self.feed(mr::Event::Lapsed { id: ticket });
+            self.handle_event(mr::Event::Lapsed { id: ticket });
         }
         self.jobs.forget(ticket);
     }
 
     fn on_stop(&mut self) {
         if self.stopping.begin(self.clock.now()) {
-            self.timers.arm(self.stopping.last_moment(), Due::StopHard);
+            self.timers.set(self.stopping.last_moment(), Due::FailUnanswered);
         }
     }
 
     /// The platform is about to kill this process: a failed answer beats none.
-    fn fail_all(&mut self) {
-        for ticket in self.jobs.tickets_owed() {
+    fn fail_unanswered(&mut self) {
+        for ticket in self.jobs.unanswered_tickets() {
             if self.answer(ticket, Answer::Failed(Failure::Late)) {
-                self.feed(mr::Event::Lapsed { id: ticket });
+                self.handle_event(mr::Event::Lapsed { id: ticket });
             }
         }
     }
--- a/balancer/core/src/dispatch/random_order_tests.rs
+++ b/balancer/core/src/dispatch/random_order_tests.rs
@@ -3,7 +3,7 @@
 //! before a request's first byte and its last (`Stop`); time stands until it is turned on.
 
 use super::*;
-use crate::worker_transport::{Stop, WorkerEndpoint};
+use crate::worker_transport::{RequestControl, WorkerEndpoint};
 use millrudder_exchange::{Front, OrderHandle, Verbatim, WorkerEntry, WorkerState};
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -14,75 +14,97 @@
 const CLASSES: [&str; 3] = ["safe", "keyed", "unsafe"];
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum At {
+enum AttemptPhase {
     /// Its connection comes up.
-    Coming,
+    Connecting,
     /// The last byte is held back.
-    Begun,
+    PartlyWritten,
     /// The worker has it; no 202 has come.
     Written,
-    Held,
+    Accepted,
     /// The worker has it and its 202 was lost: the dispatcher has closed the connection.
-    Unheard,
-    Over,
+    AcceptLost,
+    Ended,
 }
 
-struct Flight {
+struct SimulatedAttempt {
     id: AttemptId,
     worker: WorkerEndpoint,
     job: Arc<Job>,
-    stop: Stop,
-    at: At,
+    control: RequestControl,
+    phase: AttemptPhase,
     /// It may have run.
     reached: bool,
     proven_unrun: bool,
 }
 
 #[derive(Default)]
-struct Net {
-    flights: Vec<Flight>,
+struct SimulatedNetwork {
+    attempts: Vec<SimulatedAttempt>,
     /// Call-offs on their way to workers.
-    deletes: Vec<AttemptId>,
+    cancels: Vec<AttemptId>,
 }
 
-impl Net {
-    fn find(&mut self, id: AttemptId) -> Option<&mut Flight> {
-        self.flights.iter_mut().find(|f| f.id == id)
+impl SimulatedNetwork {
+    fn find(&mut self, id: AttemptId) -> Option<&mut SimulatedAttempt> {
+        self.attempts.iter_mut().find(|f| f.id == id)
     }
 }
 
 #[derive(Clone, Default)]
-struct Model(Arc<Mutex<Net>>);
-
-impl WorkerTransport for Model {
-    fn deliver(&self, id: AttemptId, worker: WorkerEndpoint, job: Arc<Job>, _until: f64) {
-        let stop = Stop::of_delivery(worker.open.clone());
-        let (at, reached, proven_unrun) = (At::Coming, false, false);
-        self.0.lock().unwrap().flights.push(Flight { id, worker, job, stop, at, reached, proven_unrun });
+struct SimulatedTransport(Arc<Mutex<SimulatedNetwork>>);
+
+impl WorkerTransport for SimulatedTransport {
+    fn deliver(&self, id: AttemptId, worker: WorkerEndpoint, job: Arc<Job>, _expires_at: f64) {
+        let control = RequestControl::for_delivery(worker.accepts_jobs.clone());
+        let (phase, reached, proven_unrun) = (AttemptPhase::Connecting, false, false);
+        self.0.lock().unwrap().attempts.push(SimulatedAttempt {
+            id,
+            worker,
+            job,
+            control,
+            phase,
+            reached,
+            proven_unrun,
+        });
     }
 
-    fn call_off(&self, id: AttemptId, _worker: WorkerEndpoint, _job: Arc<Job>, accepted: bool, _firm: bool) {
+    fn cancel(
+        &self,
+        id: AttemptId,
+        _worker: WorkerEndpoint,
+        _job: Arc<Job>,
+        accepted: bool,
+        _until_confirmed: bool,
+    ) {
         let mut net = self.0.lock().unwrap();
         match net.find(id) {
-            Some(f) if matches!(f.at, At::Coming | At::Begun | At::Written) => f.stop.leave(accepted),
-            _ => net.deletes.push(id),
+            Some(f)
+                if matches!(
+                    f.phase,
+                    AttemptPhase::Connecting | AttemptPhase::PartlyWritten | AttemptPhase::Written
+                ) =>
+            {
+                f.control.give_up(accepted)
+            }
+            _ => net.cancels.push(id),
         }
     }
 
-    fn hold_back(&self, id: AttemptId) {
-        if let Some(flight) = self.0.lock().unwrap().find(id) {
-            flight.stop.owe_nothing();
+    fn withhold_unsent(&self, id: AttemptId) {
+        if let Some(attempt) = self.0.lock().unwrap().find(id) {
+            attempt.control.mark_answer_unwanted();
         }
     }
 
     fn probe(&self, _worker: WorkerEndpoint) {}
-    fn release(&self, _worker: WorkerId) {}
-    fn retime(&self, _connect_timeout: f64, _conn_idle: f64) {}
-    fn keep_a_part(&self) -> usize {
+    fn close_idle(&self, _worker: WorkerId) {}
+    fn set_timeouts(&self, _connect_timeout: f64, _conn_idle: f64) {}
+    fn share_connections(&self) -> usize {
         0
     }
-    fn tidy(&self) {}
-    fn cut_overdue(&self) {}
+    fn close_stale(&self) {}
+    fn abort_overdue(&self) {}
 }
 
 struct Client {
@@ -94,37 +116,41 @@
     left: bool,
 }
 
-struct World {
-    dispatch: Dispatch<Model>,
-    net: Model,
+struct Simulation {
+    dispatch: Dispatch<SimulatedTransport>,
+    net: SimulatedTransport,
     clock: Clock,
     clients: Vec<Client>,
     draining: BTreeSet<u32>,
     banned: BTreeSet<u32>,
-    alone: bool,
-    dice: fastrand::Rng,
+    exclusive: bool,
+    rng: fastrand::Rng,
     /// What happened, for a failure's message.
-    story: Vec<String>,
+    history: Vec<String>,
     sent: usize,
     inbox: Inbox,
 }
 
 /// `told`: workers tell of starts; else only progress tells that a job is not lost.
-fn config(cancel: bool, copies: bool, told: bool) -> Config {
-    let progress = if told { 0 } else { 20 };
-    let lane = |name: &str, effect: &str| {
+fn config(cancel: bool, copies: bool, reports_start: bool) -> Config {
+    let progress = if reports_start { 0 } else { 20 };
+    let class_text = |name: &str, effect: &str| {
         format!(
             r#"{{"name":"{name}","aim":300,"hard_limit":3000,"worth":1,"effect":"{effect}","dedup_scope":"cell","window":900}}"#
         )
     };
-    let lanes = [lane("safe", "idempotent"), lane("keyed", "deduplicated"), lane("unsafe", "at_most_once")];
+    let class_texts = [
+        class_text("safe", "idempotent"),
+        class_text("keyed", "deduplicated"),
+        class_text("unsafe", "at_most_once"),
+    ];
     let text = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"1","limits":{{"sockets":256}},
         "settings":{{"me":0,"replicas_of_me":1,"period":2,"zone":"z","failure_domains":["z"],"kinds":["m"],
         "registry_mode":"ask","lanes":[{}],"permissions":{{"max_attempts":4,"may_cancel":{cancel},
         "parallel_tries":{copies}}},"rules":{{"ask_within":10000,"answer_slack":8}},
-        "specifics":{{"tells_start":{told},"progress":{progress},"queue_order":"fifo"}}}}}}"#,
-        lanes.join(",")
+        "specifics":{{"tells_start":{reports_start},"progress":{progress},"queue_order":"fifo"}}}}}}"#,
+        class_texts.join(",")
     );
     Config::from_json(text.as_bytes()).unwrap()
 }
@@ -142,69 +168,71 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let mut dice = fastrand::Rng::with_seed(seed);
-        let (cancel, copies, told) = (dice.u8(..4) > 0, dice.bool(), dice.bool());
-        let (clock, net) = (Clock::by_hand(), Model::default());
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let (cancel, copies, reports_start) = (rng.u8(..4) > 0, rng.bool(), rng.bool());
+        let (clock, net) = (Clock::by_hand(), SimulatedTransport::default());
         let (exchange, inbox) = Exchange::new();
         let dependencies = DispatchDependencies {
             exchange,
             transport: net.clone(),
-            worker_list: WorkerListWatcher::unheard(clock),
+            worker_list: WorkerListWatcher::disconnected(clock),
             peer_process: PeerProcess::default(),
             pending_settings: PendingSettings::default(),
             counters: Arc::default(),
             stopping: Stopping::new(3_000.0),
             clock,
         };
-        let mut dispatch = Dispatch::new(&config(cancel, copies, told), dependencies);
+        let mut dispatch = Dispatch::new(&config(cancel, copies, reports_start), dependencies);
         let entries = (0..WORKERS).map(|worker| line(worker, WorkerState::Active)).collect();
         dispatch.begin(Some(WorkerListUpdate { whole: true, generation: Some(1), entries }), None);
-        World {
+        Simulation {
             dispatch,
             net,
             clock,
             clients: Vec::new(),
             draining: BTreeSet::new(),
             banned: BTreeSet::new(),
-            alone: !copies,
-            dice,
-            story: vec![format!("seed {seed}, cancel {cancel}, copies {copies}, starts told {told}")],
+            exclusive: !copies,
+            rng,
+            history: vec![format!(
+                "seed {seed}, cancel {cancel}, copies {copies}, starts reported {reports_start}"
+            )],
             sent: 0,
             inbox,
         }
     }
 
-    fn tell(&mut self, what: String) {
-        self.story.push(format!("{:.0}: {what}", self.clock.now()));
+    fn log(&mut self, what: String) {
+        self.history.push(format!("{:.0}: {what}", self.clock.now()));
     }
 
     fn check(&self, holds: bool, what: &str) {
-        assert!(holds, "{what}\n{}", self.story.join("\n"));
+        assert!(holds, "{what}\n{}", self.history.join("\n"));
     }
 
     fn take(&mut self, message: Message) {
-        self.dispatch.take(message);
-        self.look();
+        self.dispatch.handle_message(message);
+        self.collect_answers();
     }
 
     /// Messages that dispatch put to itself, and answers that have come.
-    fn look(&mut self) {
+    fn collect_answers(&mut self) {
         while let Ok(message) = self.inbox.try_recv() {
-            self.dispatch.take(message);
+            self.dispatch.handle_message(message);
         }
         for i in 0..self.clients.len() {
             while let Some(answer) = self.clients[i].reply.take() {
                 let client = &mut self.clients[i];
                 client.answers.push(answer.clone());
                 let (id, class) = (client.id.clone(), client.class);
-                self.tell(format!("{id} is answered: {answer:?}"));
+                self.log(format!("{id} is answered: {answer:?}"));
                 let client = &self.clients[i];
                 self.check(client.answers.len() == 1, "one answer to a job");
                 let (mine, ticket) = (id.as_bytes().to_vec(), client.ticket);
                 let mut ran = false;
-                for f in self.net.0.lock().unwrap().flights.iter().filter(|f| f.id.ticket == ticket) {
+                for f in self.net.0.lock().unwrap().attempts.iter().filter(|f| f.id.ticket == ticket) {
                     ran |= f.reached && !f.proven_unrun;
                 }
                 match answer {
@@ -219,7 +247,7 @@
     }
 
     fn submit(&mut self) {
-        let (number, class) = (self.clients.len(), self.dice.usize(..CLASSES.len()));
+        let (number, class) = (self.clients.len(), self.rng.usize(..CLASSES.len()));
         let id = format!("j{number}");
         let verbatim = Verbatim {
             method: "POST".to_owned(),
@@ -228,7 +256,7 @@
             idempotency_key: None,
             content_type: None,
         };
-        let deadline = self.clock.now() + [60.0, 400.0, 3_000.0][self.dice.usize(..3)];
+        let deadline = self.clock.now() + [60.0, 400.0, 3_000.0][self.rng.usize(..3)];
         let job = Job {
             front: Front::Http,
             trace_id: id.clone(),
@@ -239,37 +267,37 @@
             verbatim,
         };
         let (reply, ticket) = (Reply::new(|| {}), number as Ticket);
-        self.tell(format!("{id} ({}) until {deadline:.0}", CLASSES[class]));
+        self.log(format!("{id} ({}) until {deadline:.0}", CLASSES[class]));
         let (answers, left) = (Vec::new(), false);
         self.clients.push(Client { id, ticket, class, reply: reply.clone(), answers, left });
         self.take(Message::Submitted { ticket, job: Arc::new(job), reply });
     }
 
-    fn withdraw(&mut self) {
+    fn client_leaves(&mut self) {
         let waits: Vec<usize> = (0..self.clients.len())
             .filter(|i| self.clients[*i].answers.is_empty() && !self.clients[*i].left)
             .collect();
-        let Some(i) = self.dice.choice(waits) else { return };
+        let Some(i) = self.rng.choice(waits) else { return };
         self.clients[i].left = true;
-        self.tell(format!("the client of {} leaves", self.clients[i].id));
+        self.log(format!("the client of {} leaves", self.clients[i].id));
         let ticket = self.clients[i].ticket;
         self.take(Message::Withdrawn { ticket });
     }
 
     fn change_list(&mut self) {
-        let worker = self.dice.u32(..WORKERS);
-        let state = [WorkerState::Active, WorkerState::Leaving, WorkerState::Left][self.dice.usize(..3)];
+        let worker = self.rng.u32(..WORKERS);
+        let state = [WorkerState::Active, WorkerState::Leaving, WorkerState::Left][self.rng.usize(..3)];
         match state {
             WorkerState::Active => self.draining.remove(&worker),
             _ => self.draining.insert(worker),
         };
-        self.tell(format!("s-{worker} is {state:?}"));
+        self.log(format!("s-{worker} is {state:?}"));
         let entries = vec![line(worker, state)];
         self.take(Message::WorkerList(WorkerListUpdate { whole: false, generation: None, entries }));
     }
 
     fn ban(&mut self) {
-        let worker = self.dice.u32(..WORKERS);
+        let worker = self.rng.u32(..WORKERS);
         let name = format!("s-{worker}");
         let order = if self.banned.remove(&worker) {
             Order::Enable(name)
@@ -277,14 +305,14 @@
             self.banned.insert(worker);
             Order::Disable(name)
         };
-        self.tell(format!("{order:?}"));
+        self.log(format!("{order:?}"));
         let (asked, _awaited) = OrderHandle::new(order);
         self.take(Message::Ordered(asked));
     }
 
     /// The first byte leaves: whatever path the attempt came.
-    fn begins(&mut self, id: AttemptId, worker: u32) {
-        self.tell(format!("attempt {}.{} begins at s-{worker}", id.ticket, id.number));
+    fn on_first_byte(&mut self, id: AttemptId, worker: u32) {
+        self.log(format!("attempt {}.{} begins at s-{worker}", id.ticket, id.number));
         self.sent += 1;
         let client = &self.clients[id.ticket as usize];
         self.check(
@@ -294,9 +322,15 @@
         self.check(!self.draining.contains(&worker), "nothing new to a worker that leaves");
         self.check(!self.banned.contains(&worker), "nothing new to a banned worker");
         let net = self.net.0.lock().unwrap();
-        for f in net.flights.iter().filter(|f| f.id.ticket == id.ticket && f.id != id) {
-            let out = matches!(f.at, At::Begun | At::Written | At::Held | At::Unheard);
-            self.check(!(out && self.alone), "no two attempts out where the settings allow one");
+        for f in net.attempts.iter().filter(|f| f.id.ticket == id.ticket && f.id != id) {
+            let out = matches!(
+                f.phase,
+                AttemptPhase::PartlyWritten
+                    | AttemptPhase::Written
+                    | AttemptPhase::Accepted
+                    | AttemptPhase::AcceptLost
+            );
+            self.check(!(out && self.exclusive), "no two attempts out where the settings allow one");
             self.check(!(out && f.worker.id == worker), "one attempt of a job at a worker");
             self.check(client.class != 2 || !f.reached || f.proven_unrun, "an unsafe job is sent once");
         }
@@ -305,28 +339,30 @@
     /// Something happens to one attempt on its way, or at its worker.
     fn network(&mut self) {
         let net = self.net.0.lock().unwrap();
-        let live: Vec<usize> = (0..net.flights.len()).filter(|i| net.flights[*i].at != At::Over).collect();
+        let live: Vec<usize> =
+            (0..net.attempts.len()).filter(|i| net.attempts[*i].phase != AttemptPhase::Ended).collect();
         drop(net);
-        let Some(i) = self.dice.choice(live) else { return };
-        let chance = self.dice.u8(..10);
+        let Some(i) = self.rng.choice(live) else { return };
+        let chance = self.rng.u8(..10);
         let (mut net, shared) = (self.net.0.lock().unwrap(), self.net.clone());
-        let f = &mut net.flights[i];
-        let (id, worker, job, at, left) = (f.id, f.worker.id, f.job.clone(), f.at, f.stop.is_left());
+        let f = &mut net.attempts[i];
+        let (id, worker, job, phase, left) =
+            (f.id, f.worker.id, f.job.clone(), f.phase, f.control.is_given_up());
         drop(net);
-        let set = |at: At, reached: bool, unrun: bool| {
+        let set = |phase: AttemptPhase, reached: bool, unrun: bool| {
             let mut net = shared.0.lock().unwrap();
-            let f = &mut net.flights[i];
-            (f.at, f.reached, f.proven_unrun) = (at, f.reached || reached, unrun);
+            let f = &mut net.attempts[i];
+            (f.phase, f.reached, f.proven_unrun) = (phase, f.reached || reached, unrun);
         };
         let end = |end: AttemptEnd| Message::Ended { attempt: id, end, load: None };
         let ends = |message: Message| if left { Message::CalledOff { attempt: id } } else { message };
         let wanted = |first: bool| {
             let net = shared.0.lock().unwrap();
-            let stop = &net.flights[i].stop;
+            let control = &net.attempts[i].control;
             if first {
-                stop.may_begin()
+                control.may_begin()
             } else {
-                stop.may_send()
+                control.may_finish()
             }
         };
         let news = |state: JobState| {
@@ -334,151 +370,155 @@
             Message::News(JobNews { trace_id, from, state, load: None, body: None })
         };
         let done = || JobState::Done { result: job.trace_id.as_bytes().to_vec() };
-        match (at, chance) {
-            (At::Coming, 0) => {
-                set(At::Over, false, true);
+        match (phase, chance) {
+            (AttemptPhase::Connecting, 0) => {
+                set(AttemptPhase::Ended, false, true);
                 self.take(ends(end(AttemptEnd::NotConnected)));
             }
-            (At::Coming, _) if !wanted(true) => {
-                set(At::Over, false, true);
+            (AttemptPhase::Connecting, _) if !wanted(true) => {
+                set(AttemptPhase::Ended, false, true);
                 self.take(ends(end(AttemptEnd::NotSent)));
             }
-            (At::Coming, _) => {
-                self.begins(id, worker);
-                set(At::Begun, false, true);
+            (AttemptPhase::Connecting, _) => {
+                self.on_first_byte(id, worker);
+                set(AttemptPhase::PartlyWritten, false, true);
             }
-            (At::Begun, _) if !wanted(false) => {
-                set(At::Over, false, true);
+            (AttemptPhase::PartlyWritten, _) if !wanted(false) => {
+                set(AttemptPhase::Ended, false, true);
                 self.take(ends(end(AttemptEnd::NotSent)));
             }
-            (At::Begun, _) => set(At::Written, true, false),
-            (At::Written, 0) => {
-                self.tell(format!("{}.{} is reset", id.ticket, id.number));
-                set(At::Over, true, false);
+            (AttemptPhase::PartlyWritten, _) => set(AttemptPhase::Written, true, false),
+            (AttemptPhase::Written, 0) => {
+                self.log(format!("{}.{} is reset", id.ticket, id.number));
+                set(AttemptPhase::Ended, true, false);
                 self.take(ends(end(AttemptEnd::Reset)));
             }
-            (At::Written, 1) => {
-                self.tell(format!("{}.{} is silent", id.ticket, id.number));
+            (AttemptPhase::Written, 1) => {
+                self.log(format!("{}.{} is silent", id.ticket, id.number));
                 // Without a 202 a close gives it up; with one that was lost it does not.
-                set(if self.dice.bool() { At::Over } else { At::Unheard }, true, false);
-                if left && self.alone {
-                    return self.net.0.lock().unwrap().deletes.push(id);
+                set(
+                    if self.rng.bool() { AttemptPhase::Ended } else { AttemptPhase::AcceptLost },
+                    true,
+                    false,
+                );
+                if left && self.exclusive {
+                    return self.net.0.lock().unwrap().cancels.push(id);
                 }
                 self.take(ends(end(AttemptEnd::Silent)));
             }
-            (At::Written, 2) => {
-                self.tell(format!("{}.{} never ran", id.ticket, id.number));
-                set(At::Over, true, true);
+            (AttemptPhase::Written, 2) => {
+                self.log(format!("{}.{} never ran", id.ticket, id.number));
+                set(AttemptPhase::Ended, true, true);
                 self.take(ends(end(AttemptEnd::NeverRan)));
             }
-            (At::Written, 3) => self.take(news(JobState::Started)),
-            (At::Written, _) if left => {
-                set(At::Held, true, false);
-                self.net.0.lock().unwrap().deletes.push(id);
+            (AttemptPhase::Written, 3) => self.take(news(JobState::Started)),
+            (AttemptPhase::Written, _) if left => {
+                set(AttemptPhase::Accepted, true, false);
+                self.net.0.lock().unwrap().cancels.push(id);
             }
-            (At::Written, _) => {
-                set(At::Held, true, false);
+            (AttemptPhase::Written, _) => {
+                set(AttemptPhase::Accepted, true, false);
                 self.take(Message::Accepted { attempt: id });
             }
-            (At::Held | At::Unheard, 0) => {
-                set(At::Over, true, false);
+            (AttemptPhase::Accepted | AttemptPhase::AcceptLost, 0) => {
+                set(AttemptPhase::Ended, true, false);
                 self.take(news(JobState::Failed));
             }
-            (At::Held | At::Unheard, 1) => {
-                self.tell(format!("{}.{} comes back unstarted", id.ticket, id.number));
-                set(At::Over, true, true);
+            (AttemptPhase::Accepted | AttemptPhase::AcceptLost, 1) => {
+                self.log(format!("{}.{} comes back unstarted", id.ticket, id.number));
+                set(AttemptPhase::Ended, true, true);
                 self.take(news(JobState::Returned));
             }
-            (At::Held | At::Unheard, 2) => {
-                set(At::Over, true, false);
+            (AttemptPhase::Accepted | AttemptPhase::AcceptLost, 2) => {
+                set(AttemptPhase::Ended, true, false);
                 self.take(news(JobState::Lost));
             }
-            (At::Held | At::Unheard, 3..=5) => self.take(news(JobState::Started)),
-            (At::Held | At::Unheard, _) => {
-                self.tell(format!("{}.{} is done", id.ticket, id.number));
-                set(At::Over, true, false);
+            (AttemptPhase::Accepted | AttemptPhase::AcceptLost, 3..=5) => self.take(news(JobState::Started)),
+            (AttemptPhase::Accepted | AttemptPhase::AcceptLost, _) => {
+                self.log(format!("{}.{} is done", id.ticket, id.number));
+                set(AttemptPhase::Ended, true, false);
                 // Call-backs repeat.
-                for _ in 0..=self.dice.u8(..2) {
+                for _ in 0..=self.rng.u8(..2) {
                     self.take(news(done()));
                 }
             }
-            (At::Over, _) => {}
+            (AttemptPhase::Ended, _) => {}
         }
     }
 
-    fn hear_call_off(&mut self) {
+    fn confirm_cancel(&mut self) {
         let mut net = self.net.0.lock().unwrap();
-        let Some(id) = net.deletes.pop() else { return };
-        if let Some(flight) = net.find(id) {
-            flight.at = At::Over;
+        let Some(id) = net.cancels.pop() else { return };
+        if let Some(attempt) = net.find(id) {
+            attempt.phase = AttemptPhase::Ended;
         }
         drop(net);
-        self.tell(format!("the call-off of {}.{} is heard", id.ticket, id.number));
+        self.log(format!("the call-off of {}.{} is heard", id.ticket, id.number));
         self.take(Message::CalledOff { attempt: id });
     }
 
-    fn pass(&mut self, ms: f64) {
+    fn advance(&mut self, ms: f64) {
         self.clock.turn_to(self.clock.now() + ms);
-        self.dispatch.fire_due();
-        self.look();
+        self.dispatch.run_due_timers();
+        self.collect_answers();
     }
 
     fn step(&mut self) {
-        match self.dice.u8(..100) {
+        match self.rng.u8(..100) {
             0..12 => self.submit(),
-            12..16 => self.withdraw(),
+            12..16 => self.client_leaves(),
             16..22 => self.change_list(),
             22..25 => self.ban(),
             25..70 => self.network(),
-            70..78 => self.hear_call_off(),
+            70..78 => self.confirm_cancel(),
             _ => {
-                let ms = [1.0, 5.0, 25.0, 100.0][self.dice.usize(..4)];
-                self.pass(ms);
+                let ms = [1.0, 5.0, 25.0, 100.0][self.rng.usize(..4)];
+                self.advance(ms);
             }
         }
     }
 
     fn is_quiet(&self) -> bool {
         let net = self.net.0.lock().unwrap();
-        net.deletes.is_empty()
-            && net.flights.iter().all(|f| f.at == At::Over)
+        net.cancels.is_empty()
+            && net.attempts.iter().all(|f| f.phase == AttemptPhase::Ended)
             && self.dispatch.jobs.ids().is_empty()
     }
 
     /// Everything that is on its way arrives; then nothing may be owed.
-    fn settle(&mut self) {
+    fn run_until_quiet(&mut self) {
         let end = self.clock.now() + 10_000.0;
         while self.clock.now() < end && !self.is_quiet() {
             self.network();
-            self.hear_call_off();
-            self.pass(5.0);
+            self.confirm_cancel();
+            self.advance(5.0);
         }
         for client in &self.clients {
             let ended = client.left || client.answers.len() == 1;
             self.check(ended, &format!("{} is owed an answer", client.id));
         }
-        self.check(self.dispatch.jobs.owed() == 0, "nothing is owed");
+        self.check(self.dispatch.jobs.unanswered() == 0, "nothing is owed");
         self.check(self.dispatch.jobs.ids().is_empty(), "no job stays");
     }
 }
 
 #[test]
-fn whatever_crosses_each_job_ends_once_and_nothing_is_sent_that_must_not_be() {
+fn in_any_order_each_job_ends_once_and_no_forbidden_attempt_is_sent() {
     let (mut sent, mut answered, mut left) = (0, 0, 0);
     for seed in 0..SEEDS {
-        let mut world = World::new(seed);
-        let stop = world.dice.usize(..2 * STEPS);
+        let mut simulation = Simulation::new(seed);
+        let stop = simulation.rng.usize(..2 * STEPS);
         for step in 0..STEPS {
-            world.step();
+            simulation.step();
             if step == stop {
-                world.tell("stop".to_owned());
-                world.take(Message::Stop);
+                simulation.log("stop".to_owned());
+                simulation.take(Message::Stop);
             }
         }
-        world.settle();
-        sent += world.sent;
-        answered += world.clients.iter().filter(|c| !c.answers.is_empty()).count();
-        left += world.clients.iter().filter(|c| c.left).count();
+        simulation.run_until_quiet();
+        sent += simulation.sent;
+        answered += simulation.clients.iter().filter(|c| !c.answers.is_empty()).count();
+        left += simulation.clients.iter().filter(|c| c.left).count();
     }
     // The orders are worth something only if much happens in them.
     assert!(
--- a/balancer/core/src/dispatch/settings_reload.rs
+++ b/balancer/core/src/dispatch/settings_reload.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Fronts take a dropped class's jobs for `DROPPED_MS`; those may wait here for the core a little (ms).
-const ON_THE_WAY_MS: f64 = 1_000.0;
+const QUEUED_JOB_GRACE_MS: f64 = 1_000.0;
 
 /// What a reload brings the core.
 pub struct ReloadedSettings {
@@ -23,8 +23,8 @@
 pub struct PendingSettings(Arc<Mutex<Option<ReloadedSettings>>>);
 
 impl PendingSettings {
-    pub fn put(&self, tuned: ReloadedSettings, exchange: &Exchange) {
-        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(tuned);
+    pub fn put(&self, settings: ReloadedSettings, exchange: &Exchange) {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(settings);
         exchange.put(Message::Retuned);
     }
 
@@ -35,15 +35,15 @@
 
 /// Classes that the settings name no more but of which jobs may still come, with the time until which.
 #[derive(Default)]
-pub(super) struct Dropped(BTreeMap<String, f64>);
+pub(super) struct DroppedClasses(BTreeMap<String, f64>);
 
-impl Dropped {
+impl DroppedClasses {
     /// Adds to the new classes those that are still needed; for each of the outcome its place before.
     pub fn merge(
         &mut self,
         before: (&Vec<String>, &mr::Settings),
         names: &mut Names,
-        newer: &mut mr::Settings,
+        new_settings: &mut mr::Settings,
         now: f64,
     ) -> Vec<Option<usize>> {
         let (known, settings) = before;
@@ -52,10 +52,10 @@
             if names.classes.contains(name) {
                 continue;
             }
-            let until = *self.0.entry(name.clone()).or_insert(now + DROPPED_MS + ON_THE_WAY_MS);
+            let until = *self.0.entry(name.clone()).or_insert(now + DROPPED_MS + QUEUED_JOB_GRACE_MS);
             if until > now {
                 names.classes.push(name.clone());
-                newer.classes.push(class.clone());
+                new_settings.classes.push(class.clone());
             } else {
                 self.0.remove(name);
             }
--- a/balancer/core/src/dispatch/settings_reload/tests.rs
+++ b/balancer/core/src/dispatch/settings_reload/tests.rs
@@ -10,23 +10,23 @@
 }
 
 #[test]
-fn classes_keep_their_past_whatever_their_place_and_dropped_ones_go_in_time() {
-    let ((old, old_names), (mut newer, mut names)) =
+fn reordered_classes_keep_their_index_and_dropped_ones_expire() {
+    let ((old, old_names), (mut new_settings, mut names)) =
         (set(&[("a", 1.0), ("b", 2.0)]), set(&[("c", 3.0), ("b", 4.0)]));
-    let mut dropped = Dropped::default();
-    let from = dropped.merge((&old_names.classes, &old), &mut names, &mut newer, 0.0);
+    let mut dropped = DroppedClasses::default();
+    let from = dropped.merge((&old_names.classes, &old), &mut names, &mut new_settings, 0.0);
     assert_eq!(
         (names.classes.as_slice(), from),
         (&["c", "b", "a"].map(str::to_owned)[..], vec![None, Some(1), Some(0)])
     );
-    let deadlines: Vec<f64> = newer.classes.iter().map(|c| c.deadline).collect();
+    let deadlines: Vec<f64> = new_settings.classes.iter().map(|c| c.deadline).collect();
     assert_eq!(deadlines, [3.0, 4.0, 1.0], "the new set's, and the dropped one's own");
     // Again and again: nothing is kept longer, nothing grows.
-    let (mut settings, mut held) = (newer, names);
+    let (mut settings, mut held) = (new_settings, names);
     for i in 1..100 {
-        let (mut newer, mut names) = set(&[("b", 4.0)]);
-        dropped.merge((&held.classes, &settings), &mut names, &mut newer, f64::from(i) * 100.0);
-        (settings, held) = (newer, names);
+        let (mut new_settings, mut names) = set(&[("b", 4.0)]);
+        dropped.merge((&held.classes, &settings), &mut names, &mut new_settings, f64::from(i) * 100.0);
+        (settings, held) = (new_settings, names);
     }
     assert_eq!(held.classes, ["b"]);
 }
--- a/balancer/core/src/dispatch/translate.rs
+++ b/balancer/core/src/dispatch/translate.rs
@@ -15,109 +15,109 @@
 /// Workers by name: each keeps its number, also when its address changes or it has left the map.
 #[derive(Default)]
 pub struct WorkerTable {
-    numbers: HashMap<String, WorkerId>,
-    known: Vec<Known>,
+    ids: HashMap<String, WorkerId>,
+    records: Vec<WorkerRecord>,
     /// The settings' `dropped_stay_open`: what the map names no more, or as gone, may still get jobs.
-    pub dropped_stay: bool,
+    pub keep_dropped_open: bool,
 }
 
 /// What the worker list said last of one.
-struct Known {
+struct WorkerRecord {
     address: Option<SocketAddr>,
     active: bool,
     /// Operators have taken it out, whatever the map says.
     banned: bool,
     /// Both together, also for attempts that are on their way there.
-    open: Arc<AtomicBool>,
+    accepts_jobs: Arc<AtomicBool>,
     /// Its line, as long as the map has one.
-    line: Option<WorkerEntry>,
+    entry: Option<WorkerEntry>,
 }
 
-impl Known {
-    fn settle(&mut self) {
-        self.open.store(self.active && !self.banned, Ordering::Release);
+impl WorkerRecord {
+    fn update_accepts_jobs(&mut self) {
+        self.accepts_jobs.store(self.active && !self.banned, Ordering::Release);
     }
 }
 
 impl WorkerTable {
-    pub fn new(dropped_stay: bool) -> Self {
-        WorkerTable { dropped_stay, ..WorkerTable::default() }
+    pub fn new(keep_dropped_open: bool) -> Self {
+        WorkerTable { keep_dropped_open, ..WorkerTable::default() }
     }
 
-    pub fn find(&self, name: &str) -> Option<WorkerId> {
-        self.numbers.get(name).copied()
+    pub fn id_of(&self, name: &str) -> Option<WorkerId> {
+        self.ids.get(name).copied()
     }
 
     /// Names by number.
     pub fn names(&self) -> Vec<String> {
-        let mut names = vec![String::new(); self.known.len()];
-        self.numbers.iter().for_each(|(name, id)| names[*id as usize].clone_from(name));
+        let mut names = vec![String::new(); self.records.len()];
+        self.ids.iter().for_each(|(name, id)| names[*id as usize].clone_from(name));
         names
     }
 
     pub fn name(&self, id: WorkerId) -> String {
-        self.numbers.iter().find(|(_, known)| **known == id).map(|(name, _)| name.clone()).unwrap_or_default()
+        self.ids.iter().find(|(_, known)| **known == id).map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
     /// The map as of now.
-    pub fn lines(&self) -> Vec<WorkerEntry> {
-        self.known.iter().filter_map(|known| known.line.clone()).collect()
+    pub fn entries(&self) -> Vec<WorkerEntry> {
+        self.records.iter().filter_map(|known| known.entry.clone()).collect()
     }
 
     /// The number of one that a predecessor knew by name.
-    pub fn number(&mut self, name: &str) -> WorkerId {
-        if let Some(id) = self.find(name) {
+    pub fn assign_id(&mut self, name: &str) -> WorkerId {
+        if let Some(id) = self.id_of(name) {
             return id;
         }
-        let id = self.known.len() as WorkerId;
-        self.numbers.insert(name.to_owned(), id);
-        self.known.push(Known {
+        let id = self.records.len() as WorkerId;
+        self.ids.insert(name.to_owned(), id);
+        self.records.push(WorkerRecord {
             address: None,
             active: false,
             banned: false,
-            open: Arc::default(),
-            line: None,
+            accepts_jobs: Arc::default(),
+            entry: None,
         });
         id
     }
 
-    pub fn locate(&self, id: WorkerId) -> Option<WorkerEndpoint> {
-        let known = self.known.get(id as usize)?;
-        Some(WorkerEndpoint { id, address: known.address?, open: known.open.clone() })
+    pub fn endpoint(&self, id: WorkerId) -> Option<WorkerEndpoint> {
+        let known = self.records.get(id as usize)?;
+        Some(WorkerEndpoint { id, address: known.address?, accepts_jobs: known.accepts_jobs.clone() })
     }
 
     /// Nothing new may go to one that leaves.
-    pub fn is_active(&self, id: WorkerId) -> bool {
-        self.known.get(id as usize).is_some_and(|known| known.open.load(Ordering::Acquire))
+    pub fn accepts_jobs(&self, id: WorkerId) -> bool {
+        self.records.get(id as usize).is_some_and(|known| known.accepts_jobs.load(Ordering::Acquire))
     }
 
     /// Takes one out or puts it back; none if no map has ever named it.
     pub fn ban(&mut self, name: &str, on: bool) -> Option<WorkerId> {
-        let id = self.find(name)?;
-        self.known[id as usize].banned = on;
-        self.known[id as usize].settle();
+        let id = self.id_of(name)?;
+        self.records[id as usize].banned = on;
+        self.records[id as usize].update_accepts_jobs();
         Some(id)
     }
 
     /// The whole list follows: what it does not name has left.
-    pub fn expect_all(&mut self) {
-        let stays = self.dropped_stay;
-        for known in &mut self.known {
-            (known.active, known.line) = (known.active && stays, None);
-            known.settle();
+    pub fn begin_full_list(&mut self) {
+        let stays = self.keep_dropped_open;
+        for known in &mut self.records {
+            (known.active, known.entry) = (known.active && stays, None);
+            known.update_accepts_jobs();
         }
     }
 
-    pub fn entry(&mut self, names: &Names, entry: &WorkerEntry) -> mr::Entry {
-        let worker = self.number(&entry.name);
-        let known = &mut self.known[worker as usize];
+    pub fn apply(&mut self, names: &Names, entry: &WorkerEntry) -> mr::Entry {
+        let worker = self.assign_id(&entry.name);
+        let known = &mut self.records[worker as usize];
         known.address = entry.address.or(known.address);
         known.active = match entry.state {
-            WorkerState::Left if self.dropped_stay => known.active,
+            WorkerState::Left if self.keep_dropped_open => known.active,
             state => state == WorkerState::Active,
         };
-        known.settle();
-        known.line = Some(entry.clone()).filter(|line| line.state != WorkerState::Left);
+        known.update_accepts_jobs();
+        known.entry = Some(entry.clone()).filter(|entry| entry.state != WorkerState::Left);
         mr::Entry {
             worker,
             zone: position(&names.zones, &entry.zone),
--- a/balancer/core/src/dispatch/translate/tests.rs
+++ b/balancer/core/src/dispatch/translate/tests.rs
@@ -22,37 +22,37 @@
 }
 
 #[test]
-fn a_ban_outlives_what_maps_say() {
+fn a_ban_outlives_worker_list_updates() {
     let (names, mut workers) = (names(), WorkerTable::default());
     assert_eq!(workers.ban("s-1", true), None, "never listed");
-    workers.entry(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Active));
+    workers.apply(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Active));
     assert_eq!(workers.ban("s-1", true), Some(0));
-    workers.entry(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Left));
-    workers.entry(&names, &entry("s-1", "127.0.0.1:2", WorkerState::Active));
-    assert!(!workers.is_active(0), "an attempt that waited for a call-off there must not go");
+    workers.apply(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Left));
+    workers.apply(&names, &entry("s-1", "127.0.0.1:2", WorkerState::Active));
+    assert!(!workers.accepts_jobs(0), "an attempt that waited for a call-off there must not go");
     workers.ban("s-1", false);
-    assert!(workers.is_active(0));
+    assert!(workers.accepts_jobs(0));
 }
 
 #[test]
-fn a_worker_keeps_its_number_when_its_address_changes() {
+fn a_worker_keeps_its_id_when_its_address_changes() {
     let (names, mut workers) = (names(), WorkerTable::default());
-    let first = workers.entry(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Active));
-    workers.entry(&names, &entry("s-2", "127.0.0.1:2", WorkerState::Active));
-    let again = workers.entry(&names, &entry("s-1", "127.0.0.1:9", WorkerState::Leaving));
+    let first = workers.apply(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Active));
+    workers.apply(&names, &entry("s-2", "127.0.0.1:2", WorkerState::Active));
+    let again = workers.apply(&names, &entry("s-1", "127.0.0.1:9", WorkerState::Leaving));
     assert_eq!((first.worker, again.worker), (0, 0));
-    assert_eq!(workers.locate(0).unwrap().address.port(), 9);
-    assert!(!workers.is_active(0) && workers.is_active(1));
+    assert_eq!(workers.endpoint(0).unwrap().address.port(), 9);
+    assert!(!workers.accepts_jobs(0) && workers.accepts_jobs(1));
     // Gone without an address: attempts that are out there can still be called off.
-    assert_eq!(workers.entry(&names, &entry("s-1", "", WorkerState::Left)).mode, mr::Mode::Gone);
-    assert!(workers.locate(0).is_some());
-    workers.expect_all();
-    assert!(!workers.is_active(1), "a whole list that does not name it");
+    assert_eq!(workers.apply(&names, &entry("s-1", "", WorkerState::Left)).mode, mr::Mode::Gone);
+    assert!(workers.endpoint(0).is_some());
+    workers.begin_full_list();
+    assert!(!workers.accepts_jobs(1), "a whole list that does not name it");
     assert_eq!((first.zone, first.kind, first.ready_at), (Some(0), Some(1), Some(1_700_000_000_000.0)));
 }
 
 #[test]
-fn reports_are_read_by_the_settings_names() {
+fn load_reports_are_read_by_the_names_in_the_settings() {
     let report: LoadReport = [("fail_rate", 0.5), ("rif", 2.0), ("x0", 3.0), ("x1", 4.0)]
         .map(|(name, value)| (name.to_owned(), value))
         .to_vec();
--- a/balancer/core/src/worker_list/mod.rs
+++ b/balancer/core/src/worker_list/mod.rs
@@ -2,4 +2,4 @@
 
 mod watch;
 
-pub use watch::{Call, WorkerListWatcher};
+pub use watch::{ListRequest, WorkerListWatcher};
--- a/balancer/core/src/worker_list/watch.rs
+++ b/balancer/core/src/worker_list/watch.rs
@@ -17,21 +17,21 @@
 
 /// How long discovery may hold a watch that has nothing to tell. A change in it is told at once; what it holds back
 /// in silence counts as told 2 s after this.
-const HOLD_MS: u32 = 2_000;
+const WATCH_HOLD_MS: u32 = 2_000;
 /// A watch without an answer this long after it may have been held has fallen silent, and is asked for anew.
-const LATE_MS: f64 = 1_500.0;
+const WATCH_GRACE_MS: f64 = 1_500.0;
 /// Any call may wait its turn at discovery, which gives up after 3 s at the latest.
-const TURN_MS: f64 = 3_200.0;
-const CONNECT_MS: f64 = 1_000.0;
+const QUEUE_TIMEOUT_MS: f64 = 3_200.0;
+const CONNECT_TIMEOUT_MS: f64 = 1_000.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum ListRequest {
     /// Follow the changes until a call fails.
     Watch,
     /// The whole list, once.
     Fetch,
     /// Discovery is here from now on: follow the changes there, beginning with the whole list.
-    TurnTo(SocketAddr),
+    SwitchTo(SocketAddr),
 }
 
 /// Why a call at discovery failed.
@@ -53,21 +53,21 @@
 }
 
 /// The call under way, to end it from outside, and its last moment.
-type UnderWay = Arc<Mutex<(Arc<Cut>, f64)>>;
+type CurrentCall = Arc<Mutex<(Arc<Cut>, f64)>>;
 
 /// The handle by which dispatch asks.
 pub struct WorkerListWatcher {
-    calls: mpsc::Sender<Call>,
-    under_way: UnderWay,
+    sender: mpsc::Sender<ListRequest>,
+    current_call: CurrentCall,
     clock: Clock,
 }
 
-struct Follower {
+struct WatcherTask {
     discovery: SocketAddr,
     generation: Option<u64>,
     connection: Option<Socket>,
-    asked: mpsc::Receiver<Call>,
-    under_way: UnderWay,
+    requests: mpsc::Receiver<ListRequest>,
+    current_call: CurrentCall,
     exchange: Exchange,
     counters: Arc<Counters>,
     clock: Clock,
@@ -75,8 +75,8 @@
 }
 
 /// How long the answer of a call is waited for that may be held so long (ms).
-fn patience(held: u32) -> f64 {
-    (f64::from(held) + LATE_MS).max(TURN_MS)
+fn answer_timeout(held: u32) -> f64 {
+    (f64::from(held) + WATCH_GRACE_MS).max(QUEUE_TIMEOUT_MS)
 }
 
 impl WorkerListWatcher {
@@ -89,75 +89,75 @@
         clock: Clock,
         log: Logger,
     ) -> Self {
-        let (calls, asked) = mpsc::channel();
-        let under_way = UnderWay::default();
-        let (connection, shared) = (None, under_way.clone());
-        let follower = Follower {
+        let (sender, requests) = mpsc::channel();
+        let current_call = CurrentCall::default();
+        let (connection, shared) = (None, current_call.clone());
+        let task = WatcherTask {
             discovery,
             generation,
             connection,
-            asked,
-            under_way: shared,
+            requests,
+            current_call: shared,
             exchange,
             counters,
             clock,
             log,
         };
-        may::go!(move || follower.run());
-        WorkerListWatcher { calls, under_way, clock }
+        may::go!(move || task.run());
+        WorkerListWatcher { sender, current_call, clock }
     }
 
     /// One whose calls nobody makes.
     #[cfg(test)]
-    pub fn unheard(clock: Clock) -> Self {
-        WorkerListWatcher { calls: mpsc::channel().0, under_way: UnderWay::default(), clock }
+    pub fn disconnected(clock: Clock) -> Self {
+        WorkerListWatcher { sender: mpsc::channel().0, current_call: CurrentCall::default(), clock }
     }
 
-    pub fn ask(&self, call: Call) {
-        let _ = self.calls.send(call);
+    pub fn request(&self, call: ListRequest) {
+        let _ = self.sender.send(call);
     }
 
     /// Leaves the old discovery at once, also inside a held watch.
-    pub fn turn_to(&self, discovery: SocketAddr) {
-        self.ask(Call::TurnTo(discovery));
-        self.cut(f64::INFINITY);
+    pub fn switch_to(&self, discovery: SocketAddr) {
+        self.request(ListRequest::SwitchTo(discovery));
+        self.abort_call(f64::INFINITY);
     }
 
     /// Once in a while: ends a call whose answer is overdue.
-    pub fn tidy(&self) {
-        self.cut(self.clock.now());
+    pub fn abort_overdue(&self) {
+        self.abort_call(self.clock.now());
     }
 
-    fn cut(&self, due: f64) {
-        let under_way = self.under_way.lock().unwrap_or_else(PoisonError::into_inner);
-        if under_way.1 < due {
-            under_way.0.now();
+    fn abort_call(&self, due: f64) {
+        let current_call = self.current_call.lock().unwrap_or_else(PoisonError::into_inner);
+        if current_call.1 < due {
+            current_call.0.now();
         }
     }
 }
 
-impl Follower {
+impl WatcherTask {
     fn run(mut self) {
-        while let Ok(call) = self.asked.recv() {
-            self.take(call);
+        while let Ok(call) = self.requests.recv() {
+            self.handle(call);
         }
     }
 
-    fn take(&mut self, call: Call) {
+    fn handle(&mut self, call: ListRequest) {
         match call {
-            Call::Watch => self.watch(),
-            Call::Fetch => {
-                let fetched = self.call(Call::Fetch);
-                self.report(fetched);
+            ListRequest::Watch => self.watch(),
+            ListRequest::Fetch => {
+                let fetched = self.call(ListRequest::Fetch);
+                self.report_failure(fetched);
             }
-            Call::TurnTo(discovery) => {
-                self.turn(discovery);
+            ListRequest::SwitchTo(discovery) => {
+                self.switch(discovery);
                 self.watch();
             }
         }
     }
 
-    fn report(&self, called: Result<(), CallError>) {
+    fn report_failure(&self, called: Result<(), CallError>) {
         if let Err(problem) = called {
             self.counters.map_failures.add();
             slog::warn!(self.log, "discovery call failed"; "at" => %self.discovery, "problem" => %problem);
@@ -166,7 +166,7 @@
     }
 
     /// The generations of another discovery need not be those of the last: the whole list is asked for.
-    fn turn(&mut self, discovery: SocketAddr) {
+    fn switch(&mut self, discovery: SocketAddr) {
         self.counters.map_moves.add();
         (self.discovery, self.generation, self.connection) = (discovery, None, None);
     }
@@ -177,41 +177,41 @@
     /// One that has fallen silent is opened anew at once: a discovery that has too many callers says so within `TURN_MS`,
     /// and what a silent watch misses counts as told soon. A second silence is a failure like any other.
     fn watch(&mut self) {
-        let mut anew = false;
+        let mut reopened = false;
         loop {
-            let called = self.call(Call::Watch);
-            let silent = called.is_err() && self.was_cut();
-            let moved = self.take_asked();
-            anew = match called {
+            let called = self.call(ListRequest::Watch);
+            let silent = called.is_err() && self.was_aborted();
+            let moved = self.handle_pending();
+            reopened = match called {
                 // A move cuts the call under way: that is no failure.
                 _ if moved => false,
                 Ok(()) => false,
-                Err(_) if silent && !anew => {
+                Err(_) if silent && !reopened => {
                     self.counters.map_silent.add();
                     true
                 }
-                failed => return self.report(failed),
+                failed => return self.report_failure(failed),
             };
         }
     }
 
     /// The last call was given up here, for its answer did not come.
-    fn was_cut(&self) -> bool {
-        self.under_way.lock().unwrap_or_else(PoisonError::into_inner).0.is_done()
+    fn was_aborted(&self) -> bool {
+        self.current_call.lock().unwrap_or_else(PoisonError::into_inner).0.is_done()
     }
 
     /// What was asked for during a watch; another watch is the same one. True if discovery has moved.
-    fn take_asked(&mut self) -> bool {
+    fn handle_pending(&mut self) -> bool {
         let mut moved = false;
-        while let Ok(call) = self.asked.try_recv() {
+        while let Ok(call) = self.requests.try_recv() {
             match call {
-                Call::Watch => {}
-                Call::Fetch => {
-                    let fetched = self.call(Call::Fetch);
-                    self.report(fetched);
+                ListRequest::Watch => {}
+                ListRequest::Fetch => {
+                    let fetched = self.call(ListRequest::Fetch);
+                    self.report_failure(fetched);
                 }
-                Call::TurnTo(discovery) => {
-                    self.turn(discovery);
+                ListRequest::SwitchTo(discovery) => {
+                    self.switch(discovery);
                     moved = true;
                 }
             }
@@ -220,19 +220,19 @@
     }
 
     /// One call; passes on what it brought.
-    fn call(&mut self, call: Call) -> Result<(), CallError> {
+    fn call(&mut self, call: ListRequest) -> Result<(), CallError> {
         let held = match (call, self.generation) {
-            (Call::Watch, Some(_)) => HOLD_MS,
+            (ListRequest::Watch, Some(_)) => WATCH_HOLD_MS,
             _ => 0,
         };
         let target = match self.generation {
-            Some(generation) if call == Call::Watch => {
+            Some(generation) if call == ListRequest::Watch => {
                 format!("/v1/endpoints?from={generation}&hold_ms={held}")
             }
             _ => "/v1/endpoints".to_owned(),
         };
         self.counters.map_calls.add();
-        let cut = self.begin(patience(held));
+        let cut = self.start_call(answer_timeout(held));
         let list = self.fetch(&target, &cut).and_then(|response| self.read(&response))?;
         self.generation = Some(list.generation);
         self.counters.map_changes.add();
@@ -241,10 +241,10 @@
     }
 
     /// The time limit of the call that follows.
-    fn begin(&self, patience: f64) -> Arc<Cut> {
+    fn start_call(&self, answer_timeout: f64) -> Arc<Cut> {
         let cut = Arc::new(Cut::default());
-        let until = self.clock.now() + patience;
-        *self.under_way.lock().unwrap_or_else(PoisonError::into_inner) = (cut.clone(), until);
+        let until = self.clock.now() + answer_timeout;
+        *self.current_call.lock().unwrap_or_else(PoisonError::into_inner) = (cut.clone(), until);
         cut
     }
 
@@ -268,7 +268,7 @@
     fn fetch(&mut self, target: &str, cut: &Cut) -> Result<Response, CallError> {
         let socket = match self.connection.take().filter(Socket::is_quiet) {
             Some(kept) => kept,
-            None => Socket::connect(self.discovery, span(CONNECT_MS)).map_err(CallError::Connect)?,
+            None => Socket::connect(self.discovery, span(CONNECT_TIMEOUT_MS)).map_err(CallError::Connect)?,
         };
         let request = http::request("GET", target, &self.discovery.to_string(), &[], b"");
         let response = converse(&socket, &request, cut, || true).map_err(|broken| match broken {
--- a/balancer/core/src/worker_list/watch/tests.rs
+++ b/balancer/core/src/worker_list/watch/tests.rs
@@ -5,9 +5,11 @@
 use std::net::{TcpListener, TcpStream};
 
 #[test]
-fn a_silent_discovery_is_noticed_before_its_changes_count_as_told() {
+fn a_silent_discovery_is_noticed_before_its_changes_take_effect() {
     // Nothing new may be sent 0.5 s after a drain counts as told: 2 s after a hold, 6 s after any other call.
-    assert!(patience(HOLD_MS) < f64::from(HOLD_MS) + 2_000.0 && patience(0) < 6_000.0);
+    assert!(
+        answer_timeout(WATCH_HOLD_MS) < f64::from(WATCH_HOLD_MS) + 2_000.0 && answer_timeout(0) < 6_000.0
+    );
 }
 
 /// Reads past a call.
@@ -20,7 +22,7 @@
 }
 
 #[test]
-fn a_spoilt_list_changes_nothing_and_is_counted() {
+fn an_invalid_list_changes_nothing_and_is_counted() {
     // A whole list without its entries took every worker away at once.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (exchange, inbox) = Exchange::new();
@@ -36,7 +38,7 @@
         "",
     ];
     for (i, body) in (1..).zip(bad) {
-        map.ask(Call::Watch);
+        map.request(ListRequest::Watch);
         let mut peer = listener.accept().unwrap().0;
         read_head(&mut peer);
         let length = body.len();
@@ -49,14 +51,14 @@
 }
 
 #[test]
-fn a_watch_that_has_fallen_silent_is_opened_anew_at_once_and_a_second_silence_reported() {
+fn a_silent_watch_is_reopened_at_once_and_a_second_silence_is_reported() {
     // The module's wait, made for a discovery that all call at once, came on top: up to 10 s for 300 dispatchers.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (exchange, inbox) = Exchange::new();
     let (counters, log) = (Arc::new(Counters::default()), Logger::root(slog::Discard, slog::o!()));
     let at = listener.local_addr().unwrap();
     let map = WorkerListWatcher::follow(at, Some(1), exchange, counters.clone(), Clock::start(), log);
-    map.ask(Call::Watch);
+    map.request(ListRequest::Watch);
     let mut silent = Vec::new();
     listener.set_nonblocking(true).unwrap();
     for answered in [false, true, false, false] {
@@ -75,7 +77,7 @@
                 .unwrap();
             assert!(matches!(inbox.recv(), Ok(Message::WorkerList(_))));
         } else {
-            map.cut(f64::INFINITY);
+            map.abort_call(f64::INFINITY);
             silent.push(peer);
         }
     }
@@ -84,16 +86,16 @@
 }
 
 #[test]
-fn an_overdue_call_is_cut_and_reported() {
+fn an_overdue_call_is_aborted_and_reported() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (exchange, inbox) = Exchange::new();
     let log = Logger::root(slog::Discard, slog::o!());
     let at = listener.local_addr().unwrap();
     let map = WorkerListWatcher::follow(at, Some(1), exchange, Arc::default(), Clock::start(), log);
-    map.ask(Call::Watch);
+    map.request(ListRequest::Watch);
     let _silent = listener.accept().unwrap();
     while inbox.try_recv().is_err() {
-        map.cut(f64::INFINITY);
+        map.abort_call(f64::INFINITY);
         std::thread::yield_now();
     }
 }
--- a/balancer/core/src/worker_transport/attempt.rs
+++ b/balancer/core/src/worker_transport/attempt.rs
@@ -1,7 +1,7 @@
 //! One conversation with a worker: a delivery attempt, a call-off or a probe.
 
-use super::pool::{Connection, NoConnection};
-use super::{Shared, Stop, WorkerEndpoint};
+use super::pool::{AcquireError, Connection};
+use super::{RequestControl, Shared, WorkerEndpoint};
 use millrudder_exchange::clock::span;
 use millrudder_exchange::{AttemptEnd, AttemptId, Job, Message};
 use millrudder_wire::converse::{self, Broken};
@@ -10,10 +10,10 @@
 use std::sync::atomic::Ordering;
 
 /// A probe or a call-off without an answer for this long is given up.
-const SHORT_WAIT_MS: f64 = 1_000.0;
+const SHORT_REQUEST_TIMEOUT_MS: f64 = 1_000.0;
 
 /// A call-off that must be heard is told again so long after it failed.
-const CALL_OFF_AGAIN_MS: f64 = 100.0;
+const CANCEL_RETRY_INTERVAL_MS: f64 = 100.0;
 
 /// A delivery attempt up to its 202 or its end. Never sends a second time by itself: whether a job may be
 /// repeated is the module's to decide.
@@ -22,32 +22,35 @@
     attempt: AttemptId,
     worker: &WorkerEndpoint,
     job: &Job,
-    until: f64,
-    stop: &Stop,
+    expires_at: f64,
+    control: &RequestControl,
 ) {
-    let request = || job_request(worker, job, until - shared.clock.now());
-    let result = converse(shared, worker, request, stop);
-    if stop.is_left() {
-        let (accepted, firm) = (stop.accepted.load(Ordering::Acquire), stop.firm.load(Ordering::Acquire));
+    let request = || job_request(worker, job, expires_at - shared.clock.now());
+    let result = send_request(shared, worker, request, control);
+    if control.is_given_up() {
+        let (accepted, until_confirmed) =
+            (control.accepted.load(Ordering::Acquire), control.until_confirmed.load(Ordering::Acquire));
         return match result {
-            Ok(Response { status: 202, .. }) => delete(shared, attempt, worker, job, firm),
+            Ok(Response { status: 202, .. }) => send_cancel(shared, attempt, worker, job, until_confirmed),
             Err(AttemptEnd::Reset | AttemptEnd::Silent) if accepted => {
-                delete(shared, attempt, worker, job, firm)
+                send_cancel(shared, attempt, worker, job, until_confirmed)
             }
             // A 202 that was lost: the close does not tell a worker that has sent one.
-            Err(AttemptEnd::Silent) if firm => delete(shared, attempt, worker, job, firm),
+            Err(AttemptEnd::Silent) if until_confirmed => {
+                send_cancel(shared, attempt, worker, job, until_confirmed)
+            }
             // Ended by itself, never written, or its connection is closed by now.
             _ => shared.exchange.put(Message::CalledOff { attempt }),
         };
     }
     shared.exchange.put(match result {
-        Ok(response) => told(attempt, &response),
+        Ok(response) => message_for_response(attempt, &response),
         Err(end) => Message::Ended { attempt, end, load: None },
     });
 }
 
 /// The protocol's table for an answer to a job.
-fn told(attempt: AttemptId, response: &Response) -> Message {
+fn message_for_response(attempt: AttemptId, response: &Response) -> Message {
     let load = report::of_response(response);
     let never_ran = response.headers.get("x-never-ran") == Some("1");
     match response.status {
@@ -69,12 +72,21 @@
 }
 
 /// Tells the worker that an accepted job is given up; `firm`: until it has answered or the job's time is over.
-pub(super) fn delete(shared: &Shared, attempt: AttemptId, worker: &WorkerEndpoint, job: &Job, firm: bool) {
+pub(super) fn send_cancel(
+    shared: &Shared,
+    attempt: AttemptId,
+    worker: &WorkerEndpoint,
+    job: &Job,
+    until_confirmed: bool,
+) {
     let target = format!("/jobs/{}", job.trace_id);
     let request = http::request("DELETE", &target, &worker.address.to_string(), &[], b"");
     // Whatever the answer: the attempt is given up. Without one the worker may not know.
-    while converse_within(shared, worker, &request).is_err() && firm && shared.clock.now() < job.deadline {
-        may::coroutine::sleep(span(CALL_OFF_AGAIN_MS));
+    while send_short_request(shared, worker, &request).is_err()
+        && until_confirmed
+        && shared.clock.now() < job.deadline
+    {
+        may::coroutine::sleep(span(CANCEL_RETRY_INTERVAL_MS));
     }
     shared.exchange.put(Message::CalledOff { attempt });
 }
@@ -82,7 +94,7 @@
 pub(super) fn probe(shared: &Shared, worker: &WorkerEndpoint) {
     let sent = shared.clock.now();
     let request = http::request("GET", "/status/load", &worker.address.to_string(), &[], b"");
-    let result = converse_within(shared, worker, &request);
+    let result = send_short_request(shared, worker, &request);
     let latency = shared.clock.now() - sent;
     let (end, load) = match &result {
         Ok(response) if response.status == 200 => (None, report::of_probe(response)),
@@ -94,16 +106,20 @@
 
 /// A conversation that is given up after a short while. What it asks may be asked again: a kept connection that
 /// had died is replaced by another.
-fn converse_within(shared: &Shared, worker: &WorkerEndpoint, request: &[u8]) -> Result<Response, AttemptEnd> {
-    let stop = std::sync::Arc::new(Stop::default());
-    let late = stop.clone();
+fn send_short_request(
+    shared: &Shared,
+    worker: &WorkerEndpoint,
+    request: &[u8],
+) -> Result<Response, AttemptEnd> {
+    let control = std::sync::Arc::new(RequestControl::default());
+    let timed_out = control.clone();
     may::go!(move || {
-        may::coroutine::sleep(span(SHORT_WAIT_MS));
-        late.cut.now();
+        may::coroutine::sleep(span(SHORT_REQUEST_TIMEOUT_MS));
+        timed_out.cut.now();
     });
     loop {
-        match converse(shared, worker, || request.to_vec(), &stop) {
-            Err(AttemptEnd::NotSent) if !stop.cut.is_done() => {}
+        match send_request(shared, worker, || request.to_vec(), &control) {
+            Err(AttemptEnd::NotSent) if !control.cut.is_done() => {}
             result => return result,
         }
     }
@@ -111,40 +127,42 @@
 
 /// Writes a request on a kept or new connection, reads its response and keeps the connection if it allows that. The
 /// request is worded only then: how long a job's client still waits is told as of its first byte.
-fn converse(
+fn send_request(
     shared: &Shared,
     worker: &WorkerEndpoint,
     request: impl FnOnce() -> Vec<u8>,
-    stop: &Stop,
+    control: &RequestControl,
 ) -> Result<Response, AttemptEnd> {
-    let wanted = || stop.may_begin() && !stop.cut.is_done();
-    let connection = shared.pool.take(worker, wanted).map_err(|none| match none {
-        NoConnection::NoDescriptor => AttemptEnd::NotSent,
-        NoConnection::NotConnected => AttemptEnd::NotConnected,
+    let wanted = || control.may_begin() && !control.cut.is_done();
+    let connection = shared.pool.acquire(worker, wanted).map_err(|error| match error {
+        AcquireError::NoDescriptor => AttemptEnd::NotSent,
+        AcquireError::NotConnected => AttemptEnd::NotConnected,
     })?;
-    if !stop.may_begin() {
+    if !control.may_begin() {
         // Given up or answered, or its worker leaves since the connection was asked for: nothing is sent, and the
         // connection serves the next attempt.
-        shared.pool.keep(worker.id, connection, false);
+        shared.pool.put_back(worker.id, connection, false);
         return Err(AttemptEnd::NotSent);
     }
-    stop.answer_by(shared.clock.now() + shared.pool.limits().answer_time());
-    match converse::converse(&connection.socket, &request(), &stop.cut, || stop.may_send()) {
+    control.set_answer_deadline(shared.clock.now() + shared.pool.limits().answer_timeout());
+    match converse::converse(&connection.socket, &request(), &control.cut, || control.may_finish()) {
         Ok(response) => {
-            give_back(shared, worker, connection, &response);
+            return_connection(shared, worker, connection, &response);
             Ok(response)
         }
         // Our own close is not the worker's.
-        Err(Broken::AfterWritten(_)) if stop.cut.is_done() => Err(AttemptEnd::Silent),
+        Err(Broken::AfterWritten(_)) if control.cut.is_done() => Err(AttemptEnd::Silent),
         Err(Broken::AfterWritten(_)) => {
-            connection.kept_since.into_iter().for_each(|since| shared.pool.forget_older(worker.id, since));
+            connection.idle_since.into_iter().for_each(|since| shared.pool.discard_older(worker.id, since));
             Err(AttemptEnd::Reset)
         }
-        Err(Broken::BeforeWritten(_)) if stop.cut.is_done() || !stop.may_send() => Err(AttemptEnd::NotSent),
-        Err(Broken::BeforeWritten(_)) => Err(match connection.kept_since {
+        Err(Broken::BeforeWritten(_)) if control.cut.is_done() || !control.may_finish() => {
+            Err(AttemptEnd::NotSent)
+        }
+        Err(Broken::BeforeWritten(_)) => Err(match connection.idle_since {
             // It had died while it stood idle: nothing is known of the worker.
             Some(since) => {
-                shared.pool.forget_older(worker.id, since);
+                shared.pool.discard_older(worker.id, since);
                 AttemptEnd::NotSent
             }
             None => AttemptEnd::NotConnected,
@@ -152,9 +170,9 @@
     }
 }
 
-fn give_back(shared: &Shared, worker: &WorkerEndpoint, connection: Connection, response: &Response) {
+fn return_connection(shared: &Shared, worker: &WorkerEndpoint, connection: Connection, response: &Response) {
     if response.keep_alive {
-        shared.pool.keep(worker.id, connection, response.status != 202);
+        shared.pool.put_back(worker.id, connection, response.status != 202);
     }
 }
 
--- a/balancer/core/src/worker_transport/attempt/tests.rs
+++ b/balancer/core/src/worker_transport/attempt/tests.rs
@@ -8,7 +8,7 @@
 fn end_of(text: &str) -> Option<AttemptEnd> {
     let mut decoder = Decoder::default();
     decoder.push(text.as_bytes());
-    match told(ATTEMPT, &decoder.next_message().unwrap().unwrap()) {
+    match message_for_response(ATTEMPT, &decoder.next_message().unwrap().unwrap()) {
         Message::Accepted { .. } => None,
         Message::Ended { end, .. } => Some(end),
         _ => panic!("neither accepted nor ended"),
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn answers_of_workers_follow_the_protocols_table() {
+fn responses_map_to_attempt_ends_as_the_protocol_says() {
     let answer = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(end_of(&answer("202 Accepted")), None);
     assert_eq!(end_of(&answer("500 Error")), Some(AttemptEnd::Failed));
--- a/balancer/core/src/worker_transport/pool.rs
+++ b/balancer/core/src/worker_transport/pool.rs
@@ -13,14 +13,14 @@
 
 /// Kept connections are dropped at this share of the time at which the worker's machine may close them: a
 /// request written after that close ends as a reset, which may have run.
-const IDLE_SHARE: f64 = 0.6;
-const LEAST_IDLE_MS: f64 = 100.0;
+const IDLE_FRACTION: f64 = 0.6;
+const MIN_LEARNED_IDLE_MS: f64 = 100.0;
 /// After each such time without a death, connections may stand idle twice as long.
-const DOUBLES_MS: f64 = 3_000.0;
+const IDLE_DOUBLING_MS: f64 = 3_000.0;
 /// Retries and call-offs of an old process's jobs need a few connections.
-const LEAST_PART: usize = 4;
+const MIN_SHARED_CONNECTIONS: usize = 4;
 /// How often a free descriptor is looked for when all that workers may use are taken.
-const PLACE_PAUSE_MS: f64 = 2.0;
+const DESCRIPTOR_POLL_INTERVAL_MS: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
@@ -36,13 +36,13 @@
 
 /// The settings' limit on a connect tells how long the way to a worker may take; an answer takes its own time.
 const ANSWER_FACTOR: f64 = 2.0;
-const LEAST_ANSWER_MS: f64 = 200.0;
-const MOST_ANSWER_MS: f64 = 2_000.0;
+const MIN_ANSWER_TIMEOUT_MS: f64 = 200.0;
+const MAX_ANSWER_TIMEOUT_MS: f64 = 2_000.0;
 
 impl ConnectionLimits {
     /// A worker that is there says within this time (ms) whether it takes a job; that does not depend on its queue.
-    pub fn answer_time(&self) -> f64 {
-        (ANSWER_FACTOR * self.connect_timeout).clamp(LEAST_ANSWER_MS, MOST_ANSWER_MS)
+    pub fn answer_timeout(&self) -> f64 {
+        (ANSWER_FACTOR * self.connect_timeout).clamp(MIN_ANSWER_TIMEOUT_MS, MAX_ANSWER_TIMEOUT_MS)
     }
 }
 
@@ -50,70 +50,70 @@
 pub struct Connection {
     pub socket: Socket,
     /// It has carried a request before, and stood idle since this time.
-    pub kept_since: Option<f64>,
+    pub idle_since: Option<f64>,
     address: SocketAddr,
-    _place: Place,
+    _permit: ConnectionPermit,
 }
 
 /// Why there is no connection.
 #[derive(Debug)]
-pub enum NoConnection {
+pub enum AcquireError {
     /// Of this program's doing: nothing is known of the worker.
     NoDescriptor,
     NotConnected,
 }
 
 /// What a connect may fail with before it asks the worker.
-fn is_local(error: &io::Error) -> bool {
+fn is_local_error(error: &io::Error) -> bool {
     use nix::errno::Errno;
     let local = [Errno::EMFILE, Errno::ENFILE, Errno::ENOBUFS, Errno::ENOMEM, Errno::EADDRNOTAVAIL];
     error.raw_os_error().is_some_and(|code| local.contains(&Errno::from_raw(code)))
 }
 
-struct Place(Arc<AtomicUsize>);
+struct ConnectionPermit(Arc<AtomicUsize>);
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-struct Kept {
+struct IdleConnection {
     connection: Connection,
-    since: f64,
+    idle_since: f64,
     /// It rests until then.
-    until: f64,
+    usable_from: f64,
 }
 
 /// Something on the way may drop idle connections sooner than the settings say. How long one may stand idle is
 /// learnt from those that died: down to the age at which one did, and slowly up again.
 #[derive(Clone, Copy)]
 struct IdleLimit {
-    learnt: f64,
-    at: f64,
+    learned_ms: f64,
+    learned_at: f64,
 }
 
 impl IdleLimit {
-    fn now(&self, now: f64, most: f64) -> f64 {
-        (self.learnt * ((now - self.at) / DOUBLES_MS).exp2()).min(most)
+    fn current(&self, now: f64, max_ms: f64) -> f64 {
+        (self.learned_ms * ((now - self.learned_at) / IDLE_DOUBLING_MS).exp2()).min(max_ms)
     }
 
     /// One that died younger tells nothing of idleness.
-    fn died(&mut self, age: f64, now: f64, most: f64) {
-        if age >= LEAST_IDLE_MS {
-            *self = IdleLimit { learnt: age.min(self.now(now, most)), at: now };
+    fn record_death(&mut self, age: f64, now: f64, max_ms: f64) {
+        if age >= MIN_LEARNED_IDLE_MS {
+            *self = IdleLimit { learned_ms: age.min(self.current(now, max_ms)), learned_at: now };
         }
     }
 }
 
 pub struct Pool {
-    idle: Mutex<IdleLimit>,
+    idle_limit: Mutex<IdleLimit>,
     /// The times in it change with the settings.
     limits: Mutex<ConnectionLimits>,
     peer_process: PeerProcess,
     open: Arc<AtomicUsize>,
     /// By worker, the latest used last: it is used next, so that the others grow old and go.
-    kept: Mutex<BTreeMap<WorkerId, Vec<Kept>>>,
+    idle: Mutex<BTreeMap<WorkerId, Vec<IdleConnection>>>,
     counters: Arc<Counters>,
     clock: Clock,
 }
@@ -125,9 +125,9 @@
         counters: Arc<Counters>,
         clock: Clock,
     ) -> Self {
-        let idle = Mutex::new(IdleLimit { learnt: f64::INFINITY, at: 0.0 });
-        let (limits, open, kept) = (Mutex::new(limits), Arc::default(), Mutex::default());
-        Pool { idle, limits, peer_process, open, kept, counters, clock }
+        let idle_limit = Mutex::new(IdleLimit { learned_ms: f64::INFINITY, learned_at: 0.0 });
+        let (limits, open, idle) = (Mutex::new(limits), Arc::default(), Mutex::default());
+        Pool { idle_limit, limits, peer_process, open, idle, counters, clock }
     }
 
     pub fn limits(&self) -> ConnectionLimits {
@@ -135,140 +135,140 @@
     }
 
     /// By new settings, for connections asked for from now on and for how long kept ones may stand idle.
-    pub fn retime(&self, connect_timeout: f64, conn_idle: f64) {
+    pub fn set_timeouts(&self, connect_timeout: f64, conn_idle: f64) {
         let mut limits = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
         (limits.connect_timeout, limits.conn_idle) = (connect_timeout, conn_idle);
     }
 
     /// A kept connection, or a new one; waits for a descriptor while `wanted`, and for as long as a connect may take.
-    pub fn take(
+    pub fn acquire(
         &self,
         worker: &WorkerEndpoint,
         wanted: impl Fn() -> bool,
-    ) -> Result<Connection, NoConnection> {
-        if let Some(connection) = self.take_kept(worker) {
+    ) -> Result<Connection, AcquireError> {
+        if let Some(connection) = self.take_idle(worker) {
             self.counters.connections_reused.add();
             return Ok(connection);
         }
-        let Some(place) = self.wait_for_place(wanted) else {
+        let Some(permit) = self.wait_for_permit(wanted) else {
             self.counters.connections_lacking.add();
-            return Err(NoConnection::NoDescriptor);
+            return Err(AcquireError::NoDescriptor);
         };
         match Socket::connect(worker.address, span(self.limits().connect_timeout)) {
             Ok(socket) => {
                 self.counters.connections_out.add();
-                Ok(Connection { socket, kept_since: None, address: worker.address, _place: place })
+                Ok(Connection { socket, idle_since: None, address: worker.address, _permit: permit })
             }
-            Err(error) if is_local(&error) => {
+            Err(error) if is_local_error(&error) => {
                 self.counters.connections_lacking.add();
-                Err(NoConnection::NoDescriptor)
+                Err(AcquireError::NoDescriptor)
             }
             Err(_) => {
                 self.counters.connects_failed.add();
-                Err(NoConnection::NotConnected)
+                Err(AcquireError::NotConnected)
             }
         }
     }
 
     /// Gives a connection back whose last response was read whole and allows another request.
     /// `rests`: its last response must not be taken for the next one's.
-    pub fn keep(&self, worker: WorkerId, connection: Connection, rests: bool) {
-        let since = self.clock.now();
-        let until = if rests { since + self.limits().reuse_delay } else { since };
-        self.kept().entry(worker).or_default().push(Kept { connection, since, until });
+    pub fn put_back(&self, worker: WorkerId, connection: Connection, rests: bool) {
+        let idle_since = self.clock.now();
+        let usable_from = if rests { idle_since + self.limits().reuse_delay } else { idle_since };
+        self.idle().entry(worker).or_default().push(IdleConnection { connection, idle_since, usable_from });
     }
 
     /// A kept connection was found dead: those that have stood idle as long will be.
-    pub fn forget_older(&self, worker: WorkerId, since: f64) {
+    pub fn discard_older(&self, worker: WorkerId, since: f64) {
         self.counters.connections_died.add();
         let now = self.clock.now();
-        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.died(now - since, now, self.limits().conn_idle * IDLE_SHARE);
+        let mut idle = self.idle_limit.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.record_death(now - since, now, self.limits().conn_idle * IDLE_FRACTION);
         drop(idle);
-        if let Some(list) = self.kept().get_mut(&worker) {
-            list.retain(|kept| kept.since > since);
+        if let Some(list) = self.idle().get_mut(&worker) {
+            list.retain(|kept| kept.idle_since > since);
         }
     }
 
-    pub fn release(&self, worker: WorkerId) {
-        drop(self.kept().remove(&worker));
+    pub fn close_idle(&self, worker: WorkerId) {
+        drop(self.idle().remove(&worker));
     }
 
-    pub fn tidy(&self) {
-        let fresh = self.fresh_since();
-        self.kept().retain(|_, list| {
-            list.retain(|k| k.since >= fresh && k.connection.socket.is_quiet());
+    pub fn close_stale(&self) {
+        let fresh = self.usable_since();
+        self.idle().retain(|_, list| {
+            list.retain(|k| k.idle_since >= fresh && k.connection.socket.is_quiet());
             !list.is_empty()
         });
     }
 
     /// What the other process of an upgrade may hold is not ours.
-    fn most(&self) -> usize {
+    fn max_open(&self) -> usize {
         self.limits().connections.saturating_sub(self.peer_process.worker_connections()).max(1)
     }
 
     /// From now on at most so many are open here as are now, and half of all: the rest is the other process's.
-    pub fn keep_a_part(&self) -> usize {
+    pub fn share_connections(&self) -> usize {
         let most = (self.limits().connections / 2).max(1);
-        while self.open.load(Ordering::Relaxed) > most && self.drop_oldest() {}
-        let part = self.open.load(Ordering::Relaxed).clamp(LEAST_PART.min(most), most);
+        while self.open.load(Ordering::Relaxed) > most && self.drop_oldest_idle() {}
+        let part = self.open.load(Ordering::Relaxed).clamp(MIN_SHARED_CONNECTIONS.min(most), most);
         self.peer_process.share(self.peer_process.inbound(), self.limits().connections - part);
         part
     }
 
-    fn take_kept(&self, worker: &WorkerEndpoint) -> Option<Connection> {
-        let fresh = self.fresh_since();
-        let mut kept = self.kept();
+    fn take_idle(&self, worker: &WorkerEndpoint) -> Option<Connection> {
+        let fresh = self.usable_since();
+        let mut kept = self.idle();
         let (list, now) = (kept.get_mut(&worker.id)?, self.clock.now());
-        while let Some(i) = list.iter().rposition(|kept| kept.until <= now) {
-            let Kept { connection, since, .. } = list.remove(i);
+        while let Some(i) = list.iter().rposition(|kept| kept.usable_from <= now) {
+            let IdleConnection { connection, idle_since, .. } = list.remove(i);
             // The address of the same worker may have changed since.
-            if since >= fresh && connection.address == worker.address && connection.socket.is_quiet() {
-                return Some(Connection { kept_since: Some(since), ..connection });
+            if idle_since >= fresh && connection.address == worker.address && connection.socket.is_quiet() {
+                return Some(Connection { idle_since: Some(idle_since), ..connection });
             }
         }
         None
     }
 
-    fn fresh_since(&self) -> f64 {
+    fn usable_since(&self) -> f64 {
         let now = self.clock.now();
-        let idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        now - idle.now(now, self.limits().conn_idle * IDLE_SHARE)
+        let idle = self.idle_limit.lock().unwrap_or_else(PoisonError::into_inner);
+        now - idle.current(now, self.limits().conn_idle * IDLE_FRACTION)
     }
 
-    fn wait_for_place(&self, wanted: impl Fn() -> bool) -> Option<Place> {
+    fn wait_for_permit(&self, wanted: impl Fn() -> bool) -> Option<ConnectionPermit> {
         let until = self.clock.now() + self.limits().connect_timeout;
         loop {
-            let place = self.place();
-            if place.is_some() || !wanted() || self.clock.now() >= until {
-                return place;
+            let permit = self.permit();
+            if permit.is_some() || !wanted() || self.clock.now() >= until {
+                return permit;
             }
-            may::coroutine::sleep(span(PLACE_PAUSE_MS));
+            may::coroutine::sleep(span(DESCRIPTOR_POLL_INTERVAL_MS));
         }
     }
 
     /// Room for one more connection, made by dropping the oldest kept one if need be.
-    fn place(&self) -> Option<Place> {
-        if self.open.load(Ordering::Relaxed) >= self.most() && !self.drop_oldest() {
+    fn permit(&self) -> Option<ConnectionPermit> {
+        if self.open.load(Ordering::Relaxed) >= self.max_open() && !self.drop_oldest_idle() {
             return None;
         }
         self.open.fetch_add(1, Ordering::Relaxed);
-        Some(Place(self.open.clone()))
+        Some(ConnectionPermit(self.open.clone()))
     }
 
-    fn drop_oldest(&self) -> bool {
-        let mut kept = self.kept();
+    fn drop_oldest_idle(&self) -> bool {
+        let mut kept = self.idle();
         let oldest = kept
             .iter()
-            .filter_map(|(worker, list)| list.first().map(|k| (k.since, *worker)))
+            .filter_map(|(worker, list)| list.first().map(|k| (k.idle_since, *worker)))
             .min_by(|a, b| a.0.total_cmp(&b.0));
         let Some(list) = oldest.and_then(|(_, worker)| kept.get_mut(&worker)) else { return false };
         list.remove(0);
         true
     }
 
-    fn kept(&self) -> std::sync::MutexGuard<'_, BTreeMap<WorkerId, Vec<Kept>>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn idle(&self) -> std::sync::MutexGuard<'_, BTreeMap<WorkerId, Vec<IdleConnection>>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/balancer/core/src/worker_transport/tests.rs
+++ b/balancer/core/src/worker_transport/tests.rs
@@ -9,17 +9,20 @@
 const ATTEMPT: AttemptId = AttemptId { ticket: 1, number: 0 };
 
 /// A delivery attempt that has reached its worker, which has not answered yet.
-fn under_way(cancel_grace: f64) -> (HttpTransport, WorkerEndpoint, Arc<Job>, TcpStream, Inbox) {
+fn attempt_at_worker(cancel_grace: f64) -> (HttpTransport, WorkerEndpoint, Arc<Job>, TcpStream, Inbox) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (transport, worker, job, inbox) = begun(&listener, cancel_grace);
+    let (transport, worker, job, inbox) = start_attempt(&listener, cancel_grace);
     let mut peer = listener.accept().unwrap().0;
     assert!(read_to(&mut peer, "body").starts_with("POST /api HTTP/1.1"));
     (transport, worker, job, peer, inbox)
 }
 
-fn begun(listener: &TcpListener, cancel_grace: f64) -> (HttpTransport, WorkerEndpoint, Arc<Job>, Inbox) {
+fn start_attempt(
+    listener: &TcpListener,
+    cancel_grace: f64,
+) -> (HttpTransport, WorkerEndpoint, Arc<Job>, Inbox) {
     let open = Arc::new(AtomicBool::new(true));
-    let worker = WorkerEndpoint { id: 3, address: listener.local_addr().unwrap(), open };
+    let worker = WorkerEndpoint { id: 3, address: listener.local_addr().unwrap(), accepts_jobs: open };
     let (exchange, inbox) = Exchange::new();
     let clock = Clock::start();
     let limits = ConnectionLimits {
@@ -46,7 +49,7 @@
 }
 
 /// A listener whose accept queue is full with this one.
-fn crowded() -> (TcpListener, TcpStream) {
+fn listener_with_full_backlog() -> (TcpListener, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listen(&listener, Backlog::new(0).unwrap()).unwrap();
     let first = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -55,27 +58,27 @@
 
 /// An attempt whose connection waits in a full accept queue until `meanwhile` has happened: it ends as not sent,
 /// and the worker sees nothing of it.
-fn ends_unsent(meanwhile: impl Fn(&HttpTransport, &WorkerEndpoint)) {
-    let (listener, first) = crowded();
-    let (transport, worker, _, inbox) = begun(&listener, 0.0);
+fn assert_not_sent(meanwhile: impl Fn(&HttpTransport, &WorkerEndpoint)) {
+    let (listener, first) = listener_with_full_backlog();
+    let (transport, worker, _, inbox) = start_attempt(&listener, 0.0);
     meanwhile(&transport, &worker);
     drop((listener.accept().unwrap(), first));
     let mut peer = listener.accept().unwrap().0;
     let end = inbox.recv_timeout(span(20_000.0));
     assert!(matches!(end, Ok(Message::Ended { end: AttemptEnd::NotSent, .. })));
-    transport.release(3);
+    transport.close_idle(3);
     assert_eq!(read_to(&mut peer, "never"), "");
 }
 
 #[test]
-fn what_is_owed_no_more_when_its_connection_comes_up_is_not_sent() {
+fn an_attempt_answered_while_connecting_is_not_sent() {
     // A job was answered while its attempt's connection came up, and sent on 55 ms later.
-    ends_unsent(|transport, _| transport.hold_back(ATTEMPT));
+    assert_not_sent(|transport, _| transport.withhold_unsent(ATTEMPT));
 }
 
 #[test]
-fn nothing_is_sent_to_one_that_began_to_leave_while_the_connection_came_up() {
-    ends_unsent(|_, worker| worker.open.store(false, Ordering::Release));
+fn nothing_is_sent_to_a_worker_that_starts_draining_while_connecting() {
+    assert_not_sent(|_, worker| worker.accepts_jobs.store(false, Ordering::Release));
 }
 
 fn read_to(peer: &mut TcpStream, end: &str) -> String {
@@ -87,10 +90,10 @@
 }
 
 #[test]
-fn a_call_off_waits_for_the_202_and_keeps_the_connection() {
+fn a_cancel_waits_for_the_202_and_keeps_the_connection() {
     // Closing it cost a new connection for nearly each copy that was called off: 277 on one deploy day.
-    let (transport, worker, job, mut peer, inbox) = under_way(60_000.0);
-    transport.call_off(ATTEMPT, worker, job, false, false);
+    let (transport, worker, job, mut peer, inbox) = attempt_at_worker(60_000.0);
+    transport.cancel(ATTEMPT, worker, job, false, false);
     peer.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").unwrap();
     assert!(read_to(&mut peer, "\r\n\r\n").starts_with("DELETE /jobs/9b1f HTTP/1.1"));
     peer.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").unwrap();
@@ -98,11 +101,11 @@
 }
 
 #[test]
-fn a_wait_for_a_descriptor_or_a_connection_is_no_silence_of_the_worker() {
+fn waiting_for_a_descriptor_or_connection_does_not_count_as_a_silent_worker() {
     // The answer's time ran from before that wait: a lack here could end as a silent worker.
-    let (listener, first) = crowded();
-    let (transport, _, _, _inbox) = begun(&listener, 0.0);
-    let due = || transport.waiting().get(&ATTEMPT).map(|stop| stop.due());
+    let (listener, first) = listener_with_full_backlog();
+    let (transport, _, _, _inbox) = start_attempt(&listener, 0.0);
+    let due = || transport.unanswered().get(&ATTEMPT).map(|control| control.answer_deadline());
     assert_eq!(due(), Some(f64::INFINITY));
     drop((listener.accept().unwrap(), first));
     let mut peer = listener.accept().unwrap().0;
@@ -111,10 +114,10 @@
 }
 
 #[test]
-fn how_long_a_client_waits_is_told_as_of_the_requests_first_byte() {
+fn the_expires_in_header_counts_from_the_first_byte() {
     // It was told as of before the wait for a connection, up to a second and a half too long.
-    let (listener, first) = crowded();
-    let (transport, _, job, _inbox) = begun(&listener, 0.0);
+    let (listener, first) = listener_with_full_backlog();
+    let (transport, _, job, _inbox) = start_attempt(&listener, 0.0);
     let (clock, began) = (transport.0.clock, transport.0.clock.now());
     while clock.now() < began + 20.0 {
         std::thread::yield_now();
@@ -122,9 +125,9 @@
     let left = job.deadline - clock.now();
     drop((listener.accept().unwrap(), first));
     let head = read_to(&mut listener.accept().unwrap().0, "body");
-    let told = head.lines().find_map(|line| line.strip_prefix("X-Expires-In: ")?.strip_suffix('u'));
-    let told = told.unwrap().parse::<f64>().unwrap() / 1000.0;
-    assert!(told > 0.0 && told <= left, "{told} of {left} ms");
+    let sent_ms = head.lines().find_map(|line| line.strip_prefix("X-Expires-In: ")?.strip_suffix('u'));
+    let sent_ms = sent_ms.unwrap().parse::<f64>().unwrap() / 1000.0;
+    assert!(sent_ms > 0.0 && sent_ms <= left, "{sent_ms} of {left} ms");
 }
 
 /// The next connection; a failure rather than a hang if none comes.
@@ -141,9 +144,9 @@
 }
 
 #[test]
-fn after_an_answer_that_may_come_twice_the_next_job_goes_by_another_connection() {
+fn after_a_response_that_may_be_duplicated_the_next_job_uses_another_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (transport, worker, job, inbox) = begun(&listener, 0.0);
+    let (transport, worker, job, inbox) = start_attempt(&listener, 0.0);
     let mut first = listener.accept().unwrap().0;
     read_to(&mut first, "body");
     first.write_all(b"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n").unwrap();
@@ -160,13 +163,13 @@
 }
 
 #[test]
-fn a_firm_call_off_is_told_until_it_is_answered() {
+fn a_confirmed_cancel_is_retried_until_it_is_answered() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (transport, worker, job, inbox) = begun(&listener, 60_000.0);
+    let (transport, worker, job, inbox) = start_attempt(&listener, 60_000.0);
     let mut peer = listener.accept().unwrap().0;
     listener.set_nonblocking(true).unwrap();
     read_to(&mut peer, "body");
-    transport.call_off(ATTEMPT, worker, job, false, true);
+    transport.cancel(ATTEMPT, worker, job, false, true);
     peer.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").unwrap();
     // A starved machine may let the call-off's second pass before the request is written or the answer is read; it is sent
     // again on another connection then. Only those that arrived count, and three of them get no answer.
@@ -183,7 +186,7 @@
             assert!(inbox.try_recv().is_err(), "the worker may not know");
             drop(peer);
         }
-        match answered_or_told_again(&inbox, &listener) {
+        match answer_or_retry(&inbox, &listener) {
             Ok(message) => break message,
             Err(next) => peer = next,
         }
@@ -193,7 +196,7 @@
 }
 
 /// The next message, or the connection on which the call-off comes again.
-fn answered_or_told_again(inbox: &Inbox, listener: &TcpListener) -> Result<Message, TcpStream> {
+fn answer_or_retry(inbox: &Inbox, listener: &TcpListener) -> Result<Message, TcpStream> {
     loop {
         if let Ok(message) = inbox.try_recv() {
             return Ok(message);
@@ -206,36 +209,39 @@
 }
 
 #[test]
-fn a_firm_call_off_without_a_202_is_told_all_the_same() {
+fn a_confirmed_cancel_is_sent_even_without_a_202() {
     // The 202 may be lost: closing the connection gives nothing up then.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (transport, worker, job, inbox) = begun(&listener, 0.0);
+    let (transport, worker, job, inbox) = start_attempt(&listener, 0.0);
     let mut peer = listener.accept().unwrap().0;
     read_to(&mut peer, "body");
-    transport.call_off(ATTEMPT, worker, job, false, true);
+    transport.cancel(ATTEMPT, worker, job, false, true);
     assert_eq!(read_to(&mut peer, "never"), "");
-    let mut told = accept_in_time(&listener);
-    assert!(read_to(&mut told, "\r\n\r\n").starts_with("DELETE /jobs/9b1f HTTP/1.1"));
+    let mut second = accept_in_time(&listener);
+    assert!(read_to(&mut second, "\r\n\r\n").starts_with("DELETE /jobs/9b1f HTTP/1.1"));
     assert!(inbox.try_recv().is_err(), "the worker may not know");
-    told.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").unwrap();
+    second.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").unwrap();
     assert!(matches!(inbox.recv(), Ok(Message::CalledOff { attempt: ATTEMPT })));
 }
 
 #[test]
-fn a_call_off_without_a_202_closes_the_connection() {
-    let (transport, worker, job, mut peer, inbox) = under_way(0.0);
-    transport.call_off(ATTEMPT, worker, job, false, false);
+fn a_cancel_without_a_202_closes_the_connection() {
+    let (transport, worker, job, mut peer, inbox) = attempt_at_worker(0.0);
+    transport.cancel(ATTEMPT, worker, job, false, false);
     assert_eq!(read_to(&mut peer, "never"), "");
     assert!(matches!(inbox.recv(), Ok(Message::CalledOff { attempt: ATTEMPT })));
 }
 
 #[test]
-fn a_worker_that_says_nothing_is_silent_and_its_own_close_no_reset() {
-    let (transport, _, _, mut peer, inbox) = under_way(0.0);
+fn an_unanswered_request_ends_as_silent_not_as_reset() {
+    let (transport, _, _, mut peer, inbox) = attempt_at_worker(0.0);
     let now = transport.0.clock.now();
-    assert!(transport.waiting().values().all(|stop| stop.due() < now + 3_000.0), "not only at the deadline");
-    transport.waiting().values().for_each(|stop| stop.answer_by(now - 1.0));
-    transport.cut_overdue();
+    assert!(
+        transport.unanswered().values().all(|control| control.answer_deadline() < now + 3_000.0),
+        "not only at the deadline"
+    );
+    transport.unanswered().values().for_each(|control| control.set_answer_deadline(now - 1.0));
+    transport.abort_overdue();
     assert!(matches!(inbox.recv(), Ok(Message::Ended { end: AttemptEnd::Silent, .. })));
     assert_eq!(read_to(&mut peer, "never"), "", "before the 202 a close gives the attempt up");
 }
