--- a/balancer/core/src/dispatch/handover_state.rs
+++ b/balancer/core/src/dispatch/handover_state.rs
@@ -1,5 +1,6 @@
-//! What a process leaves to its successor: the worker list with its position, bans, what the module has learnt.
-//! Numbers of workers, classes and kinds are this process's own, so names go with them.
+//! The state that the old process of an upgrade hands over to the new one: the worker list with its
+//! generation, the bans and what the decision module has learned. The ids of workers, classes and kinds are
+//! private to a process, so their names are handed over as well.
 
 use millrudder as mr;
 use millrudder_config::{position, Names};
@@ -7,22 +8,22 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Of this form; another is refused whole.
+/// Version of the encoding; a state of another version is rejected.
 const FORMAT_VERSION: u32 = 1;
 
-/// Deepest nesting of the CBOR that is read; what is written nests less deeply.
+/// The deepest nesting of CBOR that is read; the encoded state nests less deeply.
 const MAX_CBOR_DEPTH: usize = 16;
 
-/// Why bytes are not what a predecessor of this version leaves.
+/// Why bytes cannot be read as a handover state.
 #[derive(Debug, Error)]
 pub enum HandoverStateError {
-    /// They are no CBOR, or lack a field.
+    /// They are not CBOR, or a field is missing.
     #[error(transparent)]
     Malformed(#[from] ciborium::de::Error<std::io::Error>),
-    /// Another version of the program wrote them.
+    /// Another version of the program encoded them.
     #[error("a state of form {found}, {FORMAT_VERSION} is wanted")]
     UnsupportedVersion {
-        /// The form that they say they have.
+        /// The version that they carry.
         found: u32,
     },
 }
@@ -33,7 +34,7 @@
     pub(super) generation: Option<u64>,
     #[serde(rename = "map")]
     pub(super) worker_list: Vec<WorkerEntry>,
-    /// Names by number.
+    /// Names by worker id.
     #[serde(rename = "hops")]
     pub(super) worker_names: Vec<String>,
     pub(super) classes: Vec<String>,
@@ -64,15 +65,15 @@
 
     pub(super) fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
-        // Into memory nothing can fail but memory itself.
+        // Writing to a vector cannot fail.
         let _ = ciborium::into_writer(self, &mut bytes);
         bytes
     }
 
-    /// Reads what a predecessor left.
+    /// Decodes the state that the old process sent.
     ///
     /// # Errors
-    /// [`LegacyError`]: the bytes are of another form, or of none.
+    /// [`HandoverStateError`]: the bytes are malformed or of another version.
     pub fn decode(bytes: &[u8]) -> Result<Self, HandoverStateError> {
         let state: HandoverState = ciborium::de::from_reader_with_recursion_limit(bytes, MAX_CBOR_DEPTH)?;
         match state.version {
@@ -81,16 +82,18 @@
         }
     }
 
-    /// The map, as the predecessor held it.
+    /// The worker list of the old process.
     pub fn worker_list(&self) -> WorkerListUpdate {
         WorkerListUpdate { whole: true, generation: self.generation, entries: self.worker_list.clone() }
     }
 
+    /// The generation of the old process's worker list.
     pub fn generation(&self) -> Option<u64> {
         self.generation
     }
 
-    /// The memory in a successor's numbers; what has no name there is left out.
+    /// What the old process's module had learned, with the ids of this process. Kinds that this process does
+    /// not know are left out; `assign_id` gives the id of a worker by name.
     pub(super) fn learned_state(
         &self,
         names: &Names,
--- a/balancer/core/src/dispatch/handover_state/golden_tests.rs
+++ b/balancer/core/src/dispatch/handover_state/golden_tests.rs
@@ -1,4 +1,4 @@
-//! What a process leaves to its successor, byte for byte as earlier versions write it.
+//! Compares the encoded handover state, byte by byte, with what earlier versions write.
 
 use super::HandoverState;
 use millrudder as mr;
--- a/balancer/core/src/dispatch/jobs.rs
+++ b/balancer/core/src/dispatch/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs that are here, and their delivery attempts.
+//! The jobs that the dispatch coroutine holds, and their delivery attempts.
 
 use millrudder::{Limits, Outcome};
 use millrudder_exchange::{AttemptId, Job, Reply, Ticket, WorkerId};
@@ -7,41 +7,49 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Waits until an earlier attempt at the same worker has been called off there.
+    /// Not sent yet: waits until the worker has confirmed the cancel of an earlier attempt of the same job.
     AwaitingCancel,
+    /// Handed to the transport; no 202 has come.
     Sent,
+    /// The worker has answered 202.
     Accepted,
-    /// Given up; the worker has not yet said that it knows.
+    /// Given up; the worker has not yet confirmed the cancel.
     Cancelling,
-    /// Its outcome is booked, and its worker may have it all the same: it gets no other attempt of the job.
+    /// Timed out without an answer. The outcome is recorded, but the worker may still hold the attempt and
+    /// therefore gets no other attempt of the job.
     Unresolved,
+    /// Over; its worker may get another attempt of the job.
     Ended,
 }
 
 pub struct Attempt {
     pub worker: WorkerId,
+    /// Clock time (ms).
     pub sent_at: f64,
-    /// Clock time at which we stop waiting.
+    /// Clock time (ms) at which the dispatcher stops waiting for it.
     pub expires_at: f64,
     pub state: AttemptState,
+    /// A call-back has reported that it runs.
     started: bool,
-    /// Its outcome once the worker knows that it is given up: where a job may not have two attempts out, the module
-    /// must not send again before that.
+    /// The outcome that the attempt will get once the worker confirms its cancel. Used where a job must not
+    /// have two attempts at once: the module must not send the next one before the worker has dropped this
+    /// one.
     deferred_outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Its outcome is still to come.
+    /// The attempt has no outcome yet.
     fn is_live(&self) -> bool {
         self.state == AttemptState::AwaitingCancel || self.is_outstanding()
     }
 
+    /// The attempt has been sent and its outcome is still awaited.
     fn is_outstanding(&self) -> bool {
         matches!(self.state, AttemptState::Sent | AttemptState::Accepted) || self.deferred_outcome.is_some()
     }
 }
 
-/// The answer that is owed: given once at the most.
+/// The channel to a job's client until the job is answered; it can be taken once.
 pub struct PendingReply(Option<Reply>);
 
 impl PendingReply {
@@ -49,35 +57,36 @@
         self.0.take()
     }
 
-    /// Where the answer will go.
     pub fn get(&self) -> Option<&Reply> {
         self.0.as_ref()
     }
 
-    /// Answered, or the client has gone.
+    /// The job is answered, or its client has gone.
     pub fn is_closed(&self) -> bool {
         self.0.is_none()
     }
 }
 
+/// A job and its attempts.
 pub struct JobEntry {
     pub job: Arc<Job>,
     pub reply: PendingReply,
     pub attempts: Vec<Attempt>,
-    /// By the settings under which it was taken.
+    /// By the settings in force when the job was submitted.
     pub max_attempts: usize,
-    /// No two attempts out together, by the same settings.
+    /// The job must not have two attempts at once, by the settings in force when it was submitted.
     pub exclusive: bool,
 }
 
-/// An attempt as it was when its outcome came.
+/// What is known of an attempt at the moment when it ends.
 pub struct EndedAttempt {
     pub worker: WorkerId,
     pub sent_at: f64,
+    /// The job was already answered or withdrawn.
     pub answered: bool,
-    /// It had left for its worker ...
+    /// The attempt had been handed to the transport.
     pub was_sent: bool,
-    /// ... which is known to hold it.
+    /// The worker was known to hold it, by its 202 or by a call-back.
     pub was_accepted: bool,
 }
 
@@ -98,18 +107,20 @@
         });
     }
 
-    /// The attempt that this worker may still hold.
+    /// The state of the job's latest attempt that this worker may still hold, if any.
     pub fn state_at(&self, worker: WorkerId) -> Option<AttemptState> {
         let held = |a: &&Attempt| a.worker == worker && a.state != AttemptState::Ended;
         self.attempts.iter().rev().find(held).map(|a| a.state)
     }
 
+    /// Numbers of the attempts that have no outcome yet.
     pub fn live_attempts(&self) -> Vec<usize> {
         (0..self.attempts.len()).filter(|i| self.attempts[*i].is_live()).collect()
     }
 
-    /// `told`: its worker is called off. `later`: the outcome that `called_off` gives out in the end, if this is not yet
-    /// the attempt's end.
+    /// Gives an attempt up. `cancel`: the worker is asked to cancel it. `deferred`: the outcome that it will
+    /// get when the worker confirms the cancel; `None` if it ends now. Returns `None` if there is nothing to
+    /// do, also if its outcome is already deferred.
     pub fn give_up(
         &mut self,
         number: usize,
@@ -161,7 +172,7 @@
         self.by_trace_id.get(trace_id).copied()
     }
 
-    /// The attempt of this job that is out at this worker.
+    /// The outstanding attempt of this job at this worker.
     pub fn attempt_at(&self, trace_id: &str, worker: WorkerId) -> Option<AttemptId> {
         let ticket = self.find(trace_id)?;
         let attempts = &self.entries.get(&ticket)?.attempts;
@@ -173,12 +184,12 @@
         self.entries.get_mut(&id.ticket)?.attempts.get_mut(id.number)
     }
 
-    /// True at the first note of a start: call-backs repeat.
+    /// Records that an attempt runs. True only the first time, because workers repeat call-backs.
     pub fn record_start(&mut self, id: AttemptId) -> bool {
         self.attempt(id).is_some_and(|a| !std::mem::replace(&mut a.started, true))
     }
 
-    /// No two attempts of this job may be out together, and its answer is still owed.
+    /// The job must not have two attempts at once and is not answered yet.
     pub fn is_exclusive(&self, ticket: Ticket) -> bool {
         self.entries.get(&ticket).is_some_and(|entry| entry.exclusive && !entry.reply.is_closed())
     }
@@ -193,8 +204,9 @@
         }
     }
 
-    /// Books the end of an attempt; none if it has had one. Of a worker that said nothing it is not known that it does not
-    /// have the job, unless it has been called off.
+    /// Ends an attempt; `None` if it already has an outcome. After a time-out the worker may still hold the
+    /// attempt, since nothing was heard from it, unless it has confirmed a cancel: the state is `Unresolved`
+    /// then, not `Ended`.
     pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
         let entry = self.entries.get_mut(&id.ticket)?;
         let answered = entry.reply.is_closed();
@@ -211,12 +223,13 @@
         })
     }
 
-    /// The outcome that waits for this attempt's call-off.
+    /// The outcome that this attempt gets once its worker has confirmed the cancel.
     pub fn deferred_outcome(&self, id: AttemptId) -> Option<Outcome> {
         self.entries.get(&id.ticket)?.attempts.get(id.number)?.deferred_outcome
     }
 
-    /// A call-off is through; gives the attempt that waited for it, now sent.
+    /// The worker no longer holds this cancelled attempt. Returns the attempt that waited for that, now in
+    /// the state `Sent`, with its worker.
     pub fn cancelled(&mut self, id: AttemptId) -> Option<(AttemptId, WorkerId)> {
         let entry = self.entries.get_mut(&id.ticket)?;
         let attempt = entry.attempts.get_mut(id.number).filter(|a| a.state == AttemptState::Cancelling)?;
@@ -244,11 +257,12 @@
         self.entries.iter().filter(|(_, e)| !e.reply.is_closed()).map(|(t, _)| *t).collect()
     }
 
-    /// Ids of the jobs that are here.
+    /// The clients' ids of all jobs.
     pub fn ids(&self) -> Vec<String> {
         self.by_trace_id.keys().cloned().collect()
     }
 
+    /// How many jobs are neither answered nor withdrawn.
     pub fn unanswered(&self) -> usize {
         self.entries.values().filter(|e| !e.reply.is_closed()).count()
     }
--- a/balancer/core/src/dispatch/jobs/tests.rs
+++ b/balancer/core/src/dispatch/jobs/tests.rs
@@ -34,7 +34,8 @@
 
 #[test]
 fn an_attempt_has_one_outcome() {
-    // Call-backs repeat and cross call-offs: a second outcome would be booked on the worker twice.
+    // Call-backs are repeated and may cross with cancels. A second outcome would count twice against the
+    // worker.
     let mut jobs = jobs();
     assert_eq!(jobs.attempt_at("t1", 7), Some(FIRST));
     assert!(jobs.end_attempt(FIRST, Outcome::Ok).is_some());
@@ -45,7 +46,8 @@
 
 #[test]
 fn a_second_attempt_waits_for_the_cancel_at_the_same_worker() {
-    // A worker gets one attempt of a job at a time, also while a DELETE is on its way.
+    // A worker may hold only one attempt of a job at a time, also while the DELETE for an earlier one is
+    // under way.
     let mut jobs = jobs();
     jobs.accept(FIRST);
     let entry = jobs.get_mut(1).unwrap();
@@ -62,7 +64,8 @@
 
 #[test]
 fn without_parallel_attempts_an_outcome_waits_for_the_cancel() {
-    // Sent again while the DELETE could not reach a cut-off worker: a second copy, which the site did not allow.
+    // The job was sent again while the DELETE could not reach a disconnected worker: two copies ran, which
+    // the site does not allow.
     let mut jobs = jobs();
     jobs.accept(FIRST);
     let entry = jobs.get_mut(1).unwrap();
@@ -70,7 +73,8 @@
     assert!(entry.give_up(0, true, Some(Outcome::Canceled)).is_none(), "it is told once");
     assert_eq!(jobs.deferred_outcome(FIRST), Some(Outcome::Canceled));
     assert_eq!(jobs.attempt_at("t1", 7), Some(FIRST), "its result still counts");
-    // The job's own end waits for nobody: nothing is sent after it.
+    // When the job itself ends, its attempts end without waiting for the cancel, because nothing is sent
+    // after that.
     let entry = jobs.get_mut(1).unwrap();
     assert!(entry.give_up(0, true, None).is_some_and(|s| !s.was_sent), "and is not told again");
     assert_eq!((jobs.deferred_outcome(FIRST), jobs.attempt_at("t1", 7)), (None, None));
@@ -78,7 +82,8 @@
 
 #[test]
 fn a_silent_worker_is_not_sent_the_same_job_again() {
-    // Its 202 was lost: found by a random order, seed 22.
+    // The worker's 202 was lost, so it held the job and got a second attempt of it. Found by
+    // `random_order_tests`, seed 22.
     let mut jobs = jobs();
     assert!(jobs.end_attempt(FIRST, Outcome::TimedOut).is_some());
     let entry = jobs.get_mut(1).unwrap();
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -1,5 +1,6 @@
-//! The core: one coroutine that owns the module's `Balancer`, the jobs, and all deadlines and timers. It feeds
-//! the module what happens, in order, and carries out its actions in order.
+//! The dispatch coroutine: the only owner of the decision module's `Balancer`, of the jobs, and of all
+//! deadlines and timers. It passes events to the module in the order in which they happen and carries out the
+//! module's actions in the order in which they are returned.
 
 mod handover_state;
 mod jobs;
@@ -30,30 +31,33 @@
 use timers::{Due, Timers};
 use translate::WorkerTable;
 
-/// The module answers the time-out at the deadline; what it has left open this much later (ms, inside the
-/// rules' `answer_slack`) is answered as failed.
+/// At a job's deadline the module answers that it timed out. A job that is still unanswered this long after
+/// its deadline is answered as failed (ms; shorter than the setting `answer_slack`).
 const ANSWER_OVERDUE_MS: f64 = 5.0;
-/// Kept connections are looked through this often (ms) ...
+/// How often idle connections are checked for those to be closed (ms).
 const CLOSE_STALE_INTERVAL_MS: f64 = 500.0;
-/// ... and waits for an answer of workers and of discovery this often.
+/// How often requests to workers and to discovery are checked for overdue answers (ms).
 const ABORT_OVERDUE_INTERVAL_MS: f64 = 50.0;
 
-/// Where lists are pushed, an agent of this dispatcher's own holds them, and what it has counts as told: a watch there that
-/// has failed is opened anew so soon (ms), with no regard to other dispatchers.
+/// How soon a failed watch is reopened where the site pushes worker lists (ms). Discovery is then a local
+/// agent of this dispatcher alone, so no other dispatcher's load has to be considered; and whatever the agent
+/// knows counts as known to this dispatcher, so the delay must be short.
 const REOPEN_WATCH_DELAY_MS: f64 = 50.0;
 
+/// The state of the dispatch coroutine; `W` sends requests to workers.
 pub struct Dispatch<W = HttpTransport> {
     balancer: mr::Balancer,
     names: Names,
     jobs: Jobs,
     workers: WorkerTable,
     timers: Timers,
-    /// Events that actions caused, for the module to see after the actions that caused them.
+    /// Events caused by the module's own actions. The module gets them only after all actions of the event
+    /// before have been carried out.
     queued: VecDeque<mr::Event>,
     exchange: Exchange,
     transport: W,
     worker_list: WorkerListWatcher,
-    /// Of the map that is held.
+    /// Discovery's generation number of the worker list that is in force.
     generation: Option<u64>,
     peer_process: PeerProcess,
     pending_settings: PendingSettings,
@@ -63,7 +67,7 @@
     clock: Clock,
 }
 
-/// What dispatch acts through.
+/// The parts of the program that [`Dispatch`] uses.
 pub struct DispatchDependencies<W = HttpTransport> {
     pub exchange: Exchange,
     pub transport: W,
@@ -109,9 +113,10 @@
         }
     }
 
-    /// Runs until a stop is asked for and nothing is owed any more.
+    /// Runs until the program has been told to stop and every job is answered.
     ///
-    /// `legacy`: a predecessor's, of whose map `known` is the copy.
+    /// `known` is the worker list to start with. With a `handover` state, received from the old process of an
+    /// upgrade, it is the list of that state.
     pub fn run(mut self, inbox: &Inbox, known: Option<WorkerListUpdate>, handover: Option<&HandoverState>) {
         self.begin(known, handover);
         while !self.is_done() {
@@ -136,7 +141,8 @@
         self.timers.set(self.clock.now() + ABORT_OVERDUE_INTERVAL_MS, Due::AbortOverdue);
     }
 
-    /// Lists come unasked, as the module sees it: the watch is held here, and the module is told of no failure.
+    /// Whether the site pushes worker lists. The module then does not ask for lists: this coroutine keeps the
+    /// watch open, and failures of the watch are not reported to the module.
     fn lists_are_pushed(&self) -> bool {
         !self.balancer.settings().list_by_call
     }
@@ -190,7 +196,8 @@
         let names = self.workers.names();
         match self.balancer.import(&learned) {
             Ok(()) => self.counters.legacies.add(),
-            // To start afresh is safe; bans are not for the module to lose.
+            // Starting without learned values is safe. Bans are operators' orders and are restored below in
+            // any case.
             Err(_) => self.counters.legacies_bad.add(),
         }
         for (worker, _) in &learned.banned {
@@ -199,7 +206,7 @@
         }
     }
 
-    /// Jobs from now on are under the new settings; those that are here keep theirs.
+    /// Applies reloaded settings. They hold for jobs submitted from now on; present jobs keep their limits.
     fn on_settings(&mut self) {
         let Some(ReloadedSettings { mut settings, mut names, conn_idle }) = self.pending_settings.take()
         else {
@@ -270,13 +277,13 @@
 
     fn on_submitted(&mut self, ticket: Ticket, job: Arc<Job>, reply: Reply) {
         if self.jobs.find(&job.trace_id).is_some() || self.peer_process.is_theirs(&job.trace_id) {
-            // Two live jobs of one id could not be told apart in call-backs.
+            // Call-backs carry only the job's id, so two live jobs with one id could not be distinguished.
             self.counters.answered_failed.add();
             reply.give(Answer::Failed(Failure::Repeated));
             return;
         }
         if self.clock.now() >= self.stopping.last_moment() {
-            // All that is owed has been answered for the last time, and this one was on its way here.
+            // `fail_unanswered` has already run; this job was queued in the exchange meanwhile.
             self.counters.answered_deferred.add();
             reply.give(Answer::Defer { retry_after: None });
             return;
@@ -303,7 +310,9 @@
         }
     }
 
-    /// A call-back: matched by the job's id and the worker's name, and dropped if it fits no live attempt.
+    /// Handles a worker's call-back. It is matched to an attempt by the job's id and the worker's name and
+    /// dropped if no attempt there is outstanding. During an upgrade, a call-back for an unknown job goes to
+    /// the other process.
     fn on_call_back(&mut self, news: JobNews) {
         self.counters.news.add();
         if self.peer_process.is_open() && self.jobs.find(&news.trace_id).is_none() {
@@ -352,10 +361,11 @@
 
     fn on_ended(&mut self, attempt: AttemptId, end: AttemptEnd, load: Option<&LoadReport>) {
         match end {
-            // Its call-back came before the 202, which no longer matters.
+            // A call-back has reported that the job started, so the missing 202 does not matter.
             AttemptEnd::Silent if self.jobs.has_started(attempt) => return self.jobs.accept(attempt),
-            // Its 202 may be lost, and then no close of the connection gives it up: where no two may be out it is called off
-            // as if it had been accepted, or, where that is not allowed, waited for.
+            // The worker may have sent a 202 that was lost. Closing the connection does not cancel the job
+            // there then. If the job must not have two attempts at once, this attempt is cancelled as if it
+            // had been accepted; where the site forbids cancels, it is waited for instead.
             AttemptEnd::Silent if self.jobs.is_exclusive(attempt.ticket) => {
                 if !self.balancer.settings().limits.cancel {
                     return self.jobs.accept(attempt);
@@ -369,7 +379,8 @@
         self.end_attempt(attempt, translate::outcome(end), load);
     }
 
-    /// The worker holds a given-up attempt no more: one of the same job that waited for that may go.
+    /// The worker no longer holds a cancelled attempt. Ends the attempt if its outcome was deferred until
+    /// now, or sends the attempt of the same job that waited to go to this worker.
     fn on_cancelled(&mut self, attempt: AttemptId) {
         if let Some(outcome) = self.jobs.deferred_outcome(attempt) {
             return self.end_attempt(attempt, outcome, None);
@@ -378,12 +389,14 @@
         if self.workers.accepts_jobs(worker) {
             self.deliver(waiting, worker);
         } else {
-            // Told meanwhile that it leaves: a send now would come too late (rule 3).
+            // The worker began to drain or was banned while the attempt waited, so sending now would be too
+            // late (rule 3).
             self.end_attempt(waiting, mr::Outcome::Ignored, None);
         }
     }
 
-    /// Books the one outcome of an attempt; whatever comes later for it is dropped.
+    /// Ends an attempt with its outcome and passes that to the module. An attempt has one outcome: later ones
+    /// are dropped.
     fn end_attempt(&mut self, attempt: AttemptId, outcome: mr::Outcome, load: Option<&LoadReport>) {
         let Some(ended) = self.jobs.end_attempt(attempt, outcome) else { return };
         self.jobs.forget_if_finished(attempt.ticket);
@@ -392,7 +405,7 @@
         self.handle_queued_events();
     }
 
-    /// Counts an outcome and queues it for the module.
+    /// Counts an outcome, reports it to the other process of an upgrade and queues it for the module.
     fn record_outcome(
         &mut self,
         attempt: AttemptId,
@@ -417,21 +430,22 @@
         });
     }
 
-    /// Of what both processes of an upgrade have to know. It may be lost with the other process, never delay this one.
+    /// Sends the other process of an upgrade something that both must know. Failures are ignored: the
+    /// transfer may be lost if the other process ends, but must never delay this one.
     fn notify_peer_process(&self, transfer: impl FnOnce() -> Transfer) {
         if self.peer_process.is_open() {
             let _ = self.peer_process.put(transfer());
         }
     }
 
-    /// Whoever follows the job sees how far it has come.
+    /// Updates the progress that a front may show to the job's client.
     fn note_progress(&mut self, ticket: Ticket, change: impl FnOnce(&mut Progress)) {
         if let Some(reply) = self.jobs.get_mut(ticket).and_then(|entry| entry.reply.get()) {
             reply.note(change);
         }
     }
 
-    /// Gives the one answer; false if it was given before or the client has gone.
+    /// Answers a job. Returns false if it was answered before or its client has gone.
     fn answer(&mut self, ticket: Ticket, answer: Answer) -> bool {
         let Some(entry) = self.jobs.get_mut(ticket) else { return false };
         let Some(reply) = entry.reply.take() else { return false };
@@ -448,8 +462,9 @@
         true
     }
 
-    /// Nothing is owed for a job any more: what has not been sent of it ends as never sent, by whatever path it was on
-    /// its way. What a worker may have is called off only as the module says.
+    /// The job is answered or its client has gone: attempts that are not yet fully sent end as never sent,
+    /// whichever stage they have reached. Attempts that a worker may have received are cancelled only when
+    /// the module says so.
     fn withhold_unsent(&mut self, ticket: Ticket) {
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
         let live = entry.live_attempts().into_iter().map(|number| (number, entry.attempts[number].state));
@@ -468,7 +483,8 @@
         }
     }
 
-    /// Gives the module an event, then those that its actions caused, and carries out what it says to each.
+    /// Passes an event to the module, then the events that its actions cause, and carries out all resulting
+    /// actions.
     fn handle_event(&mut self, event: mr::Event) {
         self.queued.push_back(event);
         self.handle_queued_events();
@@ -527,7 +543,7 @@
         let attempt = AttemptId { ticket, number: entry.attempts.len() };
         let answered = entry.reply.is_closed();
         let is_rejected = answered || expires_at <= now || attempt.number >= entry.max_attempts;
-        // A worker gets one attempt of a job at a time.
+        // A worker may hold only one attempt of a job at a time.
         let state = match entry.state_at(worker) {
             _ if is_rejected => AttemptState::Ended,
             None => AttemptState::Sent,
@@ -555,23 +571,25 @@
         self.counters.attempts_sent.add();
         match self.workers.endpoint(worker) {
             Some(endpoint) => self.transport.deliver(attempt, endpoint, job, expires_at),
-            // The map named it without an address: it cannot be connected to.
+            // The worker list never gave an address for this worker.
             None => self.report_end(attempt, AttemptEnd::NotConnected),
         }
     }
 
-    /// Reports an end through the exchange, as workers do: the module must not be called from its own actions.
+    /// Reports an attempt's end through the exchange, as the transport does, because the module must not be
+    /// called while one of its actions is being carried out.
     fn report_end(&self, attempt: AttemptId, end: AttemptEnd) {
         self.exchange.put(Message::Ended { attempt, end, load: None });
     }
 
-    /// Stops waiting for an attempt and tells its worker so, where the settings allow that: elsewhere what is not sent
-    /// yet stays so, and the rest takes its course.
+    /// Stops waiting for an attempt. If the settings allow cancels, the worker is asked to cancel it.
+    /// Otherwise an attempt that is not yet fully sent is withheld, and one that is sent runs on unobserved.
     fn give_up(&mut self, attempt: AttemptId, outcome: mr::Outcome) {
         let may_cancel = self.balancer.settings().limits.cancel;
         let Some(entry) = self.jobs.get_mut(attempt.ticket) else { return };
         let job = entry.job.clone();
-        // Where no two may be out together, the module hears of it once the worker has.
+        // If the job must not have two attempts at once, the module may send the next one only after the
+        // worker has confirmed the cancel. The outcome is deferred until then.
         let wait_for_cancel =
             may_cancel && entry.exclusive && !entry.reply.is_closed() && self.clock.now() < job.deadline;
         let Some(ended) = entry.give_up(attempt.number, may_cancel, wait_for_cancel.then_some(outcome))
@@ -615,7 +633,7 @@
         }
     }
 
-    /// The client's time is up: every attempt that is still out has timed out.
+    /// The job's deadline has passed: every live attempt has timed out.
     fn on_deadline(&mut self, ticket: Ticket) {
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
         for number in entry.live_attempts() {
@@ -639,7 +657,8 @@
         }
     }
 
-    /// The platform is about to kill this process: a failed answer beats none.
+    /// Answers all open jobs as failed: the platform is about to kill this process, and that answer is better
+    /// than none.
     fn fail_unanswered(&mut self) {
         for ticket in self.jobs.unanswered_tickets() {
             if self.answer(ticket, Answer::Failed(Failure::Late)) {
--- a/balancer/core/src/dispatch/random_order_tests.rs
+++ b/balancer/core/src/dispatch/random_order_tests.rs
@@ -1,6 +1,7 @@
-//! Random orders of all that can cross, from fixed seeds: jobs, clients that leave, drains, bans, connections, 202s,
-//! call-backs, call-offs, deadlines, a stop. The network is a model that keeps the real question
-//! before a request's first byte and its last (`Stop`); time stands until it is turned on.
+//! Runs the dispatcher through events in random order, from fixed seeds: jobs, clients that leave, drains,
+//! bans, connects, 202s, call-backs, cancels, deadlines and a stop. The network is simulated, but with the
+//! real checks before the first and the last byte of a request (`RequestControl`). The clock advances only
+//! when the test says so.
 
 use super::*;
 use crate::worker_transport::{RequestControl, WorkerEndpoint};
@@ -15,33 +16,37 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum AttemptPhase {
-    /// Its connection comes up.
+    /// The connect is under way.
     Connecting,
-    /// The last byte is held back.
+    /// All but the last byte is written.
     PartlyWritten,
-    /// The worker has it; no 202 has come.
+    /// The worker has the whole request; no 202 has come.
     Written,
+    /// The worker has answered 202.
     Accepted,
-    /// The worker has it and its 202 was lost: the dispatcher has closed the connection.
+    /// The worker holds the job, but its 202 was lost and the dispatcher has closed the connection.
     AcceptLost,
     Ended,
 }
 
+/// An attempt on the simulated network.
 struct SimulatedAttempt {
     id: AttemptId,
     worker: WorkerEndpoint,
     job: Arc<Job>,
     control: RequestControl,
     phase: AttemptPhase,
-    /// It may have run.
+    /// The worker got the whole request, so the job may have run.
     reached: bool,
+    /// It is certain that the job did not run in this attempt.
     proven_unrun: bool,
 }
 
+/// The attempts and cancels between the dispatcher and its workers.
 #[derive(Default)]
 struct SimulatedNetwork {
     attempts: Vec<SimulatedAttempt>,
-    /// Call-offs on their way to workers.
+    /// Cancels on their way to workers.
     cancels: Vec<AttemptId>,
 }
 
@@ -123,15 +128,17 @@
     clients: Vec<Client>,
     draining: BTreeSet<u32>,
     banned: BTreeSet<u32>,
+    /// The settings forbid two attempts of a job at once.
     exclusive: bool,
     rng: fastrand::Rng,
-    /// What happened, for a failure's message.
+    /// What happened so far, for the message of a failed check.
     history: Vec<String>,
     sent: usize,
     inbox: Inbox,
 }
 
-/// `told`: workers tell of starts; else only progress tells that a job is not lost.
+/// `reports_start`: workers report when a job starts; otherwise only progress reports show that a job is not
+/// lost.
 fn config(cancel: bool, copies: bool, reports_start: bool) -> Config {
     let progress = if reports_start { 0 } else { 20 };
     let class_text = |name: &str, effect: &str| {
@@ -217,7 +224,8 @@
         self.collect_answers();
     }
 
-    /// Messages that dispatch put to itself, and answers that have come.
+    /// Delivers the messages that the dispatcher sent to itself, and checks the answers that clients have
+    /// got.
     fn collect_answers(&mut self) {
         while let Ok(message) = self.inbox.try_recv() {
             self.dispatch.handle_message(message);
@@ -310,7 +318,7 @@
         self.take(Message::Ordered(asked));
     }
 
-    /// The first byte leaves: whatever path the attempt came.
+    /// The first byte of an attempt is sent; checks that it may be, in whichever way the attempt came about.
     fn on_first_byte(&mut self, id: AttemptId, worker: u32) {
         self.log(format!("attempt {}.{} begins at s-{worker}", id.ticket, id.number));
         self.sent += 1;
@@ -336,7 +344,7 @@
         }
     }
 
-    /// Something happens to one attempt on its way, or at its worker.
+    /// Advances one random attempt: something happens to it on the network or at its worker.
     fn network(&mut self) {
         let net = self.net.0.lock().unwrap();
         let live: Vec<usize> =
@@ -395,7 +403,8 @@
             }
             (AttemptPhase::Written, 1) => {
                 self.log(format!("{}.{} is silent", id.ticket, id.number));
-                // Without a 202 a close gives it up; with one that was lost it does not.
+                // If the worker has sent no 202, closing the connection cancels the job there; if its 202 was
+                // lost, it does not.
                 set(
                     if self.rng.bool() { AttemptPhase::Ended } else { AttemptPhase::AcceptLost },
                     true,
@@ -437,7 +446,7 @@
             (AttemptPhase::Accepted | AttemptPhase::AcceptLost, _) => {
                 self.log(format!("{}.{} is done", id.ticket, id.number));
                 set(AttemptPhase::Ended, true, false);
-                // Call-backs repeat.
+                // Workers may repeat call-backs.
                 for _ in 0..=self.rng.u8(..2) {
                     self.take(news(done()));
                 }
@@ -446,6 +455,7 @@
         }
     }
 
+    /// The latest cancel reaches its worker.
     fn confirm_cancel(&mut self) {
         let mut net = self.net.0.lock().unwrap();
         let Some(id) = net.cancels.pop() else { return };
@@ -457,6 +467,7 @@
         self.take(Message::CalledOff { attempt: id });
     }
 
+    /// Advances the clock and runs the timers that are due.
     fn advance(&mut self, ms: f64) {
         self.clock.turn_to(self.clock.now() + ms);
         self.dispatch.run_due_timers();
@@ -478,6 +489,7 @@
         }
     }
 
+    /// Nothing is under way and no job is left.
     fn is_quiet(&self) -> bool {
         let net = self.net.0.lock().unwrap();
         net.cancels.is_empty()
@@ -485,7 +497,7 @@
             && self.dispatch.jobs.ids().is_empty()
     }
 
-    /// Everything that is on its way arrives; then nothing may be owed.
+    /// Lets everything that is under way arrive; then every job must be answered.
     fn run_until_quiet(&mut self) {
         let end = self.clock.now() + 10_000.0;
         while self.clock.now() < end && !self.is_quiet() {
@@ -520,7 +532,7 @@
         answered += simulation.clients.iter().filter(|c| !c.answers.is_empty()).count();
         left += simulation.clients.iter().filter(|c| c.left).count();
     }
-    // The orders are worth something only if much happens in them.
+    // Guards against random orders in which too little happens to test anything.
     assert!(
         sent > 5_000 && answered > 5_000 && left > 1_000,
         "{sent} sent, {answered} answered, {left} left"
--- a/balancer/core/src/dispatch/settings_reload.rs
+++ b/balancer/core/src/dispatch/settings_reload.rs
@@ -1,4 +1,4 @@
-//! New settings while jobs are here: what goes from the old list of classes into the new one.
+//! Reloaded settings on their way to the dispatch coroutine, and the job classes that a reload has dropped.
 
 use millrudder as mr;
 use millrudder_config::Names;
@@ -7,18 +7,19 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Fronts take a dropped class's jobs for `DROPPED_MS`; those may wait here for the core a little (ms).
+/// Fronts accept jobs of a dropped class for `DROPPED_MS` more. This is how much longer the core knows the
+/// class, because accepted jobs may wait in the exchange's queue (ms).
 const QUEUED_JOB_GRACE_MS: f64 = 1_000.0;
 
-/// What a reload brings the core.
+/// The part of reloaded settings that the core uses.
 pub struct ReloadedSettings {
     pub settings: mr::Settings,
     pub names: Names,
-    /// How long a kept connection to a worker may stand idle (ms).
+    /// How long a connection to a worker may stand idle (ms).
     pub conn_idle: f64,
 }
 
-/// New settings on their way to the core; only the latest count.
+/// Reloaded settings that the core has not applied yet. A newer reload replaces an older one.
 #[derive(Clone, Default)]
 pub struct PendingSettings(Arc<Mutex<Option<ReloadedSettings>>>);
 
@@ -33,12 +34,14 @@
     }
 }
 
-/// Classes that the settings name no more but of which jobs may still come, with the time until which.
+/// Classes that the settings no longer contain but of which jobs may still arrive, with the clock time (ms)
+/// until which they are kept.
 #[derive(Default)]
 pub(super) struct DroppedClasses(BTreeMap<String, f64>);
 
 impl DroppedClasses {
-    /// Adds to the new classes those that are still needed; for each of the outcome its place before.
+    /// Adds to the new settings the dropped classes that are still needed. Returns, for each class of the
+    /// result, its index in the settings `before`.
     pub fn merge(
         &mut self,
         before: (&Vec<String>, &mr::Settings),
--- a/balancer/core/src/dispatch/settings_reload/tests.rs
+++ b/balancer/core/src/dispatch/settings_reload/tests.rs
@@ -21,7 +21,7 @@
     );
     let deadlines: Vec<f64> = new_settings.classes.iter().map(|c| c.deadline).collect();
     assert_eq!(deadlines, [3.0, 4.0, 1.0], "the new set's, and the dropped one's own");
-    // Again and again: nothing is kept longer, nothing grows.
+    // Reloads that follow neither prolong the time of dropped classes nor make the list of classes grow.
     let (mut settings, mut held) = (new_settings, names);
     for i in 1..100 {
         let (mut new_settings, mut names) = set(&[("b", 4.0)]);
--- a/balancer/core/src/dispatch/timers.rs
+++ b/balancer/core/src/dispatch/timers.rs
@@ -1,4 +1,4 @@
-//! What falls due when.
+//! The timers of the dispatch coroutine.
 
 use millrudder_exchange::clock::span;
 use millrudder_exchange::{AttemptId, Ticket};
@@ -6,17 +6,26 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
+/// The longest that the dispatch coroutine waits for a message without looking at its timers (ms).
 const MAX_WAIT_MS: f64 = 1_000.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Due {
+    /// A timer that the decision module set, with its token.
     ModuleTimer(u64),
+    /// A job's deadline.
     Deadline(Ticket),
+    /// The module should have answered the job by now.
     AnswerOverdue(Ticket),
+    /// The attempt's own time limit, which is earlier than the job's deadline.
     AttemptTimeout(AttemptId),
+    /// Idle connections are to be checked.
     CloseStale,
+    /// Requests to workers and discovery are to be checked for overdue answers.
     AbortOverdue,
+    /// A failed watch of the worker list is to be opened again.
     ReopenWatch,
+    /// The last moment of a stop, at which all open jobs are answered as failed.
     FailUnanswered,
 }
 
@@ -62,13 +71,14 @@
         self.heap.peek().map_or(f64::INFINITY, |entry| entry.0.at)
     }
 
-    /// How long to wait for the next one. may counts whole milliseconds and takes none for no limit at all: a wait
-    /// of less would last until the next message, for ever if none comes.
+    /// How long to wait for the next timer, at least 1 ms. The `may` runtime rounds time-outs down to whole
+    /// milliseconds and takes 0 for no limit, so a shorter wait would last until the next message, which may
+    /// never come.
     pub fn time_to_next(&self, now: f64) -> Duration {
         span((self.next() - now).clamp(1.0, MAX_WAIT_MS))
     }
 
-    /// The next one that is due by now; of equal times the one armed first.
+    /// Removes and returns the earliest timer that is due by now; of equal times, the one set first.
     pub fn pop_due(&mut self, now: f64) -> Option<Due> {
         if self.next() > now {
             return None;
--- a/balancer/core/src/dispatch/translate.rs
+++ b/balancer/core/src/dispatch/translate.rs
@@ -1,6 +1,7 @@
-//! The house's words to the module's, and back. The only place where both are known.
+//! Converts between the types of the exchange and those of the decision module. No other file maps one to the
+//! other.
 //!
-//! worker = worker, delivery attempt = attempt, worker list = list, defer = refuse.
+//! What the dispatcher calls "defer" is `Refuse` in the module; the other terms are the same.
 
 use crate::worker_transport::WorkerEndpoint;
 use millrudder as mr;
@@ -12,24 +13,27 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Workers by name: each keeps its number, also when its address changes or it has left the map.
+/// All workers that a list has ever named. A worker keeps its id when its address changes and when it leaves
+/// the list.
 #[derive(Default)]
 pub struct WorkerTable {
     ids: HashMap<String, WorkerId>,
     records: Vec<WorkerRecord>,
-    /// The settings' `dropped_stay_open`: what the map names no more, or as gone, may still get jobs.
+    /// The setting `dropped_stay_open`: a worker that the list no longer names, or names as left, may still
+    /// get jobs.
     pub keep_dropped_open: bool,
 }
 
-/// What the worker list said last of one.
+/// What is known of one worker.
 struct WorkerRecord {
     address: Option<SocketAddr>,
+    /// It may get jobs by the worker list.
     active: bool,
-    /// Operators have taken it out, whatever the map says.
+    /// Operators have banned it, which holds whatever the list says.
     banned: bool,
-    /// Both together, also for attempts that are on their way there.
+    /// Active and not banned. Shared with the attempts that are still connecting to the worker.
     accepts_jobs: Arc<AtomicBool>,
-    /// Its line, as long as the map has one.
+    /// Its entry in the present list; `None` if the list does not name it or names it as left.
     entry: Option<WorkerEntry>,
 }
 
@@ -48,7 +52,7 @@
         self.ids.get(name).copied()
     }
 
-    /// Names by number.
+    /// Names by worker id.
     pub fn names(&self) -> Vec<String> {
         let mut names = vec![String::new(); self.records.len()];
         self.ids.iter().for_each(|(name, id)| names[*id as usize].clone_from(name));
@@ -59,12 +63,12 @@
         self.ids.iter().find(|(_, known)| **known == id).map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
-    /// The map as of now.
+    /// The present worker list.
     pub fn entries(&self) -> Vec<WorkerEntry> {
         self.records.iter().filter_map(|known| known.entry.clone()).collect()
     }
 
-    /// The number of one that a predecessor knew by name.
+    /// The id of the worker with this name; a new id if it is unknown.
     pub fn assign_id(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.id_of(name) {
             return id;
@@ -86,12 +90,12 @@
         Some(WorkerEndpoint { id, address: known.address?, accepts_jobs: known.accepts_jobs.clone() })
     }
 
-    /// Nothing new may go to one that leaves.
+    /// Whether new attempts may be sent to this worker: not if it drains or is banned.
     pub fn accepts_jobs(&self, id: WorkerId) -> bool {
         self.records.get(id as usize).is_some_and(|known| known.accepts_jobs.load(Ordering::Acquire))
     }
 
-    /// Takes one out or puts it back; none if no map has ever named it.
+    /// Bans a worker or lifts its ban; `None` if no list has ever named it.
     pub fn ban(&mut self, name: &str, on: bool) -> Option<WorkerId> {
         let id = self.id_of(name)?;
         self.records[id as usize].banned = on;
@@ -99,7 +103,7 @@
         Some(id)
     }
 
-    /// The whole list follows: what it does not name has left.
+    /// Prepares for a complete list: every worker counts as gone until [`WorkerTable::apply`] gets its entry.
     pub fn begin_full_list(&mut self) {
         let stays = self.keep_dropped_open;
         for known in &mut self.records {
@@ -108,6 +112,7 @@
         }
     }
 
+    /// Applies one entry of a worker list and converts it for the module.
     pub fn apply(&mut self, names: &Names, entry: &WorkerEntry) -> mr::Entry {
         let worker = self.assign_id(&entry.name);
         let known = &mut self.records[worker as usize];
@@ -129,7 +134,7 @@
                 WorkerState::Left => mr::Mode::Gone,
             },
             weight: entry.weight,
-            // The clock starts at Unix time, so this is a time of the clock already.
+            // `Clock` counts from Unix time, so Unix milliseconds are clock time already.
             ready_at: entry.started_at,
         }
     }
@@ -147,7 +152,8 @@
     }
 }
 
-/// Reports name their figures as the settings do; the protocol's page has shorter names for some.
+/// Converts a load report. Workers may use the names of the settings or the shorter ones of the site's
+/// protocol; what `x0` and `x1` mean is set in the settings.
 pub fn load(names: &Names, report: &LoadReport) -> mr::Load {
     let figure = |wanted: &[&str]| report.iter().find(|(n, _)| wanted.contains(&n.as_str())).map(|(_, v)| *v);
     let (x0, x1) = (figure(&["x0"]), figure(&["x1"]));
--- a/balancer/core/src/dispatch/translate/tests.rs
+++ b/balancer/core/src/dispatch/translate/tests.rs
@@ -43,7 +43,8 @@
     assert_eq!((first.worker, again.worker), (0, 0));
     assert_eq!(workers.endpoint(0).unwrap().address.port(), 9);
     assert!(!workers.accepts_jobs(0) && workers.accepts_jobs(1));
-    // Gone without an address: attempts that are out there can still be called off.
+    // The entry of a worker that has left has no address; its last one is kept, so that its attempts can be
+    // cancelled.
     assert_eq!(workers.apply(&names, &entry("s-1", "", WorkerState::Left)).mode, mr::Mode::Gone);
     assert!(workers.endpoint(0).is_some());
     workers.begin_full_list();
--- a/balancer/core/src/worker_list/mod.rs
+++ b/balancer/core/src/worker_list/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery's list of workers: following its changes.
+//! The worker list: fetched from discovery and kept up to date by a watch.
 
 mod watch;
 
--- a/balancer/core/src/worker_list/watch.rs
+++ b/balancer/core/src/worker_list/watch.rs
@@ -1,4 +1,5 @@
-//! Follows discovery in one coroutine: calls wait for each other, as discovery answers them one after another.
+//! Fetches the worker list from discovery and follows its changes. One coroutine makes all calls one after
+//! another, because discovery answers them one after another.
 
 use may::sync::mpsc;
 use millrudder_exchange::clock::{span, Clock};
@@ -15,22 +16,26 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use thiserror::Error;
 
-/// How long discovery may hold a watch that has nothing to tell. A change in it is told at once; what it holds back
-/// in silence counts as told 2 s after this.
+/// How long discovery may hold a watch call while nothing changes (ms). It answers at once when something
+/// changes. A change that it fails to report counts as known to the dispatcher 2 s after this time all the
+/// same.
 const WATCH_HOLD_MS: u32 = 2_000;
-/// A watch without an answer this long after it may have been held has fallen silent, and is asked for anew.
+/// A watch call without an answer this long after `WATCH_HOLD_MS` is taken as silent and made again (ms).
 const WATCH_GRACE_MS: f64 = 1_500.0;
-/// Any call may wait its turn at discovery, which gives up after 3 s at the latest.
+/// The least time-out of any call (ms). A call may queue at discovery, which rejects it after 3 s at the
+/// latest.
 const QUEUE_TIMEOUT_MS: f64 = 3_200.0;
+/// How long a connect to discovery may take (ms).
 const CONNECT_TIMEOUT_MS: f64 = 1_000.0;
 
+/// What [`WorkerListWatcher`] can be asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRequest {
-    /// Follow the changes until a call fails.
+    /// Follow the changes of the list until a call fails.
     Watch,
-    /// The whole list, once.
+    /// Fetch the whole list once.
     Fetch,
-    /// Discovery is here from now on: follow the changes there, beginning with the whole list.
+    /// Discovery has moved to this address: follow the changes there, beginning with the whole list.
     SwitchTo(SocketAddr),
 }
 
@@ -39,7 +44,7 @@
 enum CallError {
     #[error("connect: {0}")]
     Connect(#[source] io::Error),
-    /// The connection broke, or the call was given up.
+    /// The connection broke, or the call was aborted as overdue.
     #[error("{0}")]
     Broken(#[source] io::Error),
     #[error("status {0}")]
@@ -52,16 +57,18 @@
     OldChanges { generation: u64, held: Option<u64> },
 }
 
-/// The call under way, to end it from outside, and its last moment.
+/// The handle that aborts the call under way, and the clock time (ms) at which its answer is overdue.
 type CurrentCall = Arc<Mutex<(Arc<Cut>, f64)>>;
 
-/// The handle by which dispatch asks.
+/// The dispatch coroutine's handle on the coroutine that calls discovery. Results come as messages through
+/// the exchange.
 pub struct WorkerListWatcher {
     sender: mpsc::Sender<ListRequest>,
     current_call: CurrentCall,
     clock: Clock,
 }
 
+/// The state of the coroutine that calls discovery.
 struct WatcherTask {
     discovery: SocketAddr,
     generation: Option<u64>,
@@ -74,13 +81,14 @@
     log: Logger,
 }
 
-/// How long the answer of a call is waited for that may be held so long (ms).
+/// How long the answer is waited for of a call that discovery may hold for `held` (both in ms).
 fn answer_timeout(held: u32) -> f64 {
     (f64::from(held) + WATCH_GRACE_MS).max(QUEUE_TIMEOUT_MS)
 }
 
 impl WorkerListWatcher {
-    /// `generation` is that of the list held already, if any: changes since then are told first.
+    /// Starts the coroutine. `generation` is that of the list that the dispatcher already has, if any; the
+    /// first watch then brings the changes since.
     pub fn follow(
         discovery: SocketAddr,
         generation: Option<u64>,
@@ -107,27 +115,29 @@
         WorkerListWatcher { sender, current_call, clock }
     }
 
-    /// One whose calls nobody makes.
+    /// A watcher that makes no calls.
     #[cfg(test)]
     pub fn disconnected(clock: Clock) -> Self {
         WorkerListWatcher { sender: mpsc::channel().0, current_call: CurrentCall::default(), clock }
     }
 
+    /// Asks for a call. Does not wait for it.
     pub fn request(&self, call: ListRequest) {
         let _ = self.sender.send(call);
     }
 
-    /// Leaves the old discovery at once, also inside a held watch.
+    /// Switches to another discovery at once, aborting a call under way at the old one.
     pub fn switch_to(&self, discovery: SocketAddr) {
         self.request(ListRequest::SwitchTo(discovery));
         self.abort_call(f64::INFINITY);
     }
 
-    /// Once in a while: ends a call whose answer is overdue.
+    /// Aborts the call under way if its answer is overdue; called at intervals.
     pub fn abort_overdue(&self) {
         self.abort_call(self.clock.now());
     }
 
+    /// Aborts the call under way if it should have been answered before `due` (clock time, ms).
     fn abort_call(&self, due: f64) {
         let current_call = self.current_call.lock().unwrap_or_else(PoisonError::into_inner);
         if current_call.1 < due {
@@ -165,17 +175,21 @@
         }
     }
 
-    /// The generations of another discovery need not be those of the last: the whole list is asked for.
+    /// Forgets the list's generation, because another discovery may number its lists differently: the next
+    /// call brings the whole list.
     fn switch(&mut self, discovery: SocketAddr) {
         self.counters.map_moves.add();
         (self.discovery, self.generation, self.connection) = (discovery, None, None);
     }
 
-    /// Calls again right after each answer: a gap of 200 ms would make it a new watch. Ends with a failed call;
-    /// when to try again is the module's to say.
+    /// Watches the list until a call fails; when to try again is for the decision module. Each call follows
+    /// right after the answer to the one before, because discovery takes a call after a gap of 200 ms for a
+    /// new watch.
     ///
-    /// One that has fallen silent is opened anew at once: a discovery that has too many callers says so within `TURN_MS`,
-    /// and what a silent watch misses counts as told soon. A second silence is a failure like any other.
+    /// A watch that fell silent is reopened at once and not reported. The silence does not mean that
+    /// discovery is overloaded, since it would have rejected the call within `QUEUE_TIMEOUT_MS`, and changes
+    /// that the silent watch missed soon count as known to the dispatcher. A second silence in a row is
+    /// reported like any other failure.
     fn watch(&mut self) {
         let mut reopened = false;
         loop {
@@ -183,7 +197,7 @@
             let silent = called.is_err() && self.was_aborted();
             let moved = self.handle_pending();
             reopened = match called {
-                // A move cuts the call under way: that is no failure.
+                // A switch to another discovery aborts the call under way, which is no failure.
                 _ if moved => false,
                 Ok(()) => false,
                 Err(_) if silent && !reopened => {
@@ -195,12 +209,13 @@
         }
     }
 
-    /// The last call was given up here, for its answer did not come.
+    /// Whether this program aborted the last call, as its answer did not come.
     fn was_aborted(&self) -> bool {
         self.current_call.lock().unwrap_or_else(PoisonError::into_inner).0.is_done()
     }
 
-    /// What was asked for during a watch; another watch is the same one. True if discovery has moved.
+    /// Handles the requests that came during a watch call; a request for a watch is already met. Returns true
+    /// if discovery has moved.
     fn handle_pending(&mut self) -> bool {
         let mut moved = false;
         while let Ok(call) = self.requests.try_recv() {
@@ -219,7 +234,7 @@
         moved
     }
 
-    /// One call; passes on what it brought.
+    /// Makes one call and passes the list that it brought to the exchange.
     fn call(&mut self, call: ListRequest) -> Result<(), CallError> {
         let held = match (call, self.generation) {
             (ListRequest::Watch, Some(_)) => WATCH_HOLD_MS,
@@ -240,7 +255,7 @@
         Ok(())
     }
 
-    /// The time limit of the call that follows.
+    /// Sets the time-out (ms) of the call that follows and returns the handle that aborts it.
     fn start_call(&self, answer_timeout: f64) -> Arc<Cut> {
         let cut = Arc::new(Cut::default());
         let until = self.clock.now() + answer_timeout;
@@ -254,9 +269,9 @@
         }
         let list = json::parse(&response.body).and_then(|document| read_list(&Node::root(&document)));
         let list = list.map_err(CallError::from).and_then(|list| match list.news.whole {
-            // A fleet does not leave all at once: this is a discovery that has lost what it knew.
+            // All workers do not leave at once: a discovery that sends an empty list has lost its data.
             true if list.news.entries.is_empty() => Err(CallError::EmptyList),
-            // Changes from before the list that is held would bring back who has gone since.
+            // Changes older than the present list would bring back workers that have left since.
             false if Some(list.generation) < self.generation => {
                 Err(CallError::OldChanges { generation: list.generation, held: self.generation })
             }
--- a/balancer/core/src/worker_list/watch/tests.rs
+++ b/balancer/core/src/worker_list/watch/tests.rs
@@ -6,13 +6,14 @@
 
 #[test]
 fn a_silent_discovery_is_noticed_before_its_changes_take_effect() {
-    // Nothing new may be sent 0.5 s after a drain counts as told: 2 s after a hold, 6 s after any other call.
+    // Nothing new may be sent to a worker 0.5 s after its drain counts as known to the dispatcher. That is 2
+    // s after the hold time of a watch call has passed, and 6 s after any other call.
     assert!(
         answer_timeout(WATCH_HOLD_MS) < f64::from(WATCH_HOLD_MS) + 2_000.0 && answer_timeout(0) < 6_000.0
     );
 }
 
-/// Reads past a call.
+/// Reads the head of a request, which has no body.
 fn read_head(peer: &mut TcpStream) {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
@@ -23,7 +24,7 @@
 
 #[test]
 fn an_invalid_list_changes_nothing_and_is_counted() {
-    // A whole list without its entries took every worker away at once.
+    // A complete list whose entries were missing once removed every worker at the same time.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (exchange, inbox) = Exchange::new();
     let (counters, log) = (Arc::new(Counters::default()), Logger::root(slog::Discard, slog::o!()));
@@ -52,7 +53,8 @@
 
 #[test]
 fn a_silent_watch_is_reopened_at_once_and_a_second_silence_is_reported() {
-    // The module's wait, made for a discovery that all call at once, came on top: up to 10 s for 300 dispatchers.
+    // A silent watch was reported as a failure, and the module then waited before it asked for another one.
+    // That delay is meant for a discovery that all dispatchers call at once: up to 10 s for 300 dispatchers.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (exchange, inbox) = Exchange::new();
     let (counters, log) = (Arc::new(Counters::default()), Logger::root(slog::Discard, slog::o!()));
--- a/balancer/core/src/worker_transport/attempt.rs
+++ b/balancer/core/src/worker_transport/attempt.rs
@@ -1,4 +1,4 @@
-//! One conversation with a worker: a delivery attempt, a call-off or a probe.
+//! One request to a worker and its response: a delivery attempt, a cancel or a health probe.
 
 use super::pool::{AcquireError, Connection};
 use super::{RequestControl, Shared, WorkerEndpoint};
@@ -9,14 +9,14 @@
 use millrudder_wire::report;
 use std::sync::atomic::Ordering;
 
-/// A probe or a call-off without an answer for this long is given up.
+/// How long the answer to a probe or a cancel is waited for (ms).
 const SHORT_REQUEST_TIMEOUT_MS: f64 = 1_000.0;
 
-/// A call-off that must be heard is told again so long after it failed.
+/// How long after a failure a cancel that the worker must confirm is sent again (ms).
 const CANCEL_RETRY_INTERVAL_MS: f64 = 100.0;
 
-/// A delivery attempt up to its 202 or its end. Never sends a second time by itself: whether a job may be
-/// repeated is the module's to decide.
+/// Makes a delivery attempt, up to its 202 or its end. Never sends the job a second time: whether it may be
+/// retried is for the decision module.
 pub(super) fn deliver(
     shared: &Shared,
     attempt: AttemptId,
@@ -35,11 +35,12 @@
             Err(AttemptEnd::Reset | AttemptEnd::Silent) if accepted => {
                 send_cancel(shared, attempt, worker, job, until_confirmed)
             }
-            // A 202 that was lost: the close does not tell a worker that has sent one.
+            // A 202 may have been lost. To a worker that has sent one, closing the connection is not a
+            // cancel.
             Err(AttemptEnd::Silent) if until_confirmed => {
                 send_cancel(shared, attempt, worker, job, until_confirmed)
             }
-            // Ended by itself, never written, or its connection is closed by now.
+            // The attempt ended by itself, was never written, or was cancelled by closing its connection.
             _ => shared.exchange.put(Message::CalledOff { attempt }),
         };
     }
@@ -49,7 +50,7 @@
     });
 }
 
-/// The protocol's table for an answer to a job.
+/// What a response to a job means by the protocol.
 fn message_for_response(attempt: AttemptId, response: &Response) -> Message {
     let load = report::of_response(response);
     let never_ran = response.headers.get("x-never-ran") == Some("1");
@@ -57,7 +58,7 @@
         202 => Message::Accepted { attempt },
         503 | 504 if never_ran => Message::Ended { attempt, end: AttemptEnd::NeverRan, load },
         400..=499 => Message::Ended { attempt, end: AttemptEnd::Refused, load },
-        // Anything unforeseen proves nothing: it may have run.
+        // Any other status does not prove that the job did not run.
         _ => Message::Ended { attempt, end: AttemptEnd::Failed, load },
     }
 }
@@ -71,7 +72,8 @@
     http::request(&verbatim.method, &verbatim.target, &worker.address.to_string(), &headers, &verbatim.body)
 }
 
-/// Tells the worker that an accepted job is given up; `firm`: until it has answered or the job's time is over.
+/// Asks the worker to cancel an accepted job. `until_confirmed`: repeats that until it has answered or the
+/// job's deadline has passed.
 pub(super) fn send_cancel(
     shared: &Shared,
     attempt: AttemptId,
@@ -81,7 +83,7 @@
 ) {
     let target = format!("/jobs/{}", job.trace_id);
     let request = http::request("DELETE", &target, &worker.address.to_string(), &[], b"");
-    // Whatever the answer: the attempt is given up. Without one the worker may not know.
+    // Any answer confirms that the worker has got the cancel; its status does not matter.
     while send_short_request(shared, worker, &request).is_err()
         && until_confirmed
         && shared.clock.now() < job.deadline
@@ -104,8 +106,8 @@
     shared.exchange.put(Message::Probed { worker: worker.id, end, latency, load });
 }
 
-/// A conversation that is given up after a short while. What it asks may be asked again: a kept connection that
-/// had died is replaced by another.
+/// Sends a request with a short time limit. The request must be safe to repeat: if an idle connection turns
+/// out to be dead, it is sent again on another one.
 fn send_short_request(
     shared: &Shared,
     worker: &WorkerEndpoint,
@@ -125,8 +127,9 @@
     }
 }
 
-/// Writes a request on a kept or new connection, reads its response and keeps the connection if it allows that. The
-/// request is worded only then: how long a job's client still waits is told as of its first byte.
+/// Writes a request on an idle or new connection, reads the response and puts the connection back if it may
+/// be reused. `request` is called only when there is a connection, so that the remaining time in
+/// `X-Expires-In` counts from the request's first byte.
 fn send_request(
     shared: &Shared,
     worker: &WorkerEndpoint,
@@ -139,8 +142,8 @@
         AcquireError::NotConnected => AttemptEnd::NotConnected,
     })?;
     if !control.may_begin() {
-        // Given up or answered, or its worker leaves since the connection was asked for: nothing is sent, and the
-        // connection serves the next attempt.
+        // While the connection was waited for, the attempt was given up, its job was answered, or its worker
+        // began to drain. Nothing is sent, and the connection is left to the next attempt.
         shared.pool.put_back(worker.id, connection, false);
         return Err(AttemptEnd::NotSent);
     }
@@ -150,7 +153,7 @@
             return_connection(shared, worker, connection, &response);
             Ok(response)
         }
-        // Our own close is not the worker's.
+        // This program closed the connection, not the worker.
         Err(Broken::AfterWritten(_)) if control.cut.is_done() => Err(AttemptEnd::Silent),
         Err(Broken::AfterWritten(_)) => {
             connection.idle_since.into_iter().for_each(|since| shared.pool.discard_older(worker.id, since));
@@ -160,7 +163,7 @@
             Err(AttemptEnd::NotSent)
         }
         Err(Broken::BeforeWritten(_)) => Err(match connection.idle_since {
-            // It had died while it stood idle: nothing is known of the worker.
+            // The connection had died while idle, which says nothing about the worker.
             Some(since) => {
                 shared.pool.discard_older(worker.id, since);
                 AttemptEnd::NotSent
--- a/balancer/core/src/worker_transport/mod.rs
+++ b/balancer/core/src/worker_transport/mod.rs
@@ -1,6 +1,6 @@
-//! The server side: connections to workers, delivery attempts on them, call-offs, probes.
+//! Requests to workers over HTTP/1.1: delivery attempts, cancels and health probes, on pooled connections.
 //!
-//! It knows jobs and attempts by the exchange's types only and reports all that happens through the exchange.
+//! Uses only the exchange's types for jobs and attempts, and reports all results through the exchange.
 
 mod attempt;
 mod pool;
@@ -15,31 +15,33 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Where a worker is, as of now.
+/// A worker as a request addresses it.
 #[derive(Clone, Debug)]
 pub struct WorkerEndpoint {
     pub id: WorkerId,
     pub address: SocketAddr,
-    /// New jobs may go there: neither told to leave nor banned.
+    /// New jobs may go there: it is neither draining nor banned. Changes also reach attempts that are still
+    /// connecting.
     pub accepts_jobs: Arc<AtomicBool>,
 }
 
-/// Reaches an attempt's coroutine wherever it waits.
+/// Signals to the coroutine of one request, read by it at each step.
 pub(crate) struct RequestControl {
-    /// The attempt is given up ...
+    /// The attempt is given up.
     given_up: AtomicBool,
-    /// ... though its worker is known to hold the job.
+    /// The worker was known to hold the job when the attempt was given up.
     accepted: AtomicBool,
-    /// ... and its call-off is told until it is answered.
+    /// The cancel is repeated until the worker answers it.
     until_confirmed: AtomicBool,
-    /// Nobody waits for the job's answer any more: what has not been sent is not sent.
+    /// Nobody waits for the job's answer any more: a request that is not fully sent must not be completed.
     answer_unwanted: AtomicBool,
-    /// Of a delivery attempt's worker: a call-off goes also to one that leaves.
+    /// Of a delivery attempt: whether its worker accepts jobs. `None` for cancels and probes, which also go
+    /// to draining workers.
     accepts_jobs: Option<Arc<AtomicBool>>,
-    /// Its connection is not worth waiting for any longer.
+    /// Closes the connection and ends the wait for the response.
     cut: Cut,
-    /// Clock time (bits of ms) by which a worker that is there has answered; none before there is a connection: what is
-    /// waited for until then, a descriptor too, says nothing of the worker.
+    /// Clock time (bits of an `f64`, ms) by which a reachable worker has answered. Infinite until there is a
+    /// connection: waiting for a descriptor or for the connect says nothing about the worker.
     answer_deadline: AtomicU64,
 }
 
@@ -66,19 +68,21 @@
         RequestControl { accepts_jobs: Some(accepts_jobs), ..RequestControl::default() }
     }
 
-    /// The one question before a request's first byte: a connection or a descriptor may have been waited for since
-    /// the module chose. For drains and bans a send is counted from there.
+    /// Whether the first byte of the request may be sent. Checked once, right before it, because a long wait
+    /// for a descriptor or a connection may lie between the module's choice and the send. Whether a send
+    /// comes before a drain or a ban is decided by this moment.
     pub(crate) fn may_begin(&self) -> bool {
         self.may_finish()
             && self.accepts_jobs.as_ref().is_none_or(|accepts_jobs| accepts_jobs.load(Ordering::Acquire))
     }
 
-    /// ... and before its last.
+    /// Whether the last byte of the request may be sent; the worker cannot run the job before that. Unlike
+    /// [`RequestControl::may_begin`], a drain or a ban does not matter any more.
     pub(crate) fn may_finish(&self) -> bool {
         !self.is_given_up() && !self.answer_unwanted.load(Ordering::Acquire)
     }
 
-    /// Nobody waits for the job's answer any more.
+    /// The job is answered or its client has gone.
     pub(crate) fn mark_answer_unwanted(&self) {
         self.answer_unwanted.store(true, Ordering::Release);
     }
@@ -91,32 +95,37 @@
         f64::from_bits(self.answer_deadline.load(Ordering::Acquire))
     }
 
+    /// Gives the attempt up; `accepted`: the worker is known to hold the job.
     pub(crate) fn give_up(&self, accepted: bool) {
         self.accepted.store(accepted, Ordering::Release);
         self.given_up.store(true, Ordering::Release);
     }
 }
 
-/// What the coroutines of all workers share.
+/// What the coroutines of all requests share.
 struct Shared {
     pool: Pool,
-    /// Attempts whose answer is awaited.
+    /// Delivery attempts without a response so far.
     unanswered: Mutex<HashMap<AttemptId, Arc<RequestControl>>>,
     exchange: Exchange,
     counters: Arc<Counters>,
     clock: Clock,
 }
 
-/// A way to workers of one kind: what dispatch asks of it.
+/// Sends requests to workers for [`Dispatch`](crate::dispatch::Dispatch); the results come as messages
+/// through the exchange.
 pub trait WorkerTransport {
-    /// Starts a delivery attempt; its end or its acceptance comes through the exchange.
+    /// Starts a delivery attempt, to be answered by `expires_at` (clock time, ms). `Message::Accepted` or
+    /// `Message::Ended` follows.
     fn deliver(&self, attempt: AttemptId, worker: WorkerEndpoint, job: Arc<Job>, expires_at: f64);
 
-    /// Gives an attempt up: the worker is told once it has accepted, and a 202 on its way is waited for a
-    /// little, as closing the connection instead costs both sides a new one. `accepted`: it is known to hold the
-    /// job, by a call-back too, which may come before the 202. `CalledOff` follows either way.
+    /// Gives an attempt up. If the worker has accepted the job, it gets a cancel request. A 202 that may be
+    /// under way is waited for during `cancel_grace`, because closing the connection at once would cost both
+    /// sides a new one. `accepted`: the worker is known to hold the job, by a 202 or by a call-back, which
+    /// may come before the 202. `Message::CalledOff` follows in all cases.
     ///
-    /// `firm`: only once the worker has answered, or the job's time is over; it is told again until then.
+    /// `until_confirmed`: `CalledOff` follows only when the worker has answered the cancel or the job's
+    /// deadline has passed; until then the cancel is repeated.
     fn cancel(
         &self,
         attempt: AttemptId,
@@ -126,34 +135,37 @@
         until_confirmed: bool,
     );
 
-    /// The job has its answer, or its client has left: the attempt goes on only if its last byte is out, else it ends
-    /// as not sent. That needs no permission to call off: the worker has nothing.
+    /// The job is answered or its client has gone: the attempt ends as not sent unless its last byte has been
+    /// written. This is no cancel, which a site may forbid, because the worker has not received the job.
     fn withhold_unsent(&self, attempt: AttemptId);
 
+    /// Checks a worker's health; `Message::Probed` follows.
     fn probe(&self, worker: WorkerEndpoint);
 
     /// Closes the idle connections to a worker.
     fn close_idle(&self, worker: WorkerId);
 
-    /// New settings: how long a connect may take and a kept connection may stand idle (ms).
+    /// Applies reloaded settings: how long a connect may take and how long a connection may stand idle (ms).
     fn set_timeouts(&self, connect_timeout: f64, conn_idle: f64);
 
-    /// Leaves a part of the connections to the other process of an upgrade; gives how many this one goes on with.
+    /// Leaves a part of the connection budget to the other process of an upgrade. Returns how many
+    /// connections this process keeps for itself.
     fn share_connections(&self) -> usize;
 
-    /// Once in a while: closes what has stood idle too long.
+    /// Closes connections that have stood idle for too long; called at intervals.
     fn close_stale(&self);
 
-    /// Ends waits for an answer that is overdue: a machine that went silent would hold the job until its deadline
-    /// and the descriptor for ever.
+    /// Ends requests whose answer is overdue; called at intervals. Otherwise a machine that went silent would
+    /// hold the job until its deadline and the descriptor for ever.
     fn abort_overdue(&self);
 }
 
+/// The transport to workers that speak HTTP/1.1.
 #[derive(Clone)]
 pub struct HttpTransport(Arc<Shared>);
 
 impl HttpTransport {
-    /// `neighbour` says what another process of an upgrade may hold of the connections.
+    /// `peer_process` knows how many of the connections the other process of an upgrade may hold.
     pub fn new(
         limits: pool::ConnectionLimits,
         exchange: Exchange,
--- a/balancer/core/src/worker_transport/pool.rs
+++ b/balancer/core/src/worker_transport/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to workers, within the descriptor budget.
+//! The pool of connections to workers, within the budget of descriptors.
 
 use super::WorkerEndpoint;
 use millrudder_exchange::clock::{span, Clock};
@@ -11,36 +11,47 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Kept connections are dropped at this share of the time at which the worker's machine may close them: a
-/// request written after that close ends as a reset, which may have run.
+/// Idle connections are dropped after this fraction of the time after which the worker's machine may close
+/// them. A request written after that close would end as a reset, after which the job may or may not have
+/// run.
 const IDLE_FRACTION: f64 = 0.6;
+/// A connection that died at a lower idle age than this (ms) does not change the learned idle limit.
 const MIN_LEARNED_IDLE_MS: f64 = 100.0;
-/// After each such time without a death, connections may stand idle twice as long.
+/// The learned idle limit doubles each time this long passes without a dead connection (ms).
 const IDLE_DOUBLING_MS: f64 = 3_000.0;
-/// Retries and call-offs of an old process's jobs need a few connections.
+/// The least number of connections that the old process of an upgrade keeps: retries and cancels of its jobs
+/// need a few.
 const MIN_SHARED_CONNECTIONS: usize = 4;
-/// How often a free descriptor is looked for when all that workers may use are taken.
+/// How often a request checks for a free descriptor while the whole budget is in use (ms).
 const DESCRIPTOR_POLL_INTERVAL_MS: f64 = 2.0;
 
+/// The limits on connections to workers.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
+    /// The most connections that may be open at once.
     pub connections: usize,
+    /// How long a connect, and the wait for a descriptor before it, may take (ms).
     pub connect_timeout: f64,
+    /// The idle time after which a worker's machine may close a connection (ms).
     pub conn_idle: f64,
     /// How long the 202 of an attempt that is given up is waited for (ms).
     pub cancel_grace: f64,
-    /// An answer may come twice, the second some milliseconds late: taken for the next job's, it would say that one had
-    /// failed or had never run. A connection on which an answer said more than that a job is taken rests so long (ms).
+    /// How long a connection is not reused after any response but a 202 (ms). A response may be duplicated,
+    /// the second copy some milliseconds late; taken for the response to the next job, it would say that this
+    /// job had failed or had never run.
     pub reuse_delay: f64,
 }
 
-/// The settings' limit on a connect tells how long the way to a worker may take; an answer takes its own time.
+/// The time allowed for an answer, as a multiple of the connect time-out. The connect time-out covers the
+/// network; the worker needs time of its own to answer.
 const ANSWER_FACTOR: f64 = 2.0;
+/// The least time allowed for an answer (ms).
 const MIN_ANSWER_TIMEOUT_MS: f64 = 200.0;
+/// The most time allowed for an answer (ms).
 const MAX_ANSWER_TIMEOUT_MS: f64 = 2_000.0;
 
 impl ConnectionLimits {
-    /// A worker that is there says within this time (ms) whether it takes a job; that does not depend on its queue.
+    /// A reachable worker answers within this time (ms) whether it accepts a job, however long its queue is.
     pub fn answer_timeout(&self) -> f64 {
         (ANSWER_FACTOR * self.connect_timeout).clamp(MIN_ANSWER_TIMEOUT_MS, MAX_ANSWER_TIMEOUT_MS)
     }
@@ -49,27 +60,29 @@
 /// A connection that counts against the budget until it is dropped.
 pub struct Connection {
     pub socket: Socket,
-    /// It has carried a request before, and stood idle since this time.
+    /// If it was reused: the clock time (ms) since which it had been idle. `None` for a new connection.
     pub idle_since: Option<f64>,
     address: SocketAddr,
     _permit: ConnectionPermit,
 }
 
-/// Why there is no connection.
+/// Why no connection could be had.
 #[derive(Debug)]
 pub enum AcquireError {
-    /// Of this program's doing: nothing is known of the worker.
+    /// This process or its host lacks resources, which says nothing about the worker.
     NoDescriptor,
+    /// The connect failed or timed out.
     NotConnected,
 }
 
-/// What a connect may fail with before it asks the worker.
+/// Whether a connect failed for lack of local resources, before any packet went to the worker.
 fn is_local_error(error: &io::Error) -> bool {
     use nix::errno::Errno;
     let local = [Errno::EMFILE, Errno::ENFILE, Errno::ENOBUFS, Errno::ENOMEM, Errno::EADDRNOTAVAIL];
     error.raw_os_error().is_some_and(|code| local.contains(&Errno::from_raw(code)))
 }
 
+/// The right to one open connection; returned to the budget when dropped.
 struct ConnectionPermit(Arc<AtomicUsize>);
 
 impl Drop for ConnectionPermit {
@@ -80,13 +93,15 @@
 
 struct IdleConnection {
     connection: Connection,
+    /// Clock time (ms).
     idle_since: f64,
-    /// It rests until then.
+    /// Clock time (ms) before which it must not be reused; see [`ConnectionLimits::reuse_delay`].
     usable_from: f64,
 }
 
-/// Something on the way may drop idle connections sooner than the settings say. How long one may stand idle is
-/// learnt from those that died: down to the age at which one did, and slowly up again.
+/// How long a connection may stand idle. Network equipment may drop idle connections sooner than the settings
+/// say, so the limit is learned from connections that died: it falls to the idle age at which one died and
+/// slowly rises again.
 #[derive(Clone, Copy)]
 struct IdleLimit {
     learned_ms: f64,
@@ -98,7 +113,8 @@
         (self.learned_ms * ((now - self.learned_at) / IDLE_DOUBLING_MS).exp2()).min(max_ms)
     }
 
-    /// One that died younger tells nothing of idleness.
+    /// Lowers the limit to the idle age (ms) of a dead connection. A very young one did not die of idleness
+    /// and is ignored.
     fn record_death(&mut self, age: f64, now: f64, max_ms: f64) {
         if age >= MIN_LEARNED_IDLE_MS {
             *self = IdleLimit { learned_ms: age.min(self.current(now, max_ms)), learned_at: now };
@@ -106,13 +122,16 @@
     }
 }
 
+/// The connections to all workers.
 pub struct Pool {
     idle_limit: Mutex<IdleLimit>,
-    /// The times in it change with the settings.
+    /// The time-outs in it change when settings are reloaded.
     limits: Mutex<ConnectionLimits>,
     peer_process: PeerProcess,
+    /// How many connections are open, idle or in use.
     open: Arc<AtomicUsize>,
-    /// By worker, the latest used last: it is used next, so that the others grow old and go.
+    /// By worker, the most recently used last. That one is reused first, so that surplus connections reach
+    /// the idle limit and are closed.
     idle: Mutex<BTreeMap<WorkerId, Vec<IdleConnection>>>,
     counters: Arc<Counters>,
     clock: Clock,
@@ -134,13 +153,15 @@
         *self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// By new settings, for connections asked for from now on and for how long kept ones may stand idle.
+    /// Applies reloaded settings (ms): to connects from now on, and to the idle limit of present connections
+    /// too.
     pub fn set_timeouts(&self, connect_timeout: f64, conn_idle: f64) {
         let mut limits = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
         (limits.connect_timeout, limits.conn_idle) = (connect_timeout, conn_idle);
     }
 
-    /// A kept connection, or a new one; waits for a descriptor while `wanted`, and for as long as a connect may take.
+    /// Takes an idle connection or opens a new one. Waits for a free descriptor as long as `wanted` returns
+    /// true, and at most for the connect time-out.
     pub fn acquire(
         &self,
         worker: &WorkerEndpoint,
@@ -170,15 +191,17 @@
         }
     }
 
-    /// Gives a connection back whose last response was read whole and allows another request.
-    /// `rests`: its last response must not be taken for the next one's.
+    /// Puts back a connection whose last response was read completely and permits another request. `rests`:
+    /// it must not be reused for a while, as a duplicate of that response would be taken for the next
+    /// request's.
     pub fn put_back(&self, worker: WorkerId, connection: Connection, rests: bool) {
         let idle_since = self.clock.now();
         let usable_from = if rests { idle_since + self.limits().reuse_delay } else { idle_since };
         self.idle().entry(worker).or_default().push(IdleConnection { connection, idle_since, usable_from });
     }
 
-    /// A kept connection was found dead: those that have stood idle as long will be.
+    /// Called when an idle connection was found dead. Drops the worker's connections that have been idle for
+    /// as long, since they are likely to be dead too, and lowers the idle limit.
     pub fn discard_older(&self, worker: WorkerId, since: f64) {
         self.counters.connections_died.add();
         let now = self.clock.now();
@@ -190,10 +213,13 @@
         }
     }
 
+    /// Closes all idle connections to a worker.
     pub fn close_idle(&self, worker: WorkerId) {
         drop(self.idle().remove(&worker));
     }
 
+    /// Closes connections that have been idle for too long, or on which the worker has sent something or
+    /// closed.
     pub fn close_stale(&self) {
         let fresh = self.usable_since();
         self.idle().retain(|_, list| {
@@ -202,12 +228,14 @@
         });
     }
 
-    /// What the other process of an upgrade may hold is not ours.
+    /// The most connections that this process may open: the budget without what the other process of an
+    /// upgrade may hold.
     fn max_open(&self) -> usize {
         self.limits().connections.saturating_sub(self.peer_process.worker_connections()).max(1)
     }
 
-    /// From now on at most so many are open here as are now, and half of all: the rest is the other process's.
+    /// Leaves a part of the budget to the other process of an upgrade. This process keeps as many connections
+    /// as it has open now, at most half of the budget, and returns their number.
     pub fn share_connections(&self) -> usize {
         let most = (self.limits().connections / 2).max(1);
         while self.open.load(Ordering::Relaxed) > most && self.drop_oldest_idle() {}
@@ -222,7 +250,7 @@
         let (list, now) = (kept.get_mut(&worker.id)?, self.clock.now());
         while let Some(i) = list.iter().rposition(|kept| kept.usable_from <= now) {
             let IdleConnection { connection, idle_since, .. } = list.remove(i);
-            // The address of the same worker may have changed since.
+            // The worker's address may have changed since the connection was opened.
             if idle_since >= fresh && connection.address == worker.address && connection.socket.is_quiet() {
                 return Some(Connection { idle_since: Some(idle_since), ..connection });
             }
@@ -230,6 +258,7 @@
         None
     }
 
+    /// Clock time (ms): connections that have been idle since before then must not be reused.
     fn usable_since(&self) -> f64 {
         let now = self.clock.now();
         let idle = self.idle_limit.lock().unwrap_or_else(PoisonError::into_inner);
@@ -247,7 +276,8 @@
         }
     }
 
-    /// Room for one more connection, made by dropping the oldest kept one if need be.
+    /// A permit for one more connection. If the budget is used up, closes the longest idle connection to make
+    /// room.
     fn permit(&self) -> Option<ConnectionPermit> {
         if self.open.load(Ordering::Relaxed) >= self.max_open() && !self.drop_oldest_idle() {
             return None;
--- a/balancer/core/src/worker_transport/pool/tests.rs
+++ b/balancer/core/src/worker_transport/pool/tests.rs
@@ -22,7 +22,7 @@
     )
 }
 
-/// A worker's listener, and what it accepted.
+/// A worker and its listener.
 fn worker(id: WorkerId) -> (WorkerEndpoint, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     (WorkerEndpoint { id, address: listener.local_addr().unwrap(), accepts_jobs: Arc::default() }, listener)
@@ -34,7 +34,8 @@
 
 #[test]
 fn an_idle_connection_is_reused_unless_it_may_have_been_closed() {
-    // A request written after the worker's idle close ends as a reset: it may have run, and is lost.
+    // A request written after the worker has closed an idle connection ends as a reset. The job may have run
+    // and cannot be retried.
     in_coroutine(|| {
         let (worker, listener) = worker(1);
         let (pool, counters) = pool(8, 1e9);
@@ -60,7 +61,8 @@
 
 #[test]
 fn a_connection_is_not_reused_while_a_duplicate_response_may_arrive() {
-    // A "never ran" that came twice, the second time for the job behind it, let that one be sent elsewhere as well.
+    // A duplicated "never ran" response was taken for the response to the next job, which was then sent to a
+    // second worker as well.
     in_coroutine(|| {
         let (worker, _listener) = worker(1);
         let (pool, counters) = pool(8, 1e9);
@@ -107,14 +109,15 @@
 
 #[test]
 fn the_connection_budget_holds_and_the_oldest_idle_connection_is_closed() {
-    // Without a bound of its own a storm of attempts would take the descriptors that accept needs.
+    // Without its own bound, a burst of attempts would use up the descriptors that are needed to accept
+    // connections.
     in_coroutine(|| {
         let ((first, _a), (second, _b)) = (worker(1), worker(2));
         let (pool, counters) = pool(2, 1e9);
         let busy = pool.acquire(&first, || true).unwrap();
         pool.put_back(1, pool.acquire(&first, || true).unwrap(), false);
         let other = pool.acquire(&second, || true).unwrap();
-        // Of this program's doing: it must not count against the worker.
+        // The lack is local, so it must not count against the worker.
         assert!(
             matches!(pool.acquire(&second, || false), Err(AcquireError::NoDescriptor)),
             "both are in use"
--- a/balancer/core/src/worker_transport/tests.rs
+++ b/balancer/core/src/worker_transport/tests.rs
@@ -8,7 +8,7 @@
 
 const ATTEMPT: AttemptId = AttemptId { ticket: 1, number: 0 };
 
-/// A delivery attempt that has reached its worker, which has not answered yet.
+/// A delivery attempt whose worker has got the request and has not answered yet.
 fn attempt_at_worker(cancel_grace: f64) -> (HttpTransport, WorkerEndpoint, Arc<Job>, TcpStream, Inbox) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (transport, worker, job, inbox) = start_attempt(&listener, cancel_grace);
@@ -48,7 +48,7 @@
     (transport, worker, job, inbox)
 }
 
-/// A listener whose accept queue is full with this one.
+/// A listener whose accept queue is full, and the connection that fills it.
 fn listener_with_full_backlog() -> (TcpListener, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listen(&listener, Backlog::new(0).unwrap()).unwrap();
@@ -56,8 +56,8 @@
     (listener, first)
 }
 
-/// An attempt whose connection waits in a full accept queue until `meanwhile` has happened: it ends as not sent,
-/// and the worker sees nothing of it.
+/// Starts an attempt whose connect waits in a full accept queue until `meanwhile` has run. Checks that it
+/// ends as not sent and that the worker receives nothing.
 fn assert_not_sent(meanwhile: impl Fn(&HttpTransport, &WorkerEndpoint)) {
     let (listener, first) = listener_with_full_backlog();
     let (transport, worker, _, inbox) = start_attempt(&listener, 0.0);
@@ -72,7 +72,8 @@
 
 #[test]
 fn an_attempt_answered_while_connecting_is_not_sent() {
-    // A job was answered while its attempt's connection came up, and sent on 55 ms later.
+    // A job was answered while its attempt was still connecting, and was sent to the worker 55 ms later all
+    // the same.
     assert_not_sent(|transport, _| transport.withhold_unsent(ATTEMPT));
 }
 
@@ -91,7 +92,8 @@
 
 #[test]
 fn a_cancel_waits_for_the_202_and_keeps_the_connection() {
-    // Closing it cost a new connection for nearly each copy that was called off: 277 on one deploy day.
+    // Closing the connection to cancel cost a new connection for nearly every cancelled copy: 277 on one day
+    // with a deployment.
     let (transport, worker, job, mut peer, inbox) = attempt_at_worker(60_000.0);
     transport.cancel(ATTEMPT, worker, job, false, false);
     peer.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").unwrap();
@@ -102,7 +104,8 @@
 
 #[test]
 fn waiting_for_a_descriptor_or_connection_does_not_count_as_a_silent_worker() {
-    // The answer's time ran from before that wait: a lack here could end as a silent worker.
+    // The time allowed for the answer once began before that wait, so that a lack of descriptors here could
+    // end as a silent worker.
     let (listener, first) = listener_with_full_backlog();
     let (transport, _, _, _inbox) = start_attempt(&listener, 0.0);
     let due = || transport.unanswered().get(&ATTEMPT).map(|control| control.answer_deadline());
@@ -115,7 +118,7 @@
 
 #[test]
 fn the_expires_in_header_counts_from_the_first_byte() {
-    // It was told as of before the wait for a connection, up to a second and a half too long.
+    // The header was once computed before the wait for a connection, and was up to 1.5 s too long.
     let (listener, first) = listener_with_full_backlog();
     let (transport, _, job, _inbox) = start_attempt(&listener, 0.0);
     let (clock, began) = (transport.0.clock, transport.0.clock.now());
@@ -130,7 +133,7 @@
     assert!(sent_ms > 0.0 && sent_ms <= left, "{sent_ms} of {left} ms");
 }
 
-/// The next connection; a failure rather than a hang if none comes.
+/// Accepts the next connection; fails instead of hanging if none comes.
 fn accept_in_time(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let end = std::time::Instant::now() + span(20_000.0);
@@ -157,7 +160,7 @@
     read_to(&mut second, "body");
     second.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").unwrap();
     assert!(matches!(inbox.recv(), Ok(Message::Accepted { .. })));
-    // One that only took a job serves the next at once.
+    // After a 202, the connection is reused at once.
     transport.deliver(AttemptId { number: 2, ..ATTEMPT }, worker, job, until);
     assert!(read_to(&mut second, "body").starts_with("POST /api"));
 }
@@ -171,8 +174,9 @@
     read_to(&mut peer, "body");
     transport.cancel(ATTEMPT, worker, job, false, true);
     peer.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").unwrap();
-    // A starved machine may let the call-off's second pass before the request is written or the answer is read; it is sent
-    // again on another connection then. Only those that arrived count, and three of them get no answer.
+    // On an overloaded machine the 1 s allowed for a cancel may pass before the request is written or the
+    // answer is read; it is then sent again on another connection. Only cancels that arrived are counted, and
+    // three of them get no answer.
     let mut arrived = 0;
     let answered = loop {
         let request = read_to(&mut peer, "\r\n\r\n");
@@ -195,7 +199,7 @@
     assert!(matches!(answered, Message::CalledOff { attempt: ATTEMPT }));
 }
 
-/// The next message, or the connection on which the call-off comes again.
+/// The next message, or the connection on which the cancel is sent again.
 fn answer_or_retry(inbox: &Inbox, listener: &TcpListener) -> Result<Message, TcpStream> {
     loop {
         if let Ok(message) = inbox.try_recv() {
@@ -210,7 +214,7 @@
 
 #[test]
 fn a_confirmed_cancel_is_sent_even_without_a_202() {
-    // The 202 may be lost: closing the connection gives nothing up then.
+    // The 202 may have been lost; closing the connection does not cancel the job at the worker then.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (transport, worker, job, inbox) = start_attempt(&listener, 0.0);
     let mut peer = listener.accept().unwrap().0;
