--- a/balancer/core/src/dispatch/handover_state.rs
+++ b/balancer/core/src/dispatch/handover_state.rs
@@ -21,7 +21,7 @@
     #[error(transparent)]
     Malformed(#[from] ciborium::de::Error<std::io::Error>),
     /// Another version of the program encoded them.
-    #[error("a state of form {found}, {FORMAT_VERSION} is wanted")]
+    #[error("unsupported handover state version {found}, expected {FORMAT_VERSION}")]
     UnsupportedVersion {
         /// The version that they carry.
         found: u32,
--- a/balancer/core/src/dispatch/handover_state/tests.rs
+++ b/balancer/core/src/dispatch/handover_state/tests.rs
@@ -38,5 +38,5 @@
     );
     garbage(21, &old.encode(), |bytes| drop(HandoverState::decode(bytes)));
     let other = HandoverState { version: FORMAT_VERSION + 1, ..old };
-    assert!(HandoverState::decode(&other.encode()).unwrap_err().to_string().contains("form 2"));
+    assert!(HandoverState::decode(&other.encode()).unwrap_err().to_string().contains("version 2,"));
 }
--- a/balancer/core/src/dispatch/jobs/tests.rs
+++ b/balancer/core/src/dispatch/jobs/tests.rs
@@ -56,10 +56,10 @@
     assert_eq!(entry.state_at(7), Some(AttemptState::Cancelling));
     entry.add_attempt(7, 1.0, 5000.0, AttemptState::AwaitingCancel);
     let second = AttemptId { ticket: 1, number: 1 };
-    assert_eq!(jobs.attempt_at("t1", 7), None, "the parked one has not been sent");
+    assert_eq!(jobs.attempt_at("t1", 7), None, "the waiting attempt has not been sent");
     assert_eq!(jobs.cancelled(FIRST), Some((second, 7)));
     assert_eq!(jobs.attempt_at("t1", 7), Some(second));
-    assert_eq!(jobs.cancelled(FIRST), None, "once");
+    assert_eq!(jobs.cancelled(FIRST), None, "only once");
 }
 
 #[test]
@@ -70,13 +70,13 @@
     jobs.accept(FIRST);
     let entry = jobs.get_mut(1).unwrap();
     assert!(entry.give_up(0, true, Some(Outcome::Canceled)).is_some_and(|s| s.was_sent));
-    assert!(entry.give_up(0, true, Some(Outcome::Canceled)).is_none(), "it is told once");
+    assert!(entry.give_up(0, true, Some(Outcome::Canceled)).is_none(), "the cancel is sent once");
     assert_eq!(jobs.deferred_outcome(FIRST), Some(Outcome::Canceled));
     assert_eq!(jobs.attempt_at("t1", 7), Some(FIRST), "its result still counts");
     // When the job itself ends, its attempts end without waiting for the cancel, because nothing is sent
     // after that.
     let entry = jobs.get_mut(1).unwrap();
-    assert!(entry.give_up(0, true, None).is_some_and(|s| !s.was_sent), "and is not told again");
+    assert!(entry.give_up(0, true, None).is_some_and(|s| !s.was_sent), "the cancel is not sent again");
     assert_eq!((jobs.deferred_outcome(FIRST), jobs.attempt_at("t1", 7)), (None, None));
 }
 
@@ -88,7 +88,7 @@
     assert!(jobs.end_attempt(FIRST, Outcome::TimedOut).is_some());
     let entry = jobs.get_mut(1).unwrap();
     assert_eq!((entry.state_at(7), entry.live_attempts().len()), (Some(AttemptState::Unresolved), 0));
-    assert_eq!(jobs.attempt_at("t1", 7), None, "its outcome is booked");
+    assert_eq!(jobs.attempt_at("t1", 7), None, "its outcome is recorded");
 }
 
 #[test]
@@ -106,7 +106,7 @@
     let mut jobs = jobs();
     jobs.get_mut(1).unwrap().reply.take().unwrap().give(Answer::Failed(Failure::Late));
     jobs.forget_if_finished(1);
-    assert_eq!(jobs.find("t1"), Some(1), "an attempt is out");
+    assert_eq!(jobs.find("t1"), Some(1), "an attempt is outstanding");
     assert_eq!(jobs.unanswered(), 0);
     jobs.end_attempt(FIRST, Outcome::Ok);
     jobs.forget_if_finished(1);
--- a/balancer/core/src/dispatch/random_order_tests.rs
+++ b/balancer/core/src/dispatch/random_order_tests.rs
@@ -237,16 +237,16 @@
                 let (id, class) = (client.id.clone(), client.class);
                 self.log(format!("{id} is answered: {answer:?}"));
                 let client = &self.clients[i];
-                self.check(client.answers.len() == 1, "one answer to a job");
+                self.check(client.answers.len() == 1, "a job has one answer");
                 let (mine, ticket) = (id.as_bytes().to_vec(), client.ticket);
                 let mut ran = false;
                 for f in self.net.0.lock().unwrap().attempts.iter().filter(|f| f.id.ticket == ticket) {
                     ran |= f.reached && !f.proven_unrun;
                 }
                 match answer {
-                    Answer::Served { result } => self.check(result == mine, "a job's own result"),
+                    Answer::Served { result } => self.check(result == mine, "the result is that of the job"),
                     Answer::Defer { .. } => {
-                        self.check(class == 0 || !ran, "what may have run is not deferred")
+                        self.check(class == 0 || !ran, "a job that may have run is not deferred")
                     }
                     Answer::Failed(_) => {}
                 }
@@ -325,10 +325,10 @@
         let client = &self.clients[id.ticket as usize];
         self.check(
             !client.left && client.answers.is_empty(),
-            "nothing is sent of a job that nobody waits for",
+            "no attempt is sent for a job that is answered or withdrawn",
         );
-        self.check(!self.draining.contains(&worker), "nothing new to a worker that leaves");
-        self.check(!self.banned.contains(&worker), "nothing new to a banned worker");
+        self.check(!self.draining.contains(&worker), "no new attempt to a draining worker");
+        self.check(!self.banned.contains(&worker), "no new attempt to a banned worker");
         let net = self.net.0.lock().unwrap();
         for f in net.attempts.iter().filter(|f| f.id.ticket == id.ticket && f.id != id) {
             let out = matches!(
@@ -338,9 +338,12 @@
                     | AttemptPhase::Accepted
                     | AttemptPhase::AcceptLost
             );
-            self.check(!(out && self.exclusive), "no two attempts out where the settings allow one");
-            self.check(!(out && f.worker.id == worker), "one attempt of a job at a worker");
-            self.check(client.class != 2 || !f.reached || f.proven_unrun, "an unsafe job is sent once");
+            self.check(!(out && self.exclusive), "no two attempts at once where the settings forbid it");
+            self.check(!(out && f.worker.id == worker), "at most one attempt of a job at a worker");
+            self.check(
+                client.class != 2 || !f.reached || f.proven_unrun,
+                "a job of an at-most-once class is not sent again after it may have run",
+            );
         }
     }
 
@@ -434,7 +437,7 @@
                 self.take(news(JobState::Failed));
             }
             (AttemptPhase::Accepted | AttemptPhase::AcceptLost, 1) => {
-                self.log(format!("{}.{} comes back unstarted", id.ticket, id.number));
+                self.log(format!("{}.{} is returned unstarted", id.ticket, id.number));
                 set(AttemptPhase::Ended, true, true);
                 self.take(news(JobState::Returned));
             }
@@ -463,7 +466,7 @@
             attempt.phase = AttemptPhase::Ended;
         }
         drop(net);
-        self.log(format!("the call-off of {}.{} is heard", id.ticket, id.number));
+        self.log(format!("the cancel of {}.{} is confirmed", id.ticket, id.number));
         self.take(Message::CalledOff { attempt: id });
     }
 
@@ -507,10 +510,10 @@
         }
         for client in &self.clients {
             let ended = client.left || client.answers.len() == 1;
-            self.check(ended, &format!("{} is owed an answer", client.id));
+            self.check(ended, &format!("{} is answered or withdrawn", client.id));
         }
-        self.check(self.dispatch.jobs.unanswered() == 0, "nothing is owed");
-        self.check(self.dispatch.jobs.ids().is_empty(), "no job stays");
+        self.check(self.dispatch.jobs.unanswered() == 0, "no job is unanswered");
+        self.check(self.dispatch.jobs.ids().is_empty(), "no job is left");
     }
 }
 
--- a/balancer/core/src/dispatch/settings_reload/tests.rs
+++ b/balancer/core/src/dispatch/settings_reload/tests.rs
@@ -20,7 +20,7 @@
         (&["c", "b", "a"].map(str::to_owned)[..], vec![None, Some(1), Some(0)])
     );
     let deadlines: Vec<f64> = new_settings.classes.iter().map(|c| c.deadline).collect();
-    assert_eq!(deadlines, [3.0, 4.0, 1.0], "the new set's, and the dropped one's own");
+    assert_eq!(deadlines, [3.0, 4.0, 1.0], "those of the new settings, and the dropped class's own");
     // Reloads that follow neither prolong the time of dropped classes nor make the list of classes grow.
     let (mut settings, mut held) = (new_settings, names);
     for i in 1..100 {
--- a/balancer/core/src/dispatch/timers/tests.rs
+++ b/balancer/core/src/dispatch/timers/tests.rs
@@ -18,7 +18,7 @@
 #[test]
 fn a_wait_is_never_rounded_down_to_zero() {
     let mut timers = Timers::default();
-    assert!(timers.time_to_next(0.0).as_millis() >= 1, "nothing is armed");
+    assert!(timers.time_to_next(0.0).as_millis() >= 1, "no timer is set");
     timers.set(100.0, Due::CloseStale);
     for now in [0.0, 99.5, 100.0, 500.0] {
         let wait = timers.time_to_next(now).as_millis();
--- a/balancer/core/src/dispatch/translate/tests.rs
+++ b/balancer/core/src/dispatch/translate/tests.rs
@@ -29,7 +29,7 @@
     assert_eq!(workers.ban("s-1", true), Some(0));
     workers.apply(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Left));
     workers.apply(&names, &entry("s-1", "127.0.0.1:2", WorkerState::Active));
-    assert!(!workers.accepts_jobs(0), "an attempt that waited for a call-off there must not go");
+    assert!(!workers.accepts_jobs(0), "an attempt that waited for a cancel there must not be sent");
     workers.ban("s-1", false);
     assert!(workers.accepts_jobs(0));
 }
@@ -48,7 +48,7 @@
     assert_eq!(workers.apply(&names, &entry("s-1", "", WorkerState::Left)).mode, mr::Mode::Gone);
     assert!(workers.endpoint(0).is_some());
     workers.begin_full_list();
-    assert!(!workers.accepts_jobs(1), "a whole list that does not name it");
+    assert!(!workers.accepts_jobs(1), "a complete list does not name it");
     assert_eq!((first.zone, first.kind, first.ready_at), (Some(0), Some(1), Some(1_700_000_000_000.0)));
 }
 
--- a/balancer/core/src/worker_list/watch.rs
+++ b/balancer/core/src/worker_list/watch.rs
@@ -51,9 +51,9 @@
     Status(u16),
     #[error(transparent)]
     Document(#[from] json::JsonError),
-    #[error("a whole list that names nobody")]
+    #[error("complete list without entries")]
     EmptyList,
-    #[error("changes up to {generation} on a list of {held:?}")]
+    #[error("changes up to generation {generation}, but the present list has {held:?}")]
     OldChanges { generation: u64, held: Option<u64> },
 }
 
--- a/balancer/core/src/worker_list/watch/tests.rs
+++ b/balancer/core/src/worker_list/watch/tests.rs
@@ -67,7 +67,7 @@
         let mut peer = loop {
             match listener.accept() {
                 Ok((stream, _)) => break stream,
-                Err(_) => assert!(inbox.try_recv().is_err(), "reported, and not opened anew"),
+                Err(_) => assert!(inbox.try_recv().is_err(), "reported instead of reopened"),
             }
             std::thread::yield_now();
         };
--- a/balancer/core/src/worker_transport/pool/tests.rs
+++ b/balancer/core/src/worker_transport/pool/tests.rs
@@ -55,7 +55,7 @@
         let (pool, counters) = pool(8, -1.0);
         pool.put_back(1, pool.acquire(&worker, || true).unwrap(), false);
         drop(pool.acquire(&worker, || true).unwrap());
-        assert_eq!(counters.connections_reused.get(), 0, "stood idle too long");
+        assert_eq!(counters.connections_reused.get(), 0, "it was idle for too long");
     });
 }
 
@@ -69,9 +69,9 @@
         let resting = pool.acquire(&worker, || true).unwrap();
         pool.put_back(1, resting, true);
         pool.put_back(1, pool.acquire(&worker, || true).unwrap(), false);
-        assert_eq!(counters.connections_out.get(), 2, "it rests");
+        assert_eq!(counters.connections_out.get(), 2, "its reuse is delayed");
         pool.put_back(1, pool.acquire(&worker, || true).unwrap(), false);
-        assert_eq!(counters.connections_reused.get(), 1, "the other does not");
+        assert_eq!(counters.connections_reused.get(), 1, "the other connection is reused at once");
         pool.idle().values_mut().flatten().for_each(|kept| kept.usable_from -= 120_000.0);
         let both = [(); 2].map(|()| pool.acquire(&worker, || true).unwrap());
         assert_eq!((counters.connections_out.get(), counters.connections_reused.get()), (2, 3));
@@ -99,7 +99,11 @@
     let mut idle = IdleLimit { learned_ms: f64::INFINITY, learned_at: 0.0 };
     assert_eq!(idle.current(5_000.0, 6_000.0), 6_000.0);
     idle.record_death(20.0, 5_000.0, 6_000.0);
-    assert_eq!(idle.current(5_000.0, 6_000.0), 6_000.0, "a reset of one in use tells nothing of idleness");
+    assert_eq!(
+        idle.current(5_000.0, 6_000.0),
+        6_000.0,
+        "a connection reset while in use does not change the idle limit"
+    );
     idle.record_death(400.0, 5_000.0, 6_000.0);
     idle.record_death(900.0, 5_000.0, 6_000.0);
     assert_eq!(idle.current(5_000.0, 6_000.0), 400.0);
--- a/balancer/core/src/worker_transport/tests.rs
+++ b/balancer/core/src/worker_transport/tests.rs
@@ -181,13 +181,13 @@
     let answered = loop {
         let request = read_to(&mut peer, "\r\n\r\n");
         if !request.is_empty() {
-            assert!(request.starts_with("DELETE /jobs/9b1f HTTP/1.1"), "not a call-off: {request}");
+            assert!(request.starts_with("DELETE /jobs/9b1f HTTP/1.1"), "not a cancel: {request}");
             arrived += 1;
         }
         if arrived > 3 {
             let _ = peer.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
         } else {
-            assert!(inbox.try_recv().is_err(), "the worker may not know");
+            assert!(inbox.try_recv().is_err(), "the worker may not have got the cancel");
             drop(peer);
         }
         match answer_or_retry(&inbox, &listener) {
@@ -195,7 +195,7 @@
             Err(next) => peer = next,
         }
     };
-    assert!(arrived > 3, "it was not told again");
+    assert!(arrived > 3, "the cancel was not repeated");
     assert!(matches!(answered, Message::CalledOff { attempt: ATTEMPT }));
 }
 
@@ -223,7 +223,7 @@
     assert_eq!(read_to(&mut peer, "never"), "");
     let mut second = accept_in_time(&listener);
     assert!(read_to(&mut second, "\r\n\r\n").starts_with("DELETE /jobs/9b1f HTTP/1.1"));
-    assert!(inbox.try_recv().is_err(), "the worker may not know");
+    assert!(inbox.try_recv().is_err(), "the worker may not have got the cancel");
     second.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").unwrap();
     assert!(matches!(inbox.recv(), Ok(Message::CalledOff { attempt: ATTEMPT })));
 }
@@ -242,10 +242,10 @@
     let now = transport.0.clock.now();
     assert!(
         transport.unanswered().values().all(|control| control.answer_deadline() < now + 3_000.0),
-        "not only at the deadline"
+        "overdue before the job's deadline"
     );
     transport.unanswered().values().for_each(|control| control.set_answer_deadline(now - 1.0));
     transport.abort_overdue();
     assert!(matches!(inbox.recv(), Ok(Message::Ended { end: AttemptEnd::Silent, .. })));
-    assert_eq!(read_to(&mut peer, "never"), "", "before the 202 a close gives the attempt up");
+    assert_eq!(read_to(&mut peer, "never"), "", "closing the connection before the 202 cancels the attempt");
 }
