--- a/balancer/core/src/dispatch/random_order_tests.rs
+++ b/balancer/core/src/dispatch/random_order_tests.rs
@@ -52,7 +52,7 @@
 
 impl SimulatedNetwork {
     fn find(&mut self, id: AttemptId) -> Option<&mut SimulatedAttempt> {
-        self.attempts.iter_mut().find(|f| f.id == id)
+        self.attempts.iter_mut().find(|attempt| attempt.id == id)
     }
 }
 
@@ -84,13 +84,13 @@
     ) {
         let mut net = self.0.lock().unwrap();
         match net.find(id) {
-            Some(f)
+            Some(attempt)
                 if matches!(
-                    f.phase,
+                    attempt.phase,
                     AttemptPhase::Connecting | AttemptPhase::PartlyWritten | AttemptPhase::Written
                 ) =>
             {
-                f.control.give_up(accepted)
+                attempt.control.give_up(accepted)
             }
             _ => net.cancels.push(id),
         }
@@ -162,7 +162,7 @@
     Config::from_json(text.as_bytes()).unwrap()
 }
 
-fn line(worker: u32, state: WorkerState) -> WorkerEntry {
+fn list_entry(worker: u32, state: WorkerState) -> WorkerEntry {
     WorkerEntry {
         name: format!("s-{worker}"),
         address: Some(([127, 0, 0, 1], 100 + worker as u16).into()),
@@ -192,7 +192,7 @@
             clock,
         };
         let mut dispatch = Dispatch::new(&config(cancel, copies, reports_start), dependencies);
-        let entries = (0..WORKERS).map(|worker| line(worker, WorkerState::Active)).collect();
+        let entries = (0..WORKERS).map(|worker| list_entry(worker, WorkerState::Active)).collect();
         dispatch.begin(Some(WorkerListUpdate { whole: true, generation: Some(1), entries }), None);
         Simulation {
             dispatch,
@@ -219,7 +219,7 @@
         assert!(holds, "{what}\n{}", self.history.join("\n"));
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         self.dispatch.handle_message(message);
         self.collect_answers();
     }
@@ -238,13 +238,17 @@
                 self.log(format!("{id} is answered: {answer:?}"));
                 let client = &self.clients[i];
                 self.check(client.answers.len() == 1, "a job has one answer");
-                let (mine, ticket) = (id.as_bytes().to_vec(), client.ticket);
+                let (expected, ticket) = (id.as_bytes().to_vec(), client.ticket);
                 let mut ran = false;
-                for f in self.net.0.lock().unwrap().attempts.iter().filter(|f| f.id.ticket == ticket) {
-                    ran |= f.reached && !f.proven_unrun;
+                for attempt in
+                    self.net.0.lock().unwrap().attempts.iter().filter(|attempt| attempt.id.ticket == ticket)
+                {
+                    ran |= attempt.reached && !attempt.proven_unrun;
                 }
                 match answer {
-                    Answer::Served { result } => self.check(result == mine, "the result is that of the job"),
+                    Answer::Served { result } => {
+                        self.check(result == expected, "the result is that of the job")
+                    }
                     Answer::Defer { .. } => {
                         self.check(class == 0 || !ran, "a job that may have run is not deferred")
                     }
@@ -278,18 +282,18 @@
         self.log(format!("{id} ({}) until {deadline:.0}", CLASSES[class]));
         let (answers, left) = (Vec::new(), false);
         self.clients.push(Client { id, ticket, class, reply: reply.clone(), answers, left });
-        self.take(Message::Submitted { ticket, job: Arc::new(job), reply });
+        self.handle(Message::Submitted { ticket, job: Arc::new(job), reply });
     }
 
     fn client_leaves(&mut self) {
-        let waits: Vec<usize> = (0..self.clients.len())
+        let waiting: Vec<usize> = (0..self.clients.len())
             .filter(|i| self.clients[*i].answers.is_empty() && !self.clients[*i].left)
             .collect();
-        let Some(i) = self.rng.choice(waits) else { return };
+        let Some(i) = self.rng.choice(waiting) else { return };
         self.clients[i].left = true;
         self.log(format!("the client of {} leaves", self.clients[i].id));
         let ticket = self.clients[i].ticket;
-        self.take(Message::Withdrawn { ticket });
+        self.handle(Message::Withdrawn { ticket });
     }
 
     fn change_list(&mut self) {
@@ -300,8 +304,8 @@
             _ => self.draining.insert(worker),
         };
         self.log(format!("s-{worker} is {state:?}"));
-        let entries = vec![line(worker, state)];
-        self.take(Message::WorkerList(WorkerListUpdate { whole: false, generation: None, entries }));
+        let entries = vec![list_entry(worker, state)];
+        self.handle(Message::WorkerList(WorkerListUpdate { whole: false, generation: None, entries }));
     }
 
     fn ban(&mut self) {
@@ -314,8 +318,8 @@
             Order::Disable(name)
         };
         self.log(format!("{order:?}"));
-        let (asked, _awaited) = OrderHandle::new(order);
-        self.take(Message::Ordered(asked));
+        let (pending, _handle) = OrderHandle::new(order);
+        self.handle(Message::Ordered(pending));
     }
 
     /// The first byte of an attempt is sent; checks that it may be, in whichever way the attempt came about.
@@ -330,25 +334,33 @@
         self.check(!self.draining.contains(&worker), "no new attempt to a draining worker");
         self.check(!self.banned.contains(&worker), "no new attempt to a banned worker");
         let net = self.net.0.lock().unwrap();
-        for f in net.attempts.iter().filter(|f| f.id.ticket == id.ticket && f.id != id) {
-            let out = matches!(
-                f.phase,
+        for attempt in
+            net.attempts.iter().filter(|attempt| attempt.id.ticket == id.ticket && attempt.id != id)
+        {
+            let outstanding = matches!(
+                attempt.phase,
                 AttemptPhase::PartlyWritten
                     | AttemptPhase::Written
                     | AttemptPhase::Accepted
                     | AttemptPhase::AcceptLost
             );
-            self.check(!(out && self.exclusive), "no two attempts at once where the settings forbid it");
-            self.check(!(out && f.worker.id == worker), "at most one attempt of a job at a worker");
             self.check(
-                client.class != 2 || !f.reached || f.proven_unrun,
+                !(outstanding && self.exclusive),
+                "no two attempts at once where the settings forbid it",
+            );
+            self.check(
+                !(outstanding && attempt.worker.id == worker),
+                "at most one attempt of a job at a worker",
+            );
+            self.check(
+                client.class != 2 || !attempt.reached || attempt.proven_unrun,
                 "a job of an at-most-once class is not sent again after it may have run",
             );
         }
     }
 
     /// Advances one random attempt: something happens to it on the network or at its worker.
-    fn network(&mut self) {
+    fn advance_random_attempt(&mut self) {
         let net = self.net.0.lock().unwrap();
         let live: Vec<usize> =
             (0..net.attempts.len()).filter(|i| net.attempts[*i].phase != AttemptPhase::Ended).collect();
@@ -356,18 +368,25 @@
         let Some(i) = self.rng.choice(live) else { return };
         let chance = self.rng.u8(..10);
         let (mut net, shared) = (self.net.0.lock().unwrap(), self.net.clone());
-        let f = &mut net.attempts[i];
-        let (id, worker, job, phase, left) =
-            (f.id, f.worker.id, f.job.clone(), f.phase, f.control.is_given_up());
+        let attempt = &mut net.attempts[i];
+        let (id, worker, job, phase, given_up) = (
+            attempt.id,
+            attempt.worker.id,
+            attempt.job.clone(),
+            attempt.phase,
+            attempt.control.is_given_up(),
+        );
         drop(net);
-        let set = |phase: AttemptPhase, reached: bool, unrun: bool| {
+        let set_phase = |phase: AttemptPhase, reached: bool, unrun: bool| {
             let mut net = shared.0.lock().unwrap();
-            let f = &mut net.attempts[i];
-            (f.phase, f.reached, f.proven_unrun) = (phase, f.reached || reached, unrun);
+            let attempt = &mut net.attempts[i];
+            (attempt.phase, attempt.reached, attempt.proven_unrun) =
+                (phase, attempt.reached || reached, unrun);
         };
         let end = |end: AttemptEnd| Message::Ended { attempt: id, end, load: None };
-        let ends = |message: Message| if left { Message::CalledOff { attempt: id } } else { message };
-        let wanted = |first: bool| {
+        let or_cancelled =
+            |message: Message| if given_up { Message::CalledOff { attempt: id } } else { message };
+        let may_continue = |first: bool| {
             let net = shared.0.lock().unwrap();
             let control = &net.attempts[i].control;
             if first {
@@ -383,75 +402,77 @@
         let done = || JobState::Done { result: job.trace_id.as_bytes().to_vec() };
         match (phase, chance) {
             (AttemptPhase::Connecting, 0) => {
-                set(AttemptPhase::Ended, false, true);
-                self.take(ends(end(AttemptEnd::NotConnected)));
+                set_phase(AttemptPhase::Ended, false, true);
+                self.handle(or_cancelled(end(AttemptEnd::NotConnected)));
             }
-            (AttemptPhase::Connecting, _) if !wanted(true) => {
-                set(AttemptPhase::Ended, false, true);
-                self.take(ends(end(AttemptEnd::NotSent)));
+            (AttemptPhase::Connecting, _) if !may_continue(true) => {
+                set_phase(AttemptPhase::Ended, false, true);
+                self.handle(or_cancelled(end(AttemptEnd::NotSent)));
             }
             (AttemptPhase::Connecting, _) => {
                 self.on_first_byte(id, worker);
-                set(AttemptPhase::PartlyWritten, false, true);
+                set_phase(AttemptPhase::PartlyWritten, false, true);
             }
-            (AttemptPhase::PartlyWritten, _) if !wanted(false) => {
-                set(AttemptPhase::Ended, false, true);
-                self.take(ends(end(AttemptEnd::NotSent)));
+            (AttemptPhase::PartlyWritten, _) if !may_continue(false) => {
+                set_phase(AttemptPhase::Ended, false, true);
+                self.handle(or_cancelled(end(AttemptEnd::NotSent)));
             }
-            (AttemptPhase::PartlyWritten, _) => set(AttemptPhase::Written, true, false),
+            (AttemptPhase::PartlyWritten, _) => set_phase(AttemptPhase::Written, true, false),
             (AttemptPhase::Written, 0) => {
                 self.log(format!("{}.{} is reset", id.ticket, id.number));
-                set(AttemptPhase::Ended, true, false);
-                self.take(ends(end(AttemptEnd::Reset)));
+                set_phase(AttemptPhase::Ended, true, false);
+                self.handle(or_cancelled(end(AttemptEnd::Reset)));
             }
             (AttemptPhase::Written, 1) => {
                 self.log(format!("{}.{} is silent", id.ticket, id.number));
                 // If the worker has sent no 202, closing the connection cancels the job there; if its 202 was
                 // lost, it does not.
-                set(
+                set_phase(
                     if self.rng.bool() { AttemptPhase::Ended } else { AttemptPhase::AcceptLost },
                     true,
                     false,
                 );
-                if left && self.exclusive {
+                if given_up && self.exclusive {
                     return self.net.0.lock().unwrap().cancels.push(id);
                 }
-                self.take(ends(end(AttemptEnd::Silent)));
+                self.handle(or_cancelled(end(AttemptEnd::Silent)));
             }
             (AttemptPhase::Written, 2) => {
                 self.log(format!("{}.{} never ran", id.ticket, id.number));
-                set(AttemptPhase::Ended, true, true);
-                self.take(ends(end(AttemptEnd::NeverRan)));
+                set_phase(AttemptPhase::Ended, true, true);
+                self.handle(or_cancelled(end(AttemptEnd::NeverRan)));
             }
-            (AttemptPhase::Written, 3) => self.take(news(JobState::Started)),
-            (AttemptPhase::Written, _) if left => {
-                set(AttemptPhase::Accepted, true, false);
+            (AttemptPhase::Written, 3) => self.handle(news(JobState::Started)),
+            (AttemptPhase::Written, _) if given_up => {
+                set_phase(AttemptPhase::Accepted, true, false);
                 self.net.0.lock().unwrap().cancels.push(id);
             }
             (AttemptPhase::Written, _) => {
-                set(AttemptPhase::Accepted, true, false);
-                self.take(Message::Accepted { attempt: id });
+                set_phase(AttemptPhase::Accepted, true, false);
+                self.handle(Message::Accepted { attempt: id });
             }
             (AttemptPhase::Accepted | AttemptPhase::AcceptLost, 0) => {
-                set(AttemptPhase::Ended, true, false);
-                self.take(news(JobState::Failed));
+                set_phase(AttemptPhase::Ended, true, false);
+                self.handle(news(JobState::Failed));
             }
             (AttemptPhase::Accepted | AttemptPhase::AcceptLost, 1) => {
                 self.log(format!("{}.{} is returned unstarted", id.ticket, id.number));
-                set(AttemptPhase::Ended, true, true);
-                self.take(news(JobState::Returned));
+                set_phase(AttemptPhase::Ended, true, true);
+                self.handle(news(JobState::Returned));
             }
             (AttemptPhase::Accepted | AttemptPhase::AcceptLost, 2) => {
-                set(AttemptPhase::Ended, true, false);
-                self.take(news(JobState::Lost));
+                set_phase(AttemptPhase::Ended, true, false);
+                self.handle(news(JobState::Lost));
+            }
+            (AttemptPhase::Accepted | AttemptPhase::AcceptLost, 3..=5) => {
+                self.handle(news(JobState::Started))
             }
-            (AttemptPhase::Accepted | AttemptPhase::AcceptLost, 3..=5) => self.take(news(JobState::Started)),
             (AttemptPhase::Accepted | AttemptPhase::AcceptLost, _) => {
                 self.log(format!("{}.{} is done", id.ticket, id.number));
-                set(AttemptPhase::Ended, true, false);
+                set_phase(AttemptPhase::Ended, true, false);
                 // Workers may repeat call-backs.
                 for _ in 0..=self.rng.u8(..2) {
-                    self.take(news(done()));
+                    self.handle(news(done()));
                 }
             }
             (AttemptPhase::Ended, _) => {}
@@ -467,7 +488,7 @@
         }
         drop(net);
         self.log(format!("the cancel of {}.{} is confirmed", id.ticket, id.number));
-        self.take(Message::CalledOff { attempt: id });
+        self.handle(Message::CalledOff { attempt: id });
     }
 
     /// Advances the clock and runs the timers that are due.
@@ -483,7 +504,7 @@
             12..16 => self.client_leaves(),
             16..22 => self.change_list(),
             22..25 => self.ban(),
-            25..70 => self.network(),
+            25..70 => self.advance_random_attempt(),
             70..78 => self.confirm_cancel(),
             _ => {
                 let ms = [1.0, 5.0, 25.0, 100.0][self.rng.usize(..4)];
@@ -496,7 +517,7 @@
     fn is_quiet(&self) -> bool {
         let net = self.net.0.lock().unwrap();
         net.cancels.is_empty()
-            && net.attempts.iter().all(|f| f.phase == AttemptPhase::Ended)
+            && net.attempts.iter().all(|attempt| attempt.phase == AttemptPhase::Ended)
             && self.dispatch.jobs.ids().is_empty()
     }
 
@@ -504,7 +525,7 @@
     fn run_until_quiet(&mut self) {
         let end = self.clock.now() + 10_000.0;
         while self.clock.now() < end && !self.is_quiet() {
-            self.network();
+            self.advance_random_attempt();
             self.confirm_cancel();
             self.advance(5.0);
         }
@@ -527,7 +548,7 @@
             simulation.step();
             if step == stop {
                 simulation.log("stop".to_owned());
-                simulation.take(Message::Stop);
+                simulation.handle(Message::Stop);
             }
         }
         simulation.run_until_quiet();
--- a/balancer/core/src/worker_list/watch.rs
+++ b/balancer/core/src/worker_list/watch.rs
@@ -82,8 +82,8 @@
 }
 
 /// How long the answer is waited for of a call that discovery may hold for `held` (both in ms).
-fn answer_timeout(held: u32) -> f64 {
-    (f64::from(held) + WATCH_GRACE_MS).max(QUEUE_TIMEOUT_MS)
+fn answer_timeout(hold_ms: u32) -> f64 {
+    (f64::from(hold_ms) + WATCH_GRACE_MS).max(QUEUE_TIMEOUT_MS)
 }
 
 impl WorkerListWatcher {
@@ -122,8 +122,8 @@
     }
 
     /// Asks for a call. Does not wait for it.
-    pub fn request(&self, call: ListRequest) {
-        let _ = self.sender.send(call);
+    pub fn request(&self, request: ListRequest) {
+        let _ = self.sender.send(request);
     }
 
     /// Switches to another discovery at once, aborting a call under way at the old one.
@@ -148,17 +148,17 @@
 
 impl WatcherTask {
     fn run(mut self) {
-        while let Ok(call) = self.requests.recv() {
-            self.handle(call);
+        while let Ok(request) = self.requests.recv() {
+            self.handle(request);
         }
     }
 
-    fn handle(&mut self, call: ListRequest) {
-        match call {
+    fn handle(&mut self, request: ListRequest) {
+        match request {
             ListRequest::Watch => self.watch(),
             ListRequest::Fetch => {
-                let fetched = self.call(ListRequest::Fetch);
-                self.report_failure(fetched);
+                let result = self.call(ListRequest::Fetch);
+                self.report_failure(result);
             }
             ListRequest::SwitchTo(discovery) => {
                 self.switch(discovery);
@@ -167,8 +167,8 @@
         }
     }
 
-    fn report_failure(&self, called: Result<(), CallError>) {
-        if let Err(problem) = called {
+    fn report_failure(&self, result: Result<(), CallError>) {
+        if let Err(problem) = result {
             self.counters.map_failures.add();
             slog::warn!(self.log, "discovery call failed"; "at" => %self.discovery, "problem" => %problem);
             self.exchange.put(Message::WorkerListUnavailable);
@@ -193,12 +193,12 @@
     fn watch(&mut self) {
         let mut reopened = false;
         loop {
-            let called = self.call(ListRequest::Watch);
-            let silent = called.is_err() && self.was_aborted();
-            let moved = self.handle_pending();
-            reopened = match called {
+            let result = self.call(ListRequest::Watch);
+            let silent = result.is_err() && self.was_aborted();
+            let switched = self.handle_pending();
+            reopened = match result {
                 // A switch to another discovery aborts the call under way, which is no failure.
-                _ if moved => false,
+                _ if switched => false,
                 Ok(()) => false,
                 Err(_) if silent && !reopened => {
                     self.counters.map_silent.add();
@@ -217,37 +217,37 @@
     /// Handles the requests that came during a watch call; a request for a watch is already met. Returns true
     /// if discovery has moved.
     fn handle_pending(&mut self) -> bool {
-        let mut moved = false;
-        while let Ok(call) = self.requests.try_recv() {
-            match call {
+        let mut switched = false;
+        while let Ok(request) = self.requests.try_recv() {
+            match request {
                 ListRequest::Watch => {}
                 ListRequest::Fetch => {
-                    let fetched = self.call(ListRequest::Fetch);
-                    self.report_failure(fetched);
+                    let result = self.call(ListRequest::Fetch);
+                    self.report_failure(result);
                 }
                 ListRequest::SwitchTo(discovery) => {
                     self.switch(discovery);
-                    moved = true;
+                    switched = true;
                 }
             }
         }
-        moved
+        switched
     }
 
     /// Makes one call and passes the list that it brought to the exchange.
-    fn call(&mut self, call: ListRequest) -> Result<(), CallError> {
-        let held = match (call, self.generation) {
+    fn call(&mut self, request: ListRequest) -> Result<(), CallError> {
+        let hold_ms = match (request, self.generation) {
             (ListRequest::Watch, Some(_)) => WATCH_HOLD_MS,
             _ => 0,
         };
         let target = match self.generation {
-            Some(generation) if call == ListRequest::Watch => {
-                format!("/v1/endpoints?from={generation}&hold_ms={held}")
+            Some(generation) if request == ListRequest::Watch => {
+                format!("/v1/endpoints?from={generation}&hold_ms={hold_ms}")
             }
             _ => "/v1/endpoints".to_owned(),
         };
         self.counters.map_calls.add();
-        let cut = self.start_call(answer_timeout(held));
+        let cut = self.start_call(answer_timeout(hold_ms));
         let list = self.fetch(&target, &cut).and_then(|response| self.read(&response))?;
         self.generation = Some(list.generation);
         self.counters.map_changes.add();
--- a/balancer/core/src/worker_transport/attempt.rs
+++ b/balancer/core/src/worker_transport/attempt.rs
@@ -63,8 +63,8 @@
     }
 }
 
-fn job_request(worker: &WorkerEndpoint, job: &Job, left: f64) -> Vec<u8> {
-    let expires = format!("{}u", (left.max(0.0) * 1000.0) as u64);
+fn job_request(worker: &WorkerEndpoint, job: &Job, remaining_ms: f64) -> Vec<u8> {
+    let expires = format!("{}u", (remaining_ms.max(0.0) * 1000.0) as u64);
     let mut headers = vec![("X-Trace-Id", job.trace_id.as_str()), ("X-Expires-In", &expires)];
     let verbatim = &job.verbatim;
     headers.extend(verbatim.idempotency_key.as_deref().map(|key| ("Idempotency-Key", key)));
--- a/balancer/core/src/worker_transport/pool.rs
+++ b/balancer/core/src/worker_transport/pool.rs
@@ -21,7 +21,7 @@
 const IDLE_DOUBLING_MS: f64 = 3_000.0;
 /// The least number of connections that the old process of an upgrade keeps: retries and cancels of its jobs
 /// need a few.
-const MIN_SHARED_CONNECTIONS: usize = 4;
+const MIN_KEPT_CONNECTIONS: usize = 4;
 /// How often a request checks for a free descriptor while the whole budget is in use (ms).
 const DESCRIPTOR_POLL_INTERVAL_MS: f64 = 2.0;
 
@@ -44,7 +44,7 @@
 
 /// The time allowed for an answer, as a multiple of the connect time-out. The connect time-out covers the
 /// network; the worker needs time of its own to answer.
-const ANSWER_FACTOR: f64 = 2.0;
+const ANSWER_TIMEOUT_FACTOR: f64 = 2.0;
 /// The least time allowed for an answer (ms).
 const MIN_ANSWER_TIMEOUT_MS: f64 = 200.0;
 /// The most time allowed for an answer (ms).
@@ -53,7 +53,7 @@
 impl ConnectionLimits {
     /// A reachable worker answers within this time (ms) whether it accepts a job, however long its queue is.
     pub fn answer_timeout(&self) -> f64 {
-        (ANSWER_FACTOR * self.connect_timeout).clamp(MIN_ANSWER_TIMEOUT_MS, MAX_ANSWER_TIMEOUT_MS)
+        (ANSWER_TIMEOUT_FACTOR * self.connect_timeout).clamp(MIN_ANSWER_TIMEOUT_MS, MAX_ANSWER_TIMEOUT_MS)
     }
 }
 
@@ -194,9 +194,9 @@
     /// Puts back a connection whose last response was read completely and permits another request. `rests`:
     /// it must not be reused for a while, as a duplicate of that response would be taken for the next
     /// request's.
-    pub fn put_back(&self, worker: WorkerId, connection: Connection, rests: bool) {
+    pub fn put_back(&self, worker: WorkerId, connection: Connection, delay_reuse: bool) {
         let idle_since = self.clock.now();
-        let usable_from = if rests { idle_since + self.limits().reuse_delay } else { idle_since };
+        let usable_from = if delay_reuse { idle_since + self.limits().reuse_delay } else { idle_since };
         self.idle().entry(worker).or_default().push(IdleConnection { connection, idle_since, usable_from });
     }
 
@@ -205,11 +205,11 @@
     pub fn discard_older(&self, worker: WorkerId, since: f64) {
         self.counters.connections_died.add();
         let now = self.clock.now();
-        let mut idle = self.idle_limit.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.record_death(now - since, now, self.limits().conn_idle * IDLE_FRACTION);
-        drop(idle);
+        let mut idle_limit = self.idle_limit.lock().unwrap_or_else(PoisonError::into_inner);
+        idle_limit.record_death(now - since, now, self.limits().conn_idle * IDLE_FRACTION);
+        drop(idle_limit);
         if let Some(list) = self.idle().get_mut(&worker) {
-            list.retain(|kept| kept.idle_since > since);
+            list.retain(|connection| connection.idle_since > since);
         }
     }
 
@@ -221,9 +221,9 @@
     /// Closes connections that have been idle for too long, or on which the worker has sent something or
     /// closed.
     pub fn close_stale(&self) {
-        let fresh = self.usable_since();
+        let usable_since = self.usable_since();
         self.idle().retain(|_, list| {
-            list.retain(|k| k.idle_since >= fresh && k.connection.socket.is_quiet());
+            list.retain(|idle| idle.idle_since >= usable_since && idle.connection.socket.is_quiet());
             !list.is_empty()
         });
     }
@@ -237,21 +237,24 @@
     /// Leaves a part of the budget to the other process of an upgrade. This process keeps as many connections
     /// as it has open now, at most half of the budget, and returns their number.
     pub fn share_connections(&self) -> usize {
-        let most = (self.limits().connections / 2).max(1);
-        while self.open.load(Ordering::Relaxed) > most && self.drop_oldest_idle() {}
-        let part = self.open.load(Ordering::Relaxed).clamp(MIN_SHARED_CONNECTIONS.min(most), most);
-        self.peer_process.share(self.peer_process.inbound(), self.limits().connections - part);
-        part
+        let max_kept = (self.limits().connections / 2).max(1);
+        while self.open.load(Ordering::Relaxed) > max_kept && self.drop_oldest_idle() {}
+        let kept = self.open.load(Ordering::Relaxed).clamp(MIN_KEPT_CONNECTIONS.min(max_kept), max_kept);
+        self.peer_process.share(self.peer_process.inbound(), self.limits().connections - kept);
+        kept
     }
 
     fn take_idle(&self, worker: &WorkerEndpoint) -> Option<Connection> {
-        let fresh = self.usable_since();
-        let mut kept = self.idle();
-        let (list, now) = (kept.get_mut(&worker.id)?, self.clock.now());
-        while let Some(i) = list.iter().rposition(|kept| kept.usable_from <= now) {
+        let usable_since = self.usable_since();
+        let mut idle = self.idle();
+        let (list, now) = (idle.get_mut(&worker.id)?, self.clock.now());
+        while let Some(i) = list.iter().rposition(|connection| connection.usable_from <= now) {
             let IdleConnection { connection, idle_since, .. } = list.remove(i);
             // The worker's address may have changed since the connection was opened.
-            if idle_since >= fresh && connection.address == worker.address && connection.socket.is_quiet() {
+            if idle_since >= usable_since
+                && connection.address == worker.address
+                && connection.socket.is_quiet()
+            {
                 return Some(Connection { idle_since: Some(idle_since), ..connection });
             }
         }
@@ -261,8 +264,8 @@
     /// Clock time (ms): connections that have been idle since before then must not be reused.
     fn usable_since(&self) -> f64 {
         let now = self.clock.now();
-        let idle = self.idle_limit.lock().unwrap_or_else(PoisonError::into_inner);
-        now - idle.current(now, self.limits().conn_idle * IDLE_FRACTION)
+        let idle_limit = self.idle_limit.lock().unwrap_or_else(PoisonError::into_inner);
+        now - idle_limit.current(now, self.limits().conn_idle * IDLE_FRACTION)
     }
 
     fn wait_for_permit(&self, wanted: impl Fn() -> bool) -> Option<ConnectionPermit> {
@@ -287,12 +290,12 @@
     }
 
     fn drop_oldest_idle(&self) -> bool {
-        let mut kept = self.idle();
-        let oldest = kept
+        let mut idle = self.idle();
+        let oldest = idle
             .iter()
             .filter_map(|(worker, list)| list.first().map(|k| (k.idle_since, *worker)))
             .min_by(|a, b| a.0.total_cmp(&b.0));
-        let Some(list) = oldest.and_then(|(_, worker)| kept.get_mut(&worker)) else { return false };
+        let Some(list) = oldest.and_then(|(_, worker)| idle.get_mut(&worker)) else { return false };
         list.remove(0);
         true
     }
