--- a/balancer/core/src/dispatch/handover_state.rs
+++ b/balancer/core/src/dispatch/handover_state.rs
@@ -28,15 +28,18 @@
     },
 }
 
+/// What the old process of an upgrade hands over to the core of the new one, encoded as CBOR.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandoverState {
     pub(super) version: u32,
+    /// Discovery's generation number of the worker list.
     pub(super) generation: Option<u64>,
     #[serde(rename = "map")]
     pub(super) worker_list: Vec<WorkerEntry>,
     /// Names by worker id.
     #[serde(rename = "hops")]
     pub(super) worker_names: Vec<String>,
+    /// Names by the index that the learned state uses; likewise `kinds`.
     pub(super) classes: Vec<String>,
     pub(super) kinds: Vec<String>,
     #[serde(rename = "memory")]
--- a/balancer/core/src/dispatch/jobs.rs
+++ b/balancer/core/src/dispatch/jobs.rs
@@ -22,6 +22,7 @@
     Ended,
 }
 
+/// One delivery attempt of a job.
 pub struct Attempt {
     pub worker: WorkerId,
     /// Clock time (ms).
@@ -152,6 +153,7 @@
     }
 }
 
+/// All jobs, by ticket and by the id that the client gave.
 #[derive(Default)]
 pub struct Jobs {
     entries: BTreeMap<Ticket, JobEntry>,
@@ -241,6 +243,7 @@
         Some((AttemptId { ticket: id.ticket, number }, worker))
     }
 
+    /// Forgets a job that is answered or withdrawn and has no live attempts.
     pub fn forget_if_finished(&mut self, ticket: Ticket) {
         if self.entries.get(&ticket).is_some_and(JobEntry::is_finished) {
             self.forget(ticket);
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -297,6 +297,7 @@
         self.handle_event(mr::Event::Request(request));
     }
 
+    /// The client has gone.
     fn on_withdrawn(&mut self, ticket: Ticket) {
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
         if entry.reply.take().is_some() {
@@ -354,11 +355,13 @@
         }
     }
 
+    /// A worker has answered 202.
     fn on_accepted(&mut self, attempt: AttemptId) {
         self.counters.attempts_accepted.add();
         self.jobs.accept(attempt);
     }
 
+    /// An attempt has ended without a 202.
     fn on_ended(&mut self, attempt: AttemptId, end: AttemptEnd, load: Option<&LoadReport>) {
         match end {
             // A call-back has reported that the job started, so the missing 202 does not matter.
@@ -533,6 +536,7 @@
         }
     }
 
+    /// Starts an attempt of a job as the module says. `timeout`: its own time limit (ms), 0 for none.
     fn send(&mut self, ticket: Ticket, worker: WorkerId, timeout: f64) {
         let now = self.clock.now();
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
@@ -565,6 +569,7 @@
         }
     }
 
+    /// Hands an attempt to the transport.
     fn deliver(&mut self, attempt: AttemptId, worker: WorkerId) {
         let Some(entry) = self.jobs.get_mut(attempt.ticket) else { return };
         let (job, expires_at) = (entry.job.clone(), entry.attempts[attempt.number].expires_at);
@@ -643,6 +648,7 @@
         self.timers.set(self.clock.now() + ANSWER_OVERDUE_MS, Due::AnswerOverdue(ticket));
     }
 
+    /// The module has not answered the job in time.
     fn on_answer_overdue(&mut self, ticket: Ticket) {
         if self.answer(ticket, Answer::Failed(Failure::Late)) {
             self.counters.answered_overdue.add();
--- a/balancer/core/src/dispatch/random_order_tests.rs
+++ b/balancer/core/src/dispatch/random_order_tests.rs
@@ -56,6 +56,7 @@
     }
 }
 
+/// A transport that only records attempts and cancels; the test decides what happens to them.
 #[derive(Clone, Default)]
 struct SimulatedTransport(Arc<Mutex<SimulatedNetwork>>);
 
@@ -112,6 +113,7 @@
     fn abort_overdue(&self) {}
 }
 
+/// A client that has submitted one job.
 struct Client {
     id: String,
     ticket: Ticket,
@@ -121,6 +123,7 @@
     left: bool,
 }
 
+/// The dispatcher with simulated clients, workers, network and clock.
 struct Simulation {
     dispatch: Dispatch<SimulatedTransport>,
     net: SimulatedTransport,
@@ -133,6 +136,7 @@
     rng: fastrand::Rng,
     /// What happened so far, for the message of a failed check.
     history: Vec<String>,
+    /// How many attempts have been sent.
     sent: usize,
     inbox: Inbox,
 }
--- a/balancer/core/src/dispatch/settings_reload.rs
+++ b/balancer/core/src/dispatch/settings_reload.rs
@@ -14,6 +14,7 @@
 /// The part of reloaded settings that the core uses.
 pub struct ReloadedSettings {
     pub settings: mr::Settings,
+    /// The names of what `settings` refers to by index, such as classes and zones.
     pub names: Names,
     /// How long a connection to a worker may stand idle (ms).
     pub conn_idle: f64,
@@ -24,6 +25,7 @@
 pub struct PendingSettings(Arc<Mutex<Option<ReloadedSettings>>>);
 
 impl PendingSettings {
+    /// Sets them and wakes the dispatch coroutine.
     pub fn put(&self, settings: ReloadedSettings, exchange: &Exchange) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(settings);
         exchange.put(Message::Retuned);
--- a/balancer/core/src/dispatch/timers.rs
+++ b/balancer/core/src/dispatch/timers.rs
@@ -30,7 +30,9 @@
 }
 
 struct Entry {
+    /// Clock time (ms).
     at: f64,
+    /// Orders timers that are due at the same time.
     sequence: u64,
     due: Due,
 }
@@ -58,6 +60,7 @@
 #[derive(Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<Entry>>,
+    /// How many timers have been set so far.
     timers_set: u64,
 }
 
--- a/balancer/core/src/dispatch/translate.rs
+++ b/balancer/core/src/dispatch/translate.rs
@@ -26,6 +26,7 @@
 
 /// What is known of one worker.
 struct WorkerRecord {
+    /// The last address that a list gave.
     address: Option<SocketAddr>,
     /// It may get jobs by the worker list.
     active: bool,
@@ -38,6 +39,7 @@
 }
 
 impl WorkerRecord {
+    /// To be called after each change of `active` or `banned`.
     fn update_accepts_jobs(&mut self) {
         self.accepts_jobs.store(self.active && !self.banned, Ordering::Release);
     }
@@ -85,6 +87,7 @@
         id
     }
 
+    /// Where to send requests to this worker; `None` if no list has given an address.
     pub fn endpoint(&self, id: WorkerId) -> Option<WorkerEndpoint> {
         let known = self.records.get(id as usize)?;
         Some(WorkerEndpoint { id, address: known.address?, accepts_jobs: known.accepts_jobs.clone() })
@@ -103,7 +106,8 @@
         Some(id)
     }
 
-    /// Prepares for a complete list: every worker counts as gone until [`WorkerTable::apply`] gets its entry.
+    /// Prepares for a complete list: every worker counts as dropped from the list until
+    /// [`WorkerTable::apply`] gets its entry.
     pub fn begin_full_list(&mut self) {
         let stays = self.keep_dropped_open;
         for known in &mut self.records {
@@ -183,6 +187,7 @@
     }
 }
 
+/// Counts an outcome of an attempt.
 pub fn count(counters: &Counters, outcome: mr::Outcome) {
     match outcome {
         mr::Outcome::Ok => &counters.outcome_ok,
--- a/balancer/core/src/worker_list/watch.rs
+++ b/balancer/core/src/worker_list/watch.rs
@@ -81,7 +81,7 @@
     log: Logger,
 }
 
-/// How long the answer is waited for of a call that discovery may hold for `held` (both in ms).
+/// How long to wait for the answer to a call that discovery may hold for `hold_ms` (ms).
 fn answer_timeout(hold_ms: u32) -> f64 {
     (f64::from(hold_ms) + WATCH_GRACE_MS).max(QUEUE_TIMEOUT_MS)
 }
@@ -209,7 +209,8 @@
         }
     }
 
-    /// Whether this program aborted the last call, as its answer did not come.
+    /// Whether the last call was aborted by this program because its answer was overdue or discovery has
+    /// moved.
     fn was_aborted(&self) -> bool {
         self.current_call.lock().unwrap_or_else(PoisonError::into_inner).0.is_done()
     }
@@ -263,6 +264,7 @@
         cut
     }
 
+    /// Reads the list in a response. Rejects lists that cannot be right.
     fn read(&self, response: &Response) -> Result<List, CallError> {
         if response.status != 200 {
             return Err(CallError::Status(response.status));
@@ -280,6 +282,7 @@
         list.inspect_err(|_| self.counters.map_bad.add())
     }
 
+    /// Sends a request to discovery and reads the response, on the last connection if it is still open.
     fn fetch(&mut self, target: &str, cut: &Cut) -> Result<Response, CallError> {
         let socket = match self.connection.take().filter(Socket::is_quiet) {
             Some(kept) => kept,
--- a/balancer/core/src/worker_transport/attempt.rs
+++ b/balancer/core/src/worker_transport/attempt.rs
@@ -63,6 +63,7 @@
     }
 }
 
+/// The request that carries a job. `X-Expires-In` gives the remaining time in microseconds.
 fn job_request(worker: &WorkerEndpoint, job: &Job, remaining_ms: f64) -> Vec<u8> {
     let expires = format!("{}u", (remaining_ms.max(0.0) * 1000.0) as u64);
     let mut headers = vec![("X-Trace-Id", job.trace_id.as_str()), ("X-Expires-In", &expires)];
@@ -93,6 +94,7 @@
     shared.exchange.put(Message::CalledOff { attempt });
 }
 
+/// Asks a worker for its load, which shows whether it is healthy.
 pub(super) fn probe(shared: &Shared, worker: &WorkerEndpoint) {
     let sent = shared.clock.now();
     let request = http::request("GET", "/status/load", &worker.address.to_string(), &[], b"");
@@ -173,6 +175,7 @@
     }
 }
 
+/// Puts a connection back unless the response forbids its reuse. Only a 202 permits reuse without a delay.
 fn return_connection(shared: &Shared, worker: &WorkerEndpoint, connection: Connection, response: &Response) {
     if response.keep_alive {
         shared.pool.put_back(worker.id, connection, response.status != 202);
--- a/balancer/core/src/worker_transport/pool.rs
+++ b/balancer/core/src/worker_transport/pool.rs
@@ -19,8 +19,8 @@
 const MIN_LEARNED_IDLE_MS: f64 = 100.0;
 /// The learned idle limit doubles each time this long passes without a dead connection (ms).
 const IDLE_DOUBLING_MS: f64 = 3_000.0;
-/// The least number of connections that the old process of an upgrade keeps: retries and cancels of its jobs
-/// need a few.
+/// The least number of connections that the old process of an upgrade keeps for itself, as retries and
+/// cancels of its jobs need a few.
 const MIN_KEPT_CONNECTIONS: usize = 4;
 /// How often a request checks for a free descriptor while the whole budget is in use (ms).
 const DESCRIPTOR_POLL_INTERVAL_MS: f64 = 2.0;
@@ -104,11 +104,14 @@
 /// slowly rises again.
 #[derive(Clone, Copy)]
 struct IdleLimit {
+    /// The limit at the time `learned_at` (ms).
     learned_ms: f64,
+    /// Clock time (ms).
     learned_at: f64,
 }
 
 impl IdleLimit {
+    /// The present limit (ms), at most `max_ms`.
     fn current(&self, now: f64, max_ms: f64) -> f64 {
         (self.learned_ms * ((now - self.learned_at) / IDLE_DOUBLING_MS).exp2()).min(max_ms)
     }
@@ -191,7 +194,8 @@
         }
     }
 
-    /// Puts back a connection whose last response was read completely and permits another request. `rests`:
+    /// Puts back a connection whose last response was read completely and permits another request.
+    /// `delay_reuse`:
     /// it must not be reused for a while, as a duplicate of that response would be taken for the next
     /// request's.
     pub fn put_back(&self, worker: WorkerId, connection: Connection, delay_reuse: bool) {
@@ -244,6 +248,7 @@
         kept
     }
 
+    /// Takes the most recently used connection to this worker that may be reused.
     fn take_idle(&self, worker: &WorkerEndpoint) -> Option<Connection> {
         let usable_since = self.usable_since();
         let mut idle = self.idle();
@@ -289,6 +294,7 @@
         Some(ConnectionPermit(self.open.clone()))
     }
 
+    /// Closes the connection that has been idle for longest; false if none is idle.
     fn drop_oldest_idle(&self) -> bool {
         let mut idle = self.idle();
         let oldest = idle
