--- a/balancer/core/src/dispatch/translate.rs
+++ b/balancer/core/src/dispatch/translate.rs
@@ -67,7 +67,7 @@
 
     /// The present worker list.
     pub fn entries(&self) -> Vec<WorkerEntry> {
-        self.records.iter().filter_map(|known| known.entry.clone()).collect()
+        self.records.iter().filter_map(|record| record.entry.clone()).collect()
     }
 
     /// The id of the worker with this name; a new id if it is unknown.
@@ -89,13 +89,13 @@
 
     /// Where to send requests to this worker; `None` if no list has given an address.
     pub fn endpoint(&self, id: WorkerId) -> Option<WorkerEndpoint> {
-        let known = self.records.get(id as usize)?;
-        Some(WorkerEndpoint { id, address: known.address?, accepts_jobs: known.accepts_jobs.clone() })
+        let record = self.records.get(id as usize)?;
+        Some(WorkerEndpoint { id, address: record.address?, accepts_jobs: record.accepts_jobs.clone() })
     }
 
     /// Whether new attempts may be sent to this worker: not if it drains or is banned.
     pub fn accepts_jobs(&self, id: WorkerId) -> bool {
-        self.records.get(id as usize).is_some_and(|known| known.accepts_jobs.load(Ordering::Acquire))
+        self.records.get(id as usize).is_some_and(|record| record.accepts_jobs.load(Ordering::Acquire))
     }
 
     /// Bans a worker or lifts its ban; `None` if no list has ever named it.
@@ -110,23 +110,23 @@
     /// [`WorkerTable::apply`] gets its entry.
     pub fn begin_full_list(&mut self) {
         let stays = self.keep_dropped_open;
-        for known in &mut self.records {
-            (known.active, known.entry) = (known.active && stays, None);
-            known.update_accepts_jobs();
+        for record in &mut self.records {
+            (record.active, record.entry) = (record.active && stays, None);
+            record.update_accepts_jobs();
         }
     }
 
     /// Applies one entry of a worker list and converts it for the module.
     pub fn apply(&mut self, names: &Names, entry: &WorkerEntry) -> mr::Entry {
         let worker = self.assign_id(&entry.name);
-        let known = &mut self.records[worker as usize];
-        known.address = entry.address.or(known.address);
-        known.active = match entry.state {
-            WorkerState::Left if self.keep_dropped_open => known.active,
+        let record = &mut self.records[worker as usize];
+        record.address = entry.address.or(record.address);
+        record.active = match entry.state {
+            WorkerState::Left if self.keep_dropped_open => record.active,
             state => state == WorkerState::Active,
         };
-        known.update_accepts_jobs();
-        known.entry = Some(entry.clone()).filter(|entry| entry.state != WorkerState::Left);
+        record.update_accepts_jobs();
+        record.entry = Some(entry.clone()).filter(|entry| entry.state != WorkerState::Left);
         mr::Entry {
             worker,
             zone: position(&names.zones, &entry.zone),
