--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -283,7 +283,8 @@
             return;
         }
         if self.clock.now() >= self.stopping.last_moment() {
-            // `fail_unanswered` has already run; this job was queued in the exchange meanwhile.
+            // `fail_unanswered` has answered all jobs for the last time, and this one was still in the
+            // exchange's queue.
             self.counters.answered_deferred.add();
             reply.give(Answer::Defer { retry_after: None });
             return;
--- a/balancer/core/src/worker_transport/attempt.rs
+++ b/balancer/core/src/worker_transport/attempt.rs
@@ -84,7 +84,8 @@
 ) {
     let target = format!("/jobs/{}", job.trace_id);
     let request = http::request("DELETE", &target, &worker.address.to_string(), &[], b"");
-    // Any answer confirms that the worker has got the cancel; its status does not matter.
+    // Any answer confirms that the worker has got the cancel; its status does not matter. Without an answer
+    // the worker may not know of it.
     while send_short_request(shared, worker, &request).is_err()
         && until_confirmed
         && shared.clock.now() < job.deadline
--- a/balancer/core/src/worker_transport/attempt/tests.rs
+++ b/balancer/core/src/worker_transport/attempt/tests.rs
@@ -25,7 +25,8 @@
     assert_eq!(end_of(&answer("400 Bad Request")), Some(AttemptEnd::Refused));
     assert_eq!(end_of(&answer("503 Busy\r\nX-Never-Ran: 1")), Some(AttemptEnd::NeverRan));
     assert_eq!(end_of(&answer("504 Late\r\nX-Never-Ran: 1")), Some(AttemptEnd::NeverRan));
-    // Without the `X-Never-Ran` header the job may have run, and a retry would run it twice.
+    // Without the `X-Never-Ran` header the job may have run, and a retry would be a second run, logged as
+    // such.
     assert_eq!(end_of(&answer("503 Busy")), Some(AttemptEnd::Failed));
     assert_eq!(end_of(&answer("500 Error\r\nX-Never-Ran: 1")), Some(AttemptEnd::Failed));
 }
