--- a/balancer/core/src/dispatch/legacy/golden_tests.rs
+++ b/balancer/core/src/dispatch/handover_state/golden_tests.rs
@@ -1,12 +1,12 @@
-//! What a process leaves to its successor, byte for byte as earlier versions write it.
+//! Compares the encoded handover state, byte by byte, with what earlier versions write.
 
-use super::Legacy;
+use super::HandoverState;
 use millrudder as mr;
 use millrudder_config::Names;
-use millrudder_exchange::{HopState, MapEntry};
+use millrudder_exchange::{WorkerEntry, WorkerState};
 use millrudder_testing::golden::Golden;
 
-fn memory() -> mr::LearnedState {
+fn learned_state() -> mr::LearnedState {
     let flight = mr::LearnedAttempt { request: 71, attempt: 2, slots: 1.5, work: 72.0, sent_at: 73.0 };
     let worker = mr::LearnedWorker {
         id: 1,
@@ -47,8 +47,8 @@
     }
 }
 
-fn entry(name: &str, state: HopState) -> MapEntry {
-    MapEntry {
+fn entry(name: &str, state: WorkerState) -> WorkerEntry {
+    WorkerEntry {
         name: name.to_owned(),
         address: Some(([10, 0, 0, 4], 8080).into()),
         zone: "zone-1".to_owned(),
@@ -61,12 +61,18 @@
 }
 
 #[test]
-fn all_that_is_left_to_a_successor() {
+fn handover_state_matches_the_golden_file() {
     let names = Names { classes: vec!["a".to_owned()], kinds: vec!["large".to_owned()], ..Names::default() };
-    let unresolved = MapEntry { address: None, started_at: None, ..entry("s-2", HopState::Leaving) };
-    let map = vec![entry("s-1", HopState::Active), unresolved];
-    let legacy = Legacy::new(Some(41), map, vec!["s-1".to_owned(), "s-2".to_owned()], &names, memory());
+    let unresolved = WorkerEntry { address: None, started_at: None, ..entry("s-2", WorkerState::Leaving) };
+    let worker_list = vec![entry("s-1", WorkerState::Active), unresolved];
+    let state = HandoverState::new(
+        Some(41),
+        worker_list,
+        vec!["s-1".to_owned(), "s-2".to_owned()],
+        &names,
+        learned_state(),
+    );
     let mut golden = Golden::open("tests/golden/legacy.txt");
-    golden.check("legacy", &legacy, Legacy::encode, |bytes| Legacy::decode(bytes).unwrap());
+    golden.check("legacy", &state, HandoverState::encode, |bytes| HandoverState::decode(bytes).unwrap());
     golden.finish();
 }
--- a/balancer/core/src/dispatch/jobs.rs
+++ b/balancer/core/src/dispatch/jobs.rs
@@ -1,153 +1,184 @@
-//! The jobs that are here, and their delivery attempts.
+//! The jobs that the dispatch coroutine holds, and their delivery attempts.
 
 use millrudder::{Limits, Outcome};
-use millrudder_exchange::{AttemptId, HopId, Job, Reply, Ticket};
+use millrudder_exchange::{AttemptId, Job, Reply, Ticket, WorkerId};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Waits until an earlier attempt at the same next hop has been called off there.
-    Parked,
+    /// Not sent yet: waits until the worker has confirmed the cancel of an earlier attempt of the same job.
+    AwaitingCancel,
+    /// Handed to the transport; no 202 has come.
     Sent,
+    /// The worker has answered 202.
     Accepted,
-    /// Given up; the next hop has not yet said that it knows.
-    CallingOff,
-    /// Its outcome is booked, and its next hop may have it all the same: it gets no other attempt of the job.
-    Unheard,
-    Over,
+    /// Given up; the worker has not yet confirmed the cancel.
+    Cancelling,
+    /// Timed out without an answer. The outcome is recorded, but the worker may still hold the attempt and
+    /// therefore gets no other attempt of the job.
+    Unresolved,
+    /// Over; its worker may get another attempt of the job.
+    Ended,
 }
 
+/// One delivery attempt of a job.
 pub struct Attempt {
-    pub hop: HopId,
-    pub sent: f64,
-    /// Clock time at which we stop waiting.
-    pub until: f64,
+    pub worker: WorkerId,
+    /// Clock time (ms).
+    pub sent_at: f64,
+    /// Clock time (ms) at which the dispatcher stops waiting for it.
+    pub expires_at: f64,
     pub state: AttemptState,
+    /// A call-back has reported that it runs.
     started: bool,
-    /// Its outcome once the next hop knows that it is given up: where a job may not have two attempts out, the module
-    /// must not send again before that.
-    owes: Option<Outcome>,
+    /// The outcome that the attempt will get once the worker confirms its cancel. Used where a job must not
+    /// have two attempts at once: the module must not send the next one before the worker has dropped this
+    /// one.
+    deferred_outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Its outcome is still to come.
+    /// The attempt has no outcome yet.
     fn is_live(&self) -> bool {
-        self.state == AttemptState::Parked || self.is_out()
+        self.state == AttemptState::AwaitingCancel || self.is_outstanding()
     }
 
-    fn is_out(&self) -> bool {
-        matches!(self.state, AttemptState::Sent | AttemptState::Accepted) || self.owes.is_some()
+    /// The attempt has been sent and its outcome is still awaited.
+    fn is_outstanding(&self) -> bool {
+        matches!(self.state, AttemptState::Sent | AttemptState::Accepted) || self.deferred_outcome.is_some()
     }
 }
 
-/// The answer that is owed: given once at the most.
-pub struct Owed(Option<Reply>);
+/// The channel to a job's client until the job is answered; it can be taken once.
+pub struct PendingReply(Option<Reply>);
 
-impl Owed {
-    pub fn take_owed(&mut self) -> Option<Reply> {
+impl PendingReply {
+    pub fn take(&mut self) -> Option<Reply> {
         self.0.take()
     }
 
-    /// Where the answer will go.
-    pub fn owed(&self) -> Option<&Reply> {
+    pub fn get(&self) -> Option<&Reply> {
         self.0.as_ref()
     }
 
-    /// Answered, or the client has gone.
-    pub fn is_settled(&self) -> bool {
+    /// The job is answered, or its client has gone.
+    pub fn is_closed(&self) -> bool {
         self.0.is_none()
     }
 }
 
-pub struct Entry {
+/// A job and its attempts.
+pub struct JobEntry {
     pub job: Arc<Job>,
-    pub reply: Owed,
+    pub reply: PendingReply,
     pub attempts: Vec<Attempt>,
-    /// By the settings under which it was taken.
-    pub most_attempts: usize,
-    /// No two attempts out together, by the same settings.
-    pub alone: bool,
+    /// By the settings in force when the job was submitted.
+    pub max_attempts: usize,
+    /// The job must not have two attempts at once, by the settings in force when it was submitted.
+    pub exclusive: bool,
 }
 
-/// An attempt as it was when its outcome came.
-pub struct Settled {
-    pub hop: HopId,
-    pub sent: f64,
+/// What is known of an attempt at the moment when it ends.
+pub struct EndedAttempt {
+    pub worker: WorkerId,
+    pub sent_at: f64,
+    /// The job was already answered or withdrawn.
     pub answered: bool,
-    /// It had left for its next hop ...
+    /// The attempt had been handed to the transport.
     pub was_sent: bool,
-    /// ... which is known to hold it.
+    /// The worker was known to hold it, by its 202 or by a call-back.
     pub was_accepted: bool,
 }
 
-impl Entry {
+impl JobEntry {
     pub fn new(job: Arc<Job>, reply: Reply, limits: &Limits) -> Self {
-        let (most_attempts, alone) = (limits.max_attempts.max(1), !limits.hedging);
-        Entry { job, reply: Owed(Some(reply)), attempts: Vec::new(), most_attempts, alone }
+        let (max_attempts, exclusive) = (limits.max_attempts.max(1), !limits.hedging);
+        JobEntry { job, reply: PendingReply(Some(reply)), attempts: Vec::new(), max_attempts, exclusive }
     }
 
-    pub fn add(&mut self, hop: HopId, sent: f64, until: f64, state: AttemptState) {
-        self.attempts.push(Attempt { hop, sent, until, state, started: false, owes: None });
+    pub fn add_attempt(&mut self, worker: WorkerId, sent_at: f64, expires_at: f64, state: AttemptState) {
+        self.attempts.push(Attempt {
+            worker,
+            sent_at,
+            expires_at,
+            state,
+            started: false,
+            deferred_outcome: None,
+        });
     }
 
-    /// The attempt that this next hop may still hold.
-    pub fn at(&self, hop: HopId) -> Option<AttemptState> {
-        let held = |a: &&Attempt| a.hop == hop && a.state != AttemptState::Over;
+    /// The state of the job's latest attempt that this worker may still hold, if any.
+    pub fn state_at(&self, worker: WorkerId) -> Option<AttemptState> {
+        let held = |a: &&Attempt| a.worker == worker && a.state != AttemptState::Ended;
         self.attempts.iter().rev().find(held).map(|a| a.state)
     }
 
-    pub fn live(&self) -> Vec<usize> {
+    /// Numbers of the attempts that have no outcome yet.
+    pub fn live_attempts(&self) -> Vec<usize> {
         (0..self.attempts.len()).filter(|i| self.attempts[*i].is_live()).collect()
     }
 
-    /// `told`: its next hop is called off. `later`: the outcome that `called_off` gives out in the end, if this is not yet
-    /// the attempt's end.
-    pub fn give_up(&mut self, number: usize, told: bool, later: Option<Outcome>) -> Option<Settled> {
-        let answered = self.reply.is_settled();
+    /// Gives an attempt up. `cancel`: the worker is asked to cancel it. `deferred`: the outcome that it will
+    /// get when the worker confirms the cancel; `None` if it ends now. Returns `None` if there is nothing to
+    /// do, also if its outcome is already deferred.
+    pub fn give_up(
+        &mut self,
+        number: usize,
+        cancel: bool,
+        deferred: Option<Outcome>,
+    ) -> Option<EndedAttempt> {
+        let answered = self.reply.is_closed();
         let attempt = self.attempts.get_mut(number).filter(|a| a.is_live())?;
-        if later.is_some() && attempt.owes.is_some() {
+        if deferred.is_some() && attempt.deferred_outcome.is_some() {
             return None;
         }
         let was_sent = matches!(attempt.state, AttemptState::Sent | AttemptState::Accepted);
         let was_accepted = attempt.started || attempt.state == AttemptState::Accepted;
-        attempt.owes = later.filter(|_| was_sent);
-        if attempt.state != AttemptState::CallingOff {
-            attempt.state = if was_sent && told { AttemptState::CallingOff } else { AttemptState::Over };
+        attempt.deferred_outcome = deferred.filter(|_| was_sent);
+        if attempt.state != AttemptState::Cancelling {
+            attempt.state = if was_sent && cancel { AttemptState::Cancelling } else { AttemptState::Ended };
         }
-        Some(Settled { hop: attempt.hop, sent: attempt.sent, answered, was_sent, was_accepted })
+        Some(EndedAttempt {
+            worker: attempt.worker,
+            sent_at: attempt.sent_at,
+            answered,
+            was_sent,
+            was_accepted,
+        })
     }
 
-    fn is_over(&self) -> bool {
-        self.reply.is_settled() && !self.attempts.iter().any(Attempt::is_live)
+    fn is_finished(&self) -> bool {
+        self.reply.is_closed() && !self.attempts.iter().any(Attempt::is_live)
     }
 }
 
+/// All jobs, by ticket and by the id that the client gave.
 #[derive(Default)]
 pub struct Jobs {
-    entries: BTreeMap<Ticket, Entry>,
-    by_trace: HashMap<String, Ticket>,
+    entries: BTreeMap<Ticket, JobEntry>,
+    by_trace_id: HashMap<String, Ticket>,
 }
 
 impl Jobs {
-    pub fn insert(&mut self, ticket: Ticket, entry: Entry) {
-        self.by_trace.insert(entry.job.trace_id.clone(), ticket);
+    pub fn insert(&mut self, ticket: Ticket, entry: JobEntry) {
+        self.by_trace_id.insert(entry.job.trace_id.clone(), ticket);
         self.entries.insert(ticket, entry);
     }
 
-    pub fn get_mut(&mut self, ticket: Ticket) -> Option<&mut Entry> {
+    pub fn get_mut(&mut self, ticket: Ticket) -> Option<&mut JobEntry> {
         self.entries.get_mut(&ticket)
     }
 
     pub fn find(&self, trace_id: &str) -> Option<Ticket> {
-        self.by_trace.get(trace_id).copied()
+        self.by_trace_id.get(trace_id).copied()
     }
 
-    /// The attempt of this job that is out at this next hop.
-    pub fn attempt_at(&self, trace_id: &str, hop: HopId) -> Option<AttemptId> {
+    /// The outstanding attempt of this job at this worker.
+    pub fn attempt_at(&self, trace_id: &str, worker: WorkerId) -> Option<AttemptId> {
         let ticket = self.find(trace_id)?;
         let attempts = &self.entries.get(&ticket)?.attempts;
-        let number = attempts.iter().rposition(|a| a.hop == hop && a.is_out())?;
+        let number = attempts.iter().rposition(|a| a.worker == worker && a.is_outstanding())?;
         Some(AttemptId { ticket, number })
     }
 
@@ -155,14 +186,14 @@
         self.entries.get_mut(&id.ticket)?.attempts.get_mut(id.number)
     }
 
-    /// True at the first note of a start: call-backs repeat.
-    pub fn note_start(&mut self, id: AttemptId) -> bool {
+    /// Records that an attempt runs. True only the first time, because workers repeat call-backs.
+    pub fn record_start(&mut self, id: AttemptId) -> bool {
         self.attempt(id).is_some_and(|a| !std::mem::replace(&mut a.started, true))
     }
 
-    /// No two attempts of this job may be out together, and its answer is still owed.
-    pub fn is_alone(&self, ticket: Ticket) -> bool {
-        self.entries.get(&ticket).is_some_and(|entry| entry.alone && !entry.reply.is_settled())
+    /// The job must not have two attempts at once and is not answered yet.
+    pub fn is_exclusive(&self, ticket: Ticket) -> bool {
+        self.entries.get(&ticket).is_some_and(|entry| entry.exclusive && !entry.reply.is_closed())
     }
 
     pub fn has_started(&mut self, id: AttemptId) -> bool {
@@ -175,58 +206,68 @@
         }
     }
 
-    /// Books the end of an attempt; none if it has had one. Of a next hop that said nothing it is not known that it does not
-    /// have the job, unless it has been called off.
-    pub fn settle(&mut self, id: AttemptId, outcome: Outcome) -> Option<Settled> {
+    /// Ends an attempt; `None` if it already has an outcome. After a time-out the worker may still hold the
+    /// attempt, since nothing was heard from it, unless it has confirmed a cancel: the state is `Unresolved`
+    /// then, not `Ended`.
+    pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
         let entry = self.entries.get_mut(&id.ticket)?;
-        let answered = entry.reply.is_settled();
+        let answered = entry.reply.is_closed();
         let attempt = entry.attempts.get_mut(id.number).filter(|a| a.is_live())?;
-        let unheard = outcome == Outcome::TimedOut && attempt.state != AttemptState::CallingOff;
-        attempt.state = if unheard { AttemptState::Unheard } else { AttemptState::Over };
-        attempt.owes = None;
-        Some(Settled { hop: attempt.hop, sent: attempt.sent, answered, was_sent: true, was_accepted: true })
+        let unresolved = outcome == Outcome::TimedOut && attempt.state != AttemptState::Cancelling;
+        attempt.state = if unresolved { AttemptState::Unresolved } else { AttemptState::Ended };
+        attempt.deferred_outcome = None;
+        Some(EndedAttempt {
+            worker: attempt.worker,
+            sent_at: attempt.sent_at,
+            answered,
+            was_sent: true,
+            was_accepted: true,
+        })
     }
 
-    /// The outcome that waits for this attempt's call-off.
-    pub fn owing(&self, id: AttemptId) -> Option<Outcome> {
-        self.entries.get(&id.ticket)?.attempts.get(id.number)?.owes
+    /// The outcome that this attempt gets once its worker has confirmed the cancel.
+    pub fn deferred_outcome(&self, id: AttemptId) -> Option<Outcome> {
+        self.entries.get(&id.ticket)?.attempts.get(id.number)?.deferred_outcome
     }
 
-    /// A call-off is through; gives the attempt that waited for it, now sent.
-    pub fn called_off(&mut self, id: AttemptId) -> Option<(AttemptId, HopId)> {
+    /// The worker no longer holds this cancelled attempt. Returns the attempt that waited for that, now in
+    /// the state `Sent`, with its worker.
+    pub fn cancelled(&mut self, id: AttemptId) -> Option<(AttemptId, WorkerId)> {
         let entry = self.entries.get_mut(&id.ticket)?;
-        let attempt = entry.attempts.get_mut(id.number).filter(|a| a.state == AttemptState::CallingOff)?;
-        attempt.state = AttemptState::Over;
-        let hop = attempt.hop;
-        let waits = |a: &Attempt| a.hop == hop && a.state == AttemptState::Parked;
+        let attempt = entry.attempts.get_mut(id.number).filter(|a| a.state == AttemptState::Cancelling)?;
+        attempt.state = AttemptState::Ended;
+        let worker = attempt.worker;
+        let waits = |a: &Attempt| a.worker == worker && a.state == AttemptState::AwaitingCancel;
         let number = entry.attempts.iter().position(waits)?;
         entry.attempts[number].state = AttemptState::Sent;
-        Some((AttemptId { ticket: id.ticket, number }, hop))
+        Some((AttemptId { ticket: id.ticket, number }, worker))
     }
 
-    pub fn forget_if_over(&mut self, ticket: Ticket) {
-        if self.entries.get(&ticket).is_some_and(Entry::is_over) {
+    /// Forgets a job that is answered or withdrawn and has no live attempts.
+    pub fn forget_if_finished(&mut self, ticket: Ticket) {
+        if self.entries.get(&ticket).is_some_and(JobEntry::is_finished) {
             self.forget(ticket);
         }
     }
 
     pub fn forget(&mut self, ticket: Ticket) {
         if let Some(entry) = self.entries.remove(&ticket) {
-            self.by_trace.remove(&entry.job.trace_id);
+            self.by_trace_id.remove(&entry.job.trace_id);
         }
     }
 
-    pub fn tickets_owed(&self) -> Vec<Ticket> {
-        self.entries.iter().filter(|(_, e)| !e.reply.is_settled()).map(|(t, _)| *t).collect()
+    pub fn unanswered_tickets(&self) -> Vec<Ticket> {
+        self.entries.iter().filter(|(_, e)| !e.reply.is_closed()).map(|(t, _)| *t).collect()
     }
 
-    /// Ids of the jobs that are here.
+    /// The clients' ids of all jobs.
     pub fn ids(&self) -> Vec<String> {
-        self.by_trace.keys().cloned().collect()
+        self.by_trace_id.keys().cloned().collect()
     }
 
-    pub fn owed(&self) -> usize {
-        self.entries.values().filter(|e| !e.reply.is_settled()).count()
+    /// How many jobs are neither answered nor withdrawn.
+    pub fn unanswered(&self) -> usize {
+        self.entries.values().filter(|e| !e.reply.is_closed()).count()
     }
 }
 
--- a/balancer/core/src/dispatch/translate.rs
+++ b/balancer/core/src/dispatch/translate.rs
@@ -1,135 +1,144 @@
-//! The house's words to the module's, and back. The only place where both are known.
+//! Converts between the types of the exchange and those of the decision module. No other file maps one to the
+//! other.
 //!
-//! next hop = worker, delivery attempt = attempt, transport map = list, defer = refuse.
+//! What the dispatcher calls "defer" is `Refuse` in the module; the other terms are the same.
 
-use crate::next_hop::Hop;
+use crate::worker_transport::WorkerEndpoint;
 use millrudder as mr;
 use millrudder_config::{position, Names};
 use millrudder_exchange::counters::Counters;
-use millrudder_exchange::{AttemptEnd, HopId, HopState, Job, LoadReport, MapEntry, Ticket};
+use millrudder_exchange::{AttemptEnd, Job, LoadReport, Ticket, WorkerEntry, WorkerId, WorkerState};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Next hops by name: each keeps its number, also when its address changes or it has left the map.
+/// All workers that a list has ever named. A worker keeps its id when its address changes and when it leaves
+/// the list.
 #[derive(Default)]
-pub struct Hops {
-    numbers: HashMap<String, HopId>,
-    known: Vec<Known>,
-    /// The settings' `dropped_stay_open`: what the map names no more, or as gone, may still get jobs.
-    pub dropped_stay: bool,
+pub struct WorkerTable {
+    ids: HashMap<String, WorkerId>,
+    records: Vec<WorkerRecord>,
+    /// The setting `dropped_stay_open`: a worker that the list no longer names, or names as left, may still
+    /// get jobs.
+    pub keep_dropped_open: bool,
 }
 
-/// What the transport map said last of one.
-struct Known {
+/// What is known of one worker.
+struct WorkerRecord {
+    /// The last address that a list gave.
     address: Option<SocketAddr>,
+    /// It may get jobs by the worker list.
     active: bool,
-    /// Operators have taken it out, whatever the map says.
+    /// Operators have banned it, which holds whatever the list says.
     banned: bool,
-    /// Both together, also for attempts that are on their way there.
-    open: Arc<AtomicBool>,
-    /// Its line, as long as the map has one.
-    line: Option<MapEntry>,
+    /// Active and not banned. Shared with the attempts that are still connecting to the worker.
+    accepts_jobs: Arc<AtomicBool>,
+    /// Its entry in the present list; `None` if the list does not name it or names it as left.
+    entry: Option<WorkerEntry>,
 }
 
-impl Known {
-    fn settle(&mut self) {
-        self.open.store(self.active && !self.banned, Ordering::Release);
+impl WorkerRecord {
+    /// To be called after each change of `active` or `banned`.
+    fn update_accepts_jobs(&mut self) {
+        self.accepts_jobs.store(self.active && !self.banned, Ordering::Release);
     }
 }
 
-impl Hops {
-    pub fn new(dropped_stay: bool) -> Self {
-        Hops { dropped_stay, ..Hops::default() }
+impl WorkerTable {
+    pub fn new(keep_dropped_open: bool) -> Self {
+        WorkerTable { keep_dropped_open, ..WorkerTable::default() }
     }
 
-    pub fn find(&self, name: &str) -> Option<HopId> {
-        self.numbers.get(name).copied()
+    pub fn id_of(&self, name: &str) -> Option<WorkerId> {
+        self.ids.get(name).copied()
     }
 
-    /// Names by number.
+    /// Names by worker id.
     pub fn names(&self) -> Vec<String> {
-        let mut names = vec![String::new(); self.known.len()];
-        self.numbers.iter().for_each(|(name, id)| names[*id as usize].clone_from(name));
+        let mut names = vec![String::new(); self.records.len()];
+        self.ids.iter().for_each(|(name, id)| names[*id as usize].clone_from(name));
         names
     }
 
-    pub fn name(&self, id: HopId) -> String {
-        self.numbers.iter().find(|(_, known)| **known == id).map(|(name, _)| name.clone()).unwrap_or_default()
+    pub fn name(&self, id: WorkerId) -> String {
+        self.ids.iter().find(|(_, known)| **known == id).map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
-    /// The map as of now.
-    pub fn lines(&self) -> Vec<MapEntry> {
-        self.known.iter().filter_map(|known| known.line.clone()).collect()
+    /// The present worker list.
+    pub fn entries(&self) -> Vec<WorkerEntry> {
+        self.records.iter().filter_map(|record| record.entry.clone()).collect()
     }
 
-    /// The number of one that a predecessor knew by name.
-    pub fn number(&mut self, name: &str) -> HopId {
-        if let Some(id) = self.find(name) {
+    /// The id of the worker with this name; a new id if it is unknown.
+    pub fn assign_id(&mut self, name: &str) -> WorkerId {
+        if let Some(id) = self.id_of(name) {
             return id;
         }
-        let id = self.known.len() as HopId;
-        self.numbers.insert(name.to_owned(), id);
-        self.known.push(Known {
+        let id = self.records.len() as WorkerId;
+        self.ids.insert(name.to_owned(), id);
+        self.records.push(WorkerRecord {
             address: None,
             active: false,
             banned: false,
-            open: Arc::default(),
-            line: None,
+            accepts_jobs: Arc::default(),
+            entry: None,
         });
         id
     }
 
-    pub fn locate(&self, id: HopId) -> Option<Hop> {
-        let known = self.known.get(id as usize)?;
-        Some(Hop { id, address: known.address?, open: known.open.clone() })
+    /// Where to send requests to this worker; `None` if no list has given an address.
+    pub fn endpoint(&self, id: WorkerId) -> Option<WorkerEndpoint> {
+        let record = self.records.get(id as usize)?;
+        Some(WorkerEndpoint { id, address: record.address?, accepts_jobs: record.accepts_jobs.clone() })
     }
 
-    /// Nothing new may go to one that leaves.
-    pub fn is_active(&self, id: HopId) -> bool {
-        self.known.get(id as usize).is_some_and(|known| known.open.load(Ordering::Acquire))
+    /// Whether new attempts may be sent to this worker: not if it drains or is banned.
+    pub fn accepts_jobs(&self, id: WorkerId) -> bool {
+        self.records.get(id as usize).is_some_and(|record| record.accepts_jobs.load(Ordering::Acquire))
     }
 
-    /// Takes one out or puts it back; none if no map has ever named it.
-    pub fn ban(&mut self, name: &str, on: bool) -> Option<HopId> {
-        let id = self.find(name)?;
-        self.known[id as usize].banned = on;
-        self.known[id as usize].settle();
+    /// Bans a worker or lifts its ban; `None` if no list has ever named it.
+    pub fn ban(&mut self, name: &str, on: bool) -> Option<WorkerId> {
+        let id = self.id_of(name)?;
+        self.records[id as usize].banned = on;
+        self.records[id as usize].update_accepts_jobs();
         Some(id)
     }
 
-    /// The whole list follows: what it does not name has left.
-    pub fn expect_all(&mut self) {
-        let stays = self.dropped_stay;
-        for known in &mut self.known {
-            (known.active, known.line) = (known.active && stays, None);
-            known.settle();
+    /// Prepares for a complete list: every worker counts as dropped from the list until
+    /// [`WorkerTable::apply`] gets its entry.
+    pub fn begin_full_list(&mut self) {
+        let stays = self.keep_dropped_open;
+        for record in &mut self.records {
+            (record.active, record.entry) = (record.active && stays, None);
+            record.update_accepts_jobs();
         }
     }
 
-    pub fn entry(&mut self, names: &Names, entry: &MapEntry) -> mr::Entry {
-        let worker = self.number(&entry.name);
-        let known = &mut self.known[worker as usize];
-        known.address = entry.address.or(known.address);
-        known.active = match entry.state {
-            HopState::Left if self.dropped_stay => known.active,
-            state => state == HopState::Active,
+    /// Applies one entry of a worker list and converts it for the module.
+    pub fn apply(&mut self, names: &Names, entry: &WorkerEntry) -> mr::Entry {
+        let worker = self.assign_id(&entry.name);
+        let record = &mut self.records[worker as usize];
+        record.address = entry.address.or(record.address);
+        record.active = match entry.state {
+            WorkerState::Left if self.keep_dropped_open => record.active,
+            state => state == WorkerState::Active,
         };
-        known.settle();
-        known.line = Some(entry.clone()).filter(|line| line.state != HopState::Left);
+        record.update_accepts_jobs();
+        record.entry = Some(entry.clone()).filter(|entry| entry.state != WorkerState::Left);
         mr::Entry {
             worker,
             zone: position(&names.zones, &entry.zone),
             kind: position(&names.kinds, &entry.kind),
             cell: entry.cell,
             mode: match entry.state {
-                HopState::Active => mr::Mode::Ready,
-                HopState::Leaving => mr::Mode::Draining,
-                HopState::Left => mr::Mode::Gone,
+                WorkerState::Active => mr::Mode::Ready,
+                WorkerState::Leaving => mr::Mode::Draining,
+                WorkerState::Left => mr::Mode::Gone,
             },
             weight: entry.weight,
-            // The clock starts at Unix time, so this is a time of the clock already.
+            // `Clock` counts from Unix time, so Unix milliseconds are clock time already.
             ready_at: entry.started_at,
         }
     }
@@ -147,7 +156,8 @@
     }
 }
 
-/// Reports name their figures as the settings do; the protocol's page has shorter names for some.
+/// Converts a load report. Workers may use the names of the settings or the shorter ones of the site's
+/// protocol; what `x0` and `x1` mean is set in the settings.
 pub fn load(names: &Names, report: &LoadReport) -> mr::Load {
     let figure = |wanted: &[&str]| report.iter().find(|(n, _)| wanted.contains(&n.as_str())).map(|(_, v)| *v);
     let (x0, x1) = (figure(&["x0"]), figure(&["x1"]));
@@ -177,6 +187,7 @@
     }
 }
 
+/// Counts an outcome of an attempt.
 pub fn count(counters: &Counters, outcome: mr::Outcome) {
     match outcome {
         mr::Outcome::Ok => &counters.outcome_ok,
--- a/balancer/core/src/dispatch/translate/tests.rs
+++ b/balancer/core/src/dispatch/translate/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn entry(name: &str, address: &str, state: HopState) -> MapEntry {
-    MapEntry {
+fn entry(name: &str, address: &str, state: WorkerState) -> WorkerEntry {
+    WorkerEntry {
         name: name.to_owned(),
         address: address.parse().ok(),
         zone: "z".to_owned(),
@@ -22,37 +22,38 @@
 }
 
 #[test]
-fn a_ban_outlives_what_maps_say() {
-    let (names, mut hops) = (names(), Hops::default());
-    assert_eq!(hops.ban("s-1", true), None, "never listed");
-    hops.entry(&names, &entry("s-1", "127.0.0.1:1", HopState::Active));
-    assert_eq!(hops.ban("s-1", true), Some(0));
-    hops.entry(&names, &entry("s-1", "127.0.0.1:1", HopState::Left));
-    hops.entry(&names, &entry("s-1", "127.0.0.1:2", HopState::Active));
-    assert!(!hops.is_active(0), "an attempt that waited for a call-off there must not go");
-    hops.ban("s-1", false);
-    assert!(hops.is_active(0));
+fn a_ban_outlives_worker_list_updates() {
+    let (names, mut workers) = (names(), WorkerTable::default());
+    assert_eq!(workers.ban("s-1", true), None, "never listed");
+    workers.apply(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Active));
+    assert_eq!(workers.ban("s-1", true), Some(0));
+    workers.apply(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Left));
+    workers.apply(&names, &entry("s-1", "127.0.0.1:2", WorkerState::Active));
+    assert!(!workers.accepts_jobs(0), "an attempt that waited for a cancel there must not be sent");
+    workers.ban("s-1", false);
+    assert!(workers.accepts_jobs(0));
 }
 
 #[test]
-fn a_next_hop_keeps_its_number_when_its_address_changes() {
-    let (names, mut hops) = (names(), Hops::default());
-    let first = hops.entry(&names, &entry("s-1", "127.0.0.1:1", HopState::Active));
-    hops.entry(&names, &entry("s-2", "127.0.0.1:2", HopState::Active));
-    let again = hops.entry(&names, &entry("s-1", "127.0.0.1:9", HopState::Leaving));
+fn a_worker_keeps_its_id_when_its_address_changes() {
+    let (names, mut workers) = (names(), WorkerTable::default());
+    let first = workers.apply(&names, &entry("s-1", "127.0.0.1:1", WorkerState::Active));
+    workers.apply(&names, &entry("s-2", "127.0.0.1:2", WorkerState::Active));
+    let again = workers.apply(&names, &entry("s-1", "127.0.0.1:9", WorkerState::Leaving));
     assert_eq!((first.worker, again.worker), (0, 0));
-    assert_eq!(hops.locate(0).unwrap().address.port(), 9);
-    assert!(!hops.is_active(0) && hops.is_active(1));
-    // Gone without an address: attempts that are out there can still be called off.
-    assert_eq!(hops.entry(&names, &entry("s-1", "", HopState::Left)).mode, mr::Mode::Gone);
-    assert!(hops.locate(0).is_some());
-    hops.expect_all();
-    assert!(!hops.is_active(1), "a whole list that does not name it");
+    assert_eq!(workers.endpoint(0).unwrap().address.port(), 9);
+    assert!(!workers.accepts_jobs(0) && workers.accepts_jobs(1));
+    // The entry of a worker that has left has no address; its last one is kept, so that its attempts can be
+    // cancelled.
+    assert_eq!(workers.apply(&names, &entry("s-1", "", WorkerState::Left)).mode, mr::Mode::Gone);
+    assert!(workers.endpoint(0).is_some());
+    workers.begin_full_list();
+    assert!(!workers.accepts_jobs(1), "a complete list does not name it");
     assert_eq!((first.zone, first.kind, first.ready_at), (Some(0), Some(1), Some(1_700_000_000_000.0)));
 }
 
 #[test]
-fn reports_are_read_by_the_settings_names() {
+fn load_reports_are_read_by_the_names_in_the_settings() {
     let report: LoadReport = [("fail_rate", 0.5), ("rif", 2.0), ("x0", 3.0), ("x1", 4.0)]
         .map(|(name, value)| (name.to_owned(), value))
         .to_vec();
--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -1,6 +1,7 @@
-//! The core: the decision module with the jobs (`dispatch`), the way to next hops (`next_hop`) and discovery
-//! (`transport_map`). Fronts reach it through the exchange alone.
+//! The core of the dispatcher: the decision module and the jobs (`dispatch`), requests to workers
+//! (`worker_transport`) and the worker list from discovery (`worker_list`). Fronts talk to it only through
+//! the exchange.
 
 pub mod dispatch;
-pub mod next_hop;
-pub mod transport_map;
+pub mod worker_list;
+pub mod worker_transport;
