--- a/system/runtime/node/src/edge/calls.rs
+++ b/system/runtime/node/src/edge/calls.rs
@@ -71,7 +71,7 @@
         };
         let (client, events) = (self.client.clone(), self.events.clone());
         let in_flight = Rc::clone(&self.in_flight);
-        let max_connections = worker.connections as usize;
+        let max_connections = worker.max_connections as usize;
         let target = client::Target { address: worker.address.0, max_connections };
         let call = tokio::task::spawn_local(async move {
             let answer = client.send(target, request, wait).await;
@@ -166,6 +166,6 @@
         Err(SendError::ResetBeforeSent) => AttemptResult::ResetBeforeSent,
         Err(SendError::Reset) => AttemptResult::Reset,
         Err(SendError::TimedOut { sent }) => AttemptResult::TimedOut { connected: sent },
-        Err(SendError::Garbled) => AttemptResult::Garbled,
+        Err(SendError::Garbled) => AttemptResult::InvalidResponse,
     }
 }
--- a/system/runtime/node/src/edge/host/mod.rs
+++ b/system/runtime/node/src/edge/host/mod.rs
@@ -161,7 +161,7 @@
     fn update_readiness(&self) {
         let has_state = self.configuration.active.load().is_some() && self.control.was_confirmed();
         let can_accept = has_state && self.stores.any_open();
-        let is_idle = self.delivery.idle() && !self.clients.has_submissions();
+        let is_idle = self.delivery.is_idle() && !self.clients.has_submissions();
         self.readiness.update(can_accept && !self.is_shutting_down, is_idle);
     }
 
@@ -176,7 +176,7 @@
             Event::Store { store, event } => self.handle_store_link(store, event),
             Event::Core(message) => self.handle_core(message),
             Event::Attempted { attempt, result } => {
-                self.handle_delivery(delivery::Input::Attempt { attempt, result });
+                self.handle_delivery(delivery::Input::AttemptEnded { attempt, result });
             }
             Event::CalledBack { attempt, result } => {
                 self.handle_delivery(delivery::Input::CallBackResult { attempt, result });
@@ -185,7 +185,7 @@
             Event::ShutdownRequested => {
                 self.is_shutting_down = true;
                 self.stores.send_all(&FromDispatcher::ShuttingDown);
-                self.handle_delivery(delivery::Input::Leaving);
+                self.handle_delivery(delivery::Input::ShuttingDown);
             }
         }
     }
--- a/system/runtime/node/src/edge/host/stores.rs
+++ b/system/runtime/node/src/edge/host/stores.rs
@@ -37,7 +37,7 @@
             name: self.name.clone(),
             zone: self.zone.clone(),
             epoch: self.placement.epoch,
-            active_leases: self.delivery.held(of_store),
+            active_leases: self.delivery.active_leases(of_store),
             in_doubt: self.intake.in_doubt(of_store),
         };
         self.stores.send(store, hello);
--- a/system/state/delivery/src/attempts.rs
+++ b/system/state/delivery/src/attempts.rs
@@ -42,8 +42,15 @@
         AttemptId(self.last)
     }
 
-    pub fn send(&mut self, now: u64, id: AttemptId, key: LeaseKey, service: Arc<str>, wait_ms: u32) {
-        let overdue = now + u64::from(wait_ms) + OVERDUE_MS;
+    pub fn send(
+        &mut self,
+        now: u64,
+        id: AttemptId,
+        key: LeaseKey,
+        service: Arc<str>,
+        answer_timeout_ms: u32,
+    ) {
+        let overdue = now + u64::from(answer_timeout_ms) + OVERDUE_MS;
         self.by_overdue.insert((overdue, id));
         self.out.insert(id, Attempt { key, service, sent: now, overdue });
     }
--- a/system/state/delivery/src/delivery/leases.rs
+++ b/system/state/delivery/src/delivery/leases.rs
@@ -193,12 +193,19 @@
         let Some(target) = self.services.get(&service).and_then(|state| state.target(worker)) else { return };
         lease.sent = true;
         let timeout_ms = lease.route.timeout_ms;
-        let wait_ms = timeout_ms.saturating_add(ANSWER_SLACK_MS);
+        let answer_timeout_ms = timeout_ms.saturating_add(ANSWER_SLACK_MS);
         let key = LeaseKey { id, token: lease.token };
-        self.attempts.send(now, attempt, key, service, wait_ms);
+        self.attempts.send(now, attempt, key, service, answer_timeout_ms);
         let message = lease.message.clone();
-        let connect_ms = CONNECT_MS.min(timeout_ms);
-        out.push(Output::Send { attempt, message, worker: target, connect_ms, timeout_ms, wait_ms });
+        let connect_timeout_ms = CONNECT_MS.min(timeout_ms);
+        out.push(Output::Send {
+            attempt,
+            message,
+            worker: target,
+            connect_timeout_ms,
+            timeout_ms,
+            answer_timeout_ms,
+        });
     }
 
     pub(super) fn report(
--- a/system/state/delivery/src/delivery/mod.rs
+++ b/system/state/delivery/src/delivery/mod.rs
@@ -118,13 +118,13 @@
             }
             Input::Revoke { id, token, .. } => self.on_revoke(now, LeaseKey { id, token }, out),
             Input::Recorded { id, token } => self.reports.on_recorded(LeaseKey { id, token }),
-            Input::Attempt { attempt, result } => self.on_attempt(now, attempt, result, out),
+            Input::AttemptEnded { attempt, result } => self.on_attempt(now, attempt, result, out),
             Input::CallBackResult { attempt, result } => {
                 self.on_call_back_result(now, attempt, result, out);
             }
             Input::ClockStalled => self.on_stood_still(now, out),
             Input::BarrierReached { store, number } => self.doubts.reached(store, number),
-            Input::Leaving => self.on_leaving(now, out),
+            Input::ShuttingDown => self.on_leaving(now, out),
             Input::Tick => {}
         }
     }
@@ -157,7 +157,7 @@
     }
 
     /// Leases whose end is not recorded, of messages in these shards; for `Hello`.
-    pub fn held(&self, shards: impl Fn(ShardId) -> bool) -> Vec<ActiveLease> {
+    pub fn active_leases(&self, shards: impl Fn(ShardId) -> bool) -> Vec<ActiveLease> {
         let leases = self.leases.iter().map(|(id, lease)| LeaseKey { id: *id, token: lease.token });
         let all = leases.chain(self.reports.keys()).chain(self.callbacks.keys());
         let mine = all.filter(|key| shards(key.id.shard));
@@ -170,12 +170,12 @@
     }
 
     /// Nothing is out, and stores have recorded all ends: the process may stop.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.leases.is_empty() && self.reports.is_empty() && self.callbacks.is_empty()
     }
 
     /// What the decision module has learnt of a service's workers.
-    pub fn learnt(&self, service: &str) -> Option<LearnedState> {
+    pub fn learned_state(&self, service: &str) -> Option<LearnedState> {
         self.services.get(service).map(ServiceState::memory)
     }
 
--- a/system/state/delivery/src/interface.rs
+++ b/system/state/delivery/src/interface.rs
@@ -104,12 +104,12 @@
     ResetBeforeSent,
     /// The connection was closed after that, without a whole head of an answer.
     Reset,
-    /// `wait_ms` is over (`connected`), or the time for a connection is (`!connected`: nothing was sent).
+    /// `answer_timeout_ms` is over (`connected`), or the time for a connection is (`!connected`: nothing was sent).
     TimedOut {
         connected: bool,
     },
     /// What came is no answer to this message.
-    Garbled,
+    InvalidResponse,
 }
 
 /// How an attempt to call back ended.
@@ -173,7 +173,7 @@
         token: LeaseToken,
     },
     /// Answers [`Output::Send`], once; also after [`Output::CancelAttempt`], if it is known.
-    Attempt {
+    AttemptEnded {
         attempt: AttemptId,
         result: AttemptResult,
     },
@@ -190,7 +190,7 @@
         number: BarrierNumber,
     },
     /// SIGTERM: what has not been sent is given back, what is out goes on.
-    Leaving,
+    ShuttingDown,
     /// The deadline is there.
     Tick,
 }
@@ -202,7 +202,7 @@
     /// For `X-Expect-Instance`; none at a static endpoint.
     pub instance_id: Option<String>,
     /// Connections that this dispatcher may have there at one time.
-    pub connections: u32,
+    pub max_connections: u32,
 }
 
 /// `state` in the body of a call-back.
@@ -233,17 +233,17 @@
 /// What the shell is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send the message to the worker now, once; the end is told as [`Input::Attempt`].
+    /// Send the message to the worker now, once; the end is told as [`Input::AttemptEnded`].
     Send {
         attempt: AttemptId,
         message: Arc<Message>,
         worker: Target,
         /// For a connection.
-        connect_ms: u32,
+        connect_timeout_ms: u32,
         /// `X-Deadline-Ms`.
         timeout_ms: u32,
         /// From now to the end of the answer: a little longer than the worker has, so that its last answers are read.
-        wait_ms: u32,
+        answer_timeout_ms: u32,
     },
     SendCallBack {
         attempt: AttemptId,
--- a/system/state/delivery/src/outcome.rs
+++ b/system/state/delivery/src/outcome.rs
@@ -59,7 +59,7 @@
         AttemptResult::TimedOut { connected: false } => silent(Outcome::ConnectError, Verdict::NotRun),
         AttemptResult::TimedOut { connected: true } => silent(Outcome::TimedOut, Verdict::Unknown),
         AttemptResult::Reset => silent(Outcome::ResetByPeer, Verdict::Unknown),
-        AttemptResult::Garbled => silent(Outcome::Failed, Verdict::Unknown),
+        AttemptResult::InvalidResponse => silent(Outcome::Failed, Verdict::Unknown),
     }
 }
 
--- a/system/state/delivery/src/service/mod.rs
+++ b/system/state/delivery/src/service/mod.rs
@@ -117,7 +117,7 @@
     pub fn target(&self, number: WorkerId) -> Option<Target> {
         let worker = self.fleet.worker(number)?;
         let instance_id = worker.instance_id.clone();
-        Some(Target { address: worker.address, instance_id, connections: self.fleet.connections() })
+        Some(Target { address: worker.address, instance_id, max_connections: self.fleet.connections() })
     }
 
     pub fn memory(&self) -> LearnedState {
--- a/system/state/delivery/tests/callbacks.rs
+++ b/system/state/delivery/tests/callbacks.rs
@@ -75,15 +75,15 @@
 fn it_is_told_until_recorded_and_held_until_then() {
     let mut fixture = Fixture::new(1);
     grant(&mut fixture, 1, 1, completed(), URL);
-    assert_eq!(fixture.delivery.held(|_| true).len(), 1);
+    assert_eq!(fixture.delivery.active_leases(|_| true).len(), 1);
     let attempt = sends(&fixture.out)[0];
     end(&mut fixture, attempt, TAKEN);
     assert!(!called_back(&fixture.pass(2000)).is_empty());
-    assert!(!fixture.delivery.idle());
+    assert!(!fixture.delivery.is_idle());
     fixture.input(Input::Primary { shard: id(1).shard, store: StoreId(9) });
     assert!(matches!(fixture.out[0], Output::Report { store: StoreId(9), .. }));
     fixture.recorded(1, 1);
-    assert!(fixture.delivery.idle());
+    assert!(fixture.delivery.is_idle());
     grant(&mut fixture, 1, 1, completed(), URL);
     assert!(fixture.out.is_empty(), "the same lease again");
 }
@@ -219,7 +219,7 @@
 fn on_leaving_what_waits_is_given_back() {
     let mut fixture = Fixture::new(1);
     (0..4).for_each(|unique| grant(&mut fixture, unique, 1, completed(), URL));
-    fixture.input(Input::Leaving);
+    fixture.input(Input::ShuttingDown);
     assert_eq!(called_back(&fixture.out).len(), 2);
     grant(&mut fixture, 9, 1, completed(), URL);
     assert_eq!(called_back(&fixture.out), [CalledBack { unique: 9, done: false, retry_after_ms: 0 }]);
@@ -230,7 +230,7 @@
     let mut fixture = Fixture::new(1);
     (0..3).for_each(|unique| grant(&mut fixture, unique, 1, completed(), URL));
     fixture.input(Input::Revoke { store: STORE, id: id(2), token: LeaseToken(1) });
-    assert_eq!(fixture.delivery.held(|_| true).len(), 2);
+    assert_eq!(fixture.delivery.active_leases(|_| true).len(), 2);
 }
 
 /// Gives five call-backs; those that are out.
@@ -297,6 +297,6 @@
     let mut fixture = Fixture::new(1);
     let out = five(&mut fixture);
     end(&mut fixture, out[0], CallBackResult::Reset);
-    fixture.input(Input::Leaving);
+    fixture.input(Input::ShuttingDown);
     assert_eq!(called_back(&fixture.out).len(), 4);
 }
--- a/system/state/delivery/tests/common/mod.rs
+++ b/system/state/delivery/tests/common/mod.rs
@@ -108,7 +108,7 @@
     pub attempt: AttemptId,
     pub worker: Target,
     pub timeout_ms: u32,
-    pub wait_ms: u32,
+    pub answer_timeout_ms: u32,
     pub path: String,
 }
 
@@ -184,7 +184,7 @@
     }
 
     pub fn end(&mut self, attempt: AttemptId, result: AttemptResult) {
-        self.input(Input::Attempt { attempt, result });
+        self.input(Input::AttemptEnded { attempt, result });
     }
 
     pub fn recorded(&mut self, unique: u64, token: u64) {
@@ -241,11 +241,11 @@
 
 pub fn sent(out: &[Output]) -> Vec<Sent> {
     let sent = |output: &Output| match output {
-        Output::Send { attempt, message, worker, timeout_ms, wait_ms, .. } => Some(Sent {
+        Output::Send { attempt, message, worker, timeout_ms, answer_timeout_ms, .. } => Some(Sent {
             attempt: *attempt,
             worker: worker.clone(),
             timeout_ms: *timeout_ms,
-            wait_ms: *wait_ms,
+            answer_timeout_ms: *answer_timeout_ms,
             path: message.path.clone(),
         }),
         _ => None,
--- a/system/state/delivery/tests/index.rs
+++ b/system/state/delivery/tests/index.rs
@@ -110,7 +110,7 @@
                     if out.values().map(VecDeque::len).sum::<usize>() >= usize::from(WORKERS) * 2 * CAPACITY as usize {
                         continue;
                     }
-                    let memory = fixture.delivery.learnt(LISTED).unwrap();
+                    let memory = fixture.delivery.learned_state(LISTED).unwrap();
                     let indices = indices(&memory, fixture.now as f64, &counts, &mut usual);
                     let best = indices.iter().filter(|(number, _)| !is_full(&counts, **number)).map(|(_, index)| *index);
                     let best = best.fold(f64::NEG_INFINITY, f64::max);
--- a/system/state/delivery/tests/leases.rs
+++ b/system/state/delivery/tests/leases.rs
@@ -7,7 +7,7 @@
 use millrudder_protocol::{LeaseToken, ShardId, StoreId};
 
 fn held(fixture: &Fixture) -> Vec<ActiveLease> {
-    fixture.delivery.held(|_| true)
+    fixture.delivery.active_leases(|_| true)
 }
 
 #[test]
@@ -18,10 +18,10 @@
     let first = fixture.reported();
     let again = reported(&fixture.pass(5000));
     assert!(again.len() >= 3 && again.iter().all(|report| *report == first[0]), "{again:?}");
-    assert!(!fixture.delivery.idle());
+    assert!(!fixture.delivery.is_idle());
     fixture.recorded(1, 1);
     assert!(reported(&fixture.pass(10_000)).is_empty());
-    assert!(fixture.delivery.idle());
+    assert!(fixture.delivery.is_idle());
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let sent = fixture.send(1, 5, "/a");
     let lease = ActiveLease { id: id(1), token: LeaseToken(5) };
     assert_eq!(held(&fixture), [lease]);
-    assert!(fixture.delivery.held(|shard| shard == ShardId(9)).is_empty());
+    assert!(fixture.delivery.active_leases(|shard| shard == ShardId(9)).is_empty());
     fixture.end(sent.attempt, success());
     assert_eq!(held(&fixture), [lease]);
     fixture.recorded(1, 5);
@@ -206,7 +206,7 @@
     assert!(fixture.out.is_empty() && held(&fixture).is_empty());
     fixture.workers(vec![worker(1)]);
     assert!(fixture.sent().is_none());
-    assert!(fixture.delivery.idle());
+    assert!(fixture.delivery.is_idle());
 }
 
 #[test]
@@ -232,7 +232,7 @@
 fn an_attempt_of_which_the_shell_tells_no_end_is_given_up() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
-    let out = fixture.pass(u64::from(sent.wait_ms) + 1000);
+    let out = fixture.pass(u64::from(sent.answer_timeout_ms) + 1000);
     assert!(out.contains(&Output::CancelAttempt { attempt: sent.attempt }));
     assert!(matches!(reported(&out)[0].outcome, AttemptOutcome::Unknown { .. }));
 }
@@ -241,7 +241,7 @@
 fn a_success_after_that_still_counts() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
-    fixture.pass(u64::from(sent.wait_ms) + 1000);
+    fixture.pass(u64::from(sent.answer_timeout_ms) + 1000);
     fixture.recorded(1, 1);
     fixture.end(sent.attempt, success());
     assert_eq!(fixture.outcome(), succeeded());
@@ -253,7 +253,7 @@
 fn a_success_after_that_stops_the_next_lease_before_it_is_sent() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
-    fixture.pass(u64::from(sent.wait_ms) + 1000);
+    fixture.pass(u64::from(sent.answer_timeout_ms) + 1000);
     fixture.recorded(1, 1);
     fixture.workers(Vec::new());
     fixture.deliver(1, 2, "/a");
@@ -267,7 +267,7 @@
 fn a_late_end_of_another_kind_tells_nothing() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
-    fixture.pass(u64::from(sent.wait_ms) + 1000);
+    fixture.pass(u64::from(sent.answer_timeout_ms) + 1000);
     fixture.end(sent.attempt, AttemptResult::Reset);
     assert!(fixture.reported().is_empty());
 }
@@ -277,7 +277,7 @@
     let mut fixture = Fixture::new(1);
     let sent: Vec<Sent> = (0..8).map(|unique| fixture.send(unique, 1, "/a")).collect();
     fixture.deliver(8, 1, "/a");
-    fixture.input(Input::Leaving);
+    fixture.input(Input::ShuttingDown);
     let back = fixture.reported();
     assert_eq!(back.len(), 1);
     assert_eq!((back[0].id, &back[0].outcome), (id(8), &AttemptOutcome::NotRun { retry_after_ms: 0 }));
@@ -288,8 +288,8 @@
         fixture.end(sent.attempt, success());
         fixture.recorded(unique as u64, 1);
     }
-    assert!(!fixture.delivery.idle());
+    assert!(!fixture.delivery.is_idle());
     fixture.recorded(8, 1);
     fixture.recorded(9, 1);
-    assert!(fixture.delivery.idle());
+    assert!(fixture.delivery.is_idle());
 }
--- a/system/state/delivery/tests/load.rs
+++ b/system/state/delivery/tests/load.rs
@@ -137,14 +137,15 @@
         let worker = self.workers.get_mut(&at).unwrap();
         let (dispatcher, attempt) = (run.dispatcher, run.attempt);
         if worker.down {
-            return self.input(dispatcher, Input::Attempt { attempt, result: AttemptResult::NotConnected });
+            return self
+                .input(dispatcher, Input::AttemptEnded { attempt, result: AttemptResult::NotConnected });
         }
         if worker.running.len() < worker.slots {
             worker.running.push((now + worker.work_ms, run));
         } else if worker.queue.len() < WORKER_QUEUE {
             worker.queue.push_back(run);
         } else {
-            self.input(dispatcher, Input::Attempt { attempt, result: not_executed(503) });
+            self.input(dispatcher, Input::AttemptEnded { attempt, result: not_executed(503) });
         }
     }
 
@@ -174,7 +175,7 @@
                 let signature = Some("s".into());
                 let whole = Answer { signature, elapsed_ms, load: Some(load), ..answer(200) };
                 let result = AttemptResult::Answer(whole);
-                self.input(run.dispatcher, Input::Attempt { attempt: run.attempt, result });
+                self.input(run.dispatcher, Input::AttemptEnded { attempt: run.attempt, result });
             }
         }
     }
--- a/system/state/delivery/tests/random.rs
+++ b/system/state/delivery/tests/random.rs
@@ -88,7 +88,7 @@
                 assert!(listed == expected || expected.is_none(), "{worker:?} is not ready");
                 self.world.out.insert(*attempt, worker.clone());
                 let there = self.world.out.values().filter(|other| same_worker(other, worker)).count();
-                let most = if expected.is_some() { 2 * CAPACITY } else { worker.connections };
+                let most = if expected.is_some() { 2 * CAPACITY } else { worker.max_connections };
                 assert!(there <= most as usize, "{there} at {worker:?}");
             }
             Output::Report { message, .. } => {
@@ -182,7 +182,7 @@
         let Some(attempt) = self.dice.choice(attempts) else { return };
         self.world.out.remove(&attempt);
         let result = self.result();
-        self.input(Input::Attempt { attempt, result });
+        self.input(Input::AttemptEnded { attempt, result });
     }
 
     fn record(&mut self) {
@@ -251,7 +251,7 @@
     }
 
     fn revoke(&mut self) {
-        let held = self.fixture.delivery.held(|_| true);
+        let held = self.fixture.delivery.active_leases(|_| true);
         let Some(held) = self.dice.choice(held) else { return };
         self.input(Input::Revoke { store: STORE, id: held.id, token: held.token });
     }
@@ -305,11 +305,11 @@
     /// Everything answers and everything is recorded: nothing remains.
     fn settle(&mut self) {
         let end = self.fixture.now + SETTLE_MS;
-        self.input(Input::Leaving);
-        while !self.fixture.delivery.idle() {
-            assert!(self.fixture.now < end, "{:?}", self.fixture.delivery.held(|_| true));
+        self.input(Input::ShuttingDown);
+        while !self.fixture.delivery.is_idle() {
+            assert!(self.fixture.now < end, "{:?}", self.fixture.delivery.active_leases(|_| true));
             while let Some((attempt, _)) = self.world.out.pop_first() {
-                self.input(Input::Attempt { attempt, result: success() });
+                self.input(Input::AttemptEnded { attempt, result: success() });
             }
             while let Some((attempt, _)) = self.world.calls.pop_first() {
                 let result = CallBackResult::Answer { status: 200 };
@@ -321,7 +321,7 @@
             let next = self.fixture.now + 50;
             self.wait_until(next);
         }
-        assert!(self.fixture.delivery.held(|_| true).is_empty());
+        assert!(self.fixture.delivery.active_leases(|_| true).is_empty());
     }
 }
 
--- a/system/state/delivery/tests/results.rs
+++ b/system/state/delivery/tests/results.rs
@@ -69,14 +69,14 @@
     assert!(is_not_run(outcome_of(AttemptResult::TimedOut { connected: false })));
     assert!(is_unknown(outcome_of(AttemptResult::TimedOut { connected: true })));
     assert!(is_unknown(outcome_of(AttemptResult::Reset)));
-    assert!(is_unknown(outcome_of(AttemptResult::Garbled)));
+    assert!(is_unknown(outcome_of(AttemptResult::InvalidResponse)));
 }
 
 #[test]
 fn the_worker_is_told_the_route_s_time_and_its_answer_is_awaited_a_little_longer() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
-    assert_eq!((sent.timeout_ms, sent.wait_ms), (TIMEOUT_MS, TIMEOUT_MS + ANSWER_SLACK_MS));
+    assert_eq!((sent.timeout_ms, sent.answer_timeout_ms), (TIMEOUT_MS, TIMEOUT_MS + ANSWER_SLACK_MS));
 }
 
 #[test]
@@ -87,7 +87,8 @@
         fixture.now += 20;
         fixture.end(sent.attempt, plain(422));
     }
-    let errors = fixture.delivery.learnt(LISTED).unwrap().workers.iter().map(|w| w.errors).sum::<f64>();
+    let errors =
+        fixture.delivery.learned_state(LISTED).unwrap().workers.iter().map(|w| w.errors).sum::<f64>();
     assert_eq!(errors, 0.0);
 }
 
@@ -101,24 +102,25 @@
         fixture.end(sent.attempt, plain(500));
         assert_eq!(fixture.outcome(), AttemptOutcome::Failed);
     }
-    assert_eq!(fixture.delivery.learnt(LISTED).unwrap().workers[0].errors, 0.0);
+    assert_eq!(fixture.delivery.learned_state(LISTED).unwrap().workers[0].errors, 0.0);
 }
 
 #[test]
 fn only_successes_count_as_completions() {
     let mut fixture = Fixture::new(1);
-    let others = [plain(422), plain(500), not_executed(503), AttemptResult::Reset, AttemptResult::Garbled];
+    let others =
+        [plain(422), plain(500), not_executed(503), AttemptResult::Reset, AttemptResult::InvalidResponse];
     for (unique, result) in others.into_iter().enumerate() {
         let sent = fixture.send(unique as u64, 1, "/a");
         fixture.now += 50;
         fixture.end(sent.attempt, result);
         fixture.pass(3000);
     }
-    assert_eq!(fixture.delivery.learnt(LISTED).unwrap().workers[0].speed, (0.0, 0.0));
+    assert_eq!(fixture.delivery.learned_state(LISTED).unwrap().workers[0].speed, (0.0, 0.0));
     let sent = fixture.send(99, 1, "/a");
     fixture.now += 50;
     fixture.end(sent.attempt, success());
-    assert!(fixture.delivery.learnt(LISTED).unwrap().workers[0].speed.1 > 0.0);
+    assert!(fixture.delivery.learned_state(LISTED).unwrap().workers[0].speed.1 > 0.0);
 }
 
 #[test]
--- a/system/state/delivery/tests/room.rs
+++ b/system/state/delivery/tests/room.rs
@@ -28,7 +28,7 @@
     fixture.input(Input::Dispatchers { count: 25 });
     // 110 connections, nine tenths of them used, by 25.
     let sent = fill(&mut fixture, 3);
-    assert_eq!(sent[0].worker.connections, 3);
+    assert_eq!(sent[0].worker.max_connections, 3);
     fixture.deliver(3, 1, "/a");
     assert!(fixture.sent().is_none());
     fixture.input(Input::Dispatchers { count: 2100 });
@@ -36,7 +36,7 @@
     for sent in &sent[..2] {
         fixture.end(sent.attempt, success());
     }
-    assert_eq!(fixture.sent().expect("two at least").worker.connections, 2);
+    assert_eq!(fixture.sent().expect("two at least").worker.max_connections, 2);
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let mut out: VecDeque<(u64, AttemptId)> = VecDeque::new();
     let mut unique = 1000 * fixture.now;
     while fixture.now < end {
-        let held = fixture.delivery.held(|_| true).len();
+        let held = fixture.delivery.active_leases(|_| true).len();
         for _ in held..fixture.credit(LISTED) as usize {
             unique += 1;
             fixture.deliver(unique, 1, "/a");
@@ -131,7 +131,7 @@
         let due: Vec<u64> =
             messages.iter().filter(|(_, at)| **at <= fixture.now).map(|(unique, _)| *unique).collect();
         let free = fixture.credit(STATIC) as usize;
-        let held = fixture.delivery.held(|_| true).len();
+        let held = fixture.delivery.active_leases(|_| true).len();
         for unique in due.into_iter().take(free.saturating_sub(held)) {
             token += 1;
             fixture.deliver(unique, token, "/p");
