--- a/system/state/delivery/src/delivery/mod.rs
+++ b/system/state/delivery/src/delivery/mod.rs
@@ -5,9 +5,9 @@
 mod updates;
 
 use crate::attempts::Attempts;
+use crate::barriers::Doubts;
 use crate::callbacks::CallBacks;
 use crate::credits::{Credits, Limit};
-use crate::doubts::Doubts;
 use crate::interface::*;
 use crate::reports::{Due, LeaseKey, Reports};
 use crate::service::{Decision, ServiceState, Site};
--- a/system/state/delivery/src/interface.rs
+++ b/system/state/delivery/src/interface.rs
@@ -2,7 +2,7 @@
 //!
 //! Times are milliseconds on the caller's steady clock.
 
-use crate::doubts::BarrierNumber;
+use crate::barriers::BarrierNumber;
 use millrudder_protocol::control::WorkerList;
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{FromDispatcher, ServiceCredit};
--- a/system/state/delivery/src/lib.rs
+++ b/system/state/delivery/src/lib.rs
@@ -60,11 +60,11 @@
 //! ```
 
 mod attempts;
+mod barriers;
 mod callbacks;
 mod credit;
 mod credits;
 mod delivery;
-mod doubts;
 mod fleet;
 mod health;
 mod interface;
@@ -74,6 +74,6 @@
 mod service;
 mod window;
 
+pub use barriers::BarrierNumber;
 pub use delivery::Delivery;
-pub use doubts::BarrierNumber;
 pub use interface::*;
