--- a/system/state/delivery/src/barriers.rs
+++ b/system/state/delivery/src/barriers.rs
@@ -13,41 +13,41 @@
 
 /// Barriers that are not reached yet.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Doubts {
-    last: BarrierNumber,
+pub(crate) struct StoreBarriers {
+    last_number: BarrierNumber,
     connected: BTreeSet<StoreId>,
-    awaited: BTreeMap<StoreId, BarrierNumber>,
+    pending: BTreeMap<StoreId, BarrierNumber>,
 }
 
-impl Doubts {
+impl StoreBarriers {
     /// A new connection to a store is ready. A barrier that was sent on the one before is sent again.
-    pub(crate) fn connected(&mut self, store: StoreId) -> Option<BarrierNumber> {
+    pub(crate) fn on_connected(&mut self, store: StoreId) -> Option<BarrierNumber> {
         self.connected.insert(store);
-        let awaits = self.awaited.contains_key(&store);
-        awaits.then(|| self.begin(store))
+        let was_pending = self.pending.contains_key(&store);
+        was_pending.then(|| self.begin(store))
     }
 
     /// The process stood still: the barriers to be sent, one to each store.
-    pub(crate) fn stood_still(&mut self) -> Vec<(StoreId, BarrierNumber)> {
+    pub(crate) fn begin_all(&mut self) -> Vec<(StoreId, BarrierNumber)> {
         let stores: Vec<StoreId> = self.connected.iter().copied().collect();
         stores.into_iter().map(|store| (store, self.begin(store))).collect()
     }
 
     /// A store has answered a barrier.
-    pub(crate) fn reached(&mut self, store: StoreId, number: BarrierNumber) {
-        if self.awaited.get(&store) == Some(&number) {
-            self.awaited.remove(&store);
+    pub(crate) fn on_reached(&mut self, store: StoreId, number: BarrierNumber) {
+        if self.pending.get(&store) == Some(&number) {
+            self.pending.remove(&store);
         }
     }
 
     /// Whether what a store grants may have waited unread.
-    pub(crate) fn concern(&self, store: StoreId) -> bool {
-        self.awaited.contains_key(&store)
+    pub(crate) fn is_pending(&self, store: StoreId) -> bool {
+        self.pending.contains_key(&store)
     }
 
     fn begin(&mut self, store: StoreId) -> BarrierNumber {
-        self.last = BarrierNumber(self.last.0 + 1);
-        self.awaited.insert(store, self.last);
-        self.last
+        self.last_number = BarrierNumber(self.last_number.0 + 1);
+        self.pending.insert(store, self.last_number);
+        self.last_number
     }
 }
--- a/system/state/delivery/src/callbacks.rs
+++ b/system/state/delivery/src/callbacks.rs
@@ -2,7 +2,7 @@
 
 use crate::health::jittered;
 use crate::interface::{AttemptId, CallBackBody, CallBackResult, CallBackState, CallBackUrl};
-use crate::receiver::{Receiver, ResetSign};
+use crate::receiver::{Receiver, ResetCause};
 use crate::reports::LeaseKey;
 use fastrand::Rng;
 use millrudder_protocol::message::End;
@@ -14,13 +14,13 @@
 /// Of one attempt (ms).
 pub(crate) const TIMEOUT_MS: u32 = 2000;
 /// So long after that the shell should have told its end (ms).
-const OVERDUE_MS: u64 = 1000;
+const OVERDUE_AFTER_MS: u64 = 1000;
 /// Call-backs that wait for one receiver here; stores keep the rest.
-const WAITING_MOST: usize = 32;
+const MAX_WAITING_PER_RECEIVER: usize = 32;
 /// A receiver that refuses one call-back (an answer other than 200) gets that one again after this (ms).
-const REFUSED_PAUSE_MS: u64 = 1000;
+const REFUSED_RETRY_MS: u64 = 1000;
 /// Receivers of which something is remembered.
-const RECEIVERS_MOST: usize = 1024;
+const MAX_RECEIVERS: usize = 1024;
 /// Status that accepts a call-back.
 const ACCEPTED: u16 = 200;
 const URL_SCHEME: &str = "http://";
@@ -37,7 +37,7 @@
 }
 
 /// A call-back that a store granted.
-pub(crate) struct Granted {
+pub(crate) struct GrantedCallBack {
     pub store: StoreId,
     pub key: LeaseKey,
     pub url: CallBackUrl,
@@ -51,22 +51,22 @@
 }
 
 struct Lease {
-    granted: Granted,
+    granted: GrantedCallBack,
     attempt: Option<AttemptId>,
 }
 
 /// An attempt that is out.
-struct Out {
+struct InFlight {
     id: MessageId,
-    overdue: u64,
+    overdue_at_ms: u64,
 }
 
 /// All call-backs here.
 pub(crate) struct CallBacks {
     receivers: BTreeMap<Address, Receiver>,
     leases: BTreeMap<MessageId, Lease>,
-    attempts: BTreeMap<AttemptId, Out>,
-    dice: Rng,
+    attempts: BTreeMap<AttemptId, InFlight>,
+    rng: Rng,
 }
 
 /// The body for an end; `None` for one that nobody is told.
@@ -89,7 +89,7 @@
             receivers: BTreeMap::new(),
             leases: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            dice: Rng::with_seed(seed),
+            rng: Rng::with_seed(seed),
         }
     }
 
@@ -105,7 +105,7 @@
     pub fn grant(
         &mut self,
         now: u64,
-        granted: Granted,
+        granted: GrantedCallBack,
         next_attempt: &mut impl FnMut() -> AttemptId,
         out: &mut Vec<CallBackDecision>,
     ) {
@@ -118,10 +118,10 @@
             return;
         }
         let address = granted.url.address;
-        self.make_room(now);
+        self.evict_idle_receivers(now);
         let receiver = self.receivers.entry(address).or_default();
-        if receiver.waiting.len() >= WAITING_MOST {
-            let retry_after_ms = jittered(REFUSED_PAUSE_MS, &mut self.dice);
+        if receiver.waiting.len() >= MAX_WAITING_PER_RECEIVER {
+            let retry_after_ms = jittered(REFUSED_RETRY_MS, &mut self.rng);
             return give_back(&granted, retry_after_ms, out);
         }
         receiver.waiting.push_back(id);
@@ -130,8 +130,8 @@
     }
 
     /// Receivers of which nothing is here and whose pause is over are forgotten when there are many.
-    fn make_room(&mut self, now: u64) {
-        if self.receivers.len() >= RECEIVERS_MOST {
+    fn evict_idle_receivers(&mut self, now: u64) {
+        if self.receivers.len() >= MAX_RECEIVERS {
             self.receivers.retain(|_, receiver| !receiver.is_idle(now));
         }
     }
@@ -144,26 +144,29 @@
         out: &mut Vec<CallBackDecision>,
     ) {
         let Some(receiver) = self.receivers.get_mut(&address) else { return };
-        if let Some(left) = receiver.closed_for(now) {
-            return self.give_waiting_back(left, address, out);
+        if let Some(down_ms) = receiver.down_for_ms(now) {
+            return self.give_back_waiting(down_ms, address, out);
         }
         while receiver.has_room(now) {
             let Some(id) = receiver.waiting.pop_front() else { return };
             let Some(lease) = self.leases.get_mut(&id) else { continue };
             let attempt = next_attempt();
-            receiver.out += 1;
+            receiver.in_flight += 1;
             lease.attempt = Some(attempt);
-            self.attempts.insert(attempt, Out { id, overdue: now + u64::from(TIMEOUT_MS) + OVERDUE_MS });
+            self.attempts.insert(
+                attempt,
+                InFlight { id, overdue_at_ms: now + u64::from(TIMEOUT_MS) + OVERDUE_AFTER_MS },
+            );
             let (url, body) = (lease.granted.url.clone(), lease.granted.body.clone());
             out.push(CallBackDecision::Send { attempt, url, body });
         }
     }
 
-    fn give_waiting_back(&mut self, left: u64, address: Address, out: &mut Vec<CallBackDecision>) {
+    fn give_back_waiting(&mut self, down_ms: u64, address: Address, out: &mut Vec<CallBackDecision>) {
         let Some(receiver) = self.receivers.get_mut(&address) else { return };
         for id in std::mem::take(&mut receiver.waiting) {
             let Some(lease) = self.leases.remove(&id) else { continue };
-            give_back(&lease.granted, jittered(left, &mut self.dice), out);
+            give_back(&lease.granted, jittered(down_ms, &mut self.rng), out);
         }
     }
 
@@ -176,28 +179,30 @@
         next_attempt: &mut impl FnMut() -> AttemptId,
         out: &mut Vec<CallBackDecision>,
     ) {
-        let Some(Out { id, .. }) = self.attempts.remove(&attempt) else { return };
+        let Some(InFlight { id, .. }) = self.attempts.remove(&attempt) else { return };
         let Some(lease) = self.leases.remove(&id) else { return };
         let address = lease.granted.url.address;
         let receiver = self.receivers.entry(address).or_default();
-        receiver.out = receiver.out.saturating_sub(1);
+        receiver.in_flight = receiver.in_flight.saturating_sub(1);
         match result {
             CallBackResult::Answer { status: ACCEPTED } => {
-                receiver.on_taken();
+                receiver.on_accepted();
                 let (store, key) = (lease.granted.store, lease.granted.key);
                 out.push(CallBackDecision::Report { store, key, message: report(key, true, 0) });
             }
             CallBackResult::Answer { status } if status < 500 => {
                 receiver.on_answer();
-                give_back(&lease.granted, jittered(REFUSED_PAUSE_MS, &mut self.dice), out);
+                give_back(&lease.granted, jittered(REFUSED_RETRY_MS, &mut self.rng), out);
             }
-            CallBackResult::Reset if receiver.on_reset(now, &mut self.dice) == ResetSign::Crowded => {
+            CallBackResult::Reset
+                if receiver.on_reset(now, &mut self.rng) == ResetCause::TooManyConnections =>
+            {
                 receiver.waiting.push_front(id);
                 self.leases.insert(id, Lease { attempt: None, ..lease });
             }
             CallBackResult::Answer { .. } | CallBackResult::Reset | CallBackResult::Failed => {
-                let wait = receiver.on_failure(now, &mut self.dice);
-                give_back(&lease.granted, wait, out);
+                let retry_after_ms = receiver.on_failure(now, &mut self.rng);
+                give_back(&lease.granted, retry_after_ms, out);
             }
         }
         self.send_waiting(now, address, next_attempt, out);
@@ -205,15 +210,15 @@
 
     /// The lease is over; a call-back that is out goes on.
     pub fn revoke(&mut self, key: LeaseKey) {
-        let waits = |lease: &Lease| lease.granted.key == key && lease.attempt.is_none();
-        if self.leases.get(&key.id).is_some_and(waits) {
+        let is_waiting = |lease: &Lease| lease.granted.key == key && lease.attempt.is_none();
+        if self.leases.get(&key.id).is_some_and(is_waiting) {
             self.leases.remove(&key.id);
             self.receivers.values_mut().for_each(|receiver| receiver.waiting.retain(|id| *id != key.id));
         }
     }
 
     /// The process stops: what waits is given back.
-    pub fn leave(&mut self, out: &mut Vec<CallBackDecision>) {
+    pub fn shut_down(&mut self, out: &mut Vec<CallBackDecision>) {
         for receiver in self.receivers.values_mut() {
             for id in std::mem::take(&mut receiver.waiting) {
                 let Some(lease) = self.leases.remove(&id) else { continue };
@@ -242,18 +247,18 @@
 
     /// Attempts of which the shell should have told the end.
     pub fn overdue(&self, now: u64) -> Vec<AttemptId> {
-        let overdue = self.attempts.iter().filter(|(_, attempt)| now >= attempt.overdue);
+        let overdue = self.attempts.iter().filter(|(_, attempt)| now >= attempt.overdue_at_ms);
         overdue.map(|(id, _)| *id).collect()
     }
 
     pub fn next_deadline(&self) -> Option<u64> {
-        let overdue = self.attempts.values().map(|attempt| attempt.overdue);
-        let resumes = self.receivers.values().filter_map(Receiver::resumes_at);
+        let overdue = self.attempts.values().map(|attempt| attempt.overdue_at_ms);
+        let resumes = self.receivers.values().filter_map(Receiver::resumes_at_ms);
         overdue.chain(resumes).min()
     }
 }
 
-fn give_back(granted: &Granted, retry_after_ms: u32, out: &mut Vec<CallBackDecision>) {
+fn give_back(granted: &GrantedCallBack, retry_after_ms: u32, out: &mut Vec<CallBackDecision>) {
     let message = report(granted.key, false, retry_after_ms);
     out.push(CallBackDecision::Report { store: granted.store, key: granted.key, message });
 }
--- a/system/state/delivery/src/credit.rs
+++ b/system/state/delivery/src/credit.rs
@@ -2,62 +2,62 @@
 //! they find no room.
 
 /// Bounds of the limit at a service that answers.
-const LEAST: f64 = 2.0;
-const MOST: f64 = 64.0;
+const MIN_LIMIT: f64 = 2.0;
+const MAX_LIMIT: f64 = 64.0;
 /// What a store assumes before it is told.
-const FIRST: f64 = 16.0;
+const INITIAL_LIMIT: f64 = 16.0;
 /// Share that stays when messages find no room.
-const SHRINK: f64 = 0.7;
+const DECREASE_FACTOR: f64 = 0.7;
 /// Messages that find no room within so long (ms) after a cut are the same shortage.
-const SHRINK_EACH_MS: u64 = 200;
+const MIN_DECREASE_INTERVAL_MS: u64 = 200;
 /// At a dark service.
-const DARK: u32 = 1;
+const UNAVAILABLE_LIMIT: u32 = 1;
 
 /// The limit of one service.
 #[derive(Debug)]
-pub(crate) struct Credit {
+pub(crate) struct CreditLimit {
     limit: f64,
-    shrunk_at: Option<u64>,
+    decreased_at_ms: Option<u64>,
 }
 
 /// What bounds the limit besides its own course.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bounds {
+pub(crate) struct LimitBounds {
     /// Attempts that all its ready workers take from this dispatcher; 0: it has none.
-    pub room: u32,
-    pub dark: bool,
+    pub attempt_capacity: u32,
+    pub unavailable: bool,
 }
 
-impl Default for Credit {
+impl Default for CreditLimit {
     fn default() -> Self {
-        Credit { limit: FIRST, shrunk_at: None }
+        CreditLimit { limit: INITIAL_LIMIT, decreased_at_ms: None }
     }
 }
 
-impl Credit {
+impl CreditLimit {
     /// A message was run with `held` of the service at this dispatcher: one more a round of successes while the limit
     /// is nearly used, the faster the lower it is.
-    pub fn on_success(&mut self, held: usize) {
-        if held as f64 >= self.limit / 2.0 {
-            self.limit = (self.limit + 1.0).min(MOST);
+    pub fn on_success(&mut self, messages: usize) {
+        if messages as f64 >= self.limit / 2.0 {
+            self.limit = (self.limit + 1.0).min(MAX_LIMIT);
         }
     }
 
     /// A message found no room.
-    pub fn on_full(&mut self, now: u64) {
-        if self.shrunk_at.is_some_and(|at| now < at + SHRINK_EACH_MS) {
+    pub fn on_no_room(&mut self, now: u64) {
+        if self.decreased_at_ms.is_some_and(|at| now < at + MIN_DECREASE_INTERVAL_MS) {
             return;
         }
-        self.shrunk_at = Some(now);
-        self.limit = (self.limit * SHRINK).max(LEAST);
+        self.decreased_at_ms = Some(now);
+        self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 
     /// What stores are told.
-    pub fn limit(&self, bounds: Bounds) -> u32 {
+    pub fn limit(&self, bounds: LimitBounds) -> u32 {
         // Also without a worker a few are wanted: a message's route may lead elsewhere by now, or nowhere.
-        if bounds.room == 0 || bounds.dark {
-            return DARK;
+        if bounds.attempt_capacity == 0 || bounds.unavailable {
+            return UNAVAILABLE_LIMIT;
         }
-        (self.limit as u32).min(bounds.room.max(1))
+        (self.limit as u32).min(bounds.attempt_capacity.max(1))
     }
 }
--- a/system/state/delivery/src/delivery/calls.rs
+++ b/system/state/delivery/src/delivery/calls.rs
@@ -1,7 +1,7 @@
 //! Call-backs that stores granted.
 
 use super::{send_reports, Delivery};
-use crate::callbacks::{self, CallBackDecision, Granted};
+use crate::callbacks::{self, CallBackDecision, GrantedCallBack};
 use crate::interface::*;
 use crate::reports::LeaseKey;
 use millrudder_protocol::message::{End, Message};
@@ -22,20 +22,20 @@
         }
         let url = message.callback_url.as_deref().and_then(callbacks::parse_url);
         let body = callbacks::body(&message.request_id, end);
-        let taken = self.reports.is_called_back(key.id);
-        let (Some(url), Some(body), false) = (url, body, taken) else {
+        let already_accepted = self.reports.is_call_back_done(key.id);
+        let (Some(url), Some(body), false) = (url, body, already_accepted) else {
             // It was taken already, or there is nobody whom it can be told.
             let due = self.reports.add(now, store, key, callbacks::report(key, true, 0));
             return send_reports(vec![due], out);
         };
         let mut decisions = Vec::new();
-        if self.leaving {
+        if self.shutting_down {
             let message = callbacks::report(key, false, 0);
             decisions.push(CallBackDecision::Report { store, key, message });
         } else {
-            let granted = Granted { store, key, url, body };
+            let granted = GrantedCallBack { store, key, url, body };
             let attempts = &mut self.attempts;
-            self.callbacks.grant(now, granted, &mut || attempts.next(), &mut decisions);
+            self.callbacks.grant(now, granted, &mut || attempts.next_id(), &mut decisions);
         }
         self.carry_out_call_backs(now, decisions, out);
     }
@@ -49,7 +49,7 @@
     ) {
         let mut decisions = Vec::new();
         let attempts = &mut self.attempts;
-        self.callbacks.end(now, attempt, result, &mut || attempts.next(), &mut decisions);
+        self.callbacks.end(now, attempt, result, &mut || attempts.next_id(), &mut decisions);
         self.carry_out_call_backs(now, decisions, out);
     }
 
@@ -57,7 +57,7 @@
     pub(super) fn resume_call_backs(&mut self, now: u64, out: &mut Vec<Output>) {
         let mut decisions = Vec::new();
         let attempts = &mut self.attempts;
-        self.callbacks.resume(now, &mut || attempts.next(), &mut decisions);
+        self.callbacks.resume(now, &mut || attempts.next_id(), &mut decisions);
         self.carry_out_call_backs(now, decisions, out);
     }
 
--- a/system/state/delivery/src/delivery/leases.rs
+++ b/system/state/delivery/src/delivery/leases.rs
@@ -1,6 +1,6 @@
 //! Leases on messages: from the grant to the report of the end.
 
-use super::{send_reports, Delivery, STALE_MS};
+use super::{send_reports, Delivery, STALE_GRANTS_MS};
 use crate::attempts::{Attempt, GivenUp};
 use crate::health::jittered;
 use crate::interface::*;
@@ -13,17 +13,17 @@
 use std::sync::Arc;
 
 /// For a connection to a worker (ms): a few times the way between zones, and its share of a busy machine.
-const CONNECT_MS: u32 = 300;
+const CONNECT_TIMEOUT_MS: u32 = 300;
 /// So long (ms) after the worker's time is over its answer is still waited for: the worker may have finished just in
 /// time, and a success whose answer was whole 50 ms before the time-out must never run again.
 const ANSWER_SLACK_MS: u32 = 100;
 /// A message whose route this dispatcher does not know is dropped only at this age (ms): until then the dispatcher's
 /// configuration may be older than the route (`configApplyMs` and `maxSkewMs`, with room).
-const ROUTE_SETTLE_MS: u64 = 20_000;
+const ROUTE_PROPAGATION_MS: u64 = 20_000;
 /// Meanwhile it is given back for so long (ms).
-const ROUTE_PAUSE_MS: u64 = 1000;
+const UNKNOWN_ROUTE_RETRY_MS: u64 = 1000;
 /// A message that may be running waits so long (ms) at least: most workers drop it once its connection is closed.
-const UNKNOWN_PAUSE_MS: u32 = 100;
+const UNKNOWN_OUTCOME_RETRY_MS: u32 = 100;
 
 /// A message that was granted to this dispatcher.
 pub(super) struct Lease {
@@ -32,7 +32,7 @@
     pub message: Arc<Message>,
     failed_attempts: u32,
     /// When the message was received, on this clock.
-    received: i64,
+    received_at_ms: i64,
     pub route: ResolvedRoute,
     attempt: AttemptId,
     pub sent: bool,
@@ -45,16 +45,16 @@
         token: LeaseToken,
         message: Arc<Message>,
         failed_attempts: u32,
-        received: i64,
+        received_at_ms: i64,
     ) -> Self {
         let route = ResolvedRoute { service: Arc::from(""), timeout_ms: 0 };
         let attempt = AttemptId(0);
-        Lease { store, token, message, failed_attempts, received, route, attempt, sent: false }
+        Lease { store, token, message, failed_attempts, received_at_ms, route, attempt, sent: false }
     }
 }
 
 impl Delivery {
-    pub(super) fn take_unsent(&mut self, now: u64, id: MessageId, out: &mut Vec<Output>) -> Option<Lease> {
+    pub(super) fn remove_unsent(&mut self, now: u64, id: MessageId, out: &mut Vec<Output>) -> Option<Lease> {
         let lease = self.leases.remove(&id)?;
         self.by_attempt.remove(&lease.attempt);
         let mut decisions = Vec::new();
@@ -75,35 +75,35 @@
                 lease.store = granted.store;
                 lease.token = granted.token;
                 lease.failed_attempts = granted.failed_attempts;
-                self.attempts.renew(lease.attempt, key);
+                self.attempts.set_lease(lease.attempt, key);
             }
             return;
         }
         if let Some(outcome) = self.reports.final_outcome(key.id) {
             return self.report(now, granted.store, key, outcome, out);
         }
-        if self.leaving || now < self.stale_until || self.doubts.concern(granted.store) {
+        if self.shutting_down || now < self.stale_grants_until_ms || self.barriers.is_pending(granted.store) {
             // Another dispatcher can have it at once; this one can only once what lay unread is through.
-            let retry_after_ms = if self.leaving { 0 } else { STALE_MS as u32 };
+            let retry_after_ms = if self.shutting_down { 0 } else { STALE_GRANTS_MS as u32 };
             let outcome = AttemptOutcome::NotRun { retry_after_ms };
             return self.report(now, granted.store, key, outcome, out);
         }
-        self.place(now, key, granted, out);
+        self.offer(now, key, granted, out);
     }
 
     /// Offers a message that is not out to its service.
-    pub(super) fn place(&mut self, now: u64, key: LeaseKey, mut lease: Lease, out: &mut Vec<Output>) {
+    pub(super) fn offer(&mut self, now: u64, key: LeaseKey, mut lease: Lease, out: &mut Vec<Output>) {
         let message = &lease.message;
         let route = self.resolver.as_ref().and_then(|r| r.resolve(&message.host, &message.path));
         let Some(route) = route else {
-            let outcome = self.without_route(now, &lease);
+            let outcome = self.outcome_without_route(now, &lease);
             return self.report(now, lease.store, key, outcome, out);
         };
         let Some(state) = self.services.get_mut(&route.service) else {
-            let outcome = AttemptOutcome::NotRun { retry_after_ms: self.route_pause() };
+            let outcome = AttemptOutcome::NotRun { retry_after_ms: self.unknown_route_retry_ms() };
             return self.report(now, lease.store, key, outcome, out);
         };
-        let attempt = self.attempts.next();
+        let attempt = self.attempts.next_id();
         (lease.route, lease.attempt) = (route, attempt);
         self.leases.insert(key.id, lease);
         self.by_attempt.insert(attempt, key.id);
@@ -112,22 +112,22 @@
         self.carry_out(now, decisions, out);
     }
 
-    fn route_pause(&mut self) -> u32 {
-        jittered(ROUTE_PAUSE_MS, &mut self.dice)
+    fn unknown_route_retry_ms(&mut self) -> u32 {
+        jittered(UNKNOWN_ROUTE_RETRY_MS, &mut self.rng)
     }
 
-    fn without_route(&mut self, now: u64, lease: &Lease) -> AttemptOutcome {
-        let age = now as i64 - lease.received;
-        if self.resolver.is_some() && age >= ROUTE_SETTLE_MS as i64 {
+    fn outcome_without_route(&mut self, now: u64, lease: &Lease) -> AttemptOutcome {
+        let age_ms = now as i64 - lease.received_at_ms;
+        if self.resolver.is_some() && age_ms >= ROUTE_PROPAGATION_MS as i64 {
             return AttemptOutcome::RouteGone;
         }
-        AttemptOutcome::NotRun { retry_after_ms: self.route_pause() }
+        AttemptOutcome::NotRun { retry_after_ms: self.unknown_route_retry_ms() }
     }
 
     pub(super) fn on_revoke(&mut self, now: u64, key: LeaseKey, out: &mut Vec<Output>) {
         let unsent = |lease: &Lease| lease.token <= key.token && !lease.sent;
         if self.leases.get(&key.id).is_some_and(unsent) {
-            self.take_unsent(now, key.id, out);
+            self.remove_unsent(now, key.id, out);
         }
         self.callbacks.revoke(key);
     }
@@ -140,36 +140,36 @@
         out: &mut Vec<Output>,
     ) {
         let Some(attempt) = self.attempts.end(id) else {
-            return self.on_late(now, id, result, out);
+            return self.on_late_result(now, id, result, out);
         };
         self.by_attempt.remove(&id);
         let Some(lease) = self.leases.remove(&attempt.key.id) else { return };
-        let latency = match &result {
+        let latency_ms = match &result {
             AttemptResult::Answer(answer) => f64::from(answer.elapsed_ms),
-            _ => (now - attempt.sent) as f64,
+            _ => (now - attempt.sent_at_ms) as f64,
         };
-        let reading = outcome::read(result, lease.failed_attempts);
+        let interpretation = outcome::interpret(result, lease.failed_attempts);
         let mut decisions = Vec::new();
         let mut retry_after_ms = 0;
         if let Some(state) = self.services.get_mut(&attempt.service) {
-            state.end(now, id, &reading, latency, &mut decisions);
-            retry_after_ms = state.retry_after(now).max(reading.least_pause_ms);
-            if reading.verdict == Verdict::Unknown && !state.is_idempotent() {
-                retry_after_ms = retry_after_ms.max(UNKNOWN_PAUSE_MS);
+            state.on_attempt_end(now, id, &interpretation, latency_ms, &mut decisions);
+            retry_after_ms = state.retry_after_ms(now).max(interpretation.min_retry_after_ms);
+            if interpretation.verdict == Verdict::Unknown && !state.is_idempotent() {
+                retry_after_ms = retry_after_ms.max(UNKNOWN_OUTCOME_RETRY_MS);
             }
         }
-        let outcome = outcome(reading.verdict, retry_after_ms);
+        let outcome = outcome(interpretation.verdict, retry_after_ms);
         self.report(now, lease.store, attempt.key, outcome, out);
         self.carry_out(now, decisions, out);
     }
 
     /// The end of an attempt that was given up: a success counts whenever it comes.
-    fn on_late(&mut self, now: u64, id: AttemptId, result: AttemptResult, out: &mut Vec<Output>) {
+    fn on_late_result(&mut self, now: u64, id: AttemptId, result: AttemptResult, out: &mut Vec<Output>) {
         let Some(GivenUp { store, key }) = self.attempts.take_given_up(id) else { return };
-        let Verdict::Succeeded { signature } = outcome::read(result, 0).verdict else { return };
+        let Verdict::Succeeded { signature } = outcome::interpret(result, 0).verdict else { return };
         let unsent = self.leases.get(&key.id).is_some_and(|lease| !lease.sent);
         if unsent {
-            let Some(lease) = self.take_unsent(now, key.id, out) else { return };
+            let Some(lease) = self.remove_unsent(now, key.id, out) else { return };
             let later = LeaseKey { id: key.id, token: lease.token };
             let outcome = AttemptOutcome::Succeeded { signature };
             return self.report(now, lease.store, later, outcome, out);
@@ -197,7 +197,7 @@
         let key = LeaseKey { id, token: lease.token };
         self.attempts.send(now, attempt, key, service, answer_timeout_ms);
         let message = lease.message.clone();
-        let connect_timeout_ms = CONNECT_MS.min(timeout_ms);
+        let connect_timeout_ms = CONNECT_TIMEOUT_MS.min(timeout_ms);
         out.push(Output::Send {
             attempt,
             message,
--- a/system/state/delivery/src/delivery/mod.rs
+++ b/system/state/delivery/src/delivery/mod.rs
@@ -5,12 +5,12 @@
 mod updates;
 
 use crate::attempts::Attempts;
-use crate::barriers::Doubts;
+use crate::barriers::StoreBarriers;
 use crate::callbacks::CallBacks;
-use crate::credits::{Credits, Limit};
+use crate::credits::{CreditAnnouncements, ServiceLimit};
 use crate::interface::*;
-use crate::reports::{Due, LeaseKey, Reports};
-use crate::service::{Decision, ServiceState, Site};
+use crate::reports::{LeaseKey, OutgoingReport, Reports};
+use crate::service::{Decision, DispatcherContext, ServiceState};
 use fastrand::Rng;
 use leases::Lease;
 use millrudder::LearnedState;
@@ -22,14 +22,14 @@
 
 /// A deadline that is over by so long (ms) shows that this process was halted: what was granted to it meanwhile lies
 /// unread at its connections, and may have been granted to others since.
-const HALTED_MS: u64 = 1000;
+const PROCESS_STALL_MS: u64 = 1000;
 /// What comes within this time after that (ms) is given back; its store knows whether the lease still holds.
-const STALE_MS: u64 = 100;
+const STALE_GRANTS_MS: u64 = 100;
 
 /// The dispatcher's delivery; see the crate's documentation.
 pub struct Delivery {
     configuration: Configuration,
-    site: Site,
+    dispatcher: DispatcherContext,
     zones: BTreeMap<String, u32>,
     resolver: Option<Arc<dyn Resolve>>,
     services: BTreeMap<Arc<str>, ServiceState>,
@@ -39,20 +39,20 @@
     by_attempt: BTreeMap<AttemptId, MessageId>,
     reports: Reports,
     callbacks: CallBacks,
-    credits: Credits,
-    dice: Rng,
-    leaving: bool,
-    next_deadline: Option<u64>,
+    credits: CreditAnnouncements,
+    rng: Rng,
+    shutting_down: bool,
+    next_deadline_ms: Option<u64>,
     /// Grants that come before this are from before a halt of the process.
-    stale_until: u64,
+    stale_grants_until_ms: u64,
     /// Stores whose grants may be from before a halt, however long they take to be read.
-    doubts: Doubts,
+    barriers: StoreBarriers,
 }
 
-fn site(configuration: &Configuration, dispatchers: u32, zone: u32) -> Site {
+fn dispatcher_context(configuration: &Configuration, dispatchers: u32, zone: u32) -> DispatcherContext {
     let dispatchers = dispatchers.max(1);
-    let me = (configuration.seed % u64::from(dispatchers)) as u32;
-    Site { me, dispatchers, zone, cross_zone_price: configuration.cross_zone_price }
+    let index = (configuration.seed % u64::from(dispatchers)) as u32;
+    DispatcherContext { index, dispatchers, zone, cross_zone_price: configuration.cross_zone_price }
 }
 
 impl Delivery {
@@ -60,7 +60,7 @@
     pub fn new(configuration: Configuration) -> Self {
         let own_zone = 0;
         Delivery {
-            site: site(&configuration, configuration.dispatchers, own_zone),
+            dispatcher: dispatcher_context(&configuration, configuration.dispatchers, own_zone),
             zones: BTreeMap::from([(configuration.zone.clone(), own_zone)]),
             resolver: None,
             services: BTreeMap::new(),
@@ -70,29 +70,29 @@
             by_attempt: BTreeMap::new(),
             reports: Reports::default(),
             callbacks: CallBacks::new(configuration.seed),
-            credits: Credits::default(),
-            dice: Rng::with_seed(configuration.seed),
-            leaving: false,
-            next_deadline: None,
-            stale_until: 0,
-            doubts: Doubts::default(),
+            credits: CreditAnnouncements::default(),
+            rng: Rng::with_seed(configuration.seed),
+            shutting_down: false,
+            next_deadline_ms: None,
+            stale_grants_until_ms: 0,
+            barriers: StoreBarriers::default(),
             configuration,
         }
     }
 
     /// Takes one input in; `now` never falls. What is to be done is appended to `out`.
     pub fn handle(&mut self, now: u64, input: Input, out: &mut Vec<Output>) {
-        if self.next_deadline.is_some_and(|due| now > due + HALTED_MS) {
-            self.stale_until = now + STALE_MS;
+        if self.next_deadline_ms.is_some_and(|due| now > due + PROCESS_STALL_MS) {
+            self.stale_grants_until_ms = now + STALE_GRANTS_MS;
             self.send_barriers(out);
         }
-        self.take_in(now, input, out);
-        self.on_time(now, out);
-        self.tell_credits(now, out);
-        self.next_deadline = self.earliest_deadline();
+        self.handle_input(now, input, out);
+        self.handle_due_work(now, out);
+        self.announce_credits(now, out);
+        self.next_deadline_ms = self.earliest_deadline_ms();
     }
 
-    fn take_in(&mut self, now: u64, input: Input, out: &mut Vec<Output>) {
+    fn handle_input(&mut self, now: u64, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Services(services) => self.on_services(now, services, out),
             Input::Routes(resolver) => self.on_routes(now, resolver, out),
@@ -105,12 +105,12 @@
             Input::Connected { store } => {
                 let due = self.reports.on_connected(now, store);
                 send_reports(due, out);
-                let barrier = self.doubts.connected(store);
+                let barrier = self.barriers.on_connected(store);
                 out.extend(barrier.map(|number| Output::Barrier { store, number }));
             }
             Input::Deliver { store, id, token, age_ms, failed_attempts, message } => {
-                let received = now as i64 - i64::try_from(age_ms).unwrap_or(i64::MAX);
-                let lease = Lease::new(store, token, message, failed_attempts, received);
+                let received_at_ms = now as i64 - i64::try_from(age_ms).unwrap_or(i64::MAX);
+                let lease = Lease::new(store, token, message, failed_attempts, received_at_ms);
                 self.on_deliver(now, LeaseKey { id, token }, lease, out);
             }
             Input::CallBack { store, id, token, end, message } => {
@@ -122,36 +122,36 @@
             Input::CallBackResult { attempt, result } => {
                 self.on_call_back_result(now, attempt, result, out);
             }
-            Input::ClockStalled => self.on_stood_still(now, out),
-            Input::BarrierReached { store, number } => self.doubts.reached(store, number),
-            Input::ShuttingDown => self.on_leaving(now, out),
+            Input::ClockStalled => self.on_clock_stall(now, out),
+            Input::BarrierReached { store, number } => self.barriers.on_reached(store, number),
+            Input::ShuttingDown => self.on_shutting_down(now, out),
             Input::Tick => {}
         }
     }
 
     fn send_barriers(&mut self, out: &mut Vec<Output>) {
-        let barriers = self.doubts.stood_still().into_iter();
+        let barriers = self.barriers.begin_all().into_iter();
         out.extend(barriers.map(|(store, number)| Output::Barrier { store, number }));
     }
 
     /// What waits here was granted before, and what comes before the barriers are reached may have been.
-    fn on_stood_still(&mut self, now: u64, out: &mut Vec<Output>) {
+    fn on_clock_stall(&mut self, now: u64, out: &mut Vec<Output>) {
         self.send_barriers(out);
-        self.give_back_unsent(now, STALE_MS as u32, out);
+        self.give_back_unsent(now, STALE_GRANTS_MS as u32, out);
     }
 
     /// When [`Input::Tick`] is due, if no input comes before.
     pub fn next_deadline(&self) -> Option<u64> {
-        self.next_deadline
+        self.next_deadline_ms
     }
 
-    fn earliest_deadline(&self) -> Option<u64> {
-        let services = self.services.values().filter_map(ServiceState::next_deadline).min();
+    fn earliest_deadline_ms(&self) -> Option<u64> {
+        let services = self.services.values().filter_map(ServiceState::next_deadline_ms).min();
         let rest = [
             self.reports.next_deadline(),
             self.attempts.next_deadline(),
             self.callbacks.next_deadline(),
-            self.credits.next_deadline(),
+            self.credits.next_deadline_ms(),
         ];
         rest.into_iter().flatten().chain(services).min()
     }
@@ -166,7 +166,7 @@
 
     /// What stores were told last; for a store that connects.
     pub fn credits(&self) -> Vec<ServiceCredit> {
-        self.credits.told()
+        self.credits.announced()
     }
 
     /// Nothing is out, and stores have recorded all ends: the process may stop.
@@ -176,10 +176,10 @@
 
     /// What the decision module has learnt of a service's workers.
     pub fn learned_state(&self, service: &str) -> Option<LearnedState> {
-        self.services.get(service).map(ServiceState::memory)
+        self.services.get(service).map(ServiceState::learned_state)
     }
 
-    fn on_time(&mut self, now: u64, out: &mut Vec<Output>) {
+    fn handle_due_work(&mut self, now: u64, out: &mut Vec<Output>) {
         for id in self.attempts.overdue(now) {
             self.give_up(now, id, out);
         }
@@ -190,12 +190,12 @@
         self.resume_call_backs(now, out);
         let mut decisions = Vec::new();
         for state in self.services.values_mut() {
-            if state.next_deadline().is_some_and(|due| due <= now) {
+            if state.next_deadline_ms().is_some_and(|due| due <= now) {
                 state.tick(now, &mut decisions);
             }
         }
         self.carry_out(now, decisions, out);
-        let due = self.reports.due(now);
+        let due = self.reports.repeat_due(now);
         send_reports(due, out);
     }
 
@@ -211,12 +211,12 @@
         }
     }
 
-    fn tell_credits(&mut self, now: u64, out: &mut Vec<Output>) {
-        let leaving = self.leaving;
+    fn announce_credits(&mut self, now: u64, out: &mut Vec<Output>) {
+        let shutting_down = self.shutting_down;
         let in_force = self.services.iter().filter(|(_, state)| state.is_in_force());
         let limits = in_force.map(|(service, state)| {
-            let limit = if leaving { 0 } else { state.credit() };
-            Limit { service, limit }
+            let limit = if shutting_down { 0 } else { state.credit() };
+            ServiceLimit { service, limit }
         });
         if let Some(credits) = self.credits.update(now, limits) {
             out.push(Output::Credits { credits });
@@ -224,6 +224,6 @@
     }
 }
 
-fn send_reports(due: Vec<Due>, out: &mut Vec<Output>) {
+fn send_reports(due: Vec<OutgoingReport>, out: &mut Vec<Output>) {
     out.extend(due.into_iter().map(|due| Output::Report { store: due.store, message: due.message }));
 }
--- a/system/state/delivery/src/delivery/updates.rs
+++ b/system/state/delivery/src/delivery/updates.rs
@@ -1,7 +1,7 @@
 //! What changes for all messages: services, routes, workers, the end of the process.
 
-use super::{site, Delivery};
-use crate::fleet::Listed;
+use super::{dispatcher_context, Delivery};
+use crate::fleet::ListedWorker;
 use crate::interface::*;
 use crate::reports::LeaseKey;
 use crate::service::{Decision, ServiceState};
@@ -17,25 +17,25 @@
         let in_force: Vec<Arc<str>> =
             services.iter().map(|service| Arc::from(service.name.as_str())).collect();
         for (name, service) in in_force.iter().zip(services) {
-            let (seed, site) = (self.dice.u64(..), self.site);
+            let (seed, dispatcher) = (self.rng.u64(..), self.dispatcher);
             let state = self
                 .services
                 .entry(name.clone())
-                .or_insert_with(|| ServiceState::new(service.clone(), site, seed));
-            state.set_service(now, service, site, &mut decisions);
+                .or_insert_with(|| ServiceState::new(service.clone(), dispatcher, seed));
+            state.set_service(now, service, dispatcher, &mut decisions);
         }
         for (name, state) in &mut self.services {
             state.set_in_force(now, in_force.contains(name), &mut decisions);
         }
-        self.list_workers(now, &mut decisions);
+        self.apply_worker_list(now, &mut decisions);
         self.carry_out(now, decisions, out);
     }
 
     pub(super) fn on_dispatchers(&mut self, now: u64, count: u32, out: &mut Vec<Output>) {
         let mut decisions = Vec::new();
-        self.site = site(&self.configuration, count, self.site.zone);
+        self.dispatcher = dispatcher_context(&self.configuration, count, self.dispatcher.zone);
         for state in self.services.values_mut() {
-            state.set_site(now, self.site, &mut decisions);
+            state.set_dispatcher(now, self.dispatcher, &mut decisions);
         }
         self.carry_out(now, decisions, out);
     }
@@ -46,19 +46,19 @@
         }
         self.workers = list;
         let mut decisions = Vec::new();
-        self.list_workers(now, &mut decisions);
+        self.apply_worker_list(now, &mut decisions);
         self.carry_out(now, decisions, out);
     }
 
-    fn list_workers(&mut self, now: u64, decisions: &mut Vec<Decision>) {
-        let mut by_service = BTreeMap::<&str, Vec<Listed<'_>>>::new();
+    fn apply_worker_list(&mut self, now: u64, decisions: &mut Vec<Decision>) {
+        let mut by_service = BTreeMap::<&str, Vec<ListedWorker<'_>>>::new();
         for entry in &self.workers.workers {
             let next_zone = self.zones.len() as u32;
             let zone = match self.zones.get(&entry.zone) {
                 Some(zone) => *zone,
                 None => *self.zones.entry(entry.zone.clone()).or_insert(next_zone),
             };
-            by_service.entry(&entry.service).or_default().push(Listed { entry, zone });
+            by_service.entry(&entry.service).or_default().push(ListedWorker { entry, zone });
         }
         for (name, state) in &mut self.services {
             let listed = by_service.remove(name.as_ref()).unwrap_or_default();
@@ -71,22 +71,22 @@
         let waiting = self.leases.iter().filter(|(_, lease)| !lease.sent);
         let waiting: Vec<MessageId> = waiting.map(|(id, _)| *id).collect();
         for id in waiting {
-            self.resolve_again(now, id, out);
+            self.update_route(now, id, out);
         }
         self.services.retain(|_, state| state.is_in_force() || !state.is_unused());
     }
 
     /// A message that has not been sent goes where its route leads now.
-    fn resolve_again(&mut self, now: u64, id: MessageId, out: &mut Vec<Output>) {
+    fn update_route(&mut self, now: u64, id: MessageId, out: &mut Vec<Output>) {
         let Some(lease) = self.leases.get_mut(&id).filter(|lease| !lease.sent) else { return };
         let route = self.resolver.as_ref().and_then(|r| r.resolve(&lease.message.host, &lease.message.path));
         if let Some(route) = route.as_ref().filter(|route| route.service == lease.route.service) {
             lease.route = route.clone();
             return;
         }
-        let Some(lease) = self.take_unsent(now, id, out) else { return };
+        let Some(lease) = self.remove_unsent(now, id, out) else { return };
         let key = LeaseKey { id, token: lease.token };
-        self.place(now, key, lease, out);
+        self.offer(now, key, lease, out);
     }
 
     /// Gives back what has not been sent, to be granted again after a pause at the earliest.
@@ -94,17 +94,17 @@
         let waiting = self.leases.iter().filter(|(_, lease)| !lease.sent);
         let waiting: Vec<MessageId> = waiting.map(|(id, _)| *id).collect();
         for id in waiting {
-            let Some(lease) = self.take_unsent(now, id, out) else { continue };
+            let Some(lease) = self.remove_unsent(now, id, out) else { continue };
             let key = LeaseKey { id, token: lease.token };
             self.report(now, lease.store, key, AttemptOutcome::NotRun { retry_after_ms }, out);
         }
     }
 
-    pub(super) fn on_leaving(&mut self, now: u64, out: &mut Vec<Output>) {
-        self.leaving = true;
+    pub(super) fn on_shutting_down(&mut self, now: u64, out: &mut Vec<Output>) {
+        self.shutting_down = true;
         self.give_back_unsent(now, 0, out);
         let mut decisions = Vec::new();
-        self.callbacks.leave(&mut decisions);
+        self.callbacks.shut_down(&mut decisions);
         self.carry_out_call_backs(now, decisions, out);
     }
 }
--- a/system/state/delivery/src/outcome.rs
+++ b/system/state/delivery/src/outcome.rs
@@ -12,8 +12,8 @@
 const UNAVAILABLE: u16 = 503;
 
 /// Pauses (ms) after which the other run of a message may have ended, and after which a worker may have room.
-const CONFLICT_PAUSE_MS: u32 = 100;
-const FULL_PAUSE_MS: u32 = 50;
+const CONFLICT_RETRY_MS: u32 = 100;
+const FULL_RETRY_MS: u32 = 50;
 
 /// What became of the message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,75 +27,88 @@
 
 /// Whether the attempt shows that somebody is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sign {
+pub(crate) enum AnswerKind {
     Answered,
     /// It answered that it has no room.
     Full,
     /// Another process than the one meant.
-    Misnamed,
-    Silent,
+    Misdirected,
+    NoAnswer,
 }
 
 /// The end of an attempt, read.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Reading {
+pub(crate) struct Interpretation {
     pub outcome: Outcome,
     pub verdict: Verdict,
-    pub sign: Sign,
+    pub answer_kind: AnswerKind,
     pub load: Option<Load>,
     /// The message waits so long at least (ms).
-    pub least_pause_ms: u32,
+    pub min_retry_after_ms: u32,
 }
 
 /// Reads the end of an attempt of a message that failed `failed_attempts` times before.
-pub(crate) fn read(result: AttemptResult, failed_attempts: u32) -> Reading {
-    let silent =
-        |outcome, verdict| Reading { outcome, verdict, sign: Sign::Silent, load: None, least_pause_ms: 0 };
+pub(crate) fn interpret(result: AttemptResult, failed_attempts: u32) -> Interpretation {
+    let no_answer = |outcome, verdict| Interpretation {
+        outcome,
+        verdict,
+        answer_kind: AnswerKind::NoAnswer,
+        load: None,
+        min_retry_after_ms: 0,
+    };
     match result {
-        AttemptResult::Answer(answer) => read_answer(answer, failed_attempts),
+        AttemptResult::Answer(answer) => interpret_answer(answer, failed_attempts),
         AttemptResult::NotConnected | AttemptResult::ResetBeforeSent => {
-            silent(Outcome::ConnectError, Verdict::NotRun)
+            no_answer(Outcome::ConnectError, Verdict::NotRun)
         }
-        AttemptResult::TimedOut { connected: false } => silent(Outcome::ConnectError, Verdict::NotRun),
-        AttemptResult::TimedOut { connected: true } => silent(Outcome::TimedOut, Verdict::Unknown),
-        AttemptResult::Reset => silent(Outcome::ResetByPeer, Verdict::Unknown),
-        AttemptResult::InvalidResponse => silent(Outcome::Failed, Verdict::Unknown),
+        AttemptResult::TimedOut { connected: false } => no_answer(Outcome::ConnectError, Verdict::NotRun),
+        AttemptResult::TimedOut { connected: true } => no_answer(Outcome::TimedOut, Verdict::Unknown),
+        AttemptResult::Reset => no_answer(Outcome::ResetByPeer, Verdict::Unknown),
+        AttemptResult::InvalidResponse => no_answer(Outcome::Failed, Verdict::Unknown),
     }
 }
 
-fn read_answer(answer: Answer, failed_attempts: u32) -> Reading {
+fn interpret_answer(answer: Answer, failed_attempts: u32) -> Interpretation {
     let load = answer.load;
-    let reading = |outcome, verdict, sign| Reading { outcome, verdict, sign, load, least_pause_ms: 0 };
+    let interpretation = |outcome, verdict, answer_kind| Interpretation {
+        outcome,
+        verdict,
+        answer_kind,
+        load,
+        min_retry_after_ms: 0,
+    };
     if answer.status == MISDIRECTED {
-        return reading(Outcome::Ignored, Verdict::NotRun, Sign::Misnamed);
+        return interpretation(Outcome::Ignored, Verdict::NotRun, AnswerKind::Misdirected);
     }
     if answer.not_executed {
         return match answer.status {
             // The other run of the message is under way: no fault of the worker.
-            CONFLICT => Reading {
-                least_pause_ms: CONFLICT_PAUSE_MS,
-                ..reading(Outcome::Ignored, Verdict::NotRun, Sign::Answered)
+            CONFLICT => Interpretation {
+                min_retry_after_ms: CONFLICT_RETRY_MS,
+                ..interpretation(Outcome::Ignored, Verdict::NotRun, AnswerKind::Answered)
             },
-            UNAVAILABLE | TOO_MANY => Reading {
-                least_pause_ms: FULL_PAUSE_MS,
-                ..reading(Outcome::QueueFull, Verdict::NotRun, Sign::Full)
+            UNAVAILABLE | TOO_MANY => Interpretation {
+                min_retry_after_ms: FULL_RETRY_MS,
+                ..interpretation(Outcome::QueueFull, Verdict::NotRun, AnswerKind::Full)
             },
-            _ => reading(Outcome::Failed, Verdict::NotRun, Sign::Answered),
+            _ => interpretation(Outcome::Failed, Verdict::NotRun, AnswerKind::Answered),
         };
     }
     // A head alone proves no end: only a whole answer binds both sides.
     if !answer.complete {
-        return reading(Outcome::ResetByPeer, Verdict::Unknown, Sign::Answered);
+        return interpretation(Outcome::ResetByPeer, Verdict::Unknown, AnswerKind::Answered);
     }
     match (answer.status, answer.signature) {
         (200..=299, Some(signature)) => {
-            reading(Outcome::Ok, Verdict::Succeeded { signature }, Sign::Answered)
+            interpretation(Outcome::Ok, Verdict::Succeeded { signature }, AnswerKind::Answered)
         }
         // The message's fault: the worker is as well as before.
-        (REFUSED, _) => reading(Outcome::Ignored, Verdict::Refused, Sign::Answered),
+        (REFUSED, _) => interpretation(Outcome::Ignored, Verdict::Refused, AnswerKind::Answered),
+        (FAILED, _) if failed_attempts > 0 => {
+            interpretation(Outcome::Ignored, Verdict::Failed, AnswerKind::Answered)
+        }
         // So is an attempt that fails once more, probably.
-        (FAILED, _) if failed_attempts > 0 => reading(Outcome::Ignored, Verdict::Failed, Sign::Answered),
-        (FAILED, _) => reading(Outcome::Failed, Verdict::Failed, Sign::Answered),
-        _ => reading(Outcome::Failed, Verdict::Unknown, Sign::Answered),
+        (FAILED, _) => interpretation(Outcome::Failed, Verdict::Failed, AnswerKind::Answered),
+        _ => interpretation(Outcome::Failed, Verdict::Unknown, AnswerKind::Answered),
     }
 }
--- a/system/state/delivery/src/reports.rs
+++ b/system/state/delivery/src/reports.rs
@@ -6,10 +6,10 @@
 
 /// First pause before a report is told again, and the longest (ms): a store's record takes a few syncs, a take-over
 /// of its shard some tenths of a second.
-const REPEAT_FIRST_MS: u64 = 400;
-const REPEAT_MOST_MS: u64 = 3200;
+const INITIAL_REPEAT_INTERVAL_MS: u64 = 400;
+const MAX_REPEAT_INTERVAL_MS: u64 = 3200;
 /// Leases of which it is remembered that their end is recorded, so that a `Deliver` that comes twice runs once.
-const KEPT_RECORDED: usize = 4096;
+const MAX_RECORDED: usize = 4096;
 
 /// One lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,12 +22,12 @@
 struct Report {
     store: StoreId,
     message: FromDispatcher,
-    due: u64,
-    pause: u64,
+    due_ms: u64,
+    interval_ms: u64,
 }
 
 /// A report that is to be sent now.
-pub(crate) struct Due {
+pub(crate) struct OutgoingReport {
     pub store: StoreId,
     pub message: FromDispatcher,
 }
@@ -35,7 +35,7 @@
 /// All reports that are not recorded.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
-    open: BTreeMap<LeaseKey, Report>,
+    unrecorded: BTreeMap<LeaseKey, Report>,
     by_due: BTreeSet<(u64, LeaseKey)>,
     primaries: BTreeMap<ShardId, StoreId>,
     recorded: BTreeMap<MessageId, LeaseToken>,
@@ -44,18 +44,27 @@
 
 impl Reports {
     /// Adds a report and returns where it goes first.
-    pub fn add(&mut self, now: u64, granted_by: StoreId, key: LeaseKey, message: FromDispatcher) -> Due {
+    pub fn add(
+        &mut self,
+        now: u64,
+        granted_by: StoreId,
+        key: LeaseKey,
+        message: FromDispatcher,
+    ) -> OutgoingReport {
         self.remove(key);
         let store = self.primaries.get(&key.id.shard).copied().unwrap_or(granted_by);
-        let due = now + REPEAT_FIRST_MS;
-        self.by_due.insert((due, key));
-        self.open.insert(key, Report { store, message: message.clone(), due, pause: REPEAT_FIRST_MS });
-        Due { store, message }
+        let due_ms = now + INITIAL_REPEAT_INTERVAL_MS;
+        self.by_due.insert((due_ms, key));
+        self.unrecorded.insert(
+            key,
+            Report { store, message: message.clone(), due_ms, interval_ms: INITIAL_REPEAT_INTERVAL_MS },
+        );
+        OutgoingReport { store, message }
     }
 
     fn remove(&mut self, key: LeaseKey) -> Option<Report> {
-        let report = self.open.remove(&key)?;
-        self.by_due.remove(&(report.due, key));
+        let report = self.unrecorded.remove(&key)?;
+        self.by_due.remove(&(report.due_ms, key));
         Some(report)
     }
 
@@ -68,7 +77,7 @@
         let latest = self.recorded.entry(key.id).or_default();
         *latest = key.token.max(*latest);
         self.recorded_order.push_back(key);
-        if self.recorded_order.len() > KEPT_RECORDED {
+        if self.recorded_order.len() > MAX_RECORDED {
             let Some(oldest) = self.recorded_order.pop_front() else { return };
             if self.recorded.get(&oldest.id) == Some(&oldest.token) {
                 self.recorded.remove(&oldest.id);
@@ -79,12 +88,12 @@
     /// The end of this lease, or of a later one, is known already.
     pub fn has_ended(&self, key: LeaseKey) -> bool {
         let recorded = self.recorded.get(&key.id).is_some_and(|token| *token >= key.token);
-        recorded || self.open.contains_key(&key)
+        recorded || self.unrecorded.contains_key(&key)
     }
 
     /// An end of the message (success, or refused for good) that an earlier lease brought and no store has recorded.
     pub fn final_outcome(&self, id: MessageId) -> Option<AttemptOutcome> {
-        self.of(id).find_map(|message| match message {
+        self.for_message(id).find_map(|message| match message {
             FromDispatcher::Attempted { outcome, .. } => match outcome {
                 AttemptOutcome::Succeeded { .. } | AttemptOutcome::Refused => Some(outcome.clone()),
                 _ => None,
@@ -94,56 +103,56 @@
     }
 
     /// The receiver took the call-back under an earlier lease, and no store has recorded that.
-    pub fn is_called_back(&self, id: MessageId) -> bool {
-        self.of(id).any(|message| matches!(message, FromDispatcher::CalledBack { done: true, .. }))
+    pub fn is_call_back_done(&self, id: MessageId) -> bool {
+        self.for_message(id).any(|message| matches!(message, FromDispatcher::CalledBack { done: true, .. }))
     }
 
-    fn of(&self, id: MessageId) -> impl Iterator<Item = &FromDispatcher> + '_ {
+    fn for_message(&self, id: MessageId) -> impl Iterator<Item = &FromDispatcher> + '_ {
         let from = LeaseKey { id, token: LeaseToken(0) };
         let to = LeaseKey { id, token: LeaseToken(u64::MAX) };
-        self.open.range(from..=to).map(|(_, report)| &report.message)
+        self.unrecorded.range(from..=to).map(|(_, report)| &report.message)
     }
 
     /// Reports of a shard go to this store from now on; those that change their address go at once.
-    pub fn set_primary(&mut self, now: u64, shard: ShardId, store: StoreId) -> Vec<Due> {
+    pub fn set_primary(&mut self, now: u64, shard: ShardId, store: StoreId) -> Vec<OutgoingReport> {
         self.primaries.insert(shard, store);
         let moved = |key: &LeaseKey, report: &Report| key.id.shard == shard && report.store != store;
-        self.repeat(now, Some(store), moved)
+        self.repeat_now(now, Some(store), moved)
     }
 
     /// Reports to this store may have been lost.
-    pub fn on_connected(&mut self, now: u64, store: StoreId) -> Vec<Due> {
-        self.repeat(now, None, |_, report| report.store == store)
+    pub fn on_connected(&mut self, now: u64, store: StoreId) -> Vec<OutgoingReport> {
+        self.repeat_now(now, None, |_, report| report.store == store)
     }
 
-    fn repeat(
+    fn repeat_now(
         &mut self,
         now: u64,
         to: Option<StoreId>,
         which: impl Fn(&LeaseKey, &Report) -> bool,
-    ) -> Vec<Due> {
+    ) -> Vec<OutgoingReport> {
         let mut all = Vec::new();
-        for (key, report) in self.open.iter_mut().filter(|(key, report)| which(key, report)) {
-            self.by_due.remove(&(report.due, *key));
+        for (key, report) in self.unrecorded.iter_mut().filter(|(key, report)| which(key, report)) {
+            self.by_due.remove(&(report.due_ms, *key));
             report.store = to.unwrap_or(report.store);
-            report.pause = REPEAT_FIRST_MS;
-            report.due = now + report.pause;
-            self.by_due.insert((report.due, *key));
-            all.push(Due { store: report.store, message: report.message.clone() });
+            report.interval_ms = INITIAL_REPEAT_INTERVAL_MS;
+            report.due_ms = now + report.interval_ms;
+            self.by_due.insert((report.due_ms, *key));
+            all.push(OutgoingReport { store: report.store, message: report.message.clone() });
         }
         all
     }
 
     /// Reports whose pause is over.
-    pub fn due(&mut self, now: u64) -> Vec<Due> {
+    pub fn repeat_due(&mut self, now: u64) -> Vec<OutgoingReport> {
         let mut all = Vec::new();
         while let Some((_, key)) = self.by_due.first().copied().filter(|(due, _)| *due <= now) {
             self.by_due.pop_first();
-            let Some(report) = self.open.get_mut(&key) else { continue };
-            report.pause = (report.pause * 2).min(REPEAT_MOST_MS);
-            report.due = now + report.pause;
-            self.by_due.insert((report.due, key));
-            all.push(Due { store: report.store, message: report.message.clone() });
+            let Some(report) = self.unrecorded.get_mut(&key) else { continue };
+            report.interval_ms = (report.interval_ms * 2).min(MAX_REPEAT_INTERVAL_MS);
+            report.due_ms = now + report.interval_ms;
+            self.by_due.insert((report.due_ms, key));
+            all.push(OutgoingReport { store: report.store, message: report.message.clone() });
         }
         all
     }
@@ -153,10 +162,10 @@
     }
 
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.unrecorded.is_empty()
     }
 
     pub fn keys(&self) -> impl Iterator<Item = LeaseKey> + '_ {
-        self.open.keys().copied()
+        self.unrecorded.keys().copied()
     }
 }
--- a/system/state/delivery/src/service/mod.rs
+++ b/system/state/delivery/src/service/mod.rs
@@ -6,26 +6,26 @@
 mod module;
 mod settings;
 
-use crate::credit::{Bounds, Credit};
-use crate::fleet::{Fleet, Listed, Share};
+use crate::credit::{CreditLimit, LimitBounds};
+use crate::fleet::{ConnectionShare, Fleet, ListedWorker};
 use crate::health::Health;
 use crate::interface::{AttemptId, Service, Target};
-use crate::outcome::{Reading, Sign, Verdict};
+use crate::outcome::{AnswerKind, Interpretation, Verdict};
 use crate::window::Window;
 use fastrand::Rng;
 use millrudder::{Balancer, Event, LearnedState, ListKind, Outcome, RequestId, WorkerId};
 use millrudder_protocol::Address;
-use settings::{report, settings};
+use settings::{module_load, settings};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub(crate) use settings::Site;
+pub(crate) use settings::DispatcherContext;
 
 /// How long a message may wait here for room at a worker (ms); then another dispatcher may have some.
-const HOLD_MS: u64 = 200;
+const MAX_WAIT_MS: u64 = 200;
 /// With a common ceiling each grant has used a permit, which another second may want.
-const HOLD_RATED_MS: u64 = 100;
+const RATE_LIMITED_MAX_WAIT_MS: u64 = 100;
 /// At a dark service, messages wait for the next probe: given back at once, the next one would come instead.
-const HOLD_DARK_MS: u64 = 1500;
+const UNAVAILABLE_MAX_WAIT_MS: u64 = 1500;
 
 /// What comes of an input.
 #[derive(Debug, PartialEq)]
@@ -36,71 +36,71 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct WaitingMessage {
     attempt: AttemptId,
     /// Then it is given back: its store may grant it to another dispatcher soon.
-    until: u64,
+    give_back_at_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Placed {
+struct SentAttempt {
     request: RequestId,
     worker: WorkerId,
 }
 
 /// What was here when an attempt ended, itself included.
 #[derive(Clone, Copy, Debug)]
-struct UnderWay {
-    held: usize,
-    out: usize,
+struct Concurrency {
+    messages: usize,
+    in_flight: usize,
 }
 
 /// One service.
 pub(crate) struct ServiceState {
     service: Service,
     in_force: bool,
-    site: Site,
-    has_completed: bool,
+    dispatcher: DispatcherContext,
+    has_succeeded: bool,
     balancer: Balancer,
     fleet: Fleet,
     health: Health,
-    credit: Credit,
+    credit: CreditLimit,
     window: Window,
     /// The module refused a message lately: none is offered before this.
-    paused_until: u64,
-    dice: Rng,
+    offers_paused_until_ms: u64,
+    rng: Rng,
     next_request: RequestId,
     /// No worker has room for them, oldest first.
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<WaitingMessage>,
     /// The module holds them.
-    asked: BTreeMap<RequestId, Waiting>,
-    out: BTreeMap<AttemptId, Placed>,
+    pending_requests: BTreeMap<RequestId, WaitingMessage>,
+    in_flight: BTreeMap<AttemptId, SentAttempt>,
     /// The module's timers.
     timers: BTreeSet<(u64, u64)>,
     /// What the module is yet to be told, in order.
-    events: VecDeque<Event>,
+    pending_events: VecDeque<Event>,
 }
 
 impl ServiceState {
-    pub fn new(service: Service, site: Site, seed: u64) -> Self {
+    pub fn new(service: Service, dispatcher: DispatcherContext, seed: u64) -> Self {
         ServiceState {
             service,
             in_force: true,
-            site,
-            has_completed: false,
-            balancer: Balancer::new(settings(site, false), seed),
+            dispatcher,
+            has_succeeded: false,
+            balancer: Balancer::new(settings(dispatcher, false), seed),
             fleet: Fleet::default(),
             health: Health::default(),
-            credit: Credit::default(),
+            credit: CreditLimit::default(),
             window: Window::default(),
-            paused_until: 0,
-            dice: Rng::with_seed(seed),
+            offers_paused_until_ms: 0,
+            rng: Rng::with_seed(seed),
             next_request: 0,
             waiting: VecDeque::new(),
-            asked: BTreeMap::new(),
-            out: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             timers: BTreeSet::new(),
-            events: VecDeque::new(),
+            pending_events: VecDeque::new(),
         }
     }
 
@@ -120,25 +120,34 @@
         Some(Target { address: worker.address, instance_id, max_connections: self.fleet.connections() })
     }
 
-    pub fn memory(&self) -> LearnedState {
+    pub fn learned_state(&self) -> LearnedState {
         self.balancer.export()
     }
 
     /// Nothing of it is here.
     pub fn is_unused(&self) -> bool {
-        self.waiting.is_empty() && self.asked.is_empty() && self.out.is_empty()
+        self.waiting.is_empty() && self.pending_requests.is_empty() && self.in_flight.is_empty()
     }
 
     /// Messages granted to one store's dispatcher at the most.
     pub fn credit(&self) -> u32 {
-        self.credit.limit(Bounds { room: self.fleet.room(), dark: self.health.is_dark() })
+        self.credit.limit(LimitBounds {
+            attempt_capacity: self.fleet.attempt_capacity(),
+            unavailable: self.health.is_unavailable(),
+        })
     }
 
     /// The configuration changed.
-    pub fn set_service(&mut self, now: u64, service: Service, site: Site, out: &mut Vec<Decision>) {
+    pub fn set_service(
+        &mut self,
+        now: u64,
+        service: Service,
+        dispatcher: DispatcherContext,
+        out: &mut Vec<Decision>,
+    ) {
         self.service = service;
         self.fleet.set_static(now, self.service.static_endpoint);
-        self.set_site(now, site, out);
+        self.set_dispatcher(now, dispatcher, out);
     }
 
     /// The configuration does not name it any more, or does again.
@@ -146,174 +155,185 @@
         self.in_force = in_force;
         if !in_force {
             self.fleet.set_static(now, None);
-            self.show_all();
-            self.run(now, out);
+            self.push_list();
+            self.run_balancer(now, out);
         }
     }
 
     /// The number of dispatchers changed.
-    pub fn set_site(&mut self, now: u64, site: Site, out: &mut Vec<Decision>) {
+    pub fn set_dispatcher(&mut self, now: u64, dispatcher: DispatcherContext, out: &mut Vec<Decision>) {
         let max_connections = self.service.max_connections;
-        self.fleet.set_share(Share { max_connections, dispatchers: site.dispatchers });
-        self.site = site;
-        self.tell_settings();
-        self.show_all();
-        self.run(now, out);
+        self.fleet.set_share(ConnectionShare { max_connections, dispatchers: dispatcher.dispatchers });
+        self.dispatcher = dispatcher;
+        self.push_settings();
+        self.push_list();
+        self.run_balancer(now, out);
     }
 
     /// The workers that the list names for it.
-    pub fn set_workers(&mut self, now: u64, listed: &[Listed<'_>], out: &mut Vec<Decision>) {
-        let fresh = self.fleet.apply(now, listed);
-        self.show_all();
-        for number in fresh {
+    pub fn set_workers(&mut self, now: u64, listed: &[ListedWorker<'_>], out: &mut Vec<Decision>) {
+        let added = self.fleet.apply(now, listed);
+        self.push_list();
+        for number in added {
             let capacity = self.fleet.worker(number).and_then(|worker| worker.capacity());
             let Some(capacity) = capacity else { continue };
             let load = millrudder::Load { free_slots: Some(f64::from(capacity)), ..Default::default() };
             let (outcome, latency) = (Outcome::Ok, 0.0);
-            self.events.push_back(Event::Probed { worker: number, outcome, latency, load: Some(load) });
+            self.pending_events.push_back(Event::Probed {
+                worker: number,
+                outcome,
+                latency,
+                load: Some(load),
+            });
         }
-        self.run(now, out);
+        self.run_balancer(now, out);
     }
 
-    fn show_all(&mut self) {
-        let entries = self.fleet.show_all();
-        self.events.push_back(Event::List { kind: ListKind::Replace, entries });
+    fn push_list(&mut self) {
+        let entries = self.fleet.update_all();
+        self.pending_events.push_back(Event::List { kind: ListKind::Replace, entries });
     }
 
-    fn show(&mut self, worker: WorkerId) {
-        if let Some(entry) = self.fleet.show(worker) {
-            self.events.push_back(Event::List { kind: ListKind::Update, entries: vec![entry] });
+    fn push_worker_update(&mut self, worker: WorkerId) {
+        if let Some(entry) = self.fleet.update(worker) {
+            self.pending_events.push_back(Event::List { kind: ListKind::Update, entries: vec![entry] });
         }
     }
 
     /// A message is to go to a worker of it.
     pub fn offer(&mut self, now: u64, attempt: AttemptId, out: &mut Vec<Decision>) {
-        let until = now + self.hold_ms();
-        self.waiting.push_back(Waiting { attempt, until });
-        self.run(now, out);
+        let give_back_at_ms = now + self.max_wait_ms();
+        self.waiting.push_back(WaitingMessage { attempt, give_back_at_ms });
+        self.run_balancer(now, out);
     }
 
     /// The message need not be sent any more; nothing happens if it was.
     pub fn withdraw(&mut self, now: u64, attempt: AttemptId, out: &mut Vec<Decision>) {
         self.waiting.retain(|waiting| waiting.attempt != attempt);
-        let asked = self.asked.iter().find(|(_, waiting)| waiting.attempt == attempt);
-        if let Some(id) = asked.map(|(id, _)| *id) {
-            self.asked.remove(&id);
-            self.events.push_back(Event::Lapsed { id });
+        let pending = self.pending_requests.iter().find(|(_, waiting)| waiting.attempt == attempt);
+        if let Some(id) = pending.map(|(id, _)| *id) {
+            self.pending_requests.remove(&id);
+            self.pending_events.push_back(Event::Lapsed { id });
         }
-        self.run(now, out);
+        self.run_balancer(now, out);
     }
 
     /// An attempt ended.
-    pub fn end(
+    pub fn on_attempt_end(
         &mut self,
         now: u64,
         attempt: AttemptId,
-        reading: &Reading,
+        interpretation: &Interpretation,
         latency_ms: f64,
         out: &mut Vec<Decision>,
     ) {
-        let under_way = UnderWay { held: self.held(), out: self.out.len() };
-        let Some(Placed { request, worker }) = self.out.remove(&attempt) else { return };
+        let concurrency = Concurrency { messages: self.message_count(), in_flight: self.in_flight.len() };
+        let Some(SentAttempt { request, worker }) = self.in_flight.remove(&attempt) else { return };
         self.fleet.on_end(worker);
-        self.learn(now, worker, reading, under_way);
-        self.events.push_back(Event::Outcome {
+        self.learn_from_attempt(now, worker, interpretation, concurrency);
+        self.pending_events.push_back(Event::Outcome {
             id: request,
             attempt: 0,
             worker,
-            outcome: reading.outcome,
+            outcome: interpretation.outcome,
             latency: latency_ms,
             closed: true,
-            load: reading.load.map(report),
+            load: interpretation.load.map(module_load),
         });
-        self.show(worker);
-        self.run(now, out);
+        self.push_worker_update(worker);
+        self.run_balancer(now, out);
     }
 
-    fn held(&self) -> usize {
-        self.waiting.len() + self.asked.len() + self.out.len()
+    fn message_count(&self) -> usize {
+        self.waiting.len() + self.pending_requests.len() + self.in_flight.len()
     }
 
-    fn learn(&mut self, now: u64, worker: WorkerId, reading: &Reading, under_way: UnderWay) {
-        match reading.sign {
-            Sign::Misnamed => self.fleet.on_misnamed(now, worker),
-            Sign::Full => self.window.on_full(now, under_way.out),
-            Sign::Answered | Sign::Silent => {}
+    fn learn_from_attempt(
+        &mut self,
+        now: u64,
+        worker: WorkerId,
+        interpretation: &Interpretation,
+        concurrency: Concurrency,
+    ) {
+        match interpretation.answer_kind {
+            AnswerKind::Misdirected => self.fleet.on_misdirected(now, worker),
+            AnswerKind::Full => self.window.on_full(now, concurrency.in_flight),
+            AnswerKind::Answered | AnswerKind::NoAnswer => {}
         }
-        match reading.verdict {
-            Verdict::Succeeded { .. } => self.on_success(now, under_way),
-            Verdict::Refused | Verdict::Failed => self.health.on_useful(),
-            Verdict::NotRun | Verdict::Unknown if reading.sign == Sign::Silent => {
-                let connected = reading.outcome != Outcome::ConnectError;
-                self.health.on_silence(now, connected);
+        match interpretation.verdict {
+            Verdict::Succeeded { .. } => self.on_success(now, concurrency),
+            Verdict::Refused | Verdict::Failed => self.health.on_conclusive(),
+            Verdict::NotRun | Verdict::Unknown if interpretation.answer_kind == AnswerKind::NoAnswer => {
+                let connected = interpretation.outcome != Outcome::ConnectError;
+                self.health.on_no_answer(now, connected);
             }
-            Verdict::NotRun | Verdict::Unknown => self.health.on_useless(now),
+            Verdict::NotRun | Verdict::Unknown => self.health.on_inconclusive(now),
         }
     }
 
-    fn on_success(&mut self, now: u64, under_way: UnderWay) {
+    fn on_success(&mut self, now: u64, concurrency: Concurrency) {
         self.health.on_success();
-        self.window.on_success(now, under_way.out);
+        self.window.on_success(now, concurrency.in_flight);
         if self.waiting.is_empty() {
-            self.credit.on_success(under_way.held);
+            self.credit.on_success(concurrency.messages);
         }
-        self.on_completion();
+        self.enable_warm_up();
     }
 
     /// From the first completion on, coldness counts: before it the module knows no speed to take a share of, and
     /// would send a cold worker nothing at all.
-    fn on_completion(&mut self) {
-        if !std::mem::replace(&mut self.has_completed, true) {
-            self.tell_settings();
+    fn enable_warm_up(&mut self) {
+        if !std::mem::replace(&mut self.has_succeeded, true) {
+            self.push_settings();
         }
     }
 
-    fn tell_settings(&mut self) {
-        let settings = Box::new(settings(self.site, self.has_completed));
-        self.events.push_back(Event::Settings { settings, from: vec![Some(0)] });
+    fn push_settings(&mut self) {
+        let settings = Box::new(settings(self.dispatcher, self.has_succeeded));
+        self.pending_events.push_back(Event::Settings { settings, from: vec![Some(0)] });
     }
 
     /// How long a message waits that was not run here (ms).
-    pub fn retry_after(&mut self, now: u64) -> u32 {
-        self.health.retry_after(now, &mut self.dice)
+    pub fn retry_after_ms(&mut self, now: u64) -> u32 {
+        self.health.retry_after_ms(now, &mut self.rng)
     }
 
     pub fn tick(&mut self, now: u64, out: &mut Vec<Decision>) {
         while let Some((due, token)) = self.timers.first().copied().filter(|(due, _)| *due <= now) {
             self.timers.remove(&(due, token));
-            self.events.push_back(Event::Timer { token });
+            self.pending_events.push_back(Event::Timer { token });
         }
-        for worker in self.fleet.readmit(now) {
-            self.show(worker);
+        for worker in self.fleet.end_misdirected_pauses(now) {
+            self.push_worker_update(worker);
         }
-        self.run(now, out);
+        self.run_balancer(now, out);
     }
 
-    pub fn next_deadline(&self) -> Option<u64> {
+    pub fn next_deadline_ms(&self) -> Option<u64> {
         let timer = self.timers.first().map(|(due, _)| *due);
-        let expiry = self.waiting.iter().map(|waiting| waiting.until).min();
-        let chance = self.next_chance();
-        [timer, expiry, chance, self.fleet.next_deadline()].into_iter().flatten().min()
+        let expiry = self.waiting.iter().map(|waiting| waiting.give_back_at_ms).min();
+        let offer = self.next_offer_ms();
+        [timer, expiry, offer, self.fleet.next_deadline_ms()].into_iter().flatten().min()
     }
 
     /// When time alone lets a waiting message be offered.
-    fn next_chance(&self) -> Option<u64> {
-        if self.waiting.is_empty() || !self.fleet.is_open() {
+    fn next_offer_ms(&self) -> Option<u64> {
+        if self.waiting.is_empty() || !self.fleet.has_any_room() {
             return None;
         }
-        let pause = Some(self.paused_until).filter(|until| *until > 0);
-        if !self.health.is_dark() {
+        let pause = Some(self.offers_paused_until_ms).filter(|until| *until > 0);
+        if !self.health.is_unavailable() {
             return pause;
         }
-        let under_way = !self.out.is_empty() || !self.asked.is_empty();
-        (!under_way).then(|| self.health.next_probe().max(self.paused_until))
+        let attempts_under_way = !self.in_flight.is_empty() || !self.pending_requests.is_empty();
+        (!attempts_under_way).then(|| self.health.next_probe_ms().max(self.offers_paused_until_ms))
     }
 
-    fn hold_ms(&self) -> u64 {
-        match (self.health.is_dark(), self.service.rate_per_s > 0.0) {
-            (true, _) => HOLD_DARK_MS,
-            (false, true) => HOLD_RATED_MS,
-            (false, false) => HOLD_MS,
+    fn max_wait_ms(&self) -> u64 {
+        match (self.health.is_unavailable(), self.service.rate_per_s > 0.0) {
+            (true, _) => UNAVAILABLE_MAX_WAIT_MS,
+            (false, true) => RATE_LIMITED_MAX_WAIT_MS,
+            (false, false) => MAX_WAIT_MS,
         }
     }
 }
--- a/system/state/delivery/src/service/module.rs
+++ b/system/state/delivery/src/service/module.rs
@@ -1,13 +1,13 @@
 //! Between a service and its instance of the decision module: events in, actions out.
 
-use super::{Decision, Placed, ServiceState, Waiting};
+use super::{Decision, SentAttempt, ServiceState, WaitingMessage};
 use crate::interface::AttemptId;
 use millrudder::{Action, Event, Outcome, Request, RequestId, WorkerId};
 
 /// The module gives up on a request this long before its deadline (its look at held requests, and a millisecond).
-const MODULE_MARGIN_MS: f64 = 25.0;
+const BALANCER_MARGIN_MS: f64 = 25.0;
 /// The module always has some time to place a request (ms).
-const PLACE_LEAST_MS: f64 = 25.0;
+const MIN_PLACING_MS: f64 = 25.0;
 /// After the module refused a message, none is offered to it for so long (ms).
 const REFUSED_PAUSE_MS: u64 = 25;
 /// The module's timers are due on this grid (ms): those of several services cost one wake-up.
@@ -15,60 +15,60 @@
 
 impl ServiceState {
     /// Tells the module all that it is to know, and asks it for a worker wherever one has room.
-    pub(super) fn run(&mut self, now: u64, out: &mut Vec<Decision>) {
+    pub(super) fn run_balancer(&mut self, now: u64, out: &mut Vec<Decision>) {
         loop {
-            while let Some(event) = self.events.pop_front() {
-                self.feed(now, event, out);
+            while let Some(event) = self.pending_events.pop_front() {
+                self.handle_event(now, event, out);
             }
-            if !self.ask(now, out) {
+            if !self.offer_next(now, out) {
                 return;
             }
         }
     }
 
     /// Takes a waiting message; false if there is none that anything can be done for.
-    fn ask(&mut self, now: u64, out: &mut Vec<Decision>) -> bool {
+    fn offer_next(&mut self, now: u64, out: &mut Vec<Decision>) -> bool {
         // Before any is sent: after a halt of this process their leases may have gone to others.
-        self.expire(now, out);
-        let under_way = self.out.len() + self.asked.len();
-        if now >= self.paused_until {
-            self.paused_until = 0;
+        self.give_back_expired(now, out);
+        let in_flight_or_pending = self.in_flight.len() + self.pending_requests.len();
+        if now >= self.offers_paused_until_ms {
+            self.offers_paused_until_ms = 0;
         }
-        let paused = self.paused_until > 0 || !self.window.has_room(under_way);
-        if paused || !self.fleet.is_open() || !self.health.may_send(now, under_way) {
+        let paused = self.offers_paused_until_ms > 0 || !self.window.has_room(in_flight_or_pending);
+        if paused || !self.fleet.has_any_room() || !self.health.may_send(now, in_flight_or_pending) {
             return false;
         }
         let Some(waiting) = self.waiting.pop_front() else { return false };
         let request = self.request(now, &waiting);
-        self.asked.insert(request.id, waiting);
-        self.events.push_back(Event::Request(request));
+        self.pending_requests.insert(request.id, waiting);
+        self.pending_events.push_back(Event::Request(request));
         true
     }
 
-    fn expire(&mut self, now: u64, out: &mut Vec<Decision>) {
-        while let Some(at) = self.waiting.iter().position(|waiting| waiting.until <= now) {
+    fn give_back_expired(&mut self, now: u64, out: &mut Vec<Decision>) {
+        while let Some(at) = self.waiting.iter().position(|waiting| waiting.give_back_at_ms <= now) {
             let Some(waiting) = self.waiting.remove(at) else { return };
             self.give_back(now, waiting.attempt, out);
         }
     }
 
-    fn request(&mut self, now: u64, waiting: &Waiting) -> Request {
+    fn request(&mut self, now: u64, waiting: &WaitingMessage) -> Request {
         let id = self.next_request;
         self.next_request += 1;
-        let deadline = (waiting.until as f64).max(now as f64 + PLACE_LEAST_MS) + MODULE_MARGIN_MS;
+        let deadline = (waiting.give_back_at_ms as f64).max(now as f64 + MIN_PLACING_MS) + BALANCER_MARGIN_MS;
         Request { id, class: Some(0), slots: 1.0, deadline, ..Request::default() }
     }
 
     fn give_back(&mut self, now: u64, attempt: AttemptId, out: &mut Vec<Decision>) {
-        if !self.health.is_dark() {
-            self.credit.on_full(now);
+        if !self.health.is_unavailable() {
+            self.credit.on_no_room(now);
         }
-        self.health.on_fruitless(now);
-        let retry_after_ms = self.retry_after(now);
+        self.health.on_no_success(now);
+        let retry_after_ms = self.retry_after_ms(now);
         out.push(Decision::GiveBack { attempt, retry_after_ms });
     }
 
-    fn feed(&mut self, now: u64, event: Event, out: &mut Vec<Decision>) {
+    fn handle_event(&mut self, now: u64, event: Event, out: &mut Vec<Decision>) {
         let mut actions = Vec::new();
         self.balancer.handle(now as f64, event, &mut actions);
         for action in actions {
@@ -91,33 +91,41 @@
     /// It is offered again a little later, while it may wait here: given back at once, the next one would come
     /// instead, and be refused as well.
     fn on_refused(&mut self, now: u64, request: RequestId, out: &mut Vec<Decision>) {
-        let Some(waiting) = self.asked.remove(&request) else { return };
-        if waiting.until <= now {
+        let Some(waiting) = self.pending_requests.remove(&request) else { return };
+        if waiting.give_back_at_ms <= now {
             return self.give_back(now, waiting.attempt, out);
         }
         self.waiting.push_front(waiting);
-        self.paused_until = now + REFUSED_PAUSE_MS;
+        self.offers_paused_until_ms = now + REFUSED_PAUSE_MS;
     }
 
     fn on_send(&mut self, now: u64, request: RequestId, worker: WorkerId, out: &mut Vec<Decision>) {
-        let Some(waiting) = self.asked.remove(&request) else { return };
-        let in_window = self.window.has_room(self.out.len());
-        if !in_window || !self.fleet.has_room(worker) || !self.health.may_send(now, self.out.len()) {
+        let Some(waiting) = self.pending_requests.remove(&request) else { return };
+        let in_window = self.window.has_room(self.in_flight.len());
+        if !in_window || !self.fleet.has_room(worker) || !self.health.may_send(now, self.in_flight.len()) {
             // The module placed several that it held at one time; the worker takes no more of them.
             let (outcome, latency) = (Outcome::Ignored, 0.0);
             let (id, attempt, closed, load) = (request, 0, true, None);
-            self.events.push_back(Event::Outcome { id, attempt, worker, outcome, latency, closed, load });
+            self.pending_events.push_back(Event::Outcome {
+                id,
+                attempt,
+                worker,
+                outcome,
+                latency,
+                closed,
+                load,
+            });
             self.waiting.push_front(waiting);
             return;
         }
-        self.out.insert(waiting.attempt, Placed { request, worker });
+        self.in_flight.insert(waiting.attempt, SentAttempt { request, worker });
         self.fleet.on_send(worker);
-        self.show(worker);
+        self.push_worker_update(worker);
         out.push(Decision::Send { attempt: waiting.attempt, worker });
     }
 
     fn close_idle(&mut self, number: WorkerId, out: &mut Vec<Decision>) {
-        if let Some(address) = self.fleet.close_idle(number) {
+        if let Some(address) = self.fleet.take_idle_close(number) {
             out.push(Decision::CloseIdle { address });
         }
     }
--- a/system/state/delivery/tests/callbacks.rs
+++ b/system/state/delivery/tests/callbacks.rs
@@ -45,10 +45,10 @@
     fixture.input(Input::CallBackResult { attempt, result });
 }
 
-const TAKEN: CallBackResult = CallBackResult::Answer { status: 200 };
+const ACCEPTED: CallBackResult = CallBackResult::Answer { status: 200 };
 
 #[test]
-fn the_receiver_is_told_id_state_and_signature() {
+fn a_call_back_has_id_state_and_signature() {
     let mut fixture = Fixture::new(1);
     grant(&mut fixture, 1, 1, completed(), URL);
     let [Output::SendCallBack { attempt, url, body, timeout_ms: 2000 }] = &fixture.out[..] else {
@@ -59,7 +59,7 @@
     assert_eq!(url.path, "/done?x=1");
     assert_eq!((body.instance_id.as_str(), body.state), ("r-1", CallBackState::Completed));
     assert_eq!(body.signature, "s");
-    end(&mut fixture, attempt, TAKEN);
+    end(&mut fixture, attempt, ACCEPTED);
     assert_eq!(called_back(&fixture.out), [CalledBack { unique: 1, done: true, retry_after_ms: 0 }]);
 }
 
@@ -72,12 +72,12 @@
 }
 
 #[test]
-fn it_is_told_until_recorded_and_held_until_then() {
+fn a_call_back_is_reported_and_its_lease_stays_active_until_recorded() {
     let mut fixture = Fixture::new(1);
     grant(&mut fixture, 1, 1, completed(), URL);
     assert_eq!(fixture.delivery.active_leases(|_| true).len(), 1);
     let attempt = sends(&fixture.out)[0];
-    end(&mut fixture, attempt, TAKEN);
+    end(&mut fixture, attempt, ACCEPTED);
     assert!(!called_back(&fixture.pass(2000)).is_empty());
     assert!(!fixture.delivery.is_idle());
     fixture.input(Input::Primary { shard: id(1).shard, store: StoreId(9) });
@@ -89,18 +89,18 @@
 }
 
 #[test]
-fn one_that_was_taken_and_is_not_recorded_is_not_sent_again() {
+fn an_accepted_call_back_is_not_sent_again_before_it_is_recorded() {
     let mut fixture = Fixture::new(1);
     grant(&mut fixture, 1, 1, completed(), URL);
     let attempt = sends(&fixture.out)[0];
-    end(&mut fixture, attempt, TAKEN);
+    end(&mut fixture, attempt, ACCEPTED);
     grant(&mut fixture, 1, 2, completed(), URL);
     assert!(sends(&fixture.out).is_empty());
     assert!(called_back(&fixture.out)[0].done);
 }
 
 #[test]
-fn two_are_out_at_one_receiver_at_the_most() {
+fn at_most_two_call_backs_are_in_flight_to_a_new_receiver() {
     let mut fixture = Fixture::new(1);
     let mut out = Vec::new();
     for unique in 0..5 {
@@ -108,46 +108,46 @@
         out.extend(sends(&fixture.out));
     }
     assert_eq!(out.len(), 2);
-    end(&mut fixture, out[0], TAKEN);
+    end(&mut fixture, out[0], ACCEPTED);
     assert_eq!(sends(&fixture.out).len(), 1);
 }
 
 #[test]
-fn too_many_for_one_receiver_are_given_back() {
+fn call_backs_beyond_the_waiting_limit_of_a_receiver_are_given_back() {
     let mut fixture = Fixture::new(1);
     (0..200).for_each(|unique| grant(&mut fixture, unique, 1, completed(), URL));
-    let back = called_back(&fixture.out);
-    assert!(!back[0].done && back[0].retry_after_ms > 0);
+    let given_back = called_back(&fixture.out);
+    assert!(!given_back[0].done && given_back[0].retry_after_ms > 0);
 }
 
 #[test]
-fn a_receiver_that_is_down_gets_less_and_less_and_is_used_again_after_one_success() {
+fn a_receiver_that_is_down_is_retried_after_growing_pauses_and_with_one_call_back() {
     let mut fixture = Fixture::new(1);
     let mut pauses = Vec::new();
     for round in 1..=6 {
         grant(&mut fixture, 1, round, completed(), URL);
         let attempt = sends(&fixture.out)[0];
         end(&mut fixture, attempt, CallBackResult::Failed);
-        let back = called_back(&fixture.out);
-        assert!(!back[0].done);
-        pauses.push(back[0].retry_after_ms);
+        let given_back = called_back(&fixture.out);
+        assert!(!given_back[0].done);
+        pauses.push(given_back[0].retry_after_ms);
         fixture.recorded(1, round);
         grant(&mut fixture, 2, round, completed(), URL);
         let other = called_back(&fixture.out);
         assert!(!other[0].done && other[0].retry_after_ms > 0, "not tried meanwhile");
         fixture.recorded(2, round);
-        fixture.now += u64::from(back[0].retry_after_ms);
+        fixture.now += u64::from(given_back[0].retry_after_ms);
     }
     assert!(pauses[0] <= 300 && pauses[5] >= 3000 && pauses[5] <= 5000, "{pauses:?}");
     grant(&mut fixture, 1, 9, completed(), URL);
     grant(&mut fixture, 2, 9, completed(), URL);
     grant(&mut fixture, 3, 9, completed(), URL);
     let attempts = sends(&fixture.out);
-    assert!(attempts.is_empty(), "one alone after failures");
+    assert!(attempts.is_empty(), "only one call-back is in flight after failures");
 }
 
 #[test]
-fn after_a_success_the_rest_goes() {
+fn after_a_success_waiting_call_backs_are_sent() {
     let mut fixture = Fixture::new(1);
     grant(&mut fixture, 1, 1, completed(), URL);
     let attempt = sends(&fixture.out)[0];
@@ -158,7 +158,7 @@
     grant(&mut fixture, 3, 1, completed(), URL);
     grant(&mut fixture, 4, 1, completed(), URL);
     assert!(sends(&fixture.out).is_empty());
-    end(&mut fixture, attempt, TAKEN);
+    end(&mut fixture, attempt, ACCEPTED);
     assert_eq!(sends(&fixture.out).len(), 2);
 }
 
@@ -171,31 +171,31 @@
 }
 
 #[test]
-fn a_refused_call_back_comes_again_and_does_not_close_its_receiver() {
+fn a_refused_call_back_is_retried_and_does_not_mark_its_receiver_down() {
     let mut fixture = Fixture::new(1);
     grant(&mut fixture, 1, 1, completed(), URL);
     let attempt = sends(&fixture.out)[0];
     end(&mut fixture, attempt, CallBackResult::Answer { status: 400 });
-    let back = called_back(&fixture.out);
-    assert!(!back[0].done && back[0].retry_after_ms >= 1000);
+    let given_back = called_back(&fixture.out);
+    assert!(!given_back[0].done && given_back[0].retry_after_ms >= 1000);
     grant(&mut fixture, 2, 1, completed(), URL);
     assert_eq!(sends(&fixture.out).len(), 1);
 }
 
 #[test]
-fn one_of_which_the_shell_tells_no_end_has_failed() {
+fn an_attempt_without_a_result_counts_as_failed() {
     let mut fixture = Fixture::new(1);
     grant(&mut fixture, 1, 1, completed(), URL);
     let attempt = sends(&fixture.out)[0];
     let out = fixture.pass(3000);
     assert!(out.contains(&Output::CancelAttempt { attempt }));
     assert!(!called_back(&out)[0].done);
-    end(&mut fixture, attempt, TAKEN);
+    end(&mut fixture, attempt, ACCEPTED);
     assert!(fixture.out.is_empty(), "too late");
 }
 
 #[test]
-fn a_url_that_names_no_address_is_not_owed() {
+fn a_call_back_to_an_unusable_url_is_reported_as_done() {
     for url in ["", "ftp://10.0.0.1/x", "http:///x", "http://nowhere.example/x", "http://10.0.0.1:99999/x"] {
         let mut fixture = Fixture::new(1);
         grant(&mut fixture, 1, 1, completed(), url);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn on_leaving_what_waits_is_given_back() {
+fn on_shutdown_waiting_call_backs_are_given_back() {
     let mut fixture = Fixture::new(1);
     (0..4).for_each(|unique| grant(&mut fixture, unique, 1, completed(), URL));
     fixture.input(Input::ShuttingDown);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_revoked_call_back_that_waits_is_not_sent() {
+fn a_waiting_call_back_whose_lease_is_revoked_is_dropped() {
     let mut fixture = Fixture::new(1);
     (0..3).for_each(|unique| grant(&mut fixture, unique, 1, completed(), URL));
     fixture.input(Input::Revoke { store: STORE, id: id(2), token: LeaseToken(1) });
@@ -234,7 +234,7 @@
 }
 
 /// Gives five call-backs; those that are out.
-fn five(fixture: &mut Fixture) -> Vec<AttemptId> {
+fn grant_five(fixture: &mut Fixture) -> Vec<AttemptId> {
     let mut out = Vec::new();
     for unique in 0..5 {
         grant(fixture, unique, 1, completed(), URL);
@@ -244,20 +244,20 @@
 }
 
 #[test]
-fn a_reset_is_no_failure_and_the_same_call_back_goes_again_soon() {
+fn after_a_reset_the_same_call_back_is_sent_again_soon() {
     let mut fixture = Fixture::new(1);
     grant(&mut fixture, 1, 1, completed(), URL);
     let attempt = sends(&fixture.out)[0];
     end(&mut fixture, attempt, CallBackResult::Reset);
-    assert!(called_back(&fixture.out).is_empty(), "its store is not troubled");
+    assert!(called_back(&fixture.out).is_empty(), "not given back to its store");
     assert!(sends(&fixture.out).is_empty(), "not at once");
     assert_eq!(sends(&fixture.pass(100)).len(), 1);
 }
 
 #[test]
-fn resets_leave_fewer_out_at_a_time_and_successes_more() {
+fn resets_reduce_the_call_backs_in_flight_and_successes_raise_them() {
     let mut fixture = Fixture::new(1);
-    let out = five(&mut fixture);
+    let out = grant_five(&mut fixture);
     end(&mut fixture, out[0], CallBackResult::Reset);
     end(&mut fixture, out[1], CallBackResult::Reset);
     let again = sends(&fixture.pass(200));
@@ -267,13 +267,13 @@
         grant(&mut fixture, unique, 1, completed(), URL);
         out.extend(sends(&fixture.out));
     }
-    let mut most = 0;
+    let mut max_in_flight = 0;
     while let Some(attempt) = out.pop() {
-        end(&mut fixture, attempt, TAKEN);
+        end(&mut fixture, attempt, ACCEPTED);
         out.extend(sends(&fixture.out));
-        most = most.max(out.len());
+        max_in_flight = max_in_flight.max(out.len());
     }
-    assert!(most > 3, "{most}");
+    assert!(max_in_flight > 3, "{max_in_flight}");
 }
 
 #[test]
@@ -293,9 +293,9 @@
 }
 
 #[test]
-fn what_waits_for_a_pause_is_given_back_by_one_that_leaves() {
+fn on_shutdown_call_backs_that_wait_for_a_pause_are_given_back() {
     let mut fixture = Fixture::new(1);
-    let out = five(&mut fixture);
+    let out = grant_five(&mut fixture);
     end(&mut fixture, out[0], CallBackResult::Reset);
     fixture.input(Input::ShuttingDown);
     assert_eq!(called_back(&fixture.out).len(), 4);
--- a/system/state/delivery/tests/common/mod.rs
+++ b/system/state/delivery/tests/common/mod.rs
@@ -195,11 +195,11 @@
     pub fn pass(&mut self, ms: u64) -> Vec<Output> {
         let (end, mut all) = (self.now + ms, Vec::new());
         while let Some(due) = self.delivery.next_deadline().filter(|due| *due <= end) {
-            assert!(due > self.now || !all.is_empty() || due == self.now, "deadlines lie ahead");
+            assert!(due > self.now || !all.is_empty() || due == self.now, "a deadline in the past");
             self.now = self.now.max(due);
             let before = self.delivery.next_deadline();
             all.extend(self.input(Input::Tick).to_vec());
-            assert!(self.delivery.next_deadline() != before, "a deadline that passed is done with");
+            assert!(self.delivery.next_deadline() != before, "a handled deadline is not returned again");
         }
         self.now = end;
         self.out = all.clone();
@@ -227,7 +227,7 @@
 
     pub fn credit(&self, service: &str) -> u32 {
         let credit = |credit: &&ServiceCredit| credit.service == service;
-        self.delivery.credits().iter().find(credit).expect("told").limit
+        self.delivery.credits().iter().find(credit).expect("announced").limit
     }
 
     pub fn closed(&self) -> Vec<Address> {
--- a/system/state/delivery/tests/index.rs
+++ b/system/state/delivery/tests/index.rs
@@ -13,12 +13,12 @@
 const CAPACITY: u32 = 4;
 const WORKERS: u16 = 5;
 /// Time constant of the arrival rate (ms), jobs that stand before a worker's own, share of the step (`src/rules.rs`).
-const ARRIVAL_MS: f64 = 5000.0;
+const ARRIVAL_TIME_CONSTANT_MS: f64 = 5000.0;
 const PRIOR_JOBS: f64 = 2.0;
 const STEP_SHARE: f64 = 0.1;
 const ARRIVALS_REMEMBERED: f64 = 200.0;
 /// Work of a message while none has been completed (ms).
-const AIM_MS: f64 = 1000.0;
+const DEFAULT_WORK_MS: f64 = 1000.0;
 
 fn rate((work, time): (f64, f64)) -> Option<f64> {
     (work > 0.0 && time > 0.0).then(|| work / time)
@@ -32,34 +32,35 @@
 /// Index of each worker at its present count, when one more message arrives at `now`. `usual_before`: the kind's speed
 /// when this was last reckoned, which the length of the step still rests on.
 fn indices(
-    memory: &LearnedState,
+    learned: &LearnedState,
     now: f64,
     counts: &BTreeMap<u32, f64>,
-    usual_before: &mut f64,
+    kind_speed_before: &mut f64,
 ) -> BTreeMap<u32, f64> {
-    let arrivals = memory.arrivals.0 * (-(now - memory.arrivals.1) / ARRIVAL_MS).exp() + 1.0;
-    let seen = (now - memory.started_at.unwrap_or(now)).max(1.0);
-    let arrival_rate = arrivals / (ARRIVAL_MS * (1.0 - (-seen / ARRIVAL_MS).exp()));
-    let work = rate(memory.class_time[0]).or(rate(memory.mean_work)).unwrap_or(AIM_MS);
+    let arrivals = learned.arrivals.0 * (-(now - learned.arrivals.1) / ARRIVAL_TIME_CONSTANT_MS).exp() + 1.0;
+    let seen = (now - learned.started_at.unwrap_or(now)).max(1.0);
+    let arrival_rate =
+        arrivals / (ARRIVAL_TIME_CONSTANT_MS * (1.0 - (-seen / ARRIVAL_TIME_CONSTANT_MS).exp()));
+    let work = rate(learned.class_time[0]).or(rate(learned.mean_work)).unwrap_or(DEFAULT_WORK_MS);
     let keep = 1.0 - 1.0 / ARRIVALS_REMEMBERED;
-    let mean_work = (memory.mean_work.0 * keep + work) / (memory.mean_work.1 * keep + 1.0);
-    let kind = memory.kinds.iter().find(|kind| rate(kind.speed).is_some());
-    let usual = kind.and_then(|kind| rate(kind.speed)).or(rate(memory.all_speed)).unwrap_or(1.0);
-    let speed = |worker: &LearnedWorker, usual: f64| {
+    let mean_work = (learned.mean_work.0 * keep + work) / (learned.mean_work.1 * keep + 1.0);
+    let kind = learned.kinds.iter().find(|kind| rate(kind.speed).is_some());
+    let kind_speed = kind.and_then(|kind| rate(kind.speed)).or(rate(learned.all_speed)).unwrap_or(1.0);
+    let speed = |worker: &LearnedWorker, kind_speed: f64| {
         let prior = PRIOR_JOBS * mean_work;
-        (worker.speed.0 + prior) / (worker.speed.1 + prior / usual)
+        (worker.speed.0 + prior) / (worker.speed.1 + prior / kind_speed)
     };
-    let before = std::mem::replace(usual_before, usual);
-    let able = memory.workers.iter().filter(|worker| !is_full(counts, worker.id));
-    let speeds = able.map(|worker| speed(worker, before) / mean_work);
+    let before = std::mem::replace(kind_speed_before, kind_speed);
+    let open_workers = learned.workers.iter().filter(|worker| !is_full(counts, worker.id));
+    let speeds = open_workers.map(|worker| speed(worker, before) / mean_work);
     let fastest = speeds.fold(arrival_rate, f64::max);
     let step = STEP_SHARE / fastest;
     let index = |worker: &LearnedWorker| {
-        let q = (speed(worker, usual) / mean_work * step).min(1.0);
+        let q = (speed(worker, kind_speed) / mean_work * step).min(1.0);
         let n = counts.get(&worker.id).copied().unwrap_or(0.0) / f64::from(CAPACITY);
         (worker.id, whittle_index(arrival_rate * step, q, n))
     };
-    memory.workers.iter().map(index).collect()
+    learned.workers.iter().map(index).collect()
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -98,7 +99,7 @@
         fixture.routes(vec![Route { prefix: "/a", service: LISTED, timeout_ms: 600_000 }]);
         fixture.workers(entries());
         let mut out: BTreeMap<u32, VecDeque<AttemptId>> = BTreeMap::new();
-        let mut usual = 1.0;
+        let mut kind_speed = 1.0;
         for (unique, step) in steps.into_iter().enumerate() {
             fixture.pass(gap);
             match step {
@@ -110,8 +111,8 @@
                     if out.values().map(VecDeque::len).sum::<usize>() >= usize::from(WORKERS) * 2 * CAPACITY as usize {
                         continue;
                     }
-                    let memory = fixture.delivery.learned_state(LISTED).unwrap();
-                    let indices = indices(&memory, fixture.now as f64, &counts, &mut usual);
+                    let learned = fixture.delivery.learned_state(LISTED).unwrap();
+                    let indices = indices(&learned, fixture.now as f64, &counts, &mut kind_speed);
                     let best = indices.iter().filter(|(number, _)| !is_full(&counts, **number)).map(|(_, index)| *index);
                     let best = best.fold(f64::NEG_INFINITY, f64::max);
                     let sent = fixture.send(unique as u64, 1, "/a");
@@ -124,8 +125,8 @@
                     let number = u32::from(worker) - 1;
                     let Some(attempt) = out.get_mut(&number).and_then(VecDeque::pop_front) else { continue };
                     let elapsed_ms = 40 * slowness[usize::from(worker) - 1];
-                    let whole = Answer { signature: Some("s".into()), elapsed_ms, ..answer(200) };
-                    fixture.end(attempt, AttemptResult::Answer(whole));
+                    let complete = Answer { signature: Some("s".into()), elapsed_ms, ..answer(200) };
+                    fixture.end(attempt, AttemptResult::Answer(complete));
                 }
             }
         }
@@ -133,17 +134,17 @@
 }
 
 #[test]
-fn a_slow_worker_holds_fewer_messages() {
+fn a_slow_worker_gets_fewer_messages() {
     let mut fixture = Fixture::new(2);
-    let mut held = [0u32; 2];
+    let mut messages_by_worker = [0u32; 2];
     for unique in 0..200 {
         let sent = fixture.send(unique, 1, "/a");
         let slow = sent.worker.address == worker(2).address;
-        held[usize::from(slow)] += 1;
+        messages_by_worker[usize::from(slow)] += 1;
         fixture.now += 10;
         let elapsed_ms = if slow { 400 } else { 40 };
-        let whole = Answer { signature: Some("s".into()), elapsed_ms, ..answer(200) };
-        fixture.end(sent.attempt, AttemptResult::Answer(whole));
+        let complete = Answer { signature: Some("s".into()), elapsed_ms, ..answer(200) };
+        fixture.end(sent.attempt, AttemptResult::Answer(complete));
     }
-    assert!(held[0] > 3 * held[1], "{held:?}");
+    assert!(messages_by_worker[0] > 3 * messages_by_worker[1], "{messages_by_worker:?}");
 }
--- a/system/state/delivery/tests/leases.rs
+++ b/system/state/delivery/tests/leases.rs
@@ -6,12 +6,12 @@
 use millrudder_protocol::store::{ActiveLease, AttemptOutcome};
 use millrudder_protocol::{LeaseToken, ShardId, StoreId};
 
-fn held(fixture: &Fixture) -> Vec<ActiveLease> {
+fn active_leases(fixture: &Fixture) -> Vec<ActiveLease> {
     fixture.delivery.active_leases(|_| true)
 }
 
 #[test]
-fn an_end_is_told_until_it_is_recorded() {
+fn an_end_is_reported_until_it_is_recorded() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     fixture.end(sent.attempt, success());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn ends_go_to_the_present_primary() {
+fn ends_are_reported_to_the_current_primary() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     fixture.end(sent.attempt, success());
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_store_that_connects_again_is_told_at_once() {
+fn reports_are_repeated_at_once_on_a_new_connection() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     fixture.end(sent.attempt, success());
@@ -52,20 +52,20 @@
 }
 
 #[test]
-fn leases_are_held_until_their_end_is_recorded() {
+fn leases_stay_active_until_their_end_is_recorded() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 5, "/a");
     let lease = ActiveLease { id: id(1), token: LeaseToken(5) };
-    assert_eq!(held(&fixture), [lease]);
+    assert_eq!(active_leases(&fixture), [lease]);
     assert!(fixture.delivery.active_leases(|shard| shard == ShardId(9)).is_empty());
     fixture.end(sent.attempt, success());
-    assert_eq!(held(&fixture), [lease]);
+    assert_eq!(active_leases(&fixture), [lease]);
     fixture.recorded(1, 5);
-    assert!(held(&fixture).is_empty());
+    assert!(active_leases(&fixture).is_empty());
 }
 
 #[test]
-fn a_grant_that_comes_twice_is_sent_once() {
+fn a_grant_that_arrives_twice_is_sent_once() {
     let mut fixture = Fixture::new(2);
     let sent = fixture.send(1, 1, "/a");
     fixture.deliver(1, 1, "/a");
@@ -75,11 +75,11 @@
     assert!(fixture.sent().is_none());
     fixture.recorded(1, 1);
     fixture.deliver(1, 1, "/a");
-    assert!(fixture.sent().is_none(), "also once it is recorded");
+    assert!(fixture.sent().is_none(), "not even after it is recorded");
 }
 
 #[test]
-fn a_message_that_is_out_goes_on_under_a_later_lease() {
+fn an_attempt_in_flight_goes_on_under_a_later_lease() {
     let mut fixture = Fixture::new(2);
     let sent = fixture.send(1, 1, "/a");
     fixture.deliver(1, 2, "/a");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_success_that_is_not_recorded_answers_a_later_lease() {
+fn an_unrecorded_success_answers_a_later_lease() {
     let mut fixture = Fixture::new(2);
     let sent = fixture.send(1, 1, "/a");
     fixture.end(sent.attempt, success());
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_failure_that_is_not_recorded_does_not() {
+fn an_unrecorded_failure_does_not_answer_a_later_lease() {
     let mut fixture = Fixture::new(2);
     let sent = fixture.send(1, 1, "/a");
     fixture.end(sent.attempt, AttemptResult::Answer(answer(500)));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn records_of_two_leases_may_come_in_any_order() {
+fn two_leases_may_be_confirmed_as_recorded_in_any_order() {
     let mut fixture = Fixture::new(2);
     for token in [1, 2] {
         let sent = fixture.send(1, token, "/a");
@@ -124,13 +124,13 @@
 }
 
 #[test]
-fn what_lies_unread_during_a_halt_is_given_back() {
+fn grants_that_lay_unread_during_a_process_stall_are_given_back() {
     let mut fixture = Fixture::new(1);
     let out: Vec<Sent> = (0..8).map(|unique| fixture.send(unique, 1, "/a")).collect();
     fixture.deliver(8, 1, "/a");
     fixture.now += 1500;
     fixture.end(out[0].attempt, success());
-    assert!(fixture.sent().is_none(), "what waited is not sent");
+    assert!(fixture.sent().is_none(), "the waiting message is not sent");
     let ends = fixture.reported();
     assert_eq!(ends.len(), 2);
     assert!(ends.iter().any(|end| end.id == id(8) && matches!(end.outcome, AttemptOutcome::NotRun { .. })));
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn after_a_standstill_nothing_is_sent_before_the_store_has_answered() {
+fn after_a_clock_stall_nothing_is_sent_before_the_store_answers_the_barrier() {
     let mut fixture = Fixture::new(1);
     fixture.input(Input::Connected { store: STORE });
     fixture.input(Input::ClockStalled);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn an_answer_to_an_earlier_barrier_or_of_another_store_ends_no_doubt() {
+fn answers_to_an_earlier_barrier_or_of_another_store_do_not_count() {
     let mut fixture = Fixture::new(1);
     fixture.input(Input::Connected { store: STORE });
     fixture.input(Input::ClockStalled);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn what_waits_for_a_worker_is_given_back_after_a_standstill_and_what_is_out_goes_on() {
+fn after_a_clock_stall_waiting_messages_are_given_back_and_attempts_in_flight_go_on() {
     let mut fixture = Fixture::new(1);
     let out: Vec<Sent> = (0..8).map(|unique| fixture.send(unique, 1, "/a")).collect();
     fixture.deliver(8, 1, "/a");
@@ -199,18 +199,18 @@
 }
 
 #[test]
-fn a_revoked_lease_that_waits_is_never_sent() {
+fn a_waiting_message_whose_lease_is_revoked_is_never_sent() {
     let mut fixture = Fixture::new(0);
     fixture.deliver(1, 1, "/a");
     fixture.input(Input::Revoke { store: STORE, id: id(1), token: LeaseToken(1) });
-    assert!(fixture.out.is_empty() && held(&fixture).is_empty());
+    assert!(fixture.out.is_empty() && active_leases(&fixture).is_empty());
     fixture.workers(vec![worker(1)]);
     assert!(fixture.sent().is_none());
     assert!(fixture.delivery.is_idle());
 }
 
 #[test]
-fn a_revoked_lease_that_is_out_still_tells_its_end() {
+fn an_attempt_whose_lease_is_revoked_still_reports_its_end() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     fixture.input(Input::Revoke { store: STORE, id: id(1), token: LeaseToken(1) });
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn an_attempt_of_which_the_shell_tells_no_end_is_given_up() {
+fn an_attempt_without_a_result_is_given_up() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     let out = fixture.pass(u64::from(sent.answer_timeout_ms) + 1000);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_success_after_that_still_counts() {
+fn a_success_after_an_attempt_was_given_up_counts() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     fixture.pass(u64::from(sent.answer_timeout_ms) + 1000);
@@ -246,11 +246,11 @@
     fixture.end(sent.attempt, success());
     assert_eq!(fixture.outcome(), succeeded());
     fixture.deliver(1, 2, "/a");
-    assert!(fixture.sent().is_none(), "not run again by us before it is recorded");
+    assert!(fixture.sent().is_none(), "not sent again before the success is recorded");
 }
 
 #[test]
-fn a_success_after_that_stops_the_next_lease_before_it_is_sent() {
+fn a_success_after_an_attempt_was_given_up_answers_the_next_lease_before_it_is_sent() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     fixture.pass(u64::from(sent.answer_timeout_ms) + 1000);
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_late_end_of_another_kind_tells_nothing() {
+fn a_late_result_other_than_success_is_ignored() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     fixture.pass(u64::from(sent.answer_timeout_ms) + 1000);
@@ -273,14 +273,17 @@
 }
 
 #[test]
-fn on_leaving_what_waits_is_given_back_and_what_is_out_goes_on() {
+fn on_shutdown_waiting_messages_are_given_back_and_attempts_in_flight_go_on() {
     let mut fixture = Fixture::new(1);
     let sent: Vec<Sent> = (0..8).map(|unique| fixture.send(unique, 1, "/a")).collect();
     fixture.deliver(8, 1, "/a");
     fixture.input(Input::ShuttingDown);
-    let back = fixture.reported();
-    assert_eq!(back.len(), 1);
-    assert_eq!((back[0].id, &back[0].outcome), (id(8), &AttemptOutcome::NotRun { retry_after_ms: 0 }));
+    let given_back = fixture.reported();
+    assert_eq!(given_back.len(), 1);
+    assert_eq!(
+        (given_back[0].id, &given_back[0].outcome),
+        (id(8), &AttemptOutcome::NotRun { retry_after_ms: 0 })
+    );
     assert!(fixture.delivery.credits().iter().all(|credit| credit.limit == 0));
     fixture.deliver(9, 1, "/a");
     assert_eq!(fixture.outcome(), AttemptOutcome::NotRun { retry_after_ms: 0 });
--- a/system/state/delivery/tests/load.rs
+++ b/system/state/delivery/tests/load.rs
@@ -17,9 +17,9 @@
 
 /// A message in the store's queue.
 #[derive(Clone, Copy)]
-struct Queued {
+struct QueuedMessage {
     unique: u64,
-    due: u64,
+    due_ms: u64,
 }
 
 struct Run {
@@ -38,13 +38,13 @@
     queue: VecDeque<Run>,
 }
 
-struct Site {
+struct Simulation {
     now: u64,
     path: &'static str,
     service: &'static str,
     dispatchers: Vec<Delivery>,
     workers: BTreeMap<Address, Worker>,
-    queue: Vec<Queued>,
+    queue: Vec<QueuedMessage>,
     granted: Vec<usize>,
     /// When each message came, and how often it was granted.
     messages: BTreeMap<u64, (u64, u64)>,
@@ -52,12 +52,12 @@
     waits: Vec<(u64, u64)>,
     grants: usize,
     sends: usize,
-    dice: Rng,
+    rng: Rng,
 }
 
-impl Site {
+impl Simulation {
     fn new(dispatchers: u32, path: &'static str, service: &'static str) -> Self {
-        let mut site = Site {
+        let mut simulation = Simulation {
             now: 1000,
             path,
             service,
@@ -69,38 +69,39 @@
             waits: Vec::new(),
             grants: 0,
             sends: 0,
-            dice: Rng::with_seed(3),
+            rng: Rng::with_seed(3),
         };
         for seed in 0..dispatchers {
             let zone = "here".into();
             let configuration =
                 Configuration { zone, seed: seed.into(), dispatchers, ..Configuration::default() };
-            site.dispatchers.push(Delivery::new(configuration));
+            simulation.dispatchers.push(Delivery::new(configuration));
         }
-        site.all(|| Input::Services(vec![listed_service(), static_service()]));
-        site.all(|| Input::Routes(Arc::new(Routes(routes()))));
-        site
+        simulation.input_all(|| Input::Services(vec![listed_service(), static_service()]));
+        simulation.input_all(|| Input::Routes(Arc::new(Routes(routes()))));
+        simulation
     }
 
     fn with_list(dispatchers: u32, workers: u16, slots: u32, work_ms: u64) -> Self {
-        let mut site = Site::new(dispatchers, "/a", LISTED);
+        let mut simulation = Simulation::new(dispatchers, "/a", LISTED);
         let workers: Vec<WorkerEntry> =
             (1..=workers).map(|number| WorkerEntry { capacity: slots, ..worker(number) }).collect();
         for entry in &workers {
             let slots = slots as usize;
-            site.workers.insert(entry.address, Worker { slots, work_ms, ..Worker::default() });
+            simulation.workers.insert(entry.address, Worker { slots, work_ms, ..Worker::default() });
         }
-        site.all(|| Input::Workers(WorkerList { fencing: 1, number: 1, workers: workers.clone() }));
-        site
+        simulation
+            .input_all(|| Input::Workers(WorkerList { fencing: 1, number: 1, workers: workers.clone() }));
+        simulation
     }
 
     fn with_endpoint(dispatchers: u32, slots: usize, work_ms: u64) -> Self {
-        let mut site = Site::new(dispatchers, "/p", STATIC);
-        site.workers.insert(address(STATIC_ADDRESS), Worker { slots, work_ms, ..Worker::default() });
-        site
+        let mut simulation = Simulation::new(dispatchers, "/p", STATIC);
+        simulation.workers.insert(address(STATIC_ADDRESS), Worker { slots, work_ms, ..Worker::default() });
+        simulation
     }
 
-    fn all(&mut self, input: impl Fn() -> Input) {
+    fn input_all(&mut self, input: impl Fn() -> Input) {
         (0..self.dispatchers.len()).for_each(|dispatcher| self.input(dispatcher, input()));
     }
 
@@ -123,8 +124,8 @@
                 if let AttemptOutcome::NotRun { retry_after_ms }
                 | AttemptOutcome::Unknown { retry_after_ms } = outcome
                 {
-                    let due = self.now + u64::from(retry_after_ms);
-                    self.queue.push(Queued { unique: id.unique, due });
+                    let due_ms = self.now + u64::from(retry_after_ms);
+                    self.queue.push(QueuedMessage { unique: id.unique, due_ms });
                 }
                 self.input(dispatcher, Input::Recorded { id, token });
             }
@@ -149,7 +150,7 @@
         }
     }
 
-    fn finish(&mut self) {
+    fn finish_runs(&mut self) {
         let addresses: Vec<Address> = self.workers.keys().copied().collect();
         for address in addresses {
             let now = self.now;
@@ -173,37 +174,38 @@
                 self.waits.push((arrived, end - work_ms - arrived));
                 let elapsed_ms = (now - run.arrived) as u32;
                 let signature = Some("s".into());
-                let whole = Answer { signature, elapsed_ms, load: Some(load), ..answer(200) };
-                let result = AttemptResult::Answer(whole);
+                let complete = Answer { signature, elapsed_ms, load: Some(load), ..answer(200) };
+                let result = AttemptResult::Answer(complete);
                 self.input(run.dispatcher, Input::AttemptEnded { attempt: run.attempt, result });
             }
         }
     }
 
-    fn free(&self, dispatcher: usize) -> usize {
+    fn free_credit(&self, dispatcher: usize) -> usize {
         let credits = self.dispatchers[dispatcher].credits();
         let limit = credits.iter().find(|credit| credit.service == self.service).unwrap().limit;
         (limit as usize).saturating_sub(self.granted[dispatcher])
     }
 
     fn grant(&mut self) {
-        self.queue.sort_by_key(|queued| (queued.due, queued.unique));
-        while self.queue.first().is_some_and(|queued| queued.due <= self.now) {
-            let most = (0..self.dispatchers.len()).max_by_key(|dispatcher| self.free(*dispatcher)).unwrap();
-            if self.free(most) == 0 {
+        self.queue.sort_by_key(|queued| (queued.due_ms, queued.unique));
+        while self.queue.first().is_some_and(|queued| queued.due_ms <= self.now) {
+            let freest =
+                (0..self.dispatchers.len()).max_by_key(|dispatcher| self.free_credit(*dispatcher)).unwrap();
+            if self.free_credit(freest) == 0 {
                 return;
             }
-            let Queued { unique, .. } = self.queue.remove(0);
+            let QueuedMessage { unique, .. } = self.queue.remove(0);
             let entry = self.messages.get_mut(&unique).unwrap();
             entry.1 += 1;
             let token = LeaseToken(entry.1);
             let mut content = message(self.path);
             content.request_id = unique.to_string();
             let message = Arc::new(content);
-            self.granted[most] += 1;
+            self.granted[freest] += 1;
             self.grants += 1;
             let (store, id, age_ms) = (STORE, id(unique), 0);
-            self.input(most, Input::Deliver { store, id, token, age_ms, failed_attempts: 0, message });
+            self.input(freest, Input::Deliver { store, id, token, age_ms, failed_attempts: 0, message });
         }
     }
 
@@ -213,14 +215,14 @@
         while self.now < end {
             self.now += STEP_MS;
             let mean = per_second * STEP_MS as f64 / 1000.0;
-            let mut arrivals = mean.floor() as u32 + u32::from(self.dice.f64() < mean.fract());
+            let mut arrivals = mean.floor() as u32 + u32::from(self.rng.f64() < mean.fract());
             while arrivals > 0 {
                 arrivals -= 1;
                 let unique = self.messages.len() as u64;
                 self.messages.insert(unique, (self.now, 0));
-                self.queue.push(Queued { unique, due: self.now });
+                self.queue.push(QueuedMessage { unique, due_ms: self.now });
             }
-            self.finish();
+            self.finish_runs();
             self.grant();
             self.tick();
         }
@@ -228,116 +230,131 @@
 
     fn tick(&mut self) {
         for dispatcher in 0..self.dispatchers.len() {
-            if self.dispatchers[dispatcher].next_deadline().is_some_and(|due| due <= self.now) {
+            if self.dispatchers[dispatcher].next_deadline().is_some_and(|due_ms| due_ms <= self.now) {
                 self.input(dispatcher, Input::Tick);
             }
         }
     }
 
     /// Share of the messages that came between these times and whose run began within so long.
-    fn in_time(&self, from: u64, to: u64, within_ms: u64) -> f64 {
-        let came = self.messages.values().filter(|(at, _)| (from..to).contains(at)).count();
-        let begun = self.waits.iter().filter(|(at, wait)| (from..to).contains(at) && *wait <= within_ms);
-        begun.count() as f64 / came as f64
+    fn share_started_within(&self, from: u64, to: u64, within_ms: u64) -> f64 {
+        let arrived = self.messages.values().filter(|(at, _)| (from..to).contains(at)).count();
+        let started = self.waits.iter().filter(|(at, wait)| (from..to).contains(at) && *wait <= within_ms);
+        started.count() as f64 / arrived as f64
     }
 }
 
 #[test]
-fn an_ordinary_load_begins_at_once() {
-    let mut site = Site::with_list(6, 36, 6, 500);
-    site.run(20_000, 190.0);
-    let (from, to) = (2000, site.now - 2000);
-    assert!(site.in_time(from, to, 100) > 0.99, "{}", site.in_time(from, to, 100));
-    let again = site.grants as f64 / site.messages.len() as f64;
-    assert!(again < 1.05, "{again} grants a message");
+fn messages_start_at_once_under_ordinary_load() {
+    let mut simulation = Simulation::with_list(6, 36, 6, 500);
+    simulation.run(20_000, 190.0);
+    let (from, to) = (2000, simulation.now - 2000);
+    assert!(
+        simulation.share_started_within(from, to, 100) > 0.99,
+        "{}",
+        simulation.share_started_within(from, to, 100)
+    );
+    let grants_per_message = simulation.grants as f64 / simulation.messages.len() as f64;
+    assert!(grants_per_message < 1.05, "{grants_per_message} grants a message");
 }
 
 #[test]
 fn a_high_load_is_served_in_time() {
-    let mut site = Site::with_list(8, 9, 12, 250);
+    let mut simulation = Simulation::with_list(8, 9, 12, 250);
     // Seven eighths of what the workers can do.
-    site.run(20_000, 378.0);
-    let (from, to) = (3000, site.now - 2000);
-    assert!(site.in_time(from, to, 800) > 0.97, "{}", site.in_time(from, to, 800));
+    simulation.run(20_000, 378.0);
+    let (from, to) = (3000, simulation.now - 2000);
+    assert!(
+        simulation.share_started_within(from, to, 800) > 0.97,
+        "{}",
+        simulation.share_started_within(from, to, 800)
+    );
 }
 
 #[test]
 fn under_overload_the_workers_stay_busy() {
-    let mut site = Site::with_list(8, 9, 12, 250);
-    site.run(10_000, 900.0);
-    let served = site.waits.len() as f64 / 10.0;
+    let mut simulation = Simulation::with_list(8, 9, 12, 250);
+    simulation.run(10_000, 900.0);
+    let served = simulation.waits.len() as f64 / 10.0;
     assert!(served > 0.9 * 432.0, "{served} a second of 432");
     // Every grant is a record on the stores' disks: few of them are for nothing.
-    let (grants, sends) = (site.grants, site.sends);
-    assert!(grants as f64 <= 1.5 * site.waits.len() as f64, "{grants} grants");
-    assert!(sends as f64 <= 1.25 * site.waits.len() as f64, "{sends} sends");
+    let (grants, sends) = (simulation.grants, simulation.sends);
+    assert!(grants as f64 <= 1.5 * simulation.waits.len() as f64, "{grants} grants");
+    assert!(sends as f64 <= 1.25 * simulation.waits.len() as f64, "{sends} sends");
 }
 
 #[test]
-fn one_worker_that_is_down_makes_nothing_late() {
-    let mut site = Site::with_list(6, 9, 12, 250);
-    site.run(5000, 190.0);
-    site.workers.get_mut(&worker(3).address).unwrap().down = true;
-    site.run(10_000, 190.0);
-    let (from, to) = (5000, site.now - 1000);
-    assert!(site.in_time(from, to, 200) > 0.98, "{}", site.in_time(from, to, 200));
+fn a_worker_that_is_down_delays_no_messages() {
+    let mut simulation = Simulation::with_list(6, 9, 12, 250);
+    simulation.run(5000, 190.0);
+    simulation.workers.get_mut(&worker(3).address).unwrap().down = true;
+    simulation.run(10_000, 190.0);
+    let (from, to) = (5000, simulation.now - 1000);
+    assert!(
+        simulation.share_started_within(from, to, 200) > 0.98,
+        "{}",
+        simulation.share_started_within(from, to, 200)
+    );
 }
 
 #[test]
-fn an_endpoint_that_returns_is_used_at_once_and_was_left_in_peace() {
-    let mut site = Site::with_endpoint(8, 29, 120);
-    site.run(5000, 37.0);
-    site.workers.get_mut(&address(STATIC_ADDRESS)).unwrap().down = true;
-    let before = site.sends;
-    site.run(8000, 37.0);
-    let probes = site.sends - before;
+fn an_endpoint_is_probed_rarely_while_it_is_down_and_used_at_once_afterwards() {
+    let mut simulation = Simulation::with_endpoint(8, 29, 120);
+    simulation.run(5000, 37.0);
+    simulation.workers.get_mut(&address(STATIC_ADDRESS)).unwrap().down = true;
+    let before = simulation.sends;
+    simulation.run(8000, 37.0);
+    let probes = simulation.sends - before;
     assert!(probes < 8 * 30, "{probes} probes by 8 dispatchers in 8 s");
-    site.workers.get_mut(&address(STATIC_ADDRESS)).unwrap().down = false;
-    let back = site.now;
-    let before = site.waits.len();
-    site.run(4000, 37.0);
+    simulation.workers.get_mut(&address(STATIC_ADDRESS)).unwrap().down = false;
+    let back = simulation.now;
+    let before = simulation.waits.len();
+    simulation.run(4000, 37.0);
     // The backlog of 8 s and what comes meanwhile.
-    assert!(site.queue.is_empty(), "{} wait still", site.queue.len());
-    assert!(site.waits.len() - before > 420);
-    assert!(site.in_time(back + 2000, site.now - 500, 500) > 0.98);
+    assert!(simulation.queue.is_empty(), "{} wait still", simulation.queue.len());
+    assert!(simulation.waits.len() - before > 420);
+    assert!(simulation.share_started_within(back + 2000, simulation.now - 500, 500) > 0.98);
 }
 
 #[test]
-fn a_service_that_turns_all_away_is_left_in_peace() {
-    let mut site = Site::with_list(8, 9, 0, 250);
-    site.workers.values_mut().for_each(|worker| worker.queue.extend((0..WORKER_QUEUE).map(|_| nobody())));
-    site.run(10_000, 190.0);
+fn a_service_whose_workers_reject_everything_gets_few_attempts() {
+    let mut simulation = Simulation::with_list(8, 9, 0, 250);
+    simulation
+        .workers
+        .values_mut()
+        .for_each(|worker| worker.queue.extend((0..WORKER_QUEUE).map(|_| placeholder_run())));
+    simulation.run(10_000, 190.0);
     // A second in which it may be a shortage, then probes by each dispatcher.
-    assert!(site.sends < 8 * 250, "{} sends", site.sends);
-    assert!(site.grants < 8 * 400, "{} grants", site.grants);
+    assert!(simulation.sends < 8 * 250, "{} sends", simulation.sends);
+    assert!(simulation.grants < 8 * 400, "{} grants", simulation.grants);
 }
 
 /// Takes a place in a worker's queue.
-fn nobody() -> Run {
+fn placeholder_run() -> Run {
     Run { dispatcher: 0, attempt: AttemptId(u64::MAX), unique: 0, arrived: 0 }
 }
 
 #[test]
-fn a_service_whose_workers_all_went_and_came_back_cold_is_served() {
-    let mut site = Site::with_list(6, 4, 2, 40);
-    site.run(4000, 95.0);
-    site.workers.values_mut().for_each(|worker| worker.down = true);
-    site.run(3000, 95.0);
-    site.workers.clear();
-    let reborn = |number: u16| WorkerEntry {
+fn a_service_whose_workers_all_restarted_and_warm_up_is_served() {
+    let mut simulation = Simulation::with_list(6, 4, 2, 40);
+    simulation.run(4000, 95.0);
+    simulation.workers.values_mut().for_each(|worker| worker.down = true);
+    simulation.run(3000, 95.0);
+    simulation.workers.clear();
+    let restarted = |number: u16| WorkerEntry {
         instance_id: format!("i-{number}-2"),
         address: address(&format!("10.0.0.2:{}", 8000 + number)),
         capacity: 2,
         warm_up_left_ms: 6000,
         ..worker(number)
     };
-    let list: Vec<WorkerEntry> = (1..=4).map(reborn).collect();
+    let list: Vec<WorkerEntry> = (1..=4).map(restarted).collect();
     for entry in &list {
-        site.workers.insert(entry.address, Worker { slots: 2, work_ms: 40, ..Worker::default() });
+        simulation.workers.insert(entry.address, Worker { slots: 2, work_ms: 40, ..Worker::default() });
     }
     let list = WorkerList { fencing: 1, number: 2, workers: list };
-    site.all(|| Input::Workers(list.clone()));
-    let back = site.now;
-    site.run(6000, 95.0);
-    assert!(site.in_time(back + 4000, site.now - 500, 500) > 0.97);
+    simulation.input_all(|| Input::Workers(list.clone()));
+    let back = simulation.now;
+    simulation.run(6000, 95.0);
+    assert!(simulation.share_started_within(back + 4000, simulation.now - 500, 500) > 0.97);
 }
--- a/system/state/delivery/tests/random.rs
+++ b/system/state/delivery/tests/random.rs
@@ -15,35 +15,35 @@
 const SEEDS: u64 = 200;
 const STEPS: usize = 400;
 const CAPACITY: u32 = 4;
-const RECEIVER_OUT_MOST: usize = 2;
+const MAX_IN_FLIGHT_PER_RECEIVER: usize = 2;
 /// Longest time in which all ends once everything answers again (ms).
-const SETTLE_MS: u64 = 30_000;
+const FINISH_MS: u64 = 30_000;
 
 type Lease = (MessageId, LeaseToken);
 
 #[derive(Default)]
-struct World {
+struct ObservedState {
     /// Last token of each message, and whether the stores know its end.
     messages: BTreeMap<MessageId, (u64, bool)>,
     sent: BTreeSet<Lease>,
     ended: BTreeMap<Lease, FromDispatcher>,
     unrecorded: BTreeSet<Lease>,
     /// Attempts out, with their worker.
-    out: BTreeMap<AttemptId, Target>,
-    calls: BTreeMap<AttemptId, Address>,
+    in_flight: BTreeMap<AttemptId, Target>,
+    call_backs: BTreeMap<AttemptId, Address>,
     succeeded: BTreeSet<MessageId>,
     ready: BTreeMap<Address, String>,
     /// Barriers that no store has answered.
     barriers: BTreeMap<StoreId, BarrierNumber>,
     /// The machine has stood still, and the store that grants has not answered since.
-    in_doubt: bool,
+    barrier_pending: bool,
     connected: BTreeSet<StoreId>,
 }
 
-struct Course {
+struct RandomRun {
     fixture: Fixture,
-    world: World,
-    dice: Rng,
+    observed: ObservedState,
+    rng: Rng,
 }
 
 /// A new life at an old address is another worker.
@@ -60,12 +60,15 @@
     }
 }
 
-impl Course {
+impl RandomRun {
     fn new(seed: u64) -> Self {
-        let mut course =
-            Course { fixture: Fixture::new(0), world: World::default(), dice: Rng::with_seed(seed) };
-        course.list();
-        course
+        let mut random_run = RandomRun {
+            fixture: Fixture::new(0),
+            observed: ObservedState::default(),
+            rng: Rng::with_seed(seed),
+        };
+        random_run.list();
+        random_run
     }
 
     fn input(&mut self, input: Input) {
@@ -78,46 +81,51 @@
     fn check(&mut self, output: &Output) {
         match output {
             Output::Send { attempt, message, worker, .. } => {
-                assert!(!self.world.in_doubt, "{attempt:?} is sent before the store has answered");
+                assert!(!self.observed.barrier_pending, "{attempt:?} is sent before the store has answered");
                 let id = id_of(message);
-                let token = LeaseToken(self.world.messages[&id].0);
-                assert!(self.world.sent.insert((id, token)), "{id} sent twice under one lease");
-                assert!(!self.world.succeeded.contains(&id), "{id} sent after its success");
-                let listed = self.world.ready.get(&worker.address);
+                let token = LeaseToken(self.observed.messages[&id].0);
+                assert!(self.observed.sent.insert((id, token)), "{id} sent twice under one lease");
+                assert!(!self.observed.succeeded.contains(&id), "{id} sent after its success");
+                let listed = self.observed.ready.get(&worker.address);
                 let expected = worker.instance_id.as_ref();
                 assert!(listed == expected || expected.is_none(), "{worker:?} is not ready");
-                self.world.out.insert(*attempt, worker.clone());
-                let there = self.world.out.values().filter(|other| same_worker(other, worker)).count();
-                let most = if expected.is_some() { 2 * CAPACITY } else { worker.max_connections };
-                assert!(there <= most as usize, "{there} at {worker:?}");
+                self.observed.in_flight.insert(*attempt, worker.clone());
+                let in_flight_there =
+                    self.observed.in_flight.values().filter(|other| same_worker(other, worker)).count();
+                let max_in_flight = if expected.is_some() { 2 * CAPACITY } else { worker.max_connections };
+                assert!(
+                    in_flight_there <= max_in_flight as usize,
+                    "{in_flight_there} in flight at {worker:?}"
+                );
             }
             Output::Report { message, .. } => {
                 let lease = lease(message);
-                let before = self.world.ended.entry(lease).or_insert_with(|| message.clone());
+                let before = self.observed.ended.entry(lease).or_insert_with(|| message.clone());
                 assert_eq!(before, message, "one end of each lease");
-                self.world.unrecorded.insert(lease);
+                self.observed.unrecorded.insert(lease);
                 if let FromDispatcher::Attempted { outcome: AttemptOutcome::Succeeded { .. }, .. } = message {
-                    self.world.succeeded.insert(lease.0);
+                    self.observed.succeeded.insert(lease.0);
                 }
             }
             Output::SendCallBack { attempt, url, .. } => {
-                self.world.calls.insert(*attempt, url.address);
-                let there = self.world.calls.values().filter(|address| **address == url.address).count();
-                assert!(there <= RECEIVER_OUT_MOST);
+                self.observed.call_backs.insert(*attempt, url.address);
+                let in_flight_there =
+                    self.observed.call_backs.values().filter(|address| **address == url.address).count();
+                assert!(in_flight_there <= MAX_IN_FLIGHT_PER_RECEIVER);
             }
             Output::CancelAttempt { attempt } => {
-                self.world.out.remove(attempt);
-                self.world.calls.remove(attempt);
+                self.observed.in_flight.remove(attempt);
+                self.observed.call_backs.remove(attempt);
             }
             Output::Barrier { store, number } => {
-                self.world.barriers.insert(*store, *number);
+                self.observed.barriers.insert(*store, *number);
             }
             Output::CloseIdle { .. } | Output::Credits { .. } => {}
         }
     }
 
     fn step(&mut self) {
-        match self.dice.u32(0..100) {
+        match self.rng.u32(0..100) {
             0..30 => self.grant(),
             30..60 => self.end(),
             60..75 => self.record(),
@@ -127,20 +135,20 @@
             83..85 => self.move_primary(),
             85..89 => self.grant_call_back(),
             89..92 => self.end_call_back(),
-            92 => self.stand_still(),
+            92 => self.stall_or_answer_barrier(),
             _ => self.wait(),
         }
     }
 
     /// The machine stands still, or a store answers the barrier that was sent after it did.
-    fn stand_still(&mut self) {
-        match self.world.barriers.pop_first() {
+    fn stall_or_answer_barrier(&mut self) {
+        match self.observed.barriers.pop_first() {
             Some((store, number)) => {
-                self.world.in_doubt &= store != STORE;
+                self.observed.barrier_pending &= store != STORE;
                 self.input(Input::BarrierReached { store, number });
             }
             None => {
-                self.world.in_doubt = self.world.connected.contains(&STORE);
+                self.observed.barrier_pending = self.observed.connected.contains(&STORE);
                 self.input(Input::ClockStalled);
             }
         }
@@ -148,51 +156,51 @@
 
     /// A store grants a message that it does not know the end of, perhaps one that is here under an earlier lease.
     fn grant(&mut self) {
-        let id = id(self.dice.u64(0..60));
-        let entry = self.world.messages.entry(id).or_insert((0, false));
+        let id = id(self.rng.u64(0..60));
+        let entry = self.observed.messages.entry(id).or_insert((0, false));
         if entry.1 {
             return;
         }
         // A grant may come twice.
-        if entry.0 == 0 || self.dice.u32(0..20) > 0 {
+        if entry.0 == 0 || self.rng.u32(0..20) > 0 {
             entry.0 += 1;
         }
         let token = LeaseToken(entry.0);
-        let path = ["/a", "/a", "/p", "/none"][self.dice.usize(0..4)];
+        let path = ["/a", "/a", "/p", "/none"][self.rng.usize(0..4)];
         let message = Message { request_id: id.unique.to_string(), ..message(path) };
-        let (age_ms, failed_attempts) = (self.dice.u64(0..30_000), self.dice.u32(0..2));
+        let (age_ms, failed_attempts) = (self.rng.u64(0..30_000), self.rng.u32(0..2));
         let message = Arc::new(message);
         self.input(Input::Deliver { store: STORE, id, token, age_ms, failed_attempts, message });
     }
 
     fn result(&mut self) -> AttemptResult {
-        let status = [200, 422, 500, 504][self.dice.usize(0..4)];
-        match self.dice.u32(0..10) {
+        let status = [200, 422, 500, 504][self.rng.usize(0..4)];
+        match self.rng.u32(0..10) {
             0..5 => success(),
-            5 => not_executed([503, 429, 409, 421][self.dice.usize(0..4)]),
-            6 => AttemptResult::Answer(Answer { complete: self.dice.bool(), ..answer(status) }),
+            5 => not_executed([503, 429, 409, 421][self.rng.usize(0..4)]),
+            6 => AttemptResult::Answer(Answer { complete: self.rng.bool(), ..answer(status) }),
             7 => AttemptResult::NotConnected,
-            8 => AttemptResult::TimedOut { connected: self.dice.bool() },
+            8 => AttemptResult::TimedOut { connected: self.rng.bool() },
             _ => AttemptResult::Reset,
         }
     }
 
     fn end(&mut self) {
-        let attempts: Vec<AttemptId> = self.world.out.keys().copied().collect();
-        let Some(attempt) = self.dice.choice(attempts) else { return };
-        self.world.out.remove(&attempt);
+        let attempts: Vec<AttemptId> = self.observed.in_flight.keys().copied().collect();
+        let Some(attempt) = self.rng.choice(attempts) else { return };
+        self.observed.in_flight.remove(&attempt);
         let result = self.result();
         self.input(Input::AttemptEnded { attempt, result });
     }
 
     fn record(&mut self) {
-        let leases: Vec<Lease> = self.world.unrecorded.iter().copied().collect();
-        let Some(lease) = self.dice.choice(leases) else { return };
+        let leases: Vec<Lease> = self.observed.unrecorded.iter().copied().collect();
+        let Some(lease) = self.rng.choice(leases) else { return };
         self.record_one(lease);
     }
 
     fn record_one(&mut self, lease: Lease) {
-        self.world.unrecorded.remove(&lease);
+        self.observed.unrecorded.remove(&lease);
         let (id, token) = lease;
         let is_end = |outcome: &AttemptOutcome| {
             !matches!(
@@ -200,8 +208,8 @@
                 AttemptOutcome::NotRun { .. } | AttemptOutcome::Unknown { .. } | AttemptOutcome::Failed
             )
         };
-        if let Some(FromDispatcher::Attempted { outcome, .. }) = self.world.ended.get(&lease) {
-            let entry = self.world.messages.get_mut(&id).unwrap();
+        if let Some(FromDispatcher::Attempted { outcome, .. }) = self.observed.ended.get(&lease) {
+            let entry = self.observed.messages.get_mut(&id).unwrap();
             entry.1 |= is_end(outcome);
         }
         self.input(Input::Recorded { id, token });
@@ -210,23 +218,18 @@
     fn list(&mut self) {
         let mut workers = Vec::new();
         for number in 1..=5 {
-            let state = if self.dice.u32(0..5) == 0 { WorkerState::Draining } else { WorkerState::Ready };
-            let life = self.dice.u32(0..3);
-            let cold_left_ms = self.dice.u32(0..2) * 5000;
-            let instance_id = format!("i-{number}-{life}");
-            if self.dice.u32(0..6) > 0 {
-                let entry = WorkerEntry {
-                    state,
-                    instance_id,
-                    warm_up_left_ms: cold_left_ms,
-                    capacity: CAPACITY,
-                    ..worker(number)
-                };
+            let state = if self.rng.u32(0..5) == 0 { WorkerState::Draining } else { WorkerState::Ready };
+            let incarnation = self.rng.u32(0..3);
+            let warm_up_left_ms = self.rng.u32(0..2) * 5000;
+            let instance_id = format!("i-{number}-{incarnation}");
+            if self.rng.u32(0..6) > 0 {
+                let entry =
+                    WorkerEntry { state, instance_id, warm_up_left_ms, capacity: CAPACITY, ..worker(number) };
                 workers.push(entry);
             }
         }
         let ready = workers.iter().filter(|worker| worker.state == WorkerState::Ready);
-        self.world.ready = ready.map(|worker| (worker.address, worker.instance_id.clone())).collect();
+        self.observed.ready = ready.map(|worker| (worker.address, worker.instance_id.clone())).collect();
         self.fixture.list.number += 1;
         self.fixture.list.workers = workers;
         let list = self.fixture.list.clone();
@@ -235,59 +238,59 @@
 
     fn configure(&mut self) {
         let mut in_force = routes();
-        let drop = self.dice.usize(0..4);
-        if drop < in_force.len() {
-            in_force.remove(drop);
+        let removed = self.rng.usize(0..4);
+        if removed < in_force.len() {
+            in_force.remove(removed);
         }
-        in_force.iter_mut().for_each(|route| route.timeout_ms = 500 + 500 * self.dice.u32(0..4));
+        in_force.iter_mut().for_each(|route| route.timeout_ms = 500 + 500 * self.rng.u32(0..4));
         let mut services = vec![listed_service(), static_service()];
-        if self.dice.u32(0..4) == 0 {
-            services.remove(self.dice.usize(0..2));
+        if self.rng.u32(0..4) == 0 {
+            services.remove(self.rng.usize(0..2));
         }
         self.input(Input::Services(services));
         self.input(Input::Routes(Arc::new(Routes(in_force))));
-        let count = self.dice.u32(1..4);
+        let count = self.rng.u32(1..4);
         self.input(Input::Dispatchers { count });
     }
 
     fn revoke(&mut self) {
-        let held = self.fixture.delivery.active_leases(|_| true);
-        let Some(held) = self.dice.choice(held) else { return };
-        self.input(Input::Revoke { store: STORE, id: held.id, token: held.token });
+        let leases = self.fixture.delivery.active_leases(|_| true);
+        let Some(lease) = self.rng.choice(leases) else { return };
+        self.input(Input::Revoke { store: STORE, id: lease.id, token: lease.token });
     }
 
     fn move_primary(&mut self) {
-        let shard = ShardId(self.dice.u16(0..3));
-        let store = StoreId(self.dice.u64(1..4));
+        let shard = ShardId(self.rng.u16(0..3));
+        let store = StoreId(self.rng.u64(1..4));
         self.input(Input::Primary { shard, store });
-        self.world.connected.insert(store);
+        self.observed.connected.insert(store);
         self.input(Input::Connected { store });
     }
 
     fn grant_call_back(&mut self) {
         // Other messages than those that are delivered.
-        let id = MessageId { unique: 1000 + self.dice.u64(0..30), ..id(0) };
-        let entry = self.world.messages.entry(id).or_insert((0, false));
+        let id = MessageId { unique: 1000 + self.rng.u64(0..30), ..id(0) };
+        let entry = self.observed.messages.entry(id).or_insert((0, false));
         entry.0 += 1;
         let token = LeaseToken(entry.0);
-        let url = Some(format!("http://10.20.0.{}:8080/done", self.dice.u32(1..4)));
+        let url = Some(format!("http://10.20.0.{}:8080/done", self.rng.u32(1..4)));
         let message = Arc::new(Message { callback_url: url, ..message("/a") });
         self.input(Input::CallBack { store: STORE, id, token, end: completed(), message });
     }
 
     fn end_call_back(&mut self) {
-        let attempts: Vec<AttemptId> = self.world.calls.keys().copied().collect();
-        let Some(attempt) = self.dice.choice(attempts) else { return };
-        self.world.calls.remove(&attempt);
-        let answer = CallBackResult::Answer { status: [200, 200, 400, 500][self.dice.usize(0..4)] };
-        let result = if self.dice.u32(0..3) == 0 { CallBackResult::Failed } else { answer };
+        let attempts: Vec<AttemptId> = self.observed.call_backs.keys().copied().collect();
+        let Some(attempt) = self.rng.choice(attempts) else { return };
+        self.observed.call_backs.remove(&attempt);
+        let answer = CallBackResult::Answer { status: [200, 200, 400, 500][self.rng.usize(0..4)] };
+        let result = if self.rng.u32(0..3) == 0 { CallBackResult::Failed } else { answer };
         self.input(Input::CallBackResult { attempt, result });
     }
 
     /// Time passes, with the deadlines in it, or without: the process was halted.
     fn wait(&mut self) {
-        let end = self.fixture.now + self.dice.u64(1..400);
-        if self.dice.u32(0..30) == 0 {
+        let end = self.fixture.now + self.rng.u64(1..400);
+        if self.rng.u32(0..30) == 0 {
             self.fixture.now += 4000;
             return;
         }
@@ -303,19 +306,19 @@
     }
 
     /// Everything answers and everything is recorded: nothing remains.
-    fn settle(&mut self) {
-        let end = self.fixture.now + SETTLE_MS;
+    fn finish(&mut self) {
+        let end = self.fixture.now + FINISH_MS;
         self.input(Input::ShuttingDown);
         while !self.fixture.delivery.is_idle() {
             assert!(self.fixture.now < end, "{:?}", self.fixture.delivery.active_leases(|_| true));
-            while let Some((attempt, _)) = self.world.out.pop_first() {
+            while let Some((attempt, _)) = self.observed.in_flight.pop_first() {
                 self.input(Input::AttemptEnded { attempt, result: success() });
             }
-            while let Some((attempt, _)) = self.world.calls.pop_first() {
+            while let Some((attempt, _)) = self.observed.call_backs.pop_first() {
                 let result = CallBackResult::Answer { status: 200 };
                 self.input(Input::CallBackResult { attempt, result });
             }
-            while let Some(lease) = self.world.unrecorded.first().copied() {
+            while let Some(lease) = self.observed.unrecorded.first().copied() {
                 self.record_one(lease);
             }
             let next = self.fixture.now + 50;
@@ -330,24 +333,24 @@
 }
 
 #[test]
-fn drawn_courses_break_no_rule_and_leave_nothing_behind() {
+fn random_runs_keep_the_invariants_and_leave_no_lease_behind() {
     for seed in 0..SEEDS {
-        let mut course = Course::new(seed);
+        let mut random_run = RandomRun::new(seed);
         for _ in 0..STEPS {
-            course.step();
+            random_run.step();
         }
-        course.settle();
+        random_run.finish();
     }
 }
 
 #[test]
-fn the_same_seed_gives_the_same_course() {
+fn the_same_seed_gives_the_same_outputs() {
     let run = || {
-        let mut course = Course::new(5);
+        let mut random_run = RandomRun::new(5);
         let mut all = Vec::new();
         for _ in 0..STEPS {
-            course.step();
-            all.extend(course.fixture.out.clone());
+            random_run.step();
+            all.extend(random_run.fixture.out.clone());
         }
         all
     };
--- a/system/state/delivery/tests/results.rs
+++ b/system/state/delivery/tests/results.rs
@@ -26,44 +26,44 @@
 }
 
 #[test]
-fn a_whole_success_with_its_signature_ends_the_message() {
+fn a_complete_success_with_its_signature_ends_the_message() {
     assert_eq!(outcome_of(success()), succeeded());
 }
 
 #[test]
-fn a_success_cut_short_or_without_signature_proves_nothing() {
-    let cut = Answer { complete: false, signature: Some("s".into()), ..answer(200) };
-    assert!(is_unknown(outcome_of(AttemptResult::Answer(cut))));
+fn a_success_that_is_truncated_or_without_signature_is_unknown() {
+    let truncated = Answer { complete: false, signature: Some("s".into()), ..answer(200) };
+    assert!(is_unknown(outcome_of(AttemptResult::Answer(truncated))));
     assert!(is_unknown(outcome_of(plain(200))));
 }
 
 #[test]
-fn failures_count_and_refusals_end_only_when_whole() {
+fn failures_and_refusals_count_only_when_complete() {
     assert_eq!(outcome_of(plain(500)), AttemptOutcome::Failed);
     assert_eq!(outcome_of(plain(422)), AttemptOutcome::Refused);
     for status in [500, 422] {
-        let cut = Answer { complete: false, ..answer(status) };
-        assert!(is_unknown(outcome_of(AttemptResult::Answer(cut))), "{status}");
+        let truncated = Answer { complete: false, ..answer(status) };
+        assert!(is_unknown(outcome_of(AttemptResult::Answer(truncated))), "{status}");
     }
 }
 
 #[test]
-fn what_a_worker_turned_away_was_not_run() {
+fn a_message_that_a_worker_did_not_execute_was_not_run() {
     for status in [503, 429, 409, 400, 500] {
         assert!(is_not_run(outcome_of(not_executed(status))), "{status}");
     }
-    assert!(is_not_run(outcome_of(plain(421))), "421 says so by itself");
+    assert!(is_not_run(outcome_of(plain(421))), "421 needs no X-Not-Executed");
 }
 
 #[test]
-fn other_statuses_say_nothing() {
+fn other_statuses_are_unknown() {
     for status in [400, 404, 409, 429, 502, 503, 504, 302] {
         assert!(is_unknown(outcome_of(plain(status))), "{status}");
     }
 }
 
 #[test]
-fn only_what_never_left_was_surely_not_run() {
+fn only_a_request_that_was_never_sent_certainly_did_not_run() {
     assert!(is_not_run(outcome_of(AttemptResult::NotConnected)));
     assert!(is_not_run(outcome_of(AttemptResult::ResetBeforeSent)));
     assert!(is_not_run(outcome_of(AttemptResult::TimedOut { connected: false })));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_worker_is_told_the_route_s_time_and_its_answer_is_awaited_a_little_longer() {
+fn the_worker_gets_the_route_s_time_out_and_its_answer_is_awaited_a_little_longer() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     assert_eq!((sent.timeout_ms, sent.answer_timeout_ms), (TIMEOUT_MS, TIMEOUT_MS + ANSWER_SLACK_MS));
@@ -124,9 +124,9 @@
 }
 
 #[test]
-fn messages_that_nobody_can_run_wait_longer_and_longer() {
+fn messages_that_no_worker_can_run_back_off_increasingly() {
     let mut fixture = Fixture::new(1);
-    let mut waits = Vec::new();
+    let mut delays_ms = Vec::new();
     for round in 0..8 {
         fixture.deliver(1, round, "/a");
         let sent = fixture.sent().or_else(|| {
@@ -135,10 +135,10 @@
         });
         fixture.end(sent.unwrap().attempt, AttemptResult::NotConnected);
         let AttemptOutcome::NotRun { retry_after_ms } = fixture.outcome() else { panic!() };
-        waits.push(retry_after_ms);
+        delays_ms.push(retry_after_ms);
         fixture.recorded(1, round);
         fixture.pass(u64::from(retry_after_ms));
     }
-    assert!(waits[0] <= 40, "another worker may take it at once: {waits:?}");
-    assert!(waits[7] >= 4 * waits[0] && waits[7] <= 3000, "{waits:?}");
+    assert!(delays_ms[0] <= 40, "another worker may take it at once: {delays_ms:?}");
+    assert!(delays_ms[7] >= 4 * delays_ms[0] && delays_ms[7] <= 3000, "{delays_ms:?}");
 }
--- a/system/state/delivery/tests/room.rs
+++ b/system/state/delivery/tests/room.rs
@@ -15,9 +15,9 @@
 fn a_worker_gets_no_more_than_twice_its_capacity() {
     let mut fixture = Fixture::new(3);
     let sent = fill(&mut fixture, 24);
-    let mut at = BTreeMap::new();
-    sent.iter().for_each(|sent| *at.entry(sent.worker.address).or_insert(0) += 1);
-    assert!(at.values().all(|count| *count == 8), "{at:?}");
+    let mut attempts_by_worker = BTreeMap::new();
+    sent.iter().for_each(|sent| *attempts_by_worker.entry(sent.worker.address).or_insert(0) += 1);
+    assert!(attempts_by_worker.values().all(|count| *count == 8), "{attempts_by_worker:?}");
     fixture.deliver(24, 1, "/a");
     assert!(fixture.sent().is_none());
 }
@@ -36,11 +36,11 @@
     for sent in &sent[..2] {
         fixture.end(sent.attempt, success());
     }
-    assert_eq!(fixture.sent().expect("two at least").worker.max_connections, 2);
+    assert_eq!(fixture.sent().expect("at least two connections to each worker").worker.max_connections, 2);
 }
 
 #[test]
-fn a_message_without_room_goes_when_there_is_some() {
+fn a_waiting_message_is_sent_when_a_worker_has_room() {
     let mut fixture = Fixture::new(1);
     let sent = fill(&mut fixture, 8);
     fixture.deliver(8, 1, "/a");
@@ -51,28 +51,30 @@
 }
 
 #[test]
-fn a_message_without_room_is_given_back_soon() {
-    for (path, filled, most) in [("/a", 8, 230), ("/p", 41, 130)] {
+fn a_message_without_room_is_given_back_after_its_maximum_wait() {
+    for (path, in_flight, max_wait_ms) in [("/a", 8, 230), ("/p", 41, 130)] {
         let mut fixture = Fixture::new(1);
-        (0..filled).for_each(|unique| drop(fixture.send(unique, 1, path)));
+        (0..in_flight).for_each(|unique| drop(fixture.send(unique, 1, path)));
         fixture.deliver(100, 1, path);
-        assert!(fixture.out.is_empty(), "held");
-        let out = fixture.pass(most);
-        let back = reported(&out).into_iter().filter(|report| report.id == id(100)).collect::<Vec<_>>();
-        assert_eq!(back.len(), 1, "{path}");
-        assert!(matches!(back[0].outcome, AttemptOutcome::NotRun { retry_after_ms } if retry_after_ms > 0));
+        assert!(fixture.out.is_empty(), "not given back at once");
+        let out = fixture.pass(max_wait_ms);
+        let given_back = reported(&out).into_iter().filter(|report| report.id == id(100)).collect::<Vec<_>>();
+        assert_eq!(given_back.len(), 1, "{path}");
+        assert!(
+            matches!(given_back[0].outcome, AttemptOutcome::NotRun { retry_after_ms } if retry_after_ms > 0)
+        );
     }
 }
 
 #[test]
-fn credits_are_one_without_workers_and_follow_their_room() {
+fn credits_are_one_without_workers_and_follow_their_capacity() {
     let mut fixture = Fixture::new(0);
     assert_eq!((fixture.credit(LISTED), fixture.credit(STATIC)), (1, 16));
     fixture.workers(vec![worker(1)]);
-    assert_eq!(fixture.credit(LISTED), 8, "all that one worker takes");
+    assert_eq!(fixture.credit(LISTED), 8, "twice the capacity of one worker");
     fixture.workers((1..=9).map(worker).collect());
     fixture.pass(100);
-    assert_eq!(fixture.credit(LISTED), 16, "what is not urgent is told a little later");
+    assert_eq!(fixture.credit(LISTED), 16, "a change that is not urgent is announced after 100 ms");
 }
 
 /// Delivers as many messages as the credit allows, again and again; each ends after 20 ms like this.
@@ -81,35 +83,35 @@
     let mut out: VecDeque<(u64, AttemptId)> = VecDeque::new();
     let mut unique = 1000 * fixture.now;
     while fixture.now < end {
-        let held = fixture.delivery.active_leases(|_| true).len();
-        for _ in held..fixture.credit(LISTED) as usize {
+        let leases = fixture.delivery.active_leases(|_| true).len();
+        for _ in leases..fixture.credit(LISTED) as usize {
             unique += 1;
             fixture.deliver(unique, 1, "/a");
             out.extend(fixture.all_sent().iter().map(|sent| (fixture.now + 20, sent.attempt)));
         }
         out.extend(sent(&fixture.pass(10)).iter().map(|sent| (fixture.now + 20, sent.attempt)));
-        record_all(fixture);
+        record_all_reports(fixture);
         while out.front().is_some_and(|(at, _)| *at <= fixture.now) {
             let Some((_, attempt)) = out.pop_front() else { return };
             fixture.end(attempt, result.clone());
             out.extend(fixture.all_sent().iter().map(|sent| (fixture.now + 20, sent.attempt)));
-            record_all(fixture);
+            record_all_reports(fixture);
         }
     }
     for (_, attempt) in out {
         fixture.end(attempt, result.clone());
-        record_all(fixture);
+        record_all_reports(fixture);
     }
 }
 
-fn record_all(fixture: &mut Fixture) {
+fn record_all_reports(fixture: &mut Fixture) {
     for report in fixture.reported() {
         fixture.recorded(report.id.unique, report.token.0);
     }
 }
 
 #[test]
-fn credits_grow_with_use_and_shrink_where_workers_are_full() {
+fn credits_grow_with_successes_and_shrink_when_workers_are_full() {
     let mut fixture = Fixture::new(36);
     use_credit(&mut fixture, 1000, &success());
     // Changes of less than a fifth are not told.
@@ -131,43 +133,43 @@
         let due: Vec<u64> =
             messages.iter().filter(|(_, at)| **at <= fixture.now).map(|(unique, _)| *unique).collect();
         let free = fixture.credit(STATIC) as usize;
-        let held = fixture.delivery.active_leases(|_| true).len();
-        for unique in due.into_iter().take(free.saturating_sub(held)) {
+        let leases = fixture.delivery.active_leases(|_| true).len();
+        for unique in due.into_iter().take(free.saturating_sub(leases)) {
             token += 1;
             fixture.deliver(unique, token, "/p");
             sends.extend(fixture.all_sent());
             messages.insert(unique, u64::MAX);
-            settle(fixture, &mut messages);
+            record_reports(fixture, &mut messages);
         }
         sends.extend(sent(&fixture.pass(10)));
-        settle(fixture, &mut messages);
+        record_reports(fixture, &mut messages);
         for sent in sends {
             attempts += 1;
             fixture.end(sent.attempt, result.clone());
-            settle(fixture, &mut messages);
-            assert!(fixture.sent().is_none(), "one at a time once it fails");
+            record_reports(fixture, &mut messages);
+            assert!(fixture.sent().is_none(), "one attempt at a time while all fail");
         }
     }
     attempts
 }
 
 /// Records what was reported, and notes when each message may be granted again.
-fn settle(fixture: &mut Fixture, messages: &mut BTreeMap<u64, u64>) {
+fn record_reports(fixture: &mut Fixture, messages: &mut BTreeMap<u64, u64>) {
     let now = fixture.now;
     for report in fixture.reported() {
-        let wait = match report.outcome {
+        let retry_after_ms = match report.outcome {
             AttemptOutcome::NotRun { retry_after_ms } | AttemptOutcome::Unknown { retry_after_ms } => {
                 retry_after_ms
             }
             other => panic!("{other:?}"),
         };
-        messages.insert(report.id.unique, now + u64::from(wait));
+        messages.insert(report.id.unique, now + u64::from(retry_after_ms));
         fixture.recorded(report.id.unique, report.token.0);
     }
 }
 
 #[test]
-fn a_dark_endpoint_costs_a_probe_now_and_then_and_is_back_at_once() {
+fn an_unavailable_endpoint_is_probed_rarely_and_used_at_once_when_it_recovers() {
     for result in
         [AttemptResult::NotConnected, AttemptResult::Reset, AttemptResult::TimedOut { connected: true }]
     {
@@ -189,7 +191,7 @@
 }
 
 #[test]
-fn a_dark_service_holds_up_no_other() {
+fn an_unavailable_service_does_not_delay_others() {
     let mut fixture = Fixture::new(2);
     fail_for(&mut fixture, 2000, &AttemptResult::NotConnected);
     (50..60).for_each(|unique| fixture.deliver(unique, 1, "/p"));
@@ -201,7 +203,7 @@
 }
 
 #[test]
-fn failing_answers_are_answers() {
+fn failure_answers_do_not_make_a_service_unavailable() {
     let mut fixture = Fixture::new(1);
     for unique in 0..40 {
         let sent = fixture.send(unique, 1, "/p");
@@ -212,7 +214,7 @@
 }
 
 #[test]
-fn a_full_worker_is_spared_while_others_have_room() {
+fn a_full_worker_is_avoided_while_others_have_room() {
     let mut fixture = Fixture::new(2);
     let sent = fill(&mut fixture, 6);
     let full = sent[0].worker.address;
--- a/system/state/delivery/tests/routes.rs
+++ b/system/state/delivery/tests/routes.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_held_message_follows_its_route() {
+fn a_waiting_message_follows_its_route() {
     let mut fixture = Fixture::new(0);
     fixture.deliver(1, 1, "/a");
     assert!(fixture.sent().is_none());
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_held_message_gets_the_new_time_out_and_one_that_is_out_keeps_its_own() {
+fn a_waiting_message_gets_the_new_time_out_and_an_attempt_in_flight_keeps_its_own() {
     let mut fixture = Fixture::new(1);
     let out: Vec<Sent> = (0..8).map(|unique| fixture.send(unique, 1, "/a")).collect();
     fixture.deliver(8, 1, "/a");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_message_without_route_waits_until_this_dispatcher_must_know_the_route() {
+fn a_message_without_route_is_dropped_only_when_its_route_must_be_known() {
     let mut fixture = Fixture::new(1);
     fixture.deliver(1, 1, "/elsewhere");
     assert!(matches!(fixture.outcome(), AttemptOutcome::NotRun { retry_after_ms } if retry_after_ms >= 1000));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_held_message_whose_route_goes_is_given_back_unsent() {
+fn a_waiting_message_whose_route_is_removed_is_given_back() {
     let mut fixture = Fixture::new(0);
     fixture.deliver(1, 1, "/a");
     fixture.routes(Vec::new());
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_attempt_whose_route_goes_is_finished() {
+fn an_attempt_whose_route_is_removed_goes_on() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     fixture.input(Input::Services(vec![static_service()]));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_service_that_left_and_came_back_is_used_again() {
+fn a_service_that_is_removed_and_added_again_is_used() {
     let mut fixture = Fixture::new(1);
     fixture.input(Input::Services(vec![static_service()]));
     fixture.routes(Vec::new());
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_service_that_no_configuration_has_yet_is_waited_for() {
+fn a_message_of_a_service_that_is_not_configured_yet_is_given_back() {
     let mut fixture = Fixture::new(1);
     fixture.routes(vec![Route { prefix: "/a", service: "new", timeout_ms: 1000 }]);
     fixture.deliver_again(1, 1, "/a", 0, 60_000);
--- a/system/state/delivery/tests/workers.rs
+++ b/system/state/delivery/tests/workers.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_instance_expected_is_the_list_s() {
+fn attempts_expect_the_listed_instance() {
     let mut fixture = Fixture::new(1);
     let sent = fixture.send(1, 1, "/a");
     assert_eq!(sent.worker.instance_id.as_deref(), Some("i-1"));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_draining_worker_gets_nothing_more_and_its_idle_connections_are_closed() {
+fn a_draining_worker_gets_no_messages_and_its_idle_connections_are_closed() {
     let mut fixture = Fixture::new(2);
     fixture.workers(vec![draining(1), worker(2)]);
     assert_eq!(fixture.closed(), [worker(1).address]);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_message_held_while_its_only_worker_drains_is_given_back() {
+fn a_waiting_message_is_given_back_when_its_only_worker_drains() {
     let mut fixture = Fixture::new(1);
     let out: Vec<Sent> = (0..8).map(|unique| fixture.send(unique, 1, "/a")).collect();
     fixture.deliver(8, 1, "/a");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_held_message_goes_to_a_worker_that_the_list_brings() {
+fn a_waiting_message_is_sent_to_a_newly_listed_worker() {
     let mut fixture = Fixture::new(0);
     fixture.deliver(1, 1, "/a");
     assert!(fixture.sent().is_none());
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn one_that_is_at_its_address_no_more_is_left_out_for_a_while() {
+fn a_worker_with_another_process_at_its_address_is_avoided_for_a_while() {
     let mut fixture = Fixture::new(2);
     let sent = fixture.send(1, 1, "/a");
     let wrong = sent.worker.address;
@@ -88,10 +88,10 @@
 }
 
 #[test]
-fn an_address_that_another_instance_took_goes_with_its_name() {
+fn an_address_with_a_new_instance_is_sent_the_new_instance_id() {
     let mut fixture = Fixture::new(1);
-    let reborn = WorkerEntry { instance_id: "i-new".into(), ..worker(1) };
-    fixture.workers(vec![reborn]);
+    let restarted = WorkerEntry { instance_id: "i-new".into(), ..worker(1) };
+    fixture.workers(vec![restarted]);
     let sent = fixture.send(1, 1, "/a");
     assert_eq!(sent.worker.instance_id.as_deref(), Some("i-new"));
 }
@@ -107,13 +107,17 @@
 }
 
 #[test]
-fn workers_of_other_services_get_nothing() {
+fn workers_of_other_services_get_no_messages() {
     let mut fixture = Fixture::new(0);
     let foreign = WorkerEntry { service: "other".into(), ..worker(1) };
     fixture.workers(vec![foreign]);
     fixture.deliver(1, 1, "/a");
     assert!(fixture.sent().is_none());
-    assert_eq!(fixture.credit(LISTED), 1, "one may pass: its route may lead elsewhere");
+    assert_eq!(
+        fixture.credit(LISTED),
+        1,
+        "one message is accepted, as its route may lead to another service"
+    );
 }
 
 #[test]
@@ -126,27 +130,27 @@
 }
 
 #[test]
-fn a_worker_that_just_started_gets_less_than_a_warm_one() {
+fn a_worker_that_warms_up_gets_fewer_messages() {
     let mut fixture = Fixture::new(1);
-    let cold = WorkerEntry { warm_up_left_ms: 8000, ..worker(2) };
-    fixture.workers(vec![worker(1), cold]);
-    let (mut warm, mut fresh) = (0, 0);
+    let warming_up = WorkerEntry { warm_up_left_ms: 8000, ..worker(2) };
+    fixture.workers(vec![worker(1), warming_up]);
+    let (mut to_warm, mut to_warming_up) = (0, 0);
     for unique in 0..60 {
         let sent = fixture.send(unique, 1, "/a");
-        let is_cold = sent.worker.address == worker(2).address;
-        if is_cold {
-            fresh += 1
+        let is_warming_up = sent.worker.address == worker(2).address;
+        if is_warming_up {
+            to_warming_up += 1
         } else {
-            warm += 1
+            to_warm += 1
         }
         fixture.now += 30;
         fixture.end(sent.attempt, success());
     }
-    assert!(warm > fresh, "{warm} to the warm one, {fresh} to the cold one");
+    assert!(to_warm > to_warming_up, "{to_warm} to the warm worker, {to_warming_up} to the other");
 }
 
 #[test]
-fn a_worker_to_which_no_connection_can_be_had_is_left_alone() {
+fn a_worker_that_cannot_be_connected_to_is_avoided() {
     let mut fixture = Fixture::new(3);
     let sent = fixture.send(1, 1, "/a");
     let gone = sent.worker.address;
