--- a/system/state/delivery/src/attempts.rs
+++ b/system/state/delivery/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that are out, and those given up whose answers may still come.
+//! Attempts to deliver that are in flight, and those given up whose answers may still arrive.
 
 use crate::interface::AttemptId;
 use crate::reports::LeaseKey;
@@ -6,27 +6,31 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// After the time that the shell was told, an attempt is given up here by so long (ms) later.
+/// An attempt is given up here when the caller has not passed its result in for this time (ms) after the answer
+/// time-out that it was given.
 const OVERDUE_AFTER_MS: u64 = 1000;
-/// Attempts given up that are remembered.
+/// Maximum number of given-up attempts that are remembered.
 const MAX_GIVEN_UP: usize = 1024;
 
-/// An attempt to deliver that is out.
+/// An attempt to deliver that is in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub key: LeaseKey,
     pub service: Arc<str>,
+    /// When it was sent.
     pub sent_at_ms: u64,
+    /// When it is given up.
     overdue_at_ms: u64,
 }
 
-/// An attempt that was given up.
+/// The lease of an attempt that was given up, and the store that granted it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GivenUp {
     pub store: StoreId,
     pub key: LeaseKey,
 }
 
+/// All attempts to deliver, and the source of all attempt ids. Times are milliseconds on the caller's steady clock.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
     last_id: u64,
@@ -37,6 +41,7 @@
 }
 
 impl Attempts {
+    /// Returns an id that has not been used before, also for call-backs.
     pub fn next_id(&mut self) -> AttemptId {
         self.last_id += 1;
         AttemptId(self.last_id)
@@ -65,14 +70,14 @@
         Some(attempt)
     }
 
-    /// The lease that the attempt serves is a later one now.
+    /// Moves an attempt to a later lease on the same message.
     pub fn set_lease(&mut self, id: AttemptId, key: LeaseKey) {
         if let Some(attempt) = self.in_flight.get_mut(&id) {
             attempt.key = key;
         }
     }
 
-    /// Attempts of which the shell should have told the end.
+    /// Attempts whose result the caller should have passed in by now.
     pub fn overdue(&self, now: u64) -> Vec<AttemptId> {
         let overdue = self.by_overdue.iter().take_while(|(due, _)| *due <= now);
         overdue.map(|(_, id)| *id).collect()
--- a/system/state/delivery/src/callbacks.rs
+++ b/system/state/delivery/src/callbacks.rs
@@ -1,4 +1,4 @@
-//! Call-backs that stores granted: sent to their receivers, as many at a time as each receiver takes.
+//! Call-backs that stores granted: sends them to their receivers, as many at a time as each receiver accepts.
 
 use crate::health::jittered;
 use crate::interface::{AttemptId, CallBackBody, CallBackResult, CallBackState, CallBackUrl};
@@ -11,22 +11,23 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Of one attempt (ms).
+/// Time-out of one attempt to call back (ms).
 pub(crate) const TIMEOUT_MS: u32 = 2000;
-/// So long after that the shell should have told its end (ms).
+/// An attempt counts as failed when the caller has not passed its result in this time (ms) after the time-out.
 const OVERDUE_AFTER_MS: u64 = 1000;
-/// Call-backs that wait for one receiver here; stores keep the rest.
+/// Maximum number of call-backs that wait here for one receiver; more are given back to their stores.
 const MAX_WAITING_PER_RECEIVER: usize = 32;
-/// A receiver that refuses one call-back (an answer other than 200) gets that one again after this (ms).
+/// Backoff (ms) of a call-back that its receiver refused by a status below 500 other than 200, or for which there is no
+/// more room here.
 const REFUSED_RETRY_MS: u64 = 1000;
-/// Receivers of which something is remembered.
+/// When this many receivers are known, those without call-backs and pauses are forgotten.
 const MAX_RECEIVERS: usize = 1024;
-/// Status that accepts a call-back.
+/// Status by which a receiver accepts a call-back.
 const ACCEPTED: u16 = 200;
 const URL_SCHEME: &str = "http://";
 const DEFAULT_PORT: u16 = 80;
 
-/// The URL, taken apart; `None` where it names no address that a call-back can be sent to.
+/// Parses a call-back URL; `None` if it names no IP address that a call-back can be sent to.
 pub(crate) fn parse_url(url: &str) -> Option<CallBackUrl> {
     let rest = url.strip_prefix(URL_SCHEME)?;
     let (authority, path) = rest.find('/').map_or((rest, "/"), |slash| rest.split_at(slash));
@@ -44,24 +45,27 @@
     pub body: CallBackBody,
 }
 
-/// What comes of an input.
+/// What is to be done in response to an input.
 pub(crate) enum CallBackDecision {
     Send { attempt: AttemptId, url: CallBackUrl, body: CallBackBody },
     Report { store: StoreId, key: LeaseKey, message: FromDispatcher },
 }
 
+/// Lease of a call-back.
 struct Lease {
     granted: GrantedCallBack,
+    /// `None` while it waits.
     attempt: Option<AttemptId>,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct InFlight {
     id: MessageId,
+    /// When it counts as failed.
     overdue_at_ms: u64,
 }
 
-/// All call-backs here.
+/// All call-backs at this dispatcher, and their receivers. Times are milliseconds on the caller's steady clock.
 pub(crate) struct CallBacks {
     receivers: BTreeMap<Address, Receiver>,
     leases: BTreeMap<MessageId, Lease>,
@@ -69,7 +73,7 @@
     rng: Rng,
 }
 
-/// The body for an end; `None` for one that nobody is told.
+/// Body of a call-back for the end of a message; `None` for a withdrawn message, of which no receiver is notified.
 pub(crate) fn body(request_id: &str, end: End) -> Option<CallBackBody> {
     let (state, signature) = match end {
         End::Completed { signature } => (CallBackState::Completed, signature),
@@ -79,6 +83,7 @@
     Some(CallBackBody { instance_id: request_id.to_owned(), state, signature })
 }
 
+/// Report to the store: the receiver has accepted the call-back (`done`), or its lease is given back.
 pub(crate) fn report(key: LeaseKey, done: bool, retry_after_ms: u32) -> FromDispatcher {
     FromDispatcher::CalledBack { id: key.id, token: key.token, done, retry_after_ms }
 }
@@ -101,7 +106,7 @@
         self.leases.values().map(|lease| lease.granted.key)
     }
 
-    /// A store granted a call-back. One that is here already goes on under the later lease.
+    /// Handles a granted call-back. One that is here already goes on under the later lease.
     pub fn grant(
         &mut self,
         now: u64,
@@ -129,13 +134,14 @@
         self.send_waiting(now, address, next_attempt, out);
     }
 
-    /// Receivers of which nothing is here and whose pause is over are forgotten when there are many.
+    /// Forgets receivers without call-backs here and without a pause, if there are many.
     fn evict_idle_receivers(&mut self, now: u64) {
         if self.receivers.len() >= MAX_RECEIVERS {
             self.receivers.retain(|_, receiver| !receiver.is_idle(now));
         }
     }
 
+    /// Sends waiting call-backs to a receiver while it has room; gives them back while it is down.
     fn send_waiting(
         &mut self,
         now: u64,
@@ -162,6 +168,7 @@
         }
     }
 
+    /// Gives back the waiting call-backs of a receiver that stays down for `down_ms`.
     fn give_back_waiting(&mut self, down_ms: u64, address: Address, out: &mut Vec<CallBackDecision>) {
         let Some(receiver) = self.receivers.get_mut(&address) else { return };
         for id in std::mem::take(&mut receiver.waiting) {
@@ -170,7 +177,7 @@
         }
     }
 
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub fn end(
         &mut self,
         now: u64,
@@ -208,7 +215,7 @@
         self.send_waiting(now, address, next_attempt, out);
     }
 
-    /// The lease is over; a call-back that is out goes on.
+    /// Drops a call-back whose lease was revoked, unless an attempt is in flight.
     pub fn revoke(&mut self, key: LeaseKey) {
         let is_waiting = |lease: &Lease| lease.granted.key == key && lease.attempt.is_none();
         if self.leases.get(&key.id).is_some_and(is_waiting) {
@@ -217,7 +224,7 @@
         }
     }
 
-    /// The process stops: what waits is given back.
+    /// Gives back all waiting call-backs, as the process shuts down.
     pub fn shut_down(&mut self, out: &mut Vec<CallBackDecision>) {
         for receiver in self.receivers.values_mut() {
             for id in std::mem::take(&mut receiver.waiting) {
@@ -227,7 +234,7 @@
         }
     }
 
-    /// Sends what waited for the end of a receiver's pause.
+    /// Sends call-backs to receivers whose pause after a reset is over.
     pub fn resume(
         &mut self,
         now: u64,
@@ -245,7 +252,7 @@
         }
     }
 
-    /// Attempts of which the shell should have told the end.
+    /// Attempts whose result the caller should have passed in by now.
     pub fn overdue(&self, now: u64) -> Vec<AttemptId> {
         let overdue = self.attempts.iter().filter(|(_, attempt)| now >= attempt.overdue_at_ms);
         overdue.map(|(id, _)| *id).collect()
--- a/system/state/delivery/src/credit.rs
+++ b/system/state/delivery/src/credit.rs
@@ -1,30 +1,32 @@
-//! How many messages of a service one store may have granted to this dispatcher: grows with success, shrinks where
-//! they find no room.
+//! Limit of the leases of one service that one store may grant to this dispatcher at one time. It grows with successes
+//! and shrinks when messages wait in vain for a worker with room.
 
-/// Bounds of the limit at a service that answers.
+/// Minimum and maximum limit of an available service, in messages.
 const MIN_LIMIT: f64 = 2.0;
 const MAX_LIMIT: f64 = 64.0;
-/// What a store assumes before it is told.
+/// Limit that a store assumes before the dispatcher announces one.
 const INITIAL_LIMIT: f64 = 16.0;
-/// Share that stays when messages find no room.
+/// The limit is multiplied by this when messages find no worker with room.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Messages that find no room within so long (ms) after a cut are the same shortage.
+/// Messages that find no room within this time (ms) after a decrease belong to the same shortage and do not decrease
+/// the limit again.
 const MIN_DECREASE_INTERVAL_MS: u64 = 200;
-/// At a dark service.
+/// Limit of an unavailable service, or of one without ready workers.
 const UNAVAILABLE_LIMIT: u32 = 1;
 
-/// The limit of one service.
+/// The limit of one service, adapted to successes and shortages. Times are milliseconds on the caller's steady clock.
 #[derive(Debug)]
 pub(crate) struct CreditLimit {
     limit: f64,
     decreased_at_ms: Option<u64>,
 }
 
-/// What bounds the limit besides its own course.
+/// Bounds of the announced limit that do not depend on successes and shortages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitBounds {
-    /// Attempts that all its ready workers take from this dispatcher; 0: it has none.
+    /// Attempts that all ready workers of the service take from this dispatcher together; 0 if no worker is ready.
     pub attempt_capacity: u32,
+    /// The service is taken to be down.
     pub unavailable: bool,
 }
 
@@ -35,15 +37,16 @@
 }
 
 impl CreditLimit {
-    /// A message was run with `held` of the service at this dispatcher: one more a round of successes while the limit
-    /// is nearly used, the faster the lower it is.
+    /// A message ran successfully while this dispatcher had `messages` leases of the service, that message's included.
+    /// Raises the limit by one if at least half of it is in use, since a limit that is not used says nothing about what
+    /// workers can take. A low limit thus grows relatively faster.
     pub fn on_success(&mut self, messages: usize) {
         if messages as f64 >= self.limit / 2.0 {
             self.limit = (self.limit + 1.0).min(MAX_LIMIT);
         }
     }
 
-    /// A message found no room.
+    /// A message found no worker with room in time.
     pub fn on_no_room(&mut self, now: u64) {
         if self.decreased_at_ms.is_some_and(|at| now < at + MIN_DECREASE_INTERVAL_MS) {
             return;
@@ -52,9 +55,9 @@
         self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 
-    /// What stores are told.
+    /// The limit to announce to stores.
     pub fn limit(&self, bounds: LimitBounds) -> u32 {
-        // Also without a worker a few are wanted: a message's route may lead elsewhere by now, or nowhere.
+        // One message is still accepted without a worker: its route may lead to another service by now, or nowhere.
         if bounds.attempt_capacity == 0 || bounds.unavailable {
             return UNAVAILABLE_LIMIT;
         }
--- a/system/state/delivery/src/credits.rs
+++ b/system/state/delivery/src/credits.rs
@@ -1,36 +1,41 @@
-//! When stores are told what they may grant here.
+//! Credit announcements: when stores are sent the limits of the leases that they may grant to this dispatcher.
 
 use millrudder_protocol::store::ServiceCredit;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Pause between two tellings, unless a limit falls to a few or rises from there (ms).
+/// Minimum time (ms) between two announcements, except of changes to or from a limit of at most [`SMALL_LIMIT`].
 const ANNOUNCEMENT_INTERVAL_MS: u64 = 100;
-/// A limit that changes by less than this share is not worth a message ...
+/// A limit above [`SMALL_LIMIT`] is announced again only when it has changed by at least this share of the announced
+/// value.
 const MIN_CHANGE_SHARE: f64 = 0.2;
-/// ... if it is above this.
+/// At limits up to this many messages every change counts and is announced at once.
 const SMALL_LIMIT: u32 = 2;
 
-/// The present limit of a service.
+/// The current limit of a service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServiceLimit<'a> {
     pub service: &'a str,
     pub limit: u32,
 }
 
+/// How urgent it is to announce a changed limit; the greatest of all services decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Change {
+    /// Too small to announce.
     None,
+    /// Announced once the minimum interval is over.
     Deferrable,
+    /// Announced at once.
     Urgent,
 }
 
-/// What was told, and when.
+/// The limits that were announced last, and when. Times are milliseconds on the caller's steady clock.
 #[derive(Debug, Default)]
 pub(crate) struct CreditAnnouncements {
-    /// By service.
+    /// Last announced limit by service name.
     announced: BTreeMap<String, u32>,
     announced_at_ms: u64,
-    /// A change waits for the pause's end.
+    /// A change waits for the end of the minimum interval.
     change_deferred: bool,
 }
 
@@ -52,7 +57,7 @@
 }
 
 impl CreditAnnouncements {
-    /// What stores must be told now, if anything: the limits that are news.
+    /// Returns the changed limits if they are to be announced now, and counts them as announced.
     pub fn update<'a>(
         &mut self,
         now: u64,
@@ -78,13 +83,13 @@
         self.announced.get(limit.service).map_or(Change::Urgent, |announced| change(*announced, limit.limit))
     }
 
-    /// Services that there are no more are told anew when they come back.
+    /// Drops services that no longer exist, so that their limits are announced again if they come back.
     fn remove_other_services<'a>(&mut self, limits: impl Iterator<Item = ServiceLimit<'a>>) {
         let services: BTreeSet<&str> = limits.map(|limit| limit.service).collect();
         self.announced.retain(|service, _| services.contains(service.as_str()));
     }
 
-    /// What stores were told last, of all services.
+    /// The last announced limits of all services.
     pub fn announced(&self) -> Vec<ServiceCredit> {
         let credit =
             |(service, limit): (&String, &u32)| ServiceCredit { service: service.clone(), limit: *limit };
--- a/system/state/delivery/src/delivery/calls.rs
+++ b/system/state/delivery/src/delivery/calls.rs
@@ -1,4 +1,4 @@
-//! Call-backs that stores granted.
+//! Call-backs that stores granted: their leases, attempts and reports.
 
 use super::{send_reports, Delivery};
 use crate::callbacks::{self, CallBackDecision, GrantedCallBack};
@@ -24,7 +24,7 @@
         let body = callbacks::body(&message.request_id, end);
         let already_accepted = self.reports.is_call_back_done(key.id);
         let (Some(url), Some(body), false) = (url, body, already_accepted) else {
-            // It was taken already, or there is nobody whom it can be told.
+            // The receiver has accepted it already, or the URL is unusable, or this end is not called back.
             let due = self.reports.add(now, store, key, callbacks::report(key, true, 0));
             return send_reports(vec![due], out);
         };
@@ -53,7 +53,7 @@
         self.carry_out_call_backs(now, decisions, out);
     }
 
-    /// Receivers whose pause is over get what waits for them.
+    /// Sends the call-backs that waited for the end of their receiver's pause.
     pub(super) fn resume_call_backs(&mut self, now: u64, out: &mut Vec<Output>) {
         let mut decisions = Vec::new();
         let attempts = &mut self.attempts;
--- a/system/state/delivery/src/delivery/leases.rs
+++ b/system/state/delivery/src/delivery/leases.rs
@@ -1,4 +1,4 @@
-//! Leases on messages: from the grant to the report of the end.
+//! Leases on messages, from the grant to the report of the end.
 
 use super::{send_reports, Delivery, STALE_GRANTS_MS};
 use crate::attempts::{Attempt, GivenUp};
@@ -12,34 +12,36 @@
 use millrudder_protocol::{LeaseToken, MessageId, StoreId};
 use std::sync::Arc;
 
-/// For a connection to a worker (ms): a few times the way between zones, and its share of a busy machine.
+/// Time-out (ms) of a connection to a worker: several round trips between zones, and some scheduling delay on a busy
+/// machine.
 const CONNECT_TIMEOUT_MS: u32 = 300;
-/// So long (ms) after the worker's time is over its answer is still waited for: the worker may have finished just in
-/// time, and a success whose answer was whole 50 ms before the time-out must never run again.
+/// How long (ms) an answer is still awaited after the worker's time-out: the worker may have finished just in time, and
+/// a message whose success was answered in full 50 ms before the time-out must never run again.
 const ANSWER_SLACK_MS: u32 = 100;
-/// A message whose route this dispatcher does not know is dropped only at this age (ms): until then the dispatcher's
-/// configuration may be older than the route (`configApplyMs` and `maxSkewMs`, with room).
+/// Age (ms) from which a message without a known route is reported as [`AttemptOutcome::RouteGone`]. Until then this
+/// dispatcher's configuration may be older than the route (the sum of `configApplyMs` and `maxSkewMs`, with a margin).
 const ROUTE_PROPAGATION_MS: u64 = 20_000;
-/// Meanwhile it is given back for so long (ms).
+/// Backoff (ms) of a message whose route is not known yet.
 const UNKNOWN_ROUTE_RETRY_MS: u64 = 1000;
-/// A message that may be running waits so long (ms) at least: most workers drop it once its connection is closed.
+/// Minimum backoff (ms) of a message that may still be running: most workers abort it once its connection is closed.
 const UNKNOWN_OUTCOME_RETRY_MS: u32 = 100;
 
-/// A message that was granted to this dispatcher.
+/// Lease on a message that was granted to this dispatcher.
 pub(super) struct Lease {
     pub store: StoreId,
     pub token: LeaseToken,
     pub message: Arc<Message>,
     failed_attempts: u32,
-    /// When the message was received, on this clock.
+    /// When its store received the message, in ms on this dispatcher's clock; negative if that was before its start.
     received_at_ms: i64,
     pub route: ResolvedRoute,
     attempt: AttemptId,
+    /// Whether the attempt is in flight; it waits at its service otherwise.
     pub sent: bool,
 }
 
 impl Lease {
-    /// Neither resolved nor offered yet. `received`: when its message was, on this clock.
+    /// Creates a lease without a route and an attempt. `received_at_ms`: when the message was received, on this clock.
     pub fn new(
         store: StoreId,
         token: LeaseToken,
@@ -54,6 +56,7 @@
 }
 
 impl Delivery {
+    /// Removes a message that waits for a worker, from its service as well.
     pub(super) fn remove_unsent(&mut self, now: u64, id: MessageId, out: &mut Vec<Output>) -> Option<Lease> {
         let lease = self.leases.remove(&id)?;
         self.by_attempt.remove(&lease.attempt);
@@ -70,7 +73,7 @@
             return;
         }
         if let Some(lease) = self.leases.get_mut(&key.id) {
-            // The store does not know that it is here: the attempt goes on under the later lease.
+            // The store does not know that the message is here already: the attempt goes on under the later lease.
             if key.token > lease.token {
                 lease.store = granted.store;
                 lease.token = granted.token;
@@ -83,7 +86,8 @@
             return self.report(now, granted.store, key, outcome, out);
         }
         if self.shutting_down || now < self.stale_grants_until_ms || self.barriers.is_pending(granted.store) {
-            // Another dispatcher can have it at once; this one can only once what lay unread is through.
+            // On shutdown another dispatcher can have the message at once. After a stall the store is to wait until
+            // this dispatcher has read the grants that lay unread in its connections.
             let retry_after_ms = if self.shutting_down { 0 } else { STALE_GRANTS_MS as u32 };
             let outcome = AttemptOutcome::NotRun { retry_after_ms };
             return self.report(now, granted.store, key, outcome, out);
@@ -91,7 +95,7 @@
         self.offer(now, key, granted, out);
     }
 
-    /// Offers a message that is not out to its service.
+    /// Offers a message that is not in flight to the service that its route leads to.
     pub(super) fn offer(&mut self, now: u64, key: LeaseKey, mut lease: Lease, out: &mut Vec<Output>) {
         let message = &lease.message;
         let route = self.resolver.as_ref().and_then(|r| r.resolve(&message.host, &message.path));
@@ -116,6 +120,7 @@
         jittered(UNKNOWN_ROUTE_RETRY_MS, &mut self.rng)
     }
 
+    /// Outcome of a message without a route: gone if the message is old enough, otherwise not run.
     fn outcome_without_route(&mut self, now: u64, lease: &Lease) -> AttemptOutcome {
         let age_ms = now as i64 - lease.received_at_ms;
         if self.resolver.is_some() && age_ms >= ROUTE_PROPAGATION_MS as i64 {
@@ -163,7 +168,7 @@
         self.carry_out(now, decisions, out);
     }
 
-    /// The end of an attempt that was given up: a success counts whenever it comes.
+    /// Handles the result of an attempt that was given up before: a success counts however late it is.
     fn on_late_result(&mut self, now: u64, id: AttemptId, result: AttemptResult, out: &mut Vec<Output>) {
         let Some(GivenUp { store, key }) = self.attempts.take_given_up(id) else { return };
         let Verdict::Succeeded { signature } = outcome::interpret(result, 0).verdict else { return };
@@ -177,6 +182,7 @@
         self.report(now, store, key, AttemptOutcome::Succeeded { signature }, out);
     }
 
+    /// Ends an attempt as timed out whose result the caller should have passed in by now.
     pub(super) fn give_up(&mut self, now: u64, id: AttemptId, out: &mut Vec<Output>) {
         let Some(Attempt { key, .. }) = self.attempts.get(id) else { return };
         if let Some(lease) = self.leases.get(&key.id) {
@@ -221,7 +227,7 @@
         send_reports(vec![due], out);
     }
 
-    /// The service found no worker for it.
+    /// Gives back a message for which its service found no worker.
     pub(super) fn give_back(
         &mut self,
         now: u64,
--- a/system/state/delivery/src/delivery/mod.rs
+++ b/system/state/delivery/src/delivery/mod.rs
@@ -1,4 +1,4 @@
-//! The whole: leases by message, services by name, reports and call-backs.
+//! The state machine as a whole: leases by message, services by name, reports and call-backs.
 
 mod calls;
 mod leases;
@@ -20,22 +20,27 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A deadline that is over by so long (ms) shows that this process was halted: what was granted to it meanwhile lies
-/// unread at its connections, and may have been granted to others since.
+/// A deadline that is overdue by this time (ms) shows that this process was stalled. Grants that arrived meanwhile are
+/// still unread in its connections, and their messages may have been granted to other dispatchers since.
 const PROCESS_STALL_MS: u64 = 1000;
-/// What comes within this time after that (ms) is given back; its store knows whether the lease still holds.
+/// Messages that are granted within this time (ms) after a stall was found are given back; the store knows whether the
+/// lease is still valid.
 const STALE_GRANTS_MS: u64 = 100;
 
-/// The dispatcher's delivery; see the crate's documentation.
+/// State machine of the dispatcher's deliveries; see the crate's documentation. Times are milliseconds on the caller's
+/// steady clock.
 pub struct Delivery {
     configuration: Configuration,
     dispatcher: DispatcherContext,
+    /// Numbers of the zones by name, as the balancers know them; the own zone is 0.
     zones: BTreeMap<String, u32>,
     resolver: Option<Arc<dyn Resolve>>,
     services: BTreeMap<Arc<str>, ServiceState>,
     workers: WorkerList,
+    /// Messages that wait or are in flight here.
     leases: BTreeMap<MessageId, Lease>,
     attempts: Attempts,
+    /// The message of each attempt that waits or is in flight.
     by_attempt: BTreeMap<AttemptId, MessageId>,
     reports: Reports,
     callbacks: CallBacks,
@@ -43,9 +48,9 @@
     rng: Rng,
     shutting_down: bool,
     next_deadline_ms: Option<u64>,
-    /// Grants that come before this are from before a halt of the process.
+    /// Grants that arrive before this may have been sent before or during a stall of the process.
     stale_grants_until_ms: u64,
-    /// Stores whose grants may be from before a halt, however long they take to be read.
+    /// Stores whose grants may have been sent before or during a stall, however long it takes to read them.
     barriers: StoreBarriers,
 }
 
@@ -56,7 +61,8 @@
 }
 
 impl Delivery {
-    /// Knows no service, route or worker yet: what is granted meanwhile is given back.
+    /// Creates an instance without services, routes and workers. Messages that are granted before these are known are
+    /// given back.
     pub fn new(configuration: Configuration) -> Self {
         let own_zone = 0;
         Delivery {
@@ -80,7 +86,7 @@
         }
     }
 
-    /// Takes one input in; `now` never falls. What is to be done is appended to `out`.
+    /// Handles one input at time `now`, which never decreases, and appends the resulting outputs to `out`.
     pub fn handle(&mut self, now: u64, input: Input, out: &mut Vec<Output>) {
         if self.next_deadline_ms.is_some_and(|due| now > due + PROCESS_STALL_MS) {
             self.stale_grants_until_ms = now + STALE_GRANTS_MS;
@@ -134,13 +140,14 @@
         out.extend(barriers.map(|(store, number)| Output::Barrier { store, number }));
     }
 
-    /// What waits here was granted before, and what comes before the barriers are reached may have been.
+    /// Gives back the messages that wait here, as they were granted before the stall. Those that arrive before a store
+    /// has answered its barrier may have been as well.
     fn on_clock_stall(&mut self, now: u64, out: &mut Vec<Output>) {
         self.send_barriers(out);
         self.give_back_unsent(now, STALE_GRANTS_MS as u32, out);
     }
 
-    /// When [`Input::Tick`] is due, if no input comes before.
+    /// When (ms) [`Input::Tick`] is due if no input is handled before.
     pub fn next_deadline(&self) -> Option<u64> {
         self.next_deadline_ms
     }
@@ -156,7 +163,7 @@
         rest.into_iter().flatten().chain(services).min()
     }
 
-    /// Leases whose end is not recorded, of messages in these shards; for `Hello`.
+    /// Leases, on messages in these shards, whose end has not been recorded yet; for `Hello`.
     pub fn active_leases(&self, shards: impl Fn(ShardId) -> bool) -> Vec<ActiveLease> {
         let leases = self.leases.iter().map(|(id, lease)| LeaseKey { id: *id, token: lease.token });
         let all = leases.chain(self.reports.keys()).chain(self.callbacks.keys());
@@ -164,21 +171,22 @@
         mine.map(|key| ActiveLease { id: key.id, token: key.token }).collect()
     }
 
-    /// What stores were told last; for a store that connects.
+    /// The limits announced last, for a store that connects.
     pub fn credits(&self) -> Vec<ServiceCredit> {
         self.credits.announced()
     }
 
-    /// Nothing is out, and stores have recorded all ends: the process may stop.
+    /// Whether no lease is left and stores have recorded all ends, so that the process may stop.
     pub fn is_idle(&self) -> bool {
         self.leases.is_empty() && self.reports.is_empty() && self.callbacks.is_empty()
     }
 
-    /// What the decision module has learnt of a service's workers.
+    /// What the service's balancer has learned about its workers.
     pub fn learned_state(&self, service: &str) -> Option<LearnedState> {
         self.services.get(service).map(ServiceState::learned_state)
     }
 
+    /// Handles everything that is due at `now`: overdue attempts, ended pauses, timers and repeated reports.
     fn handle_due_work(&mut self, now: u64, out: &mut Vec<Output>) {
         for id in self.attempts.overdue(now) {
             self.give_up(now, id, out);
--- a/system/state/delivery/src/delivery/updates.rs
+++ b/system/state/delivery/src/delivery/updates.rs
@@ -1,4 +1,4 @@
-//! What changes for all messages: services, routes, workers, the end of the process.
+//! Updates that concern all messages: changed services, routes, workers and dispatchers, and the shutdown.
 
 use super::{dispatcher_context, Delivery};
 use crate::fleet::ListedWorker;
@@ -50,6 +50,7 @@
         self.carry_out(now, decisions, out);
     }
 
+    /// Passes each service its workers from the latest list.
     fn apply_worker_list(&mut self, now: u64, decisions: &mut Vec<Decision>) {
         let mut by_service = BTreeMap::<&str, Vec<ListedWorker<'_>>>::new();
         for entry in &self.workers.workers {
@@ -76,7 +77,7 @@
         self.services.retain(|_, state| state.is_in_force() || !state.is_unused());
     }
 
-    /// A message that has not been sent goes where its route leads now.
+    /// Applies the current route to a message that has not been sent; it moves to another service if the route does.
     fn update_route(&mut self, now: u64, id: MessageId, out: &mut Vec<Output>) {
         let Some(lease) = self.leases.get_mut(&id).filter(|lease| !lease.sent) else { return };
         let route = self.resolver.as_ref().and_then(|r| r.resolve(&lease.message.host, &lease.message.path));
@@ -89,7 +90,7 @@
         self.offer(now, key, lease, out);
     }
 
-    /// Gives back what has not been sent, to be granted again after a pause at the earliest.
+    /// Gives back all messages that have not been sent; stores grant them again after `retry_after_ms` at the earliest.
     pub(super) fn give_back_unsent(&mut self, now: u64, retry_after_ms: u32, out: &mut Vec<Output>) {
         let waiting = self.leases.iter().filter(|(_, lease)| !lease.sent);
         let waiting: Vec<MessageId> = waiting.map(|(id, _)| *id).collect();
--- a/system/state/delivery/src/fleet.rs
+++ b/system/state/delivery/src/fleet.rs
@@ -1,52 +1,63 @@
-//! The workers of one service: what the list says of them, and how many attempts each has out.
+//! The workers of one service: their entries in the worker list, and how many attempts each has in flight.
 
 use millrudder::{Entry, Mode, WorkerId};
 use millrudder_protocol::control::{WorkerEntry, WorkerState};
 use millrudder_protocol::Address;
 use std::collections::BTreeMap;
 
-/// Attempts out at a worker, as a multiple of its capacity: the rest of them wait there for their turn.
+/// Maximum number of attempts in flight at a worker, as a multiple of its capacity. Those beyond the capacity wait in
+/// the worker's queue.
 const CAPACITY_MULTIPLE: u32 = 2;
-/// Share of a worker's connections that all dispatchers together use; the rest is for those that are closing.
+/// Share of a worker's connections that all dispatchers together use. The rest is left for connections that are being
+/// closed and still count at the worker.
 const CONNECTION_SHARE: f64 = 0.9;
-/// Each dispatcher may use so many connections to each worker at least.
+/// Minimum number of connections that each dispatcher may use to each worker.
 const MIN_CONNECTIONS: u32 = 2;
-/// How long a worker that is at its address no more (421) is left out, unless the list drops it before (ms): the list
-/// lags by seconds.
+/// How long (ms) a worker gets no messages after another process answered at its address (421), unless the worker list
+/// drops it before. The list lags by seconds.
 const MISDIRECTED_PAUSE_MS: u64 = 3000;
-/// Span of a worker's coldness that the module is told (ms); only the part that is left matters.
+/// Length of a worker's warm-up (ms) as the balancer is given it. Since the start of the warm-up is computed from the
+/// time left, only that part matters.
 pub(crate) const WARM_UP_SPAN_MS: f64 = 10_000.0;
-/// Workers that the list dropped are kept for so long (ms): lists of a new reader may lack one for a moment.
+/// How long (ms) workers are remembered after the list dropped them: the lists of a reader that has just started may
+/// lack a worker for a moment.
 const GONE_RETENTION_MS: u64 = 60_000;
 
-/// One worker.
+/// One worker of the service. Times are milliseconds on the caller's steady clock.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub address: Address,
+    /// `None` for a static endpoint.
     pub instance_id: Option<String>,
+    /// Number of its zone.
     zone: Option<u32>,
+    /// Slots that the list states; `None` if it does not.
     capacity: Option<u32>,
+    /// Start of its warm-up; `None` if it is not warming up when it is first listed.
     ready_at_ms: Option<f64>,
+    /// Mode by the worker list, regardless of room.
     listed_mode: Mode,
     gone_since_ms: Option<u64>,
+    /// It gets no messages until then, since another process answered at its address.
     misdirected_until_ms: Option<u64>,
-    /// Attempts out there.
+    /// Number of attempts in flight there.
     in_flight: u32,
-    /// The shell was told to close its idle connections, and none became idle since.
+    /// The caller was asked to close the idle connections to it, and no attempt has ended there since.
     idle_connections_closed: bool,
-    /// As the module was last told.
+    /// Mode in the last list entry that the balancer was sent.
     announced_mode: Mode,
 }
 
-/// What bounds the attempts at one worker.
+/// What determines how many connections to one worker this dispatcher may use.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ConnectionShare {
+    /// Connections that the worker accepts from all callers.
     pub max_connections: u32,
     pub dispatchers: u32,
 }
 
 impl ConnectionShare {
-    /// Connections of this dispatcher to one worker.
+    /// Maximum number of connections of this dispatcher to one worker.
     pub fn connections(self) -> u32 {
         let usable = f64::from(self.max_connections) * CONNECTION_SHARE;
         let own_share = usable / f64::from(self.dispatchers.max(1));
@@ -54,33 +65,35 @@
     }
 }
 
-/// A worker that the list names.
+/// A worker in the worker list, with the number of its zone.
 pub(crate) struct ListedWorker<'a> {
     pub entry: &'a WorkerEntry,
     pub zone: u32,
 }
 
-/// All workers of a service, numbered for the module.
+/// All workers of a service, numbered for the balancer.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
     workers: BTreeMap<WorkerId, Worker>,
-    /// Static endpoints go by their address.
+    /// Numbers by instance id; by address for a static endpoint.
     numbers: BTreeMap<String, WorkerId>,
     next_number: WorkerId,
     share: ConnectionShare,
 }
 
 impl Worker {
+    /// Maximum number of attempts in flight there.
     fn max_attempts(&self, share: ConnectionShare) -> u32 {
         let queue = self.capacity.map_or(u32::MAX, |slots| slots.max(1) * CAPACITY_MULTIPLE);
         queue.min(share.connections())
     }
 
-    /// It may get a message, if it has room.
+    /// Whether it may get messages as long as it has room.
     fn is_ready(&self) -> bool {
         self.listed_mode == Mode::Ready && self.misdirected_until_ms.is_none()
     }
 
+    /// Mode for the balancer: a ready worker without room or with a misdirected address counts as draining.
     fn mode(&self, share: ConnectionShare) -> Mode {
         match self.listed_mode {
             Mode::Ready if !self.is_ready() || self.in_flight >= self.max_attempts(share) => Mode::Draining,
@@ -100,7 +113,7 @@
         }
     }
 
-    /// Slots that the list names.
+    /// Number of slots by the worker list.
     pub fn capacity(&self) -> Option<u32> {
         self.capacity
     }
@@ -111,7 +124,7 @@
         self.share = share;
     }
 
-    /// Connections of this dispatcher to one worker.
+    /// Maximum number of connections of this dispatcher to one worker.
     pub fn connections(&self) -> u32 {
         self.share.connections()
     }
@@ -120,7 +133,7 @@
         self.workers.get(&number)
     }
 
-    /// Takes the whole list in; returns the workers that are new.
+    /// Applies a complete worker list and returns the workers that are new in it.
     pub fn apply(&mut self, now: u64, listed: &[ListedWorker<'_>]) -> Vec<WorkerId> {
         let mut added = Vec::new();
         for worker in self.workers.values_mut().filter(|worker| worker.instance_id.is_some()) {
@@ -165,7 +178,7 @@
         added
     }
 
-    /// The one endpoint of a service that is on no list.
+    /// Sets the only worker of a service whose workers are on no list.
     pub fn set_static(&mut self, now: u64, endpoint: Option<Address>) {
         for worker in self.workers.values_mut().filter(|worker| worker.instance_id.is_none()) {
             worker.listed_mode = Mode::Gone;
@@ -191,6 +204,7 @@
         worker.idle_connections_closed = false;
     }
 
+    /// Returns the number of a worker, assigning the next free one to a new name.
     fn number(&mut self, name: &str) -> WorkerId {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -201,6 +215,7 @@
         number
     }
 
+    /// Removes workers that are gone for [`GONE_RETENTION_MS`], except those with attempts in flight.
     fn remove_expired(&mut self, now: u64) {
         let old = |worker: &Worker| worker.gone_since_ms.is_some_and(|at| now >= at + GONE_RETENTION_MS);
         self.workers.retain(|_, worker| worker.in_flight > 0 || !old(worker));
@@ -208,7 +223,7 @@
         self.numbers.retain(|_, number| workers.contains_key(number));
     }
 
-    /// Every worker, as the module is to see it.
+    /// List entries of all workers, for the balancer.
     pub fn update_all(&mut self) -> Vec<Entry> {
         let share = self.share;
         let update = |(number, worker): (&WorkerId, &mut Worker)| {
@@ -218,7 +233,7 @@
         self.workers.iter_mut().map(update).collect()
     }
 
-    /// What the module must be told of one worker, if that has changed.
+    /// List entry of one worker for the balancer, if its mode has changed since the last one.
     pub fn update(&mut self, number: WorkerId) -> Option<Entry> {
         let share = self.share;
         let worker = self.workers.get_mut(&number)?;
@@ -230,17 +245,17 @@
         Some(worker.entry(number))
     }
 
-    /// It may get one more attempt.
+    /// Whether the worker may get one more attempt.
     pub fn has_room(&self, number: WorkerId) -> bool {
         self.workers.get(&number).is_some_and(|worker| worker.mode(self.share) == Mode::Ready)
     }
 
-    /// Some worker may get one more attempt.
+    /// Whether any worker may get one more attempt.
     pub fn has_any_room(&self) -> bool {
         self.workers.values().any(|worker| worker.mode(self.share) == Mode::Ready)
     }
 
-    /// Attempts that all ready workers take together.
+    /// Attempts that all ready workers take from this dispatcher together.
     pub fn attempt_capacity(&self) -> u32 {
         let ready = self.workers.values().filter(|worker| worker.is_ready());
         ready.fold(0, |sum, worker| sum.saturating_add(worker.max_attempts(self.share)))
@@ -259,7 +274,7 @@
         }
     }
 
-    /// Another process answers at its address.
+    /// Another process answered at the worker's address (421).
     pub fn on_misdirected(&mut self, now: u64, number: WorkerId) {
         if let Some(worker) = self.workers.get_mut(&number).filter(|worker| worker.listed_mode != Mode::Gone)
         {
@@ -267,7 +282,7 @@
         }
     }
 
-    /// Workers whose time out is over.
+    /// Returns the workers that may get messages again, since their pause after a misdirected answer is over.
     pub fn end_misdirected_pauses(&mut self, now: u64) -> Vec<WorkerId> {
         let mut readmitted = Vec::new();
         for (number, worker) in &mut self.workers {
@@ -283,7 +298,8 @@
         self.workers.values().filter_map(|worker| worker.misdirected_until_ms).min()
     }
 
-    /// Where idle connections are to be closed now: the worker drains or is gone, and may have some.
+    /// Returns the address at which idle connections are to be closed now: that of a worker that is draining or gone
+    /// and may still have some. Counts them as closed.
     pub fn take_idle_close(&mut self, number: WorkerId) -> Option<Address> {
         let worker = self.workers.get_mut(&number)?;
         let is_due = worker.listed_mode != Mode::Ready
--- a/system/state/delivery/src/lib.rs
+++ b/system/state/delivery/src/lib.rs
@@ -1,9 +1,10 @@
-//! The dispatcher's delivery: what becomes of the messages and call-backs that stores grant to it.
+//! Delivery in the dispatcher: handles the leases of messages and call-backs that stores grant to it.
 //!
-//! A state machine without I/O: the caller passes inputs and its steady clock in and carries out the outputs, in their
-//! order. For each granted message the decision module ([`millrudder::Balancer`], an instance for each service)
-//! chooses the worker with the highest index, or has none for now; then the message is given back to its store's
-//! queue. Nothing is sent twice under one lease. The end of every lease is told its store until it is recorded.
+//! A state machine without I/O: the caller passes in inputs with the time of its steady clock, and carries out the
+//! outputs in their order. For each granted message the decision module ([`millrudder::Balancer`], one instance for
+//! each service) chooses the worker with the highest index. If no worker has room in time, the message is given back to
+//! its store's queue. Nothing is sent twice under one lease. The end of every lease is reported to the store until the
+//! store confirms that it has recorded it.
 //!
 //! ```
 //! use millrudder_delivery::{Configuration, Delivery, Input, Output, ResolvedRoute, Resolve, Service};
--- a/system/state/delivery/src/outcome.rs
+++ b/system/state/delivery/src/outcome.rs
@@ -1,9 +1,9 @@
-//! What the end of an attempt means: for the decision module, for the service's health, for the message.
+//! Interprets the end of an attempt: what it means for the balancer, for the service's health and for the message.
 
 use crate::interface::{Answer, AttemptResult, Load};
 use millrudder::Outcome;
 
-/// Statuses of PROTOCOL, "Workers".
+/// HTTP statuses of workers with a meaning of their own (`PROTOCOL`, "Workers").
 const FAILED: u16 = 500;
 const REFUSED: u16 = 422;
 const MISDIRECTED: u16 = 421;
@@ -11,43 +11,53 @@
 const TOO_MANY: u16 = 429;
 const UNAVAILABLE: u16 = 503;
 
-/// Pauses (ms) after which the other run of a message may have ended, and after which a worker may have room.
+/// Minimum backoff (ms) while another run of the same message is under way: it may have ended by then.
 const CONFLICT_RETRY_MS: u32 = 100;
+/// Minimum backoff (ms) after a worker was full: it may have room by then.
 const FULL_RETRY_MS: u32 = 50;
 
-/// What became of the message.
+/// Result of the attempt for the message, as its store counts it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    Succeeded { signature: String },
+    Succeeded {
+        signature: String,
+    },
+    /// The worker refused the message permanently.
     Refused,
+    /// The worker answered that this attempt failed.
     Failed,
+    /// The message certainly did not run.
     NotRun,
+    /// The message may have run or not.
     Unknown,
 }
 
-/// Whether the attempt shows that somebody is there.
+/// What kind of answer the attempt got from the worker, whatever became of the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerKind {
+    /// An answer of any other kind.
     Answered,
-    /// It answered that it has no room.
+    /// The worker has no room for the message (503 or 429, not executed).
     Full,
-    /// Another process than the one meant.
+    /// Another worker process than the addressed one runs at this address (421).
     Misdirected,
+    /// No answer, or none that belongs to the message.
     NoAnswer,
 }
 
-/// The end of an attempt, read.
+/// The interpreted end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Interpretation {
+    /// Result as the balancer learns it.
     pub outcome: Outcome,
     pub verdict: Verdict,
     pub answer_kind: AnswerKind,
     pub load: Option<Load>,
-    /// The message waits so long at least (ms).
+    /// Minimum backoff of the message (ms).
     pub min_retry_after_ms: u32,
 }
 
-/// Reads the end of an attempt of a message that failed `failed_attempts` times before.
+/// Interprets the end of an attempt of a message that had failed `failed_attempts` times before.
 pub(crate) fn interpret(result: AttemptResult, failed_attempts: u32) -> Interpretation {
     let no_answer = |outcome, verdict| Interpretation {
         outcome,
@@ -82,7 +92,7 @@
     }
     if answer.not_executed {
         return match answer.status {
-            // The other run of the message is under way: no fault of the worker.
+            // Another run of the same message is under way: not the worker's fault.
             CONFLICT => Interpretation {
                 min_retry_after_ms: CONFLICT_RETRY_MS,
                 ..interpretation(Outcome::Ignored, Verdict::NotRun, AnswerKind::Answered)
@@ -94,7 +104,7 @@
             _ => interpretation(Outcome::Failed, Verdict::NotRun, AnswerKind::Answered),
         };
     }
-    // A head alone proves no end: only a whole answer binds both sides.
+    // The head of an answer alone does not prove how the attempt ended: both sides rely on complete answers only.
     if !answer.complete {
         return interpretation(Outcome::ResetByPeer, Verdict::Unknown, AnswerKind::Answered);
     }
@@ -102,12 +112,12 @@
         (200..=299, Some(signature)) => {
             interpretation(Outcome::Ok, Verdict::Succeeded { signature }, AnswerKind::Answered)
         }
-        // The message's fault: the worker is as well as before.
+        // Refused because of the message: says nothing about the worker.
         (REFUSED, _) => interpretation(Outcome::Ignored, Verdict::Refused, AnswerKind::Answered),
+        // A message that fails repeatedly is probably at fault itself, not the worker.
         (FAILED, _) if failed_attempts > 0 => {
             interpretation(Outcome::Ignored, Verdict::Failed, AnswerKind::Answered)
         }
-        // So is an attempt that fails once more, probably.
         (FAILED, _) => interpretation(Outcome::Failed, Verdict::Failed, AnswerKind::Answered),
         _ => interpretation(Outcome::Failed, Verdict::Unknown, AnswerKind::Answered),
     }
--- a/system/state/delivery/src/receiver.rs
+++ b/system/state/delivery/src/receiver.rs
@@ -1,48 +1,55 @@
-//! One receiver of call-backs, as this dispatcher knows it: how many may be out there, and when the next may go.
+//! State of one receiver of call-backs: how many call-backs may be in flight to it, and when the next may be sent.
 //!
-//! A receiver accepts few connections, from all dispatchers together, and resets those beyond. So the number that may be
-//! out grows while call-backs are taken and falls with each reset (additive increase, multiplicative decrease); resets
-//! are no sign of a receiver that is down, unless nothing else comes from it.
+//! A receiver accepts few connections, from all dispatchers together, and resets those beyond. The number of call-backs
+//! that may be in flight therefore grows while they are accepted and falls with each reset (additive increase,
+//! multiplicative decrease). Resets do not show that a receiver is down, unless nothing else comes from it.
 
 use crate::health::jittered;
 use fastrand::Rng;
 use millrudder_protocol::MessageId;
 use std::collections::VecDeque;
 
-/// Call-backs out at one receiver: at first, at the least and at the most.
+/// Initial, minimum and maximum number of call-backs that may be in flight to one receiver.
 const INITIAL_WINDOW: f64 = 2.0;
 const MIN_WINDOW: f64 = 1.0;
 const MAX_WINDOW: f64 = 16.0;
-/// Share that stays after a reset.
+/// The window is multiplied by this after a reset.
 const DECREASE_FACTOR: f64 = 0.5;
-/// Pause after the first failure in a row, doubled with each further one, and the longest (ms).
+/// How long (ms) a receiver counts as down after a failure; doubled with each further consecutive one, up to
+/// [`MAX_DOWN_MS`].
 const INITIAL_DOWN_MS: u64 = 200;
+/// Longest time (ms) that a receiver counts as down without another attempt.
 const MAX_DOWN_MS: u64 = 3200;
-/// Pause after the first reset in a row, doubled with each further one (ms).
+/// Pause (ms) after a reset; doubled with each further consecutive one.
 const INITIAL_RESET_PAUSE_MS: u64 = 50;
-/// With more resets in a row the receiver counts as down.
+/// After more consecutive resets than this the receiver counts as down.
 const MAX_RESETS: u32 = 4;
 
-/// What a reset means.
+/// Probable cause of a reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResetCause {
     /// Too many connections: the same call-back may be sent again after the pause.
     TooManyConnections,
-    /// One of many in a row.
+    /// One of so many consecutive resets that the receiver counts as down.
     ReceiverDown,
 }
 
-/// One receiver.
+/// State of one receiver. Times are milliseconds on the caller's steady clock.
 #[derive(Debug)]
 pub(crate) struct Receiver {
+    /// Number of call-backs in flight.
     pub in_flight: usize,
+    /// Call-backs that have not been sent, oldest first.
     pub waiting: VecDeque<MessageId>,
+    /// How many call-backs may be in flight.
     window: f64,
+    /// Consecutive resets.
     resets: u32,
-    /// Nothing is sent before, but what waits stays here.
+    /// Nothing is sent before this because of a reset; waiting call-backs stay here. 0: no pause.
     paused_until_ms: u64,
+    /// Consecutive failures.
     failures: u32,
-    /// Nothing is sent before, and what waits is given back.
+    /// Nothing is sent before this because the receiver is down; waiting call-backs are given back.
     down_until_ms: u64,
 }
 
@@ -60,34 +67,35 @@
     }
 }
 
+/// How long (ms) the receiver counts as down after the last of `failures` consecutive failures.
 fn down_ms(failures: u32) -> u64 {
     (INITIAL_DOWN_MS << failures.saturating_sub(1).min(8)).min(MAX_DOWN_MS)
 }
 
 impl Receiver {
-    /// Nothing is known of it that must be remembered.
+    /// Whether it has no call-backs here and does not count as down, so that it may be forgotten.
     pub fn is_idle(&self, now: u64) -> bool {
         self.in_flight == 0 && self.waiting.is_empty() && self.down_until_ms <= now
     }
 
-    /// For how long (ms) it is left alone because it seems to be down.
+    /// For how long (ms) it still counts as down, if it does.
     pub fn down_for_ms(&self, now: u64) -> Option<u64> {
         self.down_until_ms.checked_sub(now).filter(|left| *left > 0)
     }
 
-    /// Another call-back may go now.
+    /// Whether another call-back may be sent now.
     pub fn has_room(&self, now: u64) -> bool {
-        // After a failure, one alone shows whether it is back.
+        // After a failure, a single call-back probes whether the receiver is back.
         let max_in_flight = if self.failures > 0 { 1 } else { self.window as usize };
         now >= self.paused_until_ms && self.in_flight < max_in_flight
     }
 
-    /// When what waits may be sent after a pause.
+    /// When waiting call-backs may be sent again after a reset.
     pub fn resumes_at_ms(&self) -> Option<u64> {
         (self.paused_until_ms > 0 && !self.waiting.is_empty()).then_some(self.paused_until_ms)
     }
 
-    /// The pause is over.
+    /// Ends the pause after a reset if it is over; returns whether it did.
     pub fn resume(&mut self, now: u64) -> bool {
         let is_over = self.paused_until_ms > 0 && now >= self.paused_until_ms;
         if is_over {
@@ -96,6 +104,7 @@
         is_over
     }
 
+    /// The receiver accepted a call-back. The window grows only while more call-backs wait.
     pub fn on_accepted(&mut self) {
         self.on_answer();
         if !self.waiting.is_empty() {
@@ -103,12 +112,13 @@
         }
     }
 
-    /// It answered, though it did not take the call-back.
+    /// The receiver answered, whether it accepted the call-back or not: it is not down.
     pub fn on_answer(&mut self) {
         self.failures = 0;
         self.resets = 0;
     }
 
+    /// The receiver reset a connection without an answer. Returns the probable cause.
     pub fn on_reset(&mut self, now: u64, rng: &mut Rng) -> ResetCause {
         self.resets = self.resets.saturating_add(1);
         if self.resets > MAX_RESETS {
@@ -120,7 +130,7 @@
         ResetCause::TooManyConnections
     }
 
-    /// It seems to be down; returns the pause (ms).
+    /// The receiver seems to be down. Returns the backoff of the failed call-back (ms).
     pub fn on_failure(&mut self, now: u64, rng: &mut Rng) -> u32 {
         self.failures = self.failures.saturating_add(1);
         self.window = MIN_WINDOW;
--- a/system/state/delivery/src/reports.rs
+++ b/system/state/delivery/src/reports.rs
@@ -1,27 +1,32 @@
-//! Ends of leases that their store has not recorded yet: told again until it has.
+//! Reports of ended leases, repeated until their store confirms that it has recorded them.
 
 use millrudder_protocol::store::{AttemptOutcome, FromDispatcher};
 use millrudder_protocol::{LeaseToken, MessageId, ShardId, StoreId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// First pause before a report is told again, and the longest (ms): a store's record takes a few syncs, a take-over
-/// of its shard some tenths of a second.
+/// Time (ms) until a report is repeated for the first time; it doubles with each repetition up to
+/// [`MAX_REPEAT_INTERVAL_MS`]. Recording takes a store a few disk syncs, and a take-over of its shard some tenths of a
+/// second.
 const INITIAL_REPEAT_INTERVAL_MS: u64 = 400;
+/// Longest time (ms) between two repetitions of a report.
 const MAX_REPEAT_INTERVAL_MS: u64 = 3200;
-/// Leases of which it is remembered that their end is recorded, so that a `Deliver` that comes twice runs once.
+/// Maximum number of leases that are remembered as recorded, so that a message runs once even if its `Deliver` arrives
+/// twice.
 const MAX_RECORDED: usize = 4096;
 
-/// One lease.
+/// Identifies one lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LeaseKey {
     pub id: MessageId,
     pub token: LeaseToken,
 }
 
+/// A report that its store has not recorded.
 #[derive(Debug)]
 struct Report {
     store: StoreId,
     message: FromDispatcher,
+    /// When it is repeated next.
     due_ms: u64,
     interval_ms: u64,
 }
@@ -32,18 +37,21 @@
     pub message: FromDispatcher,
 }
 
-/// All reports that are not recorded.
+/// All unrecorded reports, and the leases that were recorded lately. Times are milliseconds on the caller's steady
+/// clock.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
     unrecorded: BTreeMap<LeaseKey, Report>,
     by_due: BTreeSet<(u64, LeaseKey)>,
+    /// The store that reports of a shard go to; the granting store where none is known.
     primaries: BTreeMap<ShardId, StoreId>,
+    /// Latest recorded lease of a message.
     recorded: BTreeMap<MessageId, LeaseToken>,
     recorded_order: VecDeque<LeaseKey>,
 }
 
 impl Reports {
-    /// Adds a report and returns where it goes first.
+    /// Adds the report of an ended lease and returns it with the store that it is sent to first.
     pub fn add(
         &mut self,
         now: u64,
@@ -68,12 +76,12 @@
         Some(report)
     }
 
-    /// The store has it.
+    /// A store has recorded the end of this lease.
     pub fn on_recorded(&mut self, key: LeaseKey) {
         if self.remove(key).is_none() {
             return;
         }
-        // Records of several leases of a message come in any order.
+        // Confirmations for several leases of a message may arrive in any order.
         let latest = self.recorded.entry(key.id).or_default();
         *latest = key.token.max(*latest);
         self.recorded_order.push_back(key);
@@ -85,13 +93,13 @@
         }
     }
 
-    /// The end of this lease, or of a later one, is known already.
+    /// Whether the end of this lease is reported already, or that of this or a later one is recorded.
     pub fn has_ended(&self, key: LeaseKey) -> bool {
         let recorded = self.recorded.get(&key.id).is_some_and(|token| *token >= key.token);
         recorded || self.unrecorded.contains_key(&key)
     }
 
-    /// An end of the message (success, or refused for good) that an earlier lease brought and no store has recorded.
+    /// A final outcome of the message (success or permanent refusal) under an earlier lease that no store has recorded.
     pub fn final_outcome(&self, id: MessageId) -> Option<AttemptOutcome> {
         self.for_message(id).find_map(|message| match message {
             FromDispatcher::Attempted { outcome, .. } => match outcome {
@@ -102,7 +110,7 @@
         })
     }
 
-    /// The receiver took the call-back under an earlier lease, and no store has recorded that.
+    /// Whether the receiver has accepted the call-back under an earlier lease, which no store has recorded.
     pub fn is_call_back_done(&self, id: MessageId) -> bool {
         self.for_message(id).any(|message| matches!(message, FromDispatcher::CalledBack { done: true, .. }))
     }
@@ -113,18 +121,20 @@
         self.unrecorded.range(from..=to).map(|(_, report)| &report.message)
     }
 
-    /// Reports of a shard go to this store from now on; those that change their address go at once.
+    /// Sends the reports of a shard to this store from now on. Returns those that went to another one, to be sent at
+    /// once.
     pub fn set_primary(&mut self, now: u64, shard: ShardId, store: StoreId) -> Vec<OutgoingReport> {
         self.primaries.insert(shard, store);
         let moved = |key: &LeaseKey, report: &Report| key.id.shard == shard && report.store != store;
         self.repeat_now(now, Some(store), moved)
     }
 
-    /// Reports to this store may have been lost.
+    /// A new connection to this store is ready. Reports on the previous one may have been lost: returns all of them.
     pub fn on_connected(&mut self, now: u64, store: StoreId) -> Vec<OutgoingReport> {
         self.repeat_now(now, None, |_, report| report.store == store)
     }
 
+    /// Restarts the repetition of the selected reports, at the store `to` if given, and returns them.
     fn repeat_now(
         &mut self,
         now: u64,
@@ -143,7 +153,7 @@
         all
     }
 
-    /// Reports whose pause is over.
+    /// Returns the reports that are due to be repeated, and doubles their interval.
     pub fn repeat_due(&mut self, now: u64) -> Vec<OutgoingReport> {
         let mut all = Vec::new();
         while let Some((_, key)) = self.by_due.first().copied().filter(|(due, _)| *due <= now) {
--- a/system/state/delivery/src/service/mod.rs
+++ b/system/state/delivery/src/service/mod.rs
@@ -1,7 +1,9 @@
-//! One service: its instance of the decision module, fed with the messages granted here and the ends of attempts.
+//! State of one service: its instance of the decision module ([`Balancer`]), which is passed the messages granted to
+//! this dispatcher and the ends of their attempts.
 //!
-//! Every service has an instance of its own, since no worker of one can take a message of another: p is then the
-//! arrivals that its workers share, and a service that is down holds up no other.
+//! Every service has a balancer of its own, since no worker of one service can take a message of another. The arrival
+//! rate that a balancer estimates (p) is then that of the messages that its workers share, and a service that is down
+//! does not delay others.
 
 mod module;
 mod settings;
@@ -20,64 +22,83 @@
 
 pub(crate) use settings::DispatcherContext;
 
-/// How long a message may wait here for room at a worker (ms); then another dispatcher may have some.
+/// How long (ms) a message may wait here until a worker has room. Then it is given back to its store, since another
+/// dispatcher may have room.
 const MAX_WAIT_MS: u64 = 200;
-/// With a common ceiling each grant has used a permit, which another second may want.
+/// [`MAX_WAIT_MS`] of a service with a rate limit: each grant has used up a permit of the limit, which may be
+/// needed in another second.
 const RATE_LIMITED_MAX_WAIT_MS: u64 = 100;
-/// At a dark service, messages wait for the next probe: given back at once, the next one would come instead.
+/// [`MAX_WAIT_MS`] of an unavailable service, whose messages wait for the next probe: if one were given back at once,
+/// the store would only grant the next one instead.
 const UNAVAILABLE_MAX_WAIT_MS: u64 = 1500;
 
-/// What comes of an input.
+/// What the service decides in response to an input.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Decision {
-    Send { attempt: AttemptId, worker: WorkerId },
-    GiveBack { attempt: AttemptId, retry_after_ms: u32 },
-    CloseIdle { address: Address },
+    Send {
+        attempt: AttemptId,
+        worker: WorkerId,
+    },
+    /// Return the lease to the store without an attempt.
+    GiveBack {
+        attempt: AttemptId,
+        retry_after_ms: u32,
+    },
+    /// Close the idle connections to a worker.
+    CloseIdle {
+        address: Address,
+    },
 }
 
+/// A message that is to be sent.
 #[derive(Clone, Copy, Debug)]
 struct WaitingMessage {
     attempt: AttemptId,
-    /// Then it is given back: its store may grant it to another dispatcher soon.
+    /// When it is given back to its store, which may grant it to another dispatcher.
     give_back_at_ms: u64,
 }
 
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 struct SentAttempt {
     request: RequestId,
     worker: WorkerId,
 }
 
-/// What was here when an attempt ended, itself included.
+/// Number of messages and attempts of the service at this dispatcher when an attempt ended, that one included.
 #[derive(Clone, Copy, Debug)]
 struct Concurrency {
+    /// Messages that wait or are in flight.
     messages: usize,
+    /// Attempts in flight.
     in_flight: usize,
 }
 
-/// One service.
+/// State of one service. Times are milliseconds on the caller's steady clock.
 pub(crate) struct ServiceState {
     service: Service,
+    /// The active configuration names the service.
     in_force: bool,
     dispatcher: DispatcherContext,
+    /// An attempt has succeeded; see [`ServiceState::enable_warm_up`].
     has_succeeded: bool,
     balancer: Balancer,
     fleet: Fleet,
     health: Health,
     credit: CreditLimit,
     window: Window,
-    /// The module refused a message lately: none is offered before this.
+    /// The balancer is offered no message before this, since it refused one; 0 if there is no pause.
     offers_paused_until_ms: u64,
     rng: Rng,
     next_request: RequestId,
-    /// No worker has room for them, oldest first.
+    /// Messages that have not been offered to the balancer, oldest first: no worker has room.
     waiting: VecDeque<WaitingMessage>,
-    /// The module holds them.
+    /// Messages that the balancer has been offered and has not placed or refused yet.
     pending_requests: BTreeMap<RequestId, WaitingMessage>,
     in_flight: BTreeMap<AttemptId, SentAttempt>,
-    /// The module's timers.
+    /// Timers of the balancer: due time and token.
     timers: BTreeSet<(u64, u64)>,
-    /// What the module is yet to be told, in order.
+    /// Events that the balancer has not handled yet, in order.
     pending_events: VecDeque<Event>,
 }
 
@@ -108,28 +129,29 @@
         self.service.idempotent
     }
 
-    /// The configuration in force names it.
+    /// Whether the active configuration names the service.
     pub fn is_in_force(&self) -> bool {
         self.in_force
     }
 
-    /// Where an attempt goes that the module placed.
+    /// Target of an attempt at this worker; `None` if the worker is not known any more.
     pub fn target(&self, number: WorkerId) -> Option<Target> {
         let worker = self.fleet.worker(number)?;
         let instance_id = worker.instance_id.clone();
         Some(Target { address: worker.address, instance_id, max_connections: self.fleet.connections() })
     }
 
+    /// State that the balancer has learned about its workers.
     pub fn learned_state(&self) -> LearnedState {
         self.balancer.export()
     }
 
-    /// Nothing of it is here.
+    /// Whether the service has no message here.
     pub fn is_unused(&self) -> bool {
         self.waiting.is_empty() && self.pending_requests.is_empty() && self.in_flight.is_empty()
     }
 
-    /// Messages granted to one store's dispatcher at the most.
+    /// Maximum number of leases that each store may grant to this dispatcher at one time.
     pub fn credit(&self) -> u32 {
         self.credit.limit(LimitBounds {
             attempt_capacity: self.fleet.attempt_capacity(),
@@ -137,7 +159,7 @@
         })
     }
 
-    /// The configuration changed.
+    /// Applies a new configuration of the service.
     pub fn set_service(
         &mut self,
         now: u64,
@@ -150,7 +172,7 @@
         self.set_dispatcher(now, dispatcher, out);
     }
 
-    /// The configuration does not name it any more, or does again.
+    /// Notes whether the active configuration names the service.
     pub fn set_in_force(&mut self, now: u64, in_force: bool, out: &mut Vec<Decision>) {
         self.in_force = in_force;
         if !in_force {
@@ -160,7 +182,7 @@
         }
     }
 
-    /// The number of dispatchers changed.
+    /// Applies changed facts about the dispatchers, such as their number.
     pub fn set_dispatcher(&mut self, now: u64, dispatcher: DispatcherContext, out: &mut Vec<Decision>) {
         let max_connections = self.service.max_connections;
         self.fleet.set_share(ConnectionShare { max_connections, dispatchers: dispatcher.dispatchers });
@@ -170,7 +192,7 @@
         self.run_balancer(now, out);
     }
 
-    /// The workers that the list names for it.
+    /// Applies a worker list. The capacity of a new worker is passed to the balancer as the free slots of a probe.
     pub fn set_workers(&mut self, now: u64, listed: &[ListedWorker<'_>], out: &mut Vec<Decision>) {
         let added = self.fleet.apply(now, listed);
         self.push_list();
@@ -189,25 +211,27 @@
         self.run_balancer(now, out);
     }
 
+    /// Queues a complete worker list for the balancer.
     fn push_list(&mut self) {
         let entries = self.fleet.update_all();
         self.pending_events.push_back(Event::List { kind: ListKind::Replace, entries });
     }
 
+    /// Queues a worker's entry for the balancer if it has changed.
     fn push_worker_update(&mut self, worker: WorkerId) {
         if let Some(entry) = self.fleet.update(worker) {
             self.pending_events.push_back(Event::List { kind: ListKind::Update, entries: vec![entry] });
         }
     }
 
-    /// A message is to go to a worker of it.
+    /// Takes a message that is to be sent to a worker of the service.
     pub fn offer(&mut self, now: u64, attempt: AttemptId, out: &mut Vec<Decision>) {
         let give_back_at_ms = now + self.max_wait_ms();
         self.waiting.push_back(WaitingMessage { attempt, give_back_at_ms });
         self.run_balancer(now, out);
     }
 
-    /// The message need not be sent any more; nothing happens if it was.
+    /// Drops a message that is not to be sent any more; no effect if it has been sent.
     pub fn withdraw(&mut self, now: u64, attempt: AttemptId, out: &mut Vec<Decision>) {
         self.waiting.retain(|waiting| waiting.attempt != attempt);
         let pending = self.pending_requests.iter().find(|(_, waiting)| waiting.attempt == attempt);
@@ -218,7 +242,7 @@
         self.run_balancer(now, out);
     }
 
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub fn on_attempt_end(
         &mut self,
         now: u64,
@@ -244,10 +268,12 @@
         self.run_balancer(now, out);
     }
 
+    /// Number of messages of the service at this dispatcher.
     fn message_count(&self) -> usize {
         self.waiting.len() + self.pending_requests.len() + self.in_flight.len()
     }
 
+    /// Updates fleet, window, credit and health by the end of an attempt.
     fn learn_from_attempt(
         &mut self,
         now: u64,
@@ -280,24 +306,26 @@
         self.enable_warm_up();
     }
 
-    /// From the first completion on, coldness counts: before it the module knows no speed to take a share of, and
-    /// would send a cold worker nothing at all.
+    /// Lets the balancer take warm-up into account, from the first success on. Before that it knows no speed of a
+    /// worker of which it could assume a share, and would send a worker that warms up nothing at all.
     fn enable_warm_up(&mut self) {
         if !std::mem::replace(&mut self.has_succeeded, true) {
             self.push_settings();
         }
     }
 
+    /// Queues the current settings for the balancer.
     fn push_settings(&mut self) {
         let settings = Box::new(settings(self.dispatcher, self.has_succeeded));
         self.pending_events.push_back(Event::Settings { settings, from: vec![Some(0)] });
     }
 
-    /// How long a message waits that was not run here (ms).
+    /// Backoff (ms) of a message that was not run here.
     pub fn retry_after_ms(&mut self, now: u64) -> u32 {
         self.health.retry_after_ms(now, &mut self.rng)
     }
 
+    /// Handles due timers, and gives back messages that have waited too long.
     pub fn tick(&mut self, now: u64, out: &mut Vec<Decision>) {
         while let Some((due, token)) = self.timers.first().copied().filter(|(due, _)| *due <= now) {
             self.timers.remove(&(due, token));
@@ -316,7 +344,7 @@
         [timer, expiry, offer, self.fleet.next_deadline_ms()].into_iter().flatten().min()
     }
 
-    /// When time alone lets a waiting message be offered.
+    /// When a waiting message can be offered next without another input: at the end of a pause or at the next probe.
     fn next_offer_ms(&self) -> Option<u64> {
         if self.waiting.is_empty() || !self.fleet.has_any_room() {
             return None;
@@ -329,6 +357,7 @@
         (!attempts_under_way).then(|| self.health.next_probe_ms().max(self.offers_paused_until_ms))
     }
 
+    /// How long (ms) a message may wait here until a worker has room.
     fn max_wait_ms(&self) -> u64 {
         match (self.health.is_unavailable(), self.service.rate_per_s > 0.0) {
             (true, _) => UNAVAILABLE_MAX_WAIT_MS,
--- a/system/state/delivery/src/service/module.rs
+++ b/system/state/delivery/src/service/module.rs
@@ -1,20 +1,21 @@
-//! Between a service and its instance of the decision module: events in, actions out.
+//! Runs a service's instance of the decision module, the balancer: passes events to it and carries out its actions.
 
 use super::{Decision, SentAttempt, ServiceState, WaitingMessage};
 use crate::interface::AttemptId;
 use millrudder::{Action, Event, Outcome, Request, RequestId, WorkerId};
 
-/// The module gives up on a request this long before its deadline (its look at held requests, and a millisecond).
+/// Time (ms) that is added to a request's deadline, because the balancer gives up on it up to this long before: it
+/// checks held requests periodically, and needs a millisecond on top.
 const BALANCER_MARGIN_MS: f64 = 25.0;
-/// The module always has some time to place a request (ms).
+/// Minimum time (ms) that the balancer has to place a request.
 const MIN_PLACING_MS: f64 = 25.0;
-/// After the module refused a message, none is offered to it for so long (ms).
+/// Pause (ms) in offering messages to the balancer after it has refused one.
 const REFUSED_PAUSE_MS: u64 = 25;
-/// The module's timers are due on this grid (ms): those of several services cost one wake-up.
+/// The balancer's timers are rounded up to a multiple of this (ms), so that those of several services share a wake-up.
 const TIMER_GRID_MS: u64 = 25;
 
 impl ServiceState {
-    /// Tells the module all that it is to know, and asks it for a worker wherever one has room.
+    /// Passes all queued events to the balancer, and offers it waiting messages while some worker has room.
     pub(super) fn run_balancer(&mut self, now: u64, out: &mut Vec<Decision>) {
         loop {
             while let Some(event) = self.pending_events.pop_front() {
@@ -26,9 +27,10 @@
         }
     }
 
-    /// Takes a waiting message; false if there is none that anything can be done for.
+    /// Offers the oldest waiting message to the balancer; returns false if there is none or none may be sent now.
     fn offer_next(&mut self, now: u64, out: &mut Vec<Decision>) -> bool {
-        // Before any is sent: after a halt of this process their leases may have gone to others.
+        // This must come before any message is sent: while this process was stalled, their leases may have been granted
+        // to other dispatchers.
         self.give_back_expired(now, out);
         let in_flight_or_pending = self.in_flight.len() + self.pending_requests.len();
         if now >= self.offers_paused_until_ms {
@@ -45,6 +47,7 @@
         true
     }
 
+    /// Gives back messages that have waited too long.
     fn give_back_expired(&mut self, now: u64, out: &mut Vec<Decision>) {
         while let Some(at) = self.waiting.iter().position(|waiting| waiting.give_back_at_ms <= now) {
             let Some(waiting) = self.waiting.remove(at) else { return };
@@ -59,6 +62,7 @@
         Request { id, class: Some(0), slots: 1.0, deadline, ..Request::default() }
     }
 
+    /// Gives a message back because no worker had room in time, and counts the shortage.
     fn give_back(&mut self, now: u64, attempt: AttemptId, out: &mut Vec<Decision>) {
         if !self.health.is_unavailable() {
             self.credit.on_no_room(now);
@@ -68,6 +72,7 @@
         out.push(Decision::GiveBack { attempt, retry_after_ms });
     }
 
+    /// Passes one event to the balancer and carries out the resulting actions.
     fn handle_event(&mut self, now: u64, event: Event, out: &mut Vec<Decision>) {
         let mut actions = Vec::new();
         self.balancer.handle(now as f64, event, &mut actions);
@@ -82,14 +87,14 @@
                     let due = now + delay.max(1.0).ceil() as u64;
                     self.timers.insert((due.next_multiple_of(TIMER_GRID_MS), token));
                 }
-                // Neither second copies nor probes are permitted, and the list comes unasked.
+                // The settings permit neither second copies nor probes, and worker lists arrive without a request.
                 Action::Cancel { .. } | Action::Probe { .. } | Action::Watch | Action::Fetch => {}
             }
         }
     }
 
-    /// It is offered again a little later, while it may wait here: given back at once, the next one would come
-    /// instead, and be refused as well.
+    /// Handles a message that the balancer refused: it is offered again a little later while it may wait here. If it
+    /// were given back at once, the store would grant the next one instead, which would be refused as well.
     fn on_refused(&mut self, now: u64, request: RequestId, out: &mut Vec<Decision>) {
         let Some(waiting) = self.pending_requests.remove(&request) else { return };
         if waiting.give_back_at_ms <= now {
@@ -99,11 +104,12 @@
         self.offers_paused_until_ms = now + REFUSED_PAUSE_MS;
     }
 
+    /// Sends a message to the worker that the balancer chose, if there is still room.
     fn on_send(&mut self, now: u64, request: RequestId, worker: WorkerId, out: &mut Vec<Decision>) {
         let Some(waiting) = self.pending_requests.remove(&request) else { return };
         let in_window = self.window.has_room(self.in_flight.len());
         if !in_window || !self.fleet.has_room(worker) || !self.health.may_send(now, self.in_flight.len()) {
-            // The module placed several that it held at one time; the worker takes no more of them.
+            // The balancer placed several held requests at one time, and there is no room for this one any more.
             let (outcome, latency) = (Outcome::Ignored, 0.0);
             let (id, attempt, closed, load) = (request, 0, true, None);
             self.pending_events.push_back(Event::Outcome {
--- a/system/state/delivery/src/window.rs
+++ b/system/state/delivery/src/window.rs
@@ -1,21 +1,22 @@
-//! How many attempts of a service this dispatcher has out at one time: as many as its workers take without turning
-//! some away. All dispatchers find their shares so, as connections on one link do (additive increase, multiplicative
-//! decrease).
+//! Congestion window of a service: how many attempts this dispatcher may have in flight at its workers without being
+//! turned away. Dispatchers that share workers converge to their shares as TCP connections on one link do, by additive
+//! increase and multiplicative decrease.
 
-/// Bounds, and what is assumed at first.
+/// Bounds and initial value of the window, in attempts.
 const MIN_SIZE: f64 = 1.0;
 const MAX_SIZE: f64 = 1024.0;
 const INITIAL_SIZE: f64 = 64.0;
-/// Share that stays when a worker is full.
+/// The window is multiplied by this when a worker answers that it is full.
 const DECREASE_FACTOR: f64 = 0.9;
-/// Full workers within so long (ms) after a cut are the same shortage.
+/// Full workers within this time (ms) after a decrease belong to the same shortage and do not decrease the window
+/// again.
 const MIN_DECREASE_INTERVAL_MS: u64 = 100;
-/// Growth with as many successes as the window holds, soon after a shortage; by one with each success once none was
-/// met for so long (ms).
+/// Soon after a shortage, the window grows by this many attempts for each full window of successes.
 const GROWTH_PER_ROUND: f64 = 2.0;
+/// Without a shortage for this time (ms), the window grows by one attempt with each success.
 const FAST_GROWTH_AFTER_MS: u64 = 1000;
 
-/// The window of one service.
+/// The congestion window of one service. Times are milliseconds on the caller's steady clock.
 #[derive(Debug)]
 pub(crate) struct Window {
     size: f64,
@@ -29,7 +30,8 @@
 }
 
 impl Window {
-    /// A success came with `out` attempts out, itself included.
+    /// An attempt succeeded while `in_flight` attempts, itself included, were in flight. A window that is less than
+    /// half used does not grow.
     pub fn on_success(&mut self, now: u64, in_flight: usize) {
         if (in_flight as f64) < self.size / 2.0 {
             return;
@@ -39,7 +41,7 @@
         self.size = (self.size + growth).min(MAX_SIZE);
     }
 
-    /// A worker was full with `out` attempts out, itself included.
+    /// A worker answered that it is full while `in_flight` attempts, that one included, were in flight.
     pub fn on_full(&mut self, now: u64, in_flight: usize) {
         if self.decreased_at_ms.is_some_and(|at| now < at + MIN_DECREASE_INTERVAL_MS) {
             return;
--- a/system/state/delivery/tests/callbacks.rs
+++ b/system/state/delivery/tests/callbacks.rs
@@ -1,4 +1,4 @@
-//! Call-backs: a few at a time to each receiver, given back while it is down.
+//! Call-backs: a few in flight to each receiver, given back to their stores while it is down.
 
 mod common;
 use common::*;
@@ -233,7 +233,7 @@
     assert_eq!(fixture.delivery.active_leases(|_| true).len(), 2);
 }
 
-/// Gives five call-backs; those that are out.
+/// Grants five call-backs; returns the attempts in flight.
 fn grant_five(fixture: &mut Fixture) -> Vec<AttemptId> {
     let mut out = Vec::new();
     for unique in 0..5 {
--- a/system/state/delivery/tests/common/mod.rs
+++ b/system/state/delivery/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A delivery with two services, driven by hand: `annotate` has listed workers, `pay` one static endpoint and a common
-//! ceiling.
+//! Fixture of the tests: an instance of [`Delivery`] with two services and a clock that the test sets. The service
+//! `annotate` has listed workers, `pay` a single static endpoint and a rate limit.
 #![allow(dead_code)]
 
 use millrudder_delivery::*;
@@ -17,7 +17,7 @@
 pub const ANSWER_SLACK_MS: u32 = 100;
 pub const STATIC_ADDRESS: &str = "172.20.0.3:8066";
 
-/// One route: paths with this prefix go to this service.
+/// A route that sends paths with a prefix to a service.
 #[derive(Clone)]
 pub struct Route {
     pub prefix: &'static str,
@@ -102,7 +102,7 @@
     }
 }
 
-/// A send that is out.
+/// An attempt that was sent.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub attempt: AttemptId,
@@ -112,7 +112,7 @@
     pub path: String,
 }
 
-/// An end that was reported.
+/// A reported outcome of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reported {
     pub store: StoreId,
@@ -125,7 +125,7 @@
     pub delivery: Delivery,
     pub now: u64,
     pub list: WorkerList,
-    /// Of the latest input.
+    /// Outputs of the latest input, or of all deadlines that `pass` ran.
     pub out: Vec<Output>,
 }
 
@@ -137,7 +137,7 @@
         Fixture { delivery: Delivery::new(configuration), now: 1000, list, out: Vec::new() }
     }
 
-    /// With both services, their routes and this many workers.
+    /// Creates a fixture with both services, their routes and this many listed workers.
     pub fn new(workers: u16) -> Self {
         let mut fixture = Fixture::empty();
         fixture.input(Input::Services(vec![listed_service(), static_service()]));
@@ -177,7 +177,7 @@
         });
     }
 
-    /// Delivers and expects it to be sent at once.
+    /// Grants a message and expects it to be sent at once.
     pub fn send(&mut self, unique: u64, token: u64, path: &str) -> Sent {
         self.deliver(unique, token, path);
         self.sent().expect("sent at once")
@@ -191,7 +191,7 @@
         self.input(Input::Recorded { id: id(unique), token: LeaseToken(token) });
     }
 
-    /// Runs all deadlines up to `now + ms`, gathering what is put out.
+    /// Runs all deadlines up to `now + ms`, and returns all their outputs.
     pub fn pass(&mut self, ms: u64) -> Vec<Output> {
         let (end, mut all) = (self.now + ms, Vec::new());
         while let Some(due) = self.delivery.next_deadline().filter(|due| *due <= end) {
@@ -218,7 +218,7 @@
         reported(&self.out)
     }
 
-    /// The one end that the latest input reported.
+    /// The only outcome that the latest input reported.
     pub fn outcome(&self) -> AttemptOutcome {
         let mut all = self.reported();
         assert_eq!(all.len(), 1, "{:?}", self.out);
--- a/system/state/delivery/tests/index.rs
+++ b/system/state/delivery/tests/index.rs
@@ -1,5 +1,5 @@
-//! On the ordinary path a message goes to the worker whose index is highest: checked against equation (15) and the
-//! estimates that the design names, computed here from what the dispatcher has seen.
+//! Ordinarily a message is sent to the worker with the highest index. The index is recomputed here by equation (15)
+//! from the estimates that the design defines, based on the state that the balancer has learned.
 
 mod common;
 use common::*;
@@ -12,25 +12,28 @@
 
 const CAPACITY: u32 = 4;
 const WORKERS: u16 = 5;
-/// Time constant of the arrival rate (ms), jobs that stand before a worker's own, share of the step (`src/rules.rs`).
+/// Parameters of the balancer (`src/rules.rs`): time constant of the arrival rate (ms), number of assumed messages in
+/// the estimate of a worker's speed, time step as a share of the shortest mean time between two events, and number of
+/// arrivals that the mean work is averaged over.
 const ARRIVAL_TIME_CONSTANT_MS: f64 = 5000.0;
 const PRIOR_JOBS: f64 = 2.0;
 const STEP_SHARE: f64 = 0.1;
 const ARRIVALS_REMEMBERED: f64 = 200.0;
-/// Work of a message while none has been completed (ms).
+/// Assumed work of a message (ms) before any has been completed.
 const DEFAULT_WORK_MS: f64 = 1000.0;
 
 fn rate((work, time): (f64, f64)) -> Option<f64> {
     (work > 0.0 && time > 0.0).then(|| work / time)
 }
 
-/// It takes no more of our messages.
+/// Whether the worker gets no more messages from this dispatcher.
 fn is_full(counts: &BTreeMap<u32, f64>, number: u32) -> bool {
     counts.get(&number).is_some_and(|count| *count >= f64::from(2 * CAPACITY))
 }
 
-/// Index of each worker at its present count, when one more message arrives at `now`. `usual_before`: the kind's speed
-/// when this was last reckoned, which the length of the step still rests on.
+/// Index of each worker by its number of messages, when one more message arrives at `now`. `kind_speed_before` is the
+/// speed of the workers' kind at the previous computation, which the length of the time step is still based on; it is
+/// replaced by the current one.
 fn indices(
     learned: &LearnedState,
     now: f64,
@@ -66,7 +69,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Arrive,
-    /// The oldest message that is out at this worker succeeds.
+    /// The oldest message in flight at this worker succeeds.
     Finish(u16),
 }
 
@@ -79,7 +82,7 @@
     (1..=WORKERS).map(|number| WorkerEntry { capacity: CAPACITY, ..worker(number) }).collect()
 }
 
-/// Workers in the order of the list, as they are numbered.
+/// Number of a worker: workers are numbered in the order of the list.
 fn number_of(address: Address) -> u32 {
     let place = (1..=WORKERS).position(|number| worker(number).address == address);
     u32::try_from(place.unwrap()).unwrap()
@@ -95,7 +98,7 @@
         gap in 5u64..400,
     ) {
         let mut fixture = Fixture::new(0);
-        // No attempt is given up here.
+        // A time-out so long that no attempt is given up.
         fixture.routes(vec![Route { prefix: "/a", service: LISTED, timeout_ms: 600_000 }]);
         fixture.workers(entries());
         let mut out: BTreeMap<u32, VecDeque<AttemptId>> = BTreeMap::new();
@@ -104,7 +107,7 @@
             fixture.pass(gap);
             match step {
                 Step::Arrive => {
-                    // Estimates are renewed with the list: then what is seen here is what decides.
+                    // The balancer updates its estimates with each list, so that it decides by the state read below.
                     fixture.workers(entries());
                     let counts: BTreeMap<u32, f64> =
                         out.iter().map(|(number, out)| (*number, out.len() as f64)).collect();
--- a/system/state/delivery/tests/leases.rs
+++ b/system/state/delivery/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: each is sent once at the most, and its end is told until it is recorded.
+//! Leases: the message of each is sent at most once, and its end is reported until it is recorded.
 
 mod common;
 use common::*;
@@ -105,7 +105,7 @@
     let mut fixture = Fixture::new(2);
     let sent = fixture.send(1, 1, "/a");
     fixture.end(sent.attempt, AttemptResult::Answer(answer(500)));
-    // It may have been counted: told under the later lease it would count twice.
+    // The failure may have been counted already; reported under the later lease as well, it would count twice.
     fixture.deliver(1, 2, "/a");
     assert!(fixture.sent().is_some());
 }
@@ -140,7 +140,7 @@
     assert!(fixture.send(10, 1, "/a").worker.instance_id.is_some());
 }
 
-/// The barriers that the last input had sent, by store.
+/// Takes the barriers out of the outputs of the last input.
 fn barriers(fixture: &mut Fixture) -> Vec<(StoreId, BarrierNumber)> {
     let sent = fixture.out.drain(..).filter_map(|output| match output {
         Output::Barrier { store, number } => Some((store, number)),
@@ -156,7 +156,8 @@
     fixture.input(Input::ClockStalled);
     let sent = barriers(&mut fixture);
     assert_eq!(sent.len(), 1);
-    // However long it takes to read what lay there: by the clock of the process next to no time has passed.
+    // The barrier counts, not the time: the store's grants from before the stall may take long to be read, while almost
+    // no time has passed on the clock of the process.
     fixture.pass(10_000);
     fixture.deliver(1, 1, "/a");
     assert!(fixture.sent().is_none());
@@ -177,7 +178,7 @@
     fixture.input(Input::BarrierReached { store: StoreId(STORE.0 + 1), number: second });
     fixture.deliver(1, 1, "/a");
     assert!(fixture.sent().is_none());
-    // A new connection has a barrier of its own, as the one before was lost with its connection.
+    // The barrier was lost with the previous connection, so the new connection gets another one.
     fixture.out.clear();
     fixture.input(Input::Connected { store: STORE });
     let third = barriers(&mut fixture)[0].1;
--- a/system/state/delivery/tests/load.rs
+++ b/system/state/delivery/tests/load.rs
@@ -1,5 +1,5 @@
-//! Several dispatchers with one store and shared workers, in steps of simulated time: what is asked for is served in
-//! time, outages are left behind, overload is borne.
+//! Several dispatchers with one store and shared workers, in steps of simulated time: messages start in time, service
+//! resumes after outages, and overload does not reduce the throughput.
 
 mod common;
 use common::*;
@@ -12,16 +12,18 @@
 use std::sync::Arc;
 
 const STEP_MS: u64 = 5;
-/// Messages that a worker queues beyond its slots.
+/// Number of messages that a worker queues beyond its slots.
 const WORKER_QUEUE: usize = 4;
 
 /// A message in the store's queue.
 #[derive(Clone, Copy)]
 struct QueuedMessage {
     unique: u64,
+    /// When it may be granted.
     due_ms: u64,
 }
 
+/// An attempt at a worker.
 struct Run {
     dispatcher: usize,
     attempt: AttemptId,
@@ -46,9 +48,9 @@
     workers: BTreeMap<Address, Worker>,
     queue: Vec<QueuedMessage>,
     granted: Vec<usize>,
-    /// When each message came, and how often it was granted.
+    /// When each message arrived (ms), and how often it was granted.
     messages: BTreeMap<u64, (u64, u64)>,
-    /// From arrival to the start of the run that succeeded (ms), by arrival.
+    /// Arrival of each message that succeeded, and the time from then to the start of its successful run (both in ms).
     waits: Vec<(u64, u64)>,
     grants: usize,
     sends: usize,
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Lets time pass with so many messages a second.
+    /// Simulates `ms` in which `per_second` messages per second arrive.
     fn run(&mut self, ms: u64, per_second: f64) {
         let end = self.now + ms;
         while self.now < end {
@@ -236,7 +238,7 @@
         }
     }
 
-    /// Share of the messages that came between these times and whose run began within so long.
+    /// Share of the messages arrived from `from` to `to` whose successful run started within `within_ms`.
     fn share_started_within(&self, from: u64, to: u64, within_ms: u64) -> f64 {
         let arrived = self.messages.values().filter(|(at, _)| (from..to).contains(at)).count();
         let started = self.waits.iter().filter(|(at, wait)| (from..to).contains(at) && *wait <= within_ms);
@@ -261,7 +263,7 @@
 #[test]
 fn a_high_load_is_served_in_time() {
     let mut simulation = Simulation::with_list(8, 9, 12, 250);
-    // Seven eighths of what the workers can do.
+    // Seven eighths of what the workers can run: 9 workers of 12 slots at 250 ms a message run 432 messages a second.
     simulation.run(20_000, 378.0);
     let (from, to) = (3000, simulation.now - 2000);
     assert!(
@@ -277,7 +279,7 @@
     simulation.run(10_000, 900.0);
     let served = simulation.waits.len() as f64 / 10.0;
     assert!(served > 0.9 * 432.0, "{served} a second of 432");
-    // Every grant is a record on the stores' disks: few of them are for nothing.
+    // Every grant costs a record on the stores' disks, so few of them may be in vain.
     let (grants, sends) = (simulation.grants, simulation.sends);
     assert!(grants as f64 <= 1.5 * simulation.waits.len() as f64, "{grants} grants");
     assert!(sends as f64 <= 1.25 * simulation.waits.len() as f64, "{sends} sends");
@@ -310,7 +312,7 @@
     let back = simulation.now;
     let before = simulation.waits.len();
     simulation.run(4000, 37.0);
-    // The backlog of 8 s and what comes meanwhile.
+    // The backlog of 8 s and the messages that arrived meanwhile have been served.
     assert!(simulation.queue.is_empty(), "{} wait still", simulation.queue.len());
     assert!(simulation.waits.len() - before > 420);
     assert!(simulation.share_started_within(back + 2000, simulation.now - 500, 500) > 0.98);
@@ -324,12 +326,12 @@
         .values_mut()
         .for_each(|worker| worker.queue.extend((0..WORKER_QUEUE).map(|_| placeholder_run())));
     simulation.run(10_000, 190.0);
-    // A second in which it may be a shortage, then probes by each dispatcher.
+    // For a second each dispatcher may take this for a shortage; after that it sends probes only.
     assert!(simulation.sends < 8 * 250, "{} sends", simulation.sends);
     assert!(simulation.grants < 8 * 400, "{} grants", simulation.grants);
 }
 
-/// Takes a place in a worker's queue.
+/// A run without a message that occupies a place in a worker's queue.
 fn placeholder_run() -> Run {
     Run { dispatcher: 0, attempt: AttemptId(u64::MAX), unique: 0, arrived: 0 }
 }
--- a/system/state/delivery/tests/random.rs
+++ b/system/state/delivery/tests/random.rs
@@ -1,5 +1,5 @@
-//! Drawn courses of everything at once: grants, ends of all kinds, lost and late records, moved primaries, revoked
-//! leases, changing lists, routes and services, halts. What must hold is checked after each step.
+//! Random sequences of inputs: grants, results of all kinds, lost and late confirmations, moved primaries, revoked
+//! leases, changed worker lists, routes and services, and stalls. The invariants are checked after each step.
 
 mod common;
 use common::*;
@@ -16,26 +16,26 @@
 const STEPS: usize = 400;
 const CAPACITY: u32 = 4;
 const MAX_IN_FLIGHT_PER_RECEIVER: usize = 2;
-/// Longest time in which all ends once everything answers again (ms).
+/// Maximum time (ms) until no lease is left once everything answers again.
 const FINISH_MS: u64 = 30_000;
 
 type Lease = (MessageId, LeaseToken);
 
 #[derive(Default)]
 struct ObservedState {
-    /// Last token of each message, and whether the stores know its end.
+    /// Latest token of each message, and whether the stores know its final outcome.
     messages: BTreeMap<MessageId, (u64, bool)>,
     sent: BTreeSet<Lease>,
     ended: BTreeMap<Lease, FromDispatcher>,
     unrecorded: BTreeSet<Lease>,
-    /// Attempts out, with their worker.
+    /// Attempts in flight, with their worker.
     in_flight: BTreeMap<AttemptId, Target>,
     call_backs: BTreeMap<AttemptId, Address>,
     succeeded: BTreeSet<MessageId>,
     ready: BTreeMap<Address, String>,
     /// Barriers that no store has answered.
     barriers: BTreeMap<StoreId, BarrierNumber>,
-    /// The machine has stood still, and the store that grants has not answered since.
+    /// The clock has stalled, and the store that grants has not answered its barrier since.
     barrier_pending: bool,
     connected: BTreeSet<StoreId>,
 }
@@ -46,7 +46,7 @@
     rng: Rng,
 }
 
-/// A new life at an old address is another worker.
+/// Whether two targets are the same process: a worker that restarted at the same address has a new instance id.
 fn same_worker(one: &Target, other: &Target) -> bool {
     one.address == other.address && one.instance_id == other.instance_id
 }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The machine stands still, or a store answers the barrier that was sent after it did.
+    /// Lets the clock stall or, if barriers are unanswered after a stall, lets a store answer one.
     fn stall_or_answer_barrier(&mut self) {
         match self.observed.barriers.pop_first() {
             Some((store, number)) => {
@@ -154,14 +154,14 @@
         }
     }
 
-    /// A store grants a message that it does not know the end of, perhaps one that is here under an earlier lease.
+    /// A store grants a message whose final outcome it does not know, possibly one that is here under an earlier lease.
     fn grant(&mut self) {
         let id = id(self.rng.u64(0..60));
         let entry = self.observed.messages.entry(id).or_insert((0, false));
         if entry.1 {
             return;
         }
-        // A grant may come twice.
+        // The same grant may arrive twice.
         if entry.0 == 0 || self.rng.u32(0..20) > 0 {
             entry.0 += 1;
         }
@@ -268,7 +268,7 @@
     }
 
     fn grant_call_back(&mut self) {
-        // Other messages than those that are delivered.
+        // The identifiers differ from those of messages that are delivered.
         let id = MessageId { unique: 1000 + self.rng.u64(0..30), ..id(0) };
         let entry = self.observed.messages.entry(id).or_insert((0, false));
         entry.0 += 1;
@@ -287,7 +287,7 @@
         self.input(Input::CallBackResult { attempt, result });
     }
 
-    /// Time passes, with the deadlines in it, or without: the process was halted.
+    /// Lets time pass: usually with all deadlines handled, sometimes without, as if the process was stalled.
     fn wait(&mut self) {
         let end = self.fixture.now + self.rng.u64(1..400);
         if self.rng.u32(0..30) == 0 {
@@ -305,7 +305,7 @@
         self.fixture.now = self.fixture.now.max(end);
     }
 
-    /// Everything answers and everything is recorded: nothing remains.
+    /// Shuts down while everything answers and is recorded, and checks that no lease remains.
     fn finish(&mut self) {
         let end = self.fixture.now + FINISH_MS;
         self.input(Input::ShuttingDown);
--- a/system/state/delivery/tests/results.rs
+++ b/system/state/delivery/tests/results.rs
@@ -1,4 +1,4 @@
-//! What each end of an attempt means for the message.
+//! Outcome that is reported for a message after each result of an attempt.
 
 mod common;
 use common::*;
--- a/system/state/delivery/tests/room.rs
+++ b/system/state/delivery/tests/room.rs
@@ -1,4 +1,4 @@
-//! Room at workers: own bounds, holding, giving back, credits, services that answer nothing.
+//! Room at workers: limits on attempts in flight, waiting messages, messages given back, credits, unavailable services.
 
 mod common;
 use common::*;
@@ -26,7 +26,7 @@
 fn connections_are_shared_by_the_dispatchers() {
     let mut fixture = Fixture::new(1);
     fixture.input(Input::Dispatchers { count: 25 });
-    // 110 connections, nine tenths of them used, by 25.
+    // Nine tenths of the worker's 110 connections are shared by 25 dispatchers.
     let sent = fill(&mut fixture, 3);
     assert_eq!(sent[0].worker.max_connections, 3);
     fixture.deliver(3, 1, "/a");
@@ -77,7 +77,7 @@
     assert_eq!(fixture.credit(LISTED), 16, "a change that is not urgent is announced after 100 ms");
 }
 
-/// Delivers as many messages as the credit allows, again and again; each ends after 20 ms like this.
+/// For `ms`, keeps as many messages granted as the credit allows; each attempt ends with `result` after 20 ms.
 fn use_credit(fixture: &mut Fixture, ms: u64, result: &AttemptResult) {
     let end = fixture.now + ms;
     let mut out: VecDeque<(u64, AttemptId)> = VecDeque::new();
@@ -114,7 +114,7 @@
 fn credits_grow_with_successes_and_shrink_when_workers_are_full() {
     let mut fixture = Fixture::new(36);
     use_credit(&mut fixture, 1000, &success());
-    // Changes of less than a fifth are not told.
+    // The last changes may not have been announced, since each was less than a fifth.
     assert!((52..=64).contains(&fixture.credit(LISTED)), "{}", fixture.credit(LISTED));
     use_credit(&mut fixture, 4000, &not_executed(503));
     assert_eq!(fixture.credit(LISTED), 1, "probes");
@@ -122,10 +122,10 @@
     assert!(fixture.credit(LISTED) >= 32, "{}", fixture.credit(LISTED));
 }
 
-/// Lets every attempt at the static endpoint fail for so long; returns how many there were.
+/// For `ms`, ends every attempt at the static endpoint with `result`; returns the number of attempts.
 fn fail_for(fixture: &mut Fixture, ms: u64, result: &AttemptResult) -> usize {
     let (end, mut attempts) = (fixture.now + ms, 0);
-    // Later tokens than in an earlier call.
+    // Tokens must be later than those of an earlier call.
     let mut token = 100 * fixture.now;
     let mut messages: BTreeMap<u64, u64> = (1..=20).map(|unique| (unique, 0)).collect();
     while fixture.now < end {
@@ -153,7 +153,7 @@
     attempts
 }
 
-/// Records what was reported, and notes when each message may be granted again.
+/// Confirms all reports as recorded, and notes when each message may be granted again.
 fn record_reports(fixture: &mut Fixture, messages: &mut BTreeMap<u64, u64>) {
     let now = fixture.now;
     for report in fixture.reported() {
@@ -178,7 +178,7 @@
         assert_eq!(fixture.credit(STATIC), 1, "after {first} attempts");
         let later = fail_for(&mut fixture, 8000, &result);
         assert!((4..=24).contains(&later), "{later} probes in 8 s");
-        // Whatever waits for the next probe has gone after it.
+        // By then a message that waited here has been sent as a probe; otherwise a new one is.
         let mut probes = sent(&fixture.pass(1500));
         if probes.is_empty() {
             fixture.deliver(99, 1, "/p");
--- a/system/state/delivery/tests/routes.rs
+++ b/system/state/delivery/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration while messages are here.
+//! Changes of routes and services while messages wait or are in flight.
 
 mod common;
 use common::*;
@@ -37,7 +37,7 @@
     fixture.routes(changed);
     fixture.end(out[0].attempt, success());
     assert_eq!(fixture.sent().unwrap().timeout_ms, 500);
-    // A success that comes later than the new time-out, and within the one that the worker was told.
+    // This success arrives after the new time-out of 500 ms, but within the one that the worker was sent.
     fixture.now += 1500;
     fixture.end(out[1].attempt, success());
     assert_eq!(fixture.reported()[0].outcome, succeeded());
--- a/system/state/delivery/tests/workers.rs
+++ b/system/state/delivery/tests/workers.rs
@@ -1,4 +1,4 @@
-//! Drains, ends and new lives of workers.
+//! Workers that drain, end, restart or are listed anew.
 
 mod common;
 use common::*;
@@ -76,7 +76,7 @@
     fixture.end(sent.attempt, AttemptResult::Answer(answer(421)));
     let next: Vec<Sent> = (2..8).map(|unique| fixture.send(unique, 1, "/a")).collect();
     assert!(next.iter().all(|sent| sent.worker.address != wrong));
-    // The list lags: that it still names it tells nothing yet.
+    // The list lags, so the worker is still avoided although the list still names it.
     fixture.workers(vec![worker(1), worker(2)]);
     assert_ne!(fixture.send(8, 1, "/a").worker.address, wrong);
     for sent in next {
