--- a/system/state/delivery/src/delivery/mod.rs
+++ b/system/state/delivery/src/delivery/mod.rs
@@ -1,13 +1,13 @@
 //! The state machine as a whole: leases by message, services by name, reports and call-backs.
 
-mod calls;
+mod call_backs;
 mod leases;
 mod updates;
 
 use crate::attempts::Attempts;
 use crate::barriers::StoreBarriers;
 use crate::callbacks::CallBacks;
-use crate::credits::{CreditAnnouncements, ServiceLimit};
+use crate::credit_announcements::{CreditAnnouncements, ServiceLimit};
 use crate::interface::*;
 use crate::reports::{LeaseKey, OutgoingReport, Reports};
 use crate::service::{Decision, DispatcherContext, ServiceState};
--- a/system/state/delivery/src/lib.rs
+++ b/system/state/delivery/src/lib.rs
@@ -63,8 +63,8 @@
 mod attempts;
 mod barriers;
 mod callbacks;
-mod credit;
-mod credits;
+mod credit_announcements;
+mod credit_limit;
 mod delivery;
 mod fleet;
 mod health;
--- a/system/state/delivery/src/service/mod.rs
+++ b/system/state/delivery/src/service/mod.rs
@@ -5,10 +5,10 @@
 //! rate that a balancer estimates (p) is then that of the messages that its workers share, and a service that is down
 //! does not delay others.
 
-mod module;
+mod balancer;
 mod settings;
 
-use crate::credit::{CreditLimit, LimitBounds};
+use crate::credit_limit::{CreditLimit, LimitBounds};
 use crate::fleet::{ConnectionShare, Fleet, ListedWorker};
 use crate::health::Health;
 use crate::interface::{AttemptId, Service, Target};
