--- a/system/state/delivery/src/attempts.rs
+++ b/system/state/delivery/src/attempts.rs
@@ -95,7 +95,7 @@
         self.given_up.remove(&id)
     }
 
-    pub fn next_deadline(&self) -> Option<u64> {
+    pub fn next_deadline_ms(&self) -> Option<u64> {
         self.by_overdue.first().map(|(due, _)| *due)
     }
 }
--- a/system/state/delivery/src/callbacks.rs
+++ b/system/state/delivery/src/callbacks.rs
@@ -258,7 +258,7 @@
         overdue.map(|(id, _)| *id).collect()
     }
 
-    pub fn next_deadline(&self) -> Option<u64> {
+    pub fn next_deadline_ms(&self) -> Option<u64> {
         let overdue = self.attempts.values().map(|attempt| attempt.overdue_at_ms);
         let resumes = self.receivers.values().filter_map(Receiver::resumes_at_ms);
         overdue.chain(resumes).min()
--- a/system/state/delivery/src/delivery/mod.rs
+++ b/system/state/delivery/src/delivery/mod.rs
@@ -155,9 +155,9 @@
     fn earliest_deadline_ms(&self) -> Option<u64> {
         let services = self.services.values().filter_map(ServiceState::next_deadline_ms).min();
         let rest = [
-            self.reports.next_deadline(),
-            self.attempts.next_deadline(),
-            self.callbacks.next_deadline(),
+            self.reports.next_deadline_ms(),
+            self.attempts.next_deadline_ms(),
+            self.callbacks.next_deadline_ms(),
             self.credits.next_deadline_ms(),
         ];
         rest.into_iter().flatten().chain(services).min()
--- a/system/state/delivery/src/reports.rs
+++ b/system/state/delivery/src/reports.rs
@@ -167,7 +167,7 @@
         all
     }
 
-    pub fn next_deadline(&self) -> Option<u64> {
+    pub fn next_deadline_ms(&self) -> Option<u64> {
         self.by_due.first().map(|(due, _)| *due)
     }
 
