--- a/system/state/delivery/src/callbacks.rs
+++ b/system/state/delivery/src/callbacks.rs
@@ -20,7 +20,7 @@
 /// Backoff (ms) of a call-back that its receiver refused by a status below 500 other than 200, or for which there is no
 /// more room here.
 const REFUSED_RETRY_MS: u64 = 1000;
-/// When this many receivers are known, those without call-backs and pauses are forgotten.
+/// When this many receivers are known, those that have no call-backs here and do not count as down are forgotten.
 const MAX_RECEIVERS: usize = 1024;
 /// Status by which a receiver accepts a call-back.
 const ACCEPTED: u16 = 200;
@@ -134,7 +134,7 @@
         self.send_waiting(now, address, next_attempt, out);
     }
 
-    /// Forgets receivers without call-backs here and without a pause, if there are many.
+    /// Forgets receivers that have no call-backs here and do not count as down, if [`MAX_RECEIVERS`] are known.
     fn evict_idle_receivers(&mut self, now: u64) {
         if self.receivers.len() >= MAX_RECEIVERS {
             self.receivers.retain(|_, receiver| !receiver.is_idle(now));
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Gives back the waiting call-backs of a receiver that stays down for `down_ms`.
+    /// Gives back the waiting call-backs of a receiver that counts as down for another `down_ms`.
     fn give_back_waiting(&mut self, down_ms: u64, address: Address, out: &mut Vec<CallBackDecision>) {
         let Some(receiver) = self.receivers.get_mut(&address) else { return };
         for id in std::mem::take(&mut receiver.waiting) {
--- a/system/state/delivery/src/delivery/leases.rs
+++ b/system/state/delivery/src/delivery/leases.rs
@@ -19,7 +19,7 @@
 /// a message whose success was answered in full 50 ms before the time-out must never run again.
 const ANSWER_SLACK_MS: u32 = 100;
 /// Age (ms) from which a message without a known route is reported as [`AttemptOutcome::RouteGone`]. Until then this
-/// dispatcher's configuration may be older than the route (the sum of `configApplyMs` and `maxSkewMs`, with a margin).
+/// dispatcher's configuration may be older than the route (by `configApplyMs` and `maxSkewMs`, with a margin).
 const ROUTE_PROPAGATION_MS: u64 = 20_000;
 /// Backoff (ms) of a message whose route is not known yet.
 const UNKNOWN_ROUTE_RETRY_MS: u64 = 1000;
@@ -68,6 +68,7 @@
         Some(lease)
     }
 
+    /// Handles a granted lease. A message that is here already, or whose end is known, is not sent again.
     pub(super) fn on_deliver(&mut self, now: u64, key: LeaseKey, granted: Lease, out: &mut Vec<Output>) {
         if self.reports.has_ended(key) {
             return;
@@ -129,6 +130,7 @@
         AttemptOutcome::NotRun { retry_after_ms: self.unknown_route_retry_ms() }
     }
 
+    /// Drops a message whose lease was revoked, unless its attempt is in flight.
     pub(super) fn on_revoke(&mut self, now: u64, key: LeaseKey, out: &mut Vec<Output>) {
         let unsent = |lease: &Lease| lease.token <= key.token && !lease.sent;
         if self.leases.get(&key.id).is_some_and(unsent) {
@@ -137,6 +139,7 @@
         self.callbacks.revoke(key);
     }
 
+    /// Handles the result of an attempt: updates its service and reports the outcome to the store.
     pub(super) fn on_attempt(
         &mut self,
         now: u64,
@@ -192,6 +195,7 @@
         self.on_attempt(now, id, AttemptResult::TimedOut { connected: true }, out);
     }
 
+    /// Sends a message to the worker that its service chose.
     pub(super) fn send(&mut self, now: u64, attempt: AttemptId, worker: WorkerId, out: &mut Vec<Output>) {
         let Some(id) = self.by_attempt.get(&attempt).copied() else { return };
         let Some(lease) = self.leases.get_mut(&id) else { return };
@@ -214,6 +218,7 @@
         });
     }
 
+    /// Reports the outcome of a lease to the store, repeated until recorded.
     pub(super) fn report(
         &mut self,
         now: u64,
@@ -242,6 +247,7 @@
     }
 }
 
+/// Outcome to report for a verdict. `retry_after_ms` applies if the message was not run or its result is unknown.
 fn outcome(verdict: Verdict, retry_after_ms: u32) -> AttemptOutcome {
     match verdict {
         Verdict::Succeeded { signature } => AttemptOutcome::Succeeded { signature },
--- a/system/state/delivery/src/delivery/mod.rs
+++ b/system/state/delivery/src/delivery/mod.rs
@@ -23,8 +23,8 @@
 /// A deadline that is overdue by this time (ms) shows that this process was stalled. Grants that arrived meanwhile are
 /// still unread in its connections, and their messages may have been granted to other dispatchers since.
 const PROCESS_STALL_MS: u64 = 1000;
-/// Messages that are granted within this time (ms) after a stall was found are given back; the store knows whether the
-/// lease is still valid.
+/// Messages that are granted within this time (ms) after a stall was found are given back, with a backoff of the same
+/// length; the store knows whether the lease is still valid.
 const STALE_GRANTS_MS: u64 = 100;
 
 /// State machine of the dispatcher's deliveries; see the crate's documentation. Times are milliseconds on the caller's
--- a/system/state/delivery/src/fleet.rs
+++ b/system/state/delivery/src/fleet.rs
@@ -37,6 +37,7 @@
     ready_at_ms: Option<f64>,
     /// Mode by the worker list, regardless of room.
     listed_mode: Mode,
+    /// When the list dropped it.
     gone_since_ms: Option<u64>,
     /// It gets no messages until then, since another process answered at its address.
     misdirected_until_ms: Option<u64>,
@@ -261,12 +262,14 @@
         ready.fold(0, |sum, worker| sum.saturating_add(worker.max_attempts(self.share)))
     }
 
+    /// An attempt was sent to the worker.
     pub fn on_send(&mut self, number: WorkerId) {
         if let Some(worker) = self.workers.get_mut(&number) {
             worker.in_flight += 1;
         }
     }
 
+    /// An attempt at the worker ended; its connection may be idle now.
     pub fn on_end(&mut self, number: WorkerId) {
         if let Some(worker) = self.workers.get_mut(&number) {
             worker.in_flight = worker.in_flight.saturating_sub(1);
@@ -294,6 +297,7 @@
         readmitted
     }
 
+    /// When the next pause after a misdirected answer ends.
     pub fn next_deadline_ms(&self) -> Option<u64> {
         self.workers.values().filter_map(|worker| worker.misdirected_until_ms).min()
     }
--- a/system/state/delivery/src/health.rs
+++ b/system/state/delivery/src/health.rs
@@ -21,13 +21,17 @@
 /// The interval between two probes is the length of the current run of inconclusive attempts divided by this, within
 /// [`MIN_PROBE_INTERVAL_MS`] and [`MAX_PROBE_INTERVAL_MS`].
 const PROBE_INTERVAL_DIVISOR: u64 = 4;
+/// Minimum time (ms) between two probes.
 const MIN_PROBE_INTERVAL_MS: u64 = 150;
+/// Maximum time (ms) between two probes.
 const MAX_PROBE_INTERVAL_MS: u64 = 1000;
 /// A message that was not run waits for the time that the service has been without success, divided by this, within
 /// [`MIN_RETRY_DELAY_MS`] and [`MAX_RETRY_DELAY_MS`]: after a single failure another worker may take it at once, while
 /// a long outage is likely to last.
 const RETRY_DELAY_DIVISOR: u64 = 2;
+/// Minimum backoff (ms) before jitter.
 const MIN_RETRY_DELAY_MS: u64 = 20;
+/// Maximum backoff (ms) before jitter.
 const MAX_RETRY_DELAY_MS: u64 = 2000;
 /// Delays are lengthened at random by up to this share of themselves, so that messages that failed together are not
 /// retried together.
@@ -54,6 +58,7 @@
 }
 
 impl Health {
+    /// An attempt succeeded.
     pub fn on_success(&mut self) {
         self.on_conclusive();
         self.no_success_since_ms = None;
--- a/system/state/delivery/src/interface.rs
+++ b/system/state/delivery/src/interface.rs
@@ -107,6 +107,7 @@
 /// Result of an attempt to deliver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
+    /// The worker answered.
     Answer(Answer),
     /// No connection could be opened.
     NotConnected,
@@ -232,7 +233,7 @@
 /// An action that the caller carries out. Outputs must be carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send the message to the worker now, exactly once. The result is passed in as [`Input::AttemptEnded`].
+    /// Send the message to the worker now, and only once. The result is passed in as [`Input::AttemptEnded`].
     Send {
         attempt: AttemptId,
         message: Arc<Message>,
@@ -245,7 +246,7 @@
         /// answers that are sent just in time are still read.
         answer_timeout_ms: u32,
     },
-    /// Send the call-back to the receiver now, exactly once. The result is passed in as [`Input::CallBackResult`].
+    /// Send the call-back to the receiver now, and only once. The result is passed in as [`Input::CallBackResult`].
     SendCallBack {
         attempt: AttemptId,
         url: CallBackUrl,
--- a/system/state/delivery/src/service/balancer.rs
+++ b/system/state/delivery/src/service/balancer.rs
@@ -55,6 +55,7 @@
         }
     }
 
+    /// Builds the balancer's request for a waiting message.
     fn request(&mut self, now: u64, waiting: &WaitingMessage) -> Request {
         let id = self.next_request;
         self.next_request += 1;
--- a/system/state/delivery/src/service/mod.rs
+++ b/system/state/delivery/src/service/mod.rs
@@ -79,6 +79,7 @@
     service: Service,
     /// The active configuration names the service.
     in_force: bool,
+    /// Facts about this dispatcher, for the balancer's settings.
     dispatcher: DispatcherContext,
     /// An attempt has succeeded; see [`ServiceState::enable_warm_up`].
     has_succeeded: bool,
@@ -87,7 +88,7 @@
     health: Health,
     credit: CreditLimit,
     window: Window,
-    /// The balancer is offered no message before this, since it refused one; 0 if there is no pause.
+    /// The balancer is offered no message before this time, since it refused one; 0 if there is no pause.
     offers_paused_until_ms: u64,
     rng: Rng,
     next_request: RequestId,
@@ -95,6 +96,7 @@
     waiting: VecDeque<WaitingMessage>,
     /// Messages that the balancer has been offered and has not placed or refused yet.
     pending_requests: BTreeMap<RequestId, WaitingMessage>,
+    /// Attempts whose result is not known yet.
     in_flight: BTreeMap<AttemptId, SentAttempt>,
     /// Timers of the balancer: due time and token.
     timers: BTreeSet<(u64, u64)>,
