--- a/system/state/delivery/src/attempts.rs
+++ b/system/state/delivery/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that are out, and those given up whose answers may still come.
+//! Attempts to deliver that are in flight, and those given up whose answers may still arrive.
 
 use crate::interface::AttemptId;
 use crate::reports::LeaseKey;
@@ -6,66 +6,78 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// After the time that the shell was told, an attempt is given up here by so long (ms) later.
-const OVERDUE_MS: u64 = 1000;
-/// Attempts given up that are remembered.
-const GIVEN_UP_MOST: usize = 1024;
+/// An attempt is given up here when the caller has not passed its result in for this time (ms) after the answer
+/// time-out that it was given.
+const OVERDUE_AFTER_MS: u64 = 1000;
+/// Maximum number of given-up attempts that are remembered.
+const MAX_GIVEN_UP: usize = 1024;
 
-/// An attempt to deliver that is out.
+/// An attempt to deliver that is in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub key: LeaseKey,
     pub service: Arc<str>,
-    pub sent: u64,
-    overdue: u64,
+    /// When it was sent.
+    pub sent_at_ms: u64,
+    /// When it is given up.
+    overdue_at_ms: u64,
 }
 
-/// An attempt that was given up.
+/// The lease of an attempt that was given up, and the store that granted it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GivenUp {
     pub store: StoreId,
     pub key: LeaseKey,
 }
 
+/// All attempts to deliver, and the source of all attempt ids. Times are milliseconds on the caller's steady clock.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
-    last: u64,
-    out: BTreeMap<AttemptId, Attempt>,
+    last_id: u64,
+    in_flight: BTreeMap<AttemptId, Attempt>,
     by_overdue: BTreeSet<(u64, AttemptId)>,
     given_up: BTreeMap<AttemptId, GivenUp>,
     given_up_order: VecDeque<AttemptId>,
 }
 
 impl Attempts {
-    pub fn next(&mut self) -> AttemptId {
-        self.last += 1;
-        AttemptId(self.last)
+    /// Returns an id that has not been used before, also for call-backs.
+    pub fn next_id(&mut self) -> AttemptId {
+        self.last_id += 1;
+        AttemptId(self.last_id)
     }
 
-    pub fn send(&mut self, now: u64, id: AttemptId, key: LeaseKey, service: Arc<str>, wait_ms: u32) {
-        let overdue = now + u64::from(wait_ms) + OVERDUE_MS;
-        self.by_overdue.insert((overdue, id));
-        self.out.insert(id, Attempt { key, service, sent: now, overdue });
+    pub fn send(
+        &mut self,
+        now: u64,
+        id: AttemptId,
+        key: LeaseKey,
+        service: Arc<str>,
+        answer_timeout_ms: u32,
+    ) {
+        let overdue_at_ms = now + u64::from(answer_timeout_ms) + OVERDUE_AFTER_MS;
+        self.by_overdue.insert((overdue_at_ms, id));
+        self.in_flight.insert(id, Attempt { key, service, sent_at_ms: now, overdue_at_ms });
     }
 
     pub fn get(&self, id: AttemptId) -> Option<Attempt> {
-        self.out.get(&id).cloned()
+        self.in_flight.get(&id).cloned()
     }
 
     pub fn end(&mut self, id: AttemptId) -> Option<Attempt> {
-        let attempt = self.out.remove(&id)?;
-        self.by_overdue.remove(&(attempt.overdue, id));
+        let attempt = self.in_flight.remove(&id)?;
+        self.by_overdue.remove(&(attempt.overdue_at_ms, id));
         Some(attempt)
     }
 
-    /// The lease that the attempt serves is a later one now.
-    pub fn renew(&mut self, id: AttemptId, key: LeaseKey) {
-        if let Some(attempt) = self.out.get_mut(&id) {
+    /// Moves an attempt to a later lease on the same message.
+    pub fn set_lease(&mut self, id: AttemptId, key: LeaseKey) {
+        if let Some(attempt) = self.in_flight.get_mut(&id) {
             attempt.key = key;
         }
     }
 
-    /// Attempts of which the shell should have told the end.
+    /// Attempts whose result the caller should have passed in by now.
     pub fn overdue(&self, now: u64) -> Vec<AttemptId> {
         let overdue = self.by_overdue.iter().take_while(|(due, _)| *due <= now);
         overdue.map(|(_, id)| *id).collect()
@@ -74,7 +86,7 @@
     pub fn give_up(&mut self, id: AttemptId, given_up: GivenUp) {
         self.given_up.insert(id, given_up);
         self.given_up_order.push_back(id);
-        if self.given_up_order.len() > GIVEN_UP_MOST {
+        if self.given_up_order.len() > MAX_GIVEN_UP {
             self.given_up_order.pop_front().map(|oldest| self.given_up.remove(&oldest));
         }
     }
@@ -83,7 +95,7 @@
         self.given_up.remove(&id)
     }
 
-    pub fn next_deadline(&self) -> Option<u64> {
+    pub fn next_deadline_ms(&self) -> Option<u64> {
         self.by_overdue.first().map(|(due, _)| *due)
     }
 }
--- a/system/state/delivery/src/delivery/mod.rs
+++ b/system/state/delivery/src/delivery/mod.rs
@@ -1,16 +1,16 @@
-//! The whole: leases by message, services by name, reports and call-backs.
+//! The state machine as a whole: leases by message, services by name, reports and call-backs.
 
-mod calls;
+mod call_backs;
 mod leases;
 mod updates;
 
 use crate::attempts::Attempts;
+use crate::barriers::StoreBarriers;
 use crate::callbacks::CallBacks;
-use crate::credits::{Credits, Limit};
-use crate::doubts::Doubts;
+use crate::credit_announcements::{CreditAnnouncements, ServiceLimit};
 use crate::interface::*;
-use crate::reports::{Due, LeaseKey, Reports};
-use crate::service::{Decision, ServiceState, Site};
+use crate::reports::{LeaseKey, OutgoingReport, Reports};
+use crate::service::{Decision, DispatcherContext, ServiceState};
 use fastrand::Rng;
 use leases::Lease;
 use millrudder::LearnedState;
@@ -20,47 +20,53 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A deadline that is over by so long (ms) shows that this process was halted: what was granted to it meanwhile lies
-/// unread at its connections, and may have been granted to others since.
-const HALTED_MS: u64 = 1000;
-/// What comes within this time after that (ms) is given back; its store knows whether the lease still holds.
-const STALE_MS: u64 = 100;
+/// A deadline that is overdue by this time (ms) shows that this process was stalled. Grants that arrived meanwhile are
+/// still unread in its connections, and their messages may have been granted to other dispatchers since.
+const PROCESS_STALL_MS: u64 = 1000;
+/// Messages that are granted within this time (ms) after a stall was found are given back, with a backoff of the same
+/// length; the store knows whether the lease is still valid.
+const STALE_GRANTS_MS: u64 = 100;
 
-/// The dispatcher's delivery; see the crate's documentation.
+/// State machine of the dispatcher's deliveries; see the crate's documentation. Times are milliseconds on the caller's
+/// steady clock.
 pub struct Delivery {
     configuration: Configuration,
-    site: Site,
+    dispatcher: DispatcherContext,
+    /// Numbers of the zones by name, as the balancers know them; the own zone is 0.
     zones: BTreeMap<String, u32>,
     resolver: Option<Arc<dyn Resolve>>,
     services: BTreeMap<Arc<str>, ServiceState>,
     workers: WorkerList,
+    /// Messages that wait or are in flight here.
     leases: BTreeMap<MessageId, Lease>,
     attempts: Attempts,
+    /// The message of each attempt that waits or is in flight.
     by_attempt: BTreeMap<AttemptId, MessageId>,
     reports: Reports,
     callbacks: CallBacks,
-    credits: Credits,
-    dice: Rng,
-    leaving: bool,
-    next_deadline: Option<u64>,
-    /// Grants that come before this are from before a halt of the process.
-    stale_until: u64,
-    /// Stores whose grants may be from before a halt, however long they take to be read.
-    doubts: Doubts,
+    credits: CreditAnnouncements,
+    rng: Rng,
+    shutting_down: bool,
+    next_deadline_ms: Option<u64>,
+    /// Grants that arrive before this may have been sent before or during a stall of the process.
+    stale_grants_until_ms: u64,
+    /// Stores whose grants may have been sent before or during a stall, however long it takes to read them.
+    barriers: StoreBarriers,
 }
 
-fn site(configuration: &Configuration, dispatchers: u32, zone: u32) -> Site {
+fn dispatcher_context(configuration: &Configuration, dispatchers: u32, zone: u32) -> DispatcherContext {
     let dispatchers = dispatchers.max(1);
-    let me = (configuration.seed % u64::from(dispatchers)) as u32;
-    Site { me, dispatchers, zone, cross_zone_price: configuration.cross_zone_price }
+    let index = (configuration.seed % u64::from(dispatchers)) as u32;
+    DispatcherContext { index, dispatchers, zone, cross_zone_price: configuration.cross_zone_price }
 }
 
 impl Delivery {
-    /// Knows no service, route or worker yet: what is granted meanwhile is given back.
+    /// Creates an instance without services, routes and workers. Messages that are granted before these are known are
+    /// given back.
     pub fn new(configuration: Configuration) -> Self {
         let own_zone = 0;
         Delivery {
-            site: site(&configuration, configuration.dispatchers, own_zone),
+            dispatcher: dispatcher_context(&configuration, configuration.dispatchers, own_zone),
             zones: BTreeMap::from([(configuration.zone.clone(), own_zone)]),
             resolver: None,
             services: BTreeMap::new(),
@@ -70,29 +76,29 @@
             by_attempt: BTreeMap::new(),
             reports: Reports::default(),
             callbacks: CallBacks::new(configuration.seed),
-            credits: Credits::default(),
-            dice: Rng::with_seed(configuration.seed),
-            leaving: false,
-            next_deadline: None,
-            stale_until: 0,
-            doubts: Doubts::default(),
+            credits: CreditAnnouncements::default(),
+            rng: Rng::with_seed(configuration.seed),
+            shutting_down: false,
+            next_deadline_ms: None,
+            stale_grants_until_ms: 0,
+            barriers: StoreBarriers::default(),
             configuration,
         }
     }
 
-    /// Takes one input in; `now` never falls. What is to be done is appended to `out`.
+    /// Handles one input at time `now`, which never decreases, and appends the resulting outputs to `out`.
     pub fn handle(&mut self, now: u64, input: Input, out: &mut Vec<Output>) {
-        if self.next_deadline.is_some_and(|due| now > due + HALTED_MS) {
-            self.stale_until = now + STALE_MS;
+        if self.next_deadline_ms.is_some_and(|due| now > due + PROCESS_STALL_MS) {
+            self.stale_grants_until_ms = now + STALE_GRANTS_MS;
             self.send_barriers(out);
         }
-        self.take_in(now, input, out);
-        self.on_time(now, out);
-        self.tell_credits(now, out);
-        self.next_deadline = self.earliest_deadline();
+        self.handle_input(now, input, out);
+        self.handle_due_work(now, out);
+        self.announce_credits(now, out);
+        self.next_deadline_ms = self.earliest_deadline_ms();
     }
 
-    fn take_in(&mut self, now: u64, input: Input, out: &mut Vec<Output>) {
+    fn handle_input(&mut self, now: u64, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Services(services) => self.on_services(now, services, out),
             Input::Routes(resolver) => self.on_routes(now, resolver, out),
@@ -105,12 +111,12 @@
             Input::Connected { store } => {
                 let due = self.reports.on_connected(now, store);
                 send_reports(due, out);
-                let barrier = self.doubts.connected(store);
+                let barrier = self.barriers.on_connected(store);
                 out.extend(barrier.map(|number| Output::Barrier { store, number }));
             }
             Input::Deliver { store, id, token, age_ms, failed_attempts, message } => {
-                let received = now as i64 - i64::try_from(age_ms).unwrap_or(i64::MAX);
-                let lease = Lease::new(store, token, message, failed_attempts, received);
+                let received_at_ms = now as i64 - i64::try_from(age_ms).unwrap_or(i64::MAX);
+                let lease = Lease::new(store, token, message, failed_attempts, received_at_ms);
                 self.on_deliver(now, LeaseKey { id, token }, lease, out);
             }
             Input::CallBack { store, id, token, end, message } => {
@@ -118,68 +124,70 @@
             }
             Input::Revoke { id, token, .. } => self.on_revoke(now, LeaseKey { id, token }, out),
             Input::Recorded { id, token } => self.reports.on_recorded(LeaseKey { id, token }),
-            Input::Attempt { attempt, result } => self.on_attempt(now, attempt, result, out),
+            Input::AttemptEnded { attempt, result } => self.on_attempt(now, attempt, result, out),
             Input::CallBackResult { attempt, result } => {
                 self.on_call_back_result(now, attempt, result, out);
             }
-            Input::ClockStalled => self.on_stood_still(now, out),
-            Input::BarrierReached { store, number } => self.doubts.reached(store, number),
-            Input::Leaving => self.on_leaving(now, out),
+            Input::ClockStalled => self.on_clock_stall(now, out),
+            Input::BarrierReached { store, number } => self.barriers.on_reached(store, number),
+            Input::ShuttingDown => self.on_shutting_down(now, out),
             Input::Tick => {}
         }
     }
 
     fn send_barriers(&mut self, out: &mut Vec<Output>) {
-        let barriers = self.doubts.stood_still().into_iter();
+        let barriers = self.barriers.begin_all().into_iter();
         out.extend(barriers.map(|(store, number)| Output::Barrier { store, number }));
     }
 
-    /// What waits here was granted before, and what comes before the barriers are reached may have been.
-    fn on_stood_still(&mut self, now: u64, out: &mut Vec<Output>) {
+    /// Gives back the messages that wait here, as they were granted before the stall. Those that arrive before a store
+    /// has answered its barrier may have been as well.
+    fn on_clock_stall(&mut self, now: u64, out: &mut Vec<Output>) {
         self.send_barriers(out);
-        self.give_back_unsent(now, STALE_MS as u32, out);
+        self.give_back_unsent(now, STALE_GRANTS_MS as u32, out);
     }
 
-    /// When [`Input::Tick`] is due, if no input comes before.
+    /// When (ms) [`Input::Tick`] is due if no input is handled before.
     pub fn next_deadline(&self) -> Option<u64> {
-        self.next_deadline
+        self.next_deadline_ms
     }
 
-    fn earliest_deadline(&self) -> Option<u64> {
-        let services = self.services.values().filter_map(ServiceState::next_deadline).min();
+    fn earliest_deadline_ms(&self) -> Option<u64> {
+        let services = self.services.values().filter_map(ServiceState::next_deadline_ms).min();
         let rest = [
-            self.reports.next_deadline(),
-            self.attempts.next_deadline(),
-            self.callbacks.next_deadline(),
-            self.credits.next_deadline(),
+            self.reports.next_deadline_ms(),
+            self.attempts.next_deadline_ms(),
+            self.callbacks.next_deadline_ms(),
+            self.credits.next_deadline_ms(),
         ];
         rest.into_iter().flatten().chain(services).min()
     }
 
-    /// Leases whose end is not recorded, of messages in these shards; for `Hello`.
-    pub fn held(&self, shards: impl Fn(ShardId) -> bool) -> Vec<ActiveLease> {
+    /// Leases, on messages in these shards, whose end has not been recorded yet; for `Hello`.
+    pub fn active_leases(&self, shards: impl Fn(ShardId) -> bool) -> Vec<ActiveLease> {
         let leases = self.leases.iter().map(|(id, lease)| LeaseKey { id: *id, token: lease.token });
         let all = leases.chain(self.reports.keys()).chain(self.callbacks.keys());
         let mine = all.filter(|key| shards(key.id.shard));
         mine.map(|key| ActiveLease { id: key.id, token: key.token }).collect()
     }
 
-    /// What stores were told last; for a store that connects.
+    /// The limits announced last, for a store that connects.
     pub fn credits(&self) -> Vec<ServiceCredit> {
-        self.credits.told()
+        self.credits.announced()
     }
 
-    /// Nothing is out, and stores have recorded all ends: the process may stop.
-    pub fn idle(&self) -> bool {
+    /// Whether no lease is left and stores have recorded all ends, so that the process may stop.
+    pub fn is_idle(&self) -> bool {
         self.leases.is_empty() && self.reports.is_empty() && self.callbacks.is_empty()
     }
 
-    /// What the decision module has learnt of a service's workers.
-    pub fn learnt(&self, service: &str) -> Option<LearnedState> {
-        self.services.get(service).map(ServiceState::memory)
+    /// What the service's balancer has learned about its workers.
+    pub fn learned_state(&self, service: &str) -> Option<LearnedState> {
+        self.services.get(service).map(ServiceState::learned_state)
     }
 
-    fn on_time(&mut self, now: u64, out: &mut Vec<Output>) {
+    /// Handles everything that is due at `now`: overdue attempts, ended pauses, timers and repeated reports.
+    fn handle_due_work(&mut self, now: u64, out: &mut Vec<Output>) {
         for id in self.attempts.overdue(now) {
             self.give_up(now, id, out);
         }
@@ -190,12 +198,12 @@
         self.resume_call_backs(now, out);
         let mut decisions = Vec::new();
         for state in self.services.values_mut() {
-            if state.next_deadline().is_some_and(|due| due <= now) {
+            if state.next_deadline_ms().is_some_and(|due| due <= now) {
                 state.tick(now, &mut decisions);
             }
         }
         self.carry_out(now, decisions, out);
-        let due = self.reports.due(now);
+        let due = self.reports.repeat_due(now);
         send_reports(due, out);
     }
 
@@ -211,12 +219,12 @@
         }
     }
 
-    fn tell_credits(&mut self, now: u64, out: &mut Vec<Output>) {
-        let leaving = self.leaving;
+    fn announce_credits(&mut self, now: u64, out: &mut Vec<Output>) {
+        let shutting_down = self.shutting_down;
         let in_force = self.services.iter().filter(|(_, state)| state.is_in_force());
         let limits = in_force.map(|(service, state)| {
-            let limit = if leaving { 0 } else { state.credit() };
-            Limit { service, limit }
+            let limit = if shutting_down { 0 } else { state.credit() };
+            ServiceLimit { service, limit }
         });
         if let Some(credits) = self.credits.update(now, limits) {
             out.push(Output::Credits { credits });
@@ -224,6 +232,6 @@
     }
 }
 
-fn send_reports(due: Vec<Due>, out: &mut Vec<Output>) {
+fn send_reports(due: Vec<OutgoingReport>, out: &mut Vec<Output>) {
     out.extend(due.into_iter().map(|due| Output::Report { store: due.store, message: due.message }));
 }
--- a/system/state/delivery/tests/common/mod.rs
+++ b/system/state/delivery/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A delivery with two services, driven by hand: `annotate` has listed workers, `pay` one static endpoint and a common
-//! ceiling.
+//! Fixture of the tests: an instance of [`Delivery`] with two services and a clock that the test sets. The service
+//! `annotate` has listed workers, `pay` a single static endpoint and a rate limit.
 #![allow(dead_code)]
 
 use millrudder_delivery::*;
@@ -17,7 +17,7 @@
 pub const ANSWER_SLACK_MS: u32 = 100;
 pub const STATIC_ADDRESS: &str = "172.20.0.3:8066";
 
-/// One route: paths with this prefix go to this service.
+/// A route that sends paths with a prefix to a service.
 #[derive(Clone)]
 pub struct Route {
     pub prefix: &'static str,
@@ -102,17 +102,17 @@
     }
 }
 
-/// A send that is out.
+/// An attempt that was sent.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub attempt: AttemptId,
     pub worker: Target,
     pub timeout_ms: u32,
-    pub wait_ms: u32,
+    pub answer_timeout_ms: u32,
     pub path: String,
 }
 
-/// An end that was reported.
+/// A reported outcome of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reported {
     pub store: StoreId,
@@ -125,7 +125,7 @@
     pub delivery: Delivery,
     pub now: u64,
     pub list: WorkerList,
-    /// Of the latest input.
+    /// Outputs of the latest input, or of all deadlines that `pass` ran.
     pub out: Vec<Output>,
 }
 
@@ -137,7 +137,7 @@
         Fixture { delivery: Delivery::new(configuration), now: 1000, list, out: Vec::new() }
     }
 
-    /// With both services, their routes and this many workers.
+    /// Creates a fixture with both services, their routes and this many listed workers.
     pub fn new(workers: u16) -> Self {
         let mut fixture = Fixture::empty();
         fixture.input(Input::Services(vec![listed_service(), static_service()]));
@@ -177,29 +177,29 @@
         });
     }
 
-    /// Delivers and expects it to be sent at once.
+    /// Grants a message and expects it to be sent at once.
     pub fn send(&mut self, unique: u64, token: u64, path: &str) -> Sent {
         self.deliver(unique, token, path);
         self.sent().expect("sent at once")
     }
 
     pub fn end(&mut self, attempt: AttemptId, result: AttemptResult) {
-        self.input(Input::Attempt { attempt, result });
+        self.input(Input::AttemptEnded { attempt, result });
     }
 
     pub fn recorded(&mut self, unique: u64, token: u64) {
         self.input(Input::Recorded { id: id(unique), token: LeaseToken(token) });
     }
 
-    /// Runs all deadlines up to `now + ms`, gathering what is put out.
+    /// Runs all deadlines up to `now + ms`, and returns all their outputs.
     pub fn pass(&mut self, ms: u64) -> Vec<Output> {
         let (end, mut all) = (self.now + ms, Vec::new());
         while let Some(due) = self.delivery.next_deadline().filter(|due| *due <= end) {
-            assert!(due > self.now || !all.is_empty() || due == self.now, "deadlines lie ahead");
+            assert!(due > self.now || !all.is_empty() || due == self.now, "a deadline in the past");
             self.now = self.now.max(due);
             let before = self.delivery.next_deadline();
             all.extend(self.input(Input::Tick).to_vec());
-            assert!(self.delivery.next_deadline() != before, "a deadline that passed is done with");
+            assert!(self.delivery.next_deadline() != before, "a handled deadline is not returned again");
         }
         self.now = end;
         self.out = all.clone();
@@ -218,7 +218,7 @@
         reported(&self.out)
     }
 
-    /// The one end that the latest input reported.
+    /// The only outcome that the latest input reported.
     pub fn outcome(&self) -> AttemptOutcome {
         let mut all = self.reported();
         assert_eq!(all.len(), 1, "{:?}", self.out);
@@ -227,7 +227,7 @@
 
     pub fn credit(&self, service: &str) -> u32 {
         let credit = |credit: &&ServiceCredit| credit.service == service;
-        self.delivery.credits().iter().find(credit).expect("told").limit
+        self.delivery.credits().iter().find(credit).expect("announced").limit
     }
 
     pub fn closed(&self) -> Vec<Address> {
@@ -241,11 +241,11 @@
 
 pub fn sent(out: &[Output]) -> Vec<Sent> {
     let sent = |output: &Output| match output {
-        Output::Send { attempt, message, worker, timeout_ms, wait_ms, .. } => Some(Sent {
+        Output::Send { attempt, message, worker, timeout_ms, answer_timeout_ms, .. } => Some(Sent {
             attempt: *attempt,
             worker: worker.clone(),
             timeout_ms: *timeout_ms,
-            wait_ms: *wait_ms,
+            answer_timeout_ms: *answer_timeout_ms,
             path: message.path.clone(),
         }),
         _ => None,
