--- a/system/state/queue/src/api.rs
+++ b/system/state/queue/src/api.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the state machine, and the records that it writes.
+//! The inputs and outputs of the state machine, and the records that it writes to disk.
 
 use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::placement::Placement;
@@ -7,128 +7,130 @@
 use speedy::{Readable, Writable};
 use std::time::Duration;
 
-/// One connection of a dispatcher to this process; never used again.
+/// Identifies a connection of a dispatcher to this process. Identifiers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// One local append. Tickets rise in the order of the appends.
+/// Identifies an append to the local disk. Tickets increase in the order of the appends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A record of the local disk.
+/// A record on the local disk.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum DiskRecord {
-    /// Something became known of a message. Ages in it are relative to the time of the append.
+    /// A change to a message. Ages in it are relative to the time of the append.
     Message {
-        /// What became known.
+        /// The change.
         record: Record,
     },
-    /// No `Write` of a lower term is accepted for the shard any more.
+    /// The store has promised a shard to a term: it accepts no `Write` of a lower term any more.
     Promised {
-        /// The shard that is promised.
+        /// The promised shard.
         shard: ShardId,
-        /// The term that it is promised to.
+        /// The term to which the shard is promised.
         term: Epoch,
     },
 }
 
-/// A record found on the disk at start.
+/// A record that was found on the disk at start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovered {
     /// The record.
     pub record: DiskRecord,
-    /// Time since it was appended, by the clock of the shell.
+    /// Time since the record was appended, by the shell's clock.
     pub age: Duration,
 }
 
 /// Inputs of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The agreed placement; one that is not newer than the present one is ignored.
+    /// The placement agreed on by the core. It is ignored unless it is newer than the current one.
     Placement(Placement),
-    /// All services with a common rate limit, from the configuration in force.
+    /// All services that have a rate limit, from the current configuration.
     Rates(Vec<ServiceRate>),
-    /// A message of a dispatcher.
+    /// A message from a dispatcher.
     Dispatcher {
-        /// The connection that it came on.
+        /// The connection on which it was received.
         connection: ConnectionId,
-        /// What it says.
+        /// The message.
         message: FromDispatcher,
     },
-    /// A connection of a dispatcher is closed.
+    /// A connection of a dispatcher was closed.
     DispatcherClosed {
         /// The connection.
         connection: ConnectionId,
     },
-    /// A message of another store.
+    /// A message from another store.
     Store {
-        /// Its sender.
+        /// The store that sent it.
         from: StoreId,
-        /// What it says.
+        /// The message.
         message: BetweenStores,
     },
-    /// A connection with this store is open, whoever opened it. One that was open before counts as closed.
+    /// A connection with another store was opened, by either side. An older connection with it counts as
+    /// closed.
     StoreConnected {
         /// The other store.
         store: StoreId,
     },
-    /// The connection with this store is closed.
+    /// The connection with another store was closed.
     StoreClosed {
         /// The other store.
         store: StoreId,
     },
-    /// Everything appended up to this ticket is on the disk.
+    /// Everything up to this ticket is synced to the disk.
     Synced {
-        /// Of the last append that is on the disk.
+        /// The ticket of the last append that is synced.
         ticket: Ticket,
     },
-    /// The disk failed: nothing is acknowledged or served from now on.
+    /// The disk failed. From now on this store acknowledges nothing and serves no shard.
     DiskFailed,
-    /// The process received SIGTERM: it serves on until the placement gives its shards to others.
+    /// The process received SIGTERM. It keeps serving until the placement has moved its shards to other stores.
     ShutdownRequested,
-    /// Nothing but that time has passed.
+    /// Time has passed; due timers fire.
     Tick,
 }
 
-/// Why a message was orphaned: it was due, and nothing would have moved it. Each is a fault of this or another process.
+/// Why a message was orphaned: it was due, but no timer, queue or dispatcher would have moved it on. Each
+/// orphan is the symptom of a bug in this or another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrphanCause {
-    /// A dispatcher had capacity for it, and its service was not marked runnable.
+    /// A dispatcher had free credit for it, but its service was not marked runnable.
     NotGranted,
     /// It was in no queue.
     NotScheduled,
-    /// Its back-off was over.
+    /// Its back-off was over, but its timer had not fired.
     NotWoken,
-    /// No known dispatcher had its lease.
+    /// It was in flight, but no known dispatcher held its lease.
     LeaseForgotten,
     /// Its call-back was in no queue.
     CallbackNotScheduled,
-    /// A dispatcher did not report how its call-back ended.
+    /// A dispatcher did not report the result of its call-back in time.
     CallbackForgotten,
 }
 
-/// Outputs of the state machine: actions that the shell carries out in order.
+/// Outputs of the state machine: actions that the shell must carry out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Append to the local disk, sync soon, then confirm by [`Input::Synced`].
+    /// Append a record to the local disk, sync it soon, then confirm with [`Input::Synced`].
     Append {
-        /// Identifies the append.
+        /// The ticket of the append.
         ticket: Ticket,
-        /// What is appended.
+        /// The record to append.
         record: DiskRecord,
     },
-    /// Send to a dispatcher.
+    /// Send a message to a dispatcher.
     ToDispatcher {
         /// The connection to send on.
         connection: ConnectionId,
-        /// What is sent.
+        /// The message to send.
         message: ToDispatcher,
     },
-    /// Send to another store, if it is connected.
+    /// Send a message to another store, if it is connected.
     ToStore {
-        /// The receiver.
+        /// The store to send to.
         store: StoreId,
-        /// What is sent.
+        /// The message to send.
         message: BetweenStores,
     },
     /// Close a connection of a dispatcher.
@@ -136,19 +138,19 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// This store has all that the shard's replicas have: the core may count it as a replica.
+    /// This store has caught up with a shard as a learner. The core may count it as a replica.
     CaughtUp {
-        /// The shard and the change of members that made this store its learner.
+        /// The shard, and the member change that made this store its learner.
         shard: CaughtUpShard,
     },
-    /// A message was orphaned and is scheduled again: to be counted and logged.
+    /// A message was orphaned and has been scheduled again. The shell counts and logs it.
     Orphaned {
         /// The message.
         id: MessageId,
-        /// What had been missed.
+        /// Why it was orphaned.
         cause: OrphanCause,
     },
-    /// Nothing on the disk about this message is needed any more.
+    /// The message was removed: none of its records on the disk are needed any more.
     Released {
         /// The message.
         id: MessageId,
--- a/system/state/queue/src/callbacks.rs
+++ b/system/state/queue/src/callbacks.rs
@@ -1,4 +1,5 @@
-//! Pending call-backs by receiver: few are in flight at a time, and none waits for another receiver.
+//! Pending call-backs by receiver. The number in flight to each receiver is limited, and a slow receiver does
+//! not delay the call-backs to others.
 
 use crate::config::Config;
 use crate::time::Instant;
@@ -6,10 +7,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Consecutive failures after which a receiver backs off, and not only the call-back that failed.
+/// Number of consecutive failures after which the receiver backs off, and not only the call-back that failed.
 const FAILURES_BEFORE_BACKOFF: u32 = 2;
 
-/// Who may make a call-back now.
+/// The exclusive right of a dispatcher to make a call-back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallbackLease {
     pub dispatcher: DispatcherId,
@@ -35,24 +36,24 @@
     backing_off_until: Instant,
 }
 
-/// All call-backs that are pending for shards of this primary.
+/// All pending call-backs of the shards of which this store is the primary.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Callbacks {
     pending: BTreeMap<MessageId, Callback>,
     by_name: BTreeMap<String, u32>,
     receivers: Vec<Receiver>,
-    /// Receivers for which a call-back may be possible since the last look.
+    /// Receivers to which a call-back may be possible because something has changed since they were last tried.
     runnable: BTreeSet<u32>,
 }
 
-/// Part of a URL that names its receiver.
+/// The part of a URL that identifies its receiver: host and port.
 pub(crate) fn receiver_of(url: &str) -> &str {
     let after_scheme = url.split_once("://").map_or(url, |(_, rest)| rest);
     after_scheme.split(['/', '?', '#']).next().unwrap_or(after_scheme)
 }
 
 impl Callbacks {
-    /// A call-back is pending; nothing changes if that is known.
+    /// Adds a pending call-back. Does nothing if it is already known.
     pub fn add(&mut self, id: MessageId, url: &str, now: Instant, config: &Config) {
         if self.pending.contains_key(&id) {
             return;
@@ -79,7 +80,7 @@
         number
     }
 
-    /// The call-back of this receiver that may be made now.
+    /// The next call-back that may be made to this receiver now.
     pub fn next(&self, receiver: u32, now: Instant) -> Option<MessageId> {
         let receiver = &self.receivers[receiver as usize];
         if receiver.in_flight >= receiver.limit || receiver.backing_off_until > now {
@@ -89,7 +90,7 @@
         (*not_before <= now).then_some(*id)
     }
 
-    /// When the next call-back of a receiver with capacity may be made.
+    /// Time at which the next call-back to a receiver may be made; `None` while the receiver is at its limit.
     pub fn next_time(&self, receiver: u32) -> Option<Instant> {
         let receiver = &self.receivers[receiver as usize];
         if receiver.in_flight >= receiver.limit {
@@ -110,19 +111,19 @@
         self.pending.get(&id)?.lease
     }
 
-    /// The call-back is pending.
+    /// Whether the message has a pending call-back.
     pub fn is_pending(&self, id: MessageId) -> bool {
         self.pending.contains_key(&id)
     }
 
-    /// Call-backs that were granted at `before` or earlier and are in flight still.
+    /// Call-backs in flight that were granted at `before` or earlier.
     pub fn granted_before(&self, before: Instant) -> Vec<MessageId> {
         let is_old = |lease: &CallbackLease| lease.granted_at <= before;
         let old = self.pending.iter().filter(|(_, callback)| callback.lease.as_ref().is_some_and(is_old));
         old.map(|(id, _)| *id).collect()
     }
 
-    /// The receiver did not accept it.
+    /// Handles a failed call-back: it is retried after a back-off.
     pub fn failed(&mut self, id: MessageId, retry_after: Duration, now: Instant, config: &Config) {
         let Some(callback) = self.pending.get_mut(&id) else { return };
         if callback.lease.is_none() {
@@ -139,7 +140,7 @@
         self.wait_again(id, now + own_wait);
     }
 
-    /// Its dispatcher is gone: another may make it.
+    /// Returns a call-back whose dispatcher is gone to the queue; another dispatcher may make it.
     pub fn give_back(&mut self, id: MessageId, now: Instant) {
         if self.lease(id).is_some() {
             self.wait_again(id, now);
@@ -156,7 +157,7 @@
         self.runnable.insert(callback.receiver);
     }
 
-    /// The receiver accepted it.
+    /// Handles a successful call-back.
     pub fn done(&mut self, id: MessageId, config: &Config) {
         let Some(callback) = self.remove(id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
@@ -165,7 +166,7 @@
         receiver.limit = grown.clamp(config.callbacks_per_receiver, config.max_callbacks_per_receiver);
     }
 
-    /// It is not pending any more, or not at this store.
+    /// Removes a call-back that is not pending any more, or not at this store.
     fn remove(&mut self, id: MessageId) -> Option<Callback> {
         let callback = self.pending.remove(&id)?;
         let receiver = &mut self.receivers[callback.receiver as usize];
@@ -179,22 +180,22 @@
         Some(callback)
     }
 
-    /// Removes a call-back; gives the lease that it had.
+    /// Removes a call-back and returns its lease.
     pub fn drop(&mut self, id: MessageId) -> Option<CallbackLease> {
         self.remove(id)?.lease
     }
 
-    /// A call-back of the receiver may be possible.
+    /// Marks a receiver to which a call-back may be possible.
     pub fn mark_runnable(&mut self, receiver: u32) {
         self.runnable.insert(receiver);
     }
 
-    /// Takes the first receiver for which a call-back may be possible.
+    /// Removes and returns the first receiver to which a call-back may be possible.
     pub fn next_runnable(&mut self) -> Option<u32> {
         self.runnable.pop_first()
     }
 
-    /// A dispatcher has connected: call-backs of every receiver may be possible.
+    /// Marks all receivers, because a new dispatcher may make call-backs to any of them possible.
     pub fn mark_all_runnable(&mut self) {
         let count = u32::try_from(self.receivers.len()).unwrap_or(u32::MAX);
         self.runnable.extend(0..count);
--- a/system/state/queue/src/config.rs
+++ b/system/state/queue/src/config.rs
@@ -1,82 +1,92 @@
-//! Limits and times of a store process.
+//! Limits and durations of a store process.
+//!
+//! All durations are used in whole milliseconds.
 
 use std::time::Duration;
 use thiserror::Error;
 
-/// Limits and times of a store process.
+/// Limits and durations of a store process.
 ///
-/// All spans are used in whole milliseconds.
+/// All durations are used in whole milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Bytes of messages that may be in memory; further ones are rejected. A larger limit takes longer backlogs and
-    /// more of the machine.
+    /// Maximum bytes of messages in memory; further messages are rejected. A larger limit accommodates longer
+    /// backlogs and uses more memory.
     pub memory_bytes: u64,
-    /// Bytes of the disk's records that are still needed; beyond it messages are rejected. The shell's disk must have
-    /// space for garbage besides.
+    /// Maximum bytes of disk records that are still needed; beyond it messages are rejected. The disk must have
+    /// additional space for garbage records.
     pub disk_bytes: u64,
-    /// Messages that may be live at a time; further ones are rejected. Bounds the time of a takeover.
+    /// Maximum number of live messages; further ones are rejected. Limits the time that a takeover takes.
     pub max_live_messages: u64,
-    /// What a client is told to wait when a limit is reached. Shorter waits are served sooner and load a full store more.
+    /// Delay after which a rejected client is told to retry when a limit is reached. Shorter delays get
+    /// messages accepted sooner and put more load on a full store.
     pub full_retry_after: Duration,
-    /// Time after its end in which a message may be asked for. Its record takes memory for so long.
+    /// Time after its end during which the status of a message can be queried. Its record takes up memory for
+    /// that time.
     pub status_ttl: Duration,
-    /// Added to every time after which something is forgotten, for clocks that differ between machines.
+    /// Safety margin for clocks that differ between machines; added to every time after which something is
+    /// forgotten.
     pub forget_margin: Duration,
-    /// Time after a message's end in which its call-back is retried.
+    /// Time after a message's end during which its call-back is retried.
     pub callback_retention: Duration,
-    /// Wait for a dispatcher to reconnect before its leases are granted again. Shorter waits recover sooner from a
-    /// dispatcher's failure and run more messages twice when only its connection broke.
+    /// Time that a disconnected dispatcher has to reconnect before its leases are granted again. Shorter times
+    /// recover sooner from the failure of a dispatcher, and run more messages twice if only the connection
+    /// broke.
     pub reconnect_timeout: Duration,
-    /// A dispatcher that sent nothing for so long is disconnected; dispatchers ping at least three times as often.
+    /// A dispatcher that sent nothing for this long is disconnected; dispatchers must ping at least three times
+    /// as often.
     pub heartbeat_timeout: Duration,
-    /// Deliveries of one service that a dispatcher gets at a time before it announced its own limit.
+    /// Maximum number of concurrent deliveries of one service by a dispatcher that has not announced its own
+    /// limit yet.
     pub default_credit: u32,
-    /// Age up to which the dispatcher that accepted a message is expected to have its body still, so that a grant need
-    /// not carry it.
+    /// Time for which the dispatcher that accepted a message is expected to keep its body, so that a grant need
+    /// not include it.
     pub body_retention: Duration,
-    /// Dispatchers of a region that call one receiver of call-backs: it accepts few connections, and each of them opens
-    /// its own.
+    /// Number of dispatchers in a region that make the call-backs to one receiver. A receiver may accept few
+    /// connections, and each dispatcher opens its own.
     pub home_dispatchers_per_receiver: usize,
-    /// Dispatchers of a region that get the messages of one service which only one shard's primary grants: its workers
-    /// accept few connections.
+    /// Number of dispatchers in a region that deliver those messages of one service which only one shard's
+    /// primary grants. Its workers may accept few connections.
     pub home_dispatchers_per_service: usize,
-    /// Call-backs in flight to one receiver at first; rises with each that succeeds.
+    /// Initial limit of call-backs in flight to one receiver; it rises with each call-back that succeeds.
     pub callbacks_per_receiver: u32,
-    /// Call-backs in flight to one receiver at the most; not below `callbacks_per_receiver`.
+    /// Highest limit of call-backs in flight to one receiver; not below `callbacks_per_receiver`.
     pub max_callbacks_per_receiver: u32,
-    /// Wait after the first failed attempt or call-back; doubles with each further one.
+    /// Back-off after the first failed attempt or call-back; doubles with each further failure.
     pub initial_backoff: Duration,
-    /// Longest wait between attempts.
+    /// Longest back-off between attempts.
     pub max_backoff: Duration,
-    /// Shortest time that a replica is waited for before the next one is written to as well. Shorter ones hide slow
-    /// disks better and write more.
+    /// Shortest time to wait for a replica's acknowledgement before the next replica is written to as well.
+    /// Shorter times hide slow disks better and cause more writes.
     pub min_write_timeout: Duration,
-    /// Longest time that a replica is waited for before the next one is written to as well; not below
-    /// `min_write_timeout`.
+    /// Longest time to wait for a replica's acknowledgement before the next replica is written to as well; not
+    /// below `min_write_timeout`.
     pub max_write_timeout: Duration,
-    /// Bytes of one chunk of a snapshot transfer to another store.
+    /// Size in bytes of one chunk of a snapshot transfer to another store.
     pub snapshot_chunk_bytes: usize,
-    /// Time between two chunks, which leaves the connection to other messages.
+    /// Time between two chunks of a snapshot transfer, which leaves room for other messages on the connection.
     pub snapshot_chunk_interval: Duration,
-    /// Bytes of repair that may be in flight to one store.
+    /// Maximum bytes of repair writes in flight to one store.
     pub repair_window_bytes: usize,
-    /// Time between two comparisons of some messages with the replicas' copies; zero turns them off.
+    /// Interval at which some messages are compared with the replicas' copies; zero disables the comparison.
     pub scrub_interval: Duration,
-    /// Messages of one shard that are compared at a time.
+    /// Number of messages of one shard that are compared at a time.
     pub scrub_messages: usize,
-    /// Time between two scans for orphaned messages; zero turns them off.
+    /// Interval at which the watchdog scans for orphaned messages; zero disables it.
     pub watchdog_interval: Duration,
-    /// A dispatcher that has not reported a call-back's result for so long is taken to have lost it: more than it takes
-    /// one to finish all that it may have in flight to a receiver that answers.
+    /// Time after which a dispatcher that has not reported the result of a call-back is assumed to have lost
+    /// it. It must be longer than a dispatcher takes to finish all call-backs that it may have in flight to a
+    /// receiver that answers.
     pub callback_timeout: Duration,
-    /// Seed of the jitter of back-offs.
+    /// Seed of the random jitter of back-offs.
     pub seed: u64,
 }
 
-/// Doublings of the back-off after which only its maximum counts; keeps the factor within its type.
+/// Maximum number of doublings of the back-off; keeps the factor within its type. The back-off has reached its
+/// maximum by then.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// A [`Config`] that contradicts itself.
+/// A contradiction between two values of a [`Config`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
     /// `min_write_timeout` is above `max_write_timeout`.
@@ -90,7 +100,7 @@
     /// `callbacks_per_receiver` is above `max_callbacks_per_receiver`.
     #[error("a receiver gets {initial} call-backs at first, which is above the maximum of {max}")]
     CallbackLimits {
-        /// The configured limit at first.
+        /// The configured initial limit.
         initial: u32,
         /// The configured maximum.
         max: u32,
@@ -102,7 +112,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first pair of limits of which the lower one is above the upper one.
+    /// Returns the first pair of limits of which the lower one is greater than the upper one.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let (min, max) = (self.min_write_timeout, self.max_write_timeout);
         if min > max {
@@ -115,7 +125,8 @@
         Ok(())
     }
 
-    /// Wait after so many consecutive failures: doubles with each further one, up to the maximum.
+    /// Back-off after this number of consecutive failures: doubles with each further failure, up to the
+    /// maximum.
     pub(crate) fn backoff(&self, failures: u32) -> Duration {
         let doublings = failures.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
         self.initial_backoff.saturating_mul(1 << doublings).min(self.max_backoff)
--- a/system/state/queue/src/context.rs
+++ b/system/state/queue/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of a store process needs beside its own state.
+//! The context shared by all components of a store process.
 
 use crate::api::Output;
 use crate::config::Config;
@@ -9,21 +9,21 @@
 use millrudder_protocol::StoreId;
 use millrudder_topology::{Distance, Location};
 
-/// What every part of a store process needs beside its own state: who and where it is, the time and the placement of the
-/// input that is handled, and where outputs and timers go.
+/// The context shared by all components: configuration, identity and location of the store, the current time
+/// and placement, and the outputs and timers that the components add to.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
     pub config: Config,
     pub local_id: StoreId,
     pub location: Location,
-    /// The latest reading of the clock.
+    /// The latest clock reading.
     pub now: Instant,
-    /// Outputs of the input that is handled, in order.
+    /// The outputs of the current input, in order.
     pub outputs: Vec<Output>,
-    /// The newest placement that was received.
+    /// The newest placement received.
     pub placement: Placement,
     pub timers: Timers,
-    /// Jitter and first write numbers, drawn from the configured seed.
+    /// Source of jitter and of first write numbers, seeded from the configuration.
     pub random: fastrand::Rng,
 }
 
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Sends to another store.
+    /// Sends a message to another store.
     pub fn send_to_store(&mut self, store: StoreId, message: BetweenStores) {
         self.outputs.push(Output::ToStore { store, message });
     }
 
-    /// Distance to another store by the placement; the default for a store that it does not name.
+    /// Distance to another store according to the placement; the default for a store that is not in it.
     pub fn distance_to_store(&self, store: StoreId) -> Distance {
         let entry = self.placement.store(store);
         entry.map(|entry| self.location.distance_to(&entry.zone)).unwrap_or_default()
--- a/system/state/queue/src/dispatchers.rs
+++ b/system/state/queue/src/dispatchers.rs
@@ -1,4 +1,5 @@
-//! Dispatchers: their connections, and the leases and call-backs that each incarnation of one has.
+//! Dispatchers: their connections, and the leases and call-backs that each incarnation (process life) of a
+//! dispatcher holds.
 
 use crate::api::ConnectionId;
 use crate::scheduling::ServiceIndex;
@@ -9,50 +10,50 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Whether a dispatcher is known to have a lease.
+/// Whether a dispatcher is known to hold a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseConfirmation {
     Confirmed,
-    /// The dispatcher must announce the lease in a `Hello` before this time.
+    /// The dispatcher must announce the lease in a `Hello` before this time, or the message is granted again.
     Unconfirmed {
         until: Instant,
     },
 }
 
 impl LeaseConfirmation {
-    /// It was to be confirmed by `at` at the latest, and was not.
+    /// Whether the lease had to be confirmed by `at` at the latest and was not.
     pub fn has_lapsed(&self, at: Instant) -> bool {
         matches!(self, LeaseConfirmation::Unconfirmed { until } if *until <= at)
     }
 }
 
-/// What a dispatcher says of itself on a new connection or at a new placement.
+/// What a dispatcher announces in a `Hello`, on a new connection or after a new placement.
 #[derive(Clone, Debug)]
 pub(crate) struct Announcement {
-    /// From this store.
+    /// Network distance between the dispatcher and this store.
     pub distance: Distance,
-    /// Of the placement that it knows.
+    /// Epoch of the placement that the dispatcher knows.
     pub epoch: Epoch,
-    /// Leases whose outcome was not acknowledged.
+    /// Leases whose outcome has not been acknowledged.
     pub leases: BTreeMap<MessageId, LeaseToken>,
-    /// Messages that it asked to be accepted or withdrawn, without an answer.
+    /// Messages that it has asked to be accepted or withdrawn, without having received an answer.
     pub in_doubt: BTreeSet<MessageId>,
 }
 
-/// One incarnation of a dispatcher process.
+/// One incarnation of a dispatcher: a single run of its process.
 #[derive(Clone, Debug)]
 pub(crate) struct Incarnation {
     connection: Option<ConnectionId>,
-    /// From this store.
+    /// Network distance between the dispatcher and this store.
     distance: Distance,
-    /// It stops; nothing more is granted to it.
+    /// The dispatcher is shutting down; no further messages are granted to it.
     is_shutting_down: bool,
     last_message_at: Instant,
-    /// Placement in force at its last `Hello`.
+    /// Epoch of the placement that the dispatcher knew at its last `Hello`.
     epoch: Epoch,
-    /// Leases that it announced then.
+    /// Leases that it announced in that `Hello`.
     announced_leases: BTreeMap<MessageId, LeaseToken>,
-    /// Messages that it had asked to be accepted or withdrawn then, without an answer.
+    /// Messages it reported in that `Hello` as sent for acceptance or withdrawal without an answer.
     in_doubt: BTreeSet<MessageId>,
     leases: BTreeMap<MessageId, LeaseConfirmation>,
     callbacks: BTreeSet<MessageId>,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// It has said, on the present connection, what it holds and which placement it knows.
+    /// Records the announcement that the dispatcher made on its current connection.
     pub fn announce(&mut self, announcement: Announcement) {
         let Announcement { distance, epoch, leases, in_doubt } = announcement;
         self.distance = distance;
@@ -92,22 +93,23 @@
         self.distance
     }
 
-    /// Epoch of the placement that it knew when it announced itself.
+    /// Epoch of the placement that the dispatcher knew when it announced itself.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Leases that it announced.
+    /// Leases that the dispatcher announced.
     pub fn announced_leases(&self) -> impl Iterator<Item = (MessageId, LeaseToken)> + '_ {
         self.announced_leases.iter().map(|(id, token)| (*id, *token))
     }
 
-    /// Token of the lease on the message that it announced.
+    /// Token of the lease that the dispatcher announced for the message.
     pub fn announced_token(&self, id: MessageId) -> Option<LeaseToken> {
         self.announced_leases.get(&id).copied()
     }
 
-    /// It announced that it waits for an answer to its request to accept or withdraw the message.
+    /// Whether the dispatcher announced that it waits for an answer to its request to accept or withdraw the
+    /// message.
     pub fn is_in_doubt(&self, id: MessageId) -> bool {
         self.in_doubt.contains(&id)
     }
@@ -120,19 +122,20 @@
         self.leases.remove(&id);
     }
 
-    /// Whether it is known to have the lease on the message; `None` if it is known not to.
+    /// Whether the dispatcher's lease on the message is confirmed; `None` if it has no lease on it.
     pub fn confirmation_of(&self, id: MessageId) -> Option<&LeaseConfirmation> {
         self.leases.get(&id)
     }
 
-    /// Messages whose leases it has to confirm, in order.
+    /// Messages whose leases the dispatcher has yet to confirm, in ascending order.
     pub fn unconfirmed(&self) -> Vec<MessageId> {
         let is_open =
             |confirmation: &LeaseConfirmation| matches!(confirmation, LeaseConfirmation::Unconfirmed { .. });
         self.leases.iter().filter(|(_, confirmation)| is_open(confirmation)).map(|(id, _)| *id).collect()
     }
 
-    /// Its connection is closed: it has to confirm all leases before `until`. Gives their messages, in order.
+    /// Requires the dispatcher, whose connection is closed, to confirm all its leases before `until`. Returns
+    /// their messages in ascending order.
     pub fn expect_confirmations(&mut self, until: Instant) -> Vec<MessageId> {
         for confirmation in self.leases.values_mut() {
             *confirmation = LeaseConfirmation::Unconfirmed { until };
@@ -148,17 +151,18 @@
         self.callbacks.remove(&id);
     }
 
-    /// Call-backs that it has in flight.
+    /// Number of call-backs that the dispatcher has in flight.
     pub fn callback_count(&self) -> usize {
         self.callbacks.len()
     }
 
-    /// Takes all call-backs that it had in flight, in order.
+    /// Removes and returns all call-backs that the dispatcher had in flight.
     pub fn take_callbacks(&mut self) -> BTreeSet<MessageId> {
         std::mem::take(&mut self.callbacks)
     }
 
-    /// Deliveries of the service that it takes at a time; `None` where it did not say.
+    /// Maximum number of concurrent deliveries of the service that the dispatcher announced; `None` if it
+    /// announced none.
     pub fn limit_of(&self, service: ServiceIndex) -> Option<u32> {
         self.limits.get(&service).copied()
     }
@@ -167,17 +171,17 @@
         self.limits.insert(service, limit);
     }
 
-    /// It stops: nothing more is granted to it.
+    /// Marks the dispatcher as shutting down, so that no further messages are granted to it.
     pub fn set_shutting_down(&mut self) {
         self.is_shutting_down = true;
     }
 
-    /// Something may be granted to it.
+    /// Whether messages may be granted to the dispatcher: it is connected and not shutting down.
     pub fn is_open(&self) -> bool {
         self.connection.is_some() && !self.is_shutting_down
     }
 
-    /// Leases that were not confirmed in time.
+    /// Messages whose leases were not confirmed in time.
     pub fn overdue(&self, now: Instant) -> Vec<MessageId> {
         self.leases
             .iter()
@@ -187,12 +191,12 @@
     }
 }
 
-/// All dispatchers that are connected, or have leases or call-backs.
+/// All dispatchers that are connected, or that hold leases or call-backs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Dispatchers {
     incarnations: BTreeMap<DispatcherId, Incarnation>,
     connections: BTreeMap<ConnectionId, DispatcherId>,
-    /// When heartbeats are checked next; `None` while nobody is connected.
+    /// Time of the next heartbeat check; `None` while no dispatcher is connected.
     heartbeat_check_at: Option<Instant>,
 }
 
@@ -213,7 +217,7 @@
         self.incarnations.get_mut(&dispatcher)
     }
 
-    /// The incarnation, added if it is not known.
+    /// Returns the incarnation with this identifier, which is added if it is unknown.
     pub fn add(&mut self, dispatcher: DispatcherId, now: Instant) -> &mut Incarnation {
         self.incarnations.entry(dispatcher).or_insert_with(|| Incarnation::new(now))
     }
@@ -222,9 +226,12 @@
         self.incarnations.iter().map(|(dispatcher, incarnation)| (*dispatcher, incarnation))
     }
 
-    /// The `count` home dispatchers of a receiver or a service: of the store's region, or of all if that has none, the
-    /// first by a hash of both names (rendezvous hashing; Thaler, Ravishankar, 1998). All stores of a region choose the
-    /// same ones without talking to each other, and a dispatcher that comes or goes changes few choices.
+    /// Chooses the `count` home dispatchers of a receiver or a service by rendezvous hashing (Thaler,
+    /// Ravishankar, 1998) over both names. Only dispatchers in the store's region are considered, or those of
+    /// all regions if it has none.
+    ///
+    /// All stores of a region choose the same dispatchers without communicating, and a dispatcher that joins or
+    /// leaves changes few choices.
     pub fn home_dispatchers(&self, name: &str, count: usize) -> Vec<DispatcherId> {
         let open = || self.iter().filter(|(_, incarnation)| incarnation.is_open());
         let is_far = |incarnation: &Incarnation| incarnation.distance == Distance::OtherRegion;
@@ -242,7 +249,7 @@
         self.incarnations.get(&dispatcher)?.connection
     }
 
-    /// Ties a connection to an incarnation.
+    /// Assigns a connection to an incarnation.
     pub fn connect(
         &mut self,
         connection: ConnectionId,
@@ -256,7 +263,7 @@
         incarnation
     }
 
-    /// The connection is closed; gives whose it was.
+    /// Removes a closed connection. Returns its dispatcher, unless that has a newer connection.
     pub fn disconnect(&mut self, connection: ConnectionId) -> Option<DispatcherId> {
         let dispatcher = self.connections.remove(&connection)?;
         let incarnation = self.incarnations.get_mut(&dispatcher)?;
@@ -274,7 +281,7 @@
         }
     }
 
-    /// Connections on which nothing came for `heartbeat_timeout`.
+    /// Connections on which nothing was received for `heartbeat_timeout`.
     pub fn unresponsive(&self, now: Instant, heartbeat_timeout: Duration) -> Vec<ConnectionId> {
         let is_unresponsive = |incarnation: &&Incarnation| {
             now.saturating_duration_since(incarnation.last_message_at) >= heartbeat_timeout
@@ -286,7 +293,8 @@
             .collect()
     }
 
-    /// When heartbeats are to be checked; `None` if that is set already, or nobody is connected.
+    /// Schedules the next heartbeat check and returns its time; `None` if one is already scheduled or no
+    /// dispatcher is connected.
     pub fn schedule_heartbeat_check(&mut self, now: Instant, interval: Duration) -> Option<Instant> {
         if self.heartbeat_check_at.is_some() || self.connections.is_empty() {
             return None;
@@ -295,12 +303,12 @@
         self.heartbeat_check_at
     }
 
-    /// The check that was scheduled is made now.
+    /// Called when the scheduled heartbeat check starts.
     pub fn start_heartbeat_check(&mut self) {
         self.heartbeat_check_at = None;
     }
 
-    /// Forgets an incarnation that has neither a connection nor a lease nor a call-back.
+    /// Removes an incarnation that has no connection, no lease and no call-back.
     pub fn forget_if_gone(&mut self, dispatcher: DispatcherId) {
         let is_gone = |incarnation: &Incarnation| {
             incarnation.connection.is_none()
--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -1,4 +1,5 @@
-//! What one store knows of one message. It only grows: [`Entry::merge`] and [`Entry::apply`] never take anything back.
+//! The state of one message at one store. Merging is monotonic: [`Entry::merge`] and [`Entry::apply`] only add
+//! to the state and never undo anything, so copies can be merged in any order.
 
 use crate::primary_entry::PrimaryEntry;
 use crate::time::Instant;
@@ -8,10 +9,10 @@
 use millrudder_protocol::{LeaseToken, MessageId, Sequence};
 use std::time::Duration;
 
-/// Memory that a message takes besides its own bytes, about.
+/// Approximate memory in bytes that a message takes in addition to its content.
 const OVERHEAD_BYTES: usize = 400;
 
-/// What one store knows of one message.
+/// The state of one message at one store.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub id: MessageId,
@@ -22,22 +23,22 @@
     pub grant: Option<Grant>,
     pub resolved_through: LeaseToken,
     pub end: Option<End>,
-    /// Meaningful with `end`.
+    /// Time of the end; only meaningful if `end` is set.
     pub ended: Instant,
     pub callback_done: bool,
-    /// Absent or without its body where neither is needed any more.
+    /// The content of the message; absent, or without its body, once these are no longer needed.
     pub message: Option<Box<Message>>,
-    /// When its expiry timer goes off.
+    /// Time for which the expiry timer is set.
     pub expiry: Option<Instant>,
-    /// Only at the shard's primary.
+    /// Present only at the shard's primary.
     pub primary: Option<Box<PrimaryEntry>>,
-    /// Bytes that it counts for in the table's sum.
+    /// Bytes counted for this entry in the table's total.
     pub charged: usize,
-    /// It counts as live in the table's sum.
+    /// Whether this entry is counted as live in the table's total.
     pub counted_live: bool,
 }
 
-/// What two replicas must agree on for their copies of a message to be equal.
+/// The part of the state in which two replicas must agree for their copies of a message to be equal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EntryVersion {
     pub failed_attempts: u32,
@@ -47,7 +48,8 @@
     pub callback_done: bool,
 }
 
-/// What must be on the local disk before another store is told of it: entries that differ in it know more or less.
+/// The part of the state that must be on the local disk before another store is told of it. Merging a copy that
+/// adds anything changes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EntryContents {
     entry_version: EntryVersion,
@@ -68,7 +70,7 @@
 }
 
 impl Entry {
-    /// An entry of which nothing but its name is known.
+    /// Creates the entry of a message of which nothing but its identifier is known.
     pub fn new(id: MessageId, received: Instant) -> Self {
         Entry {
             id,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Adds what a state says that was sent or written `state_age` ago.
+    /// Merges a full state that was sent or written `state_age` ago.
     pub fn merge(&mut self, state: MessageState, now: Instant, state_age: Duration) {
         self.sequence = self.sequence.max(state.sequence);
         self.received =
@@ -126,7 +128,7 @@
         self.trim();
     }
 
-    /// Adds what a record says that was written `age` ago.
+    /// Applies a record that was written `age` ago.
     pub fn apply(&mut self, record: Record, now: Instant, age: Duration) {
         match record {
             Record::State { state } => self.merge(*state, now, age),
@@ -168,14 +170,14 @@
         }
     }
 
-    /// The end that is known asks for a call-back, and none has succeeded.
+    /// Whether the message has ended in a way that requires a call-back which has not succeeded yet.
     pub fn has_pending_callback(&self) -> bool {
         let named = self.message.as_ref().is_some_and(|message| message.callback_url.is_some());
         let owed_end = matches!(self.end, Some(End::Completed { .. } | End::DeadLetter));
         owed_end && named && !self.callback_done
     }
 
-    /// Frees the memory of what is not needed any more.
+    /// Frees the parts of the message that are not needed any more.
     fn trim(&mut self) {
         let needs_body = matches!(self.end, None | Some(End::DeadLetter));
         if needs_body {
@@ -190,7 +192,7 @@
         }
     }
 
-    /// All that is known, as it is written and sent.
+    /// The full state, as it is written to disk and sent to other stores.
     pub fn state(&self, now: Instant) -> MessageState {
         MessageState {
             id: self.id,
@@ -210,7 +212,7 @@
         }
     }
 
-    /// A message of which only the retention still matters.
+    /// Replaces a message that has been freed, of which only the retention still matters.
     fn placeholder_message(&self) -> Message {
         Message {
             request_id: String::new(),
@@ -230,12 +232,12 @@
         }
     }
 
-    /// The key within which messages are delivered in order.
+    /// The key whose messages are delivered in order, one at a time.
     pub fn order_key(&self) -> Option<&str> {
         self.message.as_ref()?.order_key.as_deref()
     }
 
-    /// Time before which it must not run.
+    /// Time before which the message must not be run.
     pub fn due(&self) -> Instant {
         let delay_ms = self.message.as_ref().map_or(0, |message| message.delay_ms);
         self.received + Duration::from_millis(u64::from(delay_ms))
@@ -247,18 +249,18 @@
         self.due() + Duration::from_millis(u64::from(target_start_ms))
     }
 
-    /// Time at which it has ended, whatever became of it.
+    /// End of the retention: the message has ended by then at the latest.
     pub fn retention_end(&self) -> Instant {
         self.received + self.retention
     }
 
-    /// Bytes that it takes in memory, about.
+    /// Approximate memory in bytes that the entry takes.
     pub fn cost(&self) -> usize {
         OVERHEAD_BYTES + self.message.as_deref().map_or(0, message_bytes)
     }
 }
 
-/// Bytes of a message, about.
+/// Approximate memory in bytes that the content of a message takes.
 pub(crate) fn message_bytes(message: &Message) -> usize {
     let headers: usize = message.headers.iter().map(|header| header.name.len() + header.value.len()).sum();
     let optional = |text: &Option<String>| text.as_ref().map_or(0, String::len);
--- a/system/state/queue/src/lib.rs
+++ b/system/state/queue/src/lib.rs
@@ -1,9 +1,9 @@
-//! The replicated message queue of a store process, as a state machine without I/O: it replicates messages to several
-//! disks, orders them, grants their delivery to dispatchers and records how they ended.
+//! The replicated message queue of a store process, as a state machine without I/O. It replicates messages to several
+//! disks, orders them, grants their delivery to dispatchers, and records how they ended.
 //!
-//! [`StoreNode`] takes one [`Input`] at a time with the time of a steady clock and returns [`Output`]s. It has no
-//! clock, no threads, and no randomness but a seed. A shell appends and syncs what it is told to, sends and receives,
-//! and calls again with [`Input::Tick`] at [`StoreNode::next_deadline`].
+//! [`StoreNode`] takes one [`Input`] at a time with a reading of a monotonic clock and returns [`Output`]s. It has no
+//! clock and no threads, and its only randomness comes from a configured seed. A shell (the process around it) appends
+//! and syncs records, sends and receives messages, and calls with [`Input::Tick`] at [`StoreNode::next_deadline`].
 //!
 //! ```
 //! use millrudder_clock::Instant;
@@ -18,7 +18,7 @@
 //!
 //! let mut outputs = Vec::new();
 //! node.handle(Instant::ORIGIN, Input::Placement(placement), &mut outputs);
-//! // It promises the shard to itself, and serves it once that is on its disk.
+//! // The node promises the shard to itself, and serves it once that promise is synced.
 //! let [Output::Append { ticket, .. }] = outputs[..] else { panic!("one record") };
 //! assert_eq!(node.health(Instant::ORIGIN).primary_shards, 0);
 //! node.handle(Instant::from_millis(2), Input::Synced { ticket }, &mut outputs);
@@ -27,39 +27,40 @@
 //!
 //! # Guarantees
 //!
-//! - A message that was accepted, and each outcome that was recorded, is on as many disks as the placement promises, and
-//!   survives the loss of all of them but one.
-//! - At most one store serves a shard in a term, and a replica that has promised a term rejects writes of lower ones.
-//! - Messages of one order key are delivered one at a time, in the order of their acceptance.
-//! - The same inputs at the same readings with the same seed give the same outputs.
+//! - Every accepted message and every recorded outcome is on as many disks as the placement requires, and survives the
+//!   loss of all of these disks but one.
+//! - At most one store serves a shard in a term, and a replica that has promised a term rejects writes of lower terms.
+//! - Messages with the same order key are delivered one at a time, in the order of their acceptance.
+//! - It is deterministic: the same inputs at the same clock readings with the same seed give the same outputs.
 //!
 //! # Modules
 //!
-//! `node` is the coordinator: [`StoreNode`] routes each input to the parts that it concerns. Each part owns its state:
+//! `node` is the coordinator: [`StoreNode`] routes each input to the components that it concerns. Each component owns its
+//! state:
 //!
-//! - `message_table`, `entry`: what is known of each message; it only grows. `primary_entry`: what only a primary keeps of
-//!   it.
-//! - `primary_term`: terms in which this store is a shard's primary, and takeovers. `promises`: terms that it promised to
-//!   others.
-//! - `replication`: writes in flight to the local disk and to other stores, hedging, repair, filling of learners.
+//! - `message_table`, `entry`: the state of each message, which merging only adds to. `primary_entry`: the additional
+//!   state that only a primary keeps.
+//! - `primary_term`: the terms in which this store is the primary of a shard, and takeovers. `promises`: the terms that
+//!   it has promised to other primaries.
+//! - `replication`: writes in flight to the local disk and to other stores, hedging, repair, and catching up of learners.
 //! - `scheduling`: ready messages, credits and rate limits by service; order keys.
 //! - `dispatchers`: connections, leases and heartbeats. `callbacks`: pending call-backs by receiver.
-//! - `context`, `timers`, `time`: what all parts share.
+//! - `context`, `timers`, `time`: shared by all components.
 //!
-//! # What the shell must keep to
+//! # Requirements on the shell
 //!
-//! - Outputs are carried out in order, and appends reach the disk in the order of their tickets.
-//! - [`Input::Synced`] is given only once everything up to its ticket would survive a loss of power.
-//! - Messages of one connection are given in the order in which they were sent, and none after its end.
+//! - It carries out outputs in order, and appends reach the disk in the order of their tickets.
+//! - It gives [`Input::Synced`] only once everything up to its ticket would survive a power failure.
+//! - It gives the messages of a connection in the order in which they were sent, and none after the connection's end.
 //!
-//! # What dispatchers must keep to
+//! # Requirements on dispatchers
 //!
 //! - They ping at least three times within [`Config::heartbeat_timeout`].
-//! - They start a delivery only if its token's epoch is not below the term of its shard in their placement.
-//! - They take `Recorded` only from the shard's primary in their placement, and repeat reports to that one until then.
-//! - They announce themselves by `Hello` on each connection and at each new placement, with every lease whose
-//!   outcome is not `Recorded`, and read nothing more from an older connection to the same store.
-//! - A lease that comes with the answer to a request which they gave up is reported as not run.
+//! - They start a delivery only if the epoch of its token is not below the term of its shard in their placement.
+//! - They accept `Recorded` only from the shard's primary in their placement, and repeat their reports to it until then.
+//! - They announce themselves by `Hello` on each connection and after each new placement, with every lease whose
+//!   outcome is not `Recorded` yet, and read nothing more from an older connection to the same store.
+//! - If a request that they have given up is answered with a lease, they report that lease as not run.
 
 mod api;
 mod callbacks;
--- a/system/state/queue/src/message_table.rs
+++ b/system/state/queue/src/message_table.rs
@@ -1,4 +1,4 @@
-//! All messages that this store knows, with the sums that bound them.
+//! The table of all messages that this store knows, with the totals that limit it.
 
 use crate::entry::Entry;
 use crate::primary_entry::PrimaryEntry;
@@ -20,12 +20,13 @@
         self.entries.get(&id).map(Box::as_ref)
     }
 
-    /// For changes that leave the message's size and end as they are.
+    /// For changes that affect neither the message's size nor its end, and so not the totals; others use
+    /// [`MessageTable::change`].
     pub fn get_mut(&mut self, id: MessageId) -> Option<&mut Entry> {
         self.entries.get_mut(&id).map(Box::as_mut)
     }
 
-    /// What a primary keeps of a message; `None` where this store is not its shard's primary.
+    /// The primary's entry of a message; `None` if this store is not the primary of its shard.
     pub fn primary(&self, id: MessageId) -> Option<&PrimaryEntry> {
         self.entries.get(&id)?.primary.as_deref()
     }
@@ -35,7 +36,7 @@
         self.entries.get_mut(&id)?.primary.as_deref_mut()
     }
 
-    /// Changes an entry, which is added if it is not there, and keeps the sums.
+    /// Changes an entry, creating it if necessary, and updates the totals.
     pub fn change<R>(&mut self, id: MessageId, now: Instant, change: impl FnOnce(&mut Entry) -> R) -> R {
         let entry = self.entries.entry(id).or_insert_with(|| Box::new(Entry::new(id, now)));
         let result = change(entry);
@@ -55,24 +56,24 @@
         Some(entry)
     }
 
-    /// Identifiers of a shard's messages, in order.
+    /// Identifiers of a shard's messages, in ascending order.
     pub fn ids_of(&self, shard: ShardId) -> impl Iterator<Item = MessageId> + '_ {
         self.of_shard_from(MessageId { shard, unique: 0 }).map(|entry| entry.id)
     }
 
-    /// A shard's messages from `first` on, in the order of their identifiers.
+    /// A shard's messages from `first` on, in ascending order of their identifiers.
     pub fn of_shard_from(&self, first: MessageId) -> impl Iterator<Item = &Entry> + '_ {
         let last = MessageId { shard: first.shard, unique: u64::MAX };
         self.entries.range(first..=last).map(|(_, entry)| entry.as_ref())
     }
 
-    /// Identifiers of all messages behind `after`, in order.
+    /// Identifiers of all messages after `after`, in ascending order.
     pub fn ids_after(&self, after: Option<MessageId>) -> impl Iterator<Item = MessageId> + '_ {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.entries.range((from, Bound::Unbounded)).map(|(id, _)| *id)
     }
 
-    /// Messages that are known, live or not.
+    /// Number of known messages, live or ended.
     pub fn count(&self) -> u64 {
         u64::try_from(self.entries.len()).unwrap_or(u64::MAX)
     }
@@ -81,12 +82,12 @@
         self.entries.keys().copied()
     }
 
-    /// Bytes of all entries, about.
+    /// Approximate size in bytes of all entries.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Messages that have not ended.
+    /// Number of live messages: those that have not ended.
     pub fn live(&self) -> u64 {
         self.live
     }
--- a/system/state/queue/src/node/accept.rs
+++ b/system/state/queue/src/node/accept.rs
@@ -1,4 +1,4 @@
-//! Requests of dispatchers about a message: to accept it, to withdraw it, to say what is known of it.
+//! Dispatchers' requests to accept, withdraw or query a message.
 
 use super::StoreNode;
 use crate::api::ConnectionId;
@@ -11,11 +11,11 @@
 use millrudder_protocol::{DispatcherId, MessageId, RequestNumber};
 use std::time::Duration;
 
-/// Withdrawals that wait for one shard's takeover; further ones are not answered.
+/// Maximum number of withdrawals that wait for the takeover of one shard. Further ones are not answered.
 const MAX_PENDING_WITHDRAWALS: usize = 10_000;
 
 impl StoreNode {
-    /// A dispatcher asks for a message to be accepted.
+    /// Handles a dispatcher's request to accept a message.
     pub(super) fn handle_accept(
         &mut self,
         connection: ConnectionId,
@@ -33,7 +33,7 @@
         if let Some(entry) = self.table.get(id) {
             let is_other = entry.message.as_deref().is_some_and(|known| *known != *message);
             match is_other {
-                // The identifier was drawn twice: the message that has it is another client's.
+                // Two clients' messages were given the same random identifier. The first one keeps it.
                 true => self.reject_full(connection, request),
                 false => self.handle_repeated_accept(connection, request, id, dispatcher),
             }
@@ -71,7 +71,7 @@
         is_short || self.table.live() >= self.context.config.max_live_messages
     }
 
-    /// Adds a message that was not known.
+    /// Adds a new message to the table.
     fn insert_message(&mut self, id: MessageId, message: Box<Message>, dispatcher: DispatcherId) {
         let now = self.context.now;
         let sequence = self
@@ -92,7 +92,8 @@
         });
     }
 
-    /// The same message again: it is acknowledged once it is durable.
+    /// Handles a repeated request for a message that is already known: it is acknowledged once the message is
+    /// durable.
     fn handle_repeated_accept(
         &mut self,
         connection: ConnectionId,
@@ -112,7 +113,8 @@
         self.when_durable(id, Effect::AcknowledgeAccept { connection, request });
     }
 
-    /// The message is durable: its dispatcher is told so, and of its lease if it has one.
+    /// Acknowledges the acceptance of a durable message to its dispatcher, together with the lease if it was
+    /// granted one.
     pub(super) fn acknowledge_accept(
         &mut self,
         connection: ConnectionId,
@@ -129,9 +131,10 @@
         self.send_to_dispatcher(connection, ToDispatcher::Accepted { request, token });
     }
 
-    /// A client got no acknowledgement, and its message must not run any more.
+    /// Handles a withdrawal: the client got no acknowledgement, and its message must not run any more.
     ///
-    /// Answered only where no other dispatcher can have run it: else it may have run.
+    /// The withdrawal is confirmed only if no other dispatcher can have run the message. Otherwise it may have
+    /// run, and there is no answer.
     pub(super) fn handle_withdraw(&mut self, connection: ConnectionId, id: MessageId) {
         if let Some(takeover) = self.primary_terms.takeover_mut(id.shard) {
             if takeover.withdrawals.len() < MAX_PENDING_WITHDRAWALS {
@@ -162,7 +165,7 @@
         self.when_durable(id, Effect::AcknowledgeWithdrawal { connection });
     }
 
-    /// Ends a message that is not to run, at whatever stage it is.
+    /// Ends a message as withdrawn, whatever stage it is in.
     fn withdraw_message(&mut self, id: MessageId) {
         if let Some(lease) = self.lease_of(id) {
             self.revoke(id, lease.token);
@@ -181,7 +184,7 @@
         self.set_expiry(id);
     }
 
-    /// By the placement in force here, this store is a replica of the message's shard.
+    /// Whether this store is a replica of the message's shard in the current placement.
     fn is_replica(&self, id: MessageId) -> bool {
         self.context
             .placement
@@ -189,7 +192,7 @@
             .is_some_and(|shard| shard.replicas.contains(&self.context.local_id))
     }
 
-    /// Answers from what this replica knows, whoever is primary.
+    /// Answers a query from the local copy, whether or not this store is the primary.
     pub(super) fn handle_query(
         &mut self,
         connection: ConnectionId,
--- a/system/state/queue/src/node/attempts.rs
+++ b/system/state/queue/src/node/attempts.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts, and the effects of durable changes.
+//! Outcomes of delivery attempts, and the effects that follow once a change is durable.
 
 use super::StoreNode;
 use crate::api::ConnectionId;
@@ -10,19 +10,20 @@
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, ShardId};
 use std::time::Duration;
 
-/// Shortest wait before another attempt, however little time its latency target leaves.
+/// Shortest back-off after a failed attempt, even if the message's target start time is closer.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Shortest wait before a message that was returned is granted again, so that it does not go round in a tight loop.
+/// Shortest delay before a returned message is granted again, so that it does not cycle in a tight loop.
 const MIN_RETURN_DELAY: Duration = Duration::from_millis(10);
-/// Unknown outcomes of one message's runs that are retried without a back-off; it doubles with each further one.
+/// Number of unknown outcomes of one message that are retried without a back-off. The back-off doubles with
+/// each further one.
 const UNKNOWN_ENDS_WITHOUT_BACKOFF: u32 = 2;
-/// Part of a back-off that is drawn, so that attempts that failed together are not retried together.
+/// Percentage of a back-off that is randomized, so that attempts that failed together are not retried together.
 const JITTER_PERCENT: u64 = 50;
-/// One back-off may take this fraction (one in so many) of the time left for a start in time.
+/// A back-off takes at most one part in this many of the time that is left until the target start time.
 const TIME_LEFT_DIVISOR: u32 = 3;
 
 impl StoreNode {
-    /// A dispatcher reports how an attempt ended.
+    /// Handles a dispatcher's report on how an attempt ended.
     pub(super) fn handle_attempted(
         &mut self,
         connection: ConnectionId,
@@ -44,7 +45,8 @@
         }
         match outcome {
             AttemptOutcome::Succeeded { signature } => self.succeeded(id, token, signature),
-            // It is a worker's answer, whoever may run the message now.
+            // A worker gave this answer, so it counts even if the message has been granted to another
+            // dispatcher since.
             AttemptOutcome::Refused => self.end_as_dead_letter(id),
             AttemptOutcome::Failed if is_current => self.attempt_failed(id, token),
             AttemptOutcome::Failed => self.count_failure(id, token),
@@ -66,7 +68,8 @@
         self.when_durable(id, Effect::AcknowledgeOutcome { connection, token });
     }
 
-    /// A lease is over without an outcome that counts; the message waits so long at least.
+    /// Returns a message whose lease ended without an outcome that counts, and schedules it again after at
+    /// least `wait`.
     fn return_lease(&mut self, id: MessageId, by: Option<DispatcherId>, wait: Duration) {
         if let Some(primary) = self.table.primary_mut(id) {
             primary.set_returned_by(by);
@@ -74,10 +77,10 @@
         self.reschedule(id, wait.max(MIN_RETURN_DELAY));
     }
 
-    /// A run ended with an unknown outcome. Gives the time that the message waits for it.
+    /// Counts a run whose outcome is unknown. Returns the back-off before the message may be granted again.
     ///
-    /// The run may have failed, and the answer been lost: such attempts are not counted, so a message that meets them
-    /// again and again must not go round in a tight loop.
+    /// The run may have failed and its answer been lost. Such attempts do not count towards the maximum number
+    /// of attempts, so the back-off keeps a message that repeatedly ends this way from cycling in a tight loop.
     pub(super) fn count_unknown_end(&mut self, id: MessageId) -> Duration {
         let Some(primary) = self.table.primary_mut(id) else {
             return Duration::ZERO;
@@ -89,14 +92,15 @@
         self.context.config.backoff(counted)
     }
 
-    /// This store is primary of the shard, and no later one gave the token.
+    /// Whether this store serves the shard and no later primary issued the token.
     pub(super) fn may_answer_for(&self, shard: ShardId, token: LeaseToken) -> bool {
         let primary_term = self.primary_terms.get(shard);
         primary_term
             .is_some_and(|primary_term| primary_term.is_serving() && token.term() <= primary_term.number())
     }
 
-    /// A run that succeeded ends the message, whoever ran it and under whatever lease.
+    /// Ends a message as completed. A success counts whichever dispatcher reports it and under whatever lease
+    /// it ran.
     fn succeeded(&mut self, id: MessageId, token: LeaseToken, signature: String) {
         let is_completed = |entry: &Entry| matches!(entry.end, Some(End::Completed { .. }));
         if self.table.get(id).is_some_and(is_completed) {
@@ -108,7 +112,7 @@
         self.end_message(id, End::Completed { signature });
     }
 
-    /// Tells the dispatcher that has a lease that it is over.
+    /// Revokes a lease, if its dispatcher has been notified of it.
     pub(super) fn revoke(&mut self, id: MessageId, token: LeaseToken) {
         let Some(lease) = self.lease_of(id).filter(|lease| lease.token == token && lease.is_notified) else {
             return;
@@ -118,7 +122,7 @@
         }
     }
 
-    /// The attempt under the present lease failed: the message waits for its next one.
+    /// Handles the failure of an attempt under the current lease: the message backs off until its next attempt.
     fn attempt_failed(&mut self, id: MessageId, token: LeaseToken) {
         self.unschedule(id, Stage::Persisting);
         self.count_failure(id, token);
@@ -133,8 +137,9 @@
         self.when_durable(id, Effect::Retry);
     }
 
-    /// Counts a failed attempt once, under whatever lease it was made: a worker's answer counts though its lease is
-    /// over. Tokens only rise, so one at or below the highest that was counted may have been counted itself.
+    /// Counts a failed attempt once. The failure counts even if its lease has ended, because a worker answered.
+    /// Tokens only increase, so an attempt with a token at or below the highest counted one may already have
+    /// been counted.
     fn count_failure(&mut self, id: MessageId, token: LeaseToken) {
         let Some(entry) = self.table.get(id) else { return };
         if entry.end.is_none() && entry.resolved_through < token {
@@ -144,7 +149,7 @@
         self.end_if_exhausted(id);
     }
 
-    /// Ends a message as dead letter, and revokes the lease on it.
+    /// Ends a message as a dead letter and revokes its lease.
     fn end_as_dead_letter(&mut self, id: MessageId) {
         if self.table.get(id).is_none_or(|entry| entry.end.is_some()) {
             return;
@@ -155,7 +160,7 @@
         self.end_message(id, End::DeadLetter);
     }
 
-    /// Ends a message whose attempts are used up; `true` if it did.
+    /// Ends a message that has reached its maximum number of attempts. Returns whether it did.
     pub(super) fn end_if_exhausted(&mut self, id: MessageId) -> bool {
         let Some(entry) = self.table.get(id) else { return false };
         let max_attempts = entry.message.as_ref().map_or(0, |message| message.max_attempts);
@@ -167,7 +172,8 @@
         is_spent
     }
 
-    /// Wait before the next attempt: doubling, with jitter, and such that a start in time stays possible.
+    /// Back-off before the next attempt: exponential with jitter, and short enough to still allow a start on
+    /// time.
     fn backoff_of(&mut self, id: MessageId) -> Duration {
         let Some(entry) = self.table.get(id) else { return Duration::ZERO };
         let time_left = entry.start_by().saturating_duration_since(self.context.now);
@@ -179,7 +185,7 @@
         wait.min(time_left / TIME_LEFT_DIVISOR).max(MIN_BACKOFF)
     }
 
-    /// A version is durable: applies an effect that waited for it.
+    /// Applies an effect that was waiting for a version to become durable.
     pub(super) fn apply_effect(&mut self, id: MessageId, effect: Effect) {
         match effect {
             Effect::AcknowledgeAccept { connection, request } => {
@@ -204,7 +210,7 @@
         }
     }
 
-    /// Ends a message; what waits for that follows once it is durable.
+    /// Ends a message. What follows from its end happens once the end is durable.
     pub(super) fn end_message(&mut self, id: MessageId, end: End) {
         self.unschedule(id, Stage::Ended);
         self.remember_order_key(id);
@@ -213,7 +219,8 @@
         self.set_expiry(id);
     }
 
-    /// Notes in whose key's queue the message is, before the message itself may be freed.
+    /// Saves the order key of the message, which is needed when the end is durable, before the message itself
+    /// may be freed.
     fn remember_order_key(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let key = entry.order_key().map(str::to_owned);
@@ -222,7 +229,8 @@
         }
     }
 
-    /// The message's end is durable: the next one of its key may be delivered, and its call-back is due.
+    /// Continues after a durable end: the next message of the order key may be delivered, and the call-back is
+    /// due.
     fn handle_end_durable(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let sequence = entry.sequence;
@@ -242,7 +250,7 @@
     }
 }
 
-/// A span of which [`JITTER_PERCENT`] is drawn, around the same mean.
+/// Randomizes [`JITTER_PERCENT`] of a span, keeping its mean.
 fn with_jitter(span: Duration, random: &mut fastrand::Rng) -> Duration {
     let span_ms = millis(span);
     let drawn_ms = span_ms * JITTER_PERCENT / 100;
--- a/system/state/queue/src/node/callbacks.rs
+++ b/system/state/queue/src/node/callbacks.rs
@@ -1,4 +1,5 @@
-//! Call-backs for messages that ended: granted to dispatchers few at a time, retried until the receiver accepts one.
+//! Call-backs for ended messages: a limited number at a time is granted to dispatchers, and failed ones are
+//! retried until the receiver accepts them.
 
 use super::StoreNode;
 use crate::api::ConnectionId;
@@ -11,7 +12,7 @@
 use std::time::Duration;
 
 impl StoreNode {
-    /// A message's end is durable: its call-back is due if it names a receiver.
+    /// Queues the call-back of a message whose end is durable, if the message names a receiver.
     pub(super) fn enqueue_callback(&mut self, id: MessageId) {
         let Some(entry) =
             self.table.get(id).filter(|entry| entry.has_pending_callback() && entry.primary.is_some())
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Grants call-backs that may be made now.
+    /// Grants all call-backs that may be made now.
     pub(super) fn grant_callbacks(&mut self) {
         while let Some(receiver) = self.callbacks.next_runnable() {
             while let Some(id) = self.callbacks.next(receiver, self.context.now) {
@@ -51,8 +52,8 @@
         true
     }
 
-    /// One of the receiver's home dispatchers: the one that reported the end if it is one, else the one with the fewest
-    /// call-backs.
+    /// Chooses one of the receiver's home dispatchers: the one that reported the message's end if it is one of
+    /// them, otherwise the one with the fewest call-backs in flight.
     fn callback_dispatcher(&self, id: MessageId) -> Option<DispatcherId> {
         let entry = self.table.get(id)?;
         let url = entry.message.as_ref()?.callback_url.as_deref()?;
@@ -82,7 +83,8 @@
         self.send_to_dispatcher(connection, ToDispatcher::CallBack { id, token, end, message });
     }
 
-    /// A dispatcher lacks the message of a call-back; `false` if it has no such call-back.
+    /// Sends a call-back again with its message, which the dispatcher lacks. Returns `false` if this call-back
+    /// is not granted under the token.
     pub(super) fn send_callback_again(
         &mut self,
         connection: ConnectionId,
@@ -96,7 +98,7 @@
         is_leased
     }
 
-    /// A dispatcher reports what became of a call-back.
+    /// Handles a dispatcher's report on a call-back.
     pub(super) fn handle_called_back(
         &mut self,
         connection: ConnectionId,
@@ -144,7 +146,7 @@
         }
     }
 
-    /// A call-back is not due any more, or not at this store.
+    /// Removes a call-back that is not due any more, or not at this store.
     pub(super) fn remove_callback(&mut self, id: MessageId) {
         self.forget_callback_lease(id);
         if let Some(lease) = self.callbacks.drop(id) {
--- a/system/state/queue/src/node/connections.rs
+++ b/system/state/queue/src/node/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of dispatchers: announcements, credits, heartbeats, ends.
+//! Connections of dispatchers: announcements, credits, heartbeats and disconnection.
 
 use super::StoreNode;
 use crate::api::{ConnectionId, Output};
@@ -8,13 +8,13 @@
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId};
 use std::time::Duration;
 
-/// Heartbeats are checked so many times in the time after which a dispatcher counts as gone.
+/// Number of heartbeat checks within the time-out after which a dispatcher counts as gone.
 const HEARTBEAT_CHECKS_PER_TIMEOUT: u32 = 4;
-/// Shortest time between two such checks: the clock's step.
+/// Shortest time between two heartbeat checks: the resolution of the clock.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
 impl StoreNode {
-    /// A dispatcher announces itself and the leases that it has.
+    /// Handles a `Hello`, by which a dispatcher announces itself and its leases.
     pub(super) fn handle_hello(
         &mut self,
         connection: ConnectionId,
@@ -45,7 +45,7 @@
         self.schedule_heartbeat_check();
     }
 
-    /// Lets a dispatcher be granted messages of every service.
+    /// Gives a dispatcher credit for every service, so that messages may be granted to it.
     fn open_credits(&mut self, dispatcher: DispatcherId) {
         let Some(incarnation) = self.dispatchers.get(dispatcher).filter(|incarnation| incarnation.is_open())
         else {
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Confirms the leases that a dispatcher announced, and grants those again that it does not know.
+    /// Confirms the unconfirmed leases that a dispatcher announced, and schedules the messages of those that it
+    /// did not announce again.
     fn reconcile_unconfirmed_leases(&mut self, dispatcher: DispatcherId) {
         let Some(incarnation) = self.dispatchers.get(dispatcher) else { return };
         for id in incarnation.unconfirmed() {
@@ -76,7 +77,8 @@
         let term = self.primary_terms.number_of(id.shard);
         let token = self.lease_of(id).map(|lease| lease.token);
         let Some(incarnation) = self.dispatchers.get_mut(dispatcher) else { return };
-        // It did not know that this store is primary: what it announced says nothing of this shard.
+        // The dispatcher did not know yet that this store is the primary, so its announcement does not cover
+        // this shard.
         if term.is_none_or(|term| incarnation.epoch() < term) {
             return;
         }
@@ -84,14 +86,14 @@
             incarnation.add_lease(id, LeaseConfirmation::Confirmed);
             return;
         }
-        // It does not know that the message was accepted, and will ask again or withdraw it.
+        // The dispatcher does not know whether the message was accepted, and will send it again or withdraw it.
         if incarnation.is_in_doubt(id) {
             return;
         }
         self.reschedule(id, Duration::ZERO);
     }
 
-    /// Revokes the leases that a dispatcher announced and that others have now.
+    /// Revokes announced leases whose messages have been granted again under a newer token.
     fn revoke_superseded(&mut self, dispatcher: DispatcherId, connection: ConnectionId) {
         let Some(incarnation) = self.dispatchers.get(dispatcher) else { return };
         let is_superseded = |id: MessageId, token: LeaseToken| {
@@ -106,13 +108,14 @@
         }
     }
 
-    /// Closes a connection that is of no use any more.
+    /// Closes the connection of a dispatcher that is unresponsive or has a newer connection.
     fn close_dispatcher(&mut self, connection: ConnectionId) {
         self.handle_dispatcher_closed(connection);
         self.context.outputs.push(Output::CloseDispatcher { connection });
     }
 
-    /// A dispatcher's connection is closed: it may reconnect and announce its leases.
+    /// Handles the end of a dispatcher's connection. The dispatcher may reconnect and announce its leases
+    /// before the reconnect time-out.
     pub(super) fn handle_dispatcher_closed(&mut self, connection: ConnectionId) {
         let Some(dispatcher) = self.dispatchers.disconnect(connection) else { return };
         self.close_credits(dispatcher);
@@ -131,7 +134,7 @@
         self.dispatchers.forget_if_gone(dispatcher);
     }
 
-    /// A dispatcher did not announce these leases in time: they are granted again.
+    /// Schedules messages again whose leases a dispatcher did not confirm in time.
     pub(super) fn release_unconfirmed(&mut self, dispatcher: DispatcherId) {
         let overdue = self
             .dispatchers
@@ -145,7 +148,7 @@
         self.dispatchers.forget_if_gone(dispatcher);
     }
 
-    /// A dispatcher stops: nothing more is granted to it, and it keeps its leases.
+    /// Handles the shutdown of a dispatcher: no further messages are granted to it, and it keeps its leases.
     pub(super) fn handle_dispatcher_shutdown(&mut self, connection: ConnectionId) {
         let Some(dispatcher) = self.dispatchers.of(connection) else { return };
         if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
@@ -154,7 +157,8 @@
         self.close_credits(dispatcher);
     }
 
-    /// How many deliveries a dispatcher takes at a time; services that it does not name keep their limit.
+    /// Handles the limits of concurrent deliveries that a dispatcher announces. Services that are not named
+    /// keep their limits.
     pub(super) fn handle_credits(&mut self, connection: ConnectionId, credits: &[ServiceCredit]) {
         let Some(dispatcher) = self.dispatchers.of(connection) else { return };
         for ServiceCredit { service, limit } in credits {
--- a/system/state/queue/src/node/expiry.rs
+++ b/system/state/queue/src/node/expiry.rs
@@ -1,7 +1,8 @@
-//! The end of a message's retention, and the time after which it is forgotten.
+//! Expiry: messages that reach the end of their retention are ended, and ended messages are eventually removed.
 //!
-//! Every replica forgets by its own clock. A message that has ended is retained until its retention is over as well, so
-//! that a replica which missed the end cannot bring the message back: it has ended by its retention by then.
+//! Every replica removes messages by its own clock. An ended message is kept at least until its retention has
+//! passed, so that a replica which missed the end cannot bring the message back: by then it has expired there
+//! too.
 
 use super::StoreNode;
 use crate::api::Output;
@@ -13,10 +14,11 @@
 use millrudder_protocol::MessageId;
 use std::time::Duration;
 
-/// Messages are forgotten together in steps of this span, which takes fewer wake-ups.
+/// Removal times are rounded up to multiples of this step, so that messages are removed in groups with fewer
+/// wake-ups.
 const FORGET_STEP: Duration = Duration::from_secs(1);
 
-/// When to look at a message again.
+/// Time at which the expiry timer of a message is due.
 fn expiry_of(entry: &Entry, config: &Config) -> Instant {
     let status_retention = config.status_ttl + config.forget_margin;
     if entry.end.is_none() {
@@ -30,7 +32,7 @@
 }
 
 impl StoreNode {
-    /// Sets a message's expiry timer to what is known of it now.
+    /// Updates the expiry timer of a message to its current state.
     pub(super) fn set_expiry(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let at = expiry_of(entry, &self.context.config);
@@ -43,7 +45,7 @@
         self.context.timers.set(at, Timer::Expiry(id));
     }
 
-    /// A message's expiry timer went off.
+    /// Handles the expiry timer of a message.
     pub(super) fn handle_expiry(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         entry.expiry = None;
--- a/system/state/queue/src/node/grants.rs
+++ b/system/state/queue/src/node/grants.rs
@@ -1,4 +1,4 @@
-//! From an accepted message to its delivery: delays, order keys, rate limits, credits, grants.
+//! The path of an accepted message to its delivery: delays, order keys, rate limits, credits and grants.
 
 use super::StoreNode;
 use crate::api::ConnectionId;
@@ -13,12 +13,14 @@
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId};
 use std::time::Duration;
 
-/// A grant that took longer to become durable takes another permit of its service's rate limit when its dispatcher is
-/// notified, as those that waited with it are delivered together with it.
+/// Time after which a grant that becomes durable counts as late. A late grant takes a second permit of its
+/// service's rate limit when its dispatcher is notified, because all grants that waited with it are delivered
+/// at the same time.
 const LATE_GRANT: Duration = Duration::from_millis(50);
 
 impl StoreNode {
-    /// The service of this name; every open dispatcher may be granted its messages.
+    /// Returns the index of a service. A new service is added, and every dispatcher that accepts grants gets
+    /// credit for it.
     pub(super) fn service(&mut self, name: &str) -> ServiceIndex {
         if let Some(index) = self.services.find(name) {
             return index;
@@ -33,7 +35,8 @@
         index
     }
 
-    /// Brings a message that has not ended and is not in flight to the stage that it belongs to.
+    /// Moves a message that has not ended and is not in flight to the stage that its order key and its delay
+    /// require.
     pub(super) fn schedule(&mut self, id: MessageId) {
         let Some(entry) = self.table.get(id) else { return };
         let Some(primary) = entry.primary.as_ref() else { return };
@@ -76,7 +79,7 @@
         self.services.mark_runnable(service);
     }
 
-    /// A message's delay or back-off is over.
+    /// Handles the end of a message's delay or back-off.
     pub(super) fn handle_backoff_over(&mut self, id: MessageId) {
         let primary = self.table.primary(id);
         let is_due = primary.is_some_and(
@@ -87,7 +90,8 @@
         }
     }
 
-    /// Takes a message out of its stage; a lease of it is over.
+    /// Removes a message from its current stage, which releases its lease if it has one, and puts it into
+    /// `stage`.
     pub(super) fn unschedule(&mut self, id: MessageId, stage: Stage) {
         let Some(primary) = self.table.primary(id) else { return };
         match primary.stage() {
@@ -99,7 +103,7 @@
         self.set_stage(id, stage);
     }
 
-    /// A dispatcher's credit is free again.
+    /// Removes the lease from its dispatcher and returns the credit.
     fn drop_lease(&mut self, id: MessageId, lease: Lease) {
         if let Some(incarnation) = self.dispatchers.get_mut(lease.dispatcher) {
             incarnation.remove_lease(id);
@@ -111,7 +115,7 @@
         }
     }
 
-    /// A grant does not wait for its disks any more.
+    /// Stops counting a lease as a grant that waits for its record to become durable.
     fn release_unnotified(&mut self, index: ServiceIndex, lease: Lease) {
         if !lease.is_notified {
             self.services.get_mut(index).remove_unnotified();
@@ -124,7 +128,7 @@
         self.services.find(&message.service)
     }
 
-    /// Notes that a dispatcher has a lease, which takes one of its credits.
+    /// Records a lease of a dispatcher, which uses one of its credits.
     fn take_lease(&mut self, id: MessageId, lease: Lease, confirmation: LeaseConfirmation) {
         self.set_stage(id, Stage::InFlight(lease));
         let now = self.context.now;
@@ -142,14 +146,15 @@
         }
     }
 
-    /// Grants what may be granted since the last call.
+    /// Grants all messages whose grant has become possible since the last call.
     pub(super) fn grant_runnable_services(&mut self) {
         while let Some(service) = self.services.next_runnable() {
             while self.grant_first(service) {}
         }
     }
 
-    /// Grants the first ready message of a service, if a dispatcher has free credit and the rate limit allows it.
+    /// Grants the first ready message of a service, if a dispatcher has free credit and the rate limit allows
+    /// it. Returns whether a message was granted.
     pub(super) fn grant_first(&mut self, index: ServiceIndex) -> bool {
         let now = self.context.now;
         let service = self.services.get_mut(index);
@@ -178,9 +183,12 @@
         true
     }
 
-    /// The dispatcher that a message should go to which only this shard's primary grants: one of its service's home
-    /// dispatchers with free credit, the acceptor if it is one. So few of them keep connections to a worker that accepts few, and
-    /// the next message of a key waits for no far dispatcher. `None` where any may have it, or none has free credit.
+    /// Chooses the dispatcher for a message that only this shard's primary may grant, because it has an order
+    /// key or its service has a rate limit. Returns one of the service's home dispatchers with free credit,
+    /// preferably the dispatcher that accepted the message.
+    /// The number of home dispatchers is small, so that a worker which accepts few connections is not used by
+    /// all dispatchers, and the next message of a key does not wait for a distant dispatcher.
+    /// Returns `None` if any dispatcher may get the message, or if no home dispatcher has free credit.
     fn home_for(
         &self,
         id: MessageId,
@@ -205,12 +213,13 @@
         own.or_else(|| homes.into_iter().max_by_key(|home| service.credits().free(*home)))
     }
 
-    /// A new lease token of the shard's term.
+    /// Allocates a lease token in the shard's current term.
     pub(super) fn token(&mut self, id: MessageId) -> Option<LeaseToken> {
         self.primary_terms.get_mut(id.shard).map(|primary_term| primary_term.token())
     }
 
-    /// Takes a permit of the service's rate limit, or sets the timer for the next one.
+    /// Takes a permit of the service's rate limit, or sets a timer for the next one. Returns whether a permit
+    /// was taken.
     fn take_permit(&mut self, index: ServiceIndex) -> bool {
         match self.services.get_mut(index).take_permit(self.context.now) {
             Permit::Taken => true,
@@ -222,14 +231,14 @@
         }
     }
 
-    /// A rate limit may have a permit again.
+    /// Handles the timer for a service's next rate-limit permit.
     pub(super) fn handle_permit_due(&mut self, index: ServiceIndex) {
         self.services.get_mut(index).clear_permit_timer();
         self.services.mark_runnable(index);
     }
 
-    /// Grants a message to the dispatcher that sends it to be accepted, or to a home dispatcher of its service, if nothing
-    /// speaks against it.
+    /// Grants a new message at once, to the dispatcher that sent it for acceptance or to a home dispatcher of
+    /// its service, unless its delay, its order key, the rate limit or missing credit prevents it.
     pub(super) fn grant_at_accept(&mut self, id: MessageId, dispatcher: DispatcherId) {
         let Some(entry) = self.table.get(id) else { return };
         let is_due = entry.due() <= self.context.now;
@@ -241,8 +250,9 @@
         }
         let index = self.service(&name);
         let service = self.services.get(index);
-        // Where any shard may take it, the one that accepts it delivers it, also beyond its credit: it has the body, and
-        // a dispatcher that finds this store slow withdraws the message without anybody else having run it.
+        // A message without an order key or rate limit is granted to the dispatcher that sent it, even beyond
+        // its credit. That dispatcher already has the body, and if this store is too slow it can withdraw the
+        // message knowing that no other dispatcher has run it.
         let is_bound = service.has_rate_limit() || is_ordered;
         let dispatcher = match is_bound {
             false => Some(dispatcher).filter(|dispatcher| service.credits().is_open(*dispatcher)),
@@ -263,7 +273,7 @@
         }
     }
 
-    /// A grant is durable: its dispatcher may use it.
+    /// Notifies the dispatcher of a grant whose record is durable.
     pub(super) fn deliver(&mut self, id: MessageId, token: LeaseToken) {
         let Some(lease) = self.lease_of(id).filter(|lease| lease.token == token && !lease.is_notified) else {
             return;
@@ -274,7 +284,7 @@
         self.send_delivery(connection, id, token, with_body);
     }
 
-    /// The dispatcher is notified of its lease now.
+    /// Marks a lease as notified to its dispatcher.
     pub(super) fn mark_notified(&mut self, id: MessageId, lease: Lease) {
         if let Some(primary) = self.table.primary_mut(id) {
             primary.mark_notified(lease);
@@ -287,7 +297,7 @@
         }
     }
 
-    /// The dispatcher accepted the message so recently that it has the body still.
+    /// Whether the dispatcher sent the message for acceptance recently enough to still have its body.
     pub(super) fn has_body(&self, id: MessageId, dispatcher: DispatcherId) -> bool {
         let primary = self.table.primary(id);
         let acceptor = primary.and_then(|primary| primary.accepted_by());
@@ -307,7 +317,7 @@
         );
     }
 
-    /// A dispatcher lacks the body of what it was granted.
+    /// Handles the request of a dispatcher that does not have the body of a message that was granted to it.
     pub(super) fn handle_need_body(&mut self, connection: ConnectionId, id: MessageId, token: LeaseToken) {
         let dispatcher = self.dispatchers.of(connection);
         let lease =
@@ -320,12 +330,13 @@
         }
     }
 
-    /// The lease under which the message is in flight.
+    /// The lease of a message that is in flight.
     pub(super) fn lease_of(&self, id: MessageId) -> Option<Lease> {
         self.table.get(id)?.primary.as_ref()?.lease()
     }
 
-    /// A lease is over without an outcome that counts: the message waits for `wait`, then it is granted again.
+    /// Schedules a message again after `wait`, when its lease has ended without an outcome that counts as an
+    /// attempt.
     pub(super) fn reschedule(&mut self, id: MessageId, wait: Duration) {
         self.unschedule(id, Stage::Persisting);
         let not_before = self.context.now + wait;
@@ -335,8 +346,8 @@
         self.schedule(id);
     }
 
-    /// A former primary granted this, and its dispatcher may have the lease: it must announce it, or the message is granted
-    /// again.
+    /// Adopts a lease that a former primary granted, because its dispatcher may still hold it. If the
+    /// dispatcher does not announce the lease within the reconnect time-out, the message is granted again.
     pub(super) fn adopt_lease(&mut self, id: MessageId, grant: Grant) {
         let Some(term) = self.primary_terms.number_of(id.shard) else {
             return;
--- a/system/state/queue/src/node/mod.rs
+++ b/system/state/queue/src/node/mod.rs
@@ -1,7 +1,8 @@
-//! The state machine of one store process: takes an input and hands it to the part that it concerns.
+//! The state machine of one store process: routes each input to the components that it concerns.
 //!
-//! [`StoreNode`] owns the parts; each part owns its state, which only its own methods change. What spans several parts, as
-//! the way of a message from its acceptance to its end, is in the submodules, by the input that begins it.
+//! [`StoreNode`] owns the components. Each component owns its state, which only its own methods change.
+//! Processes that involve several components, such as the way of a message from its acceptance to its end, are
+//! in the submodules, which are named after the input that starts them.
 
 mod accept;
 mod attempts;
@@ -38,31 +39,33 @@
 
 /// The state machine of one store process.
 ///
-/// Its inputs come one at a time, each with a reading of the steady clock; what it decides is returned as outputs.
+/// It is given one input at a time with a reading of the monotonic clock, and returns its decisions as outputs.
 #[derive(Clone, Debug)]
 pub struct StoreNode {
     context: Context,
-    /// All messages that are known, of whatever shard.
+    /// All known messages of all shards.
     table: MessageTable,
-    /// As replica: terms that were promised to primaries.
+    /// As a replica: the terms promised to primaries.
     promises: Promises,
-    /// As primary: terms in which this store is one, and takeovers.
+    /// As a primary: the terms in which this store is one, and takeovers.
     primary_terms: PrimaryTerms,
-    /// As primary: writes to the local disk and to other stores.
+    /// As a primary: writes to the local disk and to other stores.
     replication: Replication,
     /// Ready messages, credits and rate limits by service.
     services: Services,
-    /// Order keys.
+    /// Queues of messages by order key.
     keys: Keys,
     dispatchers: Dispatchers,
     callbacks: Callbacks,
     watchdog: Watchdog,
-    /// The process is to stop: it serves on until the placement gives its shards to others.
+    /// The process was asked to stop. It keeps serving until the placement has moved its shards to other
+    /// stores.
     is_shutting_down: bool,
 }
 
 impl StoreNode {
-    /// A store process that starts at `now` with what its disk holds, in the order of the appends.
+    /// Creates the node of a store process that starts at `now`. `recovered` are the records on its disk, in
+    /// the order in which they were appended.
     pub fn new(
         config: Config,
         local_id: StoreId,
@@ -102,12 +105,14 @@
         }
     }
 
-    /// Handles one input at `now`; what is to be done is added to `outputs`. A reading before the latest one counts as that.
+    /// Handles one input at `now` and adds the resulting actions to `outputs`. A clock reading that is earlier
+    /// than a former one is replaced by that one.
     pub fn handle(&mut self, now: millrudder_clock::Instant, input: Input, outputs: &mut Vec<Output>) {
         self.context.now = self.context.now.max(Instant::from(now));
         self.fire_timers();
         self.process_pending_work();
-        // After all timers that were due: a process that was halted finds many due at once.
+        // The watchdog runs after all due timers, because a process that was paused finds many of them due at
+        // once.
         if self.watchdog.take_due() {
             self.run_watchdog();
             self.process_pending_work();
@@ -133,7 +138,7 @@
         }
     }
 
-    /// Grants what can be granted, then writes and sends what became known.
+    /// Grants all messages that can be granted, then writes and sends the resulting changes.
     fn process_pending_work(&mut self) {
         self.grant_runnable_services();
         self.grant_callbacks();
@@ -233,7 +238,8 @@
         self.services.set_rates(&by_service, self.context.now);
     }
 
-    /// The local disk failed: nothing on it counts any more, so this store is primary of nothing.
+    /// Handles a failure of the local disk: nothing on it can be relied on any more, so this store steps down
+    /// as primary of all shards.
     fn handle_disk_failed(&mut self) {
         self.replication.fail_disk();
         self.promises.cancel_all_transfers();
@@ -242,14 +248,14 @@
         }
     }
 
-    /// Time at which [`Input::Tick`] is due at the latest.
+    /// Latest time at which the shell must call with [`Input::Tick`].
     pub fn next_deadline(&self) -> Option<millrudder_clock::Instant> {
         let first =
             self.replication.deadline(&self.context).into_iter().chain(self.context.timers.first()).min();
         first.map(millrudder_clock::Instant::from)
     }
 
-    /// What the process reports to the core in its heartbeats.
+    /// The health that the process reports to the core in its heartbeats.
     pub fn health(&self, now: millrudder_clock::Instant) -> StoreHealth {
         let now = Instant::from(now).max(self.context.now);
         let serving = self.primary_terms.serving_shards().len();
@@ -262,17 +268,17 @@
         }
     }
 
-    /// All that is known of a message, for the compaction of segments; `None` after `Released`.
+    /// The full state of a message, for the compaction of log segments; `None` after `Released`.
     pub fn state_of(&self, id: MessageId) -> Option<MessageState> {
         self.table.get(id).map(|entry| entry.state(self.context.now))
     }
 
-    /// Promises in force, for the compaction of segments.
+    /// The current promises, for the compaction of log segments.
     pub fn promised_terms(&self) -> Vec<DiskRecord> {
         self.promises.records()
     }
 
-    /// Sends to a dispatcher whose connection is still open.
+    /// Sends a message to a dispatcher, if its connection is still open.
     pub(super) fn send_to_dispatcher(&mut self, connection: ConnectionId, message: ToDispatcher) {
         if self.dispatchers.is_connected(connection) {
             self.context.outputs.push(Output::ToDispatcher { connection, message });
--- a/system/state/queue/src/node/replica.rs
+++ b/system/state/queue/src/node/replica.rs
@@ -1,4 +1,4 @@
-//! As replica of a shard that another store is primary of: writes what that sends, and promises the shard to new
+//! The replica's side of replication: appends the writes of a shard's primary, and promises the shard to new
 //! primaries.
 
 use super::StoreNode;
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 impl StoreNode {
-    /// Promises the shard to a term, and appends that.
+    /// Promises the shard to a term and appends the promise to the local disk.
     pub(super) fn append_promise(&mut self, shard: ShardId, term: Epoch, on_synced: SyncAction) {
         self.promises.set(shard, term);
         self.replication.append(&mut self.context, DiskRecord::Promised { shard, term }, on_synced);
     }
 
-    /// A primary's write.
+    /// Handles a write from a primary.
     pub(super) fn handle_write(
         &mut self,
         from: StoreId,
@@ -50,7 +50,8 @@
         self.set_expiry(id);
     }
 
-    /// Adds a record that was written `age` ago to what is known; a change of a message that is not known says nothing.
+    /// Applies a record that was written `age` ago. A change to an unknown message is ignored, because only a
+    /// full state can create an entry.
     pub(super) fn apply_received_record(&mut self, record: Record, age: Duration) {
         let (now, id) = (self.context.now, record.id());
         let is_full_state = matches!(record, Record::State { .. });
@@ -59,19 +60,19 @@
         }
     }
 
-    /// Stops being the shard's primary in a term below `term`.
+    /// Steps down as primary of the shard if this store's term is lower than `term`.
     fn yield_to(&mut self, shard: ShardId, term: Epoch) {
         if self.primary_terms.number_of(shard).is_some_and(|own| own < term) {
             self.step_down(shard);
         }
     }
 
-    /// A store rejected a write, as the shard is promised to a later primary.
+    /// Handles the rejection of a write by a store that has promised the shard to a later primary.
     pub(super) fn handle_fenced(&mut self, shard: ShardId, term: Epoch) {
         self.yield_to(shard, term);
     }
 
-    /// A new primary asks for the shard (phase 1a of Paxos).
+    /// Handles the prepare request of a new primary (phase 1a of Paxos).
     pub(super) fn handle_prepare(&mut self, from: StoreId, shard: ShardId, term: Epoch) {
         if self.replication.is_disk_failed() {
             return;
@@ -86,7 +87,7 @@
         self.append_promise(shard, term, SyncAction::Promise { store: from, shard, term });
     }
 
-    /// The shard's primary says that this learner lacks nothing.
+    /// Handles the primary's message that this learner has caught up with the shard.
     pub(super) fn handle_learner_caught_up(&mut self, shard: ShardId, term: Epoch, change: Epoch) {
         if term >= self.promises.term_of(shard) && !self.replication.is_disk_failed() {
             self.context.outputs.push(Output::CaughtUp { shard: CaughtUpShard { shard, change } });
--- a/system/state/queue/src/node/replication.rs
+++ b/system/state/queue/src/node/replication.rs
@@ -1,5 +1,6 @@
-//! As primary: changes of messages go to [`Replication`](crate::replication::Replication), and the effects that wait for
-//! them are applied once they are durable.
+//! The node's side of replication as a primary: passes changes and acknowledgements to
+//! [`Replication`](crate::replication::Replication), and applies the effects that are released once changes are
+//! durable.
 
 use super::StoreNode;
 use crate::api::Ticket;
@@ -8,59 +9,59 @@
 use millrudder_protocol::store::{BetweenStores, Record};
 use millrudder_protocol::{MessageId, RequestNumber, ShardId, StoreId};
 
-/// The acknowledgement that a store is owed for writes which are on the local disk.
+/// The acknowledgement to be sent to a store for writes that are synced to the local disk.
 struct Written {
     store: StoreId,
     number: RequestNumber,
 }
 
 impl StoreNode {
-    /// Applies a change to a message of a shard that is served, and replicates it.
+    /// Applies a change to a message of a served shard, and replicates it.
     pub(super) fn apply_record(&mut self, id: MessageId, record: Record) {
         self.replication.apply_record(self.context.now, &mut self.table, id, record);
     }
 
-    /// The full state of a message is to be replicated.
+    /// Replicates the full state of a message.
     pub(super) fn mark_full_state_changed(&mut self, id: MessageId) {
         self.replication.mark_full_state_changed(&mut self.table, id);
     }
 
-    /// Applies `effect` once all that is known of the message now is on as many disks as promised.
+    /// Applies `effect` once the latest version of the message is durable.
     pub(super) fn when_durable(&mut self, id: MessageId, effect: Effect) {
         if let Some(effect) = defer_until_durable(&mut self.table, id, effect) {
             self.apply_effect(id, effect);
         }
     }
 
-    /// Writes and sends what became known since the last call.
+    /// Writes the changes since the last call to the local disk and sends them to other stores.
     pub(super) fn flush(&mut self) {
         self.replication.flush(&mut self.context, &mut self.table, &self.primary_terms);
     }
 
-    /// Lets further stores be sent a message that too few have and may be expected to have soon.
+    /// Queues a message for further stores, if too few have it or can be expected to have it soon.
     pub(super) fn assign_replicas(&mut self, id: MessageId) {
         self.replication.assign_replicas(&mut self.context, &mut self.table, &self.primary_terms, id);
     }
 
-    /// Sends a learner of a shard that is served what it lacks.
+    /// Queues for the learner of a served shard all messages that it lacks.
     pub(super) fn catch_up_learner(&mut self, shard: ShardId, store: StoreId) {
         self.replication.catch_up_learner(&self.table, &self.primary_terms, shard, store);
     }
 
-    /// A store has synced everything up to `number`.
+    /// Handles a store's acknowledgement of all writes up to `number`.
     pub(super) fn handle_written(&mut self, from: StoreId, number: RequestNumber) {
         for sent in self.replication.handle_written(from, number, self.context.now) {
             self.record_ack(from, sent);
         }
     }
 
-    /// A version is on a store's disk.
+    /// Records that a version is on a store's disk.
     fn record_ack(&mut self, store: StoreId, sent: SentVersion) {
         let effects = self.replication.record_ack(&mut self.table, &self.primary_terms, store, sent);
         self.apply_effects(sent.id, effects);
     }
 
-    /// Counts the disks that a message is on, and applies what waited for them.
+    /// Recomputes the durable version of a message, and applies the effects that are released by it.
     pub(super) fn update_durable_version(&mut self, id: MessageId) {
         let effects = self.replication.update_durable_version(&mut self.table, &self.primary_terms, id);
         self.apply_effects(id, effects);
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Everything up to `ticket` is on the local disk.
+    /// Handles the sync of everything up to `ticket` to the local disk.
     pub(super) fn handle_local_synced(&mut self, ticket: Ticket) {
         // Writes of one store that were synced together are acknowledged together, by the highest number.
         let mut written: Vec<Written> = Vec::new();
@@ -97,7 +98,7 @@
         self.record_ack(self.context.local_id, sent);
     }
 
-    /// A connection with another store is open, whoever opened it; a former one counts as closed.
+    /// Handles a new connection with another store, whichever side opened it. An older one counts as closed.
     pub(super) fn handle_store_connected(&mut self, store: StoreId) {
         self.handle_store_closed(store);
         self.replication.handle_connected(&mut self.context, &mut self.table, &self.primary_terms, store);
@@ -107,13 +108,13 @@
         }
     }
 
-    /// The connection with another store is closed.
+    /// Handles the end of the connection with another store.
     pub(super) fn handle_store_closed(&mut self, store: StoreId) {
         self.promises.cancel_transfers_to(store);
         self.replication.handle_closed(&mut self.context, &mut self.table, &self.primary_terms, store);
     }
 
-    /// The members of a shard that is served have changed.
+    /// Handles a change of the members of a served shard.
     pub(super) fn handle_members_changed(&mut self, shard: ShardId) {
         let ids: Vec<MessageId> = self.table.ids_of(shard).collect();
         for id in ids {
@@ -129,7 +130,7 @@
     }
 }
 
-/// Acknowledgements of one sync to one store become one, with the highest number.
+/// Merges acknowledgements of the same sync to the same store into one with the highest number.
 fn coalesce_written(written: &mut Vec<Written>, store: StoreId, number: RequestNumber) {
     match written.iter_mut().find(|known| known.store == store) {
         Some(known) => known.number = number.max(known.number),
--- a/system/state/queue/src/node/scrub.rs
+++ b/system/state/queue/src/node/scrub.rs
@@ -1,5 +1,6 @@
-//! Comparison of replicas in the background: a primary sends digests of what it believes others to have, a few
-//! messages at a time, and writes again what they lack or know otherwise.
+//! Scrubbing: compares the replicas in the background. A primary sends digests of the copies that it expects
+//! the replicas to have, a few messages at a time, and writes again the messages that a replica lacks or has in
+//! a different state.
 
 use super::StoreNode;
 use crate::entry::Entry;
@@ -11,12 +12,13 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Messages that are forgotten within this time are not compared: a replica's clock may be ahead.
+/// Messages that expire within this time are not compared, because a replica whose clock is ahead may have
+/// removed them already.
 const SOON_FORGOTTEN: Duration = Duration::from_secs(30);
-/// Multiplier that mixes one more number into a digest: an odd number without pattern.
+/// Multiplier that mixes a number into a digest: an odd constant with an irregular bit pattern.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Hash of what is known of a message, but for times and the message itself.
+/// Hash of the state of a message, without its times and its content.
 fn digest(entry: &Entry) -> u64 {
     let (kind, signature) = match &entry.end {
         None => (0, ""),
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Compares the next messages of every shard that is served.
+    /// Compares the next messages of every served shard with the replicas' copies.
     pub(super) fn scrub(&mut self) {
         self.set_scrub_timer();
         for shard in self.primary_terms.serving_shards() {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Other replicas that acknowledged all that is known of a message.
+    /// The other replicas that have acknowledged the latest version of a message.
     fn fully_acked_replicas(&self, entry: &Entry) -> Vec<StoreId> {
         let is_retained = entry.expiry.is_some_and(|expiry| expiry > self.context.now + SOON_FORGOTTEN);
         let Some(primary) = entry.primary.as_ref().filter(|_| is_retained) else { return Vec::new() };
@@ -92,7 +94,7 @@
             .collect()
     }
 
-    /// As replica: compares the digests of a primary with the local copies.
+    /// Compares the digests sent by a primary with the local copies.
     pub(super) fn handle_scrub(
         &mut self,
         from: StoreId,
@@ -114,7 +116,8 @@
         }
     }
 
-    /// A replica lacks messages, or knows them otherwise: all that was sent to it of them counts for nothing.
+    /// Handles a replica's report on messages that it lacks or has in a different state: they are replicated to
+    /// it from scratch.
     pub(super) fn handle_scrubbed(
         &mut self,
         from: StoreId,
@@ -131,7 +134,8 @@
                 continue;
             };
             primary.reset_progress(from);
-            // A new version: a change that is under way to that replica must not count as the full state.
+            // A new version is needed, so that the acknowledgement of a change in flight to that replica does
+            // not count for the full state.
             self.mark_full_state_changed(*id);
         }
     }
--- a/system/state/queue/src/node/takeover.rs
+++ b/system/state/queue/src/node/takeover.rs
@@ -1,8 +1,10 @@
-//! Becoming a shard's primary: a read quorum promises the shard and tells what it knows; what is known together is
-//! served, and what too few disks hold is written to more of them meanwhile.
+//! Takeover of a shard by a new primary. A read quorum of replicas promises the new term and sends its copies
+//! of the messages. The primary merges the copies and starts to serve the shard. Messages that are on too few
+//! disks are replicated again meanwhile.
 //!
-//! What others tell is appended to the local disk before anything else is done with it. So nothing is ever known here that
-//! a later promise does not find synced: a store tells another only what its disk holds.
+//! Copies from other stores are appended to the local disk before they are used. A store only reports what is
+//! on its disk, so everything that this primary has used is included when it later promises the shard to
+//! another primary.
 
 use super::StoreNode;
 use crate::api::DiskRecord;
@@ -15,11 +17,11 @@
 use millrudder_protocol::{Epoch, MessageId, Sequence, ShardId, StoreId};
 use std::time::Duration;
 
-/// Version of a message at the start of a term.
+/// Replication version of a message at the start of a term.
 const FIRST_VERSION: u32 = 1;
 
 impl StoreNode {
-    /// Applies what a newer placement says of one shard.
+    /// Applies a newer placement to one shard: starts or ends a term, or changes the members.
     pub(super) fn apply_shard_placement(&mut self, shard: ShardId) {
         let Some(entry) = self.context.placement.shard(shard) else { return };
         let tolerated = self.context.placement.tolerated_losses;
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Asks a member that has not promised this term to do so.
+    /// Sends a prepare request to a member that has not promised this term yet.
     pub(super) fn send_prepare(&mut self, shard: ShardId, store: StoreId) {
         let Some(primary_term) = self.primary_terms.get(shard) else { return };
         let is_connected = self.replication.is_connected(store);
@@ -86,14 +88,14 @@
         }
     }
 
-    /// The promise of the shard to this store itself is on the local disk.
+    /// Handles the sync of this store's own promise to the local disk.
     pub(super) fn handle_own_promise_synced(&mut self, shard: ShardId, term: Epoch) {
         let Some(primary_term) = self.primary_terms.get_exact_mut(shard, term) else { return };
         primary_term.set_own_promise_synced();
         self.try_serve(shard);
     }
 
-    /// A chunk of what a replica that has promised the shard has on its disk.
+    /// Handles one chunk of the copies that a replica sends with its promise.
     pub(super) fn handle_promise(
         &mut self,
         from: StoreId,
@@ -120,7 +122,7 @@
         self.try_serve(shard);
     }
 
-    /// A replica that the takeover waits for tells what its disk holds.
+    /// Merges a copy sent by a replica before the shard is served.
     fn merge_before_serving(&mut self, from: StoreId, state: MessageState) {
         let (id, entry_version) = (state.id, EntryVersion::of_state(&state));
         let Some(takeover) = self.primary_terms.takeover_mut(id.shard) else { return };
@@ -136,8 +138,8 @@
         }
     }
 
-    /// Merges what another store sent and appends the full state, as this version, if it is more than was known; `false`
-    /// if nothing is new.
+    /// Merges a copy from another store. If it adds anything, appends the full state to the local disk as
+    /// `version` and returns `true`.
     fn merge_and_append(&mut self, state: MessageState, version: u32) -> bool {
         let (now, id) = (self.context.now, state.id);
         let Some(term) = self.primary_terms.number_of(id.shard) else {
@@ -154,7 +156,7 @@
         true
     }
 
-    /// What others sent of a message before the shard is served is on the local disk.
+    /// Handles the sync of a merged copy that was appended before the shard is served.
     pub(super) fn handle_merged_synced(&mut self, sent: SentVersion) {
         if !self.primary_terms.is_current(&sent) {
             return;
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Serves the shard if a read quorum has promised it.
+    /// Starts to serve the shard if a read quorum has promised it and the own promise is synced.
     fn try_serve(&mut self, shard: ShardId) {
         let Some(primary_term) = self.primary_terms.get_mut(shard) else { return };
         let own = primary_term.takeover().is_some_and(|takeover| takeover.is_own_promise_synced);
@@ -190,8 +192,9 @@
         }
     }
 
-    /// Creates what a primary keeps of a message. `merged`: what was appended to the local disk since the start, which
-    /// has the full state once the last of that is synced.
+    /// Creates the primary's entry of a message. `merged` says how often the message was appended to the local
+    /// disk since the takeover started; the local disk has the full state once the last of these appends is
+    /// synced.
     fn create_primary_entry(
         &mut self,
         id: MessageId,
@@ -216,7 +219,7 @@
         if let Some(primary_term) = self.primary_terms.get_mut(id.shard) {
             primary_term.count_past(entry.sequence, entry.grant.map(|grant| grant.token).unwrap_or_default());
             let durable_version = primary_term.durable_version(&primary);
-            // Nothing waits for it yet.
+            // No effects are pending yet.
             let _ = primary.advance_durable(durable_version);
         }
         if entry.grant.is_some() {
@@ -231,7 +234,7 @@
         self.set_expiry(id);
     }
 
-    /// Brings every message of a shard to its stage, in the order of their acceptance.
+    /// Schedules every message of a shard, in the order of acceptance.
     fn schedule_shard(&mut self, shard: ShardId) {
         let of_shard = self.table.of_shard_from(MessageId { shard, unique: 0 });
         let mut order: Vec<(Sequence, MessageId)> =
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Adds a message that has not ended to its key's queue.
+    /// Adds a message that has not ended to the queue of its order key.
     fn enqueue_in_key(&mut self, id: MessageId) {
         let Some(entry) = self.table.get(id).filter(|entry| entry.end.is_none()) else { return };
         if let Some(key) = entry.order_key() {
@@ -256,7 +259,7 @@
         }
     }
 
-    /// A dispatcher may still have a lease that a former primary granted.
+    /// Adopts the lease of a message if a dispatcher may still hold one that a former primary granted.
     fn adopt_grant(&mut self, id: MessageId) {
         let Some(entry) = self.table.get(id) else { return };
         let is_open = |entry: &Entry| entry.end.is_none() && entry.primary.is_some();
@@ -266,7 +269,7 @@
         }
     }
 
-    /// Schedules a message, or lets follow what its end asks for.
+    /// Schedules a message, or if it has ended, continues with what follows its end.
     fn resume(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let ended = entry.end.is_some();
@@ -284,7 +287,8 @@
         }
     }
 
-    /// A replica that the takeover did not wait for tells what it knows: what no other one has is added.
+    /// Merges a copy sent by a replica whose promise arrived after the shard was already served. Whatever the
+    /// primary does not know yet is added.
     fn merge_while_serving(&mut self, from: StoreId, state: MessageState) {
         let id = state.id;
         if self.table.get(id).is_none() {
@@ -310,15 +314,15 @@
         let Some(entry) = self.table.get_mut(id) else { return };
         let is_same = entry.entry_version() == entry_version;
         let Some(primary) = entry.primary.as_mut() else { return };
-        // What was sent to it in this term is counted by its acknowledgements alone.
+        // If something was sent to the replica in this term, only its acknowledgements count.
         if is_same && primary.progress_of(from).sent == 0 {
             primary.mark_up_to_date(from);
             self.update_durable_version(id);
         }
     }
 
-    /// A message that only a replica knows which the takeover did not wait for: it was never acknowledged, and is accepted
-    /// all the same.
+    /// Adds a message that is known only to a replica whose promise arrived late. Its acceptance was never
+    /// acknowledged to a client, but it is accepted all the same.
     fn merge_unknown_message(&mut self, id: MessageId, from: StoreId, state: MessageState) {
         let entry_version = EntryVersion::of_state(&state);
         let is_new = self.merge_and_append(state, FIRST_VERSION);
@@ -329,7 +333,7 @@
         self.resume(id);
     }
 
-    /// Another store is the shard's primary, or this one must not be: everything that only a primary keeps goes.
+    /// Ends this store's term as primary of a shard and drops all state that only a primary keeps.
     pub(super) fn step_down(&mut self, shard: ShardId) {
         self.flush();
         let ids: Vec<MessageId> = self.table.ids_of(shard).collect();
--- a/system/state/queue/src/node/watchdog.rs
+++ b/system/state/queue/src/node/watchdog.rs
@@ -1,8 +1,8 @@
-//! Watchdog: scans for orphaned messages and call-backs, which are due and which no timer, queue or dispatcher would move,
-//! and schedules them again.
+//! Watchdog: scans for orphaned messages and call-backs and schedules them again. They are orphaned if they are
+//! due but no timer, queue or dispatcher would ever move them on.
 //!
-//! Each of them is a fault somewhere: in what marks a service runnable, or at a dispatcher that lost what it was granted.
-//! So each is reported to the shell as well, to be counted and logged.
+//! Each orphan is the symptom of a bug, for example a service that was not marked runnable, or a dispatcher
+//! that lost a grant. Each is therefore also reported to the shell, which counts and logs it.
 
 use super::StoreNode;
 use crate::api::{OrphanCause, Output};
@@ -15,19 +15,20 @@
 use millrudder_protocol::MessageId;
 use std::time::Duration;
 
-/// Every message is checked once in about so many scans.
+/// Every message is checked about once in this many scans.
 const SCANS_PER_PASS: u64 = 3;
-/// Messages that one scan checks at the least.
+/// Minimum number of messages that one scan checks.
 const MIN_MESSAGES_PER_SCAN: u64 = 256;
-/// What is late by so much is orphaned: a timer goes off within one turn of the process.
+/// A message that is overdue by more than this is orphaned; timers normally fire within one iteration of the
+/// event loop.
 const LATE_AFTER: Duration = Duration::from_millis(500);
 
-/// Where the scan for orphaned messages has come to.
+/// State of the scan for orphaned messages.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Watchdog {
-    /// A scan is due; it waits until all other timers that are due have gone off.
+    /// A scan is due. It runs after all other due timers have fired.
     is_due: bool,
-    /// The message that was checked last; `None` where the next pass begins.
+    /// The last message that was checked; `None` at the start of a pass.
     position: Option<MessageId>,
 }
 
@@ -36,12 +37,13 @@
         self.is_due = true;
     }
 
-    /// A scan was due, and is not any more.
+    /// Returns whether a scan is due, and resets the flag.
     pub fn take_due(&mut self) -> bool {
         std::mem::take(&mut self.is_due)
     }
 
-    /// The next messages to check, in the order of their names; begins anew behind the last one.
+    /// Returns the next messages to check, in the order of their identifiers. A new pass starts after the last
+    /// message.
     fn next_batch(&mut self, table: &MessageTable) -> Vec<MessageId> {
         let count = (table.count() / SCANS_PER_PASS).max(MIN_MESSAGES_PER_SCAN);
         let count = usize::try_from(count).unwrap_or(usize::MAX);
@@ -60,7 +62,7 @@
         }
     }
 
-    /// One scan.
+    /// Runs one scan.
     pub(super) fn run_watchdog(&mut self) {
         self.set_watchdog_timer();
         self.check_services();
@@ -76,7 +78,8 @@
         self.context.outputs.push(Output::Orphaned { id, cause });
     }
 
-    /// Services are granted from whenever something changes; one that can be granted from now was not marked runnable.
+    /// Grants from services that could grant a message although they were not marked runnable, and reports
+    /// their messages.
     fn check_services(&mut self) {
         let indexes: Vec<ServiceIndex> = self.services.indexes().collect();
         for index in indexes {
@@ -94,7 +97,8 @@
         }
     }
 
-    /// Call-backs that a dispatcher has said nothing of for too long, and receivers that were not marked runnable.
+    /// Reschedules call-backs that a dispatcher has not reported on for too long, and tries all receivers again
+    /// in case one was not marked runnable.
     fn check_callbacks(&mut self) {
         let before = self.context.now - self.context.config.callback_timeout;
         for id in self.callbacks.granted_before(before) {
@@ -105,7 +109,7 @@
         self.callbacks.mark_all_runnable();
     }
 
-    /// Why a message is orphaned; `None` for one that is not.
+    /// Why a message is orphaned, or `None` if it is not.
     fn orphan_cause(&self, id: MessageId) -> Option<OrphanCause> {
         let entry = self.table.get(id)?;
         let primary = entry.primary.as_ref()?;
@@ -133,7 +137,8 @@
         key.is_some_and(|key| self.keys.may_activate(key, id))
     }
 
-    /// Its dispatcher's incarnation is not known any more, or should have announced the lease before.
+    /// Whether no dispatcher holds the lease: its incarnation is unknown, or it has failed to announce the
+    /// lease in time.
     fn has_no_holder(&self, id: MessageId, lease: Lease) -> bool {
         let confirmation =
             self.dispatchers.get(lease.dispatcher).and_then(|incarnation| incarnation.confirmation_of(id));
--- a/system/state/queue/src/primary_entry.rs
+++ b/system/state/queue/src/primary_entry.rs
@@ -1,117 +1,119 @@
-//! What only a shard's primary keeps of a message: the progress of each replica, the effects that wait for it, and the
-//! stage of its delivery.
+//! The primary's entry of a message: the replication progress of each replica, the effects that wait for it,
+//! and the stage of the message's delivery. Other replicas have no such entry.
 
 use crate::api::ConnectionId;
 use crate::scheduling::ReadyKey;
 use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId, RequestNumber, StoreId};
 
-/// What a store was sent of a message and has on its disk, as versions that the primary counts.
+/// How far one store has replicated a message, in the versions that the primary counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReplicaProgress {
     pub store: StoreId,
-    /// Everything up to this version was sent on the present connection or is on the disk.
+    /// Highest version that was sent on the current connection or is on the store's disk.
     pub sent: u32,
-    /// Everything up to this version is on the disk.
+    /// Highest version that is on the store's disk.
     pub acked: u32,
 }
 
-/// A version of a message that was sent to a store or appended to the local disk.
+/// A version of a message that was sent to another store or appended to the local disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SentVersion {
     pub id: MessageId,
-    /// The primary's term, in which versions are counted.
+    /// The primary's term. Versions of different terms are not comparable.
     pub term: Epoch,
     pub version: u32,
 }
 
-/// What is to be done once a version is on as many disks as promised.
+/// What follows once a version is durable, which means that it is on as many disks as the placement requires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// Tell the dispatcher that the message is accepted.
+    /// Tell the dispatcher that the message was accepted.
     AcknowledgeAccept { connection: ConnectionId, request: RequestNumber },
-    /// A message that was accepted without a lease may be scheduled.
+    /// Schedule a message that was accepted without a lease.
     Schedule,
-    /// The grant under this token may be used.
+    /// Notify the dispatcher of the grant with this token.
     Deliver { token: LeaseToken },
-    /// Tell the dispatcher that the lease's outcome is durable.
+    /// Tell the dispatcher that the outcome of its lease is durable.
     AcknowledgeOutcome { connection: ConnectionId, token: LeaseToken },
-    /// The failed attempt is counted: the next one may be scheduled.
+    /// Schedule the next attempt, as the failed one has been counted.
     Retry,
-    /// The message's end is durable: the next one of its key, and its call-back, may follow.
+    /// Let the next message of the order key and the call-back follow the message's end.
     ContinueAfterEnd,
-    /// Tell the dispatcher that the message does not run.
+    /// Tell the dispatcher that the message will not run.
     AcknowledgeWithdrawal { connection: ConnectionId },
 }
 
-/// An effect and the version it waits for.
+/// An effect and the version that must be durable before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct PendingEffect {
     version: u32,
     effect: Effect,
 }
 
-/// A delivery that a dispatcher may make now.
+/// The exclusive right of a dispatcher to deliver a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Lease {
     pub dispatcher: DispatcherId,
     pub token: LeaseToken,
-    /// The dispatcher was notified of it, or may have been by a former primary.
+    /// The dispatcher was notified of the lease, or a former primary may have notified it.
     pub is_notified: bool,
     pub granted_at: Instant,
 }
 
-/// Stage of a message's delivery.
+/// The stage of a message on the way to its delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Waits for its first disks, or for those of a failed attempt.
+    /// The message, or a failed attempt of it, is not durable yet.
     Persisting,
-    /// Behind others of its order key.
+    /// Another message of the same order key must end first.
     WaitingForKey,
-    /// Its delay or back-off is not over.
+    /// Its delay or back-off lasts until this time.
     BackingOff { until: Instant },
     /// In its service's ready queue.
     Ready(ReadyKey),
-    /// Granted to a dispatcher.
+    /// Granted to a dispatcher under this lease.
     InFlight(Lease),
-    /// It has ended, which may not be durable yet.
+    /// It has ended; the end may not be durable yet.
     Ended,
 }
 
-/// What only a shard's primary keeps of a message.
+/// The state of a message that only the shard's primary keeps.
 #[derive(Clone, Debug)]
 pub(crate) struct PrimaryEntry {
-    /// Counts what became known in this term.
+    /// Number of changes to the message in this term.
     version: u32,
-    /// Highest version that is on as many disks as promised.
+    /// Highest version that is on as many disks as the placement requires.
     durable: u32,
     replica_progress: Vec<ReplicaProgress>,
     pending_effects: Vec<PendingEffect>,
     stage: Stage,
-    /// Time before which it must not be granted again, besides its delay.
+    /// Time before which the message must not be granted again, in addition to its delay.
     not_before: Instant,
-    /// The dispatcher that last asked for it to be accepted, and when.
+    /// The dispatcher that last sent it for acceptance, and when.
     accepted_by: Option<Acceptor>,
-    /// Dispatchers that may have run it.
+    /// The dispatchers that may have run it.
     possible_runners: PossibleRunners,
-    /// Leases of this term that ended without a known outcome of the run.
+    /// Number of leases in this term that ended without a known outcome.
     unknown_ends: u32,
-    /// The dispatcher that returned it last; it goes to another one next if that has capacity.
+    /// The dispatcher that last returned it without an outcome that counts. Another one is preferred for the
+    /// next grant, if it has free credit.
     returned_by: Option<DispatcherId>,
-    /// The dispatcher that last reported an outcome; the call-back goes there.
+    /// The dispatcher that last reported an outcome. It is preferred for the call-back.
     reporter: Option<DispatcherId>,
-    /// Order key in whose queue it is until its end is durable; the message itself may be freed before.
+    /// The order key of an ended message. It stays in the key's queue until the end is durable, while the
+    /// message itself may be freed earlier.
     ended_key: Option<String>,
 }
 
-/// Dispatchers that were notified of a lease, and so may have run the message.
+/// The dispatchers that were notified of a lease, and so may have run the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PossibleRunners {
-    /// None was.
+    /// No dispatcher was notified.
     Nobody,
-    /// No other than this one was.
+    /// Only this dispatcher was notified.
     One(DispatcherId),
-    /// Several were, or a former primary may have notified any.
+    /// Several dispatchers were notified, or a former primary may have notified any.
     Unknown,
 }
 
@@ -124,7 +126,7 @@
         };
     }
 
-    /// No other dispatcher than this one can have run it.
+    /// Whether no dispatcher other than this one can have run the message.
     fn is_at_most(&self, dispatcher: Option<DispatcherId>) -> bool {
         match self {
             PossibleRunners::Nobody => true,
@@ -134,7 +136,7 @@
     }
 }
 
-/// The dispatcher that received a message from its client.
+/// The dispatcher that received a message from its client, and when it sent it for acceptance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Acceptor {
     pub dispatcher: DispatcherId,
@@ -142,7 +144,7 @@
 }
 
 impl PrimaryEntry {
-    /// Of a message of which no version was counted yet.
+    /// Creates the entry of a message without any counted version.
     pub fn new(stage: Stage, now: Instant) -> Self {
         PrimaryEntry {
             version: 0,
@@ -160,29 +162,30 @@
         }
     }
 
-    /// The latest version: the count of what became known in this term.
+    /// The latest version: the number of changes in this term.
     pub fn version(&self) -> u32 {
         self.version
     }
 
-    /// Something became known: there is a new version.
+    /// Counts a change to the message.
     pub fn advance_version(&mut self) {
         self.version += 1;
     }
 
-    /// Sets what a takeover found: the version that its copies count as, and the replicas that have one.
+    /// Sets the state that a takeover found: the version assigned to the merged copy, and the replicas that
+    /// have it.
     pub fn set_recovered(&mut self, version: u32, replica_progress: Vec<ReplicaProgress>) {
         self.version = version;
         self.replica_progress = replica_progress;
     }
 
-    /// The latest version is on as many disks as promised.
+    /// Whether the latest version is on as many disks as the placement requires.
     pub fn is_durable(&self) -> bool {
         self.durable >= self.version
     }
 
-    /// This version is on as many disks as promised; gives the effects that waited for it, in the order in which they
-    /// were asked for.
+    /// Records that a version is on as many disks as the placement requires. Returns the effects that waited
+    /// for it, in the order in which they were requested.
     pub fn advance_durable(&mut self, version: u32) -> Vec<Effect> {
         self.durable = self.durable.max(version);
         let durable = self.durable;
@@ -197,7 +200,7 @@
         allowed
     }
 
-    /// Lets `effect` follow once the latest version is durable; gives it back if that is so already.
+    /// Defers an effect until the latest version is durable. Returns the effect if that is the case already.
     #[must_use]
     pub fn defer_until_durable(&mut self, effect: Effect) -> Option<Effect> {
         if self.is_durable() {
@@ -211,7 +214,7 @@
         !self.pending_effects.is_empty()
     }
 
-    /// Progress of a replica; all zero where nothing was sent to it.
+    /// Replication progress of a store; zero if nothing was sent to it.
     pub fn progress_of(&self, store: StoreId) -> ReplicaProgress {
         let found = self.replica_progress.iter().find(|progress| progress.store == store);
         found.copied().unwrap_or(ReplicaProgress { store, sent: 0, acked: 0 })
@@ -226,31 +229,31 @@
         &mut self.replica_progress[index]
     }
 
-    /// The latest version was sent to the store, or appended to the local disk.
+    /// Records that the latest version was sent to the store, or appended to the local disk.
     pub fn mark_sent(&mut self, store: StoreId) {
         let version = self.version;
         self.progress_mut(store).sent = version;
     }
 
-    /// Everything up to `version` is on the store's disk.
+    /// Records that everything up to `version` is on the store's disk.
     pub fn mark_acked(&mut self, store: StoreId, version: u32) {
         let progress = self.progress_mut(store);
         progress.acked = progress.acked.max(version);
     }
 
-    /// The store turned out to have the latest version on its disk.
+    /// Records that the store already has the latest version on its disk.
     pub fn mark_up_to_date(&mut self, store: StoreId) {
         let version = self.version;
         *self.progress_mut(store) = ReplicaProgress { store, sent: version, acked: version };
     }
 
-    /// What was in flight to the store may not have arrived.
+    /// Discards what was in flight to the store when its connection closed, because it may not have arrived.
     pub fn forget_in_flight(&mut self, store: StoreId) {
         let progress = self.progress_mut(store);
         progress.sent = progress.acked;
     }
 
-    /// The store has nothing of the message.
+    /// Records that the store has no usable copy of the message.
     pub fn reset_progress(&mut self, store: StoreId) {
         *self.progress_mut(store) = ReplicaProgress { store, sent: 0, acked: 0 };
     }
@@ -261,7 +264,7 @@
         up_to_date.map(|progress| progress.store)
     }
 
-    /// Highest version that at least `quorum` of `replicas` have on their disks.
+    /// Highest version that at least `quorum` of the `replicas` have on their disks.
     pub fn version_on(&self, replicas: &[StoreId], quorum: usize) -> u32 {
         let counted = self.replica_progress.iter().filter(|progress| replicas.contains(&progress.store));
         let mut acked: Vec<u32> = counted.map(|progress| progress.acked).collect();
@@ -281,7 +284,7 @@
         self.lease().is_some()
     }
 
-    /// Time before which it must not be granted again, besides its delay.
+    /// Time before which the message must not be granted again, in addition to its delay.
     pub fn not_before(&self) -> Instant {
         self.not_before
     }
@@ -290,7 +293,7 @@
         self.not_before = not_before;
     }
 
-    /// The dispatcher that last asked for it to be accepted.
+    /// The dispatcher that last sent the message for acceptance.
     pub fn accepted_by(&self) -> Option<Acceptor> {
         self.accepted_by
     }
@@ -299,29 +302,29 @@
         self.accepted_by = Some(acceptor);
     }
 
-    /// The dispatcher is notified of its lease: from now on it may have run the message.
+    /// Records that the dispatcher is notified of its lease, so that it may run the message from now on.
     pub fn mark_notified(&mut self, lease: Lease) {
         self.stage = Stage::InFlight(Lease { is_notified: true, ..lease });
         self.possible_runners.add(lease.dispatcher);
     }
 
-    /// A former primary may have notified any dispatcher of a lease.
+    /// Records that a former primary may have notified any dispatcher of a lease.
     pub fn set_runners_unknown(&mut self) {
         self.possible_runners = PossibleRunners::Unknown;
     }
 
-    /// No other dispatcher than this one can have run it.
+    /// Whether no dispatcher other than this one can have run the message.
     pub fn was_run_at_most_by(&self, dispatcher: Option<DispatcherId>) -> bool {
         self.possible_runners.is_at_most(dispatcher)
     }
 
-    /// A lease ended without a known outcome; gives how many have.
+    /// Counts a lease that ended without a known outcome, and returns the new count.
     pub fn count_unknown_end(&mut self) -> u32 {
         self.unknown_ends = self.unknown_ends.saturating_add(1);
         self.unknown_ends
     }
 
-    /// The dispatcher that returned it last.
+    /// The dispatcher that last returned the message without an outcome that counts.
     pub fn returned_by(&self) -> Option<DispatcherId> {
         self.returned_by
     }
@@ -330,7 +333,7 @@
         self.returned_by = dispatcher;
     }
 
-    /// The dispatcher that last reported an outcome.
+    /// The dispatcher that last reported an outcome of the message.
     pub fn reporter(&self) -> Option<DispatcherId> {
         self.reporter
     }
@@ -339,7 +342,7 @@
         self.reporter = dispatcher;
     }
 
-    /// Notes the order key in whose queue it is until its end is durable.
+    /// Saves the order key in whose queue the message stays until its end is durable.
     pub fn set_ended_key(&mut self, key: String) {
         self.ended_key = Some(key);
     }
@@ -348,7 +351,7 @@
         self.ended_key.take()
     }
 
-    /// The lease under which it is in flight.
+    /// The lease of a message that is in flight.
     pub fn lease(&self) -> Option<Lease> {
         match self.stage {
             Stage::InFlight(lease) => Some(lease),
--- a/system/state/queue/src/primary_term.rs
+++ b/system/state/queue/src/primary_term.rs
@@ -1,4 +1,5 @@
-//! Terms in which this store is primary of a shard: members, promises, the takeover, numbers given out.
+//! Terms in which this store is the primary of a shard: members, promises, the takeover, and the sequence
+//! numbers and tokens issued.
 
 use crate::api::ConnectionId;
 use crate::entry::{Entry, EntryVersion};
@@ -7,41 +8,42 @@
 use millrudder_protocol::{Epoch, LeaseToken, MessageId, Sequence, ShardId, StoreId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a replica knew of a message at the start of the term.
+/// The version of a message that a replica had at the start of the term.
 #[derive(Clone, Debug)]
 pub(crate) struct RecoveredCopy {
     pub store: StoreId,
     pub entry_version: EntryVersion,
 }
 
-/// How often what other replicas reported of a message was appended to the local disk, and how many of these appends are synced.
+/// How often copies of a message from other replicas were appended to the local disk, and how many of these
+/// appends are synced.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MergedRecord {
     pub appended: u32,
     pub synced: u32,
 }
 
-/// What is gathered before the shard is served.
+/// What is collected before the shard is served.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Takeover {
-    /// The promise to itself is on the local disk.
+    /// The store's own promise of the term is on the local disk.
     pub is_own_promise_synced: bool,
-    /// What each replica has on its disk; of this store, what it had at the start.
+    /// The versions that each replica has on its disk; for this store, those at the start of the term.
     pub recovered: BTreeMap<MessageId, Vec<RecoveredCopy>>,
-    /// Messages of which others reported more than the local disk had.
+    /// Messages of which other replicas reported more than the local disk had.
     pub merged: BTreeMap<MessageId, MergedRecord>,
-    /// What dispatchers withdrew meanwhile.
+    /// Withdrawals that dispatchers requested during the takeover.
     pub withdrawals: Vec<Withdrawal>,
 }
 
-/// A dispatcher's request that a message does not run.
+/// A dispatcher's request that a message must not run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Withdrawal {
     pub connection: ConnectionId,
     pub id: MessageId,
 }
 
-/// All shards that this store is primary of, with the term of each.
+/// All shards of which this store is the primary, with the term of each.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PrimaryTerms {
     by_shard: BTreeMap<ShardId, PrimaryTerm>,
@@ -56,7 +58,7 @@
         self.by_shard.get_mut(&shard)
     }
 
-    /// The shard's term, if it has this number.
+    /// The term of the shard, if it has this number.
     pub fn get_exact_mut(&mut self, shard: ShardId, number: Epoch) -> Option<&mut PrimaryTerm> {
         self.by_shard.get_mut(&shard).filter(|term| term.number == number)
     }
@@ -74,52 +76,53 @@
         self.by_shard.remove(&shard);
     }
 
-    /// Number of the term in which this store is the shard's primary.
+    /// Number of the term in which this store is the primary of the shard.
     pub fn number_of(&self, shard: ShardId) -> Option<Epoch> {
         self.by_shard.get(&shard).map(PrimaryTerm::number)
     }
 
-    /// Shards that this store is primary of, in order.
+    /// Shards of which this store is the primary, in ascending order.
     pub fn shards(&self) -> Vec<ShardId> {
         self.by_shard.keys().copied().collect()
     }
 
-    /// Shards that this store serves, in order.
+    /// Shards that this store serves, in ascending order.
     pub fn serving_shards(&self) -> Vec<ShardId> {
         let serving = self.by_shard.iter().filter(|(_, term)| term.is_serving());
         serving.map(|(shard, _)| *shard).collect()
     }
 
-    /// This store orders, accepts and grants in the shard now.
+    /// Whether this store is the primary of the shard and its takeover is complete, so that it accepts, orders
+    /// and grants messages.
     pub fn is_serving(&self, shard: ShardId) -> bool {
         self.by_shard.get(&shard).is_some_and(PrimaryTerm::is_serving)
     }
 
-    /// The version was counted in the term in force.
+    /// Whether the version was counted in the current term of its shard.
     pub fn is_current(&self, sent: &SentVersion) -> bool {
         self.number_of(sent.id.shard) == Some(sent.term)
     }
 }
 
-/// A shard that this store is primary of.
+/// The term in which this store is the primary of one shard.
 #[derive(Clone, Debug)]
 pub(crate) struct PrimaryTerm {
     number: Epoch,
-    /// The membership in force, and the one after the change that is under way.
+    /// The current membership, followed by the one after the member change if one is in progress.
     memberships: Vec<Membership>,
     change: Option<MemberChange>,
-    /// Other members that promised this term and sent all that they know.
+    /// Other members that have promised this term and sent all their copies.
     promised_by: BTreeSet<StoreId>,
     /// Present until the shard is served.
     takeover: Option<Takeover>,
-    /// Message from which on the next comparison with replicas goes.
+    /// The first message of the next comparison with the replicas.
     scrub_from: u64,
-    /// Next sequence number of a message, and of a lease token, in this term.
+    /// Counters of the message sequence numbers and lease tokens issued in this term.
     next_sequence: u32,
     next_token: u32,
 }
 
-/// Bits of a token or sequence below the epoch.
+/// Number of low bits of a token or sequence number that hold the counter; the bits above hold the term.
 const COUNT_BITS: u32 = 32;
 
 impl PrimaryTerm {
@@ -140,7 +143,7 @@
         self.number
     }
 
-    /// The change of members that is under way.
+    /// The member change in progress.
     pub fn change(&self) -> Option<MemberChange> {
         self.change
     }
@@ -153,12 +156,12 @@
         self.takeover.as_ref()
     }
 
-    /// Ends the takeover: the shard is served from now on.
+    /// Ends the takeover and returns what it collected; the shard counts as served from now on.
     pub fn take_takeover(&mut self) -> Option<Takeover> {
         self.takeover.take()
     }
 
-    /// Adopts the members of another placement of the same term; `false` if they are the same.
+    /// Adopts the members of a newer placement with the same term. Returns `false` if they have not changed.
     pub fn change_members(&mut self, new: PrimaryTerm) -> bool {
         if self.memberships == new.memberships && self.change == new.change {
             return false;
@@ -168,7 +171,7 @@
         true
     }
 
-    /// What this store's own table knows of a message at the start of the term.
+    /// Adds the copy of a message that this store has at the start of the term.
     pub fn add_own_copy(&mut self, local_id: StoreId, entry: &Entry) {
         let copy = RecoveredCopy { store: local_id, entry_version: entry.entry_version() };
         if let Some(takeover) = &mut self.takeover {
@@ -176,14 +179,14 @@
         }
     }
 
-    /// The promise to itself is on the local disk.
+    /// The store's own promise of the term is on the local disk.
     pub fn set_own_promise_synced(&mut self) {
         if let Some(takeover) = &mut self.takeover {
             takeover.is_own_promise_synced = true;
         }
     }
 
-    /// A member has promised the term and sent all that it knows.
+    /// Records that a member has promised the term and sent all its copies.
     pub fn add_promise(&mut self, from: StoreId) {
         self.promised_by.insert(from);
     }
@@ -192,7 +195,7 @@
         self.promised_by.contains(&store)
     }
 
-    /// The first message of the next comparison with replicas.
+    /// Position of the next comparison with the replicas: its first message.
     pub fn scrub_from(&self) -> u64 {
         self.scrub_from
     }
@@ -201,7 +204,7 @@
         self.scrub_from = unique;
     }
 
-    /// Replicas of the membership in force.
+    /// The replicas of the current membership.
     pub fn replicas(&self) -> &[StoreId] {
         self.memberships.first().map_or(&[], |membership| &membership.replicas)
     }
@@ -210,23 +213,23 @@
         self.replicas().contains(&store)
     }
 
-    /// It is a replica, or will be one.
+    /// Whether the store is a replica, or will be one after the member change in progress.
     pub fn is_member(&self, store: StoreId) -> bool {
         self.memberships.iter().any(|membership| membership.contains(store))
     }
 
-    /// The learner: the store that catches up to become a replica.
+    /// The learner: a store that is catching up in order to become a replica.
     pub fn learner(&self) -> Option<StoreId> {
         self.change.map(|change| change.joins)
     }
 
-    /// Another store replaces it.
+    /// Whether the store is being replaced by another one.
     pub fn is_leaving(&self, store: StoreId) -> bool {
         self.change.is_some_and(|change| change.leaves == Some(store))
     }
 
-    /// So many members have promised the term that one of them has each write that was acknowledged; this store counts
-    /// as one.
+    /// Whether enough members have promised the term that each acknowledged write is known to at least one of
+    /// them. This store counts as one of them.
     pub fn has_read_quorum(&self, local_id: StoreId) -> bool {
         let has_promised = |store: &&StoreId| **store == local_id || self.promised_by.contains(store);
         let enough = |membership: &Membership| {
@@ -235,7 +238,8 @@
         self.memberships.iter().all(enough)
     }
 
-    /// Some membership that `store` is in lacks a write quorum among the `chosen`.
+    /// Whether adding `store` to the `chosen` stores would help a write: a membership that contains `store` has
+    /// no write quorum among the `chosen` ones.
     pub fn lacks_write_quorum(&self, chosen: &[StoreId], store: StoreId) -> bool {
         let has_too_few = |membership: &&Membership| {
             let count = chosen.iter().filter(|chosen| membership.contains(**chosen)).count();
@@ -244,7 +248,7 @@
         self.memberships.iter().filter(|membership| membership.contains(store)).any(|m| has_too_few(&m))
     }
 
-    /// Highest version of a message that is on as many disks of each membership as promised.
+    /// Highest version of a message that is on a write quorum of the disks of each membership.
     pub fn durable_version(&self, primary: &PrimaryEntry) -> u32 {
         let versions = self
             .memberships
@@ -265,7 +269,8 @@
         token
     }
 
-    /// Gives no number again that a former incarnation of this process gave in the same term.
+    /// Advances the counters past numbers of this term found in a message, so that numbers which a former
+    /// incarnation of this process issued are not issued again.
     pub fn count_past(&mut self, sequence: Sequence, token: LeaseToken) {
         let count_of = |number: u64| {
             let is_own = number >> COUNT_BITS == self.number.0;
--- a/system/state/queue/src/promises.rs
+++ b/system/state/queue/src/promises.rs
@@ -1,7 +1,9 @@
-//! As replica: the terms that this store has promised, and the snapshots that it sends to new primaries.
+//! The replica's side of a takeover: the terms that this store has promised, and the snapshots that it sends to
+//! new primaries.
 //!
-//! The promise is that of Paxos (phase 1b; Lamport, 2001), by shard in place of by value: once a term is promised, writes
-//! of lower terms are rejected, and the new primary is sent everything that is on the disk.
+//! A promise is that of Paxos (phase 1b; Lamport, 2001), made for a whole shard instead of a single value. Once
+//! a term is promised, writes of lower terms are rejected, and the new primary is sent all copies of the
+//! shard's messages that are on the disk.
 
 use crate::api::DiskRecord;
 use crate::context::Context;
@@ -13,15 +15,15 @@
 use millrudder_protocol::{Epoch, MessageId, ShardId, StoreId};
 use std::collections::BTreeMap;
 
-/// States of a shard on their way to its new primary.
+/// A snapshot of a shard that is being sent to its new primary.
 #[derive(Clone, Debug)]
 struct SnapshotTransfer {
     term: Epoch,
-    /// First message of the next chunk.
+    /// The first message of the next chunk.
     next: MessageId,
 }
 
-/// Promised terms by shard, and the snapshot transfers under way.
+/// Promised terms by shard, and the snapshot transfers in progress.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Promises {
     terms: BTreeMap<ShardId, Epoch>,
@@ -29,29 +31,29 @@
 }
 
 impl Promises {
-    /// The term that the shard is promised to; the lowest one if it is promised to nobody.
+    /// The highest term promised for the shard; the lowest possible term if none was promised.
     pub fn term_of(&self, shard: ShardId) -> Epoch {
         self.terms.get(&shard).copied().unwrap_or_default()
     }
 
-    /// The shard is promised to this term from now on.
+    /// Records a promise for the shard.
     pub fn set(&mut self, shard: ShardId, term: Epoch) {
         self.terms.insert(shard, term);
     }
 
-    /// A promise that was found on the disk; older ones do not lower a newer one.
+    /// Restores a promise found on the disk. Records may be read in any order, so the highest term wins.
     pub fn recover(&mut self, shard: ShardId, term: Epoch) {
         let promised = self.terms.entry(shard).or_default();
         *promised = term.max(*promised);
     }
 
-    /// The promises in force, as they are written to disk.
+    /// The current promises, as records to be written to disk.
     pub fn records(&self) -> Vec<DiskRecord> {
         let record = |(shard, term): (&ShardId, &Epoch)| DiskRecord::Promised { shard: *shard, term: *term };
         self.terms.iter().map(record).collect()
     }
 
-    /// Sends a shard's states to its new primary, unless it is promised to a later one meanwhile.
+    /// Starts to send a snapshot of a shard to its new primary, unless a later term has been promised since.
     pub fn start_transfer(
         &mut self,
         context: &mut Context,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Sends the next chunk of a shard's states, and sets the timer for the one behind it.
+    /// Sends the next chunk of a snapshot, and sets the timer for the one after it.
     pub fn send_chunk(
         &mut self,
         context: &mut Context,
@@ -98,12 +100,12 @@
         }
     }
 
-    /// The connection to `store` is closed: it asks again on the next one.
+    /// Cancels the transfers to a store whose connection is closed. It asks again on its next connection.
     pub fn cancel_transfers_to(&mut self, store: StoreId) {
         self.transfers.retain(|(to, _), _| *to != store);
     }
 
-    /// The disk has failed: nothing more is sent of it.
+    /// Cancels all transfers after a failure of the local disk, which must not be reported from any more.
     pub fn cancel_all_transfers(&mut self) {
         self.transfers.clear();
     }
--- a/system/state/queue/src/replication/disk.rs
+++ b/system/state/queue/src/replication/disk.rs
@@ -1,4 +1,4 @@
-//! Appends to the local disk that wait for their sync.
+//! The queue of appends to the local disk that are not synced yet.
 
 use crate::api::{DiskRecord, Output, Ticket};
 use crate::primary_entry::SentVersion;
@@ -7,18 +7,18 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What follows the sync of an append.
+/// What follows the sync of an append to the local disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SyncAction {
-    /// Nothing waits for it.
+    /// Nothing follows.
     Nothing,
-    /// This store, as primary, has a version on its disk.
+    /// Counts the local copy of a version, of whose shard this store is the primary.
     Own(SentVersion),
-    /// A primary's `Write` is on the disk.
+    /// Acknowledges a `Write` to the primary that sent it.
     Write { store: StoreId, number: RequestNumber },
-    /// The shard is promised to this store itself.
+    /// Continues the takeover of a shard by this store: its own promise is synced.
     OwnPromise { shard: ShardId, term: Epoch },
-    /// The shard is promised to a new primary.
+    /// Sends a snapshot of the shard to the new primary to which it is promised.
     Promise { store: StoreId, shard: ShardId, term: Epoch },
 }
 
@@ -29,12 +29,12 @@
     on_synced: SyncAction,
 }
 
-/// The local disk, as a queue of appends.
+/// The local disk, as a queue of appends in the order of their tickets.
 #[derive(Clone, Debug)]
 pub(super) struct LocalDisk {
     next: Ticket,
     unsynced: VecDeque<Unsynced>,
-    /// So many of the oldest are overdue.
+    /// Number of appends that are overdue; they are the oldest ones.
     overdue: usize,
     is_failed: bool,
 }
@@ -44,7 +44,7 @@
         LocalDisk { next: Ticket(1), unsynced: VecDeque::new(), overdue: 0, is_failed: false }
     }
 
-    /// Appends a record; `on_synced` follows its sync.
+    /// Appends a record; `on_synced` is carried out once it is synced.
     pub fn append(
         &mut self,
         record: DiskRecord,
@@ -58,7 +58,8 @@
         outputs.push(Output::Append { ticket, record });
     }
 
-    /// Everything up to `ticket` is synced; gives what follows, in the order of the appends.
+    /// Handles the sync of everything up to `ticket`. Returns the actions that follow, in the order of the
+    /// appends.
     pub fn synced(&mut self, ticket: Ticket) -> Vec<SyncAction> {
         let mut allowed = Vec::new();
         while self.unsynced.front().is_some_and(|oldest| oldest.ticket <= ticket) {
@@ -69,8 +70,8 @@
         allowed
     }
 
-    /// The connection that a primary's writes came on has ended: nobody is sent their acknowledgement. On the next connection
-    /// their numbers may be those of other writes, as each process numbers its own.
+    /// Cancels the acknowledgements of writes from a primary whose connection has closed. Each process numbers
+    /// its own writes, so on the next connection the same numbers may refer to other writes.
     pub fn forget_writes(&mut self, of: StoreId) {
         for unsynced in &mut self.unsynced {
             if matches!(unsynced.on_synced, SyncAction::Write { store, .. } if store == of) {
@@ -79,12 +80,12 @@
         }
     }
 
-    /// When the oldest append that is not overdue becomes so.
+    /// Time at which the oldest append that is not overdue becomes overdue.
     pub fn deadline(&self, timeout: Duration) -> Option<Instant> {
         self.unsynced.get(self.overdue).map(|next| next.at + timeout)
     }
 
-    /// Own versions that have become overdue since the last call.
+    /// Versions written as primary whose appends have become overdue since the last call.
     pub fn take_overdue(&mut self, now: Instant, timeout: Duration) -> Vec<SentVersion> {
         let mut messages = Vec::new();
         while self.deadline(timeout).is_some_and(|deadline| deadline <= now) {
@@ -100,12 +101,12 @@
         self.overdue > 0
     }
 
-    /// Time that the oldest append has waited for its sync.
+    /// Time that the oldest append has been waiting for its sync.
     pub fn oldest_unsynced(&self, now: Instant) -> Duration {
         self.unsynced.front().map_or(Duration::ZERO, |oldest| now.saturating_duration_since(oldest.at))
     }
 
-    /// The disk cannot be trusted any more.
+    /// Marks the disk as failed: nothing on it can be relied on any more.
     pub fn fail(&mut self) {
         self.is_failed = true;
     }
--- a/system/state/queue/src/replication/mod.rs
+++ b/system/state/queue/src/replication/mod.rs
@@ -1,9 +1,9 @@
-//! As primary: what became known is written to the local disk and to other stores at the same time, and what waits for
-//! it follows once it is on as many disks as promised.
+//! Replication as a primary: changes are written to the local disk and to other stores in parallel, and the
+//! effects that wait for them are released once enough disks have them.
 //!
-//! [`Replication`] owns the queue of the local disk, the connections to other stores with what is in flight on them, and
-//! the set of messages whose latest version is not durable yet. Messages themselves, with the progress of each replica,
-//! are in the [`MessageTable`].
+//! [`Replication`] owns the queue of the local disk, the connections to other stores with the writes in flight
+//! on them, and the set of messages whose latest version is not durable yet. The messages themselves, with the
+//! progress of each replica, are in the [`MessageTable`].
 
 mod disk;
 mod peer;
@@ -26,15 +26,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Something that became known of a message and is not written yet.
+/// A change to a message that has not been written yet.
 #[derive(Clone, Debug)]
 struct Change {
     id: MessageId,
-    /// Absent where the full state is to be written.
+    /// `None` if the full state is to be written.
     record: Option<Record>,
 }
 
-/// Records for one store and shard.
+/// Records to be sent to one store for one shard.
 #[derive(Clone, Default)]
 struct Batch {
     records: Vec<Record>,
@@ -42,11 +42,11 @@
     bytes: usize,
 }
 
-/// Order in which replicas are written to; the lowest first.
+/// Sort key of the replicas that a write could be sent to; the lowest one is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WritePreference {
     is_overdue: bool,
-    /// Its acknowledgements do not count in the membership to come.
+    /// The replica is being replaced, so its acknowledgements do not count in the next membership.
     is_leaving: bool,
     slowness: u32,
     has_no_copy: bool,
@@ -54,7 +54,7 @@
     position: usize,
 }
 
-/// Bytes of a record besides the message in it, about.
+/// Approximate size in bytes of a record without the message in it.
 const RECORD_BYTES: usize = 100;
 
 fn record_bytes(record: &Record) -> usize {
@@ -64,14 +64,14 @@
     }
 }
 
-/// What a primary has in flight to disks: its own and those of other stores.
+/// The writes that a primary has in flight to its own disk and to other stores.
 #[derive(Clone, Debug)]
 pub(crate) struct Replication {
     disk: LocalDisk,
     peers: BTreeMap<StoreId, Peer>,
-    /// Messages whose latest version is not on as many disks as promised.
+    /// Messages whose latest version is not on enough disks yet.
     pending: BTreeSet<MessageId>,
-    /// What became known since the last flush.
+    /// Changes since the last flush.
     changes: Vec<Change>,
 }
 
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Adds a fact to what is known of a message of a shard that is served.
+    /// Applies a change to a message of a served shard, and queues it to be written.
     pub fn apply_record(&mut self, now: Instant, table: &mut MessageTable, id: MessageId, record: Record) {
         let change = record.clone();
         table.change(id, now, |entry| entry.apply(change, now, Duration::ZERO));
         self.mark_changed(table, id, Some(record));
     }
 
-    /// The full state of a message is to be written.
+    /// Queues the full state of a message to be written.
     pub fn mark_full_state_changed(&mut self, table: &mut MessageTable, id: MessageId) {
         self.mark_changed(table, id, None);
     }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Writes and sends what became known since the last call.
+    /// Writes the changes since the last call to the local disk and sends them to other stores.
     pub fn flush(&mut self, context: &mut Context, table: &mut MessageTable, terms: &PrimaryTerms) {
         if self.changes.is_empty() {
             return;
@@ -135,7 +135,7 @@
         let count = u32::try_from(records.len()).unwrap_or(u32::MAX);
         let deltas: Option<Vec<Record>> = records.into_iter().collect();
         let Some(primary) = entry.primary.as_ref() else { return };
-        // A change says nothing to a store that lacks what was known before.
+        // A single change is only useful to a store that has all earlier ones; others are sent the full state.
         let is_next = |store: StoreId| primary.progress_of(store).sent + count == primary.version();
         let for_store =
             |store: StoreId| deltas.clone().filter(|_| is_next(store)).unwrap_or_else(|| vec![full_state()]);
@@ -160,7 +160,7 @@
         self.append_records(context, records, SyncAction::Own(sent));
     }
 
-    /// Appends records to the local disk; `on_synced` follows the sync of the last one.
+    /// Appends records to the local disk; `on_synced` is carried out once the last one is synced.
     pub fn append_records(&mut self, context: &mut Context, records: Vec<Record>, on_synced: SyncAction) {
         let last = records.len().saturating_sub(1);
         for (index, record) in records.into_iter().enumerate() {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Appends one record to the local disk; `on_synced` follows its sync.
+    /// Appends one record to the local disk; `on_synced` is carried out once it is synced.
     pub fn append(&mut self, context: &mut Context, record: DiskRecord, on_synced: SyncAction) {
         self.disk.append(record, on_synced, context.now, &mut context.outputs);
     }
@@ -190,7 +190,7 @@
         context.send_to_store(store, BetweenStores::Write { number, shard, term, records: batch.records });
     }
 
-    /// Other stores that a change is sent to at once: the learner, and as many replicas as are promised.
+    /// The other stores that a change is sent to at once: the learner, and enough replicas for a write quorum.
     fn write_targets(
         &self,
         context: &Context,
@@ -214,7 +214,7 @@
         targets
     }
 
-    /// Connected other replicas of a message's shard, those that should be written to first in front.
+    /// The other connected replicas of a message's shard, in order of preference for a write.
     fn ranked_replicas(
         &self,
         context: &Context,
@@ -246,13 +246,13 @@
         ranked.into_iter().map(|(_, store)| store).collect()
     }
 
-    /// A store has synced everything up to `number`; gives what that is.
+    /// Handles a store's acknowledgement of all writes up to `number`. Returns the versions in them.
     #[must_use]
     pub fn handle_written(&mut self, from: StoreId, number: RequestNumber, now: Instant) -> Vec<SentVersion> {
         self.peers.get_mut(&from).map(|peer| peer.handle_written(number, now)).unwrap_or_default()
     }
 
-    /// A version is on a store's disk; gives the effects that this allows.
+    /// Records that a version is on a store's disk. Returns the effects that are released by it.
     #[must_use]
     pub fn record_ack(
         &mut self,
@@ -272,7 +272,7 @@
         self.update_durable_version(table, terms, sent.id)
     }
 
-    /// Counts the disks that a message is on; gives the effects that waited for them.
+    /// Recomputes the durable version of a message. Returns the effects that are released by it.
     #[must_use]
     pub fn update_durable_version(
         &mut self,
@@ -291,42 +291,43 @@
         primary.advance_durable(version)
     }
 
-    /// The latest version of the message is not on as many disks as promised.
+    /// Whether the latest version of the message is not on enough disks yet.
     pub fn is_pending(&self, id: MessageId) -> bool {
         self.pending.contains(&id)
     }
 
-    /// The latest version of the message is to be brought to as many disks as promised.
+    /// Marks a message whose latest version has to be brought to enough disks.
     pub fn mark_pending(&mut self, id: MessageId) {
         self.pending.insert(id);
     }
 
-    /// Another store is the message's primary.
+    /// Removes the mark of a message of whose shard this store is no longer the primary.
     pub fn unmark_pending(&mut self, id: MessageId) {
         self.pending.remove(&id);
     }
 
-    /// Nothing of the message is to be sent any more.
+    /// Cancels the repair of a message that is removed.
     pub fn forget(&mut self, id: MessageId) {
         for peer in self.peers.values_mut() {
             peer.remove_catch_up(id);
         }
     }
 
-    /// Another store is primary of the shard now.
+    /// Cancels the repair of a shard of which this store is no longer the primary.
     pub fn drop_shard(&mut self, shard: ShardId) {
         for peer in self.peers.values_mut() {
             peer.drop_shard(shard);
         }
     }
 
-    /// Everything up to `ticket` is on the local disk; gives what this allows, in the order of the appends.
+    /// Handles the sync of everything up to `ticket` to the local disk. Returns the actions that follow, in the
+    /// order of the appends.
     #[must_use]
     pub fn handle_local_synced(&mut self, ticket: Ticket) -> Vec<SyncAction> {
         self.disk.synced(ticket)
     }
 
-    /// The local disk cannot be trusted any more.
+    /// Marks the local disk as failed: nothing on it can be relied on any more.
     pub fn fail_disk(&mut self) {
         self.disk.fail();
     }
@@ -335,7 +336,7 @@
         self.disk.is_failed()
     }
 
-    /// Time that the oldest append has waited for its sync; the longest span once the disk has failed.
+    /// Time that the oldest append has been waiting for its sync; the maximum duration if the disk has failed.
     pub fn oldest_unsynced(&self, now: Instant) -> Duration {
         if self.disk.is_failed() {
             return Duration::MAX;
@@ -343,7 +344,7 @@
         self.disk.oldest_unsynced(now)
     }
 
-    /// Stores that have been connected in this process's life, in order.
+    /// Stores that have been connected since this process started, in ascending order.
     pub fn peer_ids(&self) -> Vec<StoreId> {
         self.peers.keys().copied().collect()
     }
@@ -352,27 +353,27 @@
         self.peers.get(&store).is_some_and(Peer::is_connected)
     }
 
-    /// When the oldest write that is not overdue becomes so.
+    /// Time at which the oldest write that is not overdue becomes overdue.
     pub fn deadline(&self, context: &Context) -> Option<Instant> {
         let peers = self.peers.values().filter_map(|peer| peer.deadline(&context.config));
         peers.chain(self.disk.deadline(context.config.max_write_timeout)).min()
     }
 }
 
-/// Lets `effect` follow once all that is known of the message now is on as many disks as promised; gives it back if it
-/// may follow at once.
+/// Defers an effect until the latest version of the message is durable. Returns the effect if that is the case
+/// already.
 #[must_use]
 pub(crate) fn defer_until_durable(table: &mut MessageTable, id: MessageId, effect: Effect) -> Option<Effect> {
     table.primary_mut(id)?.defer_until_durable(effect)
 }
 
-/// What became known of one message since the last flush, in order.
+/// The changes to one message since the last flush, in order.
 struct ChangedMessage {
     id: MessageId,
     records: Vec<Option<Record>>,
 }
 
-/// Changes by message, in the order of each message's first one.
+/// Groups changes by message, in the order of each message's first change.
 fn by_message(changes: Vec<Change>) -> Vec<ChangedMessage> {
     let mut positions = BTreeMap::new();
     let mut grouped: Vec<ChangedMessage> = Vec::with_capacity(changes.len());
--- a/system/state/queue/src/replication/peer.rs
+++ b/system/state/queue/src/replication/peer.rs
@@ -1,4 +1,4 @@
-//! Writes in flight to one other store, its usual latency, and what it is to catch up with.
+//! One other store: its writes in flight, its usual latency, and its queue of messages to catch up with.
 
 use crate::config::Config;
 use crate::primary_entry::SentVersion;
@@ -8,18 +8,18 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Weight of the latest sample in the moving average of a store's latency.
+/// Weight of the latest sample in the moving average of a store's write latency.
 const LATENCY_SAMPLE_WEIGHT: f64 = 0.2;
-/// A write is overdue after this many times the store's usual latency.
+/// A write is overdue after this multiple of the store's average latency.
 const TIMEOUT_FACTOR: f64 = 4.0;
-/// Latency that is assumed of a store which has not acknowledged anything yet, in milliseconds.
+/// Assumed latency in milliseconds of a store that has not acknowledged anything yet.
 const INITIAL_LATENCY_MS: f64 = 6.0;
-/// Time without a sample in which the average halves, so that a store that was slow is tried again.
+/// Time without a sample after which the average is halved, so that a store that was slow is tried again.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Latencies up to twice this are no reason to prefer another store, in milliseconds.
+/// Latency in milliseconds below twice which a store is not considered slow, see [`Peer::slowness`].
 const SIGNIFICANT_LATENCY_MS: f64 = 8.0;
 
-/// A `Write` that is not acknowledged yet.
+/// A `Write` that has not been acknowledged yet.
 #[derive(Clone, Debug)]
 struct Outstanding {
     number: RequestNumber,
@@ -34,20 +34,22 @@
     is_connected: bool,
     next_number: u64,
     outstanding: VecDeque<Outstanding>,
-    /// So many of the oldest are overdue.
+    /// Number of outstanding writes that are overdue; they are the oldest ones.
     overdue: usize,
     latency_ms: f64,
     latency_at: Instant,
-    /// Messages of which it is to be sent all that is known, as the window allows.
+    /// Messages whose full state is to be sent to the store, as the repair window allows.
     catch_up: BTreeSet<MessageId>,
-    /// Bytes of repair in flight.
+    /// Bytes of repair writes in flight.
     repair_bytes: usize,
-    /// Shards of which it is a learner; with the last write that it has to catch up with once that was sent.
+    /// Shards of which the store is a learner. Once everything that it lacked was sent, the value is the number
+    /// of the last write that it must acknowledge.
     learner_shards: BTreeMap<ShardId, Option<RequestNumber>>,
 }
 
 impl Peer {
-    /// `first_number`: of its writes; drawn, so that no answer to a former incarnation of this process matches one of them.
+    /// `first_number` is the number of the first write. It is random, so that no acknowledgement of a write of
+    /// a former incarnation of this process matches one of this incarnation.
     pub fn new(now: Instant, first_number: u64) -> Self {
         Peer {
             is_connected: false,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// A connection with it is open.
+    /// Records that a connection to the store is open.
     pub fn connect(&mut self) {
         self.is_connected = true;
     }
@@ -71,17 +73,17 @@
         self.is_connected
     }
 
-    /// Messages of which it is to be sent all that is known, in order.
+    /// Messages whose full state is to be sent to the store, in ascending order.
     pub fn catch_up(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.catch_up.iter().copied()
     }
 
-    /// Lets it be sent all that is known of these messages, as the window allows.
+    /// Queues messages whose full state is to be sent to the store.
     pub fn add_catch_up(&mut self, ids: impl IntoIterator<Item = MessageId>) {
         self.catch_up.extend(ids);
     }
 
-    /// It was sent all that is known of the message, or needs none of it.
+    /// Removes a message from the queue, because the store was sent its full state or does not need it.
     pub fn remove_catch_up(&mut self, id: MessageId) {
         self.catch_up.remove(&id);
     }
@@ -90,27 +92,27 @@
         self.catch_up.contains(&id)
     }
 
-    /// Takes the first message of which it is to be sent all that is known.
+    /// Removes and returns the first message whose full state is to be sent.
     pub fn next_catch_up(&mut self) -> Option<MessageId> {
         self.catch_up.pop_first()
     }
 
-    /// It is connected and has something to catch up with, or is the learner of a shard.
+    /// Whether the store is connected and has queued messages or is the learner of a shard.
     pub fn has_catch_up(&self) -> bool {
         self.is_connected && !(self.catch_up.is_empty() && self.learner_shards.is_empty())
     }
 
-    /// Bytes of repair that may be sent to it now.
+    /// Bytes of repair writes that may be sent to the store now.
     pub fn repair_window(&self, config: &Config) -> usize {
         config.repair_window_bytes.saturating_sub(self.repair_bytes)
     }
 
-    /// It is a learner of the shard; the messages that it lacks are added to its catch-up.
+    /// Records that the store is a learner of the shard; the caller queues the messages that it lacks.
     pub fn begin_catch_up_of(&mut self, shard: ShardId) {
         self.learner_shards.insert(shard, None);
     }
 
-    /// Adds a `Write` that is in flight from now on; gives its number.
+    /// Registers a `Write` that is being sent, and returns its number.
     pub fn register_write(
         &mut self,
         now: Instant,
@@ -124,7 +126,8 @@
         number
     }
 
-    /// Everything up to `number` is on its disk; gives what that is. A number that nothing waits for says nothing.
+    /// Handles the acknowledgement of all writes up to `number`, and returns the versions in them. A number
+    /// that is not outstanding is ignored.
     pub fn handle_written(&mut self, number: RequestNumber, now: Instant) -> Vec<SentVersion> {
         let mut messages = Vec::new();
         if self.outstanding.binary_search_by_key(&number, |sent| sent.number).is_err() {
@@ -147,7 +150,7 @@
         self.latency_at = now;
     }
 
-    /// The moving average of its latency in milliseconds, decayed since the latest sample.
+    /// The moving average of the latency in milliseconds, decayed by the time since the latest sample.
     fn decayed_latency(&self, now: Instant) -> f64 {
         let halvings = millis(now.saturating_duration_since(self.latency_at)) / millis(LATENCY_HALF_LIFE);
         let halved = self.latency_ms * 0.5_f64.powi(i32::try_from(halvings.min(64)).unwrap_or(64));
@@ -159,13 +162,13 @@
         timeout.clamp(config.min_write_timeout, config.max_write_timeout)
     }
 
-    /// When the oldest write that is not overdue becomes so.
+    /// Time at which the oldest write that is not overdue becomes overdue.
     pub fn deadline(&self, config: &Config) -> Option<Instant> {
         let next = self.outstanding.get(self.overdue)?;
         Some(next.sent_at + self.timeout(config))
     }
 
-    /// What has become overdue since the last call.
+    /// Versions whose writes have become overdue since the last call.
     pub fn take_overdue(&mut self, now: Instant, config: &Config) -> Vec<SentVersion> {
         let mut messages = Vec::new();
         while self.deadline(config).is_some_and(|deadline| deadline <= now) {
@@ -179,13 +182,14 @@
         self.overdue > 0
     }
 
-    /// How much worse than the best it is, in doublings; small differences do not count.
+    /// How slow the store is: the binary logarithm of its latency in units of [`SIGNIFICANT_LATENCY_MS`],
+    /// rounded down, so that small differences do not count.
     pub fn slowness(&self, now: Instant) -> u32 {
         let doublings = (self.decayed_latency(now) / SIGNIFICANT_LATENCY_MS).max(1.0).log2();
         doublings as u32
     }
 
-    /// The connection is closed; gives what may never have arrived.
+    /// Handles the end of the connection. Returns the versions in flight, which may not have arrived.
     pub fn disconnect(&mut self) -> Vec<SentVersion> {
         self.is_connected = false;
         self.overdue = 0;
@@ -195,7 +199,8 @@
         self.outstanding.drain(..).flat_map(|outstanding| outstanding.messages).collect()
     }
 
-    /// Shards that it has caught up with as a learner: what it lacked of them is on its disk.
+    /// Removes and returns the shards that the store has caught up with as a learner: all that it lacked is on
+    /// its disk.
     pub fn take_caught_up(&mut self) -> Vec<ShardId> {
         let last = RequestNumber(self.next_number.saturating_sub(1));
         for (shard, sent) in &mut self.learner_shards {
@@ -221,7 +226,7 @@
         caught_up
     }
 
-    /// Another store is primary of the shard now.
+    /// Cancels the repair of a shard of which this store is no longer the primary.
     pub fn drop_shard(&mut self, shard: ShardId) {
         self.learner_shards.remove(&shard);
         self.catch_up.retain(|id| id.shard != shard);
--- a/system/state/queue/src/replication/repair.rs
+++ b/system/state/queue/src/replication/repair.rs
@@ -1,4 +1,5 @@
-//! As primary: what too few stores have, or were too slow to write, is sent to further ones; learners catch up.
+//! Repair as a primary: messages that too few stores have, or that stores were too slow to write, are sent to
+//! further stores, and learners are brought up to date.
 
 use super::peer::Peer;
 use super::{Batch, Replication, SyncAction};
@@ -12,12 +13,12 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Number of the first write to a store in one incarnation of this process: far below the end of all numbers, so that
-/// they never run out.
+/// Range from which the number of the first write to a store is drawn, once per incarnation of this process. It
+/// ends far below the largest number, so that numbers never overflow.
 const FIRST_NUMBERS: Range<u64> = 1..1 << 48;
 
 impl Replication {
-    /// Lets further stores be sent a message that too few have and may be expected to have soon.
+    /// Queues a message for further stores, if too few have it or can be expected to have it soon.
     pub fn assign_replicas(
         &mut self,
         context: &mut Context,
@@ -48,13 +49,14 @@
         }
     }
 
-    /// A store was sent all that is known of a message, or will be.
+    /// Whether a store was sent the latest version of a message, or will be.
     fn is_under_way(&self, id: MessageId, primary: &PrimaryEntry, store: StoreId) -> bool {
         let is_queued = self.peers.get(&store).is_some_and(|peer| peer.is_catching_up_with(id));
         is_queued || primary.progress_of(store).sent >= primary.version()
     }
 
-    /// A store has all that is known of a message on its disk, or will have it within its usual time.
+    /// Whether a store has the latest version of a message on its disk, or is expected to have it within its
+    /// usual latency.
     fn is_expected(&self, context: &Context, id: MessageId, primary: &PrimaryEntry, store: StoreId) -> bool {
         let is_late = match self.peers.get(&store) {
             _ if store == context.local_id => self.disk.is_overdue(),
@@ -65,7 +67,7 @@
             || (!is_late && self.is_under_way(id, primary, store))
     }
 
-    /// This store's own disk lacks something that others know.
+    /// Writes the full state of a message to the local disk, which lacks something that other stores have.
     fn write_own_full_state(
         &mut self,
         context: &mut Context,
@@ -82,7 +84,7 @@
         self.append(context, DiskRecord::Message { record }, SyncAction::Own(sent));
     }
 
-    /// Sends what other stores are to catch up with, as far as their windows allow.
+    /// Sends queued messages to the stores that have to catch up, within their windows.
     pub fn send_catch_up(&mut self, context: &mut Context, table: &mut MessageTable, terms: &PrimaryTerms) {
         let busy: Vec<StoreId> =
             self.peers.iter().filter(|(_, peer)| peer.has_catch_up()).map(|(store, _)| *store).collect();
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Tells a learner of the shards of which it lacks nothing any more.
+    /// Tells a learner for which shards it has caught up.
     fn notify_caught_up(&mut self, context: &mut Context, terms: &PrimaryTerms, store: StoreId) {
         let Some(peer) = self.peers.get_mut(&store) else { return };
         for shard in peer.take_caught_up() {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Writes to further stores what others did not acknowledge in their usual time.
+    /// Sends writes that are overdue at some stores to further stores (hedged requests).
     pub fn hedge(&mut self, context: &mut Context, table: &mut MessageTable, terms: &PrimaryTerms) {
         let mut overdue = self.disk.take_overdue(context.now, context.config.max_write_timeout);
         let mut queued = Vec::new();
@@ -170,7 +172,7 @@
         }
     }
 
-    /// A connection with `store` is open; all that is pending may be sent to it.
+    /// Handles a new connection to `store`, to which pending messages may now be sent.
     pub fn handle_connected(
         &mut self,
         context: &mut Context,
@@ -187,7 +189,7 @@
         }
     }
 
-    /// The connection with `store` is closed: what was in flight on it goes to others.
+    /// Handles the end of the connection to `store`: the writes in flight on it are sent to other stores.
     pub fn handle_closed(
         &mut self,
         context: &mut Context,
@@ -208,7 +210,7 @@
         self.assign_pending(context, table, terms, queued);
     }
 
-    /// Sends a learner of a shard that is served what it lacks.
+    /// Queues for the learner of a served shard all messages that it lacks.
     pub fn catch_up_learner(
         &mut self,
         table: &MessageTable,
@@ -229,7 +231,7 @@
     }
 }
 
-/// Adds all that is known of a message, unless the store was sent that already.
+/// Adds the full state of a message to a batch, unless the store was sent the latest version already.
 fn add_full_state(
     context: &Context,
     table: &mut MessageTable,
--- a/system/state/queue/src/scheduling/credits.rs
+++ b/system/state/queue/src/scheduling/credits.rs
@@ -1,18 +1,18 @@
-//! How many more deliveries of one service each dispatcher can take.
+//! Flow control: how many more deliveries of one service each dispatcher can take.
 
 use millrudder_protocol::DispatcherId;
 use millrudder_topology::Distance;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One dispatcher's deliveries of one service.
+/// The credit of one dispatcher for one service, and how much of it is in use.
 #[derive(Clone, Copy, Debug)]
 struct Credit {
     limit: u32,
     in_flight: u32,
-    /// From the store.
+    /// Network distance between the dispatcher and this store.
     distance: Distance,
-    /// It may be granted something.
+    /// The dispatcher is connected and not shutting down, so messages may be granted to it.
     open: bool,
 }
 
@@ -26,10 +26,11 @@
     }
 }
 
-/// Order in which dispatchers are chosen: the last one is the best.
+/// Sort key of dispatchers with free credit: the nearest, then the one with the most free credit, is the
+/// greatest.
 type Preference = (Reverse<Distance>, u32, DispatcherId);
 
-/// Credits of one service.
+/// The credits of all dispatchers for one service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Credits {
     dispatchers: BTreeMap<DispatcherId, Credit>,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The dispatcher may be granted up to `limit` at a time.
+    /// Allows up to `limit` concurrent deliveries to the dispatcher.
     pub fn open(&mut self, dispatcher: DispatcherId, limit: u32, distance: Distance) {
         self.change(dispatcher, |credit| {
             credit.limit = limit;
@@ -69,14 +70,14 @@
         }
     }
 
-    /// Nothing more may be granted to it; what is in flight stays counted.
+    /// Stops further grants to the dispatcher. Its deliveries in flight stay counted.
     pub fn close(&mut self, dispatcher: DispatcherId) {
         if self.dispatchers.contains_key(&dispatcher) {
             self.change(dispatcher, |credit| credit.open = false);
         }
     }
 
-    /// The dispatcher takes deliveries, whether or not it has free credit just now.
+    /// Whether the dispatcher accepts deliveries of the service, even if it has no free credit at the moment.
     pub fn is_open(&self, dispatcher: DispatcherId) -> bool {
         self.dispatchers.get(&dispatcher).is_some_and(|credit| credit.open && credit.limit > 0)
     }
@@ -99,7 +100,8 @@
         self.free(dispatcher) > 0
     }
 
-    /// Of the nearest dispatchers that have free credit the one with the most; `other` only if there is no other one.
+    /// Returns the dispatcher with the most free credit among the nearest ones that have any. `other` is
+    /// returned only if it is the only dispatcher with free credit.
     pub fn best_except(&self, other: Option<DispatcherId>) -> Option<DispatcherId> {
         let mut best = self.free.iter().rev().map(|(_, _, dispatcher)| *dispatcher);
         best.find(|dispatcher| Some(*dispatcher) != other).or(other.filter(|other| self.has_free(*other)))
--- a/system/state/queue/src/scheduling/keys.rs
+++ b/system/state/queue/src/scheduling/keys.rs
@@ -1,24 +1,25 @@
-//! Messages by order key: one is active at a time, the others wait for its end.
+//! Queues of messages by order key: one message of a key is active at a time, the others wait until it has
+//! ended.
 
 use millrudder_protocol::{MessageId, Sequence, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Messages of one key that have not ended.
+/// The messages of one order key that have not ended.
 #[derive(Clone, Debug, Default)]
 struct KeyQueue {
     waiting: BTreeSet<(Sequence, MessageId)>,
-    /// The one that may be delivered.
+    /// The only message of the key that may be delivered now.
     active: Option<MessageId>,
 }
 
-/// All order keys of the shards that this store is primary of.
+/// The order keys of all shards of which this store is the primary.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Keys {
     queues: BTreeMap<ShardId, BTreeMap<String, KeyQueue>>,
 }
 
 impl Keys {
-    /// Adds a message that has not ended.
+    /// Adds a message that has not ended to the queue of its key.
     pub fn add(&mut self, key: &str, sequence: Sequence, id: MessageId) {
         let queues = self.queues.entry(id.shard).or_default();
         if let Some(queue) = queues.get_mut(key) {
@@ -30,7 +31,8 @@
         queues.insert(key.to_owned(), queue);
     }
 
-    /// Makes the message the active one if it is the first and none is; `true` if it is the active one.
+    /// Makes the message the active one of its key if it is the first in the queue and no other is active.
+    /// Returns whether it is the active one now.
     pub fn activate(&mut self, key: &str, id: MessageId) -> bool {
         let Some(queue) = self.queues.get_mut(&id.shard).and_then(|queues| queues.get_mut(key)) else {
             return true;
@@ -42,7 +44,7 @@
         queue.active == Some(id)
     }
 
-    /// Nothing of its key is before this message.
+    /// Whether no other message of the key has to be delivered before this one.
     pub fn may_activate(&self, key: &str, id: MessageId) -> bool {
         let Some(queue) = self.queues.get(&id.shard).and_then(|queues| queues.get(key)) else {
             return true;
@@ -51,14 +53,14 @@
         queue.active.map_or(is_first, |active| active == id)
     }
 
-    /// Makes a message the active one that a former primary had granted.
+    /// Makes a message active that a former primary has granted, even if it is not the first in the queue.
     pub fn adopt(&mut self, key: &str, id: MessageId) {
         if let Some(queue) = self.queues.get_mut(&id.shard).and_then(|queues| queues.get_mut(key)) {
             queue.active = Some(id);
         }
     }
 
-    /// The message's end is durable; gives the one that may become active.
+    /// Removes a message whose end is durable. Returns the next message of the key that may become active.
     pub fn end(&mut self, key: &str, sequence: Sequence, id: MessageId) -> Option<MessageId> {
         let queues = self.queues.get_mut(&id.shard)?;
         let queue = queues.get_mut(key)?;
@@ -76,7 +78,7 @@
         queue.waiting.first().map(|(_, first)| *first)
     }
 
-    /// Another store is primary of the shard now.
+    /// Drops the queues of a shard of which this store is no longer the primary.
     pub fn drop_shard(&mut self, shard: ShardId) {
         self.queues.remove(&shard);
     }
--- a/system/state/queue/src/scheduling/mod.rs
+++ b/system/state/queue/src/scheduling/mod.rs
@@ -1,4 +1,5 @@
-//! Which message is granted next, and to whom: ready messages by service, order keys, dispatchers' credits, rate limits.
+//! Scheduling: which message is granted next, and to which dispatcher. Ready queues by service, order keys, the
+//! credits of dispatchers, and rate limits.
 
 mod credits;
 mod keys;
--- a/system/state/queue/src/scheduling/rate_limit.rs
+++ b/system/state/queue/src/scheduling/rate_limit.rs
@@ -1,19 +1,20 @@
-//! A service's common rate limit: a token bucket that starts empty.
+//! The rate limit of one service, shared by all dispatchers: a token bucket that starts empty.
 
 use crate::time::millis;
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Length of the window in which the rate is judged, in seconds.
+/// Length in seconds of the sliding window over which the rate is enforced.
 const WINDOW_S: f64 = 5.0;
-/// Fraction of a window's permits that may be saved up. Grants in any window stay within this over the rate, and the rest
-/// of what is tolerated is left for deliveries that overtake each other on the network.
+/// Capacity of the bucket, as a fraction of the permits of one window. With it, the grants in any window exceed
+/// the rate by at most this fraction. The rest of the permitted excess is left for deliveries that are
+/// reordered on the network.
 const BURST_FRACTION: f64 = 0.02;
 const MS_PER_S: f64 = 1_000.0;
-/// Time in which a grant's record should be on its disks also when one is slow, in seconds.
+/// Time in seconds in which the record of a grant is normally durable, even if one of the disks is slow.
 const UNNOTIFIED_S: f64 = 0.15;
 
-/// Permits of one service.
+/// The token bucket of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimit {
     per_second: f64,
@@ -22,7 +23,8 @@
 }
 
 impl RateLimit {
-    /// Without a permit at first: another primary may have spent what would be here.
+    /// Creates an empty bucket, because another primary may already have spent the permits of the current
+    /// window.
     pub fn new(per_second: f64, now: Instant) -> Self {
         RateLimit { per_second, permits: 0.0, counted_at: now }
     }
@@ -32,13 +34,13 @@
     }
 
     fn refill(&mut self, now: Instant) {
-        // Milliseconds of a day are exact in a float.
+        // A day's worth of milliseconds is represented exactly in an `f64`.
         let passed_ms = millis(now.saturating_duration_since(self.counted_at)) as f64;
         self.permits = (self.permits + passed_ms * self.per_second / MS_PER_S).min(self.burst());
         self.counted_at = self.counted_at.max(now);
     }
 
-    /// Another rate from now on; saved permits stay, within the new bound.
+    /// Changes the rate. Saved permits are kept, up to the new capacity.
     pub fn set_rate(&mut self, per_second: f64, now: Instant) {
         self.refill(now);
         self.per_second = per_second;
@@ -50,16 +52,16 @@
         self.counted_at = self.counted_at.max(now);
     }
 
-    /// Grants that may wait for their disks at a time: those that wait together are delivered together, and another
-    /// primary would not count them.
+    /// Maximum number of grants that may wait for their records to become durable at the same time. Grants that
+    /// wait together are delivered together as a burst, which a new primary would not count.
     pub fn max_unnotified(&self) -> usize {
         (self.per_second * UNNOTIFIED_S).max(2.0) as usize
     }
 
-    /// Takes a permit if there is one.
+    /// Takes a permit if one is available.
     pub fn take(&mut self, now: Instant) -> bool {
         self.refill(now);
-        // A float's rounding must not cost a wake-up a permit.
+        // Tolerates rounding errors: otherwise the timer set for this permit would find none.
         let there = self.permits >= 1.0 - 1e-9;
         if there {
             self.permits -= 1.0;
@@ -67,13 +69,13 @@
         there
     }
 
-    /// Takes a permit that need not be there yet: it is missing later.
+    /// Takes a permit even if none is available; the balance then goes negative and later grants wait for it.
     pub fn borrow(&mut self, now: Instant) {
         self.refill(now);
         self.permits -= 1.0;
     }
 
-    /// When there is a permit again.
+    /// Time at which the next permit is available.
     pub fn next(&self) -> Instant {
         let missing = (1.0 - self.permits).max(0.0);
         let wait_ms = (missing * MS_PER_S / self.per_second.max(f64::MIN_POSITIVE)).ceil();
