--- a/system/state/queue/src/scheduling/services.rs
+++ b/system/state/queue/src/scheduling/services.rs
@@ -1,4 +1,5 @@
-//! Ready messages by service, in the order in which they are granted, with each service's rate limit and credits.
+//! Ready queues by service, in the order in which messages are granted, with each service's rate limit and
+//! credits.
 
 use super::credits::Credits;
 use super::rate_limit::RateLimit;
@@ -7,45 +8,47 @@
 use millrudder_protocol::{MessageId, Sequence};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A service's number in this process.
+/// Index of a service in [`Services`]; valid only within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServiceIndex(pub u32);
 
-/// Position of a ready message: by priority, then those in time, then by due time.
+/// Sort key of a ready message: by priority, then messages that can still start on time before late ones, then
+/// by due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReadyKey {
     pub priority: u32,
-    /// A start now earns less than its full value.
+    /// The target start time has passed, so that starting the message now earns less than its full value.
     pub late: bool,
     pub due: Instant,
     pub sequence: Sequence,
     pub id: MessageId,
-    /// Until when a start earns its full value.
+    /// Latest time at which a start earns the full value.
     pub start_by: Instant,
     pub service: ServiceIndex,
 }
 
-/// One service.
+/// The ready queue, rate limit and credits of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct Service {
     name: String,
     ready: BTreeSet<ReadyKey>,
     rate_limit: Option<RateLimit>,
     credits: Credits,
-    /// Grants that wait for their disks.
+    /// Number of grants whose records are not durable yet, so that their dispatchers are not notified.
     unnotified: usize,
-    /// When its permit timer goes off.
+    /// Time at which the permit timer fires; `None` if it is not set.
     permit_at: Option<Instant>,
 }
 
-/// Whether a service's rate limit allows a grant.
+/// The result of asking a service's rate limit for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Permit {
-    /// It does.
+    /// A permit was taken, or the service has no rate limit.
     Taken,
-    /// It does not yet; what changes that makes the service runnable, or a timer is set for it already.
+    /// No permit is available. Either a timer is already set, or a pending grant will mark the service runnable
+    /// once its dispatcher is notified.
     Awaited,
-    /// It does not before this time, for which a timer is to be set.
+    /// No permit is available before this time. The caller must set a timer for it.
     AvailableAt(Instant),
 }
 
@@ -70,30 +73,30 @@
         self.rate_limit.is_some()
     }
 
-    /// A grant waits for its disks.
+    /// Counts a grant whose record is not durable yet.
     pub fn add_unnotified(&mut self) {
         self.unnotified += 1;
     }
 
-    /// A grant does not wait for its disks any more.
+    /// Counts a grant as notified or cancelled.
     pub fn remove_unnotified(&mut self) {
         self.unnotified = self.unnotified.saturating_sub(1);
     }
 
-    /// When its permit timer goes off.
+    /// Time at which the permit timer fires; `None` if it is not set.
     pub fn permit_at(&self) -> Option<Instant> {
         self.permit_at
     }
 
-    /// Its permit timer has gone off.
+    /// Called when the permit timer has fired.
     pub fn clear_permit_timer(&mut self) {
         self.permit_at = None;
     }
 
-    /// Takes a permit of the rate limit, if there is one.
+    /// Takes a permit of the rate limit if one is available.
     pub fn take_permit(&mut self, now: Instant) -> Permit {
         let Some(rate_limit) = self.rate_limit.as_mut() else { return Permit::Taken };
-        // The next grant that its dispatcher is notified of makes the service runnable.
+        // The service is marked runnable when the dispatcher of the next pending grant is notified.
         if self.unnotified >= rate_limit.max_unnotified() {
             return Permit::Awaited;
         }
@@ -101,7 +104,7 @@
             return Permit::Taken;
         }
         let next = rate_limit.next();
-        // A rate that has risen brings the permit forward.
+        // If the rate was raised, the permit is available earlier than the timer that is set.
         if self.permit_at.is_none_or(|permit_at| next < permit_at) {
             self.permit_at = Some(next);
             return Permit::AvailableAt(next);
@@ -109,14 +112,15 @@
         Permit::Awaited
     }
 
-    /// Takes a permit that the rate limit need not have yet.
+    /// Takes a permit even if none is available, see [`RateLimit::borrow`].
     pub fn borrow_permit(&mut self, now: Instant) {
         if let Some(rate_limit) = &mut self.rate_limit {
             rate_limit.borrow(now);
         }
     }
 
-    /// First of the ready messages, after those whose time is over have moved behind.
+    /// Returns the first ready message, after moving messages whose target start time has passed behind those
+    /// on time.
     pub fn first_ready(&mut self, now: Instant) -> Option<ReadyKey> {
         loop {
             let first = *self.ready.first()?;
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Takes a message out, whether it was found to be late meanwhile or not.
+    /// Removes a message from the ready queue, whether or not it has been moved to the late messages.
     pub fn remove(&mut self, key: ReadyKey) {
         if !self.ready.remove(&key) {
             self.ready.remove(&ReadyKey { late: true, ..key });
@@ -136,12 +140,12 @@
     }
 }
 
-/// All services that messages or settings named.
+/// All services named by messages or by the configuration.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Services {
     by_name: BTreeMap<String, ServiceIndex>,
     services: Vec<Service>,
-    /// Those for which a grant may be possible since the last look.
+    /// Services that may be able to grant a message because something has changed since they were last tried.
     runnable: BTreeSet<ServiceIndex>,
 }
 
@@ -150,12 +154,12 @@
         self.by_name.get(name).copied()
     }
 
-    /// A grant of the service may be possible.
+    /// Marks a service for which a grant may be possible.
     pub fn mark_runnable(&mut self, index: ServiceIndex) {
         self.runnable.insert(index);
     }
 
-    /// Takes the first service for which a grant may be possible.
+    /// Removes and returns the first service for which a grant may be possible.
     pub fn next_runnable(&mut self) -> Option<ServiceIndex> {
         self.runnable.pop_first()
     }
@@ -164,7 +168,7 @@
         self.runnable.contains(&index)
     }
 
-    /// Adds a service that is not known yet.
+    /// Adds a service that [`Services::find`] does not know.
     pub fn add(&mut self, name: &str) -> ServiceIndex {
         let number = u32::try_from(self.services.len()).unwrap_or(u32::MAX);
         let index = ServiceIndex(number);
@@ -192,7 +196,7 @@
         (0..u32::try_from(self.services.len()).unwrap_or(u32::MAX)).map(ServiceIndex)
     }
 
-    /// Takes all permits of the services that `is_affected` names.
+    /// Empties the token buckets of all services for which `is_affected` returns true.
     pub fn drain_rate_limits(&mut self, is_affected: impl Fn(&str) -> bool, now: Instant) {
         for service in &mut self.services {
             if let Some(rate_limit) = service.rate_limit.as_mut().filter(|_| is_affected(&service.name)) {
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Replaces all rate limits by those of the configuration in force.
+    /// Replaces all rate limits by those of the current configuration.
     pub fn set_rates(&mut self, rates: &BTreeMap<ServiceIndex, f64>, now: Instant) {
         for index in self.indexes() {
             let service = self.get_mut(index);
@@ -215,7 +219,7 @@
     }
 }
 
-/// The rate limits anything: no rate is written as zero.
+/// Whether the setting limits the service; a rate of zero means no limit.
 pub(crate) fn is_limiting(rate: &ServiceRate) -> bool {
     rate.per_second > 0.0
 }
--- a/system/state/queue/src/time.rs
+++ b/system/state/queue/src/time.rs
@@ -1,27 +1,28 @@
-//! Points of a steady clock, some of which lie before the process's start.
+//! Readings of the monotonic clock, including ones before the start of the process.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A reading of the steady clock, in whole milliseconds; negative before the clock's origin.
+/// A reading of the monotonic clock in whole milliseconds; negative before the clock's origin.
 ///
-/// [`millrudder_clock::Instant`] has no readings before its origin. They are needed here: a message that is found on the
-/// disk, or that another store sends, may have been received before this process started its clock.
+/// [`millrudder_clock::Instant`] cannot represent times before its origin. They are needed here: a message that
+/// is found on the disk, or that another store sends, may have been received before this process started its
+/// clock.
 ///
-/// Arithmetic saturates, and drops fractions of a millisecond.
+/// Arithmetic saturates, and truncates to whole milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Instant {
     millis: i64,
 }
 
 impl Instant {
-    /// The next multiple of `step` behind this reading, so that timers of little urgency go off together.
+    /// The next multiple of `step` after this reading, so that timers that are not urgent fire together.
     pub fn rounded_up(self, step: Duration) -> Instant {
         let step = signed_millis(step);
         Instant { millis: self.millis.div_euclid(step).saturating_add(1).saturating_mul(step) }
     }
 
-    /// The span since `earlier`; zero where that is the later reading.
+    /// The duration since `earlier`; zero if that is later than this reading.
     pub fn saturating_duration_since(self, earlier: Instant) -> Duration {
         let millis = self.millis.saturating_sub(earlier.millis);
         Duration::from_millis(u64::try_from(millis).unwrap_or(0))
@@ -34,7 +35,7 @@
     }
 }
 
-/// The origin for readings before it.
+/// Converts readings before the origin to the origin.
 impl From<Instant> for millrudder_clock::Instant {
     fn from(reading: Instant) -> Self {
         millrudder_clock::Instant::from_millis(u64::try_from(reading.millis).unwrap_or(0))
@@ -57,7 +58,7 @@
     }
 }
 
-/// Whole milliseconds of a span, as messages between processes carry them.
+/// A duration in whole milliseconds, as used in messages between processes.
 pub(crate) fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
@@ -66,7 +67,8 @@
     i64::try_from(span.as_millis()).unwrap_or(i64::MAX)
 }
 
-/// Whole milliseconds of a span in a 32-bit field of a message; the largest number for longer spans.
+/// A duration in whole milliseconds for a 32-bit field of a message; durations that are too long become the
+/// largest number.
 pub(crate) fn wire_millis(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
--- a/system/state/queue/src/timers.rs
+++ b/system/state/queue/src/timers.rs
@@ -1,34 +1,34 @@
-//! Timers in the order of their time.
+//! The timers of a store process, ordered by time.
 
 use crate::scheduling::ServiceIndex;
 use crate::time::Instant;
 use millrudder_protocol::{DispatcherId, MessageId, ShardId, StoreId};
 use std::collections::BTreeSet;
 
-/// What a timer stands for.
+/// What happens when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A message's delay or back-off is over.
+    /// The delay or back-off of a message is over.
     BackoffOver(MessageId),
-    /// A message's retention is over, or its status need not be known any more.
+    /// The retention of a message is over, or an ended message may be removed.
     Expiry(MessageId),
-    /// Leases that a dispatcher did not confirm may be granted again.
+    /// Messages whose leases a dispatcher did not confirm are granted again.
     UnconfirmedLeases(DispatcherId),
-    /// A service's rate limit has a permit again.
+    /// The rate limit of a service has a permit available.
     PermitAvailable(ServiceIndex),
-    /// Call-backs of a receiver may be retried.
+    /// The next call-back to a receiver may be made.
     ReceiverReady(u32),
-    /// Check the heartbeats of dispatchers.
+    /// The heartbeats of the dispatchers are checked.
     HeartbeatCheck,
-    /// Compare the next messages with what replicas know of them.
+    /// The next messages are compared with the replicas' copies.
     Scrub,
-    /// Scan for orphaned messages.
+    /// A scan for orphaned messages is due.
     Watchdog,
-    /// The next chunk of a shard's snapshot goes to its new primary.
+    /// The next chunk of a snapshot is sent to the new primary of a shard.
     SnapshotChunk(StoreId, ShardId),
 }
 
-/// Timers by time. A timer that was set twice goes off twice.
+/// Timers ordered by time. A timer that was set for two times fires at both.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Timers {
     due: BTreeSet<(Instant, Timer)>,
@@ -47,7 +47,7 @@
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// The first timer that is due.
+    /// Removes and returns the first timer that is due.
     pub fn pop(&mut self, now: Instant) -> Option<Timer> {
         if self.first()? > now {
             return None;
