--- a/system/state/queue/src/callbacks.rs
+++ b/system/state/queue/src/callbacks.rs
@@ -58,13 +58,13 @@
         if self.pending.contains_key(&id) {
             return;
         }
-        let receiver = self.receiver(receiver_of(url), now, config);
+        let receiver = self.find_or_add_receiver(receiver_of(url), now, config);
         self.pending.insert(id, Callback { receiver, not_before: now, failures: 0, lease: None });
         self.receivers[receiver as usize].waiting.insert((now, id));
         self.runnable.insert(receiver);
     }
 
-    fn receiver(&mut self, name: &str, now: Instant, config: &Config) -> u32 {
+    fn find_or_add_receiver(&mut self, name: &str, now: Instant, config: &Config) -> u32 {
         if let Some(receiver) = self.by_name.get(name) {
             return *receiver;
         }
@@ -81,7 +81,7 @@
     }
 
     /// The next call-back that may be made to this receiver now.
-    pub fn next(&self, receiver: u32, now: Instant) -> Option<MessageId> {
+    pub fn next_due(&self, receiver: u32, now: Instant) -> Option<MessageId> {
         let receiver = &self.receivers[receiver as usize];
         if receiver.in_flight >= receiver.limit || receiver.backing_off_until > now {
             return None;
@@ -91,7 +91,7 @@
     }
 
     /// Time at which the next call-back to a receiver may be made; `None` while the receiver is at its limit.
-    pub fn next_time(&self, receiver: u32) -> Option<Instant> {
+    pub fn next_due_at(&self, receiver: u32) -> Option<Instant> {
         let receiver = &self.receivers[receiver as usize];
         if receiver.in_flight >= receiver.limit {
             return None;
@@ -99,7 +99,7 @@
         receiver.waiting.first().map(|(not_before, _)| (*not_before).max(receiver.backing_off_until))
     }
 
-    pub fn take(&mut self, id: MessageId, lease: CallbackLease) {
+    pub fn start(&mut self, id: MessageId, lease: CallbackLease) {
         let Some(callback) = self.pending.get_mut(&id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
         receiver.waiting.remove(&(callback.not_before, id));
@@ -124,7 +124,7 @@
     }
 
     /// Handles a failed call-back: it is retried after a back-off.
-    pub fn failed(&mut self, id: MessageId, retry_after: Duration, now: Instant, config: &Config) {
+    pub fn handle_failure(&mut self, id: MessageId, retry_after: Duration, now: Instant, config: &Config) {
         let Some(callback) = self.pending.get_mut(&id) else { return };
         if callback.lease.is_none() {
             return;
@@ -137,17 +137,17 @@
         if receiver.failures >= FAILURES_BEFORE_BACKOFF {
             receiver.backing_off_until = now + config.backoff(receiver.failures - 1);
         }
-        self.wait_again(id, now + own_wait);
+        self.requeue(id, now + own_wait);
     }
 
     /// Returns a call-back whose dispatcher is gone to the queue; another dispatcher may make it.
-    pub fn give_back(&mut self, id: MessageId, now: Instant) {
+    pub fn release(&mut self, id: MessageId, now: Instant) {
         if self.lease(id).is_some() {
-            self.wait_again(id, now);
+            self.requeue(id, now);
         }
     }
 
-    fn wait_again(&mut self, id: MessageId, not_before: Instant) {
+    fn requeue(&mut self, id: MessageId, not_before: Instant) {
         let Some(callback) = self.pending.get_mut(&id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
         callback.lease = None;
@@ -158,7 +158,7 @@
     }
 
     /// Handles a successful call-back.
-    pub fn done(&mut self, id: MessageId, config: &Config) {
+    pub fn handle_success(&mut self, id: MessageId, config: &Config) {
         let Some(callback) = self.remove(id) else { return };
         let receiver = &mut self.receivers[callback.receiver as usize];
         receiver.failures = 0;
@@ -181,7 +181,7 @@
     }
 
     /// Removes a call-back and returns its lease.
-    pub fn drop(&mut self, id: MessageId) -> Option<CallbackLease> {
+    pub fn cancel(&mut self, id: MessageId) -> Option<CallbackLease> {
         self.remove(id)?.lease
     }
 
--- a/system/state/queue/src/dispatchers.rs
+++ b/system/state/queue/src/dispatchers.rs
@@ -128,7 +128,7 @@
     }
 
     /// Messages whose leases the dispatcher has yet to confirm, in ascending order.
-    pub fn unconfirmed(&self) -> Vec<MessageId> {
+    pub fn unconfirmed_leases(&self) -> Vec<MessageId> {
         let is_open =
             |confirmation: &LeaseConfirmation| matches!(confirmation, LeaseConfirmation::Unconfirmed { .. });
         self.leases.iter().filter(|(_, confirmation)| is_open(confirmation)).map(|(id, _)| *id).collect()
@@ -177,12 +177,12 @@
     }
 
     /// Whether messages may be granted to the dispatcher: it is connected and not shutting down.
-    pub fn is_open(&self) -> bool {
+    pub fn accepts_grants(&self) -> bool {
         self.connection.is_some() && !self.is_shutting_down
     }
 
     /// Messages whose leases were not confirmed in time.
-    pub fn overdue(&self, now: Instant) -> Vec<MessageId> {
+    pub fn lapsed_leases(&self, now: Instant) -> Vec<MessageId> {
         self.leases
             .iter()
             .filter(|(_, confirmation)| confirmation.has_lapsed(now))
@@ -201,7 +201,7 @@
 }
 
 impl Dispatchers {
-    pub fn of(&self, connection: ConnectionId) -> Option<DispatcherId> {
+    pub fn dispatcher_of(&self, connection: ConnectionId) -> Option<DispatcherId> {
         self.connections.get(&connection).copied()
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Returns the incarnation with this identifier, which is added if it is unknown.
-    pub fn add(&mut self, dispatcher: DispatcherId, now: Instant) -> &mut Incarnation {
+    pub fn find_or_add(&mut self, dispatcher: DispatcherId, now: Instant) -> &mut Incarnation {
         self.incarnations.entry(dispatcher).or_insert_with(|| Incarnation::new(now))
     }
 
@@ -233,7 +233,7 @@
     /// All stores of a region choose the same dispatchers without communicating, and a dispatcher that joins or
     /// leaves changes few choices.
     pub fn home_dispatchers(&self, name: &str, count: usize) -> Vec<DispatcherId> {
-        let open = || self.iter().filter(|(_, incarnation)| incarnation.is_open());
+        let open = || self.iter().filter(|(_, incarnation)| incarnation.accepts_grants());
         let is_far = |incarnation: &Incarnation| incarnation.distance == Distance::OtherRegion;
         let all_far = open().all(|(_, incarnation)| is_far(incarnation));
         let near = open().filter(|(_, incarnation)| all_far || !is_far(incarnation));
@@ -257,7 +257,7 @@
         now: Instant,
     ) -> &mut Incarnation {
         self.connections.insert(connection, dispatcher);
-        let incarnation = self.add(dispatcher, now);
+        let incarnation = self.find_or_add(dispatcher, now);
         incarnation.connection = Some(connection);
         incarnation.last_message_at = now;
         incarnation
@@ -309,7 +309,7 @@
     }
 
     /// Removes an incarnation that has no connection, no lease and no call-back.
-    pub fn forget_if_gone(&mut self, dispatcher: DispatcherId) {
+    pub fn remove_if_unused(&mut self, dispatcher: DispatcherId) {
         let is_gone = |incarnation: &Incarnation| {
             incarnation.connection.is_none()
                 && incarnation.leases.is_empty()
--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -3,7 +3,7 @@
 
 use crate::primary_entry::PrimaryEntry;
 use crate::time::Instant;
-use crate::time::{millis, wire_millis};
+use crate::time::{millis, millis_u32};
 use millrudder_protocol::message::{End, Grant, Message, MessageState};
 use millrudder_protocol::store::Record;
 use millrudder_protocol::{LeaseToken, MessageId, Sequence};
@@ -17,14 +17,14 @@
 pub(crate) struct Entry {
     pub id: MessageId,
     pub sequence: Sequence,
-    pub received: Instant,
+    pub received_at: Instant,
     pub retention: Duration,
     pub failed_attempts: u32,
     pub grant: Option<Grant>,
     pub resolved_through: LeaseToken,
     pub end: Option<End>,
     /// Time of the end; only meaningful if `end` is set.
-    pub ended: Instant,
+    pub ended_at: Instant,
     pub callback_done: bool,
     /// The content of the message; absent, or without its body, once these are no longer needed.
     pub message: Option<Box<Message>>,
@@ -33,9 +33,9 @@
     /// Present only at the shard's primary.
     pub primary: Option<Box<PrimaryEntry>>,
     /// Bytes counted for this entry in the table's total.
-    pub charged: usize,
+    pub charged_bytes: usize,
     /// Whether this entry is counted as live in the table's total.
-    pub counted_live: bool,
+    pub is_counted_live: bool,
 }
 
 /// The part of the state in which two replicas must agree for their copies of a message to be equal.
@@ -71,23 +71,23 @@
 
 impl Entry {
     /// Creates the entry of a message of which nothing but its identifier is known.
-    pub fn new(id: MessageId, received: Instant) -> Self {
+    pub fn new(id: MessageId, received_at: Instant) -> Self {
         Entry {
             id,
             sequence: Sequence::default(),
-            received,
+            received_at,
             retention: Duration::ZERO,
             failed_attempts: 0,
             grant: None,
             resolved_through: LeaseToken::default(),
             end: None,
-            ended: received,
+            ended_at: received_at,
             callback_done: false,
             message: None,
             expiry: None,
             primary: None,
-            charged: 0,
-            counted_live: false,
+            charged_bytes: 0,
+            is_counted_live: false,
         }
     }
 
@@ -112,8 +112,8 @@
     /// Merges a full state that was sent or written `state_age` ago.
     pub fn merge(&mut self, state: MessageState, now: Instant, state_age: Duration) {
         self.sequence = self.sequence.max(state.sequence);
-        self.received =
-            self.received.min(now - Duration::from_millis(state.age_ms).saturating_add(state_age));
+        self.received_at =
+            self.received_at.min(now - Duration::from_millis(state.age_ms).saturating_add(state_age));
         self.failed_attempts = self.failed_attempts.max(state.failed_attempts);
         self.resolved_through = self.resolved_through.max(state.resolved_through);
         self.callback_done |= state.callback_done;
@@ -154,27 +154,27 @@
     fn merge_message(&mut self, message: Box<Message>) {
         self.retention = self.retention.max(Duration::from_millis(u64::from(message.retention_ms)));
         match &self.message {
-            Some(present) if present.body.len() >= message.body.len() => {}
+            Some(known) if known.body.len() >= message.body.len() => {}
             _ => self.message = Some(message),
         }
     }
 
     fn merge_end(&mut self, end: End, at: Instant) {
         match &self.end {
-            Some(present) if *present <= end => {}
+            Some(known) if *known <= end => {}
             Some(_) => self.end = Some(end),
             None => {
                 self.end = Some(end);
-                self.ended = at;
+                self.ended_at = at;
             }
         }
     }
 
     /// Whether the message has ended in a way that requires a call-back which has not succeeded yet.
     pub fn has_pending_callback(&self) -> bool {
-        let named = self.message.as_ref().is_some_and(|message| message.callback_url.is_some());
-        let owed_end = matches!(self.end, Some(End::Completed { .. } | End::DeadLetter));
-        owed_end && named && !self.callback_done
+        let has_callback_url = self.message.as_ref().is_some_and(|message| message.callback_url.is_some());
+        let requires_callback = matches!(self.end, Some(End::Completed { .. } | End::DeadLetter));
+        requires_callback && has_callback_url && !self.callback_done
     }
 
     /// Frees the parts of the message that are not needed any more.
@@ -197,14 +197,14 @@
         MessageState {
             id: self.id,
             sequence: self.sequence,
-            age_ms: millis(now.saturating_duration_since(self.received)),
+            age_ms: millis(now.saturating_duration_since(self.received_at)),
             message: Some(self.message.as_deref().cloned().unwrap_or_else(|| self.placeholder_message())),
             failed_attempts: self.failed_attempts,
             grant: self.grant,
             resolved_through: self.resolved_through,
             end: self.end.clone(),
             ended_age_ms: if self.end.is_some() {
-                millis(now.saturating_duration_since(self.ended))
+                millis(now.saturating_duration_since(self.ended_at))
             } else {
                 0
             },
@@ -228,7 +228,7 @@
             delay_ms: 0,
             target_start_ms: 0,
             max_attempts: 0,
-            retention_ms: wire_millis(self.retention),
+            retention_ms: millis_u32(self.retention),
         }
     }
 
@@ -240,7 +240,7 @@
     /// Time before which the message must not be run.
     pub fn due(&self) -> Instant {
         let delay_ms = self.message.as_ref().map_or(0, |message| message.delay_ms);
-        self.received + Duration::from_millis(u64::from(delay_ms))
+        self.received_at + Duration::from_millis(u64::from(delay_ms))
     }
 
     /// Latest time at which a start earns the message's full value.
@@ -251,7 +251,7 @@
 
     /// End of the retention: the message has ended by then at the latest.
     pub fn retention_end(&self) -> Instant {
-        self.received + self.retention
+        self.received_at + self.retention
     }
 
     /// Approximate memory in bytes that the entry takes.
--- a/system/state/queue/src/message_table.rs
+++ b/system/state/queue/src/message_table.rs
@@ -41,18 +41,18 @@
         let entry = self.entries.entry(id).or_insert_with(|| Box::new(Entry::new(id, now)));
         let result = change(entry);
         let cost = entry.cost();
-        self.bytes = self.bytes.saturating_sub(entry.charged as u64).saturating_add(cost as u64);
-        entry.charged = cost;
+        self.bytes = self.bytes.saturating_sub(entry.charged_bytes as u64).saturating_add(cost as u64);
+        entry.charged_bytes = cost;
         let is_live = entry.end.is_none();
-        self.live = self.live.saturating_sub(u64::from(entry.counted_live)) + u64::from(is_live);
-        entry.counted_live = is_live;
+        self.live = self.live.saturating_sub(u64::from(entry.is_counted_live)) + u64::from(is_live);
+        entry.is_counted_live = is_live;
         result
     }
 
     pub fn remove(&mut self, id: MessageId) -> Option<Box<Entry>> {
         let entry = self.entries.remove(&id)?;
-        self.bytes = self.bytes.saturating_sub(entry.charged as u64);
-        self.live = self.live.saturating_sub(u64::from(entry.counted_live));
+        self.bytes = self.bytes.saturating_sub(entry.charged_bytes as u64);
+        self.live = self.live.saturating_sub(u64::from(entry.is_counted_live));
         Some(entry)
     }
 
--- a/system/state/queue/src/node/accept.rs
+++ b/system/state/queue/src/node/accept.rs
@@ -5,7 +5,7 @@
 use crate::entry::message_bytes;
 use crate::primary_entry::{Acceptor, Effect, PrimaryEntry, Stage};
 use crate::primary_term::Withdrawal;
-use crate::time::wire_millis;
+use crate::time::millis_u32;
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{AcceptRejection, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{DispatcherId, MessageId, RequestNumber};
@@ -24,15 +24,15 @@
         message: Box<Message>,
         lease: bool,
     ) {
-        let Some(dispatcher) = self.dispatchers.of(connection) else { return };
+        let Some(dispatcher) = self.dispatchers.dispatcher_of(connection) else { return };
         if !self.primary_terms.is_serving(id.shard) {
             let reason = AcceptRejection::NotPrimary { epoch: self.context.placement.epoch };
             self.send_to_dispatcher(connection, ToDispatcher::Rejected { request, reason });
             return;
         }
         if let Some(entry) = self.table.get(id) {
-            let is_other = entry.message.as_deref().is_some_and(|known| *known != *message);
-            match is_other {
+            let is_different = entry.message.as_deref().is_some_and(|known| *known != *message);
+            match is_different {
                 // Two clients' messages were given the same random identifier. The first one keeps it.
                 true => self.reject_full(connection, request),
                 false => self.handle_repeated_accept(connection, request, id, dispatcher),
@@ -61,14 +61,15 @@
 
     fn reject_full(&mut self, connection: ConnectionId, request: RequestNumber) {
         let reason =
-            AcceptRejection::Full { retry_after_ms: wire_millis(self.context.config.full_retry_after) };
+            AcceptRejection::Full { retry_after_ms: millis_u32(self.context.config.full_retry_after) };
         self.send_to_dispatcher(connection, ToDispatcher::Rejected { request, reason });
     }
 
     fn is_full(&self, message: &Message) -> bool {
         let bytes = self.table.bytes() + message_bytes(message) as u64;
-        let is_short = bytes > self.context.config.memory_bytes || bytes > self.context.config.disk_bytes;
-        is_short || self.table.live() >= self.context.config.max_live_messages
+        let exceeds_byte_limit =
+            bytes > self.context.config.memory_bytes || bytes > self.context.config.disk_bytes;
+        exceeds_byte_limit || self.table.live() >= self.context.config.max_live_messages
     }
 
     /// Adds a new message to the table.
@@ -77,7 +78,7 @@
         let sequence = self
             .primary_terms
             .get_mut(id.shard)
-            .map(|primary_term| primary_term.sequence())
+            .map(|primary_term| primary_term.next_sequence())
             .unwrap_or_default();
         if let Some(key) = &message.order_key {
             self.keys.add(key, sequence, id);
@@ -121,7 +122,7 @@
         request: RequestNumber,
         id: MessageId,
     ) {
-        let dispatcher = self.dispatchers.of(connection);
+        let dispatcher = self.dispatchers.dispatcher_of(connection);
         let lease =
             self.lease_of(id).filter(|lease| Some(lease.dispatcher) == dispatcher && !lease.is_notified);
         if let Some(lease) = lease {
@@ -145,13 +146,13 @@
         if !self.primary_terms.is_serving(id.shard) {
             return;
         }
-        let dispatcher = self.dispatchers.of(connection);
+        let dispatcher = self.dispatchers.dispatcher_of(connection);
         match self.table.get(id) {
             None => self.insert_tombstone(id),
             Some(entry) => {
-                let is_unrun =
-                    entry.primary.as_ref().is_some_and(|primary| primary.was_run_at_most_by(dispatcher));
-                let may_answer = is_unrun && entry.failed_attempts == 0;
+                let ran_nowhere_else =
+                    entry.primary.as_ref().is_some_and(|primary| primary.can_only_have_run_at(dispatcher));
+                let may_answer = ran_nowhere_else && entry.failed_attempts == 0;
                 match &entry.end {
                     None => self.withdraw_message(id),
                     Some(End::Withdrawn) => {}
@@ -177,7 +178,7 @@
         let now = self.context.now;
         self.table.change(id, now, |entry| {
             entry.end = Some(End::Withdrawn);
-            entry.ended = now;
+            entry.ended_at = now;
             entry.primary = Some(Box::new(PrimaryEntry::new(Stage::Ended, now)));
         });
         self.mark_full_state_changed(id);
--- a/system/state/queue/src/node/attempts.rs
+++ b/system/state/queue/src/node/attempts.rs
@@ -16,7 +16,7 @@
 const MIN_RETURN_DELAY: Duration = Duration::from_millis(10);
 /// Number of unknown outcomes of one message that are retried without a back-off. The back-off doubles with
 /// each further one.
-const UNKNOWN_ENDS_WITHOUT_BACKOFF: u32 = 2;
+const UNKNOWN_OUTCOMES_WITHOUT_BACKOFF: u32 = 2;
 /// Percentage of a back-off that is randomized, so that attempts that failed together are not retried together.
 const JITTER_PERCENT: u64 = 50;
 /// A back-off takes at most one part in this many of the time that is left until the target start time.
@@ -39,16 +39,16 @@
             return;
         }
         let is_current = self.lease_of(id).is_some_and(|lease| lease.token == token);
-        let reporter = self.dispatchers.of(connection);
+        let reporter = self.dispatchers.dispatcher_of(connection);
         if let Some(primary) = self.table.primary_mut(id) {
-            primary.set_reporter(reporter);
+            primary.set_last_reporter(reporter);
         }
         match outcome {
-            AttemptOutcome::Succeeded { signature } => self.succeeded(id, token, signature),
+            AttemptOutcome::Succeeded { signature } => self.handle_success(id, token, signature),
             // A worker gave this answer, so it counts even if the message has been granted to another
             // dispatcher since.
             AttemptOutcome::Refused => self.end_as_dead_letter(id),
-            AttemptOutcome::Failed if is_current => self.attempt_failed(id, token),
+            AttemptOutcome::Failed if is_current => self.handle_failure(id, token),
             AttemptOutcome::Failed => self.count_failure(id, token),
             _ if !is_current => {}
             AttemptOutcome::RouteGone => self.end_as_dead_letter(id),
@@ -59,7 +59,7 @@
             }
             AttemptOutcome::Unknown { retry_after_ms } => {
                 let retry_after = Duration::from_millis(u64::from(retry_after_ms));
-                let wait = self.count_unknown_end(id).max(retry_after);
+                let wait = self.count_unknown_outcome(id).max(retry_after);
                 self.return_lease(id, reporter, wait);
                 self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
                 return;
@@ -81,11 +81,11 @@
     ///
     /// The run may have failed and its answer been lost. Such attempts do not count towards the maximum number
     /// of attempts, so the back-off keeps a message that repeatedly ends this way from cycling in a tight loop.
-    pub(super) fn count_unknown_end(&mut self, id: MessageId) -> Duration {
+    pub(super) fn count_unknown_outcome(&mut self, id: MessageId) -> Duration {
         let Some(primary) = self.table.primary_mut(id) else {
             return Duration::ZERO;
         };
-        let counted = primary.count_unknown_end().saturating_sub(UNKNOWN_ENDS_WITHOUT_BACKOFF);
+        let counted = primary.count_unknown_outcome().saturating_sub(UNKNOWN_OUTCOMES_WITHOUT_BACKOFF);
         if counted == 0 {
             return Duration::ZERO;
         }
@@ -101,7 +101,7 @@
 
     /// Ends a message as completed. A success counts whichever dispatcher reports it and under whatever lease
     /// it ran.
-    fn succeeded(&mut self, id: MessageId, token: LeaseToken, signature: String) {
+    fn handle_success(&mut self, id: MessageId, token: LeaseToken, signature: String) {
         let is_completed = |entry: &Entry| matches!(entry.end, Some(End::Completed { .. }));
         if self.table.get(id).is_some_and(is_completed) {
             return;
@@ -123,7 +123,7 @@
     }
 
     /// Handles the failure of an attempt under the current lease: the message backs off until its next attempt.
-    fn attempt_failed(&mut self, id: MessageId, token: LeaseToken) {
+    fn handle_failure(&mut self, id: MessageId, token: LeaseToken) {
         self.unschedule(id, Stage::Persisting);
         self.count_failure(id, token);
         let is_over = self.table.get(id).is_none_or(|entry| entry.end.is_some());
@@ -164,12 +164,12 @@
     pub(super) fn end_if_exhausted(&mut self, id: MessageId) -> bool {
         let Some(entry) = self.table.get(id) else { return false };
         let max_attempts = entry.message.as_ref().map_or(0, |message| message.max_attempts);
-        let is_spent =
+        let is_exhausted =
             entry.end.is_none() && entry.failed_attempts > 0 && entry.failed_attempts >= max_attempts;
-        if is_spent {
+        if is_exhausted {
             self.end_as_dead_letter(id);
         }
-        is_spent
+        is_exhausted
     }
 
     /// Back-off before the next attempt: exponential with jitter, and short enough to still allow a start on
@@ -213,7 +213,7 @@
     /// Ends a message. What follows from its end happens once the end is durable.
     pub(super) fn end_message(&mut self, id: MessageId, end: End) {
         self.unschedule(id, Stage::Ended);
-        self.remember_order_key(id);
+        self.save_order_key(id);
         self.apply_record(id, Record::Ended { id, end });
         self.when_durable(id, Effect::ContinueAfterEnd);
         self.set_expiry(id);
@@ -221,7 +221,7 @@
 
     /// Saves the order key of the message, which is needed when the end is durable, before the message itself
     /// may be freed.
-    fn remember_order_key(&mut self, id: MessageId) {
+    fn save_order_key(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let key = entry.order_key().map(str::to_owned);
         if let (Some(primary), Some(key)) = (entry.primary.as_mut(), key) {
@@ -235,7 +235,7 @@
         let Some(entry) = self.table.get_mut(id) else { return };
         let sequence = entry.sequence;
         let key = entry.primary.as_mut().and_then(|primary| primary.take_ended_key());
-        let next = key.and_then(|key| self.keys.end(&key, sequence, id));
+        let next = key.and_then(|key| self.keys.remove_ended(&key, sequence, id));
         if let Some(next) = next {
             self.schedule_next_of_key(next);
         }
@@ -253,6 +253,6 @@
 /// Randomizes [`JITTER_PERCENT`] of a span, keeping its mean.
 fn with_jitter(span: Duration, random: &mut fastrand::Rng) -> Duration {
     let span_ms = millis(span);
-    let drawn_ms = span_ms * JITTER_PERCENT / 100;
-    Duration::from_millis(span_ms - drawn_ms / 2 + random.u64(0..=drawn_ms))
+    let jitter_ms = span_ms * JITTER_PERCENT / 100;
+    Duration::from_millis(span_ms - jitter_ms / 2 + random.u64(0..=jitter_ms))
 }
--- a/system/state/queue/src/node/callbacks.rs
+++ b/system/state/queue/src/node/callbacks.rs
@@ -28,12 +28,12 @@
     /// Grants all call-backs that may be made now.
     pub(super) fn grant_callbacks(&mut self) {
         while let Some(receiver) = self.callbacks.next_runnable() {
-            while let Some(id) = self.callbacks.next(receiver, self.context.now) {
+            while let Some(id) = self.callbacks.next_due(receiver, self.context.now) {
                 if !self.grant_callback(id) {
                     return;
                 }
             }
-            if let Some(at) = self.callbacks.next_time(receiver).filter(|at| *at > self.context.now) {
+            if let Some(at) = self.callbacks.next_due_at(receiver).filter(|at| *at > self.context.now) {
                 self.context.timers.set(at, Timer::ReceiverReady(receiver));
             }
         }
@@ -42,8 +42,8 @@
     fn grant_callback(&mut self, id: MessageId) -> bool {
         let Some(dispatcher) = self.callback_dispatcher(id) else { return false };
         let Some(connection) = self.dispatchers.connection_of(dispatcher) else { return false };
-        let Some(token) = self.token(id) else { return false };
-        self.callbacks.take(id, CallbackLease { dispatcher, token, granted_at: self.context.now });
+        let Some(token) = self.next_token(id) else { return false };
+        self.callbacks.start(id, CallbackLease { dispatcher, token, granted_at: self.context.now });
         if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
             incarnation.add_callback(id);
         }
@@ -57,7 +57,7 @@
     fn callback_dispatcher(&self, id: MessageId) -> Option<DispatcherId> {
         let entry = self.table.get(id)?;
         let url = entry.message.as_ref()?.callback_url.as_deref()?;
-        let reporter = entry.primary.as_ref()?.reporter();
+        let reporter = entry.primary.as_ref()?.last_reporter();
         let homes = self
             .dispatchers
             .home_dispatchers(receiver_of(url), self.context.config.home_dispatchers_per_receiver);
@@ -117,7 +117,7 @@
         if !done {
             if lease.is_some() {
                 let retry_after = Duration::from_millis(u64::from(retry_after_ms));
-                self.callbacks.failed(id, retry_after, self.context.now, &self.context.config);
+                self.callbacks.handle_failure(id, retry_after, self.context.now, &self.context.config);
             }
             self.send_to_dispatcher(connection, ToDispatcher::Recorded { id, token });
             return;
@@ -131,15 +131,15 @@
     }
 
     fn complete_callback(&mut self, id: MessageId) {
-        self.forget_callback_lease(id);
-        self.callbacks.done(id, &self.context.config);
+        self.remove_callback_lease(id);
+        self.callbacks.handle_success(id, &self.context.config);
         if self.table.get(id).is_some_and(|entry| !entry.callback_done) {
             self.apply_record(id, Record::CallbackDone { id });
             self.set_expiry(id);
         }
     }
 
-    pub(super) fn forget_callback_lease(&mut self, id: MessageId) {
+    pub(super) fn remove_callback_lease(&mut self, id: MessageId) {
         let lease = self.callbacks.lease(id);
         if let Some(incarnation) = lease.and_then(|lease| self.dispatchers.get_mut(lease.dispatcher)) {
             incarnation.remove_callback(id);
@@ -148,9 +148,9 @@
 
     /// Removes a call-back that is not due any more, or not at this store.
     pub(super) fn remove_callback(&mut self, id: MessageId) {
-        self.forget_callback_lease(id);
-        if let Some(lease) = self.callbacks.drop(id) {
-            self.dispatchers.forget_if_gone(lease.dispatcher);
+        self.remove_callback_lease(id);
+        if let Some(lease) = self.callbacks.cancel(id) {
+            self.dispatchers.remove_if_unused(lease.dispatcher);
         }
     }
 }
--- a/system/state/queue/src/node/connections.rs
+++ b/system/state/queue/src/node/connections.rs
@@ -47,7 +47,8 @@
 
     /// Gives a dispatcher credit for every service, so that messages may be granted to it.
     fn open_credits(&mut self, dispatcher: DispatcherId) {
-        let Some(incarnation) = self.dispatchers.get(dispatcher).filter(|incarnation| incarnation.is_open())
+        let Some(incarnation) =
+            self.dispatchers.get(dispatcher).filter(|incarnation| incarnation.accepts_grants())
         else {
             return;
         };
@@ -68,7 +69,7 @@
     /// did not announce again.
     fn reconcile_unconfirmed_leases(&mut self, dispatcher: DispatcherId) {
         let Some(incarnation) = self.dispatchers.get(dispatcher) else { return };
-        for id in incarnation.unconfirmed() {
+        for id in incarnation.unconfirmed_leases() {
             self.reconcile_lease(dispatcher, id);
         }
     }
@@ -123,7 +124,7 @@
         let Some(incarnation) = self.dispatchers.get_mut(dispatcher) else { return };
         let leases = incarnation.expect_confirmations(until);
         for id in incarnation.take_callbacks() {
-            self.callbacks.give_back(id, self.context.now);
+            self.callbacks.release(id, self.context.now);
         }
         for id in leases {
             if self.lease_of(id).is_some_and(|lease| !lease.is_notified) {
@@ -131,26 +132,26 @@
             }
         }
         self.context.timers.set(until, Timer::UnconfirmedLeases(dispatcher));
-        self.dispatchers.forget_if_gone(dispatcher);
+        self.dispatchers.remove_if_unused(dispatcher);
     }
 
     /// Schedules messages again whose leases a dispatcher did not confirm in time.
-    pub(super) fn release_unconfirmed(&mut self, dispatcher: DispatcherId) {
+    pub(super) fn reschedule_unconfirmed_leases(&mut self, dispatcher: DispatcherId) {
         let overdue = self
             .dispatchers
             .get(dispatcher)
-            .map(|incarnation| incarnation.overdue(self.context.now))
+            .map(|incarnation| incarnation.lapsed_leases(self.context.now))
             .unwrap_or_default();
         for id in overdue {
-            let wait = self.count_unknown_end(id);
+            let wait = self.count_unknown_outcome(id);
             self.reschedule(id, wait);
         }
-        self.dispatchers.forget_if_gone(dispatcher);
+        self.dispatchers.remove_if_unused(dispatcher);
     }
 
     /// Handles the shutdown of a dispatcher: no further messages are granted to it, and it keeps its leases.
     pub(super) fn handle_dispatcher_shutdown(&mut self, connection: ConnectionId) {
-        let Some(dispatcher) = self.dispatchers.of(connection) else { return };
+        let Some(dispatcher) = self.dispatchers.dispatcher_of(connection) else { return };
         if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
             incarnation.set_shutting_down();
         }
@@ -160,9 +161,9 @@
     /// Handles the limits of concurrent deliveries that a dispatcher announces. Services that are not named
     /// keep their limits.
     pub(super) fn handle_credits(&mut self, connection: ConnectionId, credits: &[ServiceCredit]) {
-        let Some(dispatcher) = self.dispatchers.of(connection) else { return };
+        let Some(dispatcher) = self.dispatchers.dispatcher_of(connection) else { return };
         for ServiceCredit { service, limit } in credits {
-            let index = self.service(service);
+            let index = self.find_or_add_service(service);
             if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
                 incarnation.set_limit(index, *limit);
             }
--- a/system/state/queue/src/node/expiry.rs
+++ b/system/state/queue/src/node/expiry.rs
@@ -27,7 +27,7 @@
     }
     let callback_retention =
         if entry.has_pending_callback() { config.callback_retention } else { Duration::ZERO };
-    let needed_until = entry.ended + status_retention.max(callback_retention);
+    let needed_until = entry.ended_at + status_retention.max(callback_retention);
     needed_until.max(entry.retention_end() + config.forget_margin).rounded_up(FORGET_STEP)
 }
 
@@ -51,27 +51,27 @@
         entry.expiry = None;
         let is_over = entry.end.is_some() || entry.primary.is_none();
         if is_over && !self.replication.is_pending(id) {
-            self.forget(id);
+            self.remove_message(id);
         } else if is_over {
             self.context.timers.set(self.context.now + FORGET_STEP, Timer::Expiry(id));
         } else if self.primary_terms.is_serving(id.shard) {
-            self.retention_over(id);
+            self.handle_retention_over(id);
         } else {
             self.set_expiry(id);
         }
     }
 
-    fn retention_over(&mut self, id: MessageId) {
+    fn handle_retention_over(&mut self, id: MessageId) {
         if let Some(lease) = self.lease_of(id) {
             self.revoke(id, lease.token);
         }
         self.end_message(id, End::DeadLetter);
     }
 
-    fn forget(&mut self, id: MessageId) {
+    fn remove_message(&mut self, id: MessageId) {
         self.remove_callback(id);
         self.table.remove(id);
-        self.replication.forget(id);
+        self.replication.cancel_repair(id);
         self.context.outputs.push(Output::Released { id });
     }
 }
--- a/system/state/queue/src/node/grants.rs
+++ b/system/state/queue/src/node/grants.rs
@@ -16,18 +16,18 @@
 /// Time after which a grant that becomes durable counts as late. A late grant takes a second permit of its
 /// service's rate limit when its dispatcher is notified, because all grants that waited with it are delivered
 /// at the same time.
-const LATE_GRANT: Duration = Duration::from_millis(50);
+const LATE_GRANT_AFTER: Duration = Duration::from_millis(50);
 
 impl StoreNode {
     /// Returns the index of a service. A new service is added, and every dispatcher that accepts grants gets
     /// credit for it.
-    pub(super) fn service(&mut self, name: &str) -> ServiceIndex {
+    pub(super) fn find_or_add_service(&mut self, name: &str) -> ServiceIndex {
         if let Some(index) = self.services.find(name) {
             return index;
         }
         let index = self.services.add(name);
         for (dispatcher, incarnation) in
-            self.dispatchers.iter().filter(|(_, incarnation)| incarnation.is_open())
+            self.dispatchers.iter().filter(|(_, incarnation)| incarnation.accepts_grants())
         {
             let limit = incarnation.limit_of(index).unwrap_or(self.context.config.default_credit);
             self.services.get_mut(index).credits_mut().open(dispatcher, limit, incarnation.distance());
@@ -69,11 +69,11 @@
     fn make_ready(&mut self, id: MessageId) {
         let Some(message) = self.table.get(id).and_then(|entry| entry.message.as_ref()) else { return };
         let (name, priority) = (message.service.clone(), message.priority);
-        let service = self.service(&name);
+        let service = self.find_or_add_service(&name);
         let Some(entry) = self.table.get(id) else { return };
         let (due, start_by) = (entry.due(), entry.start_by());
-        let late = start_by < self.context.now;
-        let key = ReadyKey { priority, late, due, sequence: entry.sequence, id, start_by, service };
+        let is_late = start_by < self.context.now;
+        let key = ReadyKey { priority, is_late, due, sequence: entry.sequence, id, start_by, service };
         self.set_stage(id, Stage::Ready(key));
         self.services.get_mut(service).insert_ready(key);
         self.services.mark_runnable(service);
@@ -97,18 +97,18 @@
         match primary.stage() {
             Stage::Ready(key) => self.services.get_mut(key.service).remove(key),
             Stage::BackingOff { until } => self.context.timers.clear(until, Timer::BackoffOver(id)),
-            Stage::InFlight(lease) => self.drop_lease(id, lease),
+            Stage::InFlight(lease) => self.release_lease(id, lease),
             Stage::Persisting | Stage::WaitingForKey | Stage::Ended => {}
         }
         self.set_stage(id, stage);
     }
 
     /// Removes the lease from its dispatcher and returns the credit.
-    fn drop_lease(&mut self, id: MessageId, lease: Lease) {
+    fn release_lease(&mut self, id: MessageId, lease: Lease) {
         if let Some(incarnation) = self.dispatchers.get_mut(lease.dispatcher) {
             incarnation.remove_lease(id);
         }
-        self.dispatchers.forget_if_gone(lease.dispatcher);
+        self.dispatchers.remove_if_unused(lease.dispatcher);
         if let Some(service) = self.service_of(id) {
             self.services.get_mut(service).credits_mut().release(lease.dispatcher);
             self.release_unnotified(service, lease);
@@ -129,16 +129,16 @@
     }
 
     /// Records a lease of a dispatcher, which uses one of its credits.
-    fn take_lease(&mut self, id: MessageId, lease: Lease, confirmation: LeaseConfirmation) {
+    fn record_lease(&mut self, id: MessageId, lease: Lease, confirmation: LeaseConfirmation) {
         self.set_stage(id, Stage::InFlight(lease));
         let now = self.context.now;
-        self.dispatchers.add(lease.dispatcher, now).add_lease(id, confirmation);
+        self.dispatchers.find_or_add(lease.dispatcher, now).add_lease(id, confirmation);
         let Some(name) =
             self.table.get(id).and_then(|entry| entry.message.as_ref()).map(|m| m.service.clone())
         else {
             return;
         };
-        let service = self.service(&name);
+        let service = self.find_or_add_service(&name);
         let service = self.services.get_mut(service);
         service.credits_mut().reserve(lease.dispatcher);
         if !lease.is_notified {
@@ -149,13 +149,13 @@
     /// Grants all messages whose grant has become possible since the last call.
     pub(super) fn grant_runnable_services(&mut self) {
         while let Some(service) = self.services.next_runnable() {
-            while self.grant_first(service) {}
+            while self.grant_first_ready(service) {}
         }
     }
 
     /// Grants the first ready message of a service, if a dispatcher has free credit and the rate limit allows
     /// it. Returns whether a message was granted.
-    pub(super) fn grant_first(&mut self, index: ServiceIndex) -> bool {
+    pub(super) fn grant_first_ready(&mut self, index: ServiceIndex) -> bool {
         let now = self.context.now;
         let service = self.services.get_mut(index);
         let Some(key) = service.first_ready(now) else { return false };
@@ -164,16 +164,16 @@
         let acceptor = primary.and_then(|primary| primary.accepted_by()).map(|acceptor| acceptor.dispatcher);
         let acceptor = acceptor.filter(|dispatcher| Some(*dispatcher) != returned_by);
         let preferred = acceptor.filter(|dispatcher| service.credits().has_free(*dispatcher));
-        let home = self.home_for(key.id, index, acceptor, returned_by);
-        let others = || self.services.get(index).credits().best_except(returned_by);
-        let Some(dispatcher) = home.or(preferred).or_else(others) else { return false };
+        let home = self.choose_home_dispatcher(key.id, index, acceptor, returned_by);
+        let best_other = || self.services.get(index).credits().best_except(returned_by);
+        let Some(dispatcher) = home.or(preferred).or_else(best_other) else { return false };
         if !self.take_permit(index) {
             return false;
         }
         self.services.get_mut(index).remove(key);
-        let Some(token) = self.token(key.id) else { return false };
+        let Some(token) = self.next_token(key.id) else { return false };
         let grant = Grant { dispatcher, token };
-        self.take_lease(
+        self.record_lease(
             key.id,
             Lease { dispatcher, token, is_notified: false, granted_at: self.context.now },
             LeaseConfirmation::Confirmed,
@@ -189,7 +189,7 @@
     /// The number of home dispatchers is small, so that a worker which accepts few connections is not used by
     /// all dispatchers, and the next message of a key does not wait for a distant dispatcher.
     /// Returns `None` if any dispatcher may get the message, or if no home dispatcher has free credit.
-    fn home_for(
+    fn choose_home_dispatcher(
         &self,
         id: MessageId,
         index: ServiceIndex,
@@ -209,13 +209,13 @@
             .into_iter()
             .filter(has_capacity)
             .collect();
-        let own = acceptor.filter(|acceptor| homes.contains(acceptor));
-        own.or_else(|| homes.into_iter().max_by_key(|home| service.credits().free(*home)))
+        let acceptor_home = acceptor.filter(|acceptor| homes.contains(acceptor));
+        acceptor_home.or_else(|| homes.into_iter().max_by_key(|home| service.credits().free(*home)))
     }
 
     /// Allocates a lease token in the shard's current term.
-    pub(super) fn token(&mut self, id: MessageId) -> Option<LeaseToken> {
-        self.primary_terms.get_mut(id.shard).map(|primary_term| primary_term.token())
+    pub(super) fn next_token(&mut self, id: MessageId) -> Option<LeaseToken> {
+        self.primary_terms.get_mut(id.shard).map(|primary_term| primary_term.next_token())
     }
 
     /// Takes a permit of the service's rate limit, or sets a timer for the next one. Returns whether a permit
@@ -248,22 +248,22 @@
         if key.is_some_and(|key| !self.keys.activate(&key, id)) {
             return;
         }
-        let index = self.service(&name);
+        let index = self.find_or_add_service(&name);
         let service = self.services.get(index);
         // A message without an order key or rate limit is granted to the dispatcher that sent it, even beyond
         // its credit. That dispatcher already has the body, and if this store is too slow it can withdraw the
         // message knowing that no other dispatcher has run it.
-        let is_bound = service.has_rate_limit() || is_ordered;
-        let dispatcher = match is_bound {
-            false => Some(dispatcher).filter(|dispatcher| service.credits().is_open(*dispatcher)),
+        let is_ordered_or_limited = service.has_rate_limit() || is_ordered;
+        let dispatcher = match is_ordered_or_limited {
+            false => Some(dispatcher).filter(|dispatcher| service.credits().accepts_grants(*dispatcher)),
             true if service.has_ready() => None,
             true => self
-                .home_for(id, index, Some(dispatcher), None)
+                .choose_home_dispatcher(id, index, Some(dispatcher), None)
                 .or_else(|| Some(dispatcher).filter(|dispatcher| service.credits().has_free(*dispatcher))),
         };
         let Some(dispatcher) = dispatcher.filter(|_| self.take_permit(index)) else { return };
-        let Some(token) = self.token(id) else { return };
-        self.take_lease(
+        let Some(token) = self.next_token(id) else { return };
+        self.record_lease(
             id,
             Lease { dispatcher, token, is_notified: false, granted_at: self.context.now },
             LeaseConfirmation::Confirmed,
@@ -291,7 +291,7 @@
         }
         let Some(service) = self.service_of(id) else { return };
         self.release_unnotified(service, lease);
-        let is_late = self.context.now.saturating_duration_since(lease.granted_at) > LATE_GRANT;
+        let is_late = self.context.now.saturating_duration_since(lease.granted_at) > LATE_GRANT_AFTER;
         if is_late {
             self.services.get_mut(service).borrow_permit(self.context.now);
         }
@@ -309,7 +309,7 @@
     fn send_delivery(&mut self, connection: ConnectionId, id: MessageId, token: LeaseToken, with_body: bool) {
         let Some(entry) = self.table.get(id) else { return };
         let message: Option<Box<Message>> = entry.message.clone().filter(|_| with_body);
-        let age_ms = millis(self.context.now.saturating_duration_since(entry.received));
+        let age_ms = millis(self.context.now.saturating_duration_since(entry.received_at));
         let failed_attempts = entry.failed_attempts;
         self.send_to_dispatcher(
             connection,
@@ -319,7 +319,7 @@
 
     /// Handles the request of a dispatcher that does not have the body of a message that was granted to it.
     pub(super) fn handle_need_body(&mut self, connection: ConnectionId, id: MessageId, token: LeaseToken) {
-        let dispatcher = self.dispatchers.of(connection);
+        let dispatcher = self.dispatchers.dispatcher_of(connection);
         let lease =
             self.lease_of(id).filter(|lease| lease.token == token && Some(lease.dispatcher) == dispatcher);
         if lease.is_some() {
@@ -363,7 +363,7 @@
         }
         let key = self.table.get(id).and_then(Entry::order_key).map(str::to_owned);
         if let Some(key) = key {
-            self.keys.adopt(&key, id);
+            self.keys.set_active(&key, id);
         }
         let confirmation = if is_announced == Some(true) {
             LeaseConfirmation::Confirmed
@@ -376,7 +376,7 @@
             is_notified: true,
             granted_at: self.context.now,
         };
-        self.take_lease(id, lease, confirmation);
+        self.record_lease(id, lease, confirmation);
         self.context.timers.set(until, Timer::UnconfirmedLeases(grant.dispatcher));
     }
 }
--- a/system/state/queue/src/node/mod.rs
+++ b/system/state/queue/src/node/mod.rs
@@ -25,8 +25,8 @@
 use crate::primary_term::PrimaryTerms;
 use crate::promises::Promises;
 use crate::replication::Replication;
-use crate::scheduling::{is_limiting, Keys, Services};
-use crate::time::{wire_millis, Instant};
+use crate::scheduling::{is_limiting, OrderKeys, Services};
+use crate::time::{millis_u32, Instant};
 use crate::timers::Timer;
 use millrudder_protocol::control::StoreHealth;
 use millrudder_protocol::message::MessageState;
@@ -54,7 +54,7 @@
     /// Ready messages, credits and rate limits by service.
     services: Services,
     /// Queues of messages by order key.
-    keys: Keys,
+    keys: OrderKeys,
     dispatchers: Dispatchers,
     callbacks: Callbacks,
     watchdog: Watchdog,
@@ -80,7 +80,7 @@
             primary_terms: PrimaryTerms::default(),
             replication: Replication::new(),
             services: Services::default(),
-            keys: Keys::default(),
+            keys: OrderKeys::default(),
             dispatchers: Dispatchers::default(),
             callbacks: Callbacks::default(),
             watchdog: Watchdog::default(),
@@ -152,7 +152,7 @@
             match timer {
                 Timer::BackoffOver(id) => self.handle_backoff_over(id),
                 Timer::Expiry(id) => self.handle_expiry(id),
-                Timer::UnconfirmedLeases(dispatcher) => self.release_unconfirmed(dispatcher),
+                Timer::UnconfirmedLeases(dispatcher) => self.reschedule_unconfirmed_leases(dispatcher),
                 Timer::PermitAvailable(service) => self.handle_permit_due(service),
                 Timer::ReceiverReady(receiver) => {
                     self.callbacks.mark_runnable(receiver);
@@ -233,7 +233,7 @@
     fn handle_rates(&mut self, rates: &[ServiceRate]) {
         let mut by_service = BTreeMap::new();
         for rate in rates.iter().filter(|rate| is_limiting(rate)) {
-            by_service.insert(self.service(&rate.service), rate.per_second);
+            by_service.insert(self.find_or_add_service(&rate.service), rate.per_second);
         }
         self.services.set_rates(&by_service, self.context.now);
     }
@@ -260,7 +260,7 @@
         let now = Instant::from(now).max(self.context.now);
         let serving = self.primary_terms.serving_shards().len();
         StoreHealth {
-            oldest_unsynced_ms: wire_millis(self.replication.oldest_unsynced(now)),
+            oldest_unsynced_ms: millis_u32(self.replication.oldest_unsynced(now)),
             disk_bytes: self.table.bytes(),
             live_messages: self.table.live(),
             is_shutting_down: self.is_shutting_down,
--- a/system/state/queue/src/node/replica.rs
+++ b/system/state/queue/src/node/replica.rs
@@ -40,7 +40,7 @@
         for record in &records {
             self.apply_replicated_record(record.clone());
         }
-        let on_synced = SyncAction::Write { store: from, number };
+        let on_synced = SyncAction::AcknowledgeWrite { store: from, number };
         self.replication.append_records(&mut self.context, records, on_synced);
     }
 
@@ -84,7 +84,7 @@
             return;
         }
         self.yield_to(shard, term);
-        self.append_promise(shard, term, SyncAction::Promise { store: from, shard, term });
+        self.append_promise(shard, term, SyncAction::SendSnapshot { store: from, shard, term });
     }
 
     /// Handles the primary's message that this learner has caught up with the shard.
--- a/system/state/queue/src/node/replication.rs
+++ b/system/state/queue/src/node/replication.rs
@@ -39,8 +39,8 @@
     }
 
     /// Queues a message for further stores, if too few have it or can be expected to have it soon.
-    pub(super) fn assign_replicas(&mut self, id: MessageId) {
-        self.replication.assign_replicas(&mut self.context, &mut self.table, &self.primary_terms, id);
+    pub(super) fn assign_more_replicas(&mut self, id: MessageId) {
+        self.replication.assign_more_replicas(&mut self.context, &mut self.table, &self.primary_terms, id);
     }
 
     /// Queues for the learner of a served shard all messages that it lacks.
@@ -80,10 +80,12 @@
         for action in self.replication.handle_local_synced(ticket) {
             match action {
                 SyncAction::Nothing => {}
-                SyncAction::Own(sent) => self.handle_own_synced(sent),
-                SyncAction::Write { store, number } => coalesce_written(&mut written, store, number),
-                SyncAction::OwnPromise { shard, term } => self.handle_own_promise_synced(shard, term),
-                SyncAction::Promise { store, shard, term } => {
+                SyncAction::CountLocalCopy(sent) => self.handle_own_synced(sent),
+                SyncAction::AcknowledgeWrite { store, number } => {
+                    coalesce_written(&mut written, store, number)
+                }
+                SyncAction::ContinueTakeover { shard, term } => self.handle_own_promise_synced(shard, term),
+                SyncAction::SendSnapshot { store, shard, term } => {
                     self.promises.start_transfer(&mut self.context, &self.table, store, shard, term);
                 }
             }
@@ -120,7 +122,7 @@
         for id in ids {
             self.update_durable_version(id);
             if self.replication.is_pending(id) {
-                self.assign_replicas(id);
+                self.assign_more_replicas(id);
             }
         }
         let learner = self.primary_terms.get(shard).and_then(|primary_term| primary_term.learner());
--- a/system/state/queue/src/node/takeover.rs
+++ b/system/state/queue/src/node/takeover.rs
@@ -64,7 +64,7 @@
             primary_term.add_own_copy(self.context.local_id, entry);
         }
         self.primary_terms.insert(shard, primary_term);
-        self.append_promise(shard, term, SyncAction::OwnPromise { shard, term });
+        self.append_promise(shard, term, SyncAction::ContinueTakeover { shard, term });
         self.send_prepare_to_all(shard);
     }
 
@@ -90,7 +90,7 @@
 
     /// Handles the sync of this store's own promise to the local disk.
     pub(super) fn handle_own_promise_synced(&mut self, shard: ShardId, term: Epoch) {
-        let Some(primary_term) = self.primary_terms.get_exact_mut(shard, term) else { return };
+        let Some(primary_term) = self.primary_terms.get_term_mut(shard, term) else { return };
         primary_term.set_own_promise_synced();
         self.try_serve(shard);
     }
@@ -104,7 +104,7 @@
         states: Vec<MessageState>,
         last: bool,
     ) {
-        let Some(primary_term) = self.primary_terms.get_exact_mut(shard, term) else { return };
+        let Some(primary_term) = self.primary_terms.get_term_mut(shard, term) else { return };
         let is_serving = primary_term.is_serving();
         for state in states.into_iter().filter(|state| state.id.shard == shard) {
             if is_serving {
@@ -151,7 +151,7 @@
             return false;
         };
         let record = Record::State { state: Box::new(entry.state(now)) };
-        let on_synced = SyncAction::Own(SentVersion { id, term, version });
+        let on_synced = SyncAction::CountLocalCopy(SentVersion { id, term, version });
         self.replication.append(&mut self.context, DiskRecord::Message { record }, on_synced);
         true
     }
@@ -171,18 +171,18 @@
     /// Starts to serve the shard if a read quorum has promised it and the own promise is synced.
     fn try_serve(&mut self, shard: ShardId) {
         let Some(primary_term) = self.primary_terms.get_mut(shard) else { return };
-        let own = primary_term.takeover().is_some_and(|takeover| takeover.is_own_promise_synced);
-        if !own || !primary_term.has_read_quorum(self.context.local_id) {
+        let has_own_promise = primary_term.takeover().is_some_and(|takeover| takeover.is_own_promise_synced);
+        if !has_own_promise || !primary_term.has_read_quorum(self.context.local_id) {
             return;
         }
-        let Some(takeover) = primary_term.take_takeover() else { return };
+        let Some(takeover) = primary_term.finish_takeover() else { return };
         for (id, recovered) in takeover.recovered {
             let merged = takeover.merged.get(&id).copied();
             self.create_primary_entry(id, &recovered, merged);
         }
         let placement = &self.context.placement;
-        let is_here = |service: &str| placement.shard_of(service) == Some(shard);
-        self.services.drain_rate_limits(is_here, self.context.now);
+        let is_on_shard = |service: &str| placement.shard_of(service) == Some(shard);
+        self.services.drain_rate_limits(is_on_shard, self.context.now);
         self.schedule_shard(shard);
         for withdrawal in takeover.withdrawals {
             self.handle_withdraw(withdrawal.connection, withdrawal.id);
@@ -217,7 +217,10 @@
             merged.map(|merged| ReplicaProgress { store: local_id, sent: version, acked: merged.synced });
         primary.set_recovered(version, holders.map(progress).chain(local).collect());
         if let Some(primary_term) = self.primary_terms.get_mut(id.shard) {
-            primary_term.count_past(entry.sequence, entry.grant.map(|grant| grant.token).unwrap_or_default());
+            primary_term.skip_issued_numbers(
+                entry.sequence,
+                entry.grant.map(|grant| grant.token).unwrap_or_default(),
+            );
             let durable_version = primary_term.durable_version(&primary);
             // No effects are pending yet.
             let _ = primary.advance_durable(durable_version);
@@ -229,7 +232,7 @@
         entry.primary = Some(Box::new(primary));
         if !is_durable {
             self.replication.mark_pending(id);
-            self.assign_replicas(id);
+            self.assign_more_replicas(id);
         }
         self.set_expiry(id);
     }
@@ -247,7 +250,7 @@
             self.adopt_grant(*id);
         }
         for (_, id) in &order {
-            self.resume(*id);
+            self.resume_message(*id);
         }
     }
 
@@ -270,7 +273,7 @@
     }
 
     /// Schedules a message, or if it has ended, continues with what follows its end.
-    fn resume(&mut self, id: MessageId) {
+    fn resume_message(&mut self, id: MessageId) {
         let Some(entry) = self.table.get_mut(id) else { return };
         let ended = entry.end.is_some();
         let Some(primary) = entry.primary.as_mut() else { return };
@@ -330,7 +333,7 @@
         self.create_primary_entry(id, &[RecoveredCopy { store: from, entry_version }], merged);
         self.enqueue_in_key(id);
         self.adopt_grant(id);
-        self.resume(id);
+        self.resume_message(id);
     }
 
     /// Ends this store's term as primary of a shard and drops all state that only a primary keeps.
--- a/system/state/queue/src/node/watchdog.rs
+++ b/system/state/queue/src/node/watchdog.rs
@@ -21,7 +21,7 @@
 const MIN_MESSAGES_PER_SCAN: u64 = 256;
 /// A message that is overdue by more than this is orphaned; timers normally fire within one iteration of the
 /// event loop.
-const LATE_AFTER: Duration = Duration::from_millis(500);
+const ORPHANED_AFTER: Duration = Duration::from_millis(500);
 
 /// State of the scan for orphaned messages.
 #[derive(Clone, Debug, Default)]
@@ -84,12 +84,13 @@
         let indexes: Vec<ServiceIndex> = self.services.indexes().collect();
         for index in indexes {
             let service = self.services.get_mut(index);
-            let waits_for_permit = service.permit_at().is_some_and(|at| at + LATE_AFTER > self.context.now);
+            let waits_for_permit =
+                service.permit_at().is_some_and(|at| at + ORPHANED_AFTER > self.context.now);
             let first = service.first_ready(self.context.now);
             if waits_for_permit || self.services.is_runnable(index) {
                 continue;
             }
-            while self.grant_first(index) {
+            while self.grant_first_ready(index) {
                 if let Some(key) = first {
                     self.report_orphan(key.id, OrphanCause::NotGranted);
                 }
@@ -102,8 +103,8 @@
     fn check_callbacks(&mut self) {
         let before = self.context.now - self.context.config.callback_timeout;
         for id in self.callbacks.granted_before(before) {
-            self.forget_callback_lease(id);
-            self.callbacks.give_back(id, self.context.now);
+            self.remove_callback_lease(id);
+            self.callbacks.release(id, self.context.now);
             self.report_orphan(id, OrphanCause::CallbackForgotten);
         }
         self.callbacks.mark_all_runnable();
@@ -117,7 +118,7 @@
             return None;
         }
         let is_durable = primary.is_durable();
-        let is_late = |at: Instant| self.context.now.saturating_duration_since(at) > LATE_AFTER;
+        let is_late = |at: Instant| self.context.now.saturating_duration_since(at) > ORPHANED_AFTER;
         match primary.stage() {
             Stage::Persisting if is_durable && !primary.has_pending_effects() => {
                 Some(OrphanCause::NotScheduled)
@@ -142,7 +143,7 @@
     fn has_no_holder(&self, id: MessageId, lease: Lease) -> bool {
         let confirmation =
             self.dispatchers.get(lease.dispatcher).and_then(|incarnation| incarnation.confirmation_of(id));
-        confirmation.is_none_or(|confirmation| confirmation.has_lapsed(self.context.now - LATE_AFTER))
+        confirmation.is_none_or(|confirmation| confirmation.has_lapsed(self.context.now - ORPHANED_AFTER))
     }
 
     fn reschedule_orphan(&mut self, id: MessageId, cause: OrphanCause) {
@@ -151,7 +152,7 @@
             OrphanCause::NotScheduled => self.schedule(id),
             OrphanCause::NotWoken => self.handle_backoff_over(id),
             OrphanCause::LeaseForgotten => {
-                let wait = self.count_unknown_end(id);
+                let wait = self.count_unknown_outcome(id);
                 self.reschedule(id, wait);
             }
             OrphanCause::CallbackNotScheduled => self.enqueue_callback(id),
--- a/system/state/queue/src/primary_entry.rs
+++ b/system/state/queue/src/primary_entry.rs
@@ -95,12 +95,12 @@
     /// The dispatchers that may have run it.
     possible_runners: PossibleRunners,
     /// Number of leases in this term that ended without a known outcome.
-    unknown_ends: u32,
+    unknown_outcomes: u32,
     /// The dispatcher that last returned it without an outcome that counts. Another one is preferred for the
     /// next grant, if it has free credit.
     returned_by: Option<DispatcherId>,
     /// The dispatcher that last reported an outcome. It is preferred for the call-back.
-    reporter: Option<DispatcherId>,
+    last_reporter: Option<DispatcherId>,
     /// The order key of an ended message. It stays in the key's queue until the end is durable, while the
     /// message itself may be freed earlier.
     ended_key: Option<String>,
@@ -112,7 +112,7 @@
     /// No dispatcher was notified.
     Nobody,
     /// Only this dispatcher was notified.
-    One(DispatcherId),
+    Only(DispatcherId),
     /// Several dispatchers were notified, or a former primary may have notified any.
     Unknown,
 }
@@ -120,17 +120,17 @@
 impl PossibleRunners {
     fn add(&mut self, dispatcher: DispatcherId) {
         *self = match *self {
-            PossibleRunners::Nobody => PossibleRunners::One(dispatcher),
-            PossibleRunners::One(known) if known == dispatcher => PossibleRunners::One(known),
-            PossibleRunners::One(_) | PossibleRunners::Unknown => PossibleRunners::Unknown,
+            PossibleRunners::Nobody => PossibleRunners::Only(dispatcher),
+            PossibleRunners::Only(known) if known == dispatcher => PossibleRunners::Only(known),
+            PossibleRunners::Only(_) | PossibleRunners::Unknown => PossibleRunners::Unknown,
         };
     }
 
     /// Whether no dispatcher other than this one can have run the message.
-    fn is_at_most(&self, dispatcher: Option<DispatcherId>) -> bool {
+    fn excludes_all_but(&self, dispatcher: Option<DispatcherId>) -> bool {
         match self {
             PossibleRunners::Nobody => true,
-            PossibleRunners::One(known) => Some(*known) == dispatcher,
+            PossibleRunners::Only(known) => Some(*known) == dispatcher,
             PossibleRunners::Unknown => false,
         }
     }
@@ -155,9 +155,9 @@
             not_before: now,
             accepted_by: None,
             possible_runners: PossibleRunners::Nobody,
-            unknown_ends: 0,
+            unknown_outcomes: 0,
             returned_by: None,
-            reporter: None,
+            last_reporter: None,
             ended_key: None,
         }
     }
@@ -189,15 +189,15 @@
     pub fn advance_durable(&mut self, version: u32) -> Vec<Effect> {
         self.durable = self.durable.max(version);
         let durable = self.durable;
-        let mut allowed = Vec::new();
+        let mut released = Vec::new();
         self.pending_effects.retain(|pending| {
-            let is_allowed = pending.version <= durable;
-            if is_allowed {
-                allowed.push(pending.effect.clone());
+            let is_released = pending.version <= durable;
+            if is_released {
+                released.push(pending.effect.clone());
             }
-            !is_allowed
+            !is_released
         });
-        allowed
+        released
     }
 
     /// Defers an effect until the latest version is durable. Returns the effect if that is the case already.
@@ -314,14 +314,14 @@
     }
 
     /// Whether no dispatcher other than this one can have run the message.
-    pub fn was_run_at_most_by(&self, dispatcher: Option<DispatcherId>) -> bool {
-        self.possible_runners.is_at_most(dispatcher)
+    pub fn can_only_have_run_at(&self, dispatcher: Option<DispatcherId>) -> bool {
+        self.possible_runners.excludes_all_but(dispatcher)
     }
 
     /// Counts a lease that ended without a known outcome, and returns the new count.
-    pub fn count_unknown_end(&mut self) -> u32 {
-        self.unknown_ends = self.unknown_ends.saturating_add(1);
-        self.unknown_ends
+    pub fn count_unknown_outcome(&mut self) -> u32 {
+        self.unknown_outcomes = self.unknown_outcomes.saturating_add(1);
+        self.unknown_outcomes
     }
 
     /// The dispatcher that last returned the message without an outcome that counts.
@@ -334,12 +334,12 @@
     }
 
     /// The dispatcher that last reported an outcome of the message.
-    pub fn reporter(&self) -> Option<DispatcherId> {
-        self.reporter
+    pub fn last_reporter(&self) -> Option<DispatcherId> {
+        self.last_reporter
     }
 
-    pub fn set_reporter(&mut self, dispatcher: Option<DispatcherId>) {
-        self.reporter = dispatcher;
+    pub fn set_last_reporter(&mut self, dispatcher: Option<DispatcherId>) {
+        self.last_reporter = dispatcher;
     }
 
     /// Saves the order key in whose queue the message stays until its end is durable.
--- a/system/state/queue/src/primary_term.rs
+++ b/system/state/queue/src/primary_term.rs
@@ -59,7 +59,7 @@
     }
 
     /// The term of the shard, if it has this number.
-    pub fn get_exact_mut(&mut self, shard: ShardId, number: Epoch) -> Option<&mut PrimaryTerm> {
+    pub fn get_term_mut(&mut self, shard: ShardId, number: Epoch) -> Option<&mut PrimaryTerm> {
         self.by_shard.get_mut(&shard).filter(|term| term.number == number)
     }
 
@@ -123,7 +123,7 @@
 }
 
 /// Number of low bits of a token or sequence number that hold the counter; the bits above hold the term.
-const COUNT_BITS: u32 = 32;
+const COUNTER_BITS: u32 = 32;
 
 impl PrimaryTerm {
     pub fn new(entry: &ShardEntry, tolerated_losses: u32) -> Self {
@@ -157,7 +157,7 @@
     }
 
     /// Ends the takeover and returns what it collected; the shard counts as served from now on.
-    pub fn take_takeover(&mut self) -> Option<Takeover> {
+    pub fn finish_takeover(&mut self) -> Option<Takeover> {
         self.takeover.take()
     }
 
@@ -257,13 +257,13 @@
         versions.min().unwrap_or(0)
     }
 
-    pub fn sequence(&mut self) -> Sequence {
+    pub fn next_sequence(&mut self) -> Sequence {
         let sequence = Sequence::new(self.number, self.next_sequence);
         self.next_sequence += 1;
         sequence
     }
 
-    pub fn token(&mut self) -> LeaseToken {
+    pub fn next_token(&mut self) -> LeaseToken {
         let token = LeaseToken::new(self.number, self.next_token);
         self.next_token += 1;
         token
@@ -271,12 +271,12 @@
 
     /// Advances the counters past numbers of this term found in a message, so that numbers which a former
     /// incarnation of this process issued are not issued again.
-    pub fn count_past(&mut self, sequence: Sequence, token: LeaseToken) {
-        let count_of = |number: u64| {
-            let is_own = number >> COUNT_BITS == self.number.0;
+    pub fn skip_issued_numbers(&mut self, sequence: Sequence, token: LeaseToken) {
+        let counter_of = |number: u64| {
+            let is_own = number >> COUNTER_BITS == self.number.0;
             u32::try_from(number & u64::from(u32::MAX)).ok().filter(|_| is_own).unwrap_or(0)
         };
-        let (sequence, token) = (count_of(sequence.0), count_of(token.0));
+        let (sequence, token) = (counter_of(sequence.0), counter_of(token.0));
         self.next_sequence = self.next_sequence.max(sequence.saturating_add(1));
         self.next_token = self.next_token.max(token.saturating_add(1));
     }
--- a/system/state/queue/src/replication/disk.rs
+++ b/system/state/queue/src/replication/disk.rs
@@ -13,19 +13,19 @@
     /// Nothing follows.
     Nothing,
     /// Counts the local copy of a version, of whose shard this store is the primary.
-    Own(SentVersion),
+    CountLocalCopy(SentVersion),
     /// Acknowledges a `Write` to the primary that sent it.
-    Write { store: StoreId, number: RequestNumber },
+    AcknowledgeWrite { store: StoreId, number: RequestNumber },
     /// Continues the takeover of a shard by this store: its own promise is synced.
-    OwnPromise { shard: ShardId, term: Epoch },
+    ContinueTakeover { shard: ShardId, term: Epoch },
     /// Sends a snapshot of the shard to the new primary to which it is promised.
-    Promise { store: StoreId, shard: ShardId, term: Epoch },
+    SendSnapshot { store: StoreId, shard: ShardId, term: Epoch },
 }
 
 #[derive(Clone, Debug)]
 struct Unsynced {
     ticket: Ticket,
-    at: Instant,
+    appended_at: Instant,
     on_synced: SyncAction,
 }
 
@@ -54,27 +54,27 @@
     ) {
         let ticket = self.next;
         self.next = Ticket(ticket.0 + 1);
-        self.unsynced.push_back(Unsynced { ticket, at: now, on_synced });
+        self.unsynced.push_back(Unsynced { ticket, appended_at: now, on_synced });
         outputs.push(Output::Append { ticket, record });
     }
 
     /// Handles the sync of everything up to `ticket`. Returns the actions that follow, in the order of the
     /// appends.
-    pub fn synced(&mut self, ticket: Ticket) -> Vec<SyncAction> {
-        let mut allowed = Vec::new();
+    pub fn handle_synced(&mut self, ticket: Ticket) -> Vec<SyncAction> {
+        let mut actions = Vec::new();
         while self.unsynced.front().is_some_and(|oldest| oldest.ticket <= ticket) {
             let Some(oldest) = self.unsynced.pop_front() else { break };
             self.overdue = self.overdue.saturating_sub(1);
-            allowed.push(oldest.on_synced);
+            actions.push(oldest.on_synced);
         }
-        allowed
+        actions
     }
 
     /// Cancels the acknowledgements of writes from a primary whose connection has closed. Each process numbers
     /// its own writes, so on the next connection the same numbers may refer to other writes.
-    pub fn forget_writes(&mut self, of: StoreId) {
+    pub fn cancel_write_acks(&mut self, of: StoreId) {
         for unsynced in &mut self.unsynced {
-            if matches!(unsynced.on_synced, SyncAction::Write { store, .. } if store == of) {
+            if matches!(unsynced.on_synced, SyncAction::AcknowledgeWrite { store, .. } if store == of) {
                 unsynced.on_synced = SyncAction::Nothing;
             }
         }
@@ -82,14 +82,14 @@
 
     /// Time at which the oldest append that is not overdue becomes overdue.
     pub fn deadline(&self, timeout: Duration) -> Option<Instant> {
-        self.unsynced.get(self.overdue).map(|next| next.at + timeout)
+        self.unsynced.get(self.overdue).map(|next| next.appended_at + timeout)
     }
 
     /// Versions written as primary whose appends have become overdue since the last call.
     pub fn take_overdue(&mut self, now: Instant, timeout: Duration) -> Vec<SentVersion> {
         let mut messages = Vec::new();
         while self.deadline(timeout).is_some_and(|deadline| deadline <= now) {
-            if let SyncAction::Own(sent) = self.unsynced[self.overdue].on_synced {
+            if let SyncAction::CountLocalCopy(sent) = self.unsynced[self.overdue].on_synced {
                 messages.push(sent);
             }
             self.overdue += 1;
@@ -103,7 +103,9 @@
 
     /// Time that the oldest append has been waiting for its sync.
     pub fn oldest_unsynced(&self, now: Instant) -> Duration {
-        self.unsynced.front().map_or(Duration::ZERO, |oldest| now.saturating_duration_since(oldest.at))
+        self.unsynced
+            .front()
+            .map_or(Duration::ZERO, |oldest| now.saturating_duration_since(oldest.appended_at))
     }
 
     /// Marks the disk as failed: nothing on it can be relied on any more.
--- a/system/state/queue/src/replication/mod.rs
+++ b/system/state/queue/src/replication/mod.rs
@@ -111,7 +111,7 @@
             return;
         }
         let mut batches = BTreeMap::new();
-        for changed in by_message(std::mem::take(&mut self.changes)) {
+        for changed in group_by_message(std::mem::take(&mut self.changes)) {
             self.flush_message(context, table, terms, changed, &mut batches);
         }
         for ((store, shard), batch) in batches {
@@ -153,11 +153,11 @@
             let batch = batches.entry((target, id.shard)).or_default();
             batch.add(records, sent);
         }
-        self.append_own(context, local, sent);
+        self.append_local(context, local, sent);
     }
 
-    fn append_own(&mut self, context: &mut Context, records: Vec<Record>, sent: SentVersion) {
-        self.append_records(context, records, SyncAction::Own(sent));
+    fn append_local(&mut self, context: &mut Context, records: Vec<Record>, sent: SentVersion) {
+        self.append_records(context, records, SyncAction::CountLocalCopy(sent));
     }
 
     /// Appends records to the local disk; `on_synced` is carried out once the last one is synced.
@@ -307,7 +307,7 @@
     }
 
     /// Cancels the repair of a message that is removed.
-    pub fn forget(&mut self, id: MessageId) {
+    pub fn cancel_repair(&mut self, id: MessageId) {
         for peer in self.peers.values_mut() {
             peer.remove_catch_up(id);
         }
@@ -324,7 +324,7 @@
     /// order of the appends.
     #[must_use]
     pub fn handle_local_synced(&mut self, ticket: Ticket) -> Vec<SyncAction> {
-        self.disk.synced(ticket)
+        self.disk.handle_synced(ticket)
     }
 
     /// Marks the local disk as failed: nothing on it can be relied on any more.
@@ -374,7 +374,7 @@
 }
 
 /// Groups changes by message, in the order of each message's first change.
-fn by_message(changes: Vec<Change>) -> Vec<ChangedMessage> {
+fn group_by_message(changes: Vec<Change>) -> Vec<ChangedMessage> {
     let mut positions = BTreeMap::new();
     let mut grouped: Vec<ChangedMessage> = Vec::with_capacity(changes.len());
     for Change { id, record } in changes {
--- a/system/state/queue/src/replication/repair.rs
+++ b/system/state/queue/src/replication/repair.rs
@@ -15,11 +15,11 @@
 
 /// Range from which the number of the first write to a store is drawn, once per incarnation of this process. It
 /// ends far below the largest number, so that numbers never overflow.
-const FIRST_NUMBERS: Range<u64> = 1..1 << 48;
+const FIRST_WRITE_NUMBERS: Range<u64> = 1..1 << 48;
 
 impl Replication {
     /// Queues a message for further stores, if too few have it or can be expected to have it soon.
-    pub fn assign_replicas(
+    pub fn assign_more_replicas(
         &mut self,
         context: &mut Context,
         table: &mut MessageTable,
@@ -28,7 +28,7 @@
     ) {
         let lacks = |primary: &PrimaryEntry| primary.progress_of(context.local_id).sent < primary.version();
         if table.primary(id).is_some_and(lacks) {
-            self.write_own_full_state(context, table, terms, id);
+            self.write_local_full_state(context, table, terms, id);
         }
         let Some(primary_term) = terms.get(id.shard) else { return };
         let Some(primary) = table.primary(id) else { return };
@@ -37,7 +37,9 @@
             members.filter(|store| self.is_expected(context, id, primary, *store)).collect();
         let mut additional: Vec<StoreId> = Vec::new();
         for store in self.ranked_replicas(context, table, terms, id) {
-            if !self.is_under_way(id, primary, store) && primary_term.lacks_write_quorum(&expected, store) {
+            if !self.is_sent_or_queued(id, primary, store)
+                && primary_term.lacks_write_quorum(&expected, store)
+            {
                 expected.push(store);
                 additional.push(store);
             }
@@ -50,7 +52,7 @@
     }
 
     /// Whether a store was sent the latest version of a message, or will be.
-    fn is_under_way(&self, id: MessageId, primary: &PrimaryEntry, store: StoreId) -> bool {
+    fn is_sent_or_queued(&self, id: MessageId, primary: &PrimaryEntry, store: StoreId) -> bool {
         let is_queued = self.peers.get(&store).is_some_and(|peer| peer.is_catching_up_with(id));
         is_queued || primary.progress_of(store).sent >= primary.version()
     }
@@ -64,11 +66,11 @@
             None => true,
         };
         primary.progress_of(store).acked >= primary.version()
-            || (!is_late && self.is_under_way(id, primary, store))
+            || (!is_late && self.is_sent_or_queued(id, primary, store))
     }
 
     /// Writes the full state of a message to the local disk, which lacks something that other stores have.
-    fn write_own_full_state(
+    fn write_local_full_state(
         &mut self,
         context: &mut Context,
         table: &mut MessageTable,
@@ -81,14 +83,14 @@
         let Some(primary) = entry.primary.as_mut() else { return };
         primary.mark_sent(context.local_id);
         let sent = SentVersion { id, term, version: primary.version() };
-        self.append(context, DiskRecord::Message { record }, SyncAction::Own(sent));
+        self.append(context, DiskRecord::Message { record }, SyncAction::CountLocalCopy(sent));
     }
 
     /// Sends queued messages to the stores that have to catch up, within their windows.
     pub fn send_catch_up(&mut self, context: &mut Context, table: &mut MessageTable, terms: &PrimaryTerms) {
-        let busy: Vec<StoreId> =
+        let catching_up: Vec<StoreId> =
             self.peers.iter().filter(|(_, peer)| peer.has_catch_up()).map(|(store, _)| *store).collect();
-        for store in busy {
+        for store in catching_up {
             self.send_catch_up_to(context, table, terms, store);
             self.notify_caught_up(context, terms, store);
         }
@@ -153,7 +155,7 @@
     ) {
         for id in ids {
             if self.pending.contains(&id) {
-                self.assign_replicas(context, table, terms, id);
+                self.assign_more_replicas(context, table, terms, id);
             }
         }
     }
@@ -167,7 +169,7 @@
     ) {
         for sent in sent {
             if terms.is_current(sent) && self.pending.contains(&sent.id) {
-                self.assign_replicas(context, table, terms, sent.id);
+                self.assign_more_replicas(context, table, terms, sent.id);
             }
         }
     }
@@ -180,12 +182,12 @@
         terms: &PrimaryTerms,
         store: StoreId,
     ) {
-        let first_number = context.random.u64(FIRST_NUMBERS);
+        let first_number = context.random.u64(FIRST_WRITE_NUMBERS);
         let now = context.now;
         self.peers.entry(store).or_insert_with(|| Peer::new(now, first_number)).connect();
         let pending: Vec<MessageId> = self.pending.iter().copied().collect();
         for id in pending {
-            self.assign_replicas(context, table, terms, id);
+            self.assign_more_replicas(context, table, terms, id);
         }
     }
 
@@ -197,7 +199,7 @@
         terms: &PrimaryTerms,
         store: StoreId,
     ) {
-        self.disk.forget_writes(store);
+        self.disk.cancel_write_acks(store);
         let Some(peer) = self.peers.get_mut(&store) else { return };
         let queued: Vec<MessageId> = peer.catch_up().collect();
         let lost = peer.disconnect();
--- a/system/state/queue/src/scheduling/credits.rs
+++ b/system/state/queue/src/scheduling/credits.rs
@@ -13,12 +13,12 @@
     /// Network distance between the dispatcher and this store.
     distance: Distance,
     /// The dispatcher is connected and not shutting down, so messages may be granted to it.
-    open: bool,
+    accepts_grants: bool,
 }
 
 impl Credit {
     fn free(&self) -> u32 {
-        if self.open {
+        if self.accepts_grants {
             self.limit.saturating_sub(self.in_flight)
         } else {
             0
@@ -38,11 +38,11 @@
 }
 
 impl Credits {
-    fn change(&mut self, dispatcher: DispatcherId, change: impl FnOnce(&mut Credit)) {
-        let unknown = Credit { limit: 0, in_flight: 0, distance: Distance::default(), open: false };
+    fn update(&mut self, dispatcher: DispatcherId, update: impl FnOnce(&mut Credit)) {
+        let unknown = Credit { limit: 0, in_flight: 0, distance: Distance::default(), accepts_grants: false };
         let credit = self.dispatchers.entry(dispatcher).or_insert(unknown);
         let before = *credit;
-        change(credit);
+        update(credit);
         let after = *credit;
         if before.free() > 0 {
             self.free.remove(&(Reverse(before.distance), before.free(), dispatcher));
@@ -50,45 +50,45 @@
         if after.free() > 0 {
             self.free.insert((Reverse(after.distance), after.free(), dispatcher));
         }
-        if !after.open && after.in_flight == 0 {
+        if !after.accepts_grants && after.in_flight == 0 {
             self.dispatchers.remove(&dispatcher);
         }
     }
 
     /// Allows up to `limit` concurrent deliveries to the dispatcher.
     pub fn open(&mut self, dispatcher: DispatcherId, limit: u32, distance: Distance) {
-        self.change(dispatcher, |credit| {
+        self.update(dispatcher, |credit| {
             credit.limit = limit;
             credit.distance = distance;
-            credit.open = true;
+            credit.accepts_grants = true;
         });
     }
 
     pub fn set_limit(&mut self, dispatcher: DispatcherId, limit: u32) {
         if self.dispatchers.contains_key(&dispatcher) {
-            self.change(dispatcher, |credit| credit.limit = limit);
+            self.update(dispatcher, |credit| credit.limit = limit);
         }
     }
 
     /// Stops further grants to the dispatcher. Its deliveries in flight stay counted.
     pub fn close(&mut self, dispatcher: DispatcherId) {
         if self.dispatchers.contains_key(&dispatcher) {
-            self.change(dispatcher, |credit| credit.open = false);
+            self.update(dispatcher, |credit| credit.accepts_grants = false);
         }
     }
 
     /// Whether the dispatcher accepts deliveries of the service, even if it has no free credit at the moment.
-    pub fn is_open(&self, dispatcher: DispatcherId) -> bool {
-        self.dispatchers.get(&dispatcher).is_some_and(|credit| credit.open && credit.limit > 0)
+    pub fn accepts_grants(&self, dispatcher: DispatcherId) -> bool {
+        self.dispatchers.get(&dispatcher).is_some_and(|credit| credit.accepts_grants && credit.limit > 0)
     }
 
     pub fn reserve(&mut self, dispatcher: DispatcherId) {
-        self.change(dispatcher, |credit| credit.in_flight += 1);
+        self.update(dispatcher, |credit| credit.in_flight += 1);
     }
 
     pub fn release(&mut self, dispatcher: DispatcherId) {
         if self.dispatchers.contains_key(&dispatcher) {
-            self.change(dispatcher, |credit| credit.in_flight = credit.in_flight.saturating_sub(1));
+            self.update(dispatcher, |credit| credit.in_flight = credit.in_flight.saturating_sub(1));
         }
     }
 
@@ -102,8 +102,9 @@
 
     /// Returns the dispatcher with the most free credit among the nearest ones that have any. `other` is
     /// returned only if it is the only dispatcher with free credit.
-    pub fn best_except(&self, other: Option<DispatcherId>) -> Option<DispatcherId> {
+    pub fn best_except(&self, fallback: Option<DispatcherId>) -> Option<DispatcherId> {
         let mut best = self.free.iter().rev().map(|(_, _, dispatcher)| *dispatcher);
-        best.find(|dispatcher| Some(*dispatcher) != other).or(other.filter(|other| self.has_free(*other)))
+        best.find(|dispatcher| Some(*dispatcher) != fallback)
+            .or(fallback.filter(|fallback| self.has_free(*fallback)))
     }
 }
--- a/system/state/queue/src/scheduling/keys.rs
+++ b/system/state/queue/src/scheduling/keys.rs
@@ -14,11 +14,11 @@
 
 /// The order keys of all shards of which this store is the primary.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Keys {
+pub(crate) struct OrderKeys {
     queues: BTreeMap<ShardId, BTreeMap<String, KeyQueue>>,
 }
 
-impl Keys {
+impl OrderKeys {
     /// Adds a message that has not ended to the queue of its key.
     pub fn add(&mut self, key: &str, sequence: Sequence, id: MessageId) {
         let queues = self.queues.entry(id.shard).or_default();
@@ -54,14 +54,14 @@
     }
 
     /// Makes a message active that a former primary has granted, even if it is not the first in the queue.
-    pub fn adopt(&mut self, key: &str, id: MessageId) {
+    pub fn set_active(&mut self, key: &str, id: MessageId) {
         if let Some(queue) = self.queues.get_mut(&id.shard).and_then(|queues| queues.get_mut(key)) {
             queue.active = Some(id);
         }
     }
 
     /// Removes a message whose end is durable. Returns the next message of the key that may become active.
-    pub fn end(&mut self, key: &str, sequence: Sequence, id: MessageId) -> Option<MessageId> {
+    pub fn remove_ended(&mut self, key: &str, sequence: Sequence, id: MessageId) -> Option<MessageId> {
         let queues = self.queues.get_mut(&id.shard)?;
         let queue = queues.get_mut(key)?;
         queue.waiting.remove(&(sequence, id));
--- a/system/state/queue/src/scheduling/mod.rs
+++ b/system/state/queue/src/scheduling/mod.rs
@@ -6,5 +6,5 @@
 mod rate_limit;
 mod services;
 
-pub(crate) use keys::Keys;
+pub(crate) use keys::OrderKeys;
 pub(crate) use services::{is_limiting, Permit, ReadyKey, ServiceIndex, Services};
--- a/system/state/queue/src/scheduling/rate_limit.rs
+++ b/system/state/queue/src/scheduling/rate_limit.rs
@@ -12,21 +12,21 @@
 const BURST_FRACTION: f64 = 0.02;
 const MS_PER_S: f64 = 1_000.0;
 /// Time in seconds in which the record of a grant is normally durable, even if one of the disks is slow.
-const UNNOTIFIED_S: f64 = 0.15;
+const SLOW_SYNC_S: f64 = 0.15;
 
 /// The token bucket of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimit {
     per_second: f64,
     permits: f64,
-    counted_at: Instant,
+    refilled_at: Instant,
 }
 
 impl RateLimit {
     /// Creates an empty bucket, because another primary may already have spent the permits of the current
     /// window.
     pub fn new(per_second: f64, now: Instant) -> Self {
-        RateLimit { per_second, permits: 0.0, counted_at: now }
+        RateLimit { per_second, permits: 0.0, refilled_at: now }
     }
 
     fn burst(&self) -> f64 {
@@ -35,9 +35,9 @@
 
     fn refill(&mut self, now: Instant) {
         // A day's worth of milliseconds is represented exactly in an `f64`.
-        let passed_ms = millis(now.saturating_duration_since(self.counted_at)) as f64;
+        let passed_ms = millis(now.saturating_duration_since(self.refilled_at)) as f64;
         self.permits = (self.permits + passed_ms * self.per_second / MS_PER_S).min(self.burst());
-        self.counted_at = self.counted_at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     /// Changes the rate. Saved permits are kept, up to the new capacity.
@@ -49,24 +49,24 @@
 
     pub fn drain(&mut self, now: Instant) {
         self.permits = 0.0;
-        self.counted_at = self.counted_at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     /// Maximum number of grants that may wait for their records to become durable at the same time. Grants that
     /// wait together are delivered together as a burst, which a new primary would not count.
     pub fn max_unnotified(&self) -> usize {
-        (self.per_second * UNNOTIFIED_S).max(2.0) as usize
+        (self.per_second * SLOW_SYNC_S).max(2.0) as usize
     }
 
     /// Takes a permit if one is available.
     pub fn take(&mut self, now: Instant) -> bool {
         self.refill(now);
         // Tolerates rounding errors: otherwise the timer set for this permit would find none.
-        let there = self.permits >= 1.0 - 1e-9;
-        if there {
+        let is_available = self.permits >= 1.0 - 1e-9;
+        if is_available {
             self.permits -= 1.0;
         }
-        there
+        is_available
     }
 
     /// Takes a permit even if none is available; the balance then goes negative and later grants wait for it.
@@ -76,9 +76,9 @@
     }
 
     /// Time at which the next permit is available.
-    pub fn next(&self) -> Instant {
+    pub fn next_permit_at(&self) -> Instant {
         let missing = (1.0 - self.permits).max(0.0);
         let wait_ms = (missing * MS_PER_S / self.per_second.max(f64::MIN_POSITIVE)).ceil();
-        self.counted_at + Duration::from_millis((wait_ms as u64).max(1))
+        self.refilled_at + Duration::from_millis((wait_ms as u64).max(1))
     }
 }
--- a/system/state/queue/src/scheduling/services.rs
+++ b/system/state/queue/src/scheduling/services.rs
@@ -18,7 +18,7 @@
 pub(crate) struct ReadyKey {
     pub priority: u32,
     /// The target start time has passed, so that starting the message now earns less than its full value.
-    pub late: bool,
+    pub is_late: bool,
     pub due: Instant,
     pub sequence: Sequence,
     pub id: MessageId,
@@ -103,7 +103,7 @@
         if rate_limit.take(now) {
             return Permit::Taken;
         }
-        let next = rate_limit.next();
+        let next = rate_limit.next_permit_at();
         // If the rate was raised, the permit is available earlier than the timer that is set.
         if self.permit_at.is_none_or(|permit_at| next < permit_at) {
             self.permit_at = Some(next);
@@ -124,18 +124,18 @@
     pub fn first_ready(&mut self, now: Instant) -> Option<ReadyKey> {
         loop {
             let first = *self.ready.first()?;
-            if first.late || now <= first.start_by {
+            if first.is_late || now <= first.start_by {
                 return Some(first);
             }
             self.ready.remove(&first);
-            self.ready.insert(ReadyKey { late: true, ..first });
+            self.ready.insert(ReadyKey { is_late: true, ..first });
         }
     }
 
     /// Removes a message from the ready queue, whether or not it has been moved to the late messages.
     pub fn remove(&mut self, key: ReadyKey) {
         if !self.ready.remove(&key) {
-            self.ready.remove(&ReadyKey { late: true, ..key });
+            self.ready.remove(&ReadyKey { is_late: true, ..key });
         }
     }
 }
--- a/system/state/queue/src/time.rs
+++ b/system/state/queue/src/time.rs
@@ -69,6 +69,6 @@
 
 /// A duration in whole milliseconds for a 32-bit field of a message; durations that are too long become the
 /// largest number.
-pub(crate) fn wire_millis(span: Duration) -> u32 {
+pub(crate) fn millis_u32(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
