--- a/system/state/queue/tests/call_backs.rs
+++ b/system/state/queue/tests/call_backs.rs
@@ -1,4 +1,4 @@
-//! Call-backs that ends owe, at one store.
+//! Call-backs that follow the end of a message, at a single store.
 
 mod harness;
 
@@ -21,7 +21,7 @@
     Message { callback_url: Some(format!("http://{receiver}/done")), ..message() }
 }
 
-/// Call-backs that were granted since the last look.
+/// Returns the call-backs that were granted since the last call.
 fn take_calls(harness: &mut StoreHarness) -> Vec<Call> {
     let sent_to_dispatchers = std::mem::take(&mut harness.sent_to_dispatchers);
     let call = |(connection, message)| match message {
@@ -33,7 +33,7 @@
     sent_to_dispatchers.into_iter().filter_map(call).collect()
 }
 
-/// Accepts a message and has it succeed.
+/// Accepts a message and reports that it succeeded.
 fn complete(harness: &mut StoreHarness, message: Message) -> MessageId {
     let id = harness.accept(0, 1, message, true);
     let token = harness.last_accepted().flatten().expect("a lease");
@@ -167,7 +167,7 @@
     assert_eq!((calls[0].id, &calls[0].end), (id, &End::DeadLetter));
 }
 
-/// Moves on while the dispatcher shows that it lives.
+/// Advances the clock while the dispatcher keeps sending pings.
 fn advance_alive(harness: &mut StoreHarness, ms: u64) {
     for _ in 0..ms / 100 {
         harness.advance(100);
@@ -211,7 +211,7 @@
     assert!(take_calls(&mut harness).is_empty());
 }
 
-/// One store with as many dispatchers of its zone; each message succeeds at dispatcher 1.
+/// A store with `count` dispatchers in its zone. Each message is sent by dispatcher 1 and succeeds there.
 fn with_dispatchers(count: u64) -> StoreHarness {
     let mut harness = StoreHarness::new(1, 0);
     for dispatcher in 1..=count {
--- a/system/state/queue/tests/cluster/disks.rs
+++ b/system/state/queue/tests/cluster/disks.rs
@@ -1,4 +1,4 @@
-//! A simulated disk: what was appended, and how much of it is synced.
+//! A simulated disk: the appended records, and how many of them are synced.
 
 use millrudder_queue::{DiskRecord, Recovered, Ticket};
 use std::time::Duration;
@@ -9,12 +9,12 @@
     record: DiskRecord,
 }
 
-/// What one store has on its disk.
+/// The disk of one store.
 #[derive(Default)]
 pub struct Disk {
     records: Vec<Appended>,
     synced: usize,
-    /// Records that the sync under way covers.
+    /// Number of records that the sync in progress covers.
     syncing: Option<usize>,
     pub failing: bool,
 }
@@ -24,7 +24,8 @@
         self.records.push(Appended { at_ms, ticket, record });
     }
 
-    /// Starts a sync of everything appended so far; `false` if one is under way or nothing is there to sync.
+    /// Starts a sync of everything appended so far. Returns `false` if one is in progress or there is nothing
+    /// to sync.
     pub fn start_sync(&mut self) -> bool {
         if self.syncing.is_some() || self.synced == self.records.len() || self.failing {
             return false;
@@ -33,19 +34,19 @@
         true
     }
 
-    /// The sync under way is done; gives the last ticket that it covers.
+    /// Completes the sync in progress. Returns the last ticket that it covers.
     pub fn end_sync(&mut self) -> Option<Ticket> {
         self.synced = self.syncing.take()?;
         self.records[..self.synced].last().map(|appended| appended.ticket)
     }
 
-    /// The process died; everything written is still there.
+    /// Simulates the death of the process: everything written survives.
     pub fn process_died(&mut self) {
         self.syncing = None;
         self.synced = self.records.len();
     }
 
-    /// Power was lost; of what was not synced a part is there, as drawn.
+    /// Simulates a power failure: of the unsynced records, those survive for which `keep` returns true.
     pub fn power_lost(&mut self, mut keep: impl FnMut() -> bool) {
         self.syncing = None;
         let unsynced = self.records.split_off(self.synced);
--- a/system/state/queue/tests/cluster/dispatcher.rs
+++ b/system/state/queue/tests/cluster/dispatcher.rs
@@ -9,9 +9,9 @@
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, RequestNumber, StoreId};
 use std::collections::BTreeMap;
 
-/// Time after which something without an answer is sent again.
+/// Time in milliseconds after which an unanswered message is sent again.
 pub const REPEAT_MS: u64 = 250;
-/// Time after which a client is given up.
+/// Time in milliseconds after which a client's request is withdrawn or given up.
 const GIVE_UP_MS: u64 = 2_000;
 /// Time for which the bodies of accepted messages are retained, in milliseconds.
 const BODY_RETENTION_MS: u64 = 15_000;
@@ -21,7 +21,7 @@
     first_ms: u64,
     sent_ms: u64,
     pub withdrawing: bool,
-    /// Its client got no answer that says anything; a lease that comes is given back.
+    /// The client got no definite answer. A lease that is granted later is returned.
     pub given_up: bool,
 }
 
@@ -39,14 +39,14 @@
     pub up: bool,
     pub frozen_until_ms: u64,
     pub placement: Placement,
-    /// Its own view of its connections, by store.
+    /// The dispatcher's view of its connections, by store.
     pub connections: BTreeMap<usize, u64>,
     pub pending: BTreeMap<MessageId, PendingAccept>,
     pub bodies: BTreeMap<MessageId, (Message, u64)>,
     pub deliveries: BTreeMap<(MessageId, LeaseToken), Delivery>,
     pub callbacks: BTreeMap<(MessageId, LeaseToken), Option<(bool, u64)>>,
     requests: u64,
-    /// How the workers behind it behave.
+    /// The workers neither reject messages nor fail at random.
     pub calm: bool,
     pub leaving: bool,
 }
@@ -194,7 +194,7 @@
             }
             ToDispatcher::CallBack { id, token, end, .. } => self.call_back(at, id, token, end),
             ToDispatcher::Recorded { id, token } => {
-                // What a former primary says the present one may not know.
+                // Only the current primary's answer counts, because it may not know what a former one recorded.
                 if self.dispatchers[at].primary(id) == Some(self.stores[from].id) {
                     self.recorded(at, id, token);
                 }
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Sends again what has no answer yet, and gives up clients that waited long.
+    /// Repeats unanswered messages, and gives up the requests of clients that have waited too long.
     pub fn dispatcher_tick(&mut self, at: usize) {
         let now_ms = self.now_ms;
         let stores: Vec<usize> = self.dispatchers[at].connections.keys().copied().collect();
--- a/system/state/queue/tests/cluster/faults.rs
+++ b/system/state/queue/tests/cluster/faults.rs
@@ -1,29 +1,30 @@
-//! Faults of the simulation: at most as many machines with a disk are lost at a time as the placement tolerates.
+//! The faults of the simulation. No more disks are lost at a time than the placement tolerates.
 
 use super::links::{End, LinkId};
 use super::{Cluster, Event};
 use millrudder_protocol::DispatcherId;
 use millrudder_queue::Input;
 
-/// Time in which a store that came back catches up, in milliseconds.
+/// Time in which a store that was restarted catches up, in milliseconds.
 const CATCH_UP_MS: u64 = 2_500;
 
 impl Cluster {
-    /// Lets faults happen until a time.
+    /// Injects faults until the given time.
     pub fn faults_until(&mut self, until_ms: u64) {
         self.faults_until_ms = until_ms;
         let first_ms = self.now_ms + self.random.u64(300..1_500);
         self.schedule(first_ms, Event::NextFault);
     }
 
-    /// All replicas are well and filled, so that the next fault is within what is tolerated.
+    /// Whether all stores are healthy and no learner is catching up, so that another fault is tolerated.
     fn is_fully_replicated(&self) -> bool {
         let is_healthy = |store: &super::stores::Store| store.is_up() && store.frozen_until_ms <= self.now_ms;
         let no_learners = self.manager.placement.shards.iter().all(|shard| shard.change.is_none());
         self.stores.iter().all(is_healthy) && no_learners
     }
 
-    /// A disk may be lost: all replicas are well, and what the last lost one had is elsewhere since a while.
+    /// Whether a disk may be lost: all stores are healthy, and the data of the last lost disk has been
+    /// replicated again for a while.
     fn may_wipe(&self) -> bool {
         self.is_fully_replicated()
             && self.wiped_at_ms.is_none_or(|wiped| self.now_ms > wiped + 2 * CATCH_UP_MS)
@@ -49,7 +50,8 @@
             2 | 3 => self.lose_store(store, lasts_ms, true, false),
             4 if self.may_wipe() => self.lose_store(store, lasts_ms, true, true),
             5 | 6 => {
-                // What was put off to an earlier fault's end must not be overtaken.
+                // Events deferred to the end of an earlier freeze must not be overtaken, so a freeze is never
+                // shortened.
                 let frozen_until_ms = &mut self.stores[store].frozen_until_ms;
                 *frozen_until_ms = (*frozen_until_ms).max(self.now_ms + lasts_ms);
             }
@@ -82,7 +84,7 @@
         self.schedule(self.now_ms + lasts_ms, Event::StartStore { store });
     }
 
-    /// Every store at the same moment; of those without power, as many disks are lost as are tolerated.
+    /// Stops all stores at the same time. On a power failure, as many disks may be lost as are tolerated.
     pub fn lose_all(&mut self, power: bool) {
         let wiped = self.random.usize(0..self.stores.len());
         let wipe = power && self.random.bool() && self.may_wipe();
@@ -96,7 +98,7 @@
         let at = self.random.usize(0..self.dispatchers.len());
         let next = DispatcherId(self.dispatchers[at].id.0 + 100);
         for id in self.dispatchers[at].leased_messages() {
-            // What it read and no store has heard is lost with it.
+            // Answers that it read and that no store has received are lost with it.
             self.request_log.messages.get_mut(&id).expect("known").answer_lost = true;
         }
         self.dispatchers[at].die(next);
@@ -107,7 +109,7 @@
         self.schedule(self.now_ms + lasts_ms, Event::StartDispatcher { dispatcher: at });
     }
 
-    /// Nothing passes between one end and all others; connections break if it lasts.
+    /// Partitions one end from all others. Connections break if the partition lasts long enough.
     pub fn partition(&mut self, end: End, lasts_ms: u64) {
         for link in self.links.open_at(end) {
             self.partition_link(link, lasts_ms);
@@ -138,7 +140,8 @@
         }
     }
 
-    /// A store is stopped as planned: it serves until its shards are elsewhere, then its process ends and starts again.
+    /// Restarts a store in a planned way: it serves until its shards have been moved, then its process stops
+    /// and starts again.
     pub fn roll(&mut self, store: usize, serves_ms: u64, down_ms: u64) {
         self.stores[store].leaving = true;
         self.input(store, Input::ShutdownRequested);
--- a/system/state/queue/tests/cluster/links.rs
+++ b/system/state/queue/tests/cluster/links.rs
@@ -1,4 +1,5 @@
-//! Simulated connections: in order, with a delay; cut, closed and opened again.
+//! Simulated connections: messages arrive in order after a delay; connections can be partitioned, closed and
+//! reopened.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
     Dispatcher(usize),
 }
 
-/// A link between two ends, the lesser first.
+/// A link between two ends, the lesser one first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId(pub End, pub End);
 
@@ -31,21 +32,21 @@
     }
 }
 
-/// State of a link.
+/// The state of a link.
 #[derive(Clone, Debug, Default)]
 pub struct Link {
-    /// Number of the present or last connection.
+    /// Number of the current or last connection.
     pub connection: u64,
     pub open: bool,
-    /// Nothing passes before this time.
+    /// The link is partitioned until this time.
     pub partitioned_until_ms: u64,
-    /// When it may be opened again.
+    /// Earliest time at which it may be opened again.
     pub free_at_ms: u64,
-    /// Last arrival at the lesser and at the greater end.
+    /// Time of the last arrival at the lesser and at the greater end.
     last_arrival_ms: [u64; 2],
 }
 
-/// All links.
+/// The state of all links.
 #[derive(Default)]
 pub struct Links {
     links: BTreeMap<LinkId, Link>,
@@ -57,7 +58,7 @@
         self.links.entry(id).or_default()
     }
 
-    /// Opens a new connection and gives its number.
+    /// Opens a new connection and returns its number.
     pub fn open(&mut self, id: LinkId) -> u64 {
         self.connections += 1;
         let connection = self.connections;
@@ -68,7 +69,7 @@
         connection
     }
 
-    /// When something arrives at `to` that is sent now: never before what was sent earlier.
+    /// Arrival time at `to` of a message sent now: never before that of an earlier message.
     pub fn arrival(&mut self, id: LinkId, to: End, at_ms: u64) -> u64 {
         let link = self.get(id);
         let at_ms = at_ms.max(link.partitioned_until_ms);
--- a/system/state/queue/tests/cluster/manager.rs
+++ b/system/state/queue/tests/cluster/manager.rs
@@ -1,4 +1,4 @@
-//! The placement manager of the simulation: knows soon who is well, and moves shards.
+//! The placement manager of the simulation. It detects failures quickly and moves shards.
 
 use super::links::{End, LinkId};
 use super::{Cluster, Event, Options};
@@ -9,18 +9,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A store that answers nothing for so long has its shards moved.
+/// Time in milliseconds after which the shards of an unhealthy store are moved.
 const UNWELL_MS: u64 = 300;
-/// A store that is well for so long gets shards back.
+/// Time in milliseconds that a store must be healthy to get shards back.
 const WELL_MS: u64 = 1_500;
 
-/// Stands for the epoch of the placement that is being made.
+/// Placeholder for the epoch of the placement that is being built.
 const NEXT: Epoch = Epoch(u64::MAX);
 
-/// What the manager knows.
+/// State of the placement manager.
 pub struct Manager {
     pub placement: Placement,
-    /// A store that is to be emptied.
+    /// The store that is being drained for removal.
     pub retiring: Option<StoreId>,
     unwell_since_ms: BTreeMap<usize, u64>,
     well_since_ms: BTreeMap<usize, u64>,
@@ -62,13 +62,13 @@
     MemberChange { joins, leaves, epoch: NEXT, reason }
 }
 
-/// Disks of one machine have names that differ by whole hundreds.
+/// The identifiers of successive disks of one machine differ by multiples of 100.
 fn is_same_machine(one: StoreId, other: StoreId) -> bool {
     one.0 % 100 == other.0 % 100
 }
 
 impl Cluster {
-    /// A store runs, is not frozen and has a path to any other store.
+    /// Whether a store is running, not frozen, and connected to at least one other store.
     fn is_healthy(&mut self, index: usize) -> bool {
         let store = &self.stores[index];
         if !store.is_up() || store.frozen_until_ms > self.now_ms || store.disk.failing {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Whether a store may be primary: not for a while after it was unwell, not at once after it came back.
+    /// Whether a store may be primary: it is healthy, or has not been unhealthy for long.
     fn update_health(&mut self, index: usize) -> bool {
         let now_ms = self.now_ms;
         if self.is_healthy(index) {
@@ -119,7 +119,7 @@
         now_ms - since_ms < UNWELL_MS
     }
 
-    /// A wiped store is a learner wherever its former disk was a replica.
+    /// Makes a wiped store a learner of all shards of which its former disk was a replica.
     fn replace_disks(&self, placement: &mut Placement) {
         for (index, store) in self.stores.iter().enumerate() {
             let entry = &mut placement.stores[index];
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Another store learns what a store holds that is to be emptied.
+    /// Makes another store a learner of each shard that is on the store being drained.
     fn empty_retiring(&self, placement: &mut Placement) {
         let Some(retiring) = self.manager.retiring else { return };
         let all: Vec<StoreId> = placement.stores.iter().map(|store| store.id).collect();
@@ -152,12 +152,12 @@
         }
     }
 
-    /// No shard is on the store that is to be emptied any more.
+    /// Whether no shard is on the drained store any more.
     pub fn is_retired(&self, store: StoreId) -> bool {
         self.manager.placement.shards.iter().all(|shard| !shard.replicas.contains(&store))
     }
 
-    /// A learner that has caught up takes the place of the disk that was lost.
+    /// Makes learners that have caught up replicas in place of the lost or drained ones.
     fn promote_learners(&self, placement: &mut Placement) {
         for (number, shard) in placement.shards.iter_mut().enumerate() {
             let Some(change) = shard.change else { continue };
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Everybody gets the placement in force after some time.
+    /// Sends the current placement to all stores and dispatchers, with random delays.
     pub fn spread_placement(&mut self) {
         let stores = (0..self.stores.len()).map(|index| (End::Store(index), self.stores[index].incarnation));
         let dispatchers =
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Opens every link that can be open and is not.
+    /// Opens every closed link that can be opened.
     fn connect_ends(&mut self) {
         let stores = self.stores.len();
         for index in 0..stores {
--- a/system/state/queue/tests/cluster/mod.rs
+++ b/system/state/queue/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated cluster round the true state machines: disks, links, dispatchers, clients, workers, a placement manager
-//! and faults, all in one thread on a simulated clock, repeatable by its seed.
+//! A simulated cluster around the real state machines: disks, links, dispatchers, clients, workers, a placement
+//! manager and faults, all in one thread on a simulated clock. A run is reproducible by its seed.
 
 #![allow(dead_code)]
 
@@ -29,10 +29,10 @@
 use std::time::Duration;
 use stores::{Orphan, Store};
 
-/// Time between two looks of a dispatcher or of the manager.
+/// Interval at which dispatchers and the placement manager act.
 const TICK_MS: u64 = 100;
 
-/// What passes on a link.
+/// A message on a link.
 #[derive(Clone, Debug)]
 pub enum Payload {
     Stores(BetweenStores),
@@ -40,7 +40,7 @@
     ToDispatcher(ToDispatcher),
 }
 
-/// Something that happens at a time.
+/// An event at a simulated time.
 #[derive(Clone, Debug)]
 pub enum Event {
     Arrive {
@@ -90,7 +90,7 @@
     NextFault,
 }
 
-/// How large, and how it behaves.
+/// Size and behaviour of the simulated cluster.
 #[derive(Clone)]
 pub struct Options {
     pub stores: usize,
@@ -98,11 +98,11 @@
     pub shards: u16,
     pub tolerated_losses: u32,
     pub seed: u64,
-    /// Milliseconds between two clients.
+    /// Mean time between two client requests, in milliseconds.
     pub client_every_ms: u64,
     pub config: Config,
     pub rated: Option<f64>,
-    /// Faults come while others last; disks are still lost one at a time.
+    /// Faults may start while others last. Disks are still lost one at a time.
     pub overlapping_faults: bool,
 }
 
@@ -122,10 +122,10 @@
     }
 }
 
-/// Name of the service with a common ceiling.
+/// Name of the service with a rate limit.
 pub const RATED: &str = "rated";
 
-/// The whole simulation.
+/// The simulated cluster.
 pub struct Cluster {
     pub options: Options,
     pub now_ms: u64,
@@ -139,7 +139,7 @@
     pub faults_until_ms: u64,
     pub wiped_at_ms: Option<u64>,
     pub clients_until_ms: u64,
-    /// What stores found lying.
+    /// Orphaned messages that stores reported.
     pub orphans: Vec<Orphan>,
     pub trace: bool,
     events: BTreeMap<(u64, u64), Event>,
@@ -154,7 +154,8 @@
         let zone = |index: usize| format!("zone-{}", index % options.stores);
         let dispatcher = |index: usize| Dispatcher::new(DispatcherId(1_000 + index as u64), &zone(index));
         let mut request_log = RequestLog::default();
-        // The rate with what is saved up, and the five starts that the rule allows besides: links hold some up.
+        // The rate over five seconds, plus saved permits, plus the five additional starts that the requirement
+        // allows because links delay some deliveries.
         request_log.ceiling = options.rated.map(|rate| (RATED.to_owned(), rate * 5.0 * 1.04 + 5.0));
         let mut cluster = Cluster {
             now_ms: 0,
@@ -191,7 +192,7 @@
         self.events.insert((at_ms.max(self.now_ms), self.order), event);
     }
 
-    /// Runs until a time.
+    /// Runs all events up to the given time.
     pub fn run_until(&mut self, until_ms: u64) {
         while let Some(entry) = self.events.first_entry() {
             let (at_ms, order) = *entry.key();
@@ -205,7 +206,7 @@
         self.now_ms = until_ms;
     }
 
-    /// The time until which the place where an event happens stands still.
+    /// Time until which the process that the event concerns is frozen.
     fn frozen_until(&self, event: &Event) -> u64 {
         let end = match event {
             Event::Arrive { to, .. } => *to,
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Sends on a link's present connection.
+    /// Sends a message on a link's current connection.
     pub fn send(&mut self, from: End, to: End, payload: Payload) {
         let link = LinkId::between(from, to);
         let state = self.links.get(link);
@@ -314,7 +315,7 @@
         }
     }
 
-    /// Breaks a link's connection; each end learns of it after `notice_ms`.
+    /// Breaks the connection of a link; each end notices it after `notice_ms`.
     pub fn close(&mut self, link: LinkId, notice_ms: u64) {
         let state = self.links.get(link);
         if !state.open {
@@ -349,7 +350,7 @@
         }
     }
 
-    /// Lets clients send until a time.
+    /// Starts clients that send until the given time.
     pub fn clients_until(&mut self, until_ms: u64) {
         self.clients_until_ms = until_ms;
         self.schedule(self.now_ms, Event::Client);
@@ -368,7 +369,8 @@
         self.schedule(self.now_ms + wait_ms, Event::Client);
     }
 
-    /// A new name for a message, in the shard where its kind belongs.
+    /// Allocates an identifier for a message, in the shard of its order key or rate-limited service, or else in
+    /// a random one.
     pub fn name(&mut self, dispatcher: usize, message: &Message) -> Option<MessageId> {
         let placement = &self.dispatchers[dispatcher].placement;
         let by_name = message.order_key.as_deref().or(Some(RATED).filter(|rated| *rated == message.service));
@@ -412,13 +414,13 @@
         self.stores.iter().position(|store| store.id == id)
     }
 
-    /// Unplanned trouble now: repeats are excused for a while.
+    /// Records a fault at the current time. Repeated runs are excused for a while after it.
     pub fn record_fault(&mut self) {
         self.request_log.last_fault_ms = Some(self.now_ms);
     }
 }
 
-/// A message without an order key, to be run at once.
+/// A message without an order key that is due at once.
 pub fn plain_message() -> Message {
     message_of("plain")
 }
--- a/system/state/queue/tests/cluster/request_log.rs
+++ b/system/state/queue/tests/cluster/request_log.rs
@@ -1,27 +1,27 @@
-//! The log of what truly happened: requests of clients and their answers, runs at workers. Each rule is checked as soon as
-//! something is logged.
+//! The log of what actually happened: the requests of clients and their answers, and the runs at workers. Each
+//! invariant is checked as soon as an event is logged.
 
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::MessageId;
 use std::collections::BTreeMap;
 
-/// Time after the last trouble from which on a repeat is not excused, in milliseconds.
+/// Time in milliseconds after the last fault from which on a repeated run is not excused.
 const CALM_AFTER_MS: u64 = 5_000;
-/// Span in which a ceiling is judged, in milliseconds.
+/// Length in milliseconds of the window in which the rate limit is checked.
 const WINDOW_MS: u64 = 5_000;
 
-/// One start at a worker.
+/// One run of a message at a worker.
 pub struct Run {
     pub begun_ms: u64,
     pub ended_ms: Option<u64>,
 }
 
-/// What is true of one message.
+/// What actually happened to one message.
 pub struct ActualState {
     pub message: Message,
     pub sent_ms: u64,
     pub accepted_ms: Option<u64>,
-    /// Its client was promised that it does not run.
+    /// The client was told that the message will not run.
     pub withdrawn: bool,
     pub runs: Vec<Run>,
     pub signatures: Vec<String>,
@@ -29,7 +29,7 @@
     pub failures: u32,
     /// A store acknowledged the success as durable.
     pub success_recorded: bool,
-    /// A worker's success of which the dispatcher heard nothing.
+    /// A worker succeeded, but the dispatcher did not receive the answer.
     pub answer_lost: bool,
     pub called_back: Vec<End>,
 }
@@ -40,13 +40,13 @@
     }
 }
 
-/// All messages, and the troubles that excuse repeats.
+/// All messages, and the faults that excuse repeated runs.
 #[derive(Default)]
 pub struct RequestLog {
     pub messages: BTreeMap<MessageId, ActualState>,
     pub last_fault_ms: Option<u64>,
     starts_of_rated: Vec<u64>,
-    /// Starts that any five seconds may have for the rated service.
+    /// The rate-limited service, and the maximum number of starts in any five seconds.
     pub ceiling: Option<(String, f64)>,
     pub starts: u64,
     pub repeats: u64,
@@ -130,12 +130,12 @@
         assert!(in_window as f64 <= *most, "{in_window} starts of {rated} in five seconds, {most} allowed");
     }
 
-    /// Starts of the rated service in all.
+    /// Total number of starts of the rate-limited service.
     pub fn rated_starts(&self) -> usize {
         self.starts_of_rated.len()
     }
 
-    /// A worker is done with the run that began at `begun_ms`.
+    /// Records the end of the run that began at `begun_ms`.
     pub fn finish(&mut self, id: MessageId, begun_ms: u64, now_ms: u64) -> &mut ActualState {
         let actual = self.messages.get_mut(&id).expect("finished a message that nobody sent");
         let run = actual.runs.iter_mut().find(|run| run.begun_ms == begun_ms && run.ended_ms.is_none());
@@ -161,7 +161,7 @@
         }
     }
 
-    /// What a store or a call-back says of an end must be true.
+    /// Checks that the end reported by a store or a call-back is true.
     pub fn check_end(&self, id: MessageId, end: &End, now_ms: u64) {
         let actual = &self.messages[&id];
         match end {
--- a/system/state/queue/tests/cluster/runs.rs
+++ b/system/state/queue/tests/cluster/runs.rs
@@ -1,4 +1,5 @@
-//! Deliveries of a scripted dispatcher: workers run them, and their ends are reported until they are recorded.
+//! Deliveries at a scripted dispatcher: workers run the messages, and the outcomes are reported until they are
+//! recorded.
 
 use super::dispatcher::{Delivery, REPEAT_MS};
 use super::{Cluster, Event};
@@ -53,7 +54,7 @@
         self.schedule(now_ms + took_ms, event);
     }
 
-    /// A worker is done, whether its dispatcher lives or not.
+    /// Handles the end of a worker's run, whether or not its dispatcher is still running.
     pub fn worker_done(
         &mut self,
         at: usize,
@@ -94,7 +95,7 @@
         if dispatcher.incarnation == incarnation && dispatcher.up {
             self.report(at, id, token, outcome);
         } else {
-            // Nobody read this answer.
+            // The dispatcher that was waiting for this answer is gone.
             self.request_log.messages.get_mut(&id).expect("known").answer_lost = true;
         }
     }
--- a/system/state/queue/tests/cluster/stores.rs
+++ b/system/state/queue/tests/cluster/stores.rs
@@ -1,4 +1,4 @@
-//! Store processes of the simulation.
+//! The store processes of the simulation.
 
 use super::disks::Disk;
 use super::links::{End, LinkId};
@@ -9,14 +9,14 @@
 use millrudder_queue::{Input, OrphanCause, Output, StoreNode};
 use std::collections::BTreeSet;
 
-/// Names of stores begin here, so that they are no indexes by chance.
+/// First store identifier; it differs from all indexes, so that the two cannot be confused.
 const FIRST_STORE_ID: u64 = 100;
-/// Steady clocks of processes differ by up to this, in milliseconds.
+/// Maximum difference between the monotonic clocks of processes, in milliseconds.
 const MOST_AHEAD_MS: u64 = 10_000_000;
-/// A store that was wiped gets its old name and this much more.
+/// A store whose disk was wiped gets its former identifier plus this.
 const NEXT_DISK: u64 = 100;
 
-/// A message that a store found lying.
+/// An orphaned message that a store reported.
 #[derive(Clone, Copy, Debug)]
 pub struct Orphan {
     pub at_ms: u64,
@@ -24,7 +24,7 @@
     pub cause: OrphanCause,
 }
 
-/// One store machine.
+/// One machine with a store.
 pub struct Store {
     pub id: StoreId,
     pub zone: String,
@@ -32,14 +32,15 @@
     pub disk: Disk,
     pub incarnation: u32,
     pub frozen_until_ms: u64,
-    /// Milliseconds of one sync.
+    /// Duration of a sync, in milliseconds.
     pub sync_ms: u64,
     pub leaving: bool,
-    /// Shards of which it said that it has caught up.
+    /// Shards that it reported as caught up.
     pub caught_up: BTreeSet<CaughtUpShard>,
     pub released: BTreeSet<MessageId>,
     ticking_at: Option<u64>,
-    /// What its process's steady clock is ahead of the simulation's: each one starts anywhere.
+    /// Offset of the process's monotonic clock from the simulation's clock, as the origin of each clock is
+    /// arbitrary.
     clock_ahead_ms: u64,
 }
 
@@ -66,7 +67,8 @@
     }
 }
 
-/// Drawn for each incarnation of each process, without taking from what the simulation draws.
+/// Draws the clock offset of an incarnation of a process, without using the simulation's random number
+/// generator.
 fn clock_ahead_ms(seed: u64, store: StoreId, incarnation: u32) -> u64 {
     let seed = seed ^ (store.0 << 24) ^ (u64::from(incarnation) << 48);
     fastrand::Rng::with_seed(seed).u64(0..MOST_AHEAD_MS)
@@ -101,7 +103,7 @@
         self.schedule(at_ms, Event::Placement { at: End::Store(index), incarnation, placement });
     }
 
-    /// The process is gone; `notice_ms` until others notice, `None` if its power is gone: they notice late.
+    /// Stops a process. Others notice it soon, or late if its machine has lost power.
     pub fn stop_store(&mut self, index: usize, power: bool) {
         let keep: Vec<bool> = (0..1_000).map(|_| self.random.bool()).collect();
         let store = &mut self.stores[index];
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Its disk is gone: what starts next is another store.
+    /// Wipes the disk of a stopped store. It starts again as another store.
     pub fn wipe_store(&mut self, index: usize) {
         assert!(!self.stores[index].is_up(), "a running store is not wiped");
         let store = &mut self.stores[index];
@@ -128,7 +130,7 @@
         store.caught_up.clear();
     }
 
-    /// Hands an event to a store's state machine and carries out what it says.
+    /// Passes an input to a store's state machine and carries out its outputs.
     pub fn input(&mut self, index: usize, input: Input) {
         let now_ms = self.now_ms;
         let mut out = Vec::new();
--- a/system/state/queue/tests/delivery.rs
+++ b/system/state/queue/tests/delivery.rs
@@ -1,4 +1,5 @@
-//! From an accepted message to its end, at one store: leases, delays, order keys, credits, retries, retention.
+//! The way of a message from its acceptance to its end at a single store: leases, delays, order keys, credits,
+//! retries, retention.
 
 mod harness;
 
@@ -10,7 +11,7 @@
 use millrudder_protocol::RequestNumber;
 use millrudder_queue::{Config, ConnectionId, Input};
 
-/// One store that a dispatcher of its zone is connected to.
+/// With one connected dispatcher, a message is leased to the dispatcher that sends it for acceptance.
 #[test]
 fn an_accepted_message_is_leased_to_the_dispatcher_that_asks() {
     let mut harness = one_store();
@@ -46,7 +47,7 @@
     assert_eq!(harness.acceptances(), 1);
 }
 
-/// Names are drawn: two messages may get the same one.
+/// Identifiers are random, so two clients' messages may get the same one.
 #[test]
 fn a_different_message_under_a_used_id_is_rejected() {
     let mut harness = one_store();
@@ -441,7 +442,8 @@
     assert_eq!((health.primary_shards, health.oldest_unsynced_ms), (0, u32::MAX));
 }
 
-/// The dispatcher that holds the message is gone; another one is granted it. Gives that grant.
+/// Disconnects the dispatcher that holds the lease, so that the message is granted to another one. Returns that
+/// grant.
 fn granted_elsewhere(harness: &mut StoreHarness, from: u64, to: u64) -> Granted {
     harness.input(0, Input::DispatcherClosed { connection: ConnectionId(from) });
     harness.hello(0, to, to, "zone-0", Vec::new());
@@ -456,7 +458,7 @@
     let mut token = accepted_token(&harness);
     for dispatcher in 1..4 {
         let next = granted_elsewhere(&mut harness, dispatcher, dispatcher + 1);
-        // What the former one read reaches the store after all, twice, on a new connection.
+        // The report of the former holder arrives after all, twice, on a new connection.
         let again = 100 + dispatcher;
         harness.hello(0, again, dispatcher, "zone-0", Vec::new());
         harness.attempted(0, again, id, token, AttemptOutcome::Failed);
--- a/system/state/queue/tests/harness/mod.rs
+++ b/system/state/queue/tests/harness/mod.rs
@@ -1,5 +1,6 @@
-//! Stores wired to each other directly, on a clock that the test moves: everything arrives and syncs at once unless
-//! the test holds it up.
+//! A test harness of stores that are connected directly to each other, on a clock controlled by the test.
+//! Messages are delivered and appends are synced immediately, unless the test pauses a store's inbound messages
+//! or stalls its disk.
 
 #![allow(dead_code)]
 
@@ -25,10 +26,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The only shard.
+/// The only shard of the harness.
 pub const SHARD: ShardId = ShardId(0);
 
-/// A grant that a dispatcher got.
+/// A grant that was delivered to a dispatcher.
 #[derive(Clone, Debug)]
 pub struct Granted {
     pub connection: ConnectionId,
@@ -51,16 +52,16 @@
     pub node: Option<StoreNode>,
     pub records: Vec<(u64, DiskRecord)>,
     last: Ticket,
-    /// So many of the records are synced.
+    /// Number of records that are synced.
     synced: usize,
-    /// Its disk syncs nothing.
+    /// The disk is stalled: nothing is synced.
     pub stalled: bool,
-    /// Messages of other stores wait in `inbound`.
+    /// Messages from other stores are not delivered but wait in `inbound`.
     pub is_inbound_paused: bool,
     inbound: VecDeque<(StoreId, BetweenStores)>,
 }
 
-/// All stores, with everything that dispatchers were sent.
+/// All stores, and everything that was sent to dispatchers.
 #[derive(Clone)]
 pub struct StoreHarness {
     pub now_ms: u64,
@@ -68,14 +69,14 @@
     topology: Topology,
     pub processes: Vec<StoreProcess>,
     pub placement: Placement,
-    /// Messages to dispatchers since they were last taken.
+    /// Messages sent to dispatchers, in order.
     pub sent_to_dispatchers: Vec<(ConnectionId, ToDispatcher)>,
     pub grants: Vec<Granted>,
     pub closed: Vec<ConnectionId>,
     pub released: BTreeSet<MessageId>,
     pub caught_up: Vec<(usize, CaughtUpShard)>,
     pub orphans: Vec<Orphan>,
-    /// Messages between stores so far.
+    /// Number of `Write` messages sent between stores so far.
     pub writes: u64,
     links_down: BTreeSet<(usize, usize)>,
     queue: VecDeque<(usize, StoreId, BetweenStores)>,
@@ -84,12 +85,12 @@
 }
 
 impl StoreProcess {
-    /// Its inbound messages and disk, as a text for comparisons of states.
+    /// The waiting messages and the state of the disk as text, for the comparison of states.
     pub fn inbound_digest(&self) -> String {
         format!("{:?} {} {} {}", self.inbound, self.stalled, self.is_inbound_paused, self.synced)
     }
 
-    /// Its inbound messages never arrive.
+    /// Drops the waiting messages.
     pub fn drop_inbound(&mut self) {
         self.inbound.clear();
     }
@@ -104,7 +105,7 @@
 }
 
 impl StoreHarness {
-    /// `stores` replicas of one shard, the first of which is primary.
+    /// Creates `stores` replicas of one shard; the first is the primary.
     pub fn new(stores: usize, tolerated_losses: u32) -> Self {
         StoreHarness::with(stores, tolerated_losses, Config::default())
     }
@@ -113,7 +114,7 @@
         StoreHarness::with_topology(stores, tolerated_losses, config, Topology::default())
     }
 
-    /// A store in each zone; the zones' regions in their order.
+    /// Creates one store per zone; `regions` are the regions of the zones in order.
     pub fn in_regions(tolerated_losses: u32, regions: &[&str]) -> Self {
         let zones: Vec<String> = (0..regions.len()).map(zone).collect();
         let pairs = zones.iter().map(String::as_str).zip(regions.iter().copied());
@@ -176,12 +177,12 @@
         self.processes.len() - 1
     }
 
-    /// What the stores' clocks read.
+    /// The reading of the stores' clocks.
     pub fn now(&self) -> Instant {
         Instant::from_millis(self.now_ms)
     }
 
-    /// Starts a process with what its disk has.
+    /// Starts a process, which recovers from its disk.
     pub fn start(&mut self, index: usize) {
         let (now, now_ms) = (self.now(), self.now_ms);
         let recovered: Vec<Recovered> = self.processes[index]
@@ -215,7 +216,7 @@
         self.links_down.contains(&(one.min(other), one.max(other)))
     }
 
-    /// The connection of two stores breaks, or comes back.
+    /// Breaks or restores the connection between two stores.
     pub fn set_link(&mut self, one: usize, other: usize, up: bool) {
         let link = (one.min(other), one.max(other));
         if up {
@@ -228,7 +229,7 @@
         self.input(other, Input::StoreClosed { store: store_id(one) });
     }
 
-    /// The process ends; its disk stays, or only what was synced of it.
+    /// Kills a process. Its disk keeps all records, synced or not.
     pub fn kill(&mut self, index: usize) {
         self.processes[index].node = None;
         self.processes[index].inbound.clear();
@@ -237,7 +238,7 @@
         }
     }
 
-    /// The machine loses its power: what was not synced is gone.
+    /// Simulates a power failure: records that were not synced are lost.
     pub fn lose_power(&mut self, index: usize) {
         self.kill(index);
         let process = &mut self.processes[index];
@@ -245,7 +246,7 @@
         process.records.truncate(process.synced);
     }
 
-    /// Gives the shard to another store in a new epoch, and tells everybody that runs.
+    /// Makes another store the primary in a new epoch, and sends the placement to all stores.
     pub fn move_primary(&mut self, index: usize) {
         self.placement.epoch = Epoch(self.placement.epoch.0 + 1);
         self.placement.shards[0].primary = store_id(index);
@@ -253,7 +254,7 @@
         self.spread();
     }
 
-    /// Tells everybody the placement.
+    /// Sends the placement to all stores whose inbound messages are not paused.
     pub fn spread(&mut self) {
         for index in 0..self.processes.len() {
             if !self.processes[index].is_inbound_paused {
@@ -278,7 +279,7 @@
         self.sync(index);
     }
 
-    /// Syncs all that was appended, unless the disk is stalled.
+    /// Syncs all appended records, unless the disk is stalled.
     pub fn sync(&mut self, index: usize) {
         let process = &self.processes[index];
         let (ticket, stalled) = (process.last, process.stalled);
@@ -331,7 +332,7 @@
         }
     }
 
-    /// What waited for a store arrives.
+    /// Resumes the inbound messages of a store and delivers the waiting ones.
     pub fn release(&mut self, index: usize) {
         self.processes[index].is_inbound_paused = false;
         while let Some((from, message)) = self.processes[index].inbound.pop_front() {
@@ -339,7 +340,7 @@
         }
     }
 
-    /// Moves the clock, with every deadline on the way.
+    /// Advances the clock, and calls each store at its deadlines on the way.
     pub fn advance(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         loop {
@@ -359,7 +360,7 @@
         self.now_ms = until_ms;
     }
 
-    /// A dispatcher connects to a store.
+    /// Connects a dispatcher to a store, where it announces its leases.
     pub fn hello(
         &mut self,
         store: usize,
@@ -371,7 +372,8 @@
         self.announce_in_doubt(store, connection, dispatcher, zone, held, Vec::new());
     }
 
-    /// The same, with messages of which the dispatcher does not know whether they were accepted.
+    /// Like [`StoreHarness::hello`], with messages of which the dispatcher does not know whether they were
+    /// accepted.
     pub fn announce_in_doubt(
         &mut self,
         store: usize,
@@ -401,7 +403,7 @@
         MessageId { shard: SHARD, unique: self.names }
     }
 
-    /// Has a message accepted; gives its name and the request's number.
+    /// Sends a message for acceptance and returns its identifier.
     pub fn accept(&mut self, store: usize, connection: u64, message: Message, lease: bool) -> MessageId {
         let id = self.next_message_id();
         self.accept_as(store, connection, id, message, lease);
@@ -415,7 +417,7 @@
         self.say(store, connection, FromDispatcher::Accept { request, id, message, wants_lease: lease });
     }
 
-    /// The token of the latest acceptance.
+    /// The token in the latest acknowledgement of an acceptance; `Some(None)` if that came without a lease.
     pub fn last_accepted(&self) -> Option<Option<LeaseToken>> {
         let token = |message: &ToDispatcher| match message {
             ToDispatcher::Accepted { token, .. } => Some(*token),
@@ -469,24 +471,24 @@
     }
 }
 
-/// One store, to which one dispatcher is connected.
+/// A single store with one connected dispatcher.
 pub fn one_store() -> StoreHarness {
     let mut harness = StoreHarness::new(1, 0);
     harness.hello(0, 1, 1, "zone-0", Vec::new());
     harness
 }
 
-/// The token of the latest acceptance, which must be one with a lease.
+/// The token in the latest acknowledgement of an acceptance, which must have come with a lease.
 pub fn accepted_token(harness: &StoreHarness) -> LeaseToken {
     harness.last_accepted().expect("accepted").expect("with a lease")
 }
 
-/// A message to be run at once.
+/// A message that is due at once.
 pub fn message() -> Message {
     message_of("service")
 }
 
-/// A message to be run at once, in the order of its key.
+/// A message that is due at once and has an order key.
 pub fn with_key(key: &str) -> Message {
     Message { order_key: Some(key.to_owned()), ..message() }
 }
--- a/system/state/queue/tests/home_dispatchers.rs
+++ b/system/state/queue/tests/home_dispatchers.rs
@@ -1,4 +1,5 @@
-//! Which dispatchers get the messages of a service that only one shard's primary grants.
+//! Home dispatchers: which dispatchers get the messages that only one shard's primary grants, because they have
+//! an order key or their service has a rate limit.
 
 mod harness;
 
@@ -19,9 +20,10 @@
     harness
 }
 
-/// Accepts a message from a dispatcher, and runs it wherever it was granted; gives the connection.
+/// Accepts a message from a dispatcher and runs it where it is granted. Returns the connection of the
+/// dispatcher that ran it.
 fn run(harness: &mut StoreHarness, from: u64, message: Message) -> u64 {
-    // A ceiling's first permit comes with time.
+    // A token bucket starts empty; its first permit is available after some time.
     harness.advance(5);
     let id = harness.accept(0, from, message, true);
     let granted = lease_of(harness, from, id);
@@ -30,7 +32,7 @@
     connection
 }
 
-/// The lease of a message that was just accepted: its acceptor's, or another's.
+/// The lease of a message that was just accepted, held by its acceptor or by another dispatcher.
 fn lease_of(harness: &mut StoreHarness, from: u64, id: MessageId) -> Granted {
     match harness.last_accepted().flatten() {
         Some(token) => {
@@ -100,7 +102,7 @@
     assert!(later.difference(&homes).count() <= 1, "{homes:?} {later:?}");
 }
 
-/// The next message of a key is granted to a home at once, and runs after the one before.
+/// The second message of a key is granted as soon as the first has ended, and not earlier.
 #[test]
 fn the_order_of_a_key_is_kept_across_dispatchers() {
     let mut harness = store(Config::default());
--- a/system/state/queue/tests/model.rs
+++ b/system/state/queue/tests/model.rs
@@ -1,5 +1,6 @@
-//! All orders, up to a depth, in which few events can come to three stores of one shard, of which one disk may be lost,
-//! played with the true state machines: what was acknowledged is known to every primary that serves later.
+//! Bounded model checking of the real state machines: explores all sequences of a few kinds of events, up to a
+//! given length, at three stores with one shard. One disk may be lost. Whatever was acknowledged must be known
+//! to every primary that serves later.
 
 mod harness;
 
@@ -13,38 +14,39 @@
 use std::hash::{Hash, Hasher};
 
 const STORES: usize = 3;
-/// The first placement's primary.
+/// Index of the primary in the first placement.
 const FIRST: usize = 0;
 const ID: MessageId = MessageId { shard: SHARD, unique: 1 };
-/// Longest order of events that is played; more with `MODEL_DEPTH`.
+/// Length of the event sequences that are explored; `MODEL_DEPTH` sets another one.
 const DEPTH: usize = 5;
-/// Changes of primary and losses of power in one order.
+/// Maximum number of primary changes in one sequence.
 const MOST_MOVES: u32 = 3;
+/// Maximum number of power losses in one sequence.
 const MOST_POWER_LOSSES: u32 = 2;
-/// Longer than any replica is waited for.
+/// Longer than the longest time to wait for a replica's acknowledgement, in milliseconds.
 const STALL_MS: u64 = 100;
 
-/// Something that happens.
+/// An event in a sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
-    /// A client's message, or the same again, goes to the primary of the placement.
+    /// The message is sent for acceptance, or sent again, to the current primary.
     Ask,
-    /// The same from a dispatcher that knows the first placement only.
+    /// The message is sent to the first primary, by a dispatcher that knows only the first placement.
     AskFirst,
-    /// A run of it succeeded, which is reported to that primary.
+    /// The success of a run is reported to the current primary.
     Succeed,
     MovePrimary(usize),
-    /// The disk syncs nothing, or all again.
+    /// The disk of a store stalls, or resumes and syncs everything.
     Stall(usize),
     Resume(usize),
-    /// Nothing arrives there, or all that waited.
+    /// The inbound messages of a store are paused, or resumed with the waiting ones.
     Hold(usize),
     Release(usize),
-    /// Power is lost and comes back.
+    /// A store loses power and is restarted.
     Restart(usize),
-    /// The disk is lost with all that is on it; only one ever is.
+    /// A store loses its disk and stays down; this happens at most once.
     LoseDisk(usize),
-    /// Late replicas are given up.
+    /// Time passes until late replicas are no longer waited for.
     Wait,
 }
 
@@ -56,7 +58,7 @@
     lost: bool,
     waited: bool,
     asked: bool,
-    /// What clients and dispatchers were sent.
+    /// Acknowledgements that dispatchers have received.
     accepted: bool,
     recorded: bool,
 }
@@ -65,7 +67,7 @@
     store as u64 + 1
 }
 
-/// It is not due for long, so that no grant adds to what is known.
+/// A message with a long delay, so that no grant adds to its state.
 fn later() -> Message {
     Message { delay_ms: 50_000, ..message() }
 }
@@ -97,15 +99,15 @@
         self.harness.processes[store].node.is_some()
     }
 
-    /// It serves in the reign in force; one that has not heard of that may serve in a former one, which the others
-    /// fence off.
+    /// Whether the store serves in the current term. A store that has not heard of this term may still serve in
+    /// a former one, in which the other stores reject its writes.
     fn is_serving(&self, store: usize) -> bool {
         let Some(node) = &self.harness.processes[store].node else { return false };
         let in_force = DiskRecord::Promised { shard: SHARD, term: self.harness.placement.shards[0].term };
         node.health(self.harness.now()).primary_shards == 1 && node.promised_terms().contains(&in_force)
     }
 
-    /// Events that say something new here.
+    /// The events that can lead to a new state from here.
     fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         if !self.accepted {
@@ -187,7 +189,7 @@
         self.listen();
     }
 
-    /// Notes what dispatchers were sent since the last event.
+    /// Records the acknowledgements sent to dispatchers since the last event.
     fn listen(&mut self) {
         for (_, message) in std::mem::take(&mut self.harness.sent_to_dispatchers) {
             self.accepted |= matches!(message, ToDispatcher::Accepted { .. });
@@ -206,7 +208,7 @@
         assert!(!self.recorded || has_ended, "recorded, and not known after {order:?}");
     }
 
-    /// A digest of all that decides what can follow.
+    /// A digest of everything that determines the further behaviour.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for process in &self.harness.processes {
@@ -221,13 +223,13 @@
     }
 }
 
-/// One state that was reached, and how.
+/// A state that was reached, with the sequence of events that led to it.
 struct Reached {
     world: World,
     order: Vec<Event>,
 }
 
-/// Plays every order up to the depth, each state once; gives how many states there were.
+/// Explores every sequence up to the depth, visiting each state once. Returns the number of states.
 fn explore(first: World, depth: usize) -> usize {
     let mut seen: HashSet<u64> = HashSet::from([first.digest()]);
     let mut level = vec![Reached { world: first, order: Vec::new() }];
@@ -261,7 +263,8 @@
     assert!(states > 10_000, "{states} states are too few to show anything");
 }
 
-/// The message lies on the disk of store 1 alone, unacknowledged, and store 0 is cut off.
+/// A state in which the message is on the disk of store 1 alone, unacknowledged, and store 0 receives nothing
+/// from other stores.
 fn on_one_disk() -> World {
     let mut world = World::new();
     for event in [Event::Stall(0), Event::Hold(2), Event::Ask, Event::Hold(0)] {
--- a/system/state/queue/tests/rate_limits.rs
+++ b/system/state/queue/tests/rate_limits.rs
@@ -1,4 +1,5 @@
-//! A service's common ceiling: never above it in any five seconds, and hardly below it under a backlog.
+//! The rate limit of a service: never exceeded in any window of five seconds, and nearly reached under a
+//! backlog.
 
 mod harness;
 
@@ -8,7 +9,8 @@
 use proptest::prelude::*;
 
 const WINDOW_MS: u64 = 5_000;
-/// Permits that may be saved up: two per cent of five seconds' worth, one at least.
+/// Capacity of the token bucket as a fraction of a window's permits: two per cent of five seconds' worth, but
+/// at least one.
 const SAVED: f64 = 0.02;
 
 fn rated_store(rate: f64) -> StoreHarness {
@@ -19,7 +21,7 @@
     harness
 }
 
-/// Moves on in steps, so that the dispatcher is not taken for gone.
+/// Advances the clock in steps with a ping after each, so that the dispatcher is not considered unresponsive.
 fn advance(harness: &mut StoreHarness, ms: u64) {
     for _ in 0..ms / 100 {
         harness.advance(100);
@@ -28,7 +30,7 @@
     harness.advance(ms % 100);
 }
 
-/// `starts` rise.
+/// The highest number of starts in any window. `starts` must be in ascending order.
 fn max_in_window(starts: &[u64]) -> usize {
     let in_window =
         |(at, first): (usize, &u64)| starts.partition_point(|start| *start < first + WINDOW_MS) - at;
--- a/system/state/queue/tests/replicas/main.rs
+++ b/system/state/queue/tests/replicas/main.rs
@@ -1,5 +1,5 @@
-//! Several stores: what an acknowledgement needs, what a slow or lost store changes, and what a change of primary
-//! leaves.
+//! Replication over several stores: what an acknowledgement requires, how slow or lost stores are compensated
+//! for, and what survives a change of primary.
 
 #[path = "../harness/mod.rs"]
 mod harness;
--- a/system/state/queue/tests/replicas/membership.rs
+++ b/system/state/queue/tests/replicas/membership.rs
@@ -1,4 +1,4 @@
-//! A shard's replicas change.
+//! Membership changes: the replicas of a shard change.
 
 use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::store::{FromDispatcher, QueryAnswer, ToDispatcher};
--- a/system/state/queue/tests/replicas/regions.rs
+++ b/system/state/queue/tests/replicas/regions.rs
@@ -1,15 +1,15 @@
-//! Which replicas are written to, and which dispatchers are granted to, where there are regions.
+//! Several regions: which replicas are written to, and which dispatchers are granted messages.
 
 use std::collections::BTreeSet;
 
 use crate::harness::{message, with_key, StoreHarness};
 
-/// The primary and two more in one region, two in another; two may be lost.
+/// The primary and two more replicas in one region, two replicas in another; two may be lost.
 fn two_regions() -> StoreHarness {
     StoreHarness::in_regions(2, &["north", "south", "north", "south", "north"])
 }
 
-/// Stores that know of a message accepted now.
+/// Accepts a message and returns the stores that have it.
 fn holders(harness: &mut StoreHarness) -> BTreeSet<usize> {
     let id = harness.accept(0, 1, message(), true);
     (0..5).filter(|store| harness.state(*store, id).is_some()).collect()
--- a/system/state/queue/tests/replicas/support.rs
+++ b/system/state/queue/tests/replicas/support.rs
@@ -1,4 +1,4 @@
-//! Three stores, and what tests do to them.
+//! A cluster of three stores, and steps shared by the tests.
 
 use millrudder_protocol::message::End;
 use millrudder_protocol::placement::{ChangeReason, MemberChange};
@@ -8,7 +8,8 @@
 pub use crate::harness::accepted_token;
 use crate::harness::{store_id, StoreHarness};
 
-/// Three stores, of which one may be lost; a dispatcher is connected to each, by the connection of its number.
+/// Three stores, of which one may be lost. A dispatcher is connected to each store, over a connection numbered
+/// one higher than the store.
 pub fn three_stores() -> StoreHarness {
     let mut harness = StoreHarness::new(3, 1);
     for store in 0..3 {
@@ -25,7 +26,7 @@
     Some(End::Completed { signature: "s".to_owned() })
 }
 
-/// The dispatcher has heard of a new placement.
+/// Lets the dispatcher announce itself to a store under the current placement, with the leases that it holds.
 pub fn announce(harness: &mut StoreHarness, store: usize, held: Vec<ActiveLease>) {
     harness.hello(store, store as u64 + 1, 7, "zone-0", held);
 }
@@ -35,7 +36,8 @@
     MemberChange { joins, leaves, epoch: since, reason: ChangeReason::Repair }
 }
 
-/// Store 3 is to take the place of store 2, which is well; nothing was said to it yet.
+/// Starts a learner, store 3, that is to replace the healthy store 2. The new placement has not been sent to
+/// the other stores yet.
 pub fn moving_to_a_learner(harness: &mut StoreHarness) -> usize {
     let learner = harness.add_process();
     harness.placement.shards[0].change = Some(replaces(2, learner, Epoch(2)));
@@ -44,7 +46,7 @@
     learner
 }
 
-/// The process ends and its disk is lost: it starts without anything.
+/// Kills a store and loses its disk; it would start with an empty one.
 pub fn lose_disk(harness: &mut StoreHarness, store: usize) {
     harness.kill(store);
     harness.processes[store].records.clear();
--- a/system/state/queue/tests/replicas/takeovers.rs
+++ b/system/state/queue/tests/replicas/takeovers.rs
@@ -1,4 +1,4 @@
-//! A shard's primary changes.
+//! Takeovers: the primary of a shard changes.
 
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{
@@ -313,7 +313,7 @@
     let mut harness = three_stores();
     harness.processes[0].stalled = true;
     harness.set_link(0, 2, false);
-    // A delay, so that no grant adds to what is known.
+    // The delay ensures that no grant adds to the state.
     let later = || Message { delay_ms: 20_000, ..message() };
     let id = harness.accept(0, 1, later(), false);
     harness.kill(0);
--- a/system/state/queue/tests/replicas/writes.rs
+++ b/system/state/queue/tests/replicas/writes.rs
@@ -1,4 +1,4 @@
-//! Replication: how many disks a change is written to, hedging, repair, invalid messages.
+//! Writes to replicas: how many disks a change is written to, hedging, repair, invalid messages.
 
 use millrudder_protocol::message::Message;
 use millrudder_protocol::store::{BetweenStores, FromDispatcher, QueryAnswer, ToDispatcher};
@@ -146,8 +146,8 @@
     assert!(harness.state(0, id).is_some());
 }
 
-/// A process numbers its writes from one on: the replica's late answer to a write of the process before must not pass
-/// for the answer to one of the present process.
+/// Each process numbers its own writes. A replica's late acknowledgement of a write of the former process must
+/// not be taken for the acknowledgement of a write of the current one.
 #[test]
 fn a_late_acknowledgement_for_a_former_process_is_ignored() {
     let mut harness = three_stores();
--- a/system/state/queue/tests/scrub.rs
+++ b/system/state/queue/tests/scrub.rs
@@ -1,4 +1,4 @@
-//! Replicas are compared in the background, and what one lacks is written to it anew.
+//! Scrubbing: replicas are compared in the background, and what a replica lacks is written to it again.
 
 mod harness;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// The store's process starts anew with a disk that has lost some records without a word.
+/// Restarts a store with a disk that has silently lost some records.
 fn start_with_loss(harness: &mut StoreHarness, index: usize, lost: impl Fn(usize) -> bool) {
     harness.processes[index].node = None;
     let mut position = 0;
--- a/system/state/queue/tests/simulation.rs
+++ b/system/state/queue/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! The state machines of several stores in a simulated cluster with drawn faults: accepted messages are durable, order,
-//! ceilings and delays hold, and everything ends.
+//! Several stores in a simulated cluster with random faults: accepted messages are durable, order keys, rate
+//! limits and delays are respected, and every message ends.
 
 mod cluster;
 
@@ -9,10 +9,12 @@
 use millrudder_protocol::message::End;
 use millrudder_protocol::MessageId;
 
+/// Simulated time at which clients and faults stop.
 const TRAFFIC_MS: u64 = 9_000;
+/// Maximum time after that in which everything must end.
 const QUIET_MS: u64 = 22_000;
 
-/// Plays a run with faults and checks what is left at its end.
+/// Runs a simulation with faults and checks the state at its end.
 fn play(options: Options) -> Cluster {
     let mut cluster = Cluster::new(options);
     cluster.run_until(1_000);
@@ -34,7 +36,7 @@
     cluster
 }
 
-/// Runs until everything has ended, and for a while after; the time for that is bounded.
+/// Runs until everything has ended, but at most for a limited time, and for a while longer.
 fn run_to_the_end(cluster: &mut Cluster) {
     while !has_ended(cluster) && cluster.now_ms < TRAFFIC_MS + QUIET_MS {
         cluster.run_until(cluster.now_ms + 500);
@@ -53,7 +55,7 @@
     cluster.request_log.messages.iter().all(is_over) && cluster.dispatchers.iter().all(Dispatcher::is_idle)
 }
 
-/// What is said of a message by the primary of its shard.
+/// The state of a message at the primary of its shard.
 fn state_of(cluster: &Cluster, id: MessageId) -> Option<millrudder_protocol::message::MessageState> {
     let primary = cluster.manager.placement.shard(id.shard)?.primary;
     let index = cluster.store_index(primary)?;
@@ -164,7 +166,7 @@
             cluster.run_until(cluster.now_ms + 100);
             assert!(cluster.now_ms < TRAFFIC_MS, "emptied in time");
         }
-        // Time in which primaries write anew what the emptied store was one of the holders of.
+        // Time for the primaries to replicate again what was on the drained store.
         cluster.run_until(cluster.now_ms + 300);
         cluster.stop_store(1, true);
         cluster.wipe_store(1);
--- a/system/state/queue/tests/state_merge.rs
+++ b/system/state/queue/tests/state_merge.rs
@@ -1,5 +1,5 @@
-//! What a store knows of a message only grows: records merged in any order, and read back from any prefix of a disk,
-//! give what they say together.
+//! Merging the states of a message is monotonic: records that are merged in any order, or recovered from any
+//! prefix of a disk, give the combination of what they contain.
 
 mod cluster;
 
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 const ID: MessageId = MessageId { shard: ShardId(0), unique: 1 };
-/// Long after everything that records are about, so that no age is cut off.
+/// A time long after everything that the records describe, so that no age is truncated.
 const NOW: Instant = Instant::from_millis(1_000_000);
 
 fn body() -> Message {
@@ -66,7 +66,8 @@
     let record = |state: &MessageState| Record::State { state: Box::new(state.clone()) };
     let records: Vec<Record> = states.iter().map(record).collect();
     let merged = recover(&records).state_of(ID).expect("known");
-    // The time of the end is that of the first record of it: only that it ended, and how, must agree.
+    // The time of the end is taken from the first record that contains it, so it depends on the order. Only the
+    // end itself must agree.
     MessageState { ended_age_ms: 0, ..merged }
 }
 
@@ -116,7 +117,7 @@
     assert_eq!(recover(&records).state_of(ID), None);
 }
 
-/// What is known later includes what was known before.
+/// Asserts that the later state includes everything in the earlier one.
 fn assert_grown(before: &MessageState, after: &MessageState) {
     assert!(after.failed_attempts >= before.failed_attempts);
     assert!(after.resolved_through >= before.resolved_through);
--- a/system/state/queue/tests/support/message.rs
+++ b/system/state/queue/tests/support/message.rs
@@ -1,4 +1,4 @@
-//! Messages for tests.
+//! Builds messages for tests.
 
 use millrudder_protocol::message::Message;
 
