--- a/system/state/queue/tests/call_backs.rs
+++ b/system/state/queue/tests/call_backs.rs
@@ -17,7 +17,7 @@
     message: Option<Message>,
 }
 
-fn owing(receiver: &str) -> Message {
+fn with_callback(receiver: &str) -> Message {
     Message { callback_url: Some(format!("http://{receiver}/done")), ..message() }
 }
 
@@ -43,13 +43,13 @@
 
 fn report(harness: &mut StoreHarness, call: &Call, done: bool) {
     let message = FromDispatcher::CalledBack { id: call.id, token: call.token, done, retry_after_ms: 0 };
-    harness.say(0, call.connection.0, message);
+    harness.send_from_dispatcher(0, call.connection.0, message);
 }
 
 #[test]
 fn an_end_has_its_call_back_made_once_it_is_durable() {
     let mut harness = one_store();
-    let id = harness.accept(0, 1, owing("r"), true);
+    let id = harness.accept(0, 1, with_callback("r"), true);
     let token = harness.last_accepted().flatten().expect("a lease");
     harness.processes[0].stalled = true;
     harness.attempted(0, 1, id, token, AttemptOutcome::Succeeded { signature: "s".to_owned() });
@@ -64,7 +64,7 @@
 #[test]
 fn a_successful_call_back_is_complete_and_its_body_is_freed() {
     let mut harness = one_store();
-    let id = complete(&mut harness, owing("r"));
+    let id = complete(&mut harness, with_callback("r"));
     let call = take_calls(&mut harness).remove(0);
     report(&mut harness, &call, true);
     assert!(harness.is_recorded(id, call.token));
@@ -76,12 +76,12 @@
 #[test]
 fn a_dead_letter_is_called_back_and_a_withdrawn_message_is_not() {
     let mut harness = one_store();
-    let id = harness.accept(0, 1, owing("r"), true);
+    let id = harness.accept(0, 1, with_callback("r"), true);
     let token = harness.last_accepted().flatten().expect("a lease");
     harness.attempted(0, 1, id, token, AttemptOutcome::Refused);
     assert_eq!(take_calls(&mut harness)[0].end, End::DeadLetter);
-    let withdrawn = harness.accept(0, 1, Message { delay_ms: 100, ..owing("r") }, false);
-    harness.say(0, 1, FromDispatcher::Withdraw { id: withdrawn });
+    let withdrawn = harness.accept(0, 1, Message { delay_ms: 100, ..with_callback("r") }, false);
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id: withdrawn });
     harness.advance(500);
     assert!(take_calls(&mut harness).is_empty());
 }
@@ -90,11 +90,11 @@
 fn call_backs_in_flight_are_limited_per_receiver_and_receivers_are_independent() {
     let mut harness = one_store();
     for _ in 0..10 {
-        complete(&mut harness, owing("slow"));
+        complete(&mut harness, with_callback("slow"));
     }
     let slow = take_calls(&mut harness);
     assert_eq!(slow.len(), 2);
-    complete(&mut harness, owing("quick"));
+    complete(&mut harness, with_callback("quick"));
     assert_eq!(take_calls(&mut harness).len(), 1);
     report(&mut harness, &slow[0], true);
     assert_eq!(
@@ -107,7 +107,7 @@
 #[test]
 fn a_failing_receiver_backs_off_exponentially() {
     let mut harness = one_store();
-    complete(&mut harness, owing("down"));
+    complete(&mut harness, with_callback("down"));
     let mut attempts = 0;
     for _ in 0..100 {
         for call in take_calls(&mut harness) {
@@ -115,26 +115,26 @@
             report(&mut harness, &call, false);
         }
         harness.advance(100);
-        harness.say(0, 1, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
     }
     assert!((4..=8).contains(&attempts), "{attempts} tries in ten seconds");
-    complete(&mut harness, owing("well"));
+    complete(&mut harness, with_callback("well"));
     assert_eq!(take_calls(&mut harness).len(), 1);
 }
 
 #[test]
 fn a_call_back_that_always_fails_does_not_block_others_to_its_receiver() {
     let mut harness = one_store();
-    let bad = complete(&mut harness, owing("r"));
+    let bad = complete(&mut harness, with_callback("r"));
     let mut done = 0;
     for _ in 0..100 {
-        complete(&mut harness, owing("r"));
+        complete(&mut harness, with_callback("r"));
         for call in take_calls(&mut harness) {
             report(&mut harness, &call, call.id != bad);
             done += usize::from(call.id != bad);
         }
         harness.advance(50);
-        harness.say(0, 1, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
     }
     assert!(done > 90, "{done} of 100 were taken");
 }
@@ -143,7 +143,7 @@
 fn a_call_back_moves_to_another_dispatcher_after_a_disconnect() {
     let mut harness = one_store();
     harness.hello(0, 2, 2, "zone-0", Vec::new());
-    let id = complete(&mut harness, owing("r"));
+    let id = complete(&mut harness, with_callback("r"));
     let first = take_calls(&mut harness).remove(0);
     assert_eq!(first.connection, ConnectionId(1));
     harness.input(0, Input::DispatcherClosed { connection: ConnectionId(1) });
@@ -159,7 +159,7 @@
 #[test]
 fn a_call_back_stays_pending_without_a_connected_dispatcher() {
     let mut harness = one_store();
-    let id = harness.accept(0, 1, Message { retention_ms: 100, ..owing("r") }, true);
+    let id = harness.accept(0, 1, Message { retention_ms: 100, ..with_callback("r") }, true);
     harness.input(0, Input::DispatcherClosed { connection: ConnectionId(1) });
     harness.advance(5_000);
     harness.hello(0, 2, 2, "zone-0", Vec::new());
@@ -171,16 +171,17 @@
 fn advance_alive(harness: &mut StoreHarness, ms: u64) {
     for _ in 0..ms / 100 {
         harness.advance(100);
-        harness.say(0, 1, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
     }
 }
 
 #[test]
 fn a_call_back_that_a_live_dispatcher_lost_is_granted_again() {
     let mut harness = one_store();
-    let forgotten: Vec<MessageId> = (0..2).map(|_| complete(&mut harness, owing("r"))).collect();
+    let lost_call_backs: Vec<MessageId> =
+        (0..2).map(|_| complete(&mut harness, with_callback("r"))).collect();
     assert_eq!(take_calls(&mut harness).len(), 2);
-    let behind = complete(&mut harness, owing("r"));
+    let queued = complete(&mut harness, with_callback("r"));
     let lease_ms = Config::default().callback_timeout.as_millis() as u64;
     advance_alive(&mut harness, lease_ms - 1_000);
     assert!(take_calls(&mut harness).is_empty(), "two are under way, as far as is known");
@@ -192,16 +193,16 @@
             called.push(call.id);
         }
     }
-    assert!(forgotten.iter().chain([&behind]).all(|id| called.contains(id)), "{called:?}");
+    assert!(lost_call_backs.iter().chain([&queued]).all(|id| called.contains(id)), "{called:?}");
     let orphan = |id: &MessageId| Orphan { id: *id, cause: OrphanCause::CallbackForgotten };
-    assert!(forgotten.iter().all(|id| harness.orphans.contains(&orphan(id))), "{:?}", harness.orphans);
+    assert!(lost_call_backs.iter().all(|id| harness.orphans.contains(&orphan(id))), "{:?}", harness.orphans);
     assert_eq!(harness.orphans.len(), 2);
 }
 
 #[test]
 fn a_late_report_completes_a_call_back_that_timed_out() {
     let mut harness = one_store();
-    let id = complete(&mut harness, owing("r"));
+    let id = complete(&mut harness, with_callback("r"));
     let first = take_calls(&mut harness).remove(0);
     advance_alive(&mut harness, Config::default().callback_timeout.as_millis() as u64 + 1_500);
     assert_eq!(take_calls(&mut harness).len(), 1);
@@ -223,7 +224,7 @@
 fn callers(harness: &mut StoreHarness, receiver: &str, call_backs: usize) -> std::collections::BTreeSet<u64> {
     let mut callers = std::collections::BTreeSet::new();
     for _ in 0..call_backs {
-        complete(harness, owing(receiver));
+        complete(harness, with_callback(receiver));
         for call in take_calls(harness) {
             callers.insert(call.connection.0);
             report(harness, &call, true);
@@ -258,7 +259,7 @@
     let mut harness = with_dispatchers(12);
     let before = callers(&mut harness, "r", 20);
     for gone in before.iter().filter(|gone| **gone != 1) {
-        harness.say(0, *gone, FromDispatcher::ShuttingDown);
+        harness.send_from_dispatcher(0, *gone, FromDispatcher::ShuttingDown);
     }
     let after = callers(&mut harness, "r", 20);
     assert!(!after.is_empty());
--- a/system/state/queue/tests/cluster/dispatcher.rs
+++ b/system/state/queue/tests/cluster/dispatcher.rs
@@ -10,9 +10,9 @@
 use std::collections::BTreeMap;
 
 /// Time in milliseconds after which an unanswered message is sent again.
-pub const REPEAT_MS: u64 = 250;
+pub const RESEND_MS: u64 = 250;
 /// Time in milliseconds after which a client's request is withdrawn or given up.
-const GIVE_UP_MS: u64 = 2_000;
+const CLIENT_TIMEOUT_MS: u64 = 2_000;
 /// Time for which the bodies of accepted messages are retained, in milliseconds.
 const BODY_RETENTION_MS: u64 = 15_000;
 
@@ -71,7 +71,7 @@
         }
     }
 
-    pub fn die(&mut self, next: DispatcherId) {
+    pub fn restart_as(&mut self, next: DispatcherId) {
         let zone = self.zone.clone();
         let (incarnation, calm) = (self.incarnation + 1, self.calm);
         *self = Dispatcher::new(next, &zone);
@@ -96,7 +96,7 @@
 }
 
 impl Cluster {
-    pub fn tell_primary(&mut self, at: usize, id: MessageId, message: FromDispatcher) {
+    pub fn send_to_primary(&mut self, at: usize, id: MessageId, message: FromDispatcher) {
         let Some(primary) = self.dispatchers[at].primary(id) else { return };
         let Some(store) = self.store_index(primary) else { return };
         self.send_to_store(at, store, message);
@@ -119,7 +119,7 @@
         self.send_to_store(at, store, hello);
     }
 
-    pub fn dispatcher_placement(&mut self, at: usize, placement: Placement) {
+    pub fn apply_dispatcher_placement(&mut self, at: usize, placement: Placement) {
         if placement.epoch <= self.dispatchers[at].placement.epoch {
             return;
         }
@@ -165,7 +165,7 @@
             let message = Box::new(dispatcher.bodies[&id].0.clone());
             FromDispatcher::Accept { request: pending.request, id, message, wants_lease: lease }
         };
-        self.tell_primary(at, id, message);
+        self.send_to_primary(at, id, message);
     }
 
     pub fn dispatcher_receives(&mut self, at: usize, from: usize, message: ToDispatcher) {
@@ -185,11 +185,8 @@
                 }
             }
             ToDispatcher::Deliver { id, token, message, age_ms, .. } => {
-                let actual_age_ms = self.now_ms - self.request_log.messages[&id].sent_ms;
-                assert!(
-                    age_ms <= actual_age_ms + 1,
-                    "{id} is said to be {age_ms} ms old, it is {actual_age_ms}"
-                );
+                let true_age_ms = self.now_ms - self.request_log.messages[&id].sent_ms;
+                assert!(age_ms <= true_age_ms + 1, "{id} is said to be {age_ms} ms old, it is {true_age_ms}");
                 self.delivered(at, id, token, message.map(|message| *message));
             }
             ToDispatcher::CallBack { id, token, end, .. } => self.call_back(at, id, token, end),
@@ -245,27 +242,31 @@
         self.repeat_reports(at);
         let callbacks = self.dispatchers[at].callbacks.clone();
         for ((id, token), state) in callbacks {
-            if let Some((done, _)) = state.filter(|(_, sent_ms)| now_ms - sent_ms >= REPEAT_MS) {
+            if let Some((done, _)) = state.filter(|(_, sent_ms)| now_ms - sent_ms >= RESEND_MS) {
                 self.dispatchers[at].callbacks.insert((id, token), Some((done, now_ms)));
-                self.tell_primary(at, id, FromDispatcher::CalledBack { id, token, done, retry_after_ms: 20 });
+                self.send_to_primary(
+                    at,
+                    id,
+                    FromDispatcher::CalledBack { id, token, done, retry_after_ms: 20 },
+                );
             }
         }
     }
 
     fn repeat_accepts(&mut self, at: usize) {
         let now_ms = self.now_ms;
-        let is_due = |pending: &PendingAccept| !pending.given_up && now_ms - pending.sent_ms >= REPEAT_MS;
+        let is_due = |pending: &PendingAccept| !pending.given_up && now_ms - pending.sent_ms >= RESEND_MS;
         let pending = &self.dispatchers[at].pending;
         let due: Vec<MessageId> = pending.iter().filter(|(_, p)| is_due(p)).map(|(id, _)| *id).collect();
         for id in due {
             let withdraw = self.random.bool();
             let Some(pending) = self.dispatchers[at].pending.get_mut(&id) else { continue };
-            if now_ms - pending.first_ms > 2 * GIVE_UP_MS {
+            if now_ms - pending.first_ms > 2 * CLIENT_TIMEOUT_MS {
                 pending.given_up = true;
                 pending.withdrawing = false;
                 continue;
             }
-            if now_ms - pending.first_ms > GIVE_UP_MS {
+            if now_ms - pending.first_ms > CLIENT_TIMEOUT_MS {
                 if !pending.withdrawing && !withdraw {
                     pending.given_up = true;
                     continue;
--- a/system/state/queue/tests/cluster/faults.rs
+++ b/system/state/queue/tests/cluster/faults.rs
@@ -25,7 +25,7 @@
 
     /// Whether a disk may be lost: all stores are healthy, and the data of the last lost disk has been
     /// replicated again for a while.
-    fn may_wipe(&self) -> bool {
+    fn may_lose_disk(&self) -> bool {
         self.is_fully_replicated()
             && self.wiped_at_ms.is_none_or(|wiped| self.now_ms > wiped + 2 * CATCH_UP_MS)
     }
@@ -46,9 +46,9 @@
             println!("{} fault at store {store} for {lasts_ms}", self.now_ms);
         }
         match self.random.u8(0..15) {
-            0 | 1 => self.lose_store(store, lasts_ms, false, false),
-            2 | 3 => self.lose_store(store, lasts_ms, true, false),
-            4 if self.may_wipe() => self.lose_store(store, lasts_ms, true, true),
+            0 | 1 => self.stop_and_restart_store(store, lasts_ms, false, false),
+            2 | 3 => self.stop_and_restart_store(store, lasts_ms, true, false),
+            4 if self.may_lose_disk() => self.stop_and_restart_store(store, lasts_ms, true, true),
             5 | 6 => {
                 // Events deferred to the end of an earlier freeze must not be overtaken, so a freeze is never
                 // shortened.
@@ -64,8 +64,8 @@
                 let frozen_until_ms = &mut self.dispatchers[at].frozen_until_ms;
                 *frozen_until_ms = (*frozen_until_ms).max(self.now_ms + lasts_ms);
             }
-            12 => self.lose_all(false),
-            13 => self.lose_all(true),
+            12 => self.stop_all_stores(false),
+            13 => self.stop_all_stores(true),
             _ => self.reset_links(),
         }
         let gap_ms = if overlaps { self.random.u64(0..700) } else { lasts_ms + CATCH_UP_MS };
@@ -75,7 +75,7 @@
         self.request_log.last_fault_ms = Some(over_ms);
     }
 
-    pub fn lose_store(&mut self, store: usize, lasts_ms: u64, power: bool, wipe: bool) {
+    pub fn stop_and_restart_store(&mut self, store: usize, lasts_ms: u64, power: bool, wipe: bool) {
         self.stop_store(store, power);
         if wipe {
             self.wiped_at_ms = Some(self.now_ms + lasts_ms);
@@ -85,12 +85,12 @@
     }
 
     /// Stops all stores at the same time. On a power failure, as many disks may be lost as are tolerated.
-    pub fn lose_all(&mut self, power: bool) {
+    pub fn stop_all_stores(&mut self, power: bool) {
         let wiped = self.random.usize(0..self.stores.len());
-        let wipe = power && self.random.bool() && self.may_wipe();
+        let wipe = power && self.random.bool() && self.may_lose_disk();
         for store in 0..self.stores.len() {
             let lasts_ms = self.random.u64(10..1_000);
-            self.lose_store(store, lasts_ms, power, wipe && store == wiped);
+            self.stop_and_restart_store(store, lasts_ms, power, wipe && store == wiped);
         }
     }
 
@@ -101,7 +101,7 @@
             // Answers that it read and that no store has received are lost with it.
             self.request_log.messages.get_mut(&id).expect("known").answer_lost = true;
         }
-        self.dispatchers[at].die(next);
+        self.dispatchers[at].restart_as(next);
         let notice_ms = if self.random.bool() { 2 } else { 1_000 };
         for link in self.links.open_at(End::Dispatcher(at)) {
             self.close(link, notice_ms);
@@ -142,11 +142,11 @@
 
     /// Restarts a store in a planned way: it serves until its shards have been moved, then its process stops
     /// and starts again.
-    pub fn roll(&mut self, store: usize, serves_ms: u64, down_ms: u64) {
+    pub fn restart_planned(&mut self, store: usize, serves_ms: u64, down_ms: u64) {
         self.stores[store].leaving = true;
         self.input(store, Input::ShutdownRequested);
         self.run_until(self.now_ms + serves_ms);
-        self.lose_store(store, down_ms, false, false);
+        self.stop_and_restart_store(store, down_ms, false, false);
         self.run_until(self.now_ms + down_ms);
     }
 }
--- a/system/state/queue/tests/cluster/manager.rs
+++ b/system/state/queue/tests/cluster/manager.rs
@@ -10,20 +10,20 @@
 use std::net::SocketAddr;
 
 /// Time in milliseconds after which the shards of an unhealthy store are moved.
-const UNWELL_MS: u64 = 300;
+const UNHEALTHY_MS: u64 = 300;
 /// Time in milliseconds that a store must be healthy to get shards back.
-const WELL_MS: u64 = 1_500;
+const HEALTHY_MS: u64 = 1_500;
 
 /// Placeholder for the epoch of the placement that is being built.
-const NEXT: Epoch = Epoch(u64::MAX);
+const NEXT_EPOCH: Epoch = Epoch(u64::MAX);
 
 /// State of the placement manager.
 pub struct Manager {
     pub placement: Placement,
     /// The store that is being drained for removal.
     pub retiring: Option<StoreId>,
-    unwell_since_ms: BTreeMap<usize, u64>,
-    well_since_ms: BTreeMap<usize, u64>,
+    unhealthy_since_ms: BTreeMap<usize, u64>,
+    healthy_since_ms: BTreeMap<usize, u64>,
 }
 
 impl Manager {
@@ -52,14 +52,14 @@
         Manager {
             placement,
             retiring: None,
-            unwell_since_ms: BTreeMap::new(),
-            well_since_ms: BTreeMap::new(),
+            unhealthy_since_ms: BTreeMap::new(),
+            healthy_since_ms: BTreeMap::new(),
         }
     }
 }
 
 fn change(joins: StoreId, leaves: Option<StoreId>, reason: ChangeReason) -> MemberChange {
-    MemberChange { joins, leaves, epoch: NEXT, reason }
+    MemberChange { joins, leaves, epoch: NEXT_EPOCH, reason }
 }
 
 /// The identifiers of successive disks of one machine differ by multiples of 100.
@@ -84,25 +84,25 @@
     }
 
     pub fn manage(&mut self) {
-        self.connect_ends();
+        self.open_links();
         let mut placement = self.manager.placement.clone();
-        let well: Vec<bool> = (0..self.stores.len()).map(|index| self.update_health(index)).collect();
+        let is_healthy: Vec<bool> = (0..self.stores.len()).map(|index| self.update_health(index)).collect();
         self.replace_disks(&mut placement);
-        self.empty_retiring(&mut placement);
+        self.drain_retiring(&mut placement);
         self.promote_learners(&mut placement);
-        self.move_primaries(&mut placement, &well);
+        self.move_primaries(&mut placement, &is_healthy);
         if placement != self.manager.placement {
             placement.epoch = Epoch(placement.epoch.0 + 1);
             for shard in &mut placement.shards {
-                if shard.term == NEXT {
+                if shard.term == NEXT_EPOCH {
                     shard.term = placement.epoch;
                 }
-                if let Some(change) = shard.change.as_mut().filter(|change| change.epoch == NEXT) {
+                if let Some(change) = shard.change.as_mut().filter(|change| change.epoch == NEXT_EPOCH) {
                     change.epoch = placement.epoch;
                 }
             }
             self.manager.placement = placement;
-            self.spread_placement();
+            self.publish_placement();
         }
     }
 
@@ -110,13 +110,13 @@
     fn update_health(&mut self, index: usize) -> bool {
         let now_ms = self.now_ms;
         if self.is_healthy(index) {
-            self.manager.unwell_since_ms.remove(&index);
-            self.manager.well_since_ms.entry(index).or_insert(now_ms);
+            self.manager.unhealthy_since_ms.remove(&index);
+            self.manager.healthy_since_ms.entry(index).or_insert(now_ms);
             return true;
         }
-        self.manager.well_since_ms.remove(&index);
-        let since_ms = *self.manager.unwell_since_ms.entry(index).or_insert(now_ms);
-        now_ms - since_ms < UNWELL_MS
+        self.manager.healthy_since_ms.remove(&index);
+        let since_ms = *self.manager.unhealthy_since_ms.entry(index).or_insert(now_ms);
+        now_ms - since_ms < UNHEALTHY_MS
     }
 
     /// Makes a wiped store a learner of all shards of which its former disk was a replica.
@@ -141,7 +141,7 @@
     }
 
     /// Makes another store a learner of each shard that is on the store being drained.
-    fn empty_retiring(&self, placement: &mut Placement) {
+    fn drain_retiring(&self, placement: &mut Placement) {
         let Some(retiring) = self.manager.retiring else { return };
         let all: Vec<StoreId> = placement.stores.iter().map(|store| store.id).collect();
         for shard in placement.shards.iter_mut().filter(|shard| shard.replicas.contains(&retiring)) {
@@ -172,13 +172,14 @@
         }
     }
 
-    fn move_primaries(&mut self, placement: &mut Placement, well: &[bool]) {
+    fn move_primaries(&mut self, placement: &mut Placement, is_healthy: &[bool]) {
         let now_ms = self.now_ms;
         let index_of = |id: StoreId| self.stores.iter().position(|store| store.id == id);
-        let may_serve = |id: StoreId| index_of(id).is_some_and(|at| well[at] && !self.stores[at].leaving);
-        let long_well = |id: StoreId| {
-            let since_ms = index_of(id).and_then(|at| self.manager.well_since_ms.get(&at).copied());
-            since_ms.is_some_and(|since_ms| now_ms - since_ms >= WELL_MS)
+        let may_serve =
+            |id: StoreId| index_of(id).is_some_and(|at| is_healthy[at] && !self.stores[at].leaving);
+        let is_stably_healthy = |id: StoreId| {
+            let since_ms = index_of(id).and_then(|at| self.manager.healthy_since_ms.get(&at).copied());
+            since_ms.is_some_and(|since_ms| now_ms - since_ms >= HEALTHY_MS)
         };
         for number in 0..placement.shards.len() {
             let load = |id: StoreId, placement: &Placement| placement.shards_of_primary(id).count();
@@ -186,16 +187,16 @@
             let candidates = shard.replicas.iter().copied().filter(|id| may_serve(*id));
             let Some(best) = candidates.min_by_key(|id| load(*id, placement)) else { continue };
             let present = shard.primary;
-            let is_better = long_well(best) && load(best, placement) + 1 < load(present, placement);
+            let is_better = is_stably_healthy(best) && load(best, placement) + 1 < load(present, placement);
             if !may_serve(present) || is_better {
                 placement.shards[number].primary = best;
-                placement.shards[number].term = NEXT;
+                placement.shards[number].term = NEXT_EPOCH;
             }
         }
     }
 
     /// Sends the current placement to all stores and dispatchers, with random delays.
-    pub fn spread_placement(&mut self) {
+    pub fn publish_placement(&mut self) {
         let stores = (0..self.stores.len()).map(|index| (End::Store(index), self.stores[index].incarnation));
         let dispatchers =
             (0..self.dispatchers.len()).map(|at| (End::Dispatcher(at), self.dispatchers[at].incarnation));
@@ -208,7 +209,7 @@
     }
 
     /// Opens every closed link that can be opened.
-    fn connect_ends(&mut self) {
+    fn open_links(&mut self) {
         let stores = self.stores.len();
         for index in 0..stores {
             for other in 0..index {
@@ -258,7 +259,7 @@
         self.dispatchers[at].up = true;
         let incarnation = self.dispatchers[at].incarnation;
         let placement = self.manager.placement.clone();
-        self.dispatcher_placement(at, placement);
+        self.apply_dispatcher_placement(at, placement);
         self.schedule(self.now_ms, Event::DispatcherTick { dispatcher: at, incarnation });
     }
 }
--- a/system/state/queue/tests/cluster/mod.rs
+++ b/system/state/queue/tests/cluster/mod.rs
@@ -99,9 +99,9 @@
     pub tolerated_losses: u32,
     pub seed: u64,
     /// Mean time between two client requests, in milliseconds.
-    pub client_every_ms: u64,
+    pub client_interval_ms: u64,
     pub config: Config,
-    pub rated: Option<f64>,
+    pub rate_limit: Option<f64>,
     /// Faults may start while others last. Disks are still lost one at a time.
     pub overlapping_faults: bool,
 }
@@ -114,16 +114,16 @@
             shards: 4,
             tolerated_losses: 1,
             seed: 1,
-            client_every_ms: 25,
+            client_interval_ms: 25,
             config: Config { heartbeat_timeout: Duration::from_millis(1_200), ..Config::default() },
-            rated: Some(8.0),
+            rate_limit: Some(8.0),
             overlapping_faults: false,
         }
     }
 }
 
 /// Name of the service with a rate limit.
-pub const RATED: &str = "rated";
+pub const RATE_LIMITED_SERVICE: &str = "rated";
 
 /// The simulated cluster.
 pub struct Cluster {
@@ -144,7 +144,7 @@
     pub trace: bool,
     events: BTreeMap<(u64, u64), Event>,
     order: u64,
-    names: u64,
+    allocated_ids: u64,
 }
 
 impl Cluster {
@@ -156,7 +156,8 @@
         let mut request_log = RequestLog::default();
         // The rate over five seconds, plus saved permits, plus the five additional starts that the requirement
         // allows because links delay some deliveries.
-        request_log.ceiling = options.rated.map(|rate| (RATED.to_owned(), rate * 5.0 * 1.04 + 5.0));
+        request_log.rate_limit =
+            options.rate_limit.map(|rate| (RATE_LIMITED_SERVICE.to_owned(), rate * 5.0 * 1.04 + 5.0));
         let mut cluster = Cluster {
             now_ms: 0,
             stores,
@@ -173,7 +174,7 @@
             trace: std::env::var("TRACE").is_ok(),
             events: BTreeMap::new(),
             order: 0,
-            names: 0,
+            allocated_ids: 0,
             options,
         };
         for store in 0..cluster.stores.len() {
@@ -182,7 +183,7 @@
         for dispatcher in 0..cluster.dispatchers.len() {
             cluster.schedule(0, Event::DispatcherTick { dispatcher, incarnation: 0 });
         }
-        cluster.spread_placement();
+        cluster.publish_placement();
         cluster.schedule(0, Event::Manage);
         cluster
     }
@@ -201,7 +202,7 @@
             }
             let event = entry.remove();
             self.now_ms = at_ms;
-            self.happen(order, event);
+            self.handle_event(order, event);
         }
         self.now_ms = until_ms;
     }
@@ -221,7 +222,7 @@
         }
     }
 
-    fn happen(&mut self, order: u64, event: Event) {
+    fn handle_event(&mut self, order: u64, event: Event) {
         let frozen_until_ms = self.frozen_until(&event);
         if frozen_until_ms > self.now_ms {
             self.events.insert((frozen_until_ms, order), event);
@@ -266,7 +267,7 @@
                 self.input(store, Input::Placement(placement));
             }
             End::Dispatcher(dispatcher) if self.dispatchers[dispatcher].incarnation == incarnation => {
-                self.dispatcher_placement(dispatcher, placement);
+                self.apply_dispatcher_placement(dispatcher, placement);
             }
             _ => {}
         }
@@ -361,36 +362,39 @@
             return;
         }
         let dispatcher = self.random.usize(0..self.dispatchers.len());
-        let message = self.draw_message();
-        if let Some(id) = self.name(dispatcher, &message) {
+        let message = self.random_message();
+        if let Some(id) = self.allocate_id(dispatcher, &message) {
             self.client_sends(dispatcher, id, message);
         }
-        let wait_ms = self.random.u64(0..=2 * self.options.client_every_ms);
+        let wait_ms = self.random.u64(0..=2 * self.options.client_interval_ms);
         self.schedule(self.now_ms + wait_ms, Event::Client);
     }
 
     /// Allocates an identifier for a message, in the shard of its order key or rate-limited service, or else in
     /// a random one.
-    pub fn name(&mut self, dispatcher: usize, message: &Message) -> Option<MessageId> {
+    pub fn allocate_id(&mut self, dispatcher: usize, message: &Message) -> Option<MessageId> {
         let placement = &self.dispatchers[dispatcher].placement;
-        let by_name = message.order_key.as_deref().or(Some(RATED).filter(|rated| *rated == message.service));
+        let by_name = message
+            .order_key
+            .as_deref()
+            .or(Some(RATE_LIMITED_SERVICE).filter(|rated| *rated == message.service));
         let shard = match by_name {
             Some(name) => placement.shard_of(name)?,
             None if placement.shards.is_empty() => return None,
             None => ShardId(self.random.u16(0..self.options.shards)),
         };
-        self.names += 1;
-        Some(MessageId { shard, unique: self.random.u64(0..1 << 32) << 20 | self.names })
+        self.allocated_ids += 1;
+        Some(MessageId { shard, unique: self.random.u64(0..1 << 32) << 20 | self.allocated_ids })
     }
 
-    fn draw_message(&mut self) -> Message {
+    fn random_message(&mut self) -> Message {
         let mut message = plain_message();
         let random = &mut self.random;
         message.request_id = format!("r{}", random.u64(..));
         message.body = vec![random.u8(..); random.usize(0..200)];
         match random.u8(0..10) {
             0..4 => message.order_key = Some(format!("key-{}", random.u8(0..4))),
-            4..6 if self.options.rated.is_some() => message.service = RATED.to_owned(),
+            4..6 if self.options.rate_limit.is_some() => message.service = RATE_LIMITED_SERVICE.to_owned(),
             _ => message.delay_ms = if random.u8(0..4) == 0 { random.u32(0..1_500) } else { 0 },
         }
         if random.u8(0..4) == 0 {
@@ -406,8 +410,8 @@
     }
 
     pub fn rates(&self) -> Vec<ServiceRate> {
-        let rate = |per_second: f64| ServiceRate { service: RATED.to_owned(), per_second };
-        self.options.rated.map(rate).into_iter().collect()
+        let rate = |per_second: f64| ServiceRate { service: RATE_LIMITED_SERVICE.to_owned(), per_second };
+        self.options.rate_limit.map(rate).into_iter().collect()
     }
 
     pub fn store_index(&self, id: StoreId) -> Option<usize> {
--- a/system/state/queue/tests/cluster/request_log.rs
+++ b/system/state/queue/tests/cluster/request_log.rs
@@ -45,9 +45,9 @@
 pub struct RequestLog {
     pub messages: BTreeMap<MessageId, ActualState>,
     pub last_fault_ms: Option<u64>,
-    starts_of_rated: Vec<u64>,
+    rate_limited_starts: Vec<u64>,
     /// The rate-limited service, and the maximum number of starts in any five seconds.
-    pub ceiling: Option<(String, f64)>,
+    pub rate_limit: Option<(String, f64)>,
     pub starts: u64,
     pub repeats: u64,
 }
@@ -82,7 +82,7 @@
     }
 
     fn is_calm(&self, now_ms: u64) -> bool {
-        self.last_fault_ms.is_none_or(|record_fault| now_ms > record_fault + CALM_AFTER_MS)
+        self.last_fault_ms.is_none_or(|last_fault_ms| now_ms > last_fault_ms + CALM_AFTER_MS)
     }
 
     pub fn begin(&mut self, id: MessageId, now_ms: u64) {
@@ -103,7 +103,7 @@
         self.repeats += u64::from(!actual.signatures.is_empty());
         actual.runs.push(Run { begun_ms: now_ms, ended_ms: None });
         let service = actual.message.service.clone();
-        self.check_ceiling(&service, now_ms);
+        self.check_rate_limit(&service, now_ms);
     }
 
     fn check_order(&self, id: MessageId, now_ms: u64) {
@@ -119,20 +119,20 @@
         }
     }
 
-    fn check_ceiling(&mut self, service: &str, now_ms: u64) {
-        let Some((rated, most)) = &self.ceiling else { return };
+    fn check_rate_limit(&mut self, service: &str, now_ms: u64) {
+        let Some((rated, most)) = &self.rate_limit else { return };
         if service != rated {
             return;
         }
-        self.starts_of_rated.push(now_ms);
+        self.rate_limited_starts.push(now_ms);
         let in_window =
-            self.starts_of_rated.iter().rev().take_while(|start| now_ms - **start < WINDOW_MS).count();
+            self.rate_limited_starts.iter().rev().take_while(|start| now_ms - **start < WINDOW_MS).count();
         assert!(in_window as f64 <= *most, "{in_window} starts of {rated} in five seconds, {most} allowed");
     }
 
     /// Total number of starts of the rate-limited service.
-    pub fn rated_starts(&self) -> usize {
-        self.starts_of_rated.len()
+    pub fn total_rate_limited_starts(&self) -> usize {
+        self.rate_limited_starts.len()
     }
 
     /// Records the end of the run that began at `begun_ms`.
--- a/system/state/queue/tests/cluster/runs.rs
+++ b/system/state/queue/tests/cluster/runs.rs
@@ -1,7 +1,7 @@
 //! Deliveries at a scripted dispatcher: workers run the messages, and the outcomes are reported until they are
 //! recorded.
 
-use super::dispatcher::{Delivery, REPEAT_MS};
+use super::dispatcher::{Delivery, RESEND_MS};
 use super::{Cluster, Event};
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{AttemptOutcome, FromDispatcher};
@@ -32,7 +32,7 @@
         }
         if !dispatcher.bodies.contains_key(&id) {
             dispatcher.deliveries.insert((id, token), Delivery::NeedsBody);
-            self.tell_primary(at, id, FromDispatcher::NeedBody { id, token });
+            self.send_to_primary(at, id, FromDispatcher::NeedBody { id, token });
             return;
         }
         self.run(at, id, token);
@@ -103,7 +103,7 @@
     pub fn report(&mut self, at: usize, id: MessageId, token: LeaseToken, outcome: AttemptOutcome) {
         let reported = Delivery::Reported { outcome: outcome.clone(), sent_ms: self.now_ms };
         self.dispatchers[at].deliveries.insert((id, token), reported);
-        self.tell_primary(at, id, FromDispatcher::Attempted { id, token, outcome });
+        self.send_to_primary(at, id, FromDispatcher::Attempted { id, token, outcome });
     }
 
     pub fn revoked(&mut self, at: usize, id: MessageId, token: LeaseToken) {
@@ -120,7 +120,7 @@
             self.request_log.messages.get_mut(&id).expect("known").called_back.push(end);
         }
         self.dispatchers[at].callbacks.insert((id, token), Some((done, self.now_ms)));
-        self.tell_primary(at, id, FromDispatcher::CalledBack { id, token, done, retry_after_ms: 20 });
+        self.send_to_primary(at, id, FromDispatcher::CalledBack { id, token, done, retry_after_ms: 20 });
     }
 
     pub fn recorded(&mut self, at: usize, id: MessageId, token: LeaseToken) {
@@ -142,7 +142,7 @@
         let mut again = Vec::new();
         for ((id, token), delivery) in &mut self.dispatchers[at].deliveries {
             match delivery {
-                Delivery::Reported { outcome, sent_ms } if now_ms - *sent_ms >= REPEAT_MS => {
+                Delivery::Reported { outcome, sent_ms } if now_ms - *sent_ms >= RESEND_MS => {
                     *sent_ms = now_ms;
                     let outcome = outcome.clone();
                     again.push((*id, FromDispatcher::Attempted { id: *id, token: *token, outcome }));
@@ -152,7 +152,7 @@
             }
         }
         for (id, message) in again {
-            self.tell_primary(at, id, message);
+            self.send_to_primary(at, id, message);
         }
     }
 }
--- a/system/state/queue/tests/cluster/stores.rs
+++ b/system/state/queue/tests/cluster/stores.rs
@@ -12,9 +12,9 @@
 /// First store identifier; it differs from all indexes, so that the two cannot be confused.
 const FIRST_STORE_ID: u64 = 100;
 /// Maximum difference between the monotonic clocks of processes, in milliseconds.
-const MOST_AHEAD_MS: u64 = 10_000_000;
+const MAX_CLOCK_OFFSET_MS: u64 = 10_000_000;
 /// A store whose disk was wiped gets its former identifier plus this.
-const NEXT_DISK: u64 = 100;
+const NEXT_DISK_ID_OFFSET: u64 = 100;
 
 /// An orphaned message that a store reported.
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
     ticking_at: Option<u64>,
     /// Offset of the process's monotonic clock from the simulation's clock, as the origin of each clock is
     /// arbitrary.
-    clock_ahead_ms: u64,
+    clock_offset_ms: u64,
 }
 
 impl Store {
@@ -58,7 +58,7 @@
             caught_up: BTreeSet::new(),
             released: BTreeSet::new(),
             ticking_at: None,
-            clock_ahead_ms: 0,
+            clock_offset_ms: 0,
         }
     }
 
@@ -69,9 +69,9 @@
 
 /// Draws the clock offset of an incarnation of a process, without using the simulation's random number
 /// generator.
-fn clock_ahead_ms(seed: u64, store: StoreId, incarnation: u32) -> u64 {
+fn clock_offset_ms(seed: u64, store: StoreId, incarnation: u32) -> u64 {
     let seed = seed ^ (store.0 << 24) ^ (u64::from(incarnation) << 48);
-    fastrand::Rng::with_seed(seed).u64(0..MOST_AHEAD_MS)
+    fastrand::Rng::with_seed(seed).u64(0..MAX_CLOCK_OFFSET_MS)
 }
 
 impl Cluster {
@@ -82,14 +82,14 @@
             return;
         }
         store.incarnation += 1;
-        store.clock_ahead_ms = clock_ahead_ms(self.options.seed, store.id, store.incarnation);
+        store.clock_offset_ms = clock_offset_ms(self.options.seed, store.id, store.incarnation);
         let recovered = store.disk.recover(now_ms).into_iter();
-        let steady_ms = now_ms + store.clock_ahead_ms;
+        let clock_ms = now_ms + store.clock_offset_ms;
         store.node = Some(StoreNode::new(
             config,
             store.id,
             store.zone.clone(),
-            Instant::from_millis(steady_ms),
+            Instant::from_millis(clock_ms),
             recovered,
         ));
         store.leaving = false;
@@ -126,7 +126,7 @@
         assert!(!self.stores[index].is_up(), "a running store is not wiped");
         let store = &mut self.stores[index];
         store.disk = Disk::default();
-        store.id = StoreId(store.id.0 + NEXT_DISK);
+        store.id = StoreId(store.id.0 + NEXT_DISK_ID_OFFSET);
         store.caught_up.clear();
     }
 
@@ -134,17 +134,17 @@
     pub fn input(&mut self, index: usize, input: Input) {
         let now_ms = self.now_ms;
         let mut out = Vec::new();
-        let ahead_ms = self.stores[index].clock_ahead_ms;
+        let offset_ms = self.stores[index].clock_offset_ms;
         let Some(node) = self.stores[index].node.as_mut() else { return };
-        node.handle(Instant::from_millis(now_ms + ahead_ms), input, &mut out);
+        node.handle(Instant::from_millis(now_ms + offset_ms), input, &mut out);
         for output in out {
-            self.carry_out(index, output);
+            self.execute_output(index, output);
         }
         self.start_sync(index);
         self.arm_tick(index);
     }
 
-    fn carry_out(&mut self, index: usize, output: Output) {
+    fn execute_output(&mut self, index: usize, output: Output) {
         match output {
             Output::Append { ticket, record } => self.stores[index].disk.append(self.now_ms, ticket, record),
             Output::ToDispatcher { connection, message } => {
@@ -200,7 +200,7 @@
     fn arm_tick(&mut self, index: usize) {
         let store = &mut self.stores[index];
         let Some(deadline) = store.node.as_ref().and_then(StoreNode::next_deadline) else { return };
-        let deadline_ms = deadline.as_millis().saturating_sub(store.clock_ahead_ms);
+        let deadline_ms = deadline.as_millis().saturating_sub(store.clock_offset_ms);
         if store.ticking_at.is_some_and(|at_ms| at_ms <= deadline_ms) {
             return;
         }
--- a/system/state/queue/tests/delivery.rs
+++ b/system/state/queue/tests/delivery.rs
@@ -32,7 +32,7 @@
     let granted = harness.take_grants();
     assert_eq!((granted[0].connection, granted[0].id), (ConnectionId(2), id));
     assert_eq!(granted[0].message, None);
-    harness.say(0, 2, FromDispatcher::NeedBody { id, token: granted[0].token });
+    harness.send_from_dispatcher(0, 2, FromDispatcher::NeedBody { id, token: granted[0].token });
     assert_eq!(harness.take_grants()[0].message, Some(message()));
 }
 
@@ -268,7 +268,7 @@
     assert_eq!(harness.take_grants()[0].id, lost, "what it does not list it never got");
     for _ in 0..5 {
         harness.advance(1_000);
-        harness.say(0, 2, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 2, FromDispatcher::Ping);
     }
     harness.attempted(0, 2, announced_id, announced_token, AttemptOutcome::Refused);
     assert_eq!(harness.state(0, announced_id).unwrap().end, Some(End::DeadLetter));
@@ -282,7 +282,7 @@
     harness.input(0, Input::DispatcherClosed { connection: ConnectionId(1) });
     harness.advance(1_499);
     assert!(harness.grants.is_empty());
-    harness.say(0, 2, FromDispatcher::Ping);
+    harness.send_from_dispatcher(0, 2, FromDispatcher::Ping);
     harness.advance(1);
     let granted = harness.take_grants();
     assert_eq!((granted[0].id, granted[0].connection), (id, ConnectionId(2)));
@@ -295,7 +295,7 @@
     harness.hello(0, 2, 2, "zone-0", Vec::new());
     for _ in 0..50 {
         harness.advance(100);
-        harness.say(0, 2, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 2, FromDispatcher::Ping);
     }
     assert_eq!(harness.closed, [ConnectionId(1)]);
     assert_eq!(harness.take_grants()[0].id, id);
@@ -306,7 +306,7 @@
     let mut harness = one_store();
     let id = harness.accept(0, 1, message(), true);
     let token = accepted_token(&harness);
-    harness.say(0, 1, FromDispatcher::ShuttingDown);
+    harness.send_from_dispatcher(0, 1, FromDispatcher::ShuttingDown);
     harness.accept(0, 1, message(), true);
     assert_eq!(harness.last_accepted(), Some(None));
     harness.advance(2_000);
@@ -319,9 +319,9 @@
 fn withdrawn_messages_never_run() {
     let mut harness = one_store();
     let delayed = harness.accept(0, 1, Message { delay_ms: 100, ..message() }, true);
-    harness.say(0, 1, FromDispatcher::Withdraw { id: delayed });
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id: delayed });
     let unseen = harness.next_message_id();
-    harness.say(0, 1, FromDispatcher::Withdraw { id: unseen });
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id: unseen });
     for id in [delayed, unseen] {
         assert!(harness
             .sent_to_dispatchers
@@ -341,8 +341,8 @@
     harness.credits(0, 1, "service", 0);
     let id = harness.accept(0, 1, message(), false);
     assert_eq!(harness.take_grants()[0].connection, ConnectionId(2));
-    harness.say(0, 1, FromDispatcher::Withdraw { id });
-    harness.say(0, 1, FromDispatcher::Withdraw { id });
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id });
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id });
     assert!(!harness
         .sent_to_dispatchers
         .iter()
@@ -356,7 +356,7 @@
     harness.credits(0, 1, "service", 0);
     let id = harness.accept(0, 1, message(), false);
     let granted = harness.take_grants().remove(0);
-    harness.say(0, 1, FromDispatcher::Withdraw { id });
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id });
     let revoke = ToDispatcher::Revoke { id, token: granted.token };
     assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| *message == revoke));
     harness.attempted(0, 2, id, granted.token, AttemptOutcome::Unknown { retry_after_ms: 0 });
@@ -400,7 +400,11 @@
 }
 
 fn ask(harness: &mut StoreHarness, id: millrudder_protocol::MessageId, body: bool) -> QueryAnswer {
-    harness.say(0, 1, FromDispatcher::Query { request: RequestNumber(9), id, with_body: body });
+    harness.send_from_dispatcher(
+        0,
+        1,
+        FromDispatcher::Query { request: RequestNumber(9), id, with_body: body },
+    );
     let answer = |message: &ToDispatcher| match message {
         ToDispatcher::State { answer, .. } => Some(answer.clone()),
         _ => None,
@@ -420,7 +424,7 @@
     assert_eq!(ask(&mut harness, id, true), QueryAnswer::Body { body: b"body".to_vec() });
     for _ in 0..120 {
         harness.advance(1_000);
-        harness.say(0, 1, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
     }
     assert_eq!(ask(&mut harness, id, false), QueryAnswer::Ended { end: End::DeadLetter });
     assert!(harness.released.is_empty());
@@ -465,7 +469,7 @@
         harness.attempted(0, again, id, token, AttemptOutcome::Failed);
         assert!(harness.is_recorded(id, token));
         assert_eq!(u64::from(harness.state(0, id).unwrap().failed_attempts), dispatcher);
-        harness.say(0, again, FromDispatcher::ShuttingDown);
+        harness.send_from_dispatcher(0, again, FromDispatcher::ShuttingDown);
         token = next.token;
     }
     assert_eq!(harness.state(0, id).unwrap().end, Some(End::DeadLetter));
@@ -515,7 +519,7 @@
         harness.attempted(0, 1, granted.id, granted.token, unknown);
         let ended_ms = harness.now_ms;
         while harness.grants.is_empty() {
-            harness.say(0, 1, FromDispatcher::Ping);
+            harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
             harness.advance(10);
         }
         granted = harness.take_grants().remove(0);
--- a/system/state/queue/tests/harness/mod.rs
+++ b/system/state/queue/tests/harness/mod.rs
@@ -77,16 +77,16 @@
     pub caught_up: Vec<(usize, CaughtUpShard)>,
     pub orphans: Vec<Orphan>,
     /// Number of `Write` messages sent between stores so far.
-    pub writes: u64,
+    pub sent_writes: u64,
     links_down: BTreeSet<(usize, usize)>,
     queue: VecDeque<(usize, StoreId, BetweenStores)>,
     requests: u64,
-    names: u64,
+    allocated_ids: u64,
 }
 
 impl StoreProcess {
     /// The waiting messages and the state of the disk as text, for the comparison of states.
-    pub fn inbound_digest(&self) -> String {
+    pub fn inbound_description(&self) -> String {
         format!("{:?} {} {} {}", self.inbound, self.stalled, self.is_inbound_paused, self.synced)
     }
 
@@ -149,11 +149,11 @@
             released: BTreeSet::new(),
             caught_up: Vec::new(),
             orphans: Vec::new(),
-            writes: 0,
+            sent_writes: 0,
             links_down: BTreeSet::new(),
             queue: VecDeque::new(),
             requests: 0,
-            names: 0,
+            allocated_ids: 0,
         };
         for _ in 0..stores {
             harness.add_process();
@@ -194,8 +194,8 @@
             })
             .collect();
         let location = Location::new(&zone(index), self.topology.clone());
-        let (config, me) = (self.config.clone(), store_id(index));
-        let node = StoreNode::new(config, me, location, now, recovered.into_iter());
+        let (config, local_id) = (self.config.clone(), store_id(index));
+        let node = StoreNode::new(config, local_id, location, now, recovered.into_iter());
         self.processes[index].node = Some(node);
         self.input(index, Input::Placement(self.placement.clone()));
         for other in 0..self.processes.len() {
@@ -251,11 +251,11 @@
         self.placement.epoch = Epoch(self.placement.epoch.0 + 1);
         self.placement.shards[0].primary = store_id(index);
         self.placement.shards[0].term = self.placement.epoch;
-        self.spread();
+        self.publish_placement();
     }
 
     /// Sends the placement to all stores whose inbound messages are not paused.
-    pub fn spread(&mut self) {
+    pub fn publish_placement(&mut self) {
         for index in 0..self.processes.len() {
             if !self.processes[index].is_inbound_paused {
                 self.input(index, Input::Placement(self.placement.clone()));
@@ -274,7 +274,7 @@
         let Some(node) = self.processes[index].node.as_mut() else { return };
         node.handle(now, input, &mut out);
         for output in out {
-            self.carry_out(index, output);
+            self.execute_output(index, output);
         }
         self.sync(index);
     }
@@ -291,15 +291,15 @@
         self.handle(index, Input::Synced { ticket });
     }
 
-    fn carry_out(&mut self, index: usize, output: Output) {
+    fn execute_output(&mut self, index: usize, output: Output) {
         match output {
             Output::Append { ticket, record } => {
                 self.processes[index].last = ticket;
                 self.processes[index].records.push((self.now_ms, record));
             }
-            Output::ToDispatcher { connection, message } => self.tell(connection, message),
+            Output::ToDispatcher { connection, message } => self.record_sent(connection, message),
             Output::ToStore { store, message } => {
-                self.writes += u64::from(matches!(message, BetweenStores::Write { .. }));
+                self.sent_writes += u64::from(matches!(message, BetweenStores::Write { .. }));
                 let to = (0..self.processes.len()).find(|other| store_id(*other) == store);
                 if let Some(to) = to.filter(|to| !self.is_down(index, *to)) {
                     self.queue.push_back((to, store_id(index), message));
@@ -314,7 +314,7 @@
         }
     }
 
-    fn tell(&mut self, connection: ConnectionId, message: ToDispatcher) {
+    fn record_sent(&mut self, connection: ConnectionId, message: ToDispatcher) {
         if let ToDispatcher::Deliver { id, token, message, .. } = &message {
             let message = message.as_deref().cloned();
             self.grants.push(Granted { connection, id: *id, token: *token, message, at_ms: self.now_ms });
@@ -333,7 +333,7 @@
     }
 
     /// Resumes the inbound messages of a store and delivers the waiting ones.
-    pub fn release(&mut self, index: usize) {
+    pub fn resume_inbound(&mut self, index: usize) {
         self.processes[index].is_inbound_paused = false;
         while let Some((from, message)) = self.processes[index].inbound.pop_front() {
             self.input(index, Input::Store { from, message });
@@ -367,20 +367,20 @@
         connection: u64,
         dispatcher: u64,
         zone: &str,
-        held: Vec<ActiveLease>,
+        leases: Vec<ActiveLease>,
     ) {
-        self.announce_in_doubt(store, connection, dispatcher, zone, held, Vec::new());
+        self.hello_in_doubt(store, connection, dispatcher, zone, leases, Vec::new());
     }
 
     /// Like [`StoreHarness::hello`], with messages of which the dispatcher does not know whether they were
     /// accepted.
-    pub fn announce_in_doubt(
+    pub fn hello_in_doubt(
         &mut self,
         store: usize,
         connection: u64,
         dispatcher: u64,
         zone: &str,
-        held: Vec<ActiveLease>,
+        leases: Vec<ActiveLease>,
         in_doubt: Vec<MessageId>,
     ) {
         let hello = FromDispatcher::Hello {
@@ -388,19 +388,19 @@
             name: format!("dispatcher-{dispatcher}"),
             zone: zone.to_owned(),
             epoch: self.placement.epoch,
-            active_leases: held,
+            active_leases: leases,
             in_doubt,
         };
-        self.say(store, connection, hello);
+        self.send_from_dispatcher(store, connection, hello);
     }
 
-    pub fn say(&mut self, store: usize, connection: u64, message: FromDispatcher) {
+    pub fn send_from_dispatcher(&mut self, store: usize, connection: u64, message: FromDispatcher) {
         self.input(store, Input::Dispatcher { connection: ConnectionId(connection), message });
     }
 
     pub fn next_message_id(&mut self) -> MessageId {
-        self.names += 1;
-        MessageId { shard: SHARD, unique: self.names }
+        self.allocated_ids += 1;
+        MessageId { shard: SHARD, unique: self.allocated_ids }
     }
 
     /// Sends a message for acceptance and returns its identifier.
@@ -414,7 +414,11 @@
         self.requests += 1;
         let request = RequestNumber(self.requests);
         let message = Box::new(message);
-        self.say(store, connection, FromDispatcher::Accept { request, id, message, wants_lease: lease });
+        self.send_from_dispatcher(
+            store,
+            connection,
+            FromDispatcher::Accept { request, id, message, wants_lease: lease },
+        );
     }
 
     /// The token in the latest acknowledgement of an acceptance; `Some(None)` if that came without a lease.
@@ -445,7 +449,7 @@
         token: LeaseToken,
         outcome: AttemptOutcome,
     ) {
-        self.say(store, connection, FromDispatcher::Attempted { id, token, outcome });
+        self.send_from_dispatcher(store, connection, FromDispatcher::Attempted { id, token, outcome });
     }
 
     pub fn succeed(&mut self, store: usize, connection: u64, granted: &Granted) {
@@ -459,7 +463,7 @@
 
     pub fn credits(&mut self, store: usize, connection: u64, service: &str, limit: u32) {
         let credits = vec![ServiceCredit { service: service.to_owned(), limit }];
-        self.say(store, connection, FromDispatcher::Credits { credits });
+        self.send_from_dispatcher(store, connection, FromDispatcher::Credits { credits });
     }
 
     pub fn rate(&mut self, store: usize, service: &str, per_second: f64) {
--- a/system/state/queue/tests/home_dispatchers.rs
+++ b/system/state/queue/tests/home_dispatchers.rs
@@ -95,7 +95,7 @@
     let mut harness = store(Config::default());
     let homes = runners(&mut harness, ordered(60));
     let gone = *homes.first().unwrap();
-    harness.say(0, gone, FromDispatcher::ShuttingDown);
+    harness.send_from_dispatcher(0, gone, FromDispatcher::ShuttingDown);
     let later = (0..60).map(|number| with_key(&format!("later-{number}")));
     let later = runners(&mut harness, later);
     assert!(!later.contains(&gone));
--- a/system/state/queue/tests/model.rs
+++ b/system/state/queue/tests/model.rs
@@ -20,9 +20,9 @@
 /// Length of the event sequences that are explored; `MODEL_DEPTH` sets another one.
 const DEPTH: usize = 5;
 /// Maximum number of primary changes in one sequence.
-const MOST_MOVES: u32 = 3;
+const MAX_MOVES: u32 = 3;
 /// Maximum number of power losses in one sequence.
-const MOST_POWER_LOSSES: u32 = 2;
+const MAX_POWER_LOSSES: u32 = 2;
 /// Longer than the longest time to wait for a replica's acknowledgement, in milliseconds.
 const STALL_MS: u64 = 100;
 
@@ -30,18 +30,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
     /// The message is sent for acceptance, or sent again, to the current primary.
-    Ask,
+    Accept,
     /// The message is sent to the first primary, by a dispatcher that knows only the first placement.
-    AskFirst,
+    AcceptAtFirst,
     /// The success of a run is reported to the current primary.
     Succeed,
     MovePrimary(usize),
     /// The disk of a store stalls, or resumes and syncs everything.
-    Stall(usize),
-    Resume(usize),
+    StallDisk(usize),
+    ResumeDisk(usize),
     /// The inbound messages of a store are paused, or resumed with the waiting ones.
-    Hold(usize),
-    Release(usize),
+    PauseInbound(usize),
+    ResumeInbound(usize),
     /// A store loses power and is restarted.
     Restart(usize),
     /// A store loses its disk and stays down; this happens at most once.
@@ -51,13 +51,13 @@
 }
 
 #[derive(Clone)]
-struct World {
+struct Model {
     harness: StoreHarness,
     moves: u32,
     power_losses: u32,
     lost: bool,
     waited: bool,
-    asked: bool,
+    was_sent: bool,
     /// Acknowledgements that dispatchers have received.
     accepted: bool,
     recorded: bool,
@@ -68,23 +68,23 @@
 }
 
 /// A message with a long delay, so that no grant adds to its state.
-fn later() -> Message {
+fn delayed_message() -> Message {
     Message { delay_ms: 50_000, ..message() }
 }
 
-impl World {
+impl Model {
     fn new() -> Self {
         let mut harness = StoreHarness::new(STORES, 1);
         for store in 0..STORES {
             harness.hello(store, connection(store), 7, "zone-0", Vec::new());
         }
-        World {
+        Model {
             harness,
             moves: 0,
             power_losses: 0,
             lost: false,
             waited: false,
-            asked: false,
+            was_sent: false,
             accepted: false,
             recorded: false,
         }
@@ -111,43 +111,47 @@
     fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         if !self.accepted {
-            events.push(Event::Ask);
-            events.extend((self.primary() != FIRST).then_some(Event::AskFirst));
+            events.push(Event::Accept);
+            events.extend((self.primary() != FIRST).then_some(Event::AcceptAtFirst));
         }
         if self.accepted && !self.recorded {
             events.push(Event::Succeed);
         }
-        if self.asked && !self.waited {
+        if self.was_sent && !self.waited {
             events.push(Event::Wait);
         }
         for store in (0..STORES).filter(|store| self.is_up(*store)) {
             let process = &self.harness.processes[store];
-            events.push(if process.stalled { Event::Resume(store) } else { Event::Stall(store) });
-            events.push(if process.is_inbound_paused { Event::Release(store) } else { Event::Hold(store) });
-            if self.moves < MOST_MOVES && store != self.primary() {
+            events.push(if process.stalled { Event::ResumeDisk(store) } else { Event::StallDisk(store) });
+            events.push(if process.is_inbound_paused {
+                Event::ResumeInbound(store)
+            } else {
+                Event::PauseInbound(store)
+            });
+            if self.moves < MAX_MOVES && store != self.primary() {
                 events.push(Event::MovePrimary(store));
             }
-            if self.power_losses < MOST_POWER_LOSSES && self.asked {
+            if self.power_losses < MAX_POWER_LOSSES && self.was_sent {
                 events.push(Event::Restart(store));
             }
-            if !self.lost && self.asked {
+            if !self.lost && self.was_sent {
                 events.push(Event::LoseDisk(store));
             }
         }
         events
     }
 
-    fn play(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         let primary = self.primary();
         let harness = &mut self.harness;
         match event {
-            Event::Ask => {
-                self.asked = true;
-                harness.accept_as(primary, connection(primary), ID, later(), false);
+            Event::Accept => {
+                self.was_sent = true;
+                harness.accept_as(primary, connection(primary), ID, delayed_message(), false);
             }
-            Event::AskFirst => {
-                self.asked = true;
-                harness.accept_as(FIRST, connection(FIRST), ID, later(), false);
+            Event::AcceptAtFirst => {
+                self.was_sent = true;
+                harness.accept_as(FIRST, connection(FIRST), ID, delayed_message(), false);
             }
             Event::Succeed => {
                 let since = harness.placement.shards[0].term;
@@ -158,15 +162,15 @@
                 self.moves += 1;
                 harness.move_primary(store);
             }
-            Event::Stall(store) => harness.processes[store].stalled = true,
-            Event::Resume(store) => {
+            Event::StallDisk(store) => harness.processes[store].stalled = true,
+            Event::ResumeDisk(store) => {
                 harness.processes[store].stalled = false;
                 harness.sync(store);
                 harness.input(store, Input::Tick);
             }
-            Event::Hold(store) => harness.processes[store].is_inbound_paused = true,
-            Event::Release(store) => {
-                harness.release(store);
+            Event::PauseInbound(store) => harness.processes[store].is_inbound_paused = true,
+            Event::ResumeInbound(store) => {
+                harness.resume_inbound(store);
                 harness.input(store, Input::Placement(harness.placement.clone()));
             }
             Event::Restart(store) => {
@@ -186,11 +190,11 @@
                 harness.advance(STALL_MS);
             }
         }
-        self.listen();
+        self.record_acknowledgements();
     }
 
     /// Records the acknowledgements sent to dispatchers since the last event.
-    fn listen(&mut self) {
+    fn record_acknowledgements(&mut self) {
         for (_, message) in std::mem::take(&mut self.harness.sent_to_dispatchers) {
             self.accepted |= matches!(message, ToDispatcher::Accepted { .. });
             self.recorded |= matches!(message, ToDispatcher::Recorded { .. });
@@ -214,7 +218,7 @@
         for process in &self.harness.processes {
             format!("{:?}", process.node).hash(&mut hasher);
             format!("{:?}", process.records).hash(&mut hasher);
-            process.inbound_digest().hash(&mut hasher);
+            process.inbound_description().hash(&mut hasher);
         }
         let seen = (self.moves, self.power_losses, self.lost, self.waited, self.accepted, self.recorded);
         seen.hash(&mut hasher);
@@ -225,25 +229,25 @@
 
 /// A state that was reached, with the sequence of events that led to it.
 struct Reached {
-    world: World,
+    model: Model,
     order: Vec<Event>,
 }
 
 /// Explores every sequence up to the depth, visiting each state once. Returns the number of states.
-fn explore(first: World, depth: usize) -> usize {
+fn explore(first: Model, depth: usize) -> usize {
     let mut seen: HashSet<u64> = HashSet::from([first.digest()]);
-    let mut level = vec![Reached { world: first, order: Vec::new() }];
+    let mut level = vec![Reached { model: first, order: Vec::new() }];
     for _ in 0..depth {
         let mut next = Vec::new();
-        for Reached { world, order } in level {
-            for event in world.events() {
-                let mut world = world.clone();
+        for Reached { model, order } in level {
+            for event in model.events() {
+                let mut model = model.clone();
                 let mut order = order.clone();
                 order.push(event);
-                world.play(event);
-                world.check(&order);
-                if seen.insert(world.digest()) {
-                    next.push(Reached { world, order });
+                model.apply(event);
+                model.check(&order);
+                if seen.insert(model.digest()) {
+                    next.push(Reached { model, order });
                 }
             }
         }
@@ -258,26 +262,26 @@
 
 #[test]
 fn every_later_primary_knows_what_was_acknowledged() {
-    let states = explore(World::new(), depth());
+    let states = explore(Model::new(), depth());
     println!("{states} states");
     assert!(states > 10_000, "{states} states are too few to show anything");
 }
 
 /// A state in which the message is on the disk of store 1 alone, unacknowledged, and store 0 receives nothing
 /// from other stores.
-fn on_one_disk() -> World {
-    let mut world = World::new();
-    for event in [Event::Stall(0), Event::Hold(2), Event::Ask, Event::Hold(0)] {
-        world.play(event);
+fn message_on_one_disk() -> Model {
+    let mut model = Model::new();
+    for event in [Event::StallDisk(0), Event::PauseInbound(2), Event::Accept, Event::PauseInbound(0)] {
+        model.apply(event);
     }
-    world.harness.processes[2].drop_inbound();
-    world.harness.processes[2].is_inbound_paused = false;
-    world
+    model.harness.processes[2].drop_inbound();
+    model.harness.processes[2].is_inbound_paused = false;
+    model
 }
 
 #[test]
 fn every_later_primary_knows_what_was_acknowledged_from_a_message_on_one_disk() {
-    let states = explore(on_one_disk(), depth());
+    let states = explore(message_on_one_disk(), depth());
     println!("{states} states");
     assert!(states > 10_000, "{states} states are too few to show anything");
 }
--- a/system/state/queue/tests/rate_limits.rs
+++ b/system/state/queue/tests/rate_limits.rs
@@ -11,9 +11,9 @@
 const WINDOW_MS: u64 = 5_000;
 /// Capacity of the token bucket as a fraction of a window's permits: two per cent of five seconds' worth, but
 /// at least one.
-const SAVED: f64 = 0.02;
+const BURST_FRACTION: f64 = 0.02;
 
-fn rated_store(rate: f64) -> StoreHarness {
+fn store_with_rate_limit(rate: f64) -> StoreHarness {
     let mut harness = StoreHarness::new(1, 0);
     harness.rate(0, "service", rate);
     harness.hello(0, 1, 1, "zone-0", Vec::new());
@@ -25,7 +25,7 @@
 fn advance(harness: &mut StoreHarness, ms: u64) {
     for _ in 0..ms / 100 {
         harness.advance(100);
-        harness.say(0, 1, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
     }
     harness.advance(ms % 100);
 }
@@ -43,19 +43,19 @@
 
 #[test]
 fn a_backlog_is_granted_at_the_rate_limit() {
-    let mut harness = rated_store(39.0);
+    let mut harness = store_with_rate_limit(39.0);
     for _ in 0..900 {
         harness.accept(0, 1, message(), true);
     }
     advance(&mut harness, 20_000);
     let starts = starts(&harness);
     assert!(starts.len() >= 39 * 20 * 95 / 100, "{} starts in 20 s", starts.len());
-    assert!(max_in_window(&starts) as f64 <= 39.0 * 5.0 * (1.0 + SAVED) + 1.0);
+    assert!(max_in_window(&starts) as f64 <= 39.0 * 5.0 * (1.0 + BURST_FRACTION) + 1.0);
 }
 
 #[test]
 fn a_new_primary_starts_with_an_empty_token_bucket() {
-    let mut harness = rated_store(10.0);
+    let mut harness = store_with_rate_limit(10.0);
     advance(&mut harness, 10_000);
     harness.move_primary(0);
     harness.hello(0, 1, 1, "zone-0", Vec::new());
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_changed_rate_causes_no_burst() {
-    let mut harness = rated_store(100.0);
+    let mut harness = store_with_rate_limit(100.0);
     for _ in 0..2_000 {
         harness.accept(0, 1, message(), true);
     }
@@ -83,7 +83,7 @@
 
 #[test]
 fn grants_that_wait_for_a_disk_cause_no_burst() {
-    let mut harness = rated_store(40.0);
+    let mut harness = store_with_rate_limit(40.0);
     for _ in 0..600 {
         harness.accept(0, 1, message(), true);
     }
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_rate_limited_message_waits_behind_earlier_ones() {
-    let mut harness = rated_store(1.0);
+    let mut harness = store_with_rate_limit(1.0);
     let first = harness.accept(0, 1, message(), true);
     harness.advance(1_500);
     let second = harness.accept(0, 1, message(), true);
@@ -118,7 +118,7 @@
         rate in 2.0..60.0_f64,
         steps in proptest::collection::vec((0_u64..120, 0_usize..6, 0_u8..4), 50..250),
     ) {
-        let mut harness = rated_store(rate);
+        let mut harness = store_with_rate_limit(rate);
         let mut reported = 0;
         for (wait_ms, arrivals, outcome) in steps {
             advance(&mut harness, wait_ms);
@@ -136,14 +136,14 @@
                 harness.attempted(0, 1, granted.id, granted.token, outcome);
             }
         }
-        let most = rate * 5.0 * (1.0 + SAVED) + 2.0;
-        prop_assert!(max_in_window(&starts(&harness)) as f64 <= most);
+        let max = rate * 5.0 * (1.0 + BURST_FRACTION) + 2.0;
+        prop_assert!(max_in_window(&starts(&harness)) as f64 <= max);
     }
 }
 
 #[test]
 fn a_raised_rate_brings_the_next_permit_forward() {
-    let mut harness = rated_store(0.05);
+    let mut harness = store_with_rate_limit(0.05);
     harness.accept(0, 1, message(), true);
     advance(&mut harness, 500);
     assert!(harness.grants.is_empty());
--- a/system/state/queue/tests/replicas/membership.rs
+++ b/system/state/queue/tests/replicas/membership.rs
@@ -5,7 +5,7 @@
 use millrudder_protocol::{Epoch, MessageId, RequestNumber};
 
 use crate::harness::{message, store_id, StoreHarness, SHARD};
-use crate::support::{moving_to_a_learner, replaces, three_stores};
+use crate::support::{replaces, start_replacing_learner, three_stores};
 
 #[test]
 fn a_former_replica_does_not_answer_unknown() {
@@ -13,7 +13,11 @@
     let id = harness.next_message_id();
     let ask = |harness: &mut StoreHarness| {
         harness.sent_to_dispatchers.clear();
-        harness.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, with_body: false });
+        harness.send_from_dispatcher(
+            1,
+            2,
+            FromDispatcher::Query { request: RequestNumber(1), id, with_body: false },
+        );
         let (_, answer) = harness.sent_to_dispatchers.pop().expect("an answer");
         answer
     };
@@ -21,7 +25,7 @@
     assert_eq!(ask(&mut harness), state(QueryAnswer::Unknown));
     harness.placement.epoch = Epoch(2);
     harness.placement.shards[0].replicas = vec![store_id(0), store_id(2)];
-    harness.spread();
+    harness.publish_placement();
     assert_eq!(ask(&mut harness), state(QueryAnswer::NotReplica));
 }
 
@@ -34,7 +38,7 @@
     harness.placement.shards[0].change = Some(replaces(1, learner, Epoch(2)));
     harness.placement.epoch = Epoch(2);
     harness.start(learner);
-    harness.spread();
+    harness.publish_placement();
     let during = harness.accept(0, 1, message(), true);
     assert_eq!(harness.caught_up, [(learner, CaughtUpShard { shard: SHARD, change: Epoch(2) })]);
     for id in before.iter().chain([&during]) {
@@ -43,7 +47,7 @@
     harness.placement.shards[0].change = None;
     harness.placement.shards[0].replicas = vec![store_id(0), store_id(2), store_id(learner)];
     harness.placement.epoch = Epoch(3);
-    harness.spread();
+    harness.publish_placement();
     harness.kill(0);
     harness.move_primary(2);
     for id in before {
@@ -54,14 +58,14 @@
 #[test]
 fn during_a_membership_change_a_write_needs_both_quorums() {
     let mut harness = three_stores();
-    let learner = moving_to_a_learner(&mut harness);
-    harness.spread();
+    let learner = start_replacing_learner(&mut harness);
+    harness.publish_placement();
     harness.set_link(0, 1, false);
     harness.processes[learner].is_inbound_paused = true;
     let id = harness.accept(0, 1, message(), true);
     assert!(harness.state(2, id).is_some());
     assert_eq!(harness.last_accepted(), None, "stores 0 and 2 are a quorum before, not after");
-    harness.release(learner);
+    harness.resume_inbound(learner);
     assert!(harness.last_accepted().is_some());
 }
 
@@ -73,13 +77,13 @@
     assert!(harness.last_accepted().is_some() && harness.state(2, id).is_some());
     harness.set_link(0, 1, true);
     assert!(harness.state(1, id).is_none());
-    let learner = moving_to_a_learner(&mut harness);
-    harness.spread();
+    let learner = start_replacing_learner(&mut harness);
+    harness.publish_placement();
     assert_eq!(harness.caught_up, [(learner, CaughtUpShard { shard: SHARD, change: Epoch(2) })]);
     harness.placement.shards[0].change = None;
     harness.placement.shards[0].replicas = vec![store_id(0), store_id(1), store_id(learner)];
     harness.placement.epoch = Epoch(3);
-    harness.spread();
+    harness.publish_placement();
     harness.kill(2);
     harness.kill(0);
     harness.move_primary(1);
@@ -89,8 +93,8 @@
 #[test]
 fn during_a_membership_change_a_takeover_reads_both_quorums() {
     let mut harness = three_stores();
-    let learner = moving_to_a_learner(&mut harness);
-    harness.spread();
+    let learner = start_replacing_learner(&mut harness);
+    harness.publish_placement();
     harness.hello(1, 2, 7, "zone-0", Vec::new());
     harness.kill(0);
     harness.processes[2].is_inbound_paused = true;
@@ -98,7 +102,7 @@
     harness.accept(1, 2, message(), true);
     assert_eq!(harness.last_accepted(), None, "stores 1 and {learner} are a quorum after, not before");
     harness.processes[2].is_inbound_paused = false;
-    harness.release(2);
+    harness.resume_inbound(2);
     harness.accept(1, 2, message(), true);
     assert!(harness.last_accepted().is_some());
 }
@@ -106,16 +110,16 @@
 #[test]
 fn an_aborted_membership_change_fills_its_learner_again() {
     let mut harness = three_stores();
-    let learner = moving_to_a_learner(&mut harness);
-    harness.spread();
+    let learner = start_replacing_learner(&mut harness);
+    harness.publish_placement();
     harness.placement.shards[0].change = None;
     harness.placement.epoch = Epoch(3);
-    harness.spread();
+    harness.publish_placement();
     let between = harness.accept(0, 1, message(), true);
     assert!(harness.state(learner, between).is_none());
     harness.placement.shards[0].change = Some(replaces(2, learner, Epoch(4)));
     harness.placement.epoch = Epoch(4);
-    harness.spread();
+    harness.publish_placement();
     assert_eq!(harness.caught_up.last(), Some(&(learner, CaughtUpShard { shard: SHARD, change: Epoch(4) })));
     assert!(harness.state(learner, between).is_some());
 }
--- a/system/state/queue/tests/replicas/support.rs
+++ b/system/state/queue/tests/replicas/support.rs
@@ -27,18 +27,18 @@
 }
 
 /// Lets the dispatcher announce itself to a store under the current placement, with the leases that it holds.
-pub fn announce(harness: &mut StoreHarness, store: usize, held: Vec<ActiveLease>) {
-    harness.hello(store, store as u64 + 1, 7, "zone-0", held);
+pub fn announce(harness: &mut StoreHarness, store: usize, leases: Vec<ActiveLease>) {
+    harness.hello(store, store as u64 + 1, 7, "zone-0", leases);
 }
 
-pub fn replaces(lost: usize, learner: usize, since: Epoch) -> MemberChange {
+pub fn replaces(lost: usize, learner: usize, epoch: Epoch) -> MemberChange {
     let (joins, leaves) = (store_id(learner), Some(store_id(lost)));
-    MemberChange { joins, leaves, epoch: since, reason: ChangeReason::Repair }
+    MemberChange { joins, leaves, epoch, reason: ChangeReason::Repair }
 }
 
 /// Starts a learner, store 3, that is to replace the healthy store 2. The new placement has not been sent to
 /// the other stores yet.
-pub fn moving_to_a_learner(harness: &mut StoreHarness) -> usize {
+pub fn start_replacing_learner(harness: &mut StoreHarness) -> usize {
     let learner = harness.add_process();
     harness.placement.shards[0].change = Some(replaces(2, learner, Epoch(2)));
     harness.placement.epoch = Epoch(2);
--- a/system/state/queue/tests/replicas/takeovers.rs
+++ b/system/state/queue/tests/replicas/takeovers.rs
@@ -32,8 +32,8 @@
     harness.move_primary(2);
     harness.hello(2, 30, 30, "zone-2", Vec::new());
     announce(&mut harness, 2, Vec::new());
-    harness.say(2, 3, FromDispatcher::Withdraw { id });
-    harness.release(1);
+    harness.send_from_dispatcher(2, 3, FromDispatcher::Withdraw { id });
+    harness.resume_inbound(1);
     assert_eq!(harness.state(2, id).unwrap().end, Some(End::Withdrawn));
     harness.advance(1_000);
     assert!(harness.take_grants().is_empty());
@@ -68,7 +68,7 @@
     harness.accept(0, 1, message(), true);
     harness.advance(1_000);
     assert_eq!(harness.acceptances(), 0);
-    harness.release(0);
+    harness.resume_inbound(0);
     let node = harness.processes[0].node.as_ref().unwrap();
     assert_eq!(node.health(harness.now()).primary_shards, 0, "the refusal tells it");
     assert_eq!(harness.acceptances(), 0);
@@ -98,8 +98,8 @@
     harness.attempted(0, 1, id, token, success());
     assert!(!harness.is_recorded(id, token), "only the primary knows the end");
     harness.kill(0);
-    harness.release(2);
-    harness.release(1);
+    harness.resume_inbound(2);
+    harness.resume_inbound(1);
     harness.kill(1);
     harness.start(0);
     harness.move_primary(2);
@@ -124,8 +124,8 @@
     announce(&mut harness, 1, vec![ActiveLease { id, token }]);
     for _ in 0..10 {
         harness.advance(500);
-        harness.say(1, 2, FromDispatcher::Ping);
-        harness.say(1, 20, FromDispatcher::Ping);
+        harness.send_from_dispatcher(1, 2, FromDispatcher::Ping);
+        harness.send_from_dispatcher(1, 20, FromDispatcher::Ping);
     }
     assert!(harness.take_grants().is_empty());
     harness.attempted(1, 2, id, token, success());
@@ -155,11 +155,11 @@
     harness.processes[2].is_inbound_paused = true;
     harness.move_primary(1);
     harness.hello(1, 20, 20, "zone-1", Vec::new());
-    harness.announce_in_doubt(1, 2, 1, "zone-0", Vec::new(), vec![id]);
-    harness.release(2);
+    harness.hello_in_doubt(1, 2, 1, "zone-0", Vec::new(), vec![id]);
+    harness.resume_inbound(2);
     harness.advance(400);
     assert!(harness.take_grants().is_empty(), "the dispatcher that asked has not said what becomes of it");
-    harness.say(1, 2, FromDispatcher::Withdraw { id });
+    harness.send_from_dispatcher(1, 2, FromDispatcher::Withdraw { id });
     harness.advance(5000);
     assert!(harness.take_grants().is_empty());
 }
@@ -172,10 +172,10 @@
     harness.kill(0);
     harness.move_primary(1);
     harness.hello(1, 20, 20, "zone-1", Vec::new());
-    harness.announce_in_doubt(1, 2, 1, "zone-0", Vec::new(), vec![id]);
+    harness.hello_in_doubt(1, 2, 1, "zone-0", Vec::new(), vec![id]);
     harness.advance(400);
     assert!(harness.take_grants().is_empty(), "the dispatcher that asked has not said what becomes of it");
-    harness.say(1, 2, FromDispatcher::Withdraw { id });
+    harness.send_from_dispatcher(1, 2, FromDispatcher::Withdraw { id });
     harness.advance(5000);
     assert!(harness.take_grants().is_empty());
     assert_eq!(harness.state(1, id).unwrap().end, Some(End::Withdrawn));
@@ -190,10 +190,10 @@
     harness.processes[2].is_inbound_paused = true;
     harness.move_primary(1);
     announce(&mut harness, 1, vec![ActiveLease { id, token }]);
-    harness.release(2);
+    harness.resume_inbound(2);
     harness.advance(1_000);
     assert!(harness.take_grants().is_empty());
-    harness.say(1, 2, FromDispatcher::Ping);
+    harness.send_from_dispatcher(1, 2, FromDispatcher::Ping);
     harness.advance(2_500);
     assert!(harness.take_grants().is_empty(), "the holder listed it");
 }
@@ -275,9 +275,9 @@
     harness.placement.epoch = Epoch(2);
     harness.placement.shards[0].primary = store_id(2);
     harness.placement.shards[0].term = Epoch(2);
-    harness.spread();
+    harness.publish_placement();
     assert!(harness.state(2, id).is_none());
-    harness.release(1);
+    harness.resume_inbound(1);
     assert!(harness.state(2, id).is_some());
 }
 
@@ -320,7 +320,7 @@
     harness.processes[1].is_inbound_paused = true;
     harness.move_primary(2);
     harness.processes[2].stalled = true;
-    harness.release(1);
+    harness.resume_inbound(1);
     announce(&mut harness, 2, Vec::new());
     harness.accept_as(2, 3, id, later(), false);
     assert_eq!(harness.acceptances(), 0, "only the disk of store 1 has it");
@@ -369,7 +369,7 @@
     harness.start(0);
     harness.set_link(0, 2, true);
     harness.move_primary(2);
-    harness.release(1);
+    harness.resume_inbound(1);
     let is_of = |record: &DiskRecord| matches!(record, DiskRecord::Message { record } if record.id() == id);
     assert!(harness.processes[2].records.iter().any(|(_, record)| is_of(record)));
 }
--- a/system/state/queue/tests/replicas/writes.rs
+++ b/system/state/queue/tests/replicas/writes.rs
@@ -26,9 +26,9 @@
 #[test]
 fn only_a_write_quorum_is_written_to() {
     let mut harness = three_stores();
-    let before = harness.writes;
+    let before = harness.sent_writes;
     let id = harness.accept(0, 1, message(), true);
-    assert_eq!(harness.writes - before, 1);
+    assert_eq!(harness.sent_writes - before, 1);
     let holders = (0..3).filter(|store| harness.state(*store, id).is_some()).count();
     assert_eq!(holders, 2);
 }
@@ -92,7 +92,11 @@
 fn any_replica_answers_queries() {
     let mut harness = three_stores();
     let id = harness.accept(0, 1, message(), true);
-    harness.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, with_body: true });
+    harness.send_from_dispatcher(
+        1,
+        2,
+        FromDispatcher::Query { request: RequestNumber(1), id, with_body: true },
+    );
     let answer =
         ToDispatcher::State { request: RequestNumber(1), answer: QueryAnswer::Body { body: message().body } };
     assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| *message == answer));
@@ -108,7 +112,7 @@
     harness.kill(1);
     harness.placement.epoch = Epoch(2);
     harness.placement.shards[0].replicas = vec![store_id(0), store_id(2)];
-    harness.spread();
+    harness.publish_placement();
     assert!(harness.state(2, id).is_some());
 }
 
@@ -185,6 +189,6 @@
         harness.input(0, Input::Store { from: store_id(1), message: answer });
     }
     assert_eq!(harness.acceptances(), 0);
-    harness.release(1);
+    harness.resume_inbound(1);
     assert_eq!(harness.acceptances(), 1);
 }
--- a/system/state/queue/tests/scrub.rs
+++ b/system/state/queue/tests/scrub.rs
@@ -20,7 +20,7 @@
 fn advance(harness: &mut StoreHarness, seconds: u64) {
     for _ in 0..seconds {
         harness.advance(1_000);
-        harness.say(0, 1, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
     }
 }
 
@@ -87,9 +87,9 @@
     for _ in 0..20 {
         harness.accept(0, 1, message(), true);
     }
-    let before = harness.writes;
+    let before = harness.sent_writes;
     advance(&mut harness, 10);
-    assert_eq!(harness.writes, before);
+    assert_eq!(harness.sent_writes, before);
 }
 
 #[test]
--- a/system/state/queue/tests/simulation.rs
+++ b/system/state/queue/tests/simulation.rs
@@ -15,7 +15,7 @@
 const QUIET_MS: u64 = 22_000;
 
 /// Runs a simulation with faults and checks the state at its end.
-fn play(options: Options) -> Cluster {
+fn run_with_faults(options: Options) -> Cluster {
     let mut cluster = Cluster::new(options);
     cluster.run_until(1_000);
     cluster.clients_until(TRAFFIC_MS);
@@ -27,7 +27,7 @@
     for store in &mut cluster.stores {
         store.sync_ms = 2;
     }
-    run_to_the_end(&mut cluster);
+    run_until_all_ended(&mut cluster);
     let accepted =
         cluster.request_log.messages.values().filter(|actual| actual.accepted_ms.is_some()).count();
     let (starts, repeats) = (cluster.request_log.starts, cluster.request_log.repeats);
@@ -37,7 +37,7 @@
 }
 
 /// Runs until everything has ended, but at most for a limited time, and for a while longer.
-fn run_to_the_end(cluster: &mut Cluster) {
+fn run_until_all_ended(cluster: &mut Cluster) {
     while !has_ended(cluster) && cluster.now_ms < TRAFFIC_MS + QUIET_MS {
         cluster.run_until(cluster.now_ms + 500);
     }
@@ -47,12 +47,13 @@
 }
 
 fn has_ended(cluster: &Cluster) -> bool {
-    let is_over = |(id, actual): (&MessageId, &ActualState)| {
+    let has_message_ended = |(id, actual): (&MessageId, &ActualState)| {
         let state = state_of(cluster, *id);
         let is_called_back = actual.message.callback_url.is_none() || !actual.called_back.is_empty();
         actual.accepted_ms.is_none() || (is_called_back && state.is_some_and(|state| state.end.is_some()))
     };
-    cluster.request_log.messages.iter().all(is_over) && cluster.dispatchers.iter().all(Dispatcher::is_idle)
+    cluster.request_log.messages.iter().all(has_message_ended)
+        && cluster.dispatchers.iter().all(Dispatcher::is_idle)
 }
 
 /// The state of a message at the primary of its shard.
@@ -108,7 +109,7 @@
 fn three_stores_tolerate_the_loss_of_one() {
     for seed in seeds(30) {
         println!("seed {seed}");
-        let cluster = play(Options { seed, ..Options::default() });
+        let cluster = run_with_faults(Options { seed, ..Options::default() });
         assert!(cluster.request_log.starts > 100, "hardly anything ran");
     }
 }
@@ -117,7 +118,7 @@
 fn five_stores_tolerate_the_loss_of_two() {
     for seed in seeds(10) {
         println!("seed {seed}");
-        play(Options { seed, stores: 5, tolerated_losses: 2, ..Options::default() });
+        run_with_faults(Options { seed, stores: 5, tolerated_losses: 2, ..Options::default() });
     }
 }
 
@@ -125,7 +126,7 @@
 fn faults_may_overlap_while_disks_are_lost_one_at_a_time() {
     for seed in seeds(20) {
         println!("seed {seed}");
-        play(Options { seed, overlapping_faults: true, ..Options::default() });
+        run_with_faults(Options { seed, overlapping_faults: true, ..Options::default() });
     }
 }
 
@@ -137,14 +138,14 @@
         cluster.run_until(1_000);
         cluster.clients_until(TRAFFIC_MS);
         for store in 0..3 {
-            cluster.roll(store, 700, 400);
+            cluster.restart_planned(store, 700, 400);
             cluster.run_until(cluster.now_ms + 900);
         }
         cluster.run_until(TRAFFIC_MS);
         for dispatcher in &mut cluster.dispatchers {
             dispatcher.calm = true;
         }
-        run_to_the_end(&mut cluster);
+        run_until_all_ended(&mut cluster);
         let is_lost = |actual: &&ActualState| actual.accepted_ms.is_none() && !actual.withdrawn;
         let lost = cluster.request_log.messages.values().filter(is_lost).count();
         assert_eq!(lost, 0, "clients went without an answer");
@@ -172,11 +173,11 @@
         cluster.wipe_store(1);
         cluster.run_until(cluster.now_ms + 500);
         cluster.record_fault();
-        cluster.lose_store(2, 1_500, true, false);
+        cluster.stop_and_restart_store(2, 1_500, true, false);
         cluster.run_until(TRAFFIC_MS);
         for dispatcher in &mut cluster.dispatchers {
             dispatcher.calm = true;
         }
-        run_to_the_end(&mut cluster);
+        run_until_all_ended(&mut cluster);
     }
 }
--- a/system/state/queue/tests/state_merge.rs
+++ b/system/state/queue/tests/state_merge.rs
@@ -33,7 +33,7 @@
         age_ms in 0_u64..1_000,
         failed_attempts in 0_u32..4,
         token in proptest::option::of(1_u64..5),
-        settled in 0_u64..5,
+        resolved_through in 0_u64..5,
         end in proptest::option::of(end()),
         ended_age_ms in 0_u64..1_000,
         callback_done in any::<bool>(),
@@ -46,7 +46,7 @@
             message: Some(body()),
             failed_attempts,
             grant: token.map(grant),
-            resolved_through: LeaseToken(settled),
+            resolved_through: LeaseToken(resolved_through),
             ended_age_ms: if end.is_some() { ended_age_ms } else { 0 },
             end,
             callback_done,
@@ -75,13 +75,13 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn merge_order_does_not_matter(states in proptest::collection::vec(state(), 1..5), turn in 0_usize..5) {
+    fn merge_order_does_not_matter(states in proptest::collection::vec(state(), 1..5), rotation in 0_usize..5) {
         let merged = merge(&states);
-        let mut turned = states.clone();
-        turned.rotate_left(turn % states.len());
-        prop_assert_eq!(&merge(&turned), &merged);
-        turned.reverse();
-        prop_assert_eq!(&merge(&turned), &merged);
+        let mut rotated = states.clone();
+        rotated.rotate_left(rotation % states.len());
+        prop_assert_eq!(&merge(&rotated), &merged);
+        rotated.reverse();
+        prop_assert_eq!(&merge(&rotated), &merged);
         let twice: Vec<MessageState> = states.iter().chain(&states).cloned().collect();
         prop_assert_eq!(&merge(&twice), &merged);
         let again: Vec<MessageState> = states.into_iter().chain([merged.clone()]).collect();
@@ -118,7 +118,7 @@
 }
 
 /// Asserts that the later state includes everything in the earlier one.
-fn assert_grown(before: &MessageState, after: &MessageState) {
+fn assert_includes(before: &MessageState, after: &MessageState) {
     assert!(after.failed_attempts >= before.failed_attempts);
     assert!(after.resolved_through >= before.resolved_through);
     assert!(after.grant.map(|grant| grant.token) >= before.grant.map(|grant| grant.token));
@@ -144,7 +144,7 @@
         for (id, known) in ids.iter().zip(&mut before) {
             let after = node.state_of(*id);
             if let (Some(before), Some(after)) = (known.as_ref(), after.as_ref()) {
-                assert_grown(before, after);
+                assert_includes(before, after);
             }
             assert!(after.is_some() || known.is_none(), "{id} was known and is not");
             *known = after;
