--- a/system/state/queue/src/config.rs
+++ b/system/state/queue/src/config.rs
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
     /// `min_write_timeout` is above `max_write_timeout`.
-    #[error("the shortest write time-out, {min:?}, is above the longest one, {max:?}")]
+    #[error("min_write_timeout ({min:?}) is greater than max_write_timeout ({max:?})")]
     WriteTimeouts {
         /// The configured minimum.
         min: Duration,
@@ -98,7 +98,7 @@
         max: Duration,
     },
     /// `callbacks_per_receiver` is above `max_callbacks_per_receiver`.
-    #[error("a receiver gets {initial} call-backs at first, which is above the maximum of {max}")]
+    #[error("callbacks_per_receiver ({initial}) is greater than max_callbacks_per_receiver ({max})")]
     CallbackLimits {
         /// The configured initial limit.
         initial: u32,
--- a/system/state/queue/tests/call_backs.rs
+++ b/system/state/queue/tests/call_backs.rs
@@ -58,7 +58,7 @@
     harness.sync(0);
     let calls = take_calls(&mut harness);
     assert_eq!((calls[0].id, &calls[0].end), (id, &End::Completed { signature: "s".to_owned() }));
-    assert_eq!(calls[0].message, None, "the dispatcher that accepted it has it still");
+    assert_eq!(calls[0].message, None, "the dispatcher that accepted the message still has it");
 }
 
 #[test]
@@ -100,7 +100,7 @@
     assert_eq!(
         take_calls(&mut harness).len(),
         2,
-        "one is free, and one more may be under way after a success"
+        "one call-back has ended, and the limit rises by one after a success"
     );
 }
 
@@ -117,7 +117,7 @@
         harness.advance(100);
         harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
     }
-    assert!((4..=8).contains(&attempts), "{attempts} tries in ten seconds");
+    assert!((4..=8).contains(&attempts), "{attempts} attempts in ten seconds");
     complete(&mut harness, with_callback("well"));
     assert_eq!(take_calls(&mut harness).len(), 1);
 }
@@ -136,7 +136,7 @@
         harness.advance(50);
         harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
     }
-    assert!(done > 90, "{done} of 100 were taken");
+    assert!(done > 90, "only {done} of 100 call-backs succeeded");
 }
 
 #[test]
@@ -149,11 +149,11 @@
     harness.input(0, Input::DispatcherClosed { connection: ConnectionId(1) });
     let second = take_calls(&mut harness).remove(0);
     assert_eq!((second.connection, second.id), (ConnectionId(2), id));
-    let message = second.message.clone().expect("it lacks the message");
+    let message = second.message.clone().expect("a dispatcher that lacks the message gets it");
     assert!(message.body.is_empty());
     assert_eq!(message.callback_url.as_deref(), Some("http://r/done"));
     report(&mut harness, &first, true);
-    assert!(harness.state(0, id).unwrap().callback_done, "whoever reports it, it was taken");
+    assert!(harness.state(0, id).unwrap().callback_done, "a success counts whichever dispatcher reports it");
 }
 
 #[test]
@@ -184,7 +184,7 @@
     let queued = complete(&mut harness, with_callback("r"));
     let lease_ms = Config::default().callback_timeout.as_millis() as u64;
     advance_alive(&mut harness, lease_ms - 1_000);
-    assert!(take_calls(&mut harness).is_empty(), "two are under way, as far as is known");
+    assert!(take_calls(&mut harness).is_empty(), "as far as the store knows, two call-backs are in flight");
     advance_alive(&mut harness, 2_500);
     let mut called: Vec<MessageId> = Vec::new();
     for _ in 0..3 {
--- a/system/state/queue/tests/cluster/dispatcher.rs
+++ b/system/state/queue/tests/cluster/dispatcher.rs
@@ -186,7 +186,10 @@
             }
             ToDispatcher::Deliver { id, token, message, age_ms, .. } => {
                 let true_age_ms = self.now_ms - self.request_log.messages[&id].sent_ms;
-                assert!(age_ms <= true_age_ms + 1, "{id} is said to be {age_ms} ms old, it is {true_age_ms}");
+                assert!(
+                    age_ms <= true_age_ms + 1,
+                    "{id} is reported to be {age_ms} ms old but is {true_age_ms} ms old"
+                );
                 self.delivered(at, id, token, message.map(|message| *message));
             }
             ToDispatcher::CallBack { id, token, end, .. } => self.call_back(at, id, token, end),
--- a/system/state/queue/tests/cluster/mod.rs
+++ b/system/state/queue/tests/cluster/mod.rs
@@ -293,7 +293,7 @@
             (End::Dispatcher(at), End::Store(store), Payload::ToDispatcher(message)) => {
                 self.dispatcher_receives(at, store, message);
             }
-            _ => unreachable!("a payload of another kind of link"),
+            _ => unreachable!("a payload that does not belong on this kind of link"),
         }
     }
 
--- a/system/state/queue/tests/cluster/request_log.rs
+++ b/system/state/queue/tests/cluster/request_log.rs
@@ -67,16 +67,18 @@
             answer_lost: false,
             called_back: Vec::new(),
         };
-        assert!(self.messages.insert(id, actual).is_none(), "name {id} given twice");
+        assert!(self.messages.insert(id, actual).is_none(), "identifier {id} was allocated twice");
     }
 
     pub fn accepted(&mut self, id: MessageId, now_ms: u64) {
-        let actual = self.messages.get_mut(&id).expect("accepted a message that nobody sent");
+        let actual =
+            self.messages.get_mut(&id).expect("a message that was never sent is reported as accepted");
         actual.accepted_ms.get_or_insert(now_ms);
     }
 
     pub fn withdrawn(&mut self, id: MessageId) {
-        let actual = self.messages.get_mut(&id).expect("withdrawn a message that nobody sent");
+        let actual =
+            self.messages.get_mut(&id).expect("a message that was never sent is reported as withdrawn");
         assert!(actual.runs.is_empty(), "{id} was withdrawn after it had run");
         actual.withdrawn = true;
     }
@@ -88,16 +90,16 @@
     pub fn begin(&mut self, id: MessageId, now_ms: u64) {
         let is_calm = self.is_calm(now_ms);
         self.check_order(id, now_ms);
-        let actual = self.messages.get_mut(&id).expect("ran a message that nobody sent");
+        let actual = self.messages.get_mut(&id).expect("a message that was never sent has run");
         assert!(!actual.withdrawn, "{id} ran after it was withdrawn");
         let due_ms = actual.sent_ms + u64::from(actual.message.delay_ms);
         assert!(now_ms >= due_ms, "{id} ran {} ms early", due_ms - now_ms);
         assert!(!actual.success_recorded, "{id} ran again after its success was recorded");
         if is_calm {
             let is_running = actual.runs.iter().any(|run| run.ended_ms.is_none());
-            assert!(!is_running, "{id} ran at two workers at a time without trouble");
+            assert!(!is_running, "{id} ran at two workers at the same time without a recent fault");
             let is_repeat = !actual.signatures.is_empty() && !actual.answer_lost;
-            assert!(!is_repeat, "{id} ran again after a success without trouble");
+            assert!(!is_repeat, "{id} ran again after a success without a recent fault");
         }
         self.starts += 1;
         self.repeats += u64::from(!actual.signatures.is_empty());
@@ -127,7 +129,10 @@
         self.rate_limited_starts.push(now_ms);
         let in_window =
             self.rate_limited_starts.iter().rev().take_while(|start| now_ms - **start < WINDOW_MS).count();
-        assert!(in_window as f64 <= *most, "{in_window} starts of {rated} in five seconds, {most} allowed");
+        assert!(
+            in_window as f64 <= *most,
+            "{in_window} starts of {rated} in five seconds, but only {most} are allowed"
+        );
     }
 
     /// Total number of starts of the rate-limited service.
@@ -137,9 +142,9 @@
 
     /// Records the end of the run that began at `begun_ms`.
     pub fn finish(&mut self, id: MessageId, begun_ms: u64, now_ms: u64) -> &mut ActualState {
-        let actual = self.messages.get_mut(&id).expect("finished a message that nobody sent");
+        let actual = self.messages.get_mut(&id).expect("a run of a message that was never sent has finished");
         let run = actual.runs.iter_mut().find(|run| run.begun_ms == begun_ms && run.ended_ms.is_none());
-        run.expect("finished a run that did not begin").ended_ms = Some(now_ms);
+        run.expect("a run that never began has finished").ended_ms = Some(now_ms);
         actual
     }
 
@@ -166,11 +171,16 @@
         let actual = &self.messages[&id];
         match end {
             End::Completed { signature } => {
-                assert!(actual.signatures.contains(signature), "{id} is said to have completed, no run did");
+                assert!(
+                    actual.signatures.contains(signature),
+                    "{id} is reported as completed with a signature of none of its runs"
+                );
+            }
+            End::DeadLetter => {
+                assert!(actual.has_ended(now_ms), "{id} is reported as a dead letter but has not ended")
             }
-            End::DeadLetter => assert!(actual.has_ended(now_ms), "{id} is said to be dead and has not ended"),
             End::Withdrawn => {
-                assert!(actual.accepted_ms.is_none(), "{id} was accepted and is said to be withdrawn")
+                assert!(actual.accepted_ms.is_none(), "{id} was accepted but is reported as withdrawn")
             }
         }
     }
--- a/system/state/queue/tests/cluster/runs.rs
+++ b/system/state/queue/tests/cluster/runs.rs
@@ -27,7 +27,10 @@
             return;
         }
         if let Some(message) = message {
-            assert_eq!(message, self.request_log.messages[&id].message, "{id} came back changed");
+            assert_eq!(
+                message, self.request_log.messages[&id].message,
+                "{id} was delivered with changed content"
+            );
             dispatcher.bodies.insert(id, (message, now_ms));
         }
         if !dispatcher.bodies.contains_key(&id) {
--- a/system/state/queue/tests/cluster/stores.rs
+++ b/system/state/queue/tests/cluster/stores.rs
@@ -123,7 +123,7 @@
 
     /// Wipes the disk of a stopped store. It starts again as another store.
     pub fn wipe_store(&mut self, index: usize) {
-        assert!(!self.stores[index].is_up(), "a running store is not wiped");
+        assert!(!self.stores[index].is_up(), "a running store must not be wiped");
         let store = &mut self.stores[index];
         store.disk = Disk::default();
         store.id = StoreId(store.id.0 + NEXT_DISK_ID_OFFSET);
--- a/system/state/queue/tests/delivery.rs
+++ b/system/state/queue/tests/delivery.rs
@@ -59,7 +59,10 @@
     let refused = |(_, sent_to_dispatchers): &(ConnectionId, ToDispatcher)| {
         matches!(sent_to_dispatchers, ToDispatcher::Rejected { .. })
     };
-    assert!(harness.sent_to_dispatchers.iter().any(refused), "so the dispatcher tries another name");
+    assert!(
+        harness.sent_to_dispatchers.iter().any(refused),
+        "the dispatcher must be told to try another identifier"
+    );
     assert_eq!(harness.state(0, id).unwrap().message.unwrap().request_id, message().request_id);
 }
 
@@ -90,7 +93,7 @@
     let token = accepted_token(&harness);
     let second = harness.accept(0, 1, with_key("k"), true);
     let other = harness.accept(0, 1, with_key("other"), true);
-    assert!(harness.last_accepted().unwrap().is_some(), "{other} is of another key");
+    assert!(harness.last_accepted().unwrap().is_some(), "{other} has another key and is granted at once");
     assert!(harness.grants.is_empty());
     harness.processes[0].stalled = true;
     harness.attempted(0, 1, first, token, AttemptOutcome::Refused);
@@ -153,8 +156,8 @@
     harness.attempted(0, 1, id, token, AttemptOutcome::Failed);
     harness.advance(599);
     let granted = harness.take_grants();
-    assert_eq!(granted.len(), 1, "the next attempt starts within the aim of 800 ms");
-    assert!(granted[0].at_ms > 1_200, "and not at once");
+    assert_eq!(granted.len(), 1, "the next attempt starts within the target of 800 ms");
+    assert!(granted[0].at_ms > 1_200, "the next attempt does not start at once");
 }
 
 #[test]
@@ -167,7 +170,11 @@
     harness.advance(50);
     let granted = harness.take_grants();
     assert_eq!(granted[0].connection, ConnectionId(2));
-    assert_eq!(granted[0].message, Some(message()), "it did not accept it and lacks the body");
+    assert_eq!(
+        granted[0].message,
+        Some(message()),
+        "a dispatcher that did not accept the message gets its body"
+    );
 }
 
 #[test]
@@ -265,7 +272,11 @@
     let announced =
         vec![millrudder_protocol::store::ActiveLease { id: announced_id, token: announced_token }];
     harness.hello(0, 2, 1, "zone-0", announced);
-    assert_eq!(harness.take_grants()[0].id, lost, "what it does not list it never got");
+    assert_eq!(
+        harness.take_grants()[0].id,
+        lost,
+        "a lease that the dispatcher does not announce was never received"
+    );
     for _ in 0..5 {
         harness.advance(1_000);
         harness.send_from_dispatcher(0, 2, FromDispatcher::Ping);
@@ -329,7 +340,7 @@
             .any(|(_, message)| *message == ToDispatcher::Withdrawn { id }));
     }
     harness.accept_as(0, 1, unseen, message(), true);
-    assert_eq!(harness.acceptances(), 1, "only the first was accepted");
+    assert_eq!(harness.acceptances(), 1, "only the first message was accepted");
     harness.advance(1_000);
     assert!(harness.grants.is_empty());
 }
@@ -385,7 +396,7 @@
     assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| is_full(message)));
     harness.attempted(0, 1, first, token, AttemptOutcome::Refused);
     harness.accept(0, 1, message(), true);
-    assert_eq!(harness.acceptances(), 3, "an end makes room");
+    assert_eq!(harness.acceptances(), 3, "the end of a message makes room for another");
 }
 
 #[test]
@@ -476,7 +487,7 @@
     let revoked = ToDispatcher::Revoke { id, token };
     assert!(
         harness.sent_to_dispatchers.iter().any(|(_, message)| *message == revoked),
-        "the last one is not to start it"
+        "the lease of the last dispatcher is revoked"
     );
 }
 
@@ -527,7 +538,10 @@
         runs += 1;
     }
     let longest_ms = Config::default().max_backoff.as_millis() as u64;
-    assert!(waits[..2].iter().all(|wait| *wait <= 20), "a lost answer or two cost nothing: {waits:?}");
+    assert!(
+        waits[..2].iter().all(|wait| *wait <= 20),
+        "the first two unknown outcomes cause no back-off: {waits:?}"
+    );
     assert!(waits.windows(2).all(|pair| pair[0] <= pair[1]), "{waits:?}");
     assert!(waits[7] >= longest_ms && waits[7] <= longest_ms + 20, "{waits:?}");
 }
--- a/system/state/queue/tests/home_dispatchers.rs
+++ b/system/state/queue/tests/home_dispatchers.rs
@@ -109,7 +109,7 @@
     let first = harness.accept(0, 1, with_key("k"), true);
     let granted = lease_of(&mut harness, 1, first);
     let second = harness.accept(0, 2, with_key("k"), true);
-    assert!(harness.take_grants().is_empty(), "one of a key is out at a time");
+    assert!(harness.take_grants().is_empty(), "only one message of a key is in flight at a time");
     harness.succeed(0, granted.connection.0, &granted);
     assert_eq!(harness.take_grants()[0].id, second);
 }
--- a/system/state/queue/tests/model.rs
+++ b/system/state/queue/tests/model.rs
@@ -207,9 +207,15 @@
             return;
         }
         let state = self.harness.state(primary, ID);
-        assert!(!self.accepted || state.is_some(), "accepted, and not known after {order:?}");
+        assert!(
+            !self.accepted || state.is_some(),
+            "the message was accepted but is unknown to the primary after {order:?}"
+        );
         let has_ended = state.is_some_and(|state| state.end.is_some());
-        assert!(!self.recorded || has_ended, "recorded, and not known after {order:?}");
+        assert!(
+            !self.recorded || has_ended,
+            "the outcome was recorded but is unknown to the primary after {order:?}"
+        );
     }
 
     /// A digest of everything that determines the further behaviour.
--- a/system/state/queue/tests/rate_limits.rs
+++ b/system/state/queue/tests/rate_limits.rs
@@ -78,7 +78,7 @@
     let slow = harness.grants.len() - before;
     assert!((48..=52).contains(&slow), "{slow} starts in 5 s at 10 a second");
     harness.rate(0, "service", 0.0);
-    assert!(harness.take_grants().len() > 1_000, "0 is no ceiling");
+    assert!(harness.take_grants().len() > 1_000, "a rate of 0 means no limit");
 }
 
 #[test]
@@ -93,7 +93,7 @@
     harness.processes[0].stalled = false;
     let before = harness.grants.len();
     harness.sync(0);
-    assert!(harness.grants.len() - before <= 6, "few wait for the disk at a time");
+    assert!(harness.grants.len() - before <= 6, "only a few grants wait for the disk at the same time");
     advance(&mut harness, 6_000);
     assert!(max_in_window(&starts(&harness)) as f64 <= 40.0 * 5.0 * 1.05 + 5.0);
 }
@@ -149,6 +149,10 @@
     assert!(harness.grants.is_empty());
     harness.rate(0, "service", 20.0);
     advance(&mut harness, 300);
-    assert_eq!(harness.grants.len(), 1, "its permit was twenty seconds away, and is a twentieth now");
+    assert_eq!(
+        harness.grants.len(),
+        1,
+        "its permit was twenty seconds away at the former rate, and is a twentieth of a second away now"
+    );
     assert!(harness.orphans.is_empty());
 }
--- a/system/state/queue/tests/replicas/membership.rs
+++ b/system/state/queue/tests/replicas/membership.rs
@@ -64,7 +64,7 @@
     harness.processes[learner].is_inbound_paused = true;
     let id = harness.accept(0, 1, message(), true);
     assert!(harness.state(2, id).is_some());
-    assert_eq!(harness.last_accepted(), None, "stores 0 and 2 are a quorum before, not after");
+    assert_eq!(harness.last_accepted(), None, "stores 0 and 2 are a quorum of the current membership only");
     harness.resume_inbound(learner);
     assert!(harness.last_accepted().is_some());
 }
@@ -100,7 +100,11 @@
     harness.processes[2].is_inbound_paused = true;
     harness.move_primary(1);
     harness.accept(1, 2, message(), true);
-    assert_eq!(harness.last_accepted(), None, "stores 1 and {learner} are a quorum after, not before");
+    assert_eq!(
+        harness.last_accepted(),
+        None,
+        "stores 1 and {learner} are a quorum of the next membership only"
+    );
     harness.processes[2].is_inbound_paused = false;
     harness.resume_inbound(2);
     harness.accept(1, 2, message(), true);
--- a/system/state/queue/tests/replicas/takeovers.rs
+++ b/system/state/queue/tests/replicas/takeovers.rs
@@ -64,13 +64,13 @@
     harness.processes[0].is_inbound_paused = true;
     harness.move_primary(1);
     let node = harness.processes[0].node.as_ref().unwrap();
-    assert_eq!(node.health(harness.now()).primary_shards, 1, "it still believes to be primary");
+    assert_eq!(node.health(harness.now()).primary_shards, 1, "it still considers itself the primary");
     harness.accept(0, 1, message(), true);
     harness.advance(1_000);
     assert_eq!(harness.acceptances(), 0);
     harness.resume_inbound(0);
     let node = harness.processes[0].node.as_ref().unwrap();
-    assert_eq!(node.health(harness.now()).primary_shards, 0, "the refusal tells it");
+    assert_eq!(node.health(harness.now()).primary_shards, 0, "the rejected write makes it step down");
     assert_eq!(harness.acceptances(), 0);
 }
 
@@ -83,7 +83,7 @@
     harness.kill(0);
     harness.move_primary(1);
     harness.accept_as(1, 2, id, message(), true);
-    assert_eq!(harness.acceptances(), 1, "asked again, the next primary acknowledges it");
+    assert_eq!(harness.acceptances(), 1, "the next primary acknowledges the repeated request");
     announce(&mut harness, 1, Vec::new());
     assert_eq!(harness.take_grants().iter().filter(|granted| granted.id == id).count(), 1);
 }
@@ -96,7 +96,7 @@
     harness.processes[1].is_inbound_paused = true;
     harness.processes[2].is_inbound_paused = true;
     harness.attempted(0, 1, id, token, success());
-    assert!(!harness.is_recorded(id, token), "only the primary knows the end");
+    assert!(!harness.is_recorded(id, token), "only the primary has the end");
     harness.kill(0);
     harness.resume_inbound(2);
     harness.resume_inbound(1);
@@ -120,7 +120,7 @@
     harness.kill(0);
     harness.move_primary(1);
     harness.hello(1, 20, 20, "zone-1", Vec::new());
-    assert!(harness.take_grants().is_empty(), "the other dispatcher says nothing about it");
+    assert!(harness.take_grants().is_empty(), "the lease does not belong to this dispatcher");
     announce(&mut harness, 1, vec![ActiveLease { id, token }]);
     for _ in 0..10 {
         harness.advance(500);
@@ -158,7 +158,7 @@
     harness.hello_in_doubt(1, 2, 1, "zone-0", Vec::new(), vec![id]);
     harness.resume_inbound(2);
     harness.advance(400);
-    assert!(harness.take_grants().is_empty(), "the dispatcher that asked has not said what becomes of it");
+    assert!(harness.take_grants().is_empty(), "the dispatcher that sent it has not resolved the doubt yet");
     harness.send_from_dispatcher(1, 2, FromDispatcher::Withdraw { id });
     harness.advance(5000);
     assert!(harness.take_grants().is_empty());
@@ -174,7 +174,7 @@
     harness.hello(1, 20, 20, "zone-1", Vec::new());
     harness.hello_in_doubt(1, 2, 1, "zone-0", Vec::new(), vec![id]);
     harness.advance(400);
-    assert!(harness.take_grants().is_empty(), "the dispatcher that asked has not said what becomes of it");
+    assert!(harness.take_grants().is_empty(), "the dispatcher that sent it has not resolved the doubt yet");
     harness.send_from_dispatcher(1, 2, FromDispatcher::Withdraw { id });
     harness.advance(5000);
     assert!(harness.take_grants().is_empty());
@@ -195,7 +195,7 @@
     assert!(harness.take_grants().is_empty());
     harness.send_from_dispatcher(1, 2, FromDispatcher::Ping);
     harness.advance(2_500);
-    assert!(harness.take_grants().is_empty(), "the holder listed it");
+    assert!(harness.take_grants().is_empty(), "its holder announced the lease");
 }
 
 #[test]
@@ -207,7 +207,7 @@
     harness.input(0, Input::DispatcherClosed { connection: ConnectionId(1) });
     harness.advance(1_600);
     let granted = harness.take_grants();
-    assert_eq!((granted.len(), granted[0].id), (1, id), "the next of its key still waits");
+    assert_eq!((granted.len(), granted[0].id), (1, id), "the next message of its key still waits");
     harness.attempted(0, 20, id, granted[0].token, success());
     assert_eq!(harness.take_grants()[0].id, next);
 }
@@ -224,7 +224,7 @@
     let third = harness.accept(1, 21, with_key("k"), true);
     assert!(harness.take_grants().is_empty());
     announce(&mut harness, 1, vec![ActiveLease { id: first, token: first_token }]);
-    assert!(harness.take_grants().is_empty(), "the first is still out");
+    assert!(harness.take_grants().is_empty(), "the first message is still in flight");
     harness.attempted(1, 2, first, first_token, success());
     let granted = harness.take_grants();
     assert_eq!(granted.iter().map(|granted| granted.id).collect::<Vec<_>>(), [second]);
@@ -265,7 +265,7 @@
     harness.processes[0].stalled = true;
     harness.set_link(0, 2, false);
     let id = harness.accept(0, 1, message(), true);
-    assert!(harness.state(1, id).is_some(), "its record is under way to this one's disk");
+    assert!(harness.state(1, id).is_some(), "store 1 has received its record");
     harness.kill(0);
     harness.processes[1].is_inbound_paused = true;
     harness.processes[0].records.retain(|(_, record)| !matches!(record, DiskRecord::Message { .. }));
@@ -305,7 +305,7 @@
     harness.start(0);
     harness.start(2);
     harness.move_primary(2);
-    assert!(harness.state(2, id).is_some(), "acknowledged, and lost with one disk");
+    assert!(harness.state(2, id).is_some(), "the message was acknowledged but is lost with a single disk");
 }
 
 #[test]
@@ -353,7 +353,11 @@
     harness.start(0);
     harness.start(2);
     harness.move_primary(2);
-    assert_eq!(harness.state(2, id).unwrap().end, completed(), "recorded, and lost with one disk");
+    assert_eq!(
+        harness.state(2, id).unwrap().end,
+        completed(),
+        "the outcome was recorded but is lost with a single disk"
+    );
 }
 
 #[test]
--- a/system/state/queue/tests/replicas/writes.rs
+++ b/system/state/queue/tests/replicas/writes.rs
@@ -43,7 +43,7 @@
     assert_eq!(harness.acceptances(), 1, "the third replica has it");
     assert!(harness.state(2, first).is_some());
     harness.accept(0, 1, message(), true);
-    assert_eq!(harness.acceptances(), 2, "and further messages go there at once");
+    assert_eq!(harness.acceptances(), 2, "further messages are sent to the third replica at once");
 }
 
 #[test]
@@ -52,7 +52,7 @@
     harness.processes[0].stalled = true;
     harness.accept(0, 1, message(), true);
     harness.advance(60);
-    assert_eq!(harness.acceptances(), 1, "two followers have it");
+    assert_eq!(harness.acceptances(), 1, "both other replicas have it");
     harness.accept(0, 1, message(), true);
     assert_eq!(harness.acceptances(), 2);
 }
@@ -83,7 +83,7 @@
             harness.start(*store);
         }
         harness.move_primary(left[0]);
-        assert!(harness.state(left[0], id).is_some(), "lost with disk {lost}");
+        assert!(harness.state(left[0], id).is_some(), "the message was lost with disk {lost}");
         assert_eq!(harness.state(left[0], id).unwrap().message, Some(message()));
     }
 }
@@ -168,7 +168,7 @@
     harness.hello(0, 11, 7, "zone-0", Vec::new());
     harness.sent_to_dispatchers.clear();
     let id = harness.accept(0, 11, message(), true);
-    assert!(harness.state(1, id).is_some(), "the follower has it, and has not synced it");
+    assert!(harness.state(1, id).is_some(), "the replica has received it but not synced it");
 
     harness.input(1, Input::Synced { ticket: before });
     assert_eq!(harness.acceptances(), 0, "only the primary's own disk has it");
--- a/system/state/queue/tests/simulation.rs
+++ b/system/state/queue/tests/simulation.rs
@@ -69,10 +69,10 @@
     for (id, actual) in &cluster.request_log.messages {
         let state = state_of(cluster, *id);
         if actual.accepted_ms.is_none() {
-            assert!(!actual.withdrawn || actual.runs.is_empty(), "{id} ran though withdrawn");
+            assert!(!actual.withdrawn || actual.runs.is_empty(), "{id} ran although it was withdrawn");
             continue;
         }
-        let state = state.unwrap_or_else(|| panic!("{id} was accepted and is lost"));
+        let state = state.unwrap_or_else(|| panic!("{id} was accepted but is lost"));
         let Some(end) = state.end else {
             unended.push((
                 state.sequence,
@@ -87,13 +87,13 @@
         let completed = matches!(end, End::Completed { .. });
         assert!(completed || !has_succeeded || end == End::DeadLetter, "{id} ended as {end:?}");
         if actual.message.callback_url.is_some() {
-            assert!(!actual.called_back.is_empty(), "{id} is owed a call-back");
+            assert!(!actual.called_back.is_empty(), "{id} has not been called back");
         }
     }
     unended.sort();
-    assert!(unended.is_empty(), "accepted and did not end: {unended:?}");
+    assert!(unended.is_empty(), "accepted messages that did not end: {unended:?}");
     for (at, dispatcher) in cluster.dispatchers.iter().enumerate() {
-        assert!(dispatcher.is_idle(), "dispatcher {at} waits for an answer");
+        assert!(dispatcher.is_idle(), "dispatcher {at} still waits for an answer");
     }
 }
 
@@ -110,7 +110,7 @@
     for seed in seeds(30) {
         println!("seed {seed}");
         let cluster = run_with_faults(Options { seed, ..Options::default() });
-        assert!(cluster.request_log.starts > 100, "hardly anything ran");
+        assert!(cluster.request_log.starts > 100, "too few messages ran");
     }
 }
 
@@ -148,7 +148,7 @@
         run_until_all_ended(&mut cluster);
         let is_lost = |actual: &&ActualState| actual.accepted_ms.is_none() && !actual.withdrawn;
         let lost = cluster.request_log.messages.values().filter(is_lost).count();
-        assert_eq!(lost, 0, "clients went without an answer");
+        assert_eq!(lost, 0, "requests were left without an answer");
     }
 }
 
@@ -165,7 +165,7 @@
         cluster.manager.retiring = Some(retired);
         while !cluster.is_retired(retired) {
             cluster.run_until(cluster.now_ms + 100);
-            assert!(cluster.now_ms < TRAFFIC_MS, "emptied in time");
+            assert!(cluster.now_ms < TRAFFIC_MS, "the store was not drained in time");
         }
         // Time for the primaries to replicate again what was on the drained store.
         cluster.run_until(cluster.now_ms + 300);
--- a/system/state/queue/tests/state_merge.rs
+++ b/system/state/queue/tests/state_merge.rs
@@ -146,7 +146,7 @@
             if let (Some(before), Some(after)) = (known.as_ref(), after.as_ref()) {
                 assert_includes(before, after);
             }
-            assert!(after.is_some() || known.is_none(), "{id} was known and is not");
+            assert!(after.is_some() || known.is_none(), "{id} was known before and is missing now");
             *known = after;
         }
     }
