--- a/system/state/queue/src/node/connections.rs
+++ b/system/state/queue/src/node/connections.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Confirms the unconfirmed leases that a dispatcher announced, and schedules the messages of those that it
-    /// did not announce again.
+    /// Reconciles the unconfirmed leases of a dispatcher with its announcement: announced leases are confirmed,
+    /// and the messages of the others are scheduled again.
     fn reconcile_unconfirmed_leases(&mut self, dispatcher: DispatcherId) {
         let Some(incarnation) = self.dispatchers.get(dispatcher) else { return };
         for id in incarnation.unconfirmed_leases() {
--- a/system/state/queue/src/node/grants.rs
+++ b/system/state/queue/src/node/grants.rs
@@ -186,8 +186,10 @@
     /// Chooses the dispatcher for a message that only this shard's primary may grant, because it has an order
     /// key or its service has a rate limit. Returns one of the service's home dispatchers with free credit,
     /// preferably the dispatcher that accepted the message.
+    ///
     /// The number of home dispatchers is small, so that a worker which accepts few connections is not used by
     /// all dispatchers, and the next message of a key does not wait for a distant dispatcher.
+    ///
     /// Returns `None` if any dispatcher may get the message, or if no home dispatcher has free credit.
     fn choose_home_dispatcher(
         &self,
--- a/system/state/queue/tests/cluster/dispatcher.rs
+++ b/system/state/queue/tests/cluster/dispatcher.rs
@@ -194,7 +194,7 @@
             }
             ToDispatcher::CallBack { id, token, end, .. } => self.call_back(at, id, token, end),
             ToDispatcher::Recorded { id, token } => {
-                // Only the current primary's answer counts, because it may not know what a former one recorded.
+                // Only an answer of the current primary counts: it may not know what a former primary recorded.
                 if self.dispatchers[at].primary(id) == Some(self.stores[from].id) {
                     self.recorded(at, id, token);
                 }
