--- a/system/state/queue/src/replication/disk.rs
+++ b/system/state/queue/src/replication/disk.rs
@@ -32,7 +32,7 @@
 /// The local disk, as a queue of appends in the order of their tickets.
 #[derive(Clone, Debug)]
 pub(super) struct LocalDisk {
-    next: Ticket,
+    next_ticket: Ticket,
     unsynced: VecDeque<Unsynced>,
     /// Number of appends that are overdue; they are the oldest ones.
     overdue: usize,
@@ -41,7 +41,7 @@
 
 impl LocalDisk {
     pub fn new() -> Self {
-        LocalDisk { next: Ticket(1), unsynced: VecDeque::new(), overdue: 0, is_failed: false }
+        LocalDisk { next_ticket: Ticket(1), unsynced: VecDeque::new(), overdue: 0, is_failed: false }
     }
 
     /// Appends a record; `on_synced` is carried out once it is synced.
@@ -52,8 +52,8 @@
         now: Instant,
         outputs: &mut Vec<Output>,
     ) {
-        let ticket = self.next;
-        self.next = Ticket(ticket.0 + 1);
+        let ticket = self.next_ticket;
+        self.next_ticket = Ticket(ticket.0 + 1);
         self.unsynced.push_back(Unsynced { ticket, appended_at: now, on_synced });
         outputs.push(Output::Append { ticket, record });
     }
--- a/system/state/queue/src/replication/peer.rs
+++ b/system/state/queue/src/replication/peer.rs
@@ -16,6 +16,8 @@
 const INITIAL_LATENCY_MS: f64 = 6.0;
 /// Time without a sample after which the average is halved, so that a store that was slow is tried again.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
+/// Maximum number of halvings; the average is negligible by then.
+const MAX_HALVINGS: i32 = 64;
 /// Latency in milliseconds below twice which a store is not considered slow, see [`Peer::slowness`].
 const SIGNIFICANT_LATENCY_MS: f64 = 8.0;
 
@@ -153,7 +155,8 @@
     /// The moving average of the latency in milliseconds, decayed by the time since the latest sample.
     fn decayed_latency(&self, now: Instant) -> f64 {
         let halvings = millis(now.saturating_duration_since(self.latency_at)) / millis(LATENCY_HALF_LIFE);
-        let halved = self.latency_ms * 0.5_f64.powi(i32::try_from(halvings.min(64)).unwrap_or(64));
+        let halved =
+            self.latency_ms * 0.5_f64.powi(i32::try_from(halvings).unwrap_or(MAX_HALVINGS).min(MAX_HALVINGS));
         halved.max(INITIAL_LATENCY_MS.min(self.latency_ms))
     }
 
--- a/system/state/queue/src/scheduling/rate_limit.rs
+++ b/system/state/queue/src/scheduling/rate_limit.rs
@@ -10,6 +10,12 @@
 /// the rate by at most this fraction. The rest of the permitted excess is left for deliveries that are
 /// reordered on the network.
 const BURST_FRACTION: f64 = 0.02;
+/// Minimum capacity of the bucket in permits, so that a permit can be taken at any rate.
+const MIN_BURST: f64 = 1.0;
+/// Minimum number of grants that may wait for their records to become durable.
+const MIN_UNNOTIFIED: f64 = 2.0;
+/// Fraction of a permit that may be missing because of rounding errors.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 const MS_PER_S: f64 = 1_000.0;
 /// Time in seconds in which the record of a grant is normally durable, even if one of the disks is slow.
 const SLOW_SYNC_S: f64 = 0.15;
@@ -30,7 +36,7 @@
     }
 
     fn burst(&self) -> f64 {
-        (self.per_second * WINDOW_S * BURST_FRACTION).max(1.0)
+        (self.per_second * WINDOW_S * BURST_FRACTION).max(MIN_BURST)
     }
 
     fn refill(&mut self, now: Instant) {
@@ -55,14 +61,14 @@
     /// Maximum number of grants that may wait for their records to become durable at the same time. Grants that
     /// wait together are delivered together as a burst, which a new primary would not count.
     pub fn max_unnotified(&self) -> usize {
-        (self.per_second * SLOW_SYNC_S).max(2.0) as usize
+        (self.per_second * SLOW_SYNC_S).max(MIN_UNNOTIFIED) as usize
     }
 
     /// Takes a permit if one is available.
     pub fn take(&mut self, now: Instant) -> bool {
         self.refill(now);
         // Tolerates rounding errors: otherwise the timer set for this permit would find none.
-        let is_available = self.permits >= 1.0 - 1e-9;
+        let is_available = self.permits >= 1.0 - ROUNDING_TOLERANCE;
         if is_available {
             self.permits -= 1.0;
         }
--- a/system/state/queue/tests/cluster/dispatcher.rs
+++ b/system/state/queue/tests/cluster/dispatcher.rs
@@ -47,8 +47,8 @@
     pub callbacks: BTreeMap<(MessageId, LeaseToken), Option<(bool, u64)>>,
     requests: u64,
     /// The workers neither reject messages nor fail at random.
-    pub calm: bool,
-    pub leaving: bool,
+    pub reliable_workers: bool,
+    pub is_shutting_down: bool,
 }
 
 impl Dispatcher {
@@ -66,17 +66,17 @@
             deliveries: BTreeMap::new(),
             callbacks: BTreeMap::new(),
             requests: 0,
-            calm: false,
-            leaving: false,
+            reliable_workers: false,
+            is_shutting_down: false,
         }
     }
 
     pub fn restart_as(&mut self, next: DispatcherId) {
         let zone = self.zone.clone();
-        let (incarnation, calm) = (self.incarnation + 1, self.calm);
+        let (incarnation, reliable_workers) = (self.incarnation + 1, self.reliable_workers);
         *self = Dispatcher::new(next, &zone);
         self.incarnation = incarnation;
-        self.calm = calm;
+        self.reliable_workers = reliable_workers;
         self.up = false;
     }
 
--- a/system/state/queue/tests/cluster/faults.rs
+++ b/system/state/queue/tests/cluster/faults.rs
@@ -143,7 +143,7 @@
     /// Restarts a store in a planned way: it serves until its shards have been moved, then its process stops
     /// and starts again.
     pub fn restart_planned(&mut self, store: usize, serves_ms: u64, down_ms: u64) {
-        self.stores[store].leaving = true;
+        self.stores[store].is_shutting_down = true;
         self.input(store, Input::ShutdownRequested);
         self.run_until(self.now_ms + serves_ms);
         self.stop_and_restart_store(store, down_ms, false, false);
--- a/system/state/queue/tests/cluster/manager.rs
+++ b/system/state/queue/tests/cluster/manager.rs
@@ -1,6 +1,7 @@
 //! The placement manager of the simulation. It detects failures quickly and moves shards.
 
 use super::links::{End, LinkId};
+use super::stores::{FIRST_STORE_ID, NEXT_DISK_ID_OFFSET};
 use super::{Cluster, Event, Options};
 use millrudder_protocol::control::CaughtUpShard;
 use millrudder_protocol::placement::{ChangeReason, MemberChange, Placement, ShardEntry, StoreEntry};
@@ -28,7 +29,7 @@
 
 impl Manager {
     pub fn new(options: &Options) -> Self {
-        let store = |index: usize| StoreId(100 + index as u64);
+        let store = |index: usize| StoreId(FIRST_STORE_ID + index as u64);
         let replicas = 2 * options.tolerated_losses as usize + 1;
         let entry = |index: usize| StoreEntry {
             id: store(index),
@@ -64,7 +65,7 @@
 
 /// The identifiers of successive disks of one machine differ by multiples of 100.
 fn is_same_machine(one: StoreId, other: StoreId) -> bool {
-    one.0 % 100 == other.0 % 100
+    one.0 % NEXT_DISK_ID_OFFSET == other.0 % NEXT_DISK_ID_OFFSET
 }
 
 impl Cluster {
@@ -176,7 +177,7 @@
         let now_ms = self.now_ms;
         let index_of = |id: StoreId| self.stores.iter().position(|store| store.id == id);
         let may_serve =
-            |id: StoreId| index_of(id).is_some_and(|at| is_healthy[at] && !self.stores[at].leaving);
+            |id: StoreId| index_of(id).is_some_and(|at| is_healthy[at] && !self.stores[at].is_shutting_down);
         let is_stably_healthy = |id: StoreId| {
             let since_ms = index_of(id).and_then(|at| self.manager.healthy_since_ms.get(&at).copied());
             since_ms.is_some_and(|since_ms| now_ms - since_ms >= HEALTHY_MS)
--- a/system/state/queue/tests/cluster/request_log.rs
+++ b/system/state/queue/tests/cluster/request_log.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Time in milliseconds after the last fault from which on a repeated run is not excused.
-const CALM_AFTER_MS: u64 = 5_000;
+const FAULT_EXCUSE_MS: u64 = 5_000;
 /// Length in milliseconds of the window in which the rate limit is checked.
 const WINDOW_MS: u64 = 5_000;
 
@@ -83,19 +83,19 @@
         actual.withdrawn = true;
     }
 
-    fn is_calm(&self, now_ms: u64) -> bool {
-        self.last_fault_ms.is_none_or(|last_fault_ms| now_ms > last_fault_ms + CALM_AFTER_MS)
+    fn is_fault_free(&self, now_ms: u64) -> bool {
+        self.last_fault_ms.is_none_or(|last_fault_ms| now_ms > last_fault_ms + FAULT_EXCUSE_MS)
     }
 
     pub fn begin(&mut self, id: MessageId, now_ms: u64) {
-        let is_calm = self.is_calm(now_ms);
+        let is_fault_free = self.is_fault_free(now_ms);
         self.check_order(id, now_ms);
         let actual = self.messages.get_mut(&id).expect("a message that was never sent has run");
         assert!(!actual.withdrawn, "{id} ran after it was withdrawn");
         let due_ms = actual.sent_ms + u64::from(actual.message.delay_ms);
         assert!(now_ms >= due_ms, "{id} ran {} ms early", due_ms - now_ms);
         assert!(!actual.success_recorded, "{id} ran again after its success was recorded");
-        if is_calm {
+        if is_fault_free {
             let is_running = actual.runs.iter().any(|run| run.ended_ms.is_none());
             assert!(!is_running, "{id} ran at two workers at the same time without a recent fault");
             let is_repeat = !actual.signatures.is_empty() && !actual.answer_lost;
--- a/system/state/queue/tests/cluster/runs.rs
+++ b/system/state/queue/tests/cluster/runs.rs
@@ -43,8 +43,8 @@
 
     pub fn run(&mut self, at: usize, id: MessageId, token: LeaseToken) {
         let now_ms = self.now_ms;
-        let (calm, drawn) = (self.dispatchers[at].calm, self.random.u32(0..100));
-        if drawn < 6 && !calm {
+        let (reliable_workers, drawn) = (self.dispatchers[at].reliable_workers, self.random.u32(0..100));
+        if drawn < 6 && !reliable_workers {
             let retry_after_ms = self.random.u32(0..200);
             self.report(at, id, token, AttemptOutcome::NotRun { retry_after_ms });
             return;
@@ -79,7 +79,7 @@
                 self.request_log.refuse(id, begun_ms, now_ms);
                 AttemptOutcome::Refused
             }
-            _ if (6..14).contains(&drawn) && !self.dispatchers[at].calm => {
+            _ if (6..14).contains(&drawn) && !self.dispatchers[at].reliable_workers => {
                 self.request_log.fail(id, begun_ms, now_ms);
                 AttemptOutcome::Failed
             }
@@ -118,7 +118,7 @@
 
     pub fn call_back(&mut self, at: usize, id: MessageId, token: LeaseToken, end: End) {
         self.request_log.check_end(id, &end, self.now_ms);
-        let done = self.dispatchers[at].calm || self.random.u8(0..10) < 7;
+        let done = self.dispatchers[at].reliable_workers || self.random.u8(0..10) < 7;
         if done {
             self.request_log.messages.get_mut(&id).expect("known").called_back.push(end);
         }
--- a/system/state/queue/tests/cluster/stores.rs
+++ b/system/state/queue/tests/cluster/stores.rs
@@ -10,11 +10,11 @@
 use std::collections::BTreeSet;
 
 /// First store identifier; it differs from all indexes, so that the two cannot be confused.
-const FIRST_STORE_ID: u64 = 100;
+pub const FIRST_STORE_ID: u64 = 100;
 /// Maximum difference between the monotonic clocks of processes, in milliseconds.
 const MAX_CLOCK_OFFSET_MS: u64 = 10_000_000;
 /// A store whose disk was wiped gets its former identifier plus this.
-const NEXT_DISK_ID_OFFSET: u64 = 100;
+pub const NEXT_DISK_ID_OFFSET: u64 = 100;
 
 /// An orphaned message that a store reported.
 #[derive(Clone, Copy, Debug)]
@@ -34,7 +34,7 @@
     pub frozen_until_ms: u64,
     /// Duration of a sync, in milliseconds.
     pub sync_ms: u64,
-    pub leaving: bool,
+    pub is_shutting_down: bool,
     /// Shards that it reported as caught up.
     pub caught_up: BTreeSet<CaughtUpShard>,
     pub released: BTreeSet<MessageId>,
@@ -54,7 +54,7 @@
             incarnation: 0,
             frozen_until_ms: 0,
             sync_ms: 2,
-            leaving: false,
+            is_shutting_down: false,
             caught_up: BTreeSet::new(),
             released: BTreeSet::new(),
             ticking_at: None,
@@ -92,7 +92,7 @@
             Instant::from_millis(clock_ms),
             recovered,
         ));
-        store.leaving = false;
+        store.is_shutting_down = false;
         store.ticking_at = None;
         store.sync_ms = 2;
         let incarnation = store.incarnation;
--- a/system/state/queue/tests/simulation.rs
+++ b/system/state/queue/tests/simulation.rs
@@ -22,7 +22,7 @@
     cluster.faults_until(TRAFFIC_MS);
     cluster.run_until(TRAFFIC_MS + 2_500);
     for dispatcher in &mut cluster.dispatchers {
-        dispatcher.calm = true;
+        dispatcher.reliable_workers = true;
     }
     for store in &mut cluster.stores {
         store.sync_ms = 2;
@@ -143,7 +143,7 @@
         }
         cluster.run_until(TRAFFIC_MS);
         for dispatcher in &mut cluster.dispatchers {
-            dispatcher.calm = true;
+            dispatcher.reliable_workers = true;
         }
         run_until_all_ended(&mut cluster);
         let is_lost = |actual: &&ActualState| actual.accepted_ms.is_none() && !actual.withdrawn;
@@ -161,7 +161,7 @@
         cluster.clients_until(TRAFFIC_MS);
         cluster.run_until(2_500);
         let retired = cluster.stores[1].id;
-        cluster.stores[1].leaving = true;
+        cluster.stores[1].is_shutting_down = true;
         cluster.manager.retiring = Some(retired);
         while !cluster.is_retired(retired) {
             cluster.run_until(cluster.now_ms + 100);
@@ -176,7 +176,7 @@
         cluster.stop_and_restart_store(2, 1_500, true, false);
         cluster.run_until(TRAFFIC_MS);
         for dispatcher in &mut cluster.dispatchers {
-            dispatcher.calm = true;
+            dispatcher.reliable_workers = true;
         }
         run_until_all_ended(&mut cluster);
     }
