--- a/system/state/queue/src/node/mod.rs
+++ b/system/state/queue/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! The state machine of one store process: routes each input to the components that it concerns.
 //!
 //! [`StoreNode`] owns the components. Each component owns its state, which only its own methods change.
-//! Processes that involve several components, such as the way of a message from its acceptance to its end, are
-//! in the submodules, which are named after the input that starts them.
+//! Operations that involve several components, such as taking a message from its acceptance to its end, are in
+//! the submodules, which are named after the input that starts them.
 
 mod accept;
 mod attempts;
--- a/system/state/queue/src/replication/peer.rs
+++ b/system/state/queue/src/replication/peer.rs
@@ -18,7 +18,8 @@
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
 /// Maximum number of halvings; the average is negligible by then.
 const MAX_HALVINGS: i32 = 64;
-/// Latency in milliseconds below twice which a store is not considered slow, see [`Peer::slowness`].
+/// Latency in milliseconds. A store whose latency is below twice this is not considered slow, see
+/// [`Peer::slowness`].
 const SIGNIFICANT_LATENCY_MS: f64 = 8.0;
 
 /// A `Write` that has not been acknowledged yet.
