--- a/system/state/queue/src/entry.rs
+++ b/system/state/queue/src/entry.rs
@@ -1,43 +1,44 @@
-//! What one store knows of one message. It only grows: [`Entry::merge`] and [`Entry::apply`] never take anything back.
+//! The state of one message at one store. Merging is monotonic: [`Entry::merge`] and [`Entry::apply`] only add
+//! to the state and never undo anything, so copies can be merged in any order.
 
 use crate::primary_entry::PrimaryEntry;
 use crate::time::Instant;
-use crate::time::{millis, wire_millis};
+use crate::time::{millis, millis_u32};
 use millrudder_protocol::message::{End, Grant, Message, MessageState};
 use millrudder_protocol::store::Record;
 use millrudder_protocol::{LeaseToken, MessageId, Sequence};
 use std::time::Duration;
 
-/// Memory that a message takes besides its own bytes, about.
+/// Approximate memory in bytes that a message takes in addition to its content.
 const OVERHEAD_BYTES: usize = 400;
 
-/// What one store knows of one message.
+/// The state of one message at one store.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub id: MessageId,
     pub sequence: Sequence,
-    pub received: Instant,
+    pub received_at: Instant,
     pub retention: Duration,
     pub failed_attempts: u32,
     pub grant: Option<Grant>,
     pub resolved_through: LeaseToken,
     pub end: Option<End>,
-    /// Meaningful with `end`.
-    pub ended: Instant,
+    /// Time of the end; only meaningful if `end` is set.
+    pub ended_at: Instant,
     pub callback_done: bool,
-    /// Absent or without its body where neither is needed any more.
+    /// The content of the message; absent, or without its body, once these are no longer needed.
     pub message: Option<Box<Message>>,
-    /// When its expiry timer goes off.
+    /// Time for which the expiry timer is set.
     pub expiry: Option<Instant>,
-    /// Only at the shard's primary.
+    /// Present only at the shard's primary.
     pub primary: Option<Box<PrimaryEntry>>,
-    /// Bytes that it counts for in the table's sum.
-    pub charged: usize,
-    /// It counts as live in the table's sum.
-    pub counted_live: bool,
+    /// Bytes counted for this entry in the table's total.
+    pub charged_bytes: usize,
+    /// Whether this entry is counted as live in the table's total.
+    pub is_counted_live: bool,
 }
 
-/// What two replicas must agree on for their copies of a message to be equal.
+/// The part of the state in which two replicas must agree for their copies of a message to be equal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EntryVersion {
     pub failed_attempts: u32,
@@ -47,7 +48,8 @@
     pub callback_done: bool,
 }
 
-/// What must be on the local disk before another store is told of it: entries that differ in it know more or less.
+/// The part of the state that must be on the local disk before another store is told of it. Merging a copy that
+/// adds anything changes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EntryContents {
     entry_version: EntryVersion,
@@ -68,24 +70,24 @@
 }
 
 impl Entry {
-    /// An entry of which nothing but its name is known.
-    pub fn new(id: MessageId, received: Instant) -> Self {
+    /// Creates the entry of a message of which nothing but its identifier is known.
+    pub fn new(id: MessageId, received_at: Instant) -> Self {
         Entry {
             id,
             sequence: Sequence::default(),
-            received,
+            received_at,
             retention: Duration::ZERO,
             failed_attempts: 0,
             grant: None,
             resolved_through: LeaseToken::default(),
             end: None,
-            ended: received,
+            ended_at: received_at,
             callback_done: false,
             message: None,
             expiry: None,
             primary: None,
-            charged: 0,
-            counted_live: false,
+            charged_bytes: 0,
+            is_counted_live: false,
         }
     }
 
@@ -107,11 +109,11 @@
         }
     }
 
-    /// Adds what a state says that was sent or written `state_age` ago.
+    /// Merges a full state that was sent or written `state_age` ago.
     pub fn merge(&mut self, state: MessageState, now: Instant, state_age: Duration) {
         self.sequence = self.sequence.max(state.sequence);
-        self.received =
-            self.received.min(now - Duration::from_millis(state.age_ms).saturating_add(state_age));
+        self.received_at =
+            self.received_at.min(now - Duration::from_millis(state.age_ms).saturating_add(state_age));
         self.failed_attempts = self.failed_attempts.max(state.failed_attempts);
         self.resolved_through = self.resolved_through.max(state.resolved_through);
         self.callback_done |= state.callback_done;
@@ -126,7 +128,7 @@
         self.trim();
     }
 
-    /// Adds what a record says that was written `age` ago.
+    /// Applies a record that was written `age` ago.
     pub fn apply(&mut self, record: Record, now: Instant, age: Duration) {
         match record {
             Record::State { state } => self.merge(*state, now, age),
@@ -152,30 +154,30 @@
     fn merge_message(&mut self, message: Box<Message>) {
         self.retention = self.retention.max(Duration::from_millis(u64::from(message.retention_ms)));
         match &self.message {
-            Some(present) if present.body.len() >= message.body.len() => {}
+            Some(known) if known.body.len() >= message.body.len() => {}
             _ => self.message = Some(message),
         }
     }
 
     fn merge_end(&mut self, end: End, at: Instant) {
         match &self.end {
-            Some(present) if *present <= end => {}
+            Some(known) if *known <= end => {}
             Some(_) => self.end = Some(end),
             None => {
                 self.end = Some(end);
-                self.ended = at;
+                self.ended_at = at;
             }
         }
     }
 
-    /// The end that is known asks for a call-back, and none has succeeded.
+    /// Whether the message has ended in a way that requires a call-back which has not succeeded yet.
     pub fn has_pending_callback(&self) -> bool {
-        let named = self.message.as_ref().is_some_and(|message| message.callback_url.is_some());
-        let owed_end = matches!(self.end, Some(End::Completed { .. } | End::DeadLetter));
-        owed_end && named && !self.callback_done
+        let has_callback_url = self.message.as_ref().is_some_and(|message| message.callback_url.is_some());
+        let requires_callback = matches!(self.end, Some(End::Completed { .. } | End::DeadLetter));
+        requires_callback && has_callback_url && !self.callback_done
     }
 
-    /// Frees the memory of what is not needed any more.
+    /// Frees the parts of the message that are not needed any more.
     fn trim(&mut self) {
         let needs_body = matches!(self.end, None | Some(End::DeadLetter));
         if needs_body {
@@ -190,19 +192,19 @@
         }
     }
 
-    /// All that is known, as it is written and sent.
+    /// The full state, as it is written to disk and sent to other stores.
     pub fn state(&self, now: Instant) -> MessageState {
         MessageState {
             id: self.id,
             sequence: self.sequence,
-            age_ms: millis(now.saturating_duration_since(self.received)),
+            age_ms: millis(now.saturating_duration_since(self.received_at)),
             message: Some(self.message.as_deref().cloned().unwrap_or_else(|| self.placeholder_message())),
             failed_attempts: self.failed_attempts,
             grant: self.grant,
             resolved_through: self.resolved_through,
             end: self.end.clone(),
             ended_age_ms: if self.end.is_some() {
-                millis(now.saturating_duration_since(self.ended))
+                millis(now.saturating_duration_since(self.ended_at))
             } else {
                 0
             },
@@ -210,7 +212,7 @@
         }
     }
 
-    /// A message of which only the retention still matters.
+    /// Replaces a message that has been freed, of which only the retention still matters.
     fn placeholder_message(&self) -> Message {
         Message {
             request_id: String::new(),
@@ -226,19 +228,19 @@
             delay_ms: 0,
             target_start_ms: 0,
             max_attempts: 0,
-            retention_ms: wire_millis(self.retention),
+            retention_ms: millis_u32(self.retention),
         }
     }
 
-    /// The key within which messages are delivered in order.
+    /// The key whose messages are delivered in order, one at a time.
     pub fn order_key(&self) -> Option<&str> {
         self.message.as_ref()?.order_key.as_deref()
     }
 
-    /// Time before which it must not run.
+    /// Time before which the message must not be run.
     pub fn due(&self) -> Instant {
         let delay_ms = self.message.as_ref().map_or(0, |message| message.delay_ms);
-        self.received + Duration::from_millis(u64::from(delay_ms))
+        self.received_at + Duration::from_millis(u64::from(delay_ms))
     }
 
     /// Latest time at which a start earns the message's full value.
@@ -247,18 +249,18 @@
         self.due() + Duration::from_millis(u64::from(target_start_ms))
     }
 
-    /// Time at which it has ended, whatever became of it.
+    /// End of the retention: the message has ended by then at the latest.
     pub fn retention_end(&self) -> Instant {
-        self.received + self.retention
+        self.received_at + self.retention
     }
 
-    /// Bytes that it takes in memory, about.
+    /// Approximate memory in bytes that the entry takes.
     pub fn cost(&self) -> usize {
         OVERHEAD_BYTES + self.message.as_deref().map_or(0, message_bytes)
     }
 }
 
-/// Bytes of a message, about.
+/// Approximate memory in bytes that the content of a message takes.
 pub(crate) fn message_bytes(message: &Message) -> usize {
     let headers: usize = message.headers.iter().map(|header| header.name.len() + header.value.len()).sum();
     let optional = |text: &Option<String>| text.as_ref().map_or(0, String::len);
--- a/system/state/queue/src/node/accept.rs
+++ b/system/state/queue/src/node/accept.rs
@@ -1,21 +1,21 @@
-//! Requests of dispatchers about a message: to accept it, to withdraw it, to say what is known of it.
+//! Dispatchers' requests to accept, withdraw or query a message.
 
 use super::StoreNode;
 use crate::api::ConnectionId;
 use crate::entry::message_bytes;
 use crate::primary_entry::{Acceptor, Effect, PrimaryEntry, Stage};
 use crate::primary_term::Withdrawal;
-use crate::time::wire_millis;
+use crate::time::millis_u32;
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{AcceptRejection, QueryAnswer, ToDispatcher};
 use millrudder_protocol::{DispatcherId, MessageId, RequestNumber};
 use std::time::Duration;
 
-/// Withdrawals that wait for one shard's takeover; further ones are not answered.
+/// Maximum number of withdrawals that wait for the takeover of one shard. Further ones are not answered.
 const MAX_PENDING_WITHDRAWALS: usize = 10_000;
 
 impl StoreNode {
-    /// A dispatcher asks for a message to be accepted.
+    /// Handles a dispatcher's request to accept a message.
     pub(super) fn handle_accept(
         &mut self,
         connection: ConnectionId,
@@ -24,16 +24,16 @@
         message: Box<Message>,
         lease: bool,
     ) {
-        let Some(dispatcher) = self.dispatchers.of(connection) else { return };
+        let Some(dispatcher) = self.dispatchers.dispatcher_of(connection) else { return };
         if !self.primary_terms.is_serving(id.shard) {
             let reason = AcceptRejection::NotPrimary { epoch: self.context.placement.epoch };
             self.send_to_dispatcher(connection, ToDispatcher::Rejected { request, reason });
             return;
         }
         if let Some(entry) = self.table.get(id) {
-            let is_other = entry.message.as_deref().is_some_and(|known| *known != *message);
-            match is_other {
-                // The identifier was drawn twice: the message that has it is another client's.
+            let is_different = entry.message.as_deref().is_some_and(|known| *known != *message);
+            match is_different {
+                // Two clients' messages were given the same random identifier. The first one keeps it.
                 true => self.reject_full(connection, request),
                 false => self.handle_repeated_accept(connection, request, id, dispatcher),
             }
@@ -61,23 +61,24 @@
 
     fn reject_full(&mut self, connection: ConnectionId, request: RequestNumber) {
         let reason =
-            AcceptRejection::Full { retry_after_ms: wire_millis(self.context.config.full_retry_after) };
+            AcceptRejection::Full { retry_after_ms: millis_u32(self.context.config.full_retry_after) };
         self.send_to_dispatcher(connection, ToDispatcher::Rejected { request, reason });
     }
 
     fn is_full(&self, message: &Message) -> bool {
         let bytes = self.table.bytes() + message_bytes(message) as u64;
-        let is_short = bytes > self.context.config.memory_bytes || bytes > self.context.config.disk_bytes;
-        is_short || self.table.live() >= self.context.config.max_live_messages
+        let exceeds_byte_limit =
+            bytes > self.context.config.memory_bytes || bytes > self.context.config.disk_bytes;
+        exceeds_byte_limit || self.table.live() >= self.context.config.max_live_messages
     }
 
-    /// Adds a message that was not known.
+    /// Adds a new message to the table.
     fn insert_message(&mut self, id: MessageId, message: Box<Message>, dispatcher: DispatcherId) {
         let now = self.context.now;
         let sequence = self
             .primary_terms
             .get_mut(id.shard)
-            .map(|primary_term| primary_term.sequence())
+            .map(|primary_term| primary_term.next_sequence())
             .unwrap_or_default();
         if let Some(key) = &message.order_key {
             self.keys.add(key, sequence, id);
@@ -92,7 +93,8 @@
         });
     }
 
-    /// The same message again: it is acknowledged once it is durable.
+    /// Handles a repeated request for a message that is already known: it is acknowledged once the message is
+    /// durable.
     fn handle_repeated_accept(
         &mut self,
         connection: ConnectionId,
@@ -112,14 +114,15 @@
         self.when_durable(id, Effect::AcknowledgeAccept { connection, request });
     }
 
-    /// The message is durable: its dispatcher is told so, and of its lease if it has one.
+    /// Acknowledges the acceptance of a durable message to its dispatcher, together with the lease if it was
+    /// granted one.
     pub(super) fn acknowledge_accept(
         &mut self,
         connection: ConnectionId,
         request: RequestNumber,
         id: MessageId,
     ) {
-        let dispatcher = self.dispatchers.of(connection);
+        let dispatcher = self.dispatchers.dispatcher_of(connection);
         let lease =
             self.lease_of(id).filter(|lease| Some(lease.dispatcher) == dispatcher && !lease.is_notified);
         if let Some(lease) = lease {
@@ -129,9 +132,10 @@
         self.send_to_dispatcher(connection, ToDispatcher::Accepted { request, token });
     }
 
-    /// A client got no acknowledgement, and its message must not run any more.
+    /// Handles a withdrawal: the client got no acknowledgement, and its message must not run any more.
     ///
-    /// Answered only where no other dispatcher can have run it: else it may have run.
+    /// The withdrawal is confirmed only if no other dispatcher can have run the message. Otherwise it may have
+    /// run, and there is no answer.
     pub(super) fn handle_withdraw(&mut self, connection: ConnectionId, id: MessageId) {
         if let Some(takeover) = self.primary_terms.takeover_mut(id.shard) {
             if takeover.withdrawals.len() < MAX_PENDING_WITHDRAWALS {
@@ -142,13 +146,13 @@
         if !self.primary_terms.is_serving(id.shard) {
             return;
         }
-        let dispatcher = self.dispatchers.of(connection);
+        let dispatcher = self.dispatchers.dispatcher_of(connection);
         match self.table.get(id) {
             None => self.insert_tombstone(id),
             Some(entry) => {
-                let is_unrun =
-                    entry.primary.as_ref().is_some_and(|primary| primary.was_run_at_most_by(dispatcher));
-                let may_answer = is_unrun && entry.failed_attempts == 0;
+                let ran_nowhere_else =
+                    entry.primary.as_ref().is_some_and(|primary| primary.can_only_have_run_at(dispatcher));
+                let may_answer = ran_nowhere_else && entry.failed_attempts == 0;
                 match &entry.end {
                     None => self.withdraw_message(id),
                     Some(End::Withdrawn) => {}
@@ -162,7 +166,7 @@
         self.when_durable(id, Effect::AcknowledgeWithdrawal { connection });
     }
 
-    /// Ends a message that is not to run, at whatever stage it is.
+    /// Ends a message as withdrawn, whatever stage it is in.
     fn withdraw_message(&mut self, id: MessageId) {
         if let Some(lease) = self.lease_of(id) {
             self.revoke(id, lease.token);
@@ -174,14 +178,14 @@
         let now = self.context.now;
         self.table.change(id, now, |entry| {
             entry.end = Some(End::Withdrawn);
-            entry.ended = now;
+            entry.ended_at = now;
             entry.primary = Some(Box::new(PrimaryEntry::new(Stage::Ended, now)));
         });
         self.mark_full_state_changed(id);
         self.set_expiry(id);
     }
 
-    /// By the placement in force here, this store is a replica of the message's shard.
+    /// Whether this store is a replica of the message's shard in the current placement.
     fn is_replica(&self, id: MessageId) -> bool {
         self.context
             .placement
@@ -189,7 +193,7 @@
             .is_some_and(|shard| shard.replicas.contains(&self.context.local_id))
     }
 
-    /// Answers from what this replica knows, whoever is primary.
+    /// Answers a query from the local copy, whether or not this store is the primary.
     pub(super) fn handle_query(
         &mut self,
         connection: ConnectionId,
--- a/system/state/queue/src/node/connections.rs
+++ b/system/state/queue/src/node/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of dispatchers: announcements, credits, heartbeats, ends.
+//! Connections of dispatchers: announcements, credits, heartbeats and disconnection.
 
 use super::StoreNode;
 use crate::api::{ConnectionId, Output};
@@ -8,13 +8,13 @@
 use millrudder_protocol::{DispatcherId, Epoch, LeaseToken, MessageId};
 use std::time::Duration;
 
-/// Heartbeats are checked so many times in the time after which a dispatcher counts as gone.
+/// Number of heartbeat checks within the time-out after which a dispatcher counts as gone.
 const HEARTBEAT_CHECKS_PER_TIMEOUT: u32 = 4;
-/// Shortest time between two such checks: the clock's step.
+/// Shortest time between two heartbeat checks: the resolution of the clock.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
 impl StoreNode {
-    /// A dispatcher announces itself and the leases that it has.
+    /// Handles a `Hello`, by which a dispatcher announces itself and its leases.
     pub(super) fn handle_hello(
         &mut self,
         connection: ConnectionId,
@@ -45,9 +45,10 @@
         self.schedule_heartbeat_check();
     }
 
-    /// Lets a dispatcher be granted messages of every service.
+    /// Gives a dispatcher credit for every service, so that messages may be granted to it.
     fn open_credits(&mut self, dispatcher: DispatcherId) {
-        let Some(incarnation) = self.dispatchers.get(dispatcher).filter(|incarnation| incarnation.is_open())
+        let Some(incarnation) =
+            self.dispatchers.get(dispatcher).filter(|incarnation| incarnation.accepts_grants())
         else {
             return;
         };
@@ -64,10 +65,11 @@
         }
     }
 
-    /// Confirms the leases that a dispatcher announced, and grants those again that it does not know.
+    /// Reconciles the unconfirmed leases of a dispatcher with its announcement: announced leases are confirmed,
+    /// and the messages of the others are scheduled again.
     fn reconcile_unconfirmed_leases(&mut self, dispatcher: DispatcherId) {
         let Some(incarnation) = self.dispatchers.get(dispatcher) else { return };
-        for id in incarnation.unconfirmed() {
+        for id in incarnation.unconfirmed_leases() {
             self.reconcile_lease(dispatcher, id);
         }
     }
@@ -76,7 +78,8 @@
         let term = self.primary_terms.number_of(id.shard);
         let token = self.lease_of(id).map(|lease| lease.token);
         let Some(incarnation) = self.dispatchers.get_mut(dispatcher) else { return };
-        // It did not know that this store is primary: what it announced says nothing of this shard.
+        // The dispatcher did not know yet that this store is the primary, so its announcement does not cover
+        // this shard.
         if term.is_none_or(|term| incarnation.epoch() < term) {
             return;
         }
@@ -84,14 +87,14 @@
             incarnation.add_lease(id, LeaseConfirmation::Confirmed);
             return;
         }
-        // It does not know that the message was accepted, and will ask again or withdraw it.
+        // The dispatcher does not know whether the message was accepted, and will send it again or withdraw it.
         if incarnation.is_in_doubt(id) {
             return;
         }
         self.reschedule(id, Duration::ZERO);
     }
 
-    /// Revokes the leases that a dispatcher announced and that others have now.
+    /// Revokes announced leases whose messages have been granted again under a newer token.
     fn revoke_superseded(&mut self, dispatcher: DispatcherId, connection: ConnectionId) {
         let Some(incarnation) = self.dispatchers.get(dispatcher) else { return };
         let is_superseded = |id: MessageId, token: LeaseToken| {
@@ -106,13 +109,14 @@
         }
     }
 
-    /// Closes a connection that is of no use any more.
+    /// Closes the connection of a dispatcher that is unresponsive or has a newer connection.
     fn close_dispatcher(&mut self, connection: ConnectionId) {
         self.handle_dispatcher_closed(connection);
         self.context.outputs.push(Output::CloseDispatcher { connection });
     }
 
-    /// A dispatcher's connection is closed: it may reconnect and announce its leases.
+    /// Handles the end of a dispatcher's connection. The dispatcher may reconnect and announce its leases
+    /// before the reconnect time-out.
     pub(super) fn handle_dispatcher_closed(&mut self, connection: ConnectionId) {
         let Some(dispatcher) = self.dispatchers.disconnect(connection) else { return };
         self.close_credits(dispatcher);
@@ -120,7 +124,7 @@
         let Some(incarnation) = self.dispatchers.get_mut(dispatcher) else { return };
         let leases = incarnation.expect_confirmations(until);
         for id in incarnation.take_callbacks() {
-            self.callbacks.give_back(id, self.context.now);
+            self.callbacks.release(id, self.context.now);
         }
         for id in leases {
             if self.lease_of(id).is_some_and(|lease| !lease.is_notified) {
@@ -128,37 +132,38 @@
             }
         }
         self.context.timers.set(until, Timer::UnconfirmedLeases(dispatcher));
-        self.dispatchers.forget_if_gone(dispatcher);
+        self.dispatchers.remove_if_unused(dispatcher);
     }
 
-    /// A dispatcher did not announce these leases in time: they are granted again.
-    pub(super) fn release_unconfirmed(&mut self, dispatcher: DispatcherId) {
+    /// Schedules messages again whose leases a dispatcher did not confirm in time.
+    pub(super) fn reschedule_unconfirmed_leases(&mut self, dispatcher: DispatcherId) {
         let overdue = self
             .dispatchers
             .get(dispatcher)
-            .map(|incarnation| incarnation.overdue(self.context.now))
+            .map(|incarnation| incarnation.lapsed_leases(self.context.now))
             .unwrap_or_default();
         for id in overdue {
-            let wait = self.count_unknown_end(id);
+            let wait = self.count_unknown_outcome(id);
             self.reschedule(id, wait);
         }
-        self.dispatchers.forget_if_gone(dispatcher);
+        self.dispatchers.remove_if_unused(dispatcher);
     }
 
-    /// A dispatcher stops: nothing more is granted to it, and it keeps its leases.
+    /// Handles the shutdown of a dispatcher: no further messages are granted to it, and it keeps its leases.
     pub(super) fn handle_dispatcher_shutdown(&mut self, connection: ConnectionId) {
-        let Some(dispatcher) = self.dispatchers.of(connection) else { return };
+        let Some(dispatcher) = self.dispatchers.dispatcher_of(connection) else { return };
         if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
             incarnation.set_shutting_down();
         }
         self.close_credits(dispatcher);
     }
 
-    /// How many deliveries a dispatcher takes at a time; services that it does not name keep their limit.
+    /// Handles the limits of concurrent deliveries that a dispatcher announces. Services that are not named
+    /// keep their limits.
     pub(super) fn handle_credits(&mut self, connection: ConnectionId, credits: &[ServiceCredit]) {
-        let Some(dispatcher) = self.dispatchers.of(connection) else { return };
+        let Some(dispatcher) = self.dispatchers.dispatcher_of(connection) else { return };
         for ServiceCredit { service, limit } in credits {
-            let index = self.service(service);
+            let index = self.find_or_add_service(service);
             if let Some(incarnation) = self.dispatchers.get_mut(dispatcher) {
                 incarnation.set_limit(index, *limit);
             }
--- a/system/state/queue/src/node/grants.rs
+++ b/system/state/queue/src/node/grants.rs
@@ -1,4 +1,4 @@
-//! From an accepted message to its delivery: delays, order keys, rate limits, credits, grants.
+//! The path of an accepted message to its delivery: delays, order keys, rate limits, credits and grants.
 
 use super::StoreNode;
 use crate::api::ConnectionId;
@@ -13,19 +13,21 @@
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId};
 use std::time::Duration;
 
-/// A grant that took longer to become durable takes another permit of its service's rate limit when its dispatcher is
-/// notified, as those that waited with it are delivered together with it.
-const LATE_GRANT: Duration = Duration::from_millis(50);
+/// Time after which a grant that becomes durable counts as late. A late grant takes a second permit of its
+/// service's rate limit when its dispatcher is notified, because all grants that waited with it are delivered
+/// at the same time.
+const LATE_GRANT_AFTER: Duration = Duration::from_millis(50);
 
 impl StoreNode {
-    /// The service of this name; every open dispatcher may be granted its messages.
-    pub(super) fn service(&mut self, name: &str) -> ServiceIndex {
+    /// Returns the index of a service. A new service is added, and every dispatcher that accepts grants gets
+    /// credit for it.
+    pub(super) fn find_or_add_service(&mut self, name: &str) -> ServiceIndex {
         if let Some(index) = self.services.find(name) {
             return index;
         }
         let index = self.services.add(name);
         for (dispatcher, incarnation) in
-            self.dispatchers.iter().filter(|(_, incarnation)| incarnation.is_open())
+            self.dispatchers.iter().filter(|(_, incarnation)| incarnation.accepts_grants())
         {
             let limit = incarnation.limit_of(index).unwrap_or(self.context.config.default_credit);
             self.services.get_mut(index).credits_mut().open(dispatcher, limit, incarnation.distance());
@@ -33,7 +35,8 @@
         index
     }
 
-    /// Brings a message that has not ended and is not in flight to the stage that it belongs to.
+    /// Moves a message that has not ended and is not in flight to the stage that its order key and its delay
+    /// require.
     pub(super) fn schedule(&mut self, id: MessageId) {
         let Some(entry) = self.table.get(id) else { return };
         let Some(primary) = entry.primary.as_ref() else { return };
@@ -66,17 +69,17 @@
     fn make_ready(&mut self, id: MessageId) {
         let Some(message) = self.table.get(id).and_then(|entry| entry.message.as_ref()) else { return };
         let (name, priority) = (message.service.clone(), message.priority);
-        let service = self.service(&name);
+        let service = self.find_or_add_service(&name);
         let Some(entry) = self.table.get(id) else { return };
         let (due, start_by) = (entry.due(), entry.start_by());
-        let late = start_by < self.context.now;
-        let key = ReadyKey { priority, late, due, sequence: entry.sequence, id, start_by, service };
+        let is_late = start_by < self.context.now;
+        let key = ReadyKey { priority, is_late, due, sequence: entry.sequence, id, start_by, service };
         self.set_stage(id, Stage::Ready(key));
         self.services.get_mut(service).insert_ready(key);
         self.services.mark_runnable(service);
     }
 
-    /// A message's delay or back-off is over.
+    /// Handles the end of a message's delay or back-off.
     pub(super) fn handle_backoff_over(&mut self, id: MessageId) {
         let primary = self.table.primary(id);
         let is_due = primary.is_some_and(
@@ -87,31 +90,32 @@
         }
     }
 
-    /// Takes a message out of its stage; a lease of it is over.
+    /// Removes a message from its current stage, which releases its lease if it has one, and puts it into
+    /// `stage`.
     pub(super) fn unschedule(&mut self, id: MessageId, stage: Stage) {
         let Some(primary) = self.table.primary(id) else { return };
         match primary.stage() {
             Stage::Ready(key) => self.services.get_mut(key.service).remove(key),
             Stage::BackingOff { until } => self.context.timers.clear(until, Timer::BackoffOver(id)),
-            Stage::InFlight(lease) => self.drop_lease(id, lease),
+            Stage::InFlight(lease) => self.release_lease(id, lease),
             Stage::Persisting | Stage::WaitingForKey | Stage::Ended => {}
         }
         self.set_stage(id, stage);
     }
 
-    /// A dispatcher's credit is free again.
-    fn drop_lease(&mut self, id: MessageId, lease: Lease) {
+    /// Removes the lease from its dispatcher and returns the credit.
+    fn release_lease(&mut self, id: MessageId, lease: Lease) {
         if let Some(incarnation) = self.dispatchers.get_mut(lease.dispatcher) {
             incarnation.remove_lease(id);
         }
-        self.dispatchers.forget_if_gone(lease.dispatcher);
+        self.dispatchers.remove_if_unused(lease.dispatcher);
         if let Some(service) = self.service_of(id) {
             self.services.get_mut(service).credits_mut().release(lease.dispatcher);
             self.release_unnotified(service, lease);
         }
     }
 
-    /// A grant does not wait for its disks any more.
+    /// Stops counting a lease as a grant that waits for its record to become durable.
     fn release_unnotified(&mut self, index: ServiceIndex, lease: Lease) {
         if !lease.is_notified {
             self.services.get_mut(index).remove_unnotified();
@@ -124,17 +128,17 @@
         self.services.find(&message.service)
     }
 
-    /// Notes that a dispatcher has a lease, which takes one of its credits.
-    fn take_lease(&mut self, id: MessageId, lease: Lease, confirmation: LeaseConfirmation) {
+    /// Records a lease of a dispatcher, which uses one of its credits.
+    fn record_lease(&mut self, id: MessageId, lease: Lease, confirmation: LeaseConfirmation) {
         self.set_stage(id, Stage::InFlight(lease));
         let now = self.context.now;
-        self.dispatchers.add(lease.dispatcher, now).add_lease(id, confirmation);
+        self.dispatchers.find_or_add(lease.dispatcher, now).add_lease(id, confirmation);
         let Some(name) =
             self.table.get(id).and_then(|entry| entry.message.as_ref()).map(|m| m.service.clone())
         else {
             return;
         };
-        let service = self.service(&name);
+        let service = self.find_or_add_service(&name);
         let service = self.services.get_mut(service);
         service.credits_mut().reserve(lease.dispatcher);
         if !lease.is_notified {
@@ -142,15 +146,16 @@
         }
     }
 
-    /// Grants what may be granted since the last call.
+    /// Grants all messages whose grant has become possible since the last call.
     pub(super) fn grant_runnable_services(&mut self) {
         while let Some(service) = self.services.next_runnable() {
-            while self.grant_first(service) {}
+            while self.grant_first_ready(service) {}
         }
     }
 
-    /// Grants the first ready message of a service, if a dispatcher has free credit and the rate limit allows it.
-    pub(super) fn grant_first(&mut self, index: ServiceIndex) -> bool {
+    /// Grants the first ready message of a service, if a dispatcher has free credit and the rate limit allows
+    /// it. Returns whether a message was granted.
+    pub(super) fn grant_first_ready(&mut self, index: ServiceIndex) -> bool {
         let now = self.context.now;
         let service = self.services.get_mut(index);
         let Some(key) = service.first_ready(now) else { return false };
@@ -159,16 +164,16 @@
         let acceptor = primary.and_then(|primary| primary.accepted_by()).map(|acceptor| acceptor.dispatcher);
         let acceptor = acceptor.filter(|dispatcher| Some(*dispatcher) != returned_by);
         let preferred = acceptor.filter(|dispatcher| service.credits().has_free(*dispatcher));
-        let home = self.home_for(key.id, index, acceptor, returned_by);
-        let others = || self.services.get(index).credits().best_except(returned_by);
-        let Some(dispatcher) = home.or(preferred).or_else(others) else { return false };
+        let home = self.choose_home_dispatcher(key.id, index, acceptor, returned_by);
+        let best_other = || self.services.get(index).credits().best_except(returned_by);
+        let Some(dispatcher) = home.or(preferred).or_else(best_other) else { return false };
         if !self.take_permit(index) {
             return false;
         }
         self.services.get_mut(index).remove(key);
-        let Some(token) = self.token(key.id) else { return false };
+        let Some(token) = self.next_token(key.id) else { return false };
         let grant = Grant { dispatcher, token };
-        self.take_lease(
+        self.record_lease(
             key.id,
             Lease { dispatcher, token, is_notified: false, granted_at: self.context.now },
             LeaseConfirmation::Confirmed,
@@ -178,10 +183,15 @@
         true
     }
 
-    /// The dispatcher that a message should go to which only this shard's primary grants: one of its service's home
-    /// dispatchers with free credit, the acceptor if it is one. So few of them keep connections to a worker that accepts few, and
-    /// the next message of a key waits for no far dispatcher. `None` where any may have it, or none has free credit.
-    fn home_for(
+    /// Chooses the dispatcher for a message that only this shard's primary may grant, because it has an order
+    /// key or its service has a rate limit. Returns one of the service's home dispatchers with free credit,
+    /// preferably the dispatcher that accepted the message.
+    ///
+    /// The number of home dispatchers is small, so that a worker which accepts few connections is not used by
+    /// all dispatchers, and the next message of a key does not wait for a distant dispatcher.
+    ///
+    /// Returns `None` if any dispatcher may get the message, or if no home dispatcher has free credit.
+    fn choose_home_dispatcher(
         &self,
         id: MessageId,
         index: ServiceIndex,
@@ -201,16 +211,17 @@
             .into_iter()
             .filter(has_capacity)
             .collect();
-        let own = acceptor.filter(|acceptor| homes.contains(acceptor));
-        own.or_else(|| homes.into_iter().max_by_key(|home| service.credits().free(*home)))
+        let acceptor_home = acceptor.filter(|acceptor| homes.contains(acceptor));
+        acceptor_home.or_else(|| homes.into_iter().max_by_key(|home| service.credits().free(*home)))
     }
 
-    /// A new lease token of the shard's term.
-    pub(super) fn token(&mut self, id: MessageId) -> Option<LeaseToken> {
-        self.primary_terms.get_mut(id.shard).map(|primary_term| primary_term.token())
+    /// Allocates a lease token in the shard's current term.
+    pub(super) fn next_token(&mut self, id: MessageId) -> Option<LeaseToken> {
+        self.primary_terms.get_mut(id.shard).map(|primary_term| primary_term.next_token())
     }
 
-    /// Takes a permit of the service's rate limit, or sets the timer for the next one.
+    /// Takes a permit of the service's rate limit, or sets a timer for the next one. Returns whether a permit
+    /// was taken.
     fn take_permit(&mut self, index: ServiceIndex) -> bool {
         match self.services.get_mut(index).take_permit(self.context.now) {
             Permit::Taken => true,
@@ -222,14 +233,14 @@
         }
     }
 
-    /// A rate limit may have a permit again.
+    /// Handles the timer for a service's next rate-limit permit.
     pub(super) fn handle_permit_due(&mut self, index: ServiceIndex) {
         self.services.get_mut(index).clear_permit_timer();
         self.services.mark_runnable(index);
     }
 
-    /// Grants a message to the dispatcher that sends it to be accepted, or to a home dispatcher of its service, if nothing
-    /// speaks against it.
+    /// Grants a new message at once, to the dispatcher that sent it for acceptance or to a home dispatcher of
+    /// its service, unless its delay, its order key, the rate limit or missing credit prevents it.
     pub(super) fn grant_at_accept(&mut self, id: MessageId, dispatcher: DispatcherId) {
         let Some(entry) = self.table.get(id) else { return };
         let is_due = entry.due() <= self.context.now;
@@ -239,21 +250,22 @@
         if key.is_some_and(|key| !self.keys.activate(&key, id)) {
             return;
         }
-        let index = self.service(&name);
+        let index = self.find_or_add_service(&name);
         let service = self.services.get(index);
-        // Where any shard may take it, the one that accepts it delivers it, also beyond its credit: it has the body, and
-        // a dispatcher that finds this store slow withdraws the message without anybody else having run it.
-        let is_bound = service.has_rate_limit() || is_ordered;
-        let dispatcher = match is_bound {
-            false => Some(dispatcher).filter(|dispatcher| service.credits().is_open(*dispatcher)),
+        // A message without an order key or rate limit is granted to the dispatcher that sent it, even beyond
+        // its credit. That dispatcher already has the body, and if this store is too slow it can withdraw the
+        // message knowing that no other dispatcher has run it.
+        let is_ordered_or_limited = service.has_rate_limit() || is_ordered;
+        let dispatcher = match is_ordered_or_limited {
+            false => Some(dispatcher).filter(|dispatcher| service.credits().accepts_grants(*dispatcher)),
             true if service.has_ready() => None,
             true => self
-                .home_for(id, index, Some(dispatcher), None)
+                .choose_home_dispatcher(id, index, Some(dispatcher), None)
                 .or_else(|| Some(dispatcher).filter(|dispatcher| service.credits().has_free(*dispatcher))),
         };
         let Some(dispatcher) = dispatcher.filter(|_| self.take_permit(index)) else { return };
-        let Some(token) = self.token(id) else { return };
-        self.take_lease(
+        let Some(token) = self.next_token(id) else { return };
+        self.record_lease(
             id,
             Lease { dispatcher, token, is_notified: false, granted_at: self.context.now },
             LeaseConfirmation::Confirmed,
@@ -263,7 +275,7 @@
         }
     }
 
-    /// A grant is durable: its dispatcher may use it.
+    /// Notifies the dispatcher of a grant whose record is durable.
     pub(super) fn deliver(&mut self, id: MessageId, token: LeaseToken) {
         let Some(lease) = self.lease_of(id).filter(|lease| lease.token == token && !lease.is_notified) else {
             return;
@@ -274,20 +286,20 @@
         self.send_delivery(connection, id, token, with_body);
     }
 
-    /// The dispatcher is notified of its lease now.
+    /// Marks a lease as notified to its dispatcher.
     pub(super) fn mark_notified(&mut self, id: MessageId, lease: Lease) {
         if let Some(primary) = self.table.primary_mut(id) {
             primary.mark_notified(lease);
         }
         let Some(service) = self.service_of(id) else { return };
         self.release_unnotified(service, lease);
-        let is_late = self.context.now.saturating_duration_since(lease.granted_at) > LATE_GRANT;
+        let is_late = self.context.now.saturating_duration_since(lease.granted_at) > LATE_GRANT_AFTER;
         if is_late {
             self.services.get_mut(service).borrow_permit(self.context.now);
         }
     }
 
-    /// The dispatcher accepted the message so recently that it has the body still.
+    /// Whether the dispatcher sent the message for acceptance recently enough to still have its body.
     pub(super) fn has_body(&self, id: MessageId, dispatcher: DispatcherId) -> bool {
         let primary = self.table.primary(id);
         let acceptor = primary.and_then(|primary| primary.accepted_by());
@@ -299,7 +311,7 @@
     fn send_delivery(&mut self, connection: ConnectionId, id: MessageId, token: LeaseToken, with_body: bool) {
         let Some(entry) = self.table.get(id) else { return };
         let message: Option<Box<Message>> = entry.message.clone().filter(|_| with_body);
-        let age_ms = millis(self.context.now.saturating_duration_since(entry.received));
+        let age_ms = millis(self.context.now.saturating_duration_since(entry.received_at));
         let failed_attempts = entry.failed_attempts;
         self.send_to_dispatcher(
             connection,
@@ -307,9 +319,9 @@
         );
     }
 
-    /// A dispatcher lacks the body of what it was granted.
+    /// Handles the request of a dispatcher that does not have the body of a message that was granted to it.
     pub(super) fn handle_need_body(&mut self, connection: ConnectionId, id: MessageId, token: LeaseToken) {
-        let dispatcher = self.dispatchers.of(connection);
+        let dispatcher = self.dispatchers.dispatcher_of(connection);
         let lease =
             self.lease_of(id).filter(|lease| lease.token == token && Some(lease.dispatcher) == dispatcher);
         if lease.is_some() {
@@ -320,12 +332,13 @@
         }
     }
 
-    /// The lease under which the message is in flight.
+    /// The lease of a message that is in flight.
     pub(super) fn lease_of(&self, id: MessageId) -> Option<Lease> {
         self.table.get(id)?.primary.as_ref()?.lease()
     }
 
-    /// A lease is over without an outcome that counts: the message waits for `wait`, then it is granted again.
+    /// Schedules a message again after `wait`, when its lease has ended without an outcome that counts as an
+    /// attempt.
     pub(super) fn reschedule(&mut self, id: MessageId, wait: Duration) {
         self.unschedule(id, Stage::Persisting);
         let not_before = self.context.now + wait;
@@ -335,8 +348,8 @@
         self.schedule(id);
     }
 
-    /// A former primary granted this, and its dispatcher may have the lease: it must announce it, or the message is granted
-    /// again.
+    /// Adopts a lease that a former primary granted, because its dispatcher may still hold it. If the
+    /// dispatcher does not announce the lease within the reconnect time-out, the message is granted again.
     pub(super) fn adopt_lease(&mut self, id: MessageId, grant: Grant) {
         let Some(term) = self.primary_terms.number_of(id.shard) else {
             return;
@@ -352,7 +365,7 @@
         }
         let key = self.table.get(id).and_then(Entry::order_key).map(str::to_owned);
         if let Some(key) = key {
-            self.keys.adopt(&key, id);
+            self.keys.set_active(&key, id);
         }
         let confirmation = if is_announced == Some(true) {
             LeaseConfirmation::Confirmed
@@ -365,7 +378,7 @@
             is_notified: true,
             granted_at: self.context.now,
         };
-        self.take_lease(id, lease, confirmation);
+        self.record_lease(id, lease, confirmation);
         self.context.timers.set(until, Timer::UnconfirmedLeases(grant.dispatcher));
     }
 }
--- a/system/state/queue/src/replication/repair.rs
+++ b/system/state/queue/src/replication/repair.rs
@@ -1,4 +1,5 @@
-//! As primary: what too few stores have, or were too slow to write, is sent to further ones; learners catch up.
+//! Repair as a primary: messages that too few stores have, or that stores were too slow to write, are sent to
+//! further stores, and learners are brought up to date.
 
 use super::peer::Peer;
 use super::{Batch, Replication, SyncAction};
@@ -12,13 +13,13 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Number of the first write to a store in one incarnation of this process: far below the end of all numbers, so that
-/// they never run out.
-const FIRST_NUMBERS: Range<u64> = 1..1 << 48;
+/// Range from which the number of the first write to a store is drawn, once per incarnation of this process. It
+/// ends far below the largest number, so that numbers never overflow.
+const FIRST_WRITE_NUMBERS: Range<u64> = 1..1 << 48;
 
 impl Replication {
-    /// Lets further stores be sent a message that too few have and may be expected to have soon.
-    pub fn assign_replicas(
+    /// Queues a message for further stores, if too few have it or can be expected to have it soon.
+    pub fn assign_more_replicas(
         &mut self,
         context: &mut Context,
         table: &mut MessageTable,
@@ -27,7 +28,7 @@
     ) {
         let lacks = |primary: &PrimaryEntry| primary.progress_of(context.local_id).sent < primary.version();
         if table.primary(id).is_some_and(lacks) {
-            self.write_own_full_state(context, table, terms, id);
+            self.write_local_full_state(context, table, terms, id);
         }
         let Some(primary_term) = terms.get(id.shard) else { return };
         let Some(primary) = table.primary(id) else { return };
@@ -36,7 +37,9 @@
             members.filter(|store| self.is_expected(context, id, primary, *store)).collect();
         let mut additional: Vec<StoreId> = Vec::new();
         for store in self.ranked_replicas(context, table, terms, id) {
-            if !self.is_under_way(id, primary, store) && primary_term.lacks_write_quorum(&expected, store) {
+            if !self.is_sent_or_queued(id, primary, store)
+                && primary_term.lacks_write_quorum(&expected, store)
+            {
                 expected.push(store);
                 additional.push(store);
             }
@@ -48,13 +51,14 @@
         }
     }
 
-    /// A store was sent all that is known of a message, or will be.
-    fn is_under_way(&self, id: MessageId, primary: &PrimaryEntry, store: StoreId) -> bool {
+    /// Whether a store was sent the latest version of a message, or will be.
+    fn is_sent_or_queued(&self, id: MessageId, primary: &PrimaryEntry, store: StoreId) -> bool {
         let is_queued = self.peers.get(&store).is_some_and(|peer| peer.is_catching_up_with(id));
         is_queued || primary.progress_of(store).sent >= primary.version()
     }
 
-    /// A store has all that is known of a message on its disk, or will have it within its usual time.
+    /// Whether a store has the latest version of a message on its disk, or is expected to have it within its
+    /// usual latency.
     fn is_expected(&self, context: &Context, id: MessageId, primary: &PrimaryEntry, store: StoreId) -> bool {
         let is_late = match self.peers.get(&store) {
             _ if store == context.local_id => self.disk.is_overdue(),
@@ -62,11 +66,11 @@
             None => true,
         };
         primary.progress_of(store).acked >= primary.version()
-            || (!is_late && self.is_under_way(id, primary, store))
+            || (!is_late && self.is_sent_or_queued(id, primary, store))
     }
 
-    /// This store's own disk lacks something that others know.
-    fn write_own_full_state(
+    /// Writes the full state of a message to the local disk, which lacks something that other stores have.
+    fn write_local_full_state(
         &mut self,
         context: &mut Context,
         table: &mut MessageTable,
@@ -79,14 +83,14 @@
         let Some(primary) = entry.primary.as_mut() else { return };
         primary.mark_sent(context.local_id);
         let sent = SentVersion { id, term, version: primary.version() };
-        self.append(context, DiskRecord::Message { record }, SyncAction::Own(sent));
+        self.append(context, DiskRecord::Message { record }, SyncAction::CountLocalCopy(sent));
     }
 
-    /// Sends what other stores are to catch up with, as far as their windows allow.
+    /// Sends queued messages to the stores that have to catch up, within their windows.
     pub fn send_catch_up(&mut self, context: &mut Context, table: &mut MessageTable, terms: &PrimaryTerms) {
-        let busy: Vec<StoreId> =
+        let catching_up: Vec<StoreId> =
             self.peers.iter().filter(|(_, peer)| peer.has_catch_up()).map(|(store, _)| *store).collect();
-        for store in busy {
+        for store in catching_up {
             self.send_catch_up_to(context, table, terms, store);
             self.notify_caught_up(context, terms, store);
         }
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Tells a learner of the shards of which it lacks nothing any more.
+    /// Tells a learner for which shards it has caught up.
     fn notify_caught_up(&mut self, context: &mut Context, terms: &PrimaryTerms, store: StoreId) {
         let Some(peer) = self.peers.get_mut(&store) else { return };
         for shard in peer.take_caught_up() {
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Writes to further stores what others did not acknowledge in their usual time.
+    /// Sends writes that are overdue at some stores to further stores (hedged requests).
     pub fn hedge(&mut self, context: &mut Context, table: &mut MessageTable, terms: &PrimaryTerms) {
         let mut overdue = self.disk.take_overdue(context.now, context.config.max_write_timeout);
         let mut queued = Vec::new();
@@ -151,7 +155,7 @@
     ) {
         for id in ids {
             if self.pending.contains(&id) {
-                self.assign_replicas(context, table, terms, id);
+                self.assign_more_replicas(context, table, terms, id);
             }
         }
     }
@@ -165,12 +169,12 @@
     ) {
         for sent in sent {
             if terms.is_current(sent) && self.pending.contains(&sent.id) {
-                self.assign_replicas(context, table, terms, sent.id);
+                self.assign_more_replicas(context, table, terms, sent.id);
             }
         }
     }
 
-    /// A connection with `store` is open; all that is pending may be sent to it.
+    /// Handles a new connection to `store`, to which pending messages may now be sent.
     pub fn handle_connected(
         &mut self,
         context: &mut Context,
@@ -178,16 +182,16 @@
         terms: &PrimaryTerms,
         store: StoreId,
     ) {
-        let first_number = context.random.u64(FIRST_NUMBERS);
+        let first_number = context.random.u64(FIRST_WRITE_NUMBERS);
         let now = context.now;
         self.peers.entry(store).or_insert_with(|| Peer::new(now, first_number)).connect();
         let pending: Vec<MessageId> = self.pending.iter().copied().collect();
         for id in pending {
-            self.assign_replicas(context, table, terms, id);
+            self.assign_more_replicas(context, table, terms, id);
         }
     }
 
-    /// The connection with `store` is closed: what was in flight on it goes to others.
+    /// Handles the end of the connection to `store`: the writes in flight on it are sent to other stores.
     pub fn handle_closed(
         &mut self,
         context: &mut Context,
@@ -195,7 +199,7 @@
         terms: &PrimaryTerms,
         store: StoreId,
     ) {
-        self.disk.forget_writes(store);
+        self.disk.cancel_write_acks(store);
         let Some(peer) = self.peers.get_mut(&store) else { return };
         let queued: Vec<MessageId> = peer.catch_up().collect();
         let lost = peer.disconnect();
@@ -208,7 +212,7 @@
         self.assign_pending(context, table, terms, queued);
     }
 
-    /// Sends a learner of a shard that is served what it lacks.
+    /// Queues for the learner of a served shard all messages that it lacks.
     pub fn catch_up_learner(
         &mut self,
         table: &MessageTable,
@@ -229,7 +233,7 @@
     }
 }
 
-/// Adds all that is known of a message, unless the store was sent that already.
+/// Adds the full state of a message to a batch, unless the store was sent the latest version already.
 fn add_full_state(
     context: &Context,
     table: &mut MessageTable,
--- a/system/state/queue/src/scheduling/credits.rs
+++ b/system/state/queue/src/scheduling/credits.rs
@@ -1,24 +1,24 @@
-//! How many more deliveries of one service each dispatcher can take.
+//! Flow control: how many more deliveries of one service each dispatcher can take.
 
 use millrudder_protocol::DispatcherId;
 use millrudder_topology::Distance;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One dispatcher's deliveries of one service.
+/// The credit of one dispatcher for one service, and how much of it is in use.
 #[derive(Clone, Copy, Debug)]
 struct Credit {
     limit: u32,
     in_flight: u32,
-    /// From the store.
+    /// Network distance between the dispatcher and this store.
     distance: Distance,
-    /// It may be granted something.
-    open: bool,
+    /// The dispatcher is connected and not shutting down, so messages may be granted to it.
+    accepts_grants: bool,
 }
 
 impl Credit {
     fn free(&self) -> u32 {
-        if self.open {
+        if self.accepts_grants {
             self.limit.saturating_sub(self.in_flight)
         } else {
             0
@@ -26,10 +26,11 @@
     }
 }
 
-/// Order in which dispatchers are chosen: the last one is the best.
+/// Sort key of dispatchers with free credit: the nearest, then the one with the most free credit, is the
+/// greatest.
 type Preference = (Reverse<Distance>, u32, DispatcherId);
 
-/// Credits of one service.
+/// The credits of all dispatchers for one service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Credits {
     dispatchers: BTreeMap<DispatcherId, Credit>,
@@ -37,11 +38,11 @@
 }
 
 impl Credits {
-    fn change(&mut self, dispatcher: DispatcherId, change: impl FnOnce(&mut Credit)) {
-        let unknown = Credit { limit: 0, in_flight: 0, distance: Distance::default(), open: false };
+    fn update(&mut self, dispatcher: DispatcherId, update: impl FnOnce(&mut Credit)) {
+        let unknown = Credit { limit: 0, in_flight: 0, distance: Distance::default(), accepts_grants: false };
         let credit = self.dispatchers.entry(dispatcher).or_insert(unknown);
         let before = *credit;
-        change(credit);
+        update(credit);
         let after = *credit;
         if before.free() > 0 {
             self.free.remove(&(Reverse(before.distance), before.free(), dispatcher));
@@ -49,45 +50,45 @@
         if after.free() > 0 {
             self.free.insert((Reverse(after.distance), after.free(), dispatcher));
         }
-        if !after.open && after.in_flight == 0 {
+        if !after.accepts_grants && after.in_flight == 0 {
             self.dispatchers.remove(&dispatcher);
         }
     }
 
-    /// The dispatcher may be granted up to `limit` at a time.
+    /// Allows up to `limit` concurrent deliveries to the dispatcher.
     pub fn open(&mut self, dispatcher: DispatcherId, limit: u32, distance: Distance) {
-        self.change(dispatcher, |credit| {
+        self.update(dispatcher, |credit| {
             credit.limit = limit;
             credit.distance = distance;
-            credit.open = true;
+            credit.accepts_grants = true;
         });
     }
 
     pub fn set_limit(&mut self, dispatcher: DispatcherId, limit: u32) {
         if self.dispatchers.contains_key(&dispatcher) {
-            self.change(dispatcher, |credit| credit.limit = limit);
+            self.update(dispatcher, |credit| credit.limit = limit);
         }
     }
 
-    /// Nothing more may be granted to it; what is in flight stays counted.
+    /// Stops further grants to the dispatcher. Its deliveries in flight stay counted.
     pub fn close(&mut self, dispatcher: DispatcherId) {
         if self.dispatchers.contains_key(&dispatcher) {
-            self.change(dispatcher, |credit| credit.open = false);
+            self.update(dispatcher, |credit| credit.accepts_grants = false);
         }
     }
 
-    /// The dispatcher takes deliveries, whether or not it has free credit just now.
-    pub fn is_open(&self, dispatcher: DispatcherId) -> bool {
-        self.dispatchers.get(&dispatcher).is_some_and(|credit| credit.open && credit.limit > 0)
+    /// Whether the dispatcher accepts deliveries of the service, even if it has no free credit at the moment.
+    pub fn accepts_grants(&self, dispatcher: DispatcherId) -> bool {
+        self.dispatchers.get(&dispatcher).is_some_and(|credit| credit.accepts_grants && credit.limit > 0)
     }
 
     pub fn reserve(&mut self, dispatcher: DispatcherId) {
-        self.change(dispatcher, |credit| credit.in_flight += 1);
+        self.update(dispatcher, |credit| credit.in_flight += 1);
     }
 
     pub fn release(&mut self, dispatcher: DispatcherId) {
         if self.dispatchers.contains_key(&dispatcher) {
-            self.change(dispatcher, |credit| credit.in_flight = credit.in_flight.saturating_sub(1));
+            self.update(dispatcher, |credit| credit.in_flight = credit.in_flight.saturating_sub(1));
         }
     }
 
@@ -99,9 +100,11 @@
         self.free(dispatcher) > 0
     }
 
-    /// Of the nearest dispatchers that have free credit the one with the most; `other` only if there is no other one.
-    pub fn best_except(&self, other: Option<DispatcherId>) -> Option<DispatcherId> {
+    /// Returns the dispatcher with the most free credit among the nearest ones that have any. `other` is
+    /// returned only if it is the only dispatcher with free credit.
+    pub fn best_except(&self, fallback: Option<DispatcherId>) -> Option<DispatcherId> {
         let mut best = self.free.iter().rev().map(|(_, _, dispatcher)| *dispatcher);
-        best.find(|dispatcher| Some(*dispatcher) != other).or(other.filter(|other| self.has_free(*other)))
+        best.find(|dispatcher| Some(*dispatcher) != fallback)
+            .or(fallback.filter(|fallback| self.has_free(*fallback)))
     }
 }
--- a/system/state/queue/tests/cluster/dispatcher.rs
+++ b/system/state/queue/tests/cluster/dispatcher.rs
@@ -9,10 +9,10 @@
 use millrudder_protocol::{DispatcherId, LeaseToken, MessageId, RequestNumber, StoreId};
 use std::collections::BTreeMap;
 
-/// Time after which something without an answer is sent again.
-pub const REPEAT_MS: u64 = 250;
-/// Time after which a client is given up.
-const GIVE_UP_MS: u64 = 2_000;
+/// Time in milliseconds after which an unanswered message is sent again.
+pub const RESEND_MS: u64 = 250;
+/// Time in milliseconds after which a client's request is withdrawn or given up.
+const CLIENT_TIMEOUT_MS: u64 = 2_000;
 /// Time for which the bodies of accepted messages are retained, in milliseconds.
 const BODY_RETENTION_MS: u64 = 15_000;
 
@@ -21,7 +21,7 @@
     first_ms: u64,
     sent_ms: u64,
     pub withdrawing: bool,
-    /// Its client got no answer that says anything; a lease that comes is given back.
+    /// The client got no definite answer. A lease that is granted later is returned.
     pub given_up: bool,
 }
 
@@ -39,16 +39,16 @@
     pub up: bool,
     pub frozen_until_ms: u64,
     pub placement: Placement,
-    /// Its own view of its connections, by store.
+    /// The dispatcher's view of its connections, by store.
     pub connections: BTreeMap<usize, u64>,
     pub pending: BTreeMap<MessageId, PendingAccept>,
     pub bodies: BTreeMap<MessageId, (Message, u64)>,
     pub deliveries: BTreeMap<(MessageId, LeaseToken), Delivery>,
     pub callbacks: BTreeMap<(MessageId, LeaseToken), Option<(bool, u64)>>,
     requests: u64,
-    /// How the workers behind it behave.
-    pub calm: bool,
-    pub leaving: bool,
+    /// The workers neither reject messages nor fail at random.
+    pub reliable_workers: bool,
+    pub is_shutting_down: bool,
 }
 
 impl Dispatcher {
@@ -66,17 +66,17 @@
             deliveries: BTreeMap::new(),
             callbacks: BTreeMap::new(),
             requests: 0,
-            calm: false,
-            leaving: false,
+            reliable_workers: false,
+            is_shutting_down: false,
         }
     }
 
-    pub fn die(&mut self, next: DispatcherId) {
+    pub fn restart_as(&mut self, next: DispatcherId) {
         let zone = self.zone.clone();
-        let (incarnation, calm) = (self.incarnation + 1, self.calm);
+        let (incarnation, reliable_workers) = (self.incarnation + 1, self.reliable_workers);
         *self = Dispatcher::new(next, &zone);
         self.incarnation = incarnation;
-        self.calm = calm;
+        self.reliable_workers = reliable_workers;
         self.up = false;
     }
 
@@ -96,7 +96,7 @@
 }
 
 impl Cluster {
-    pub fn tell_primary(&mut self, at: usize, id: MessageId, message: FromDispatcher) {
+    pub fn send_to_primary(&mut self, at: usize, id: MessageId, message: FromDispatcher) {
         let Some(primary) = self.dispatchers[at].primary(id) else { return };
         let Some(store) = self.store_index(primary) else { return };
         self.send_to_store(at, store, message);
@@ -119,7 +119,7 @@
         self.send_to_store(at, store, hello);
     }
 
-    pub fn dispatcher_placement(&mut self, at: usize, placement: Placement) {
+    pub fn apply_dispatcher_placement(&mut self, at: usize, placement: Placement) {
         if placement.epoch <= self.dispatchers[at].placement.epoch {
             return;
         }
@@ -165,7 +165,7 @@
             let message = Box::new(dispatcher.bodies[&id].0.clone());
             FromDispatcher::Accept { request: pending.request, id, message, wants_lease: lease }
         };
-        self.tell_primary(at, id, message);
+        self.send_to_primary(at, id, message);
     }
 
     pub fn dispatcher_receives(&mut self, at: usize, from: usize, message: ToDispatcher) {
@@ -185,16 +185,16 @@
                 }
             }
             ToDispatcher::Deliver { id, token, message, age_ms, .. } => {
-                let actual_age_ms = self.now_ms - self.request_log.messages[&id].sent_ms;
+                let true_age_ms = self.now_ms - self.request_log.messages[&id].sent_ms;
                 assert!(
-                    age_ms <= actual_age_ms + 1,
-                    "{id} is said to be {age_ms} ms old, it is {actual_age_ms}"
+                    age_ms <= true_age_ms + 1,
+                    "{id} is reported to be {age_ms} ms old but is {true_age_ms} ms old"
                 );
                 self.delivered(at, id, token, message.map(|message| *message));
             }
             ToDispatcher::CallBack { id, token, end, .. } => self.call_back(at, id, token, end),
             ToDispatcher::Recorded { id, token } => {
-                // What a former primary says the present one may not know.
+                // Only an answer of the current primary counts: it may not know what a former primary recorded.
                 if self.dispatchers[at].primary(id) == Some(self.stores[from].id) {
                     self.recorded(at, id, token);
                 }
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Sends again what has no answer yet, and gives up clients that waited long.
+    /// Repeats unanswered messages, and gives up the requests of clients that have waited too long.
     pub fn dispatcher_tick(&mut self, at: usize) {
         let now_ms = self.now_ms;
         let stores: Vec<usize> = self.dispatchers[at].connections.keys().copied().collect();
@@ -245,27 +245,31 @@
         self.repeat_reports(at);
         let callbacks = self.dispatchers[at].callbacks.clone();
         for ((id, token), state) in callbacks {
-            if let Some((done, _)) = state.filter(|(_, sent_ms)| now_ms - sent_ms >= REPEAT_MS) {
+            if let Some((done, _)) = state.filter(|(_, sent_ms)| now_ms - sent_ms >= RESEND_MS) {
                 self.dispatchers[at].callbacks.insert((id, token), Some((done, now_ms)));
-                self.tell_primary(at, id, FromDispatcher::CalledBack { id, token, done, retry_after_ms: 20 });
+                self.send_to_primary(
+                    at,
+                    id,
+                    FromDispatcher::CalledBack { id, token, done, retry_after_ms: 20 },
+                );
             }
         }
     }
 
     fn repeat_accepts(&mut self, at: usize) {
         let now_ms = self.now_ms;
-        let is_due = |pending: &PendingAccept| !pending.given_up && now_ms - pending.sent_ms >= REPEAT_MS;
+        let is_due = |pending: &PendingAccept| !pending.given_up && now_ms - pending.sent_ms >= RESEND_MS;
         let pending = &self.dispatchers[at].pending;
         let due: Vec<MessageId> = pending.iter().filter(|(_, p)| is_due(p)).map(|(id, _)| *id).collect();
         for id in due {
             let withdraw = self.random.bool();
             let Some(pending) = self.dispatchers[at].pending.get_mut(&id) else { continue };
-            if now_ms - pending.first_ms > 2 * GIVE_UP_MS {
+            if now_ms - pending.first_ms > 2 * CLIENT_TIMEOUT_MS {
                 pending.given_up = true;
                 pending.withdrawing = false;
                 continue;
             }
-            if now_ms - pending.first_ms > GIVE_UP_MS {
+            if now_ms - pending.first_ms > CLIENT_TIMEOUT_MS {
                 if !pending.withdrawing && !withdraw {
                     pending.given_up = true;
                     continue;
--- a/system/state/queue/tests/cluster/mod.rs
+++ b/system/state/queue/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated cluster round the true state machines: disks, links, dispatchers, clients, workers, a placement manager
-//! and faults, all in one thread on a simulated clock, repeatable by its seed.
+//! A simulated cluster around the real state machines: disks, links, dispatchers, clients, workers, a placement
+//! manager and faults, all in one thread on a simulated clock. A run is reproducible by its seed.
 
 #![allow(dead_code)]
 
@@ -29,10 +29,10 @@
 use std::time::Duration;
 use stores::{Orphan, Store};
 
-/// Time between two looks of a dispatcher or of the manager.
+/// Interval at which dispatchers and the placement manager act.
 const TICK_MS: u64 = 100;
 
-/// What passes on a link.
+/// A message on a link.
 #[derive(Clone, Debug)]
 pub enum Payload {
     Stores(BetweenStores),
@@ -40,7 +40,7 @@
     ToDispatcher(ToDispatcher),
 }
 
-/// Something that happens at a time.
+/// An event at a simulated time.
 #[derive(Clone, Debug)]
 pub enum Event {
     Arrive {
@@ -90,7 +90,7 @@
     NextFault,
 }
 
-/// How large, and how it behaves.
+/// Size and behaviour of the simulated cluster.
 #[derive(Clone)]
 pub struct Options {
     pub stores: usize,
@@ -98,11 +98,11 @@
     pub shards: u16,
     pub tolerated_losses: u32,
     pub seed: u64,
-    /// Milliseconds between two clients.
-    pub client_every_ms: u64,
+    /// Mean time between two client requests, in milliseconds.
+    pub client_interval_ms: u64,
     pub config: Config,
-    pub rated: Option<f64>,
-    /// Faults come while others last; disks are still lost one at a time.
+    pub rate_limit: Option<f64>,
+    /// Faults may start while others last. Disks are still lost one at a time.
     pub overlapping_faults: bool,
 }
 
@@ -114,18 +114,18 @@
             shards: 4,
             tolerated_losses: 1,
             seed: 1,
-            client_every_ms: 25,
+            client_interval_ms: 25,
             config: Config { heartbeat_timeout: Duration::from_millis(1_200), ..Config::default() },
-            rated: Some(8.0),
+            rate_limit: Some(8.0),
             overlapping_faults: false,
         }
     }
 }
 
-/// Name of the service with a common ceiling.
-pub const RATED: &str = "rated";
+/// Name of the service with a rate limit.
+pub const RATE_LIMITED_SERVICE: &str = "rated";
 
-/// The whole simulation.
+/// The simulated cluster.
 pub struct Cluster {
     pub options: Options,
     pub now_ms: u64,
@@ -139,12 +139,12 @@
     pub faults_until_ms: u64,
     pub wiped_at_ms: Option<u64>,
     pub clients_until_ms: u64,
-    /// What stores found lying.
+    /// Orphaned messages that stores reported.
     pub orphans: Vec<Orphan>,
     pub trace: bool,
     events: BTreeMap<(u64, u64), Event>,
     order: u64,
-    names: u64,
+    allocated_ids: u64,
 }
 
 impl Cluster {
@@ -154,8 +154,10 @@
         let zone = |index: usize| format!("zone-{}", index % options.stores);
         let dispatcher = |index: usize| Dispatcher::new(DispatcherId(1_000 + index as u64), &zone(index));
         let mut request_log = RequestLog::default();
-        // The rate with what is saved up, and the five starts that the rule allows besides: links hold some up.
-        request_log.ceiling = options.rated.map(|rate| (RATED.to_owned(), rate * 5.0 * 1.04 + 5.0));
+        // The rate over five seconds, plus saved permits, plus the five additional starts that the requirement
+        // allows because links delay some deliveries.
+        request_log.rate_limit =
+            options.rate_limit.map(|rate| (RATE_LIMITED_SERVICE.to_owned(), rate * 5.0 * 1.04 + 5.0));
         let mut cluster = Cluster {
             now_ms: 0,
             stores,
@@ -172,7 +174,7 @@
             trace: std::env::var("TRACE").is_ok(),
             events: BTreeMap::new(),
             order: 0,
-            names: 0,
+            allocated_ids: 0,
             options,
         };
         for store in 0..cluster.stores.len() {
@@ -181,7 +183,7 @@
         for dispatcher in 0..cluster.dispatchers.len() {
             cluster.schedule(0, Event::DispatcherTick { dispatcher, incarnation: 0 });
         }
-        cluster.spread_placement();
+        cluster.publish_placement();
         cluster.schedule(0, Event::Manage);
         cluster
     }
@@ -191,7 +193,7 @@
         self.events.insert((at_ms.max(self.now_ms), self.order), event);
     }
 
-    /// Runs until a time.
+    /// Runs all events up to the given time.
     pub fn run_until(&mut self, until_ms: u64) {
         while let Some(entry) = self.events.first_entry() {
             let (at_ms, order) = *entry.key();
@@ -200,12 +202,12 @@
             }
             let event = entry.remove();
             self.now_ms = at_ms;
-            self.happen(order, event);
+            self.handle_event(order, event);
         }
         self.now_ms = until_ms;
     }
 
-    /// The time until which the place where an event happens stands still.
+    /// Time until which the process that the event concerns is frozen.
     fn frozen_until(&self, event: &Event) -> u64 {
         let end = match event {
             Event::Arrive { to, .. } => *to,
@@ -220,7 +222,7 @@
         }
     }
 
-    fn happen(&mut self, order: u64, event: Event) {
+    fn handle_event(&mut self, order: u64, event: Event) {
         let frozen_until_ms = self.frozen_until(&event);
         if frozen_until_ms > self.now_ms {
             self.events.insert((frozen_until_ms, order), event);
@@ -265,7 +267,7 @@
                 self.input(store, Input::Placement(placement));
             }
             End::Dispatcher(dispatcher) if self.dispatchers[dispatcher].incarnation == incarnation => {
-                self.dispatcher_placement(dispatcher, placement);
+                self.apply_dispatcher_placement(dispatcher, placement);
             }
             _ => {}
         }
@@ -291,11 +293,11 @@
             (End::Dispatcher(at), End::Store(store), Payload::ToDispatcher(message)) => {
                 self.dispatcher_receives(at, store, message);
             }
-            _ => unreachable!("a payload of another kind of link"),
+            _ => unreachable!("a payload that does not belong on this kind of link"),
         }
     }
 
-    /// Sends on a link's present connection.
+    /// Sends a message on a link's current connection.
     pub fn send(&mut self, from: End, to: End, payload: Payload) {
         let link = LinkId::between(from, to);
         let state = self.links.get(link);
@@ -314,7 +316,7 @@
         }
     }
 
-    /// Breaks a link's connection; each end learns of it after `notice_ms`.
+    /// Breaks the connection of a link; each end notices it after `notice_ms`.
     pub fn close(&mut self, link: LinkId, notice_ms: u64) {
         let state = self.links.get(link);
         if !state.open {
@@ -349,7 +351,7 @@
         }
     }
 
-    /// Lets clients send until a time.
+    /// Starts clients that send until the given time.
     pub fn clients_until(&mut self, until_ms: u64) {
         self.clients_until_ms = until_ms;
         self.schedule(self.now_ms, Event::Client);
@@ -360,35 +362,39 @@
             return;
         }
         let dispatcher = self.random.usize(0..self.dispatchers.len());
-        let message = self.draw_message();
-        if let Some(id) = self.name(dispatcher, &message) {
+        let message = self.random_message();
+        if let Some(id) = self.allocate_id(dispatcher, &message) {
             self.client_sends(dispatcher, id, message);
         }
-        let wait_ms = self.random.u64(0..=2 * self.options.client_every_ms);
+        let wait_ms = self.random.u64(0..=2 * self.options.client_interval_ms);
         self.schedule(self.now_ms + wait_ms, Event::Client);
     }
 
-    /// A new name for a message, in the shard where its kind belongs.
-    pub fn name(&mut self, dispatcher: usize, message: &Message) -> Option<MessageId> {
+    /// Allocates an identifier for a message, in the shard of its order key or rate-limited service, or else in
+    /// a random one.
+    pub fn allocate_id(&mut self, dispatcher: usize, message: &Message) -> Option<MessageId> {
         let placement = &self.dispatchers[dispatcher].placement;
-        let by_name = message.order_key.as_deref().or(Some(RATED).filter(|rated| *rated == message.service));
+        let by_name = message
+            .order_key
+            .as_deref()
+            .or(Some(RATE_LIMITED_SERVICE).filter(|rated| *rated == message.service));
         let shard = match by_name {
             Some(name) => placement.shard_of(name)?,
             None if placement.shards.is_empty() => return None,
             None => ShardId(self.random.u16(0..self.options.shards)),
         };
-        self.names += 1;
-        Some(MessageId { shard, unique: self.random.u64(0..1 << 32) << 20 | self.names })
+        self.allocated_ids += 1;
+        Some(MessageId { shard, unique: self.random.u64(0..1 << 32) << 20 | self.allocated_ids })
     }
 
-    fn draw_message(&mut self) -> Message {
+    fn random_message(&mut self) -> Message {
         let mut message = plain_message();
         let random = &mut self.random;
         message.request_id = format!("r{}", random.u64(..));
         message.body = vec![random.u8(..); random.usize(0..200)];
         match random.u8(0..10) {
             0..4 => message.order_key = Some(format!("key-{}", random.u8(0..4))),
-            4..6 if self.options.rated.is_some() => message.service = RATED.to_owned(),
+            4..6 if self.options.rate_limit.is_some() => message.service = RATE_LIMITED_SERVICE.to_owned(),
             _ => message.delay_ms = if random.u8(0..4) == 0 { random.u32(0..1_500) } else { 0 },
         }
         if random.u8(0..4) == 0 {
@@ -404,21 +410,21 @@
     }
 
     pub fn rates(&self) -> Vec<ServiceRate> {
-        let rate = |per_second: f64| ServiceRate { service: RATED.to_owned(), per_second };
-        self.options.rated.map(rate).into_iter().collect()
+        let rate = |per_second: f64| ServiceRate { service: RATE_LIMITED_SERVICE.to_owned(), per_second };
+        self.options.rate_limit.map(rate).into_iter().collect()
     }
 
     pub fn store_index(&self, id: StoreId) -> Option<usize> {
         self.stores.iter().position(|store| store.id == id)
     }
 
-    /// Unplanned trouble now: repeats are excused for a while.
+    /// Records a fault at the current time. Repeated runs are excused for a while after it.
     pub fn record_fault(&mut self) {
         self.request_log.last_fault_ms = Some(self.now_ms);
     }
 }
 
-/// A message without an order key, to be run at once.
+/// A message without an order key that is due at once.
 pub fn plain_message() -> Message {
     message_of("plain")
 }
--- a/system/state/queue/tests/cluster/runs.rs
+++ b/system/state/queue/tests/cluster/runs.rs
@@ -1,6 +1,7 @@
-//! Deliveries of a scripted dispatcher: workers run them, and their ends are reported until they are recorded.
+//! Deliveries at a scripted dispatcher: workers run the messages, and the outcomes are reported until they are
+//! recorded.
 
-use super::dispatcher::{Delivery, REPEAT_MS};
+use super::dispatcher::{Delivery, RESEND_MS};
 use super::{Cluster, Event};
 use millrudder_protocol::message::{End, Message};
 use millrudder_protocol::store::{AttemptOutcome, FromDispatcher};
@@ -26,12 +27,15 @@
             return;
         }
         if let Some(message) = message {
-            assert_eq!(message, self.request_log.messages[&id].message, "{id} came back changed");
+            assert_eq!(
+                message, self.request_log.messages[&id].message,
+                "{id} was delivered with changed content"
+            );
             dispatcher.bodies.insert(id, (message, now_ms));
         }
         if !dispatcher.bodies.contains_key(&id) {
             dispatcher.deliveries.insert((id, token), Delivery::NeedsBody);
-            self.tell_primary(at, id, FromDispatcher::NeedBody { id, token });
+            self.send_to_primary(at, id, FromDispatcher::NeedBody { id, token });
             return;
         }
         self.run(at, id, token);
@@ -39,8 +43,8 @@
 
     pub fn run(&mut self, at: usize, id: MessageId, token: LeaseToken) {
         let now_ms = self.now_ms;
-        let (calm, drawn) = (self.dispatchers[at].calm, self.random.u32(0..100));
-        if drawn < 6 && !calm {
+        let (reliable_workers, drawn) = (self.dispatchers[at].reliable_workers, self.random.u32(0..100));
+        if drawn < 6 && !reliable_workers {
             let retry_after_ms = self.random.u32(0..200);
             self.report(at, id, token, AttemptOutcome::NotRun { retry_after_ms });
             return;
@@ -53,7 +57,7 @@
         self.schedule(now_ms + took_ms, event);
     }
 
-    /// A worker is done, whether its dispatcher lives or not.
+    /// Handles the end of a worker's run, whether or not its dispatcher is still running.
     pub fn worker_done(
         &mut self,
         at: usize,
@@ -75,7 +79,7 @@
                 self.request_log.refuse(id, begun_ms, now_ms);
                 AttemptOutcome::Refused
             }
-            _ if (6..14).contains(&drawn) && !self.dispatchers[at].calm => {
+            _ if (6..14).contains(&drawn) && !self.dispatchers[at].reliable_workers => {
                 self.request_log.fail(id, begun_ms, now_ms);
                 AttemptOutcome::Failed
             }
@@ -94,7 +98,7 @@
         if dispatcher.incarnation == incarnation && dispatcher.up {
             self.report(at, id, token, outcome);
         } else {
-            // Nobody read this answer.
+            // The dispatcher that was waiting for this answer is gone.
             self.request_log.messages.get_mut(&id).expect("known").answer_lost = true;
         }
     }
@@ -102,7 +106,7 @@
     pub fn report(&mut self, at: usize, id: MessageId, token: LeaseToken, outcome: AttemptOutcome) {
         let reported = Delivery::Reported { outcome: outcome.clone(), sent_ms: self.now_ms };
         self.dispatchers[at].deliveries.insert((id, token), reported);
-        self.tell_primary(at, id, FromDispatcher::Attempted { id, token, outcome });
+        self.send_to_primary(at, id, FromDispatcher::Attempted { id, token, outcome });
     }
 
     pub fn revoked(&mut self, at: usize, id: MessageId, token: LeaseToken) {
@@ -114,12 +118,12 @@
 
     pub fn call_back(&mut self, at: usize, id: MessageId, token: LeaseToken, end: End) {
         self.request_log.check_end(id, &end, self.now_ms);
-        let done = self.dispatchers[at].calm || self.random.u8(0..10) < 7;
+        let done = self.dispatchers[at].reliable_workers || self.random.u8(0..10) < 7;
         if done {
             self.request_log.messages.get_mut(&id).expect("known").called_back.push(end);
         }
         self.dispatchers[at].callbacks.insert((id, token), Some((done, self.now_ms)));
-        self.tell_primary(at, id, FromDispatcher::CalledBack { id, token, done, retry_after_ms: 20 });
+        self.send_to_primary(at, id, FromDispatcher::CalledBack { id, token, done, retry_after_ms: 20 });
     }
 
     pub fn recorded(&mut self, at: usize, id: MessageId, token: LeaseToken) {
@@ -141,7 +145,7 @@
         let mut again = Vec::new();
         for ((id, token), delivery) in &mut self.dispatchers[at].deliveries {
             match delivery {
-                Delivery::Reported { outcome, sent_ms } if now_ms - *sent_ms >= REPEAT_MS => {
+                Delivery::Reported { outcome, sent_ms } if now_ms - *sent_ms >= RESEND_MS => {
                     *sent_ms = now_ms;
                     let outcome = outcome.clone();
                     again.push((*id, FromDispatcher::Attempted { id: *id, token: *token, outcome }));
@@ -151,7 +155,7 @@
             }
         }
         for (id, message) in again {
-            self.tell_primary(at, id, message);
+            self.send_to_primary(at, id, message);
         }
     }
 }
--- a/system/state/queue/tests/cluster/stores.rs
+++ b/system/state/queue/tests/cluster/stores.rs
@@ -1,4 +1,4 @@
-//! Store processes of the simulation.
+//! The store processes of the simulation.
 
 use super::disks::Disk;
 use super::links::{End, LinkId};
@@ -9,14 +9,14 @@
 use millrudder_queue::{Input, OrphanCause, Output, StoreNode};
 use std::collections::BTreeSet;
 
-/// Names of stores begin here, so that they are no indexes by chance.
-const FIRST_STORE_ID: u64 = 100;
-/// Steady clocks of processes differ by up to this, in milliseconds.
-const MOST_AHEAD_MS: u64 = 10_000_000;
-/// A store that was wiped gets its old name and this much more.
-const NEXT_DISK: u64 = 100;
+/// First store identifier; it differs from all indexes, so that the two cannot be confused.
+pub const FIRST_STORE_ID: u64 = 100;
+/// Maximum difference between the monotonic clocks of processes, in milliseconds.
+const MAX_CLOCK_OFFSET_MS: u64 = 10_000_000;
+/// A store whose disk was wiped gets its former identifier plus this.
+pub const NEXT_DISK_ID_OFFSET: u64 = 100;
 
-/// A message that a store found lying.
+/// An orphaned message that a store reported.
 #[derive(Clone, Copy, Debug)]
 pub struct Orphan {
     pub at_ms: u64,
@@ -24,7 +24,7 @@
     pub cause: OrphanCause,
 }
 
-/// One store machine.
+/// One machine with a store.
 pub struct Store {
     pub id: StoreId,
     pub zone: String,
@@ -32,15 +32,16 @@
     pub disk: Disk,
     pub incarnation: u32,
     pub frozen_until_ms: u64,
-    /// Milliseconds of one sync.
+    /// Duration of a sync, in milliseconds.
     pub sync_ms: u64,
-    pub leaving: bool,
-    /// Shards of which it said that it has caught up.
+    pub is_shutting_down: bool,
+    /// Shards that it reported as caught up.
     pub caught_up: BTreeSet<CaughtUpShard>,
     pub released: BTreeSet<MessageId>,
     ticking_at: Option<u64>,
-    /// What its process's steady clock is ahead of the simulation's: each one starts anywhere.
-    clock_ahead_ms: u64,
+    /// Offset of the process's monotonic clock from the simulation's clock, as the origin of each clock is
+    /// arbitrary.
+    clock_offset_ms: u64,
 }
 
 impl Store {
@@ -53,11 +54,11 @@
             incarnation: 0,
             frozen_until_ms: 0,
             sync_ms: 2,
-            leaving: false,
+            is_shutting_down: false,
             caught_up: BTreeSet::new(),
             released: BTreeSet::new(),
             ticking_at: None,
-            clock_ahead_ms: 0,
+            clock_offset_ms: 0,
         }
     }
 
@@ -66,10 +67,11 @@
     }
 }
 
-/// Drawn for each incarnation of each process, without taking from what the simulation draws.
-fn clock_ahead_ms(seed: u64, store: StoreId, incarnation: u32) -> u64 {
+/// Draws the clock offset of an incarnation of a process, without using the simulation's random number
+/// generator.
+fn clock_offset_ms(seed: u64, store: StoreId, incarnation: u32) -> u64 {
     let seed = seed ^ (store.0 << 24) ^ (u64::from(incarnation) << 48);
-    fastrand::Rng::with_seed(seed).u64(0..MOST_AHEAD_MS)
+    fastrand::Rng::with_seed(seed).u64(0..MAX_CLOCK_OFFSET_MS)
 }
 
 impl Cluster {
@@ -80,17 +82,17 @@
             return;
         }
         store.incarnation += 1;
-        store.clock_ahead_ms = clock_ahead_ms(self.options.seed, store.id, store.incarnation);
+        store.clock_offset_ms = clock_offset_ms(self.options.seed, store.id, store.incarnation);
         let recovered = store.disk.recover(now_ms).into_iter();
-        let steady_ms = now_ms + store.clock_ahead_ms;
+        let clock_ms = now_ms + store.clock_offset_ms;
         store.node = Some(StoreNode::new(
             config,
             store.id,
             store.zone.clone(),
-            Instant::from_millis(steady_ms),
+            Instant::from_millis(clock_ms),
             recovered,
         ));
-        store.leaving = false;
+        store.is_shutting_down = false;
         store.ticking_at = None;
         store.sync_ms = 2;
         let incarnation = store.incarnation;
@@ -101,7 +103,7 @@
         self.schedule(at_ms, Event::Placement { at: End::Store(index), incarnation, placement });
     }
 
-    /// The process is gone; `notice_ms` until others notice, `None` if its power is gone: they notice late.
+    /// Stops a process. Others notice it soon, or late if its machine has lost power.
     pub fn stop_store(&mut self, index: usize, power: bool) {
         let keep: Vec<bool> = (0..1_000).map(|_| self.random.bool()).collect();
         let store = &mut self.stores[index];
@@ -119,30 +121,30 @@
         }
     }
 
-    /// Its disk is gone: what starts next is another store.
+    /// Wipes the disk of a stopped store. It starts again as another store.
     pub fn wipe_store(&mut self, index: usize) {
-        assert!(!self.stores[index].is_up(), "a running store is not wiped");
+        assert!(!self.stores[index].is_up(), "a running store must not be wiped");
         let store = &mut self.stores[index];
         store.disk = Disk::default();
-        store.id = StoreId(store.id.0 + NEXT_DISK);
+        store.id = StoreId(store.id.0 + NEXT_DISK_ID_OFFSET);
         store.caught_up.clear();
     }
 
-    /// Hands an event to a store's state machine and carries out what it says.
+    /// Passes an input to a store's state machine and carries out its outputs.
     pub fn input(&mut self, index: usize, input: Input) {
         let now_ms = self.now_ms;
         let mut out = Vec::new();
-        let ahead_ms = self.stores[index].clock_ahead_ms;
+        let offset_ms = self.stores[index].clock_offset_ms;
         let Some(node) = self.stores[index].node.as_mut() else { return };
-        node.handle(Instant::from_millis(now_ms + ahead_ms), input, &mut out);
+        node.handle(Instant::from_millis(now_ms + offset_ms), input, &mut out);
         for output in out {
-            self.carry_out(index, output);
+            self.execute_output(index, output);
         }
         self.start_sync(index);
         self.arm_tick(index);
     }
 
-    fn carry_out(&mut self, index: usize, output: Output) {
+    fn execute_output(&mut self, index: usize, output: Output) {
         match output {
             Output::Append { ticket, record } => self.stores[index].disk.append(self.now_ms, ticket, record),
             Output::ToDispatcher { connection, message } => {
@@ -198,7 +200,7 @@
     fn arm_tick(&mut self, index: usize) {
         let store = &mut self.stores[index];
         let Some(deadline) = store.node.as_ref().and_then(StoreNode::next_deadline) else { return };
-        let deadline_ms = deadline.as_millis().saturating_sub(store.clock_ahead_ms);
+        let deadline_ms = deadline.as_millis().saturating_sub(store.clock_offset_ms);
         if store.ticking_at.is_some_and(|at_ms| at_ms <= deadline_ms) {
             return;
         }
--- a/system/state/queue/tests/delivery.rs
+++ b/system/state/queue/tests/delivery.rs
@@ -1,4 +1,5 @@
-//! From an accepted message to its end, at one store: leases, delays, order keys, credits, retries, retention.
+//! The way of a message from its acceptance to its end at a single store: leases, delays, order keys, credits,
+//! retries, retention.
 
 mod harness;
 
@@ -10,7 +11,7 @@
 use millrudder_protocol::RequestNumber;
 use millrudder_queue::{Config, ConnectionId, Input};
 
-/// One store that a dispatcher of its zone is connected to.
+/// With one connected dispatcher, a message is leased to the dispatcher that sends it for acceptance.
 #[test]
 fn an_accepted_message_is_leased_to_the_dispatcher_that_asks() {
     let mut harness = one_store();
@@ -31,7 +32,7 @@
     let granted = harness.take_grants();
     assert_eq!((granted[0].connection, granted[0].id), (ConnectionId(2), id));
     assert_eq!(granted[0].message, None);
-    harness.say(0, 2, FromDispatcher::NeedBody { id, token: granted[0].token });
+    harness.send_from_dispatcher(0, 2, FromDispatcher::NeedBody { id, token: granted[0].token });
     assert_eq!(harness.take_grants()[0].message, Some(message()));
 }
 
@@ -46,7 +47,7 @@
     assert_eq!(harness.acceptances(), 1);
 }
 
-/// Names are drawn: two messages may get the same one.
+/// Identifiers are random, so two clients' messages may get the same one.
 #[test]
 fn a_different_message_under_a_used_id_is_rejected() {
     let mut harness = one_store();
@@ -58,7 +59,10 @@
     let refused = |(_, sent_to_dispatchers): &(ConnectionId, ToDispatcher)| {
         matches!(sent_to_dispatchers, ToDispatcher::Rejected { .. })
     };
-    assert!(harness.sent_to_dispatchers.iter().any(refused), "so the dispatcher tries another name");
+    assert!(
+        harness.sent_to_dispatchers.iter().any(refused),
+        "the dispatcher must be told to try another identifier"
+    );
     assert_eq!(harness.state(0, id).unwrap().message.unwrap().request_id, message().request_id);
 }
 
@@ -89,7 +93,7 @@
     let token = accepted_token(&harness);
     let second = harness.accept(0, 1, with_key("k"), true);
     let other = harness.accept(0, 1, with_key("other"), true);
-    assert!(harness.last_accepted().unwrap().is_some(), "{other} is of another key");
+    assert!(harness.last_accepted().unwrap().is_some(), "{other} has another key and is granted at once");
     assert!(harness.grants.is_empty());
     harness.processes[0].stalled = true;
     harness.attempted(0, 1, first, token, AttemptOutcome::Refused);
@@ -152,8 +156,8 @@
     harness.attempted(0, 1, id, token, AttemptOutcome::Failed);
     harness.advance(599);
     let granted = harness.take_grants();
-    assert_eq!(granted.len(), 1, "the next attempt starts within the aim of 800 ms");
-    assert!(granted[0].at_ms > 1_200, "and not at once");
+    assert_eq!(granted.len(), 1, "the next attempt starts within the target of 800 ms");
+    assert!(granted[0].at_ms > 1_200, "the next attempt does not start at once");
 }
 
 #[test]
@@ -166,7 +170,11 @@
     harness.advance(50);
     let granted = harness.take_grants();
     assert_eq!(granted[0].connection, ConnectionId(2));
-    assert_eq!(granted[0].message, Some(message()), "it did not accept it and lacks the body");
+    assert_eq!(
+        granted[0].message,
+        Some(message()),
+        "a dispatcher that did not accept the message gets its body"
+    );
 }
 
 #[test]
@@ -264,10 +272,14 @@
     let announced =
         vec![millrudder_protocol::store::ActiveLease { id: announced_id, token: announced_token }];
     harness.hello(0, 2, 1, "zone-0", announced);
-    assert_eq!(harness.take_grants()[0].id, lost, "what it does not list it never got");
+    assert_eq!(
+        harness.take_grants()[0].id,
+        lost,
+        "a lease that the dispatcher does not announce was never received"
+    );
     for _ in 0..5 {
         harness.advance(1_000);
-        harness.say(0, 2, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 2, FromDispatcher::Ping);
     }
     harness.attempted(0, 2, announced_id, announced_token, AttemptOutcome::Refused);
     assert_eq!(harness.state(0, announced_id).unwrap().end, Some(End::DeadLetter));
@@ -281,7 +293,7 @@
     harness.input(0, Input::DispatcherClosed { connection: ConnectionId(1) });
     harness.advance(1_499);
     assert!(harness.grants.is_empty());
-    harness.say(0, 2, FromDispatcher::Ping);
+    harness.send_from_dispatcher(0, 2, FromDispatcher::Ping);
     harness.advance(1);
     let granted = harness.take_grants();
     assert_eq!((granted[0].id, granted[0].connection), (id, ConnectionId(2)));
@@ -294,7 +306,7 @@
     harness.hello(0, 2, 2, "zone-0", Vec::new());
     for _ in 0..50 {
         harness.advance(100);
-        harness.say(0, 2, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 2, FromDispatcher::Ping);
     }
     assert_eq!(harness.closed, [ConnectionId(1)]);
     assert_eq!(harness.take_grants()[0].id, id);
@@ -305,7 +317,7 @@
     let mut harness = one_store();
     let id = harness.accept(0, 1, message(), true);
     let token = accepted_token(&harness);
-    harness.say(0, 1, FromDispatcher::ShuttingDown);
+    harness.send_from_dispatcher(0, 1, FromDispatcher::ShuttingDown);
     harness.accept(0, 1, message(), true);
     assert_eq!(harness.last_accepted(), Some(None));
     harness.advance(2_000);
@@ -318,9 +330,9 @@
 fn withdrawn_messages_never_run() {
     let mut harness = one_store();
     let delayed = harness.accept(0, 1, Message { delay_ms: 100, ..message() }, true);
-    harness.say(0, 1, FromDispatcher::Withdraw { id: delayed });
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id: delayed });
     let unseen = harness.next_message_id();
-    harness.say(0, 1, FromDispatcher::Withdraw { id: unseen });
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id: unseen });
     for id in [delayed, unseen] {
         assert!(harness
             .sent_to_dispatchers
@@ -328,7 +340,7 @@
             .any(|(_, message)| *message == ToDispatcher::Withdrawn { id }));
     }
     harness.accept_as(0, 1, unseen, message(), true);
-    assert_eq!(harness.acceptances(), 1, "only the first was accepted");
+    assert_eq!(harness.acceptances(), 1, "only the first message was accepted");
     harness.advance(1_000);
     assert!(harness.grants.is_empty());
 }
@@ -340,8 +352,8 @@
     harness.credits(0, 1, "service", 0);
     let id = harness.accept(0, 1, message(), false);
     assert_eq!(harness.take_grants()[0].connection, ConnectionId(2));
-    harness.say(0, 1, FromDispatcher::Withdraw { id });
-    harness.say(0, 1, FromDispatcher::Withdraw { id });
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id });
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id });
     assert!(!harness
         .sent_to_dispatchers
         .iter()
@@ -355,7 +367,7 @@
     harness.credits(0, 1, "service", 0);
     let id = harness.accept(0, 1, message(), false);
     let granted = harness.take_grants().remove(0);
-    harness.say(0, 1, FromDispatcher::Withdraw { id });
+    harness.send_from_dispatcher(0, 1, FromDispatcher::Withdraw { id });
     let revoke = ToDispatcher::Revoke { id, token: granted.token };
     assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| *message == revoke));
     harness.attempted(0, 2, id, granted.token, AttemptOutcome::Unknown { retry_after_ms: 0 });
@@ -384,7 +396,7 @@
     assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| is_full(message)));
     harness.attempted(0, 1, first, token, AttemptOutcome::Refused);
     harness.accept(0, 1, message(), true);
-    assert_eq!(harness.acceptances(), 3, "an end makes room");
+    assert_eq!(harness.acceptances(), 3, "the end of a message makes room for another");
 }
 
 #[test]
@@ -399,7 +411,11 @@
 }
 
 fn ask(harness: &mut StoreHarness, id: millrudder_protocol::MessageId, body: bool) -> QueryAnswer {
-    harness.say(0, 1, FromDispatcher::Query { request: RequestNumber(9), id, with_body: body });
+    harness.send_from_dispatcher(
+        0,
+        1,
+        FromDispatcher::Query { request: RequestNumber(9), id, with_body: body },
+    );
     let answer = |message: &ToDispatcher| match message {
         ToDispatcher::State { answer, .. } => Some(answer.clone()),
         _ => None,
@@ -419,7 +435,7 @@
     assert_eq!(ask(&mut harness, id, true), QueryAnswer::Body { body: b"body".to_vec() });
     for _ in 0..120 {
         harness.advance(1_000);
-        harness.say(0, 1, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
     }
     assert_eq!(ask(&mut harness, id, false), QueryAnswer::Ended { end: End::DeadLetter });
     assert!(harness.released.is_empty());
@@ -441,7 +457,8 @@
     assert_eq!((health.primary_shards, health.oldest_unsynced_ms), (0, u32::MAX));
 }
 
-/// The dispatcher that holds the message is gone; another one is granted it. Gives that grant.
+/// Disconnects the dispatcher that holds the lease, so that the message is granted to another one. Returns that
+/// grant.
 fn granted_elsewhere(harness: &mut StoreHarness, from: u64, to: u64) -> Granted {
     harness.input(0, Input::DispatcherClosed { connection: ConnectionId(from) });
     harness.hello(0, to, to, "zone-0", Vec::new());
@@ -456,21 +473,21 @@
     let mut token = accepted_token(&harness);
     for dispatcher in 1..4 {
         let next = granted_elsewhere(&mut harness, dispatcher, dispatcher + 1);
-        // What the former one read reaches the store after all, twice, on a new connection.
+        // The report of the former holder arrives after all, twice, on a new connection.
         let again = 100 + dispatcher;
         harness.hello(0, again, dispatcher, "zone-0", Vec::new());
         harness.attempted(0, again, id, token, AttemptOutcome::Failed);
         harness.attempted(0, again, id, token, AttemptOutcome::Failed);
         assert!(harness.is_recorded(id, token));
         assert_eq!(u64::from(harness.state(0, id).unwrap().failed_attempts), dispatcher);
-        harness.say(0, again, FromDispatcher::ShuttingDown);
+        harness.send_from_dispatcher(0, again, FromDispatcher::ShuttingDown);
         token = next.token;
     }
     assert_eq!(harness.state(0, id).unwrap().end, Some(End::DeadLetter));
     let revoked = ToDispatcher::Revoke { id, token };
     assert!(
         harness.sent_to_dispatchers.iter().any(|(_, message)| *message == revoked),
-        "the last one is not to start it"
+        "the lease of the last dispatcher is revoked"
     );
 }
 
@@ -513,7 +530,7 @@
         harness.attempted(0, 1, granted.id, granted.token, unknown);
         let ended_ms = harness.now_ms;
         while harness.grants.is_empty() {
-            harness.say(0, 1, FromDispatcher::Ping);
+            harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
             harness.advance(10);
         }
         granted = harness.take_grants().remove(0);
@@ -521,7 +538,10 @@
         runs += 1;
     }
     let longest_ms = Config::default().max_backoff.as_millis() as u64;
-    assert!(waits[..2].iter().all(|wait| *wait <= 20), "a lost answer or two cost nothing: {waits:?}");
+    assert!(
+        waits[..2].iter().all(|wait| *wait <= 20),
+        "the first two unknown outcomes cause no back-off: {waits:?}"
+    );
     assert!(waits.windows(2).all(|pair| pair[0] <= pair[1]), "{waits:?}");
     assert!(waits[7] >= longest_ms && waits[7] <= longest_ms + 20, "{waits:?}");
 }
--- a/system/state/queue/tests/harness/mod.rs
+++ b/system/state/queue/tests/harness/mod.rs
@@ -1,5 +1,6 @@
-//! Stores wired to each other directly, on a clock that the test moves: everything arrives and syncs at once unless
-//! the test holds it up.
+//! A test harness of stores that are connected directly to each other, on a clock controlled by the test.
+//! Messages are delivered and appends are synced immediately, unless the test pauses a store's inbound messages
+//! or stalls its disk.
 
 #![allow(dead_code)]
 
@@ -25,10 +26,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The only shard.
+/// The only shard of the harness.
 pub const SHARD: ShardId = ShardId(0);
 
-/// A grant that a dispatcher got.
+/// A grant that was delivered to a dispatcher.
 #[derive(Clone, Debug)]
 pub struct Granted {
     pub connection: ConnectionId,
@@ -51,16 +52,16 @@
     pub node: Option<StoreNode>,
     pub records: Vec<(u64, DiskRecord)>,
     last: Ticket,
-    /// So many of the records are synced.
+    /// Number of records that are synced.
     synced: usize,
-    /// Its disk syncs nothing.
+    /// The disk is stalled: nothing is synced.
     pub stalled: bool,
-    /// Messages of other stores wait in `inbound`.
+    /// Messages from other stores are not delivered but wait in `inbound`.
     pub is_inbound_paused: bool,
     inbound: VecDeque<(StoreId, BetweenStores)>,
 }
 
-/// All stores, with everything that dispatchers were sent.
+/// All stores, and everything that was sent to dispatchers.
 #[derive(Clone)]
 pub struct StoreHarness {
     pub now_ms: u64,
@@ -68,28 +69,28 @@
     topology: Topology,
     pub processes: Vec<StoreProcess>,
     pub placement: Placement,
-    /// Messages to dispatchers since they were last taken.
+    /// Messages sent to dispatchers, in order.
     pub sent_to_dispatchers: Vec<(ConnectionId, ToDispatcher)>,
     pub grants: Vec<Granted>,
     pub closed: Vec<ConnectionId>,
     pub released: BTreeSet<MessageId>,
     pub caught_up: Vec<(usize, CaughtUpShard)>,
     pub orphans: Vec<Orphan>,
-    /// Messages between stores so far.
-    pub writes: u64,
+    /// Number of `Write` messages sent between stores so far.
+    pub sent_writes: u64,
     links_down: BTreeSet<(usize, usize)>,
     queue: VecDeque<(usize, StoreId, BetweenStores)>,
     requests: u64,
-    names: u64,
+    allocated_ids: u64,
 }
 
 impl StoreProcess {
-    /// Its inbound messages and disk, as a text for comparisons of states.
-    pub fn inbound_digest(&self) -> String {
+    /// The waiting messages and the state of the disk as text, for the comparison of states.
+    pub fn inbound_description(&self) -> String {
         format!("{:?} {} {} {}", self.inbound, self.stalled, self.is_inbound_paused, self.synced)
     }
 
-    /// Its inbound messages never arrive.
+    /// Drops the waiting messages.
     pub fn drop_inbound(&mut self) {
         self.inbound.clear();
     }
@@ -104,7 +105,7 @@
 }
 
 impl StoreHarness {
-    /// `stores` replicas of one shard, the first of which is primary.
+    /// Creates `stores` replicas of one shard; the first is the primary.
     pub fn new(stores: usize, tolerated_losses: u32) -> Self {
         StoreHarness::with(stores, tolerated_losses, Config::default())
     }
@@ -113,7 +114,7 @@
         StoreHarness::with_topology(stores, tolerated_losses, config, Topology::default())
     }
 
-    /// A store in each zone; the zones' regions in their order.
+    /// Creates one store per zone; `regions` are the regions of the zones in order.
     pub fn in_regions(tolerated_losses: u32, regions: &[&str]) -> Self {
         let zones: Vec<String> = (0..regions.len()).map(zone).collect();
         let pairs = zones.iter().map(String::as_str).zip(regions.iter().copied());
@@ -148,11 +149,11 @@
             released: BTreeSet::new(),
             caught_up: Vec::new(),
             orphans: Vec::new(),
-            writes: 0,
+            sent_writes: 0,
             links_down: BTreeSet::new(),
             queue: VecDeque::new(),
             requests: 0,
-            names: 0,
+            allocated_ids: 0,
         };
         for _ in 0..stores {
             harness.add_process();
@@ -176,12 +177,12 @@
         self.processes.len() - 1
     }
 
-    /// What the stores' clocks read.
+    /// The reading of the stores' clocks.
     pub fn now(&self) -> Instant {
         Instant::from_millis(self.now_ms)
     }
 
-    /// Starts a process with what its disk has.
+    /// Starts a process, which recovers from its disk.
     pub fn start(&mut self, index: usize) {
         let (now, now_ms) = (self.now(), self.now_ms);
         let recovered: Vec<Recovered> = self.processes[index]
@@ -193,8 +194,8 @@
             })
             .collect();
         let location = Location::new(&zone(index), self.topology.clone());
-        let (config, me) = (self.config.clone(), store_id(index));
-        let node = StoreNode::new(config, me, location, now, recovered.into_iter());
+        let (config, local_id) = (self.config.clone(), store_id(index));
+        let node = StoreNode::new(config, local_id, location, now, recovered.into_iter());
         self.processes[index].node = Some(node);
         self.input(index, Input::Placement(self.placement.clone()));
         for other in 0..self.processes.len() {
@@ -215,7 +216,7 @@
         self.links_down.contains(&(one.min(other), one.max(other)))
     }
 
-    /// The connection of two stores breaks, or comes back.
+    /// Breaks or restores the connection between two stores.
     pub fn set_link(&mut self, one: usize, other: usize, up: bool) {
         let link = (one.min(other), one.max(other));
         if up {
@@ -228,7 +229,7 @@
         self.input(other, Input::StoreClosed { store: store_id(one) });
     }
 
-    /// The process ends; its disk stays, or only what was synced of it.
+    /// Kills a process. Its disk keeps all records, synced or not.
     pub fn kill(&mut self, index: usize) {
         self.processes[index].node = None;
         self.processes[index].inbound.clear();
@@ -237,7 +238,7 @@
         }
     }
 
-    /// The machine loses its power: what was not synced is gone.
+    /// Simulates a power failure: records that were not synced are lost.
     pub fn lose_power(&mut self, index: usize) {
         self.kill(index);
         let process = &mut self.processes[index];
@@ -245,16 +246,16 @@
         process.records.truncate(process.synced);
     }
 
-    /// Gives the shard to another store in a new epoch, and tells everybody that runs.
+    /// Makes another store the primary in a new epoch, and sends the placement to all stores.
     pub fn move_primary(&mut self, index: usize) {
         self.placement.epoch = Epoch(self.placement.epoch.0 + 1);
         self.placement.shards[0].primary = store_id(index);
         self.placement.shards[0].term = self.placement.epoch;
-        self.spread();
+        self.publish_placement();
     }
 
-    /// Tells everybody the placement.
-    pub fn spread(&mut self) {
+    /// Sends the placement to all stores whose inbound messages are not paused.
+    pub fn publish_placement(&mut self) {
         for index in 0..self.processes.len() {
             if !self.processes[index].is_inbound_paused {
                 self.input(index, Input::Placement(self.placement.clone()));
@@ -273,12 +274,12 @@
         let Some(node) = self.processes[index].node.as_mut() else { return };
         node.handle(now, input, &mut out);
         for output in out {
-            self.carry_out(index, output);
+            self.execute_output(index, output);
         }
         self.sync(index);
     }
 
-    /// Syncs all that was appended, unless the disk is stalled.
+    /// Syncs all appended records, unless the disk is stalled.
     pub fn sync(&mut self, index: usize) {
         let process = &self.processes[index];
         let (ticket, stalled) = (process.last, process.stalled);
@@ -290,15 +291,15 @@
         self.handle(index, Input::Synced { ticket });
     }
 
-    fn carry_out(&mut self, index: usize, output: Output) {
+    fn execute_output(&mut self, index: usize, output: Output) {
         match output {
             Output::Append { ticket, record } => {
                 self.processes[index].last = ticket;
                 self.processes[index].records.push((self.now_ms, record));
             }
-            Output::ToDispatcher { connection, message } => self.tell(connection, message),
+            Output::ToDispatcher { connection, message } => self.record_sent(connection, message),
             Output::ToStore { store, message } => {
-                self.writes += u64::from(matches!(message, BetweenStores::Write { .. }));
+                self.sent_writes += u64::from(matches!(message, BetweenStores::Write { .. }));
                 let to = (0..self.processes.len()).find(|other| store_id(*other) == store);
                 if let Some(to) = to.filter(|to| !self.is_down(index, *to)) {
                     self.queue.push_back((to, store_id(index), message));
@@ -313,7 +314,7 @@
         }
     }
 
-    fn tell(&mut self, connection: ConnectionId, message: ToDispatcher) {
+    fn record_sent(&mut self, connection: ConnectionId, message: ToDispatcher) {
         if let ToDispatcher::Deliver { id, token, message, .. } = &message {
             let message = message.as_deref().cloned();
             self.grants.push(Granted { connection, id: *id, token: *token, message, at_ms: self.now_ms });
@@ -331,15 +332,15 @@
         }
     }
 
-    /// What waited for a store arrives.
-    pub fn release(&mut self, index: usize) {
+    /// Resumes the inbound messages of a store and delivers the waiting ones.
+    pub fn resume_inbound(&mut self, index: usize) {
         self.processes[index].is_inbound_paused = false;
         while let Some((from, message)) = self.processes[index].inbound.pop_front() {
             self.input(index, Input::Store { from, message });
         }
     }
 
-    /// Moves the clock, with every deadline on the way.
+    /// Advances the clock, and calls each store at its deadlines on the way.
     pub fn advance(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         loop {
@@ -359,26 +360,27 @@
         self.now_ms = until_ms;
     }
 
-    /// A dispatcher connects to a store.
+    /// Connects a dispatcher to a store, where it announces its leases.
     pub fn hello(
         &mut self,
         store: usize,
         connection: u64,
         dispatcher: u64,
         zone: &str,
-        held: Vec<ActiveLease>,
+        leases: Vec<ActiveLease>,
     ) {
-        self.announce_in_doubt(store, connection, dispatcher, zone, held, Vec::new());
+        self.hello_in_doubt(store, connection, dispatcher, zone, leases, Vec::new());
     }
 
-    /// The same, with messages of which the dispatcher does not know whether they were accepted.
-    pub fn announce_in_doubt(
+    /// Like [`StoreHarness::hello`], with messages of which the dispatcher does not know whether they were
+    /// accepted.
+    pub fn hello_in_doubt(
         &mut self,
         store: usize,
         connection: u64,
         dispatcher: u64,
         zone: &str,
-        held: Vec<ActiveLease>,
+        leases: Vec<ActiveLease>,
         in_doubt: Vec<MessageId>,
     ) {
         let hello = FromDispatcher::Hello {
@@ -386,22 +388,22 @@
             name: format!("dispatcher-{dispatcher}"),
             zone: zone.to_owned(),
             epoch: self.placement.epoch,
-            active_leases: held,
+            active_leases: leases,
             in_doubt,
         };
-        self.say(store, connection, hello);
+        self.send_from_dispatcher(store, connection, hello);
     }
 
-    pub fn say(&mut self, store: usize, connection: u64, message: FromDispatcher) {
+    pub fn send_from_dispatcher(&mut self, store: usize, connection: u64, message: FromDispatcher) {
         self.input(store, Input::Dispatcher { connection: ConnectionId(connection), message });
     }
 
     pub fn next_message_id(&mut self) -> MessageId {
-        self.names += 1;
-        MessageId { shard: SHARD, unique: self.names }
+        self.allocated_ids += 1;
+        MessageId { shard: SHARD, unique: self.allocated_ids }
     }
 
-    /// Has a message accepted; gives its name and the request's number.
+    /// Sends a message for acceptance and returns its identifier.
     pub fn accept(&mut self, store: usize, connection: u64, message: Message, lease: bool) -> MessageId {
         let id = self.next_message_id();
         self.accept_as(store, connection, id, message, lease);
@@ -412,10 +414,14 @@
         self.requests += 1;
         let request = RequestNumber(self.requests);
         let message = Box::new(message);
-        self.say(store, connection, FromDispatcher::Accept { request, id, message, wants_lease: lease });
+        self.send_from_dispatcher(
+            store,
+            connection,
+            FromDispatcher::Accept { request, id, message, wants_lease: lease },
+        );
     }
 
-    /// The token of the latest acceptance.
+    /// The token in the latest acknowledgement of an acceptance; `Some(None)` if that came without a lease.
     pub fn last_accepted(&self) -> Option<Option<LeaseToken>> {
         let token = |message: &ToDispatcher| match message {
             ToDispatcher::Accepted { token, .. } => Some(*token),
@@ -443,7 +449,7 @@
         token: LeaseToken,
         outcome: AttemptOutcome,
     ) {
-        self.say(store, connection, FromDispatcher::Attempted { id, token, outcome });
+        self.send_from_dispatcher(store, connection, FromDispatcher::Attempted { id, token, outcome });
     }
 
     pub fn succeed(&mut self, store: usize, connection: u64, granted: &Granted) {
@@ -457,7 +463,7 @@
 
     pub fn credits(&mut self, store: usize, connection: u64, service: &str, limit: u32) {
         let credits = vec![ServiceCredit { service: service.to_owned(), limit }];
-        self.say(store, connection, FromDispatcher::Credits { credits });
+        self.send_from_dispatcher(store, connection, FromDispatcher::Credits { credits });
     }
 
     pub fn rate(&mut self, store: usize, service: &str, per_second: f64) {
@@ -469,24 +475,24 @@
     }
 }
 
-/// One store, to which one dispatcher is connected.
+/// A single store with one connected dispatcher.
 pub fn one_store() -> StoreHarness {
     let mut harness = StoreHarness::new(1, 0);
     harness.hello(0, 1, 1, "zone-0", Vec::new());
     harness
 }
 
-/// The token of the latest acceptance, which must be one with a lease.
+/// The token in the latest acknowledgement of an acceptance, which must have come with a lease.
 pub fn accepted_token(harness: &StoreHarness) -> LeaseToken {
     harness.last_accepted().expect("accepted").expect("with a lease")
 }
 
-/// A message to be run at once.
+/// A message that is due at once.
 pub fn message() -> Message {
     message_of("service")
 }
 
-/// A message to be run at once, in the order of its key.
+/// A message that is due at once and has an order key.
 pub fn with_key(key: &str) -> Message {
     Message { order_key: Some(key.to_owned()), ..message() }
 }
--- a/system/state/queue/tests/model.rs
+++ b/system/state/queue/tests/model.rs
@@ -1,5 +1,6 @@
-//! All orders, up to a depth, in which few events can come to three stores of one shard, of which one disk may be lost,
-//! played with the true state machines: what was acknowledged is known to every primary that serves later.
+//! Bounded model checking of the real state machines: explores all sequences of a few kinds of events, up to a
+//! given length, at three stores with one shard. One disk may be lost. Whatever was acknowledged must be known
+//! to every primary that serves later.
 
 mod harness;
 
@@ -13,50 +14,51 @@
 use std::hash::{Hash, Hasher};
 
 const STORES: usize = 3;
-/// The first placement's primary.
+/// Index of the primary in the first placement.
 const FIRST: usize = 0;
 const ID: MessageId = MessageId { shard: SHARD, unique: 1 };
-/// Longest order of events that is played; more with `MODEL_DEPTH`.
+/// Length of the event sequences that are explored; `MODEL_DEPTH` sets another one.
 const DEPTH: usize = 5;
-/// Changes of primary and losses of power in one order.
-const MOST_MOVES: u32 = 3;
-const MOST_POWER_LOSSES: u32 = 2;
-/// Longer than any replica is waited for.
+/// Maximum number of primary changes in one sequence.
+const MAX_MOVES: u32 = 3;
+/// Maximum number of power losses in one sequence.
+const MAX_POWER_LOSSES: u32 = 2;
+/// Longer than the longest time to wait for a replica's acknowledgement, in milliseconds.
 const STALL_MS: u64 = 100;
 
-/// Something that happens.
+/// An event in a sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
-    /// A client's message, or the same again, goes to the primary of the placement.
-    Ask,
-    /// The same from a dispatcher that knows the first placement only.
-    AskFirst,
-    /// A run of it succeeded, which is reported to that primary.
+    /// The message is sent for acceptance, or sent again, to the current primary.
+    Accept,
+    /// The message is sent to the first primary, by a dispatcher that knows only the first placement.
+    AcceptAtFirst,
+    /// The success of a run is reported to the current primary.
     Succeed,
     MovePrimary(usize),
-    /// The disk syncs nothing, or all again.
-    Stall(usize),
-    Resume(usize),
-    /// Nothing arrives there, or all that waited.
-    Hold(usize),
-    Release(usize),
-    /// Power is lost and comes back.
+    /// The disk of a store stalls, or resumes and syncs everything.
+    StallDisk(usize),
+    ResumeDisk(usize),
+    /// The inbound messages of a store are paused, or resumed with the waiting ones.
+    PauseInbound(usize),
+    ResumeInbound(usize),
+    /// A store loses power and is restarted.
     Restart(usize),
-    /// The disk is lost with all that is on it; only one ever is.
+    /// A store loses its disk and stays down; this happens at most once.
     LoseDisk(usize),
-    /// Late replicas are given up.
+    /// Time passes until late replicas are no longer waited for.
     Wait,
 }
 
 #[derive(Clone)]
-struct World {
+struct Model {
     harness: StoreHarness,
     moves: u32,
     power_losses: u32,
     lost: bool,
     waited: bool,
-    asked: bool,
-    /// What clients and dispatchers were sent.
+    was_sent: bool,
+    /// Acknowledgements that dispatchers have received.
     accepted: bool,
     recorded: bool,
 }
@@ -65,24 +67,24 @@
     store as u64 + 1
 }
 
-/// It is not due for long, so that no grant adds to what is known.
-fn later() -> Message {
+/// A message with a long delay, so that no grant adds to its state.
+fn delayed_message() -> Message {
     Message { delay_ms: 50_000, ..message() }
 }
 
-impl World {
+impl Model {
     fn new() -> Self {
         let mut harness = StoreHarness::new(STORES, 1);
         for store in 0..STORES {
             harness.hello(store, connection(store), 7, "zone-0", Vec::new());
         }
-        World {
+        Model {
             harness,
             moves: 0,
             power_losses: 0,
             lost: false,
             waited: false,
-            asked: false,
+            was_sent: false,
             accepted: false,
             recorded: false,
         }
@@ -97,55 +99,59 @@
         self.harness.processes[store].node.is_some()
     }
 
-    /// It serves in the reign in force; one that has not heard of that may serve in a former one, which the others
-    /// fence off.
+    /// Whether the store serves in the current term. A store that has not heard of this term may still serve in
+    /// a former one, in which the other stores reject its writes.
     fn is_serving(&self, store: usize) -> bool {
         let Some(node) = &self.harness.processes[store].node else { return false };
         let in_force = DiskRecord::Promised { shard: SHARD, term: self.harness.placement.shards[0].term };
         node.health(self.harness.now()).primary_shards == 1 && node.promised_terms().contains(&in_force)
     }
 
-    /// Events that say something new here.
+    /// The events that can lead to a new state from here.
     fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         if !self.accepted {
-            events.push(Event::Ask);
-            events.extend((self.primary() != FIRST).then_some(Event::AskFirst));
+            events.push(Event::Accept);
+            events.extend((self.primary() != FIRST).then_some(Event::AcceptAtFirst));
         }
         if self.accepted && !self.recorded {
             events.push(Event::Succeed);
         }
-        if self.asked && !self.waited {
+        if self.was_sent && !self.waited {
             events.push(Event::Wait);
         }
         for store in (0..STORES).filter(|store| self.is_up(*store)) {
             let process = &self.harness.processes[store];
-            events.push(if process.stalled { Event::Resume(store) } else { Event::Stall(store) });
-            events.push(if process.is_inbound_paused { Event::Release(store) } else { Event::Hold(store) });
-            if self.moves < MOST_MOVES && store != self.primary() {
+            events.push(if process.stalled { Event::ResumeDisk(store) } else { Event::StallDisk(store) });
+            events.push(if process.is_inbound_paused {
+                Event::ResumeInbound(store)
+            } else {
+                Event::PauseInbound(store)
+            });
+            if self.moves < MAX_MOVES && store != self.primary() {
                 events.push(Event::MovePrimary(store));
             }
-            if self.power_losses < MOST_POWER_LOSSES && self.asked {
+            if self.power_losses < MAX_POWER_LOSSES && self.was_sent {
                 events.push(Event::Restart(store));
             }
-            if !self.lost && self.asked {
+            if !self.lost && self.was_sent {
                 events.push(Event::LoseDisk(store));
             }
         }
         events
     }
 
-    fn play(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         let primary = self.primary();
         let harness = &mut self.harness;
         match event {
-            Event::Ask => {
-                self.asked = true;
-                harness.accept_as(primary, connection(primary), ID, later(), false);
+            Event::Accept => {
+                self.was_sent = true;
+                harness.accept_as(primary, connection(primary), ID, delayed_message(), false);
             }
-            Event::AskFirst => {
-                self.asked = true;
-                harness.accept_as(FIRST, connection(FIRST), ID, later(), false);
+            Event::AcceptAtFirst => {
+                self.was_sent = true;
+                harness.accept_as(FIRST, connection(FIRST), ID, delayed_message(), false);
             }
             Event::Succeed => {
                 let since = harness.placement.shards[0].term;
@@ -156,15 +162,15 @@
                 self.moves += 1;
                 harness.move_primary(store);
             }
-            Event::Stall(store) => harness.processes[store].stalled = true,
-            Event::Resume(store) => {
+            Event::StallDisk(store) => harness.processes[store].stalled = true,
+            Event::ResumeDisk(store) => {
                 harness.processes[store].stalled = false;
                 harness.sync(store);
                 harness.input(store, Input::Tick);
             }
-            Event::Hold(store) => harness.processes[store].is_inbound_paused = true,
-            Event::Release(store) => {
-                harness.release(store);
+            Event::PauseInbound(store) => harness.processes[store].is_inbound_paused = true,
+            Event::ResumeInbound(store) => {
+                harness.resume_inbound(store);
                 harness.input(store, Input::Placement(harness.placement.clone()));
             }
             Event::Restart(store) => {
@@ -184,11 +190,11 @@
                 harness.advance(STALL_MS);
             }
         }
-        self.listen();
+        self.record_acknowledgements();
     }
 
-    /// Notes what dispatchers were sent since the last event.
-    fn listen(&mut self) {
+    /// Records the acknowledgements sent to dispatchers since the last event.
+    fn record_acknowledgements(&mut self) {
         for (_, message) in std::mem::take(&mut self.harness.sent_to_dispatchers) {
             self.accepted |= matches!(message, ToDispatcher::Accepted { .. });
             self.recorded |= matches!(message, ToDispatcher::Recorded { .. });
@@ -201,18 +207,24 @@
             return;
         }
         let state = self.harness.state(primary, ID);
-        assert!(!self.accepted || state.is_some(), "accepted, and not known after {order:?}");
+        assert!(
+            !self.accepted || state.is_some(),
+            "the message was accepted but is unknown to the primary after {order:?}"
+        );
         let has_ended = state.is_some_and(|state| state.end.is_some());
-        assert!(!self.recorded || has_ended, "recorded, and not known after {order:?}");
+        assert!(
+            !self.recorded || has_ended,
+            "the outcome was recorded but is unknown to the primary after {order:?}"
+        );
     }
 
-    /// A digest of all that decides what can follow.
+    /// A digest of everything that determines the further behaviour.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for process in &self.harness.processes {
             format!("{:?}", process.node).hash(&mut hasher);
             format!("{:?}", process.records).hash(&mut hasher);
-            process.inbound_digest().hash(&mut hasher);
+            process.inbound_description().hash(&mut hasher);
         }
         let seen = (self.moves, self.power_losses, self.lost, self.waited, self.accepted, self.recorded);
         seen.hash(&mut hasher);
@@ -221,27 +233,27 @@
     }
 }
 
-/// One state that was reached, and how.
+/// A state that was reached, with the sequence of events that led to it.
 struct Reached {
-    world: World,
+    model: Model,
     order: Vec<Event>,
 }
 
-/// Plays every order up to the depth, each state once; gives how many states there were.
-fn explore(first: World, depth: usize) -> usize {
+/// Explores every sequence up to the depth, visiting each state once. Returns the number of states.
+fn explore(first: Model, depth: usize) -> usize {
     let mut seen: HashSet<u64> = HashSet::from([first.digest()]);
-    let mut level = vec![Reached { world: first, order: Vec::new() }];
+    let mut level = vec![Reached { model: first, order: Vec::new() }];
     for _ in 0..depth {
         let mut next = Vec::new();
-        for Reached { world, order } in level {
-            for event in world.events() {
-                let mut world = world.clone();
+        for Reached { model, order } in level {
+            for event in model.events() {
+                let mut model = model.clone();
                 let mut order = order.clone();
                 order.push(event);
-                world.play(event);
-                world.check(&order);
-                if seen.insert(world.digest()) {
-                    next.push(Reached { world, order });
+                model.apply(event);
+                model.check(&order);
+                if seen.insert(model.digest()) {
+                    next.push(Reached { model, order });
                 }
             }
         }
@@ -256,25 +268,26 @@
 
 #[test]
 fn every_later_primary_knows_what_was_acknowledged() {
-    let states = explore(World::new(), depth());
+    let states = explore(Model::new(), depth());
     println!("{states} states");
     assert!(states > 10_000, "{states} states are too few to show anything");
 }
 
-/// The message lies on the disk of store 1 alone, unacknowledged, and store 0 is cut off.
-fn on_one_disk() -> World {
-    let mut world = World::new();
-    for event in [Event::Stall(0), Event::Hold(2), Event::Ask, Event::Hold(0)] {
-        world.play(event);
+/// A state in which the message is on the disk of store 1 alone, unacknowledged, and store 0 receives nothing
+/// from other stores.
+fn message_on_one_disk() -> Model {
+    let mut model = Model::new();
+    for event in [Event::StallDisk(0), Event::PauseInbound(2), Event::Accept, Event::PauseInbound(0)] {
+        model.apply(event);
     }
-    world.harness.processes[2].drop_inbound();
-    world.harness.processes[2].is_inbound_paused = false;
-    world
+    model.harness.processes[2].drop_inbound();
+    model.harness.processes[2].is_inbound_paused = false;
+    model
 }
 
 #[test]
 fn every_later_primary_knows_what_was_acknowledged_from_a_message_on_one_disk() {
-    let states = explore(on_one_disk(), depth());
+    let states = explore(message_on_one_disk(), depth());
     println!("{states} states");
     assert!(states > 10_000, "{states} states are too few to show anything");
 }
--- a/system/state/queue/tests/replicas/writes.rs
+++ b/system/state/queue/tests/replicas/writes.rs
@@ -1,4 +1,4 @@
-//! Replication: how many disks a change is written to, hedging, repair, invalid messages.
+//! Writes to replicas: how many disks a change is written to, hedging, repair, invalid messages.
 
 use millrudder_protocol::message::Message;
 use millrudder_protocol::store::{BetweenStores, FromDispatcher, QueryAnswer, ToDispatcher};
@@ -26,9 +26,9 @@
 #[test]
 fn only_a_write_quorum_is_written_to() {
     let mut harness = three_stores();
-    let before = harness.writes;
+    let before = harness.sent_writes;
     let id = harness.accept(0, 1, message(), true);
-    assert_eq!(harness.writes - before, 1);
+    assert_eq!(harness.sent_writes - before, 1);
     let holders = (0..3).filter(|store| harness.state(*store, id).is_some()).count();
     assert_eq!(holders, 2);
 }
@@ -43,7 +43,7 @@
     assert_eq!(harness.acceptances(), 1, "the third replica has it");
     assert!(harness.state(2, first).is_some());
     harness.accept(0, 1, message(), true);
-    assert_eq!(harness.acceptances(), 2, "and further messages go there at once");
+    assert_eq!(harness.acceptances(), 2, "further messages are sent to the third replica at once");
 }
 
 #[test]
@@ -52,7 +52,7 @@
     harness.processes[0].stalled = true;
     harness.accept(0, 1, message(), true);
     harness.advance(60);
-    assert_eq!(harness.acceptances(), 1, "two followers have it");
+    assert_eq!(harness.acceptances(), 1, "both other replicas have it");
     harness.accept(0, 1, message(), true);
     assert_eq!(harness.acceptances(), 2);
 }
@@ -83,7 +83,7 @@
             harness.start(*store);
         }
         harness.move_primary(left[0]);
-        assert!(harness.state(left[0], id).is_some(), "lost with disk {lost}");
+        assert!(harness.state(left[0], id).is_some(), "the message was lost with disk {lost}");
         assert_eq!(harness.state(left[0], id).unwrap().message, Some(message()));
     }
 }
@@ -92,7 +92,11 @@
 fn any_replica_answers_queries() {
     let mut harness = three_stores();
     let id = harness.accept(0, 1, message(), true);
-    harness.say(1, 2, FromDispatcher::Query { request: RequestNumber(1), id, with_body: true });
+    harness.send_from_dispatcher(
+        1,
+        2,
+        FromDispatcher::Query { request: RequestNumber(1), id, with_body: true },
+    );
     let answer =
         ToDispatcher::State { request: RequestNumber(1), answer: QueryAnswer::Body { body: message().body } };
     assert!(harness.sent_to_dispatchers.iter().any(|(_, message)| *message == answer));
@@ -108,7 +112,7 @@
     harness.kill(1);
     harness.placement.epoch = Epoch(2);
     harness.placement.shards[0].replicas = vec![store_id(0), store_id(2)];
-    harness.spread();
+    harness.publish_placement();
     assert!(harness.state(2, id).is_some());
 }
 
@@ -146,8 +150,8 @@
     assert!(harness.state(0, id).is_some());
 }
 
-/// A process numbers its writes from one on: the replica's late answer to a write of the process before must not pass
-/// for the answer to one of the present process.
+/// Each process numbers its own writes. A replica's late acknowledgement of a write of the former process must
+/// not be taken for the acknowledgement of a write of the current one.
 #[test]
 fn a_late_acknowledgement_for_a_former_process_is_ignored() {
     let mut harness = three_stores();
@@ -164,7 +168,7 @@
     harness.hello(0, 11, 7, "zone-0", Vec::new());
     harness.sent_to_dispatchers.clear();
     let id = harness.accept(0, 11, message(), true);
-    assert!(harness.state(1, id).is_some(), "the follower has it, and has not synced it");
+    assert!(harness.state(1, id).is_some(), "the replica has received it but not synced it");
 
     harness.input(1, Input::Synced { ticket: before });
     assert_eq!(harness.acceptances(), 0, "only the primary's own disk has it");
@@ -185,6 +189,6 @@
         harness.input(0, Input::Store { from: store_id(1), message: answer });
     }
     assert_eq!(harness.acceptances(), 0);
-    harness.release(1);
+    harness.resume_inbound(1);
     assert_eq!(harness.acceptances(), 1);
 }
--- a/system/state/queue/tests/scrub.rs
+++ b/system/state/queue/tests/scrub.rs
@@ -1,4 +1,4 @@
-//! Replicas are compared in the background, and what one lacks is written to it anew.
+//! Scrubbing: replicas are compared in the background, and what a replica lacks is written to it again.
 
 mod harness;
 
@@ -20,11 +20,11 @@
 fn advance(harness: &mut StoreHarness, seconds: u64) {
     for _ in 0..seconds {
         harness.advance(1_000);
-        harness.say(0, 1, FromDispatcher::Ping);
+        harness.send_from_dispatcher(0, 1, FromDispatcher::Ping);
     }
 }
 
-/// The store's process starts anew with a disk that has lost some records without a word.
+/// Restarts a store with a disk that has silently lost some records.
 fn start_with_loss(harness: &mut StoreHarness, index: usize, lost: impl Fn(usize) -> bool) {
     harness.processes[index].node = None;
     let mut position = 0;
@@ -87,9 +87,9 @@
     for _ in 0..20 {
         harness.accept(0, 1, message(), true);
     }
-    let before = harness.writes;
+    let before = harness.sent_writes;
     advance(&mut harness, 10);
-    assert_eq!(harness.writes, before);
+    assert_eq!(harness.sent_writes, before);
 }
 
 #[test]
--- a/system/state/queue/tests/simulation.rs
+++ b/system/state/queue/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! The state machines of several stores in a simulated cluster with drawn faults: accepted messages are durable, order,
-//! ceilings and delays hold, and everything ends.
+//! Several stores in a simulated cluster with random faults: accepted messages are durable, order keys, rate
+//! limits and delays are respected, and every message ends.
 
 mod cluster;
 
@@ -9,23 +9,25 @@
 use millrudder_protocol::message::End;
 use millrudder_protocol::MessageId;
 
+/// Simulated time at which clients and faults stop.
 const TRAFFIC_MS: u64 = 9_000;
+/// Maximum time after that in which everything must end.
 const QUIET_MS: u64 = 22_000;
 
-/// Plays a run with faults and checks what is left at its end.
-fn play(options: Options) -> Cluster {
+/// Runs a simulation with faults and checks the state at its end.
+fn run_with_faults(options: Options) -> Cluster {
     let mut cluster = Cluster::new(options);
     cluster.run_until(1_000);
     cluster.clients_until(TRAFFIC_MS);
     cluster.faults_until(TRAFFIC_MS);
     cluster.run_until(TRAFFIC_MS + 2_500);
     for dispatcher in &mut cluster.dispatchers {
-        dispatcher.calm = true;
+        dispatcher.reliable_workers = true;
     }
     for store in &mut cluster.stores {
         store.sync_ms = 2;
     }
-    run_to_the_end(&mut cluster);
+    run_until_all_ended(&mut cluster);
     let accepted =
         cluster.request_log.messages.values().filter(|actual| actual.accepted_ms.is_some()).count();
     let (starts, repeats) = (cluster.request_log.starts, cluster.request_log.repeats);
@@ -34,8 +36,8 @@
     cluster
 }
 
-/// Runs until everything has ended, and for a while after; the time for that is bounded.
-fn run_to_the_end(cluster: &mut Cluster) {
+/// Runs until everything has ended, but at most for a limited time, and for a while longer.
+fn run_until_all_ended(cluster: &mut Cluster) {
     while !has_ended(cluster) && cluster.now_ms < TRAFFIC_MS + QUIET_MS {
         cluster.run_until(cluster.now_ms + 500);
     }
@@ -45,15 +47,16 @@
 }
 
 fn has_ended(cluster: &Cluster) -> bool {
-    let is_over = |(id, actual): (&MessageId, &ActualState)| {
+    let has_message_ended = |(id, actual): (&MessageId, &ActualState)| {
         let state = state_of(cluster, *id);
         let is_called_back = actual.message.callback_url.is_none() || !actual.called_back.is_empty();
         actual.accepted_ms.is_none() || (is_called_back && state.is_some_and(|state| state.end.is_some()))
     };
-    cluster.request_log.messages.iter().all(is_over) && cluster.dispatchers.iter().all(Dispatcher::is_idle)
+    cluster.request_log.messages.iter().all(has_message_ended)
+        && cluster.dispatchers.iter().all(Dispatcher::is_idle)
 }
 
-/// What is said of a message by the primary of its shard.
+/// The state of a message at the primary of its shard.
 fn state_of(cluster: &Cluster, id: MessageId) -> Option<millrudder_protocol::message::MessageState> {
     let primary = cluster.manager.placement.shard(id.shard)?.primary;
     let index = cluster.store_index(primary)?;
@@ -66,10 +69,10 @@
     for (id, actual) in &cluster.request_log.messages {
         let state = state_of(cluster, *id);
         if actual.accepted_ms.is_none() {
-            assert!(!actual.withdrawn || actual.runs.is_empty(), "{id} ran though withdrawn");
+            assert!(!actual.withdrawn || actual.runs.is_empty(), "{id} ran although it was withdrawn");
             continue;
         }
-        let state = state.unwrap_or_else(|| panic!("{id} was accepted and is lost"));
+        let state = state.unwrap_or_else(|| panic!("{id} was accepted but is lost"));
         let Some(end) = state.end else {
             unended.push((
                 state.sequence,
@@ -84,13 +87,13 @@
         let completed = matches!(end, End::Completed { .. });
         assert!(completed || !has_succeeded || end == End::DeadLetter, "{id} ended as {end:?}");
         if actual.message.callback_url.is_some() {
-            assert!(!actual.called_back.is_empty(), "{id} is owed a call-back");
+            assert!(!actual.called_back.is_empty(), "{id} has not been called back");
         }
     }
     unended.sort();
-    assert!(unended.is_empty(), "accepted and did not end: {unended:?}");
+    assert!(unended.is_empty(), "accepted messages that did not end: {unended:?}");
     for (at, dispatcher) in cluster.dispatchers.iter().enumerate() {
-        assert!(dispatcher.is_idle(), "dispatcher {at} waits for an answer");
+        assert!(dispatcher.is_idle(), "dispatcher {at} still waits for an answer");
     }
 }
 
@@ -106,8 +109,8 @@
 fn three_stores_tolerate_the_loss_of_one() {
     for seed in seeds(30) {
         println!("seed {seed}");
-        let cluster = play(Options { seed, ..Options::default() });
-        assert!(cluster.request_log.starts > 100, "hardly anything ran");
+        let cluster = run_with_faults(Options { seed, ..Options::default() });
+        assert!(cluster.request_log.starts > 100, "too few messages ran");
     }
 }
 
@@ -115,7 +118,7 @@
 fn five_stores_tolerate_the_loss_of_two() {
     for seed in seeds(10) {
         println!("seed {seed}");
-        play(Options { seed, stores: 5, tolerated_losses: 2, ..Options::default() });
+        run_with_faults(Options { seed, stores: 5, tolerated_losses: 2, ..Options::default() });
     }
 }
 
@@ -123,7 +126,7 @@
 fn faults_may_overlap_while_disks_are_lost_one_at_a_time() {
     for seed in seeds(20) {
         println!("seed {seed}");
-        play(Options { seed, overlapping_faults: true, ..Options::default() });
+        run_with_faults(Options { seed, overlapping_faults: true, ..Options::default() });
     }
 }
 
@@ -135,17 +138,17 @@
         cluster.run_until(1_000);
         cluster.clients_until(TRAFFIC_MS);
         for store in 0..3 {
-            cluster.roll(store, 700, 400);
+            cluster.restart_planned(store, 700, 400);
             cluster.run_until(cluster.now_ms + 900);
         }
         cluster.run_until(TRAFFIC_MS);
         for dispatcher in &mut cluster.dispatchers {
-            dispatcher.calm = true;
+            dispatcher.reliable_workers = true;
         }
-        run_to_the_end(&mut cluster);
+        run_until_all_ended(&mut cluster);
         let is_lost = |actual: &&ActualState| actual.accepted_ms.is_none() && !actual.withdrawn;
         let lost = cluster.request_log.messages.values().filter(is_lost).count();
-        assert_eq!(lost, 0, "clients went without an answer");
+        assert_eq!(lost, 0, "requests were left without an answer");
     }
 }
 
@@ -158,23 +161,23 @@
         cluster.clients_until(TRAFFIC_MS);
         cluster.run_until(2_500);
         let retired = cluster.stores[1].id;
-        cluster.stores[1].leaving = true;
+        cluster.stores[1].is_shutting_down = true;
         cluster.manager.retiring = Some(retired);
         while !cluster.is_retired(retired) {
             cluster.run_until(cluster.now_ms + 100);
-            assert!(cluster.now_ms < TRAFFIC_MS, "emptied in time");
+            assert!(cluster.now_ms < TRAFFIC_MS, "the store was not drained in time");
         }
-        // Time in which primaries write anew what the emptied store was one of the holders of.
+        // Time for the primaries to replicate again what was on the drained store.
         cluster.run_until(cluster.now_ms + 300);
         cluster.stop_store(1, true);
         cluster.wipe_store(1);
         cluster.run_until(cluster.now_ms + 500);
         cluster.record_fault();
-        cluster.lose_store(2, 1_500, true, false);
+        cluster.stop_and_restart_store(2, 1_500, true, false);
         cluster.run_until(TRAFFIC_MS);
         for dispatcher in &mut cluster.dispatchers {
-            dispatcher.calm = true;
+            dispatcher.reliable_workers = true;
         }
-        run_to_the_end(&mut cluster);
+        run_until_all_ended(&mut cluster);
     }
 }
--- a/system/state/queue/tests/state_merge.rs
+++ b/system/state/queue/tests/state_merge.rs
@@ -1,5 +1,5 @@
-//! What a store knows of a message only grows: records merged in any order, and read back from any prefix of a disk,
-//! give what they say together.
+//! Merging the states of a message is monotonic: records that are merged in any order, or recovered from any
+//! prefix of a disk, give the combination of what they contain.
 
 mod cluster;
 
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 const ID: MessageId = MessageId { shard: ShardId(0), unique: 1 };
-/// Long after everything that records are about, so that no age is cut off.
+/// A time long after everything that the records describe, so that no age is truncated.
 const NOW: Instant = Instant::from_millis(1_000_000);
 
 fn body() -> Message {
@@ -33,7 +33,7 @@
         age_ms in 0_u64..1_000,
         failed_attempts in 0_u32..4,
         token in proptest::option::of(1_u64..5),
-        settled in 0_u64..5,
+        resolved_through in 0_u64..5,
         end in proptest::option::of(end()),
         ended_age_ms in 0_u64..1_000,
         callback_done in any::<bool>(),
@@ -46,7 +46,7 @@
             message: Some(body()),
             failed_attempts,
             grant: token.map(grant),
-            resolved_through: LeaseToken(settled),
+            resolved_through: LeaseToken(resolved_through),
             ended_age_ms: if end.is_some() { ended_age_ms } else { 0 },
             end,
             callback_done,
@@ -66,7 +66,8 @@
     let record = |state: &MessageState| Record::State { state: Box::new(state.clone()) };
     let records: Vec<Record> = states.iter().map(record).collect();
     let merged = recover(&records).state_of(ID).expect("known");
-    // The time of the end is that of the first record of it: only that it ended, and how, must agree.
+    // The time of the end is taken from the first record that contains it, so it depends on the order. Only the
+    // end itself must agree.
     MessageState { ended_age_ms: 0, ..merged }
 }
 
@@ -74,13 +75,13 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn merge_order_does_not_matter(states in proptest::collection::vec(state(), 1..5), turn in 0_usize..5) {
+    fn merge_order_does_not_matter(states in proptest::collection::vec(state(), 1..5), rotation in 0_usize..5) {
         let merged = merge(&states);
-        let mut turned = states.clone();
-        turned.rotate_left(turn % states.len());
-        prop_assert_eq!(&merge(&turned), &merged);
-        turned.reverse();
-        prop_assert_eq!(&merge(&turned), &merged);
+        let mut rotated = states.clone();
+        rotated.rotate_left(rotation % states.len());
+        prop_assert_eq!(&merge(&rotated), &merged);
+        rotated.reverse();
+        prop_assert_eq!(&merge(&rotated), &merged);
         let twice: Vec<MessageState> = states.iter().chain(&states).cloned().collect();
         prop_assert_eq!(&merge(&twice), &merged);
         let again: Vec<MessageState> = states.into_iter().chain([merged.clone()]).collect();
@@ -116,8 +117,8 @@
     assert_eq!(recover(&records).state_of(ID), None);
 }
 
-/// What is known later includes what was known before.
-fn assert_grown(before: &MessageState, after: &MessageState) {
+/// Asserts that the later state includes everything in the earlier one.
+fn assert_includes(before: &MessageState, after: &MessageState) {
     assert!(after.failed_attempts >= before.failed_attempts);
     assert!(after.resolved_through >= before.resolved_through);
     assert!(after.grant.map(|grant| grant.token) >= before.grant.map(|grant| grant.token));
@@ -143,9 +144,9 @@
         for (id, known) in ids.iter().zip(&mut before) {
             let after = node.state_of(*id);
             if let (Some(before), Some(after)) = (known.as_ref(), after.as_ref()) {
-                assert_grown(before, after);
+                assert_includes(before, after);
             }
-            assert!(after.is_some() || known.is_none(), "{id} was known and is not");
+            assert!(after.is_some() || known.is_none(), "{id} was known before and is missing now");
             *known = after;
         }
     }
