--- a/coordination/lease/src/holder.rs
+++ b/coordination/lease/src/holder.rs
@@ -157,8 +157,8 @@
             LeaseAnswer::Granted { attempt, bound_micros, .. } => {
                 self.handle_grant(now, from, *attempt, Duration::from_micros(*bound_micros))
             }
-            LeaseAnswer::Refused { attempt, refusal, highest, retry_after_micros, .. } => {
-                self.highest_token = self.highest_token.max(*highest);
+            LeaseAnswer::Refused { attempt, refusal, highest_token, retry_after_micros, .. } => {
+                self.highest_token = self.highest_token.max(*highest_token);
                 let retry_after = Duration::from_micros(*retry_after_micros);
                 self.handle_refusal(now, *attempt, *refusal, retry_after);
                 None
--- a/coordination/lease/src/message.rs
+++ b/coordination/lease/src/message.rs
@@ -93,7 +93,7 @@
         /// The reason.
         refusal: Refusal,
         /// The highest token that the voter has granted for the role.
-        highest: FencingToken,
+        highest_token: FencingToken,
         /// No request is granted before so many microseconds have passed.
         retry_after_micros: u64,
     },
--- a/coordination/lease/src/voter.rs
+++ b/coordination/lease/src/voter.rs
@@ -13,19 +13,19 @@
 /// Durable state of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct VoterState {
-    highest: BTreeMap<Role, FencingToken>,
+    highest_tokens: BTreeMap<Role, FencingToken>,
 }
 
 impl VoterState {
     /// Folds one record into the state.
     pub fn apply(&mut self, record: &LeaseRecord) {
-        let highest = self.highest.entry(record.role.clone()).or_default();
-        *highest = record.fencing_token.max(*highest);
+        let highest_token = self.highest_tokens.entry(record.role.clone()).or_default();
+        *highest_token = record.fencing_token.max(*highest_token);
     }
 
     /// The highest fencing token granted for a role.
-    pub fn highest(&self, role: &Role) -> FencingToken {
-        self.highest.get(role).copied().unwrap_or_default()
+    pub fn highest_token(&self, role: &Role) -> FencingToken {
+        self.highest_tokens.get(role).copied().unwrap_or_default()
     }
 }
 
@@ -131,7 +131,8 @@
         }
         // A renewal keeps its token, also where this voter has since granted a higher one to a candidate that did not
         // win: that grant is over, and a later holder would have needed this voter's majority.
-        let is_stale = !request.is_renewal && request.fencing_token <= self.state.highest(&request.role);
+        let is_stale =
+            !request.is_renewal && request.fencing_token <= self.state.highest_token(&request.role);
         is_stale.then_some(Objection { refusal: Refusal::StaleToken, retry_at: now })
     }
 
@@ -153,7 +154,7 @@
         let grant = Grant { holder: from, fencing_token: grant_token, expires_at };
         self.grants.insert(request.role.clone(), grant);
         let record = LeaseRecord { role: request.role.clone(), fencing_token };
-        let is_new = fencing_token > self.state.highest(&request.role);
+        let is_new = fencing_token > self.state.highest_token(&request.role);
         self.state.apply(&record);
         let answer = LeaseAnswer::Granted {
             role: request.role.clone(),
@@ -168,7 +169,7 @@
             role: request.role.clone(),
             attempt: request.attempt,
             refusal: objection.refusal,
-            highest: self.state.highest(&request.role),
+            highest_token: self.state.highest_token(&request.role),
             retry_after_micros: (objection.retry_at - now).as_micros() as u64,
         };
         Vote { record: None, answer }
--- a/coordination/lease/tests/golden.rs
+++ b/coordination/lease/tests/golden.rs
@@ -27,7 +27,7 @@
         role: role(),
         attempt: 0x1112,
         refusal,
-        highest: FENCING,
+        highest_token: FENCING,
         retry_after_micros: 0x2122,
     };
     let record = LeaseRecord { role: role(), fencing_token: FENCING };
--- a/coordination/lease/tests/lease.rs
+++ b/coordination/lease/tests/lease.rs
@@ -208,7 +208,7 @@
         role: role(),
         attempt,
         refusal: Refusal::HeldByOther,
-        highest: FencingToken(1),
+        highest_token: FencingToken(1),
         retry_after_micros: duration(),
     };
     let granted = LeaseAnswer::Granted { role: role(), attempt, bound_micros: duration() };
