--- a/coordination/lease/src/holder.rs
+++ b/coordination/lease/src/holder.rs
@@ -58,11 +58,11 @@
     duration: Duration,
     safety_margin: Duration,
     renew_interval: Duration,
-    random: fastrand::Rng,
+    rng: fastrand::Rng,
     majority: usize,
     highest_token: FencingToken,
-    next_request: Instant,
-    last_attempt: u64,
+    next_request_at: Instant,
+    last_attempt_number: u64,
     attempt: Option<Attempt>,
     lease: Option<ActiveLease>,
 }
@@ -72,19 +72,19 @@
     ///
     /// `seed` spreads the attempts of competing candidates; it must differ between processes.
     pub fn new(config: &LeaseConfig, role: Role, seed: u64) -> Holder {
-        let mut random = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         // Drawn at random, so that late grants to an earlier process never count.
-        let last_attempt = random.u64(..);
+        let last_attempt_number = rng.u64(..);
         Holder {
             role,
             duration: config.duration,
             safety_margin: config.safety_margin,
             renew_interval: config.renew_interval,
-            random,
+            rng,
             majority: 0,
             highest_token: FencingToken::default(),
-            next_request: Instant::ORIGIN,
-            last_attempt,
+            next_request_at: Instant::ORIGIN,
+            last_attempt_number,
             attempt: None,
             lease: None,
         }
@@ -97,7 +97,7 @@
         self.majority = majority;
         self.highest_token = self.highest_token.max(FencingToken::floor(generation));
         self.attempt = None;
-        self.next_request = Instant::ORIGIN;
+        self.next_request_at = Instant::ORIGIN;
     }
 
     /// The role.
@@ -117,7 +117,7 @@
 
     /// When [`poll`](Holder::poll) is due next.
     pub fn next_deadline(&self) -> Option<Instant> {
-        let request = (self.majority > 0).then_some(self.next_request);
+        let request = (self.majority > 0).then_some(self.next_request_at);
         let expiry = self.lease.map(|lease| lease.expires_at);
         request.into_iter().chain(expiry).min()
     }
@@ -133,17 +133,17 @@
     /// Another holder has released the role: brings the next request forward to within half a renewal interval, at
     /// random so that candidates rarely collide.
     pub fn handle_release(&mut self, now: Instant) {
-        let jitter = self.draw_jitter();
-        self.next_request = self.next_request.min(now + jitter);
+        let jitter = self.random_jitter();
+        self.next_request_at = self.next_request_at.min(now + jitter);
     }
 
     /// Ends an expired lease, and sends the next request when it is due.
     pub fn poll(&mut self, now: Instant) -> HolderStep {
         let event = self.expire(now);
-        if self.majority == 0 || now < self.next_request {
+        if self.majority == 0 || now < self.next_request_at {
             return HolderStep { request: None, event };
         }
-        self.next_request = now + self.renew_interval;
+        self.next_request_at = now + self.renew_interval;
         HolderStep { request: Some(self.start_attempt(now)), event }
     }
 
@@ -172,12 +172,12 @@
     }
 
     fn start_attempt(&mut self, now: Instant) -> LeaseRequest {
-        self.last_attempt = self.last_attempt.wrapping_add(1);
+        self.last_attempt_number = self.last_attempt_number.wrapping_add(1);
         let active = self.active_lease(now);
         let fencing_token = active.map_or(self.highest_token.next(), |lease| lease.fencing_token);
         self.highest_token = self.highest_token.max(fencing_token);
         self.attempt = Some(Attempt {
-            number: self.last_attempt,
+            number: self.last_attempt_number,
             sent_at: now,
             fencing_token,
             grants: BTreeSet::new(),
@@ -186,7 +186,7 @@
         });
         LeaseRequest {
             role: self.role.clone(),
-            attempt: self.last_attempt,
+            attempt: self.last_attempt_number,
             fencing_token,
             is_renewal: active.is_some(),
         }
@@ -205,22 +205,22 @@
         let fencing_token = attempt.fencing_token;
         let expires_at = attempt.sent_at + attempt.granted_for.saturating_sub(self.safety_margin);
         // A lease that some voter grants for a shorter time is renewed at once.
-        let is_full_length = attempt.granted_for == self.duration;
-        let renew_at = if is_full_length { attempt.sent_at + self.renew_interval } else { now };
+        let is_full_duration = attempt.granted_for == self.duration;
+        let renew_at = if is_full_duration { attempt.sent_at + self.renew_interval } else { now };
         if attempt.grants.len() < self.majority || now >= expires_at {
             return None;
         }
-        let is_new = self.lease.is_none();
+        let is_new_lease = self.lease.is_none();
         // A voter that refused has set a later time, which was meant for a candidate.
-        self.next_request = self.next_request.min(renew_at.max(now));
+        self.next_request_at = self.next_request_at.min(renew_at.max(now));
         let expires_at = self.lease.map_or(expires_at, |lease| lease.expires_at.max(expires_at));
         self.lease = Some(ActiveLease { fencing_token, expires_at });
         self.highest_token = self.highest_token.max(fencing_token);
-        is_new.then_some(HolderEvent::Granted { fencing_token })
+        is_new_lease.then_some(HolderEvent::Granted { fencing_token })
     }
 
     fn handle_refusal(&mut self, now: Instant, number: u64, refusal: Refusal, retry_after: Duration) {
-        let jitter = self.draw_jitter();
+        let jitter = self.random_jitter();
         let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.number == number) else {
             return;
         };
@@ -234,13 +234,13 @@
         };
         let retry_at = attempt.retry_at.map_or(now + wait, |earlier| earlier.min(now + wait));
         attempt.retry_at = Some(retry_at);
-        self.next_request = retry_at;
+        self.next_request_at = retry_at;
     }
 
     /// A random span of at most half a renewal interval, in whole microseconds.
-    fn draw_jitter(&mut self) -> Duration {
+    fn random_jitter(&mut self) -> Duration {
         let half_interval_micros = self.renew_interval.as_micros() as u64 / 2;
-        Duration::from_micros(self.random.u64(0..half_interval_micros + 1))
+        Duration::from_micros(self.rng.u64(0..half_interval_micros + 1))
     }
 
     /// Ends an expired lease, and its renewal with it: others may have held the role since.
--- a/coordination/lease/src/voter.rs
+++ b/coordination/lease/src/voter.rs
@@ -47,7 +47,7 @@
 }
 
 /// Why a request is refused, and when it may be granted.
-struct Objection {
+struct RefusedUntil {
     refusal: Refusal,
     retry_at: Instant,
 }
@@ -59,7 +59,7 @@
     state: VoterState,
     grants: BTreeMap<Role, Grant>,
     /// Nothing is granted before: grants of an earlier process may still be valid.
-    grace_period_until: Instant,
+    grace_period_ends_at: Instant,
     /// Only renewals are granted before: grants of earlier voters may still be valid.
     renewals_only_until: Instant,
 }
@@ -72,7 +72,7 @@
             duration: config.duration,
             state,
             grants: BTreeMap::new(),
-            grace_period_until: now + config.duration,
+            grace_period_ends_at: now + config.duration,
             renewals_only_until: Instant::ORIGIN,
         }
     }
@@ -80,7 +80,7 @@
     /// Ends the grace period after a start. Only for a voter whose disk has never been used, so that no earlier process
     /// can have granted anything.
     pub fn skip_grace_period(&mut self) {
-        self.grace_period_until = Instant::ORIGIN;
+        self.grace_period_ends_at = Instant::ORIGIN;
     }
 
     /// Notes that the set of voters has changed at `now`.
@@ -98,8 +98,8 @@
 
     /// Decides on a request that was received at `now`.
     pub fn handle_request(&mut self, now: Instant, from: HolderId, request: &LeaseRequest) -> Vote {
-        match self.objection(now, from, request) {
-            Some(objection) => self.refuse(now, request, &objection),
+        match self.reason_to_refuse(now, from, request) {
+            Some(refused) => self.refuse(now, request, &refused),
             None => self.grant(now, from, request),
         }
     }
@@ -108,9 +108,9 @@
     ///
     /// A late release of an earlier lease changes nothing: the token of a grant never falls while it binds.
     pub fn handle_release(&mut self, from: HolderId, release: &LeaseRelease) {
-        let is_released =
+        let is_grant_of_lease =
             |grant: &Grant| grant.holder == from && grant.fencing_token == release.fencing_token;
-        if self.grants.get(&release.role).is_some_and(is_released) {
+        if self.grants.get(&release.role).is_some_and(is_grant_of_lease) {
             self.grants.remove(&release.role);
         }
     }
@@ -119,21 +119,26 @@
         self.grants.get(role).filter(|grant| now < grant.expires_at)
     }
 
-    fn objection(&self, now: Instant, from: HolderId, request: &LeaseRequest) -> Option<Objection> {
-        if now < self.grace_period_until {
-            return Some(Objection { refusal: Refusal::GracePeriod, retry_at: self.grace_period_until });
+    fn reason_to_refuse(&self, now: Instant, from: HolderId, request: &LeaseRequest) -> Option<RefusedUntil> {
+        if now < self.grace_period_ends_at {
+            return Some(RefusedUntil { refusal: Refusal::GracePeriod, retry_at: self.grace_period_ends_at });
         }
-        if let Some(other) = self.active_grant(now, &request.role).filter(|grant| grant.holder != from) {
-            return Some(Objection { refusal: Refusal::HeldByOther, retry_at: other.expires_at });
+        if let Some(competing_grant) =
+            self.active_grant(now, &request.role).filter(|grant| grant.holder != from)
+        {
+            return Some(RefusedUntil {
+                refusal: Refusal::HeldByOther,
+                retry_at: competing_grant.expires_at,
+            });
         }
         if now < self.renewals_only_until && !request.is_renewal {
-            return Some(Objection { refusal: Refusal::GracePeriod, retry_at: self.renewals_only_until });
+            return Some(RefusedUntil { refusal: Refusal::GracePeriod, retry_at: self.renewals_only_until });
         }
         // A renewal keeps its token, also where this voter has since granted a higher one to a candidate that did not
         // win: that grant is over, and a later holder would have needed this voter's majority.
         let is_stale =
             !request.is_renewal && request.fencing_token <= self.state.highest_token(&request.role);
-        is_stale.then_some(Objection { refusal: Refusal::StaleToken, retry_at: now })
+        is_stale.then_some(RefusedUntil { refusal: Refusal::StaleToken, retry_at: now })
     }
 
     /// Binds this voter, or confirms to a candidate that asks again that it is bound already.
@@ -147,30 +152,30 @@
     /// such a renewal would end that grant.
     fn grant(&mut self, now: Instant, from: HolderId, request: &LeaseRequest) -> Vote {
         let active = self.active_grant(now, &request.role).copied();
-        let unextended = active.filter(|_| !request.is_renewal);
-        let expires_at = unextended.map_or(now + self.duration, |grant| grant.expires_at);
+        let grant_to_keep = active.filter(|_| !request.is_renewal);
+        let expires_at = grant_to_keep.map_or(now + self.duration, |grant| grant.expires_at);
         let fencing_token = request.fencing_token;
         let grant_token = active.map_or(fencing_token, |grant| grant.fencing_token.max(fencing_token));
         let grant = Grant { holder: from, fencing_token: grant_token, expires_at };
         self.grants.insert(request.role.clone(), grant);
         let record = LeaseRecord { role: request.role.clone(), fencing_token };
-        let is_new = fencing_token > self.state.highest_token(&request.role);
+        let is_new_token = fencing_token > self.state.highest_token(&request.role);
         self.state.apply(&record);
         let answer = LeaseAnswer::Granted {
             role: request.role.clone(),
             attempt: request.attempt,
             bound_micros: (expires_at - now).as_micros() as u64,
         };
-        Vote { record: is_new.then_some(record), answer }
+        Vote { record: is_new_token.then_some(record), answer }
     }
 
-    fn refuse(&self, now: Instant, request: &LeaseRequest, objection: &Objection) -> Vote {
+    fn refuse(&self, now: Instant, request: &LeaseRequest, refused: &RefusedUntil) -> Vote {
         let answer = LeaseAnswer::Refused {
             role: request.role.clone(),
             attempt: request.attempt,
-            refusal: objection.refusal,
+            refusal: refused.refusal,
             highest_token: self.state.highest_token(&request.role),
-            retry_after_micros: (objection.retry_at - now).as_micros() as u64,
+            retry_after_micros: (refused.retry_at - now).as_micros() as u64,
         };
         Vote { record: None, answer }
     }
--- a/coordination/lease/tests/collected_votes.rs
+++ b/coordination/lease/tests/collected_votes.rs
@@ -6,8 +6,8 @@
     VoterId, VoterState,
 };
 
-const OWN: HolderId = HolderId(1);
-const OTHER: HolderId = HolderId(2);
+const CANDIDATE: HolderId = HolderId(1);
+const COMPETITOR: HolderId = HolderId(2);
 
 /// A reading of the clock, in microseconds since its origin.
 fn at(micros: u64) -> Instant {
@@ -32,35 +32,38 @@
 #[test]
 fn a_grant_to_an_earlier_attempt_counts_for_the_next_one() {
     let config = LeaseConfig::default();
-    let (lease, safety) = (config.duration.as_micros() as u64, config.safety_margin.as_micros() as u64);
-    let (mut first, mut second) = (fresh_voter(&config), fresh_voter(&config));
+    let (lease, margin) = (config.duration.as_micros() as u64, config.safety_margin.as_micros() as u64);
+    let (mut first_voter, mut second_voter) = (fresh_voter(&config), fresh_voter(&config));
     let mut holder = Holder::new(&config, role(), 7);
     holder.set_voters(2, 0);
-    let early = second.handle_request(Instant::ORIGIN, OTHER, &request(1, 1));
-    assert!(matches!(early.answer, LeaseAnswer::Granted { .. }));
-    let asked_at = lease / 2;
-    let asked = holder.poll(at(asked_at)).request.expect("a request");
-    let granted = first.handle_request(at(asked_at), OWN, &asked).answer;
-    let refused = second.handle_request(at(asked_at), OWN, &asked).answer;
-    assert_eq!(holder.handle_answer(at(asked_at), VoterId(1), &granted).event, None);
-    assert_eq!(holder.handle_answer(at(asked_at), VoterId(2), &refused).event, None);
-    let again_at = holder.next_deadline().expect("another attempt").as_micros();
+    let competing_vote = second_voter.handle_request(Instant::ORIGIN, COMPETITOR, &request(1, 1));
+    assert!(matches!(competing_vote.answer, LeaseAnswer::Granted { .. }));
+    let requested_at = lease / 2;
+    let first_request = holder.poll(at(requested_at)).request.expect("a request");
+    let granted = first_voter.handle_request(at(requested_at), CANDIDATE, &first_request).answer;
+    let refused = second_voter.handle_request(at(requested_at), CANDIDATE, &first_request).answer;
+    assert_eq!(holder.handle_answer(at(requested_at), VoterId(1), &granted).event, None);
+    assert_eq!(holder.handle_answer(at(requested_at), VoterId(2), &refused).event, None);
+    let retried_at = holder.next_deadline().expect("another attempt").as_micros();
     assert!(
-        again_at >= lease && again_at < asked_at + lease,
+        retried_at >= lease && retried_at < requested_at + lease,
         "the other's vote is free, the own still binds"
     );
-    let again = holder.poll(at(again_at)).request.expect("a request");
-    let granted = second.handle_request(at(again_at), OWN, &again).answer;
-    let still = first.handle_request(at(again_at), OWN, &again).answer;
-    assert_eq!(holder.handle_answer(at(again_at), VoterId(2), &granted).event, None);
-    let event = holder.handle_answer(at(again_at), VoterId(1), &still).event;
-    assert!(matches!(event, Some(HolderEvent::Granted { .. })), "{still:?}");
-    let end = asked_at + lease - safety;
+    let second_request = holder.poll(at(retried_at)).request.expect("a request");
+    let granted = second_voter.handle_request(at(retried_at), CANDIDATE, &second_request).answer;
+    let repeated_grant = first_voter.handle_request(at(retried_at), CANDIDATE, &second_request).answer;
+    assert_eq!(holder.handle_answer(at(retried_at), VoterId(2), &granted).event, None);
+    let event = holder.handle_answer(at(retried_at), VoterId(1), &repeated_grant).event;
+    assert!(matches!(event, Some(HolderEvent::Granted { .. })), "{repeated_grant:?}");
+    let end = requested_at + lease - margin;
     assert!(holder.is_held(at(end - 1)) && !holder.is_held(at(end)), "no longer than the first vote binds");
-    assert_eq!(holder.next_deadline(), Some(at(again_at)), "renewed at once");
-    let renewal = holder.poll(at(again_at)).request.expect("a renewal");
+    assert_eq!(holder.next_deadline(), Some(at(retried_at)), "renewed at once");
+    let renewal = holder.poll(at(retried_at)).request.expect("a renewal");
     assert!(renewal.is_renewal);
-    assert!(matches!(first.handle_request(at(again_at), OWN, &renewal).answer, LeaseAnswer::Granted { .. }));
+    assert!(matches!(
+        first_voter.handle_request(at(retried_at), CANDIDATE, &renewal).answer,
+        LeaseAnswer::Granted { .. }
+    ));
 }
 
 #[test]
@@ -69,12 +72,12 @@
     let lease = config.duration.as_micros() as u64;
     let mut voter = fresh_voter(&config);
     assert!(matches!(
-        voter.handle_request(Instant::ORIGIN, OWN, &request(1, 1)).answer,
+        voter.handle_request(Instant::ORIGIN, CANDIDATE, &request(1, 1)).answer,
         LeaseAnswer::Granted { .. }
     ));
-    let again = voter.handle_request(at(lease - 10), OWN, &request(2, 2)).answer;
-    assert_eq!(again, LeaseAnswer::Granted { role: role(), attempt: 2, bound_micros: 10 });
-    let other = voter.handle_request(at(lease), OTHER, &request(3, 1)).answer;
+    let repeated = voter.handle_request(at(lease - 10), CANDIDATE, &request(2, 2)).answer;
+    assert_eq!(repeated, LeaseAnswer::Granted { role: role(), attempt: 2, bound_micros: 10 });
+    let other = voter.handle_request(at(lease), COMPETITOR, &request(3, 1)).answer;
     assert!(matches!(other, LeaseAnswer::Granted { .. }));
 }
 
@@ -83,9 +86,15 @@
     let config = LeaseConfig::default();
     let mut voter = fresh_voter(&config);
     assert!(matches!(
-        voter.handle_request(Instant::ORIGIN, OWN, &request(5, 1)).answer,
+        voter.handle_request(Instant::ORIGIN, CANDIDATE, &request(5, 1)).answer,
         LeaseAnswer::Granted { .. }
     ));
-    assert!(matches!(voter.handle_request(at(10), OWN, &request(5, 1)).answer, LeaseAnswer::Refused { .. }));
-    assert!(matches!(voter.handle_request(at(10), OWN, &request(4, 9)).answer, LeaseAnswer::Refused { .. }));
+    assert!(matches!(
+        voter.handle_request(at(10), CANDIDATE, &request(5, 1)).answer,
+        LeaseAnswer::Refused { .. }
+    ));
+    assert!(matches!(
+        voter.handle_request(at(10), CANDIDATE, &request(4, 9)).answer,
+        LeaseAnswer::Refused { .. }
+    ));
 }
--- a/coordination/lease/tests/lease.rs
+++ b/coordination/lease/tests/lease.rs
@@ -30,7 +30,7 @@
     voter
 }
 
-fn duration() -> u64 {
+fn lease_micros() -> u64 {
     LeaseConfig::default().duration.as_micros() as u64
 }
 
@@ -45,17 +45,20 @@
 fn a_voter_binds_itself_to_one_holder_until_the_lease_is_over() {
     let mut voter = fresh_voter();
     assert_eq!(refusal(&voter.handle_request(Instant::ORIGIN, FIRST, &request(1, false)).answer), None);
-    let early = voter.handle_request(at(duration() - 1), SECOND, &request(2, false));
-    assert_eq!(refusal(&early.answer), Some(Refusal::HeldByOther));
-    assert_eq!(refusal(&voter.handle_request(at(duration()), SECOND, &request(2, false)).answer), None);
+    let premature = voter.handle_request(at(lease_micros() - 1), SECOND, &request(2, false));
+    assert_eq!(refusal(&premature.answer), Some(Refusal::HeldByOther));
+    assert_eq!(refusal(&voter.handle_request(at(lease_micros()), SECOND, &request(2, false)).answer), None);
 }
 
 #[test]
 fn a_restarted_voter_grants_nothing_during_its_grace_period() {
     let mut voter = Voter::new(&LeaseConfig::default(), VoterState::default(), at(500));
-    let claim = voter.handle_request(at(duration()), FIRST, &request(1, true));
-    assert_eq!(refusal(&claim.answer), Some(Refusal::GracePeriod));
-    assert_eq!(refusal(&voter.handle_request(at(500 + duration()), FIRST, &request(1, false)).answer), None);
+    let renewal = voter.handle_request(at(lease_micros()), FIRST, &request(1, true));
+    assert_eq!(refusal(&renewal.answer), Some(Refusal::GracePeriod));
+    assert_eq!(
+        refusal(&voter.handle_request(at(500 + lease_micros()), FIRST, &request(1, false)).answer),
+        None
+    );
 }
 
 #[test]
@@ -81,9 +84,9 @@
     state.apply(&vote.record.expect("a new number is recorded"));
     assert_eq!(state, *voter.state());
     let mut voter = Voter::new(&LeaseConfig::default(), state, Instant::ORIGIN);
-    let vote = voter.handle_request(at(duration()), SECOND, &request(7, false));
+    let vote = voter.handle_request(at(lease_micros()), SECOND, &request(7, false));
     assert_eq!(refusal(&vote.answer), Some(Refusal::StaleToken));
-    assert_eq!(refusal(&voter.handle_request(at(duration()), SECOND, &request(8, false)).answer), None);
+    assert_eq!(refusal(&voter.handle_request(at(lease_micros()), SECOND, &request(8, false)).answer), None);
 }
 
 #[test]
@@ -99,7 +102,7 @@
     let mut holder = Holder::new(&config, role(), 3);
     holder.set_voters(1, 0);
     let sent = holder.poll(at(1_000)).request.expect("a request");
-    let granted = LeaseAnswer::Granted { role: role(), attempt: sent.attempt, bound_micros: duration() };
+    let granted = LeaseAnswer::Granted { role: role(), attempt: sent.attempt, bound_micros: lease_micros() };
     let step = holder.handle_answer(at(300_000), VoterId(1), &granted);
     assert_eq!(step.event, Some(HolderEvent::Granted { fencing_token: sent.fencing_token }));
     let end = 1_000 + (config.duration - config.safety_margin).as_micros() as u64;
@@ -111,24 +114,24 @@
 #[test]
 fn grants_for_an_earlier_attempt_or_by_the_same_voter_do_not_add_up() {
     let config = LeaseConfig::default();
-    let renew = config.renew_interval.as_micros() as u64;
+    let renew_micros = config.renew_interval.as_micros() as u64;
     let mut holder = Holder::new(&config, role(), 3);
     holder.set_voters(2, 0);
-    let early = holder.poll(Instant::ORIGIN).request.expect("a request").attempt;
-    let later = holder.poll(at(renew)).request.expect("another request").attempt;
-    let answers = [(early, 1), (later, 2), (later, 2)];
+    let earlier = holder.poll(Instant::ORIGIN).request.expect("a request").attempt;
+    let later = holder.poll(at(renew_micros)).request.expect("another request").attempt;
+    let answers = [(earlier, 1), (later, 2), (later, 2)];
     for (attempt, voter) in answers {
         let step = holder.handle_answer(
-            at(renew),
+            at(renew_micros),
             VoterId(voter),
-            &LeaseAnswer::Granted { role: role(), attempt, bound_micros: duration() },
+            &LeaseAnswer::Granted { role: role(), attempt, bound_micros: lease_micros() },
         );
         assert_eq!(step.event, None);
     }
     let step = holder.handle_answer(
-        at(renew),
+        at(renew_micros),
         VoterId(1),
-        &LeaseAnswer::Granted { role: role(), attempt: later, bound_micros: duration() },
+        &LeaseAnswer::Granted { role: role(), attempt: later, bound_micros: lease_micros() },
     );
     assert!(step.event.is_some());
 }
@@ -162,8 +165,8 @@
     let release = |fencing_token| LeaseRelease { role: role(), fencing_token: FencingToken(fencing_token) };
     voter.handle_release(SECOND, &release(5));
     voter.handle_release(FIRST, &release(4));
-    let taken = voter.handle_request(at(10), SECOND, &request(6, false));
-    assert_eq!(refusal(&taken.answer), Some(Refusal::HeldByOther));
+    let competing = voter.handle_request(at(10), SECOND, &request(6, false));
+    assert_eq!(refusal(&competing.answer), Some(Refusal::HeldByOther));
     voter.handle_release(FIRST, &release(5));
     assert_eq!(refusal(&voter.handle_request(at(20), SECOND, &request(6, false)).answer), None);
     // A late renewal of the earlier holder has the lower token.
@@ -176,7 +179,7 @@
     let mut holder = Holder::new(&LeaseConfig::default(), role(), 1);
     holder.set_voters(1, 0);
     let attempt = holder.poll(Instant::ORIGIN).request.expect("a request").attempt;
-    let granted = LeaseAnswer::Granted { role: role(), attempt, bound_micros: duration() };
+    let granted = LeaseAnswer::Granted { role: role(), attempt, bound_micros: lease_micros() };
     let _ = holder.handle_answer(at(1), VoterId(9), &granted);
     let fencing_token = holder.fencing_token(at(2)).expect("it is held");
     assert_eq!(holder.release(at(2)), Some(LeaseRelease { role: role(), fencing_token }));
@@ -192,10 +195,10 @@
     let mut holder = Holder::new(&config, role(), 1);
     holder.set_voters(1, 0);
     assert!(holder.poll(Instant::ORIGIN).request.is_some());
-    let soon = config.renew_interval.as_micros() as u64 / 2;
+    let max_jitter_micros = config.renew_interval.as_micros() as u64 / 2;
     holder.handle_release(at(10));
-    assert!(holder.next_deadline().is_some_and(|due| due <= at(10 + soon)));
-    assert!(holder.poll(at(11 + soon)).request.is_some());
+    assert!(holder.next_deadline().is_some_and(|due| due <= at(10 + max_jitter_micros)));
+    assert!(holder.poll(at(11 + max_jitter_micros)).request.is_some());
 }
 
 #[test]
@@ -209,9 +212,9 @@
         attempt,
         refusal: Refusal::HeldByOther,
         highest_token: FencingToken(1),
-        retry_after_micros: duration(),
+        retry_after_micros: lease_micros(),
     };
-    let granted = LeaseAnswer::Granted { role: role(), attempt, bound_micros: duration() };
+    let granted = LeaseAnswer::Granted { role: role(), attempt, bound_micros: lease_micros() };
     assert_eq!(holder.handle_answer(at(10), VoterId(1), &granted).event, None);
     assert_eq!(holder.handle_answer(at(2_000), VoterId(3), &refused).event, None);
     assert!(holder.handle_answer(at(3_000), VoterId(2), &granted).event.is_some());
--- a/coordination/lease/tests/model.rs
+++ b/coordination/lease/tests/model.rs
@@ -14,21 +14,21 @@
 const VOTERS: usize = 3;
 const HOLDERS: usize = 2;
 /// The clock advances in steps of this many microseconds.
-const STEP: u64 = 100;
+const STEP_MICROS: u64 = 100;
 /// Bounds of the exhaustive exploration.
-const LIMITS: Limits = Limits { polls: [2, 1], restarts: 1, releases: 0, last_step: 5 };
+const EXHAUSTIVE_LIMITS: Limits = Limits { polls: [2, 1], restarts: 1, releases: 0, last_clock_step: 5 };
 /// Bounds of the long histories.
-const LIMITS_OF_WALKS: Limits =
-    Limits { polls: [1_000, 1_000], restarts: 100, releases: 0, last_step: 1_000 };
+const RANDOM_WALK_LIMITS: Limits =
+    Limits { polls: [1_000, 1_000], restarts: 100, releases: 0, last_clock_step: 1_000 };
 /// Bounds of the long histories in which holders also shut down: they release the role, and start again.
-const LIMITS_OF_WALKS_WITH_RELEASES: Limits = Limits { releases: 100, ..LIMITS_OF_WALKS };
+const RANDOM_WALK_LIMITS_WITH_RELEASES: Limits = Limits { releases: 100, ..RANDOM_WALK_LIMITS };
 /// Number of long histories, and their actions.
-const WALKS: u64 = 1_500;
-const WALK_ACTIONS: usize = 250;
+const RANDOM_WALKS: u64 = 1_500;
+const ACTIONS_PER_WALK: usize = 250;
 /// Share of the actions in long histories that may be restarts.
-const RESTARTING: f64 = 0.1;
+const RESTART_SHARE: f64 = 0.1;
 /// States explored in an ordinary run.
-const ORDINARY_STATES: usize = 60_000;
+const DEFAULT_MAX_STATES: usize = 60_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum InFlight {
@@ -72,30 +72,30 @@
     restarts: usize,
     /// Restarts of a holder that releases the role first.
     releases: usize,
-    last_step: u64,
+    last_clock_step: u64,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct ModelState {
     limits: Limits,
-    now: u64,
+    now_micros: u64,
     holders: Vec<Holder>,
     voters: Vec<Voter>,
     in_flight: BTreeSet<InFlight>,
-    highest: FencingToken,
+    highest_token: FencingToken,
     restarts: usize,
     releases: usize,
     polls: [usize; HOLDERS],
     /// Within one step of the clock the parts act in a fixed order, since what different parts do commutes: holders
     /// ask, voters receive, holders count. Whatever comes out of this order comes in a later step.
-    acting: usize,
+    last_actor: usize,
 }
 
 fn config() -> LeaseConfig {
     LeaseConfig {
-        duration: Duration::from_micros(2 * STEP),
-        safety_margin: Duration::from_micros(STEP / 2),
-        renew_interval: Duration::from_micros(STEP),
+        duration: Duration::from_micros(2 * STEP_MICROS),
+        safety_margin: Duration::from_micros(STEP_MICROS / 2),
+        renew_interval: Duration::from_micros(STEP_MICROS),
     }
 }
 
@@ -109,18 +109,18 @@
 }
 
 /// The first holder has the role by the grants of two voters; its request to the third is still in flight.
-fn held_by_the_first() -> World {
-    let mut world = World::new(LIMITS);
-    world.poll(0);
+fn held_by_first_holder() -> ModelState {
+    let mut state = ModelState::new(EXHAUSTIVE_LIMITS);
+    state.poll(0);
     for _ in 0..2 {
-        world.deliver(0);
+        state.deliver(0);
     }
     let granted = |message: &InFlight| matches!(message, InFlight::Granted { .. });
-    while let Some(index) = world.in_flight.iter().position(granted) {
-        world.deliver(index);
+    while let Some(index) = state.in_flight.iter().position(granted) {
+        state.deliver(index);
     }
-    assert!(world.holders[0].is_held(at(world.now)));
-    world
+    assert!(state.holders[0].is_held(at(state.now_micros)));
+    state
 }
 
 fn candidate(seed: u64) -> Holder {
@@ -129,22 +129,22 @@
     holder
 }
 
-impl World {
-    fn new(limits: Limits) -> World {
+impl ModelState {
+    fn new(limits: Limits) -> ModelState {
         let mut voters = vec![Voter::new(&config(), Default::default(), Instant::ORIGIN); VOTERS];
         voters.iter_mut().for_each(Voter::skip_grace_period);
         let holders = (0..HOLDERS as u64).map(candidate).collect();
-        World {
+        ModelState {
             limits,
-            now: 0,
+            now_micros: 0,
             holders,
             voters,
             in_flight: BTreeSet::new(),
-            highest: FencingToken::default(),
+            highest_token: FencingToken::default(),
             restarts: 0,
             releases: 0,
             polls: [0; HOLDERS],
-            acting: 0,
+            last_actor: 0,
         }
     }
 
@@ -173,12 +173,14 @@
     fn actions(&self) -> Vec<Action> {
         let mut actions: Vec<Action> =
             (0..self.in_flight.len()).map(|index| Action::Deliver { index }).collect();
-        let due = |holder: &Holder| holder.next_deadline().is_some_and(|due| due <= at(self.now));
-        let may_poll =
-            |holder: &usize| due(&self.holders[*holder]) && self.polls[*holder] < self.limits.polls[*holder];
+        let is_due =
+            |holder: &Holder| holder.next_deadline().is_some_and(|deadline| deadline <= at(self.now_micros));
+        let may_poll = |holder: &usize| {
+            is_due(&self.holders[*holder]) && self.polls[*holder] < self.limits.polls[*holder]
+        };
         let polls = (0..HOLDERS).filter(may_poll);
         actions.extend(polls.map(|holder| Action::Poll { holder }));
-        if self.now < self.limits.last_step * STEP {
+        if self.now_micros < self.limits.last_clock_step * STEP_MICROS {
             actions.push(Action::Advance);
         }
         if self.restarts < self.limits.restarts {
@@ -186,26 +188,27 @@
             actions.push(Action::RestartHolder { holder: 0 });
         }
         if self.releases < self.limits.releases {
-            let held = (0..HOLDERS).filter(|holder| self.holders[*holder].is_held(at(self.now)));
+            let held = (0..HOLDERS).filter(|holder| self.holders[*holder].is_held(at(self.now_micros)));
             actions.extend(held.map(|holder| Action::ShutDownHolder { holder }));
         }
-        actions.retain(|action| self.actor(*action) >= self.acting);
+        actions.retain(|action| self.actor(*action) >= self.last_actor);
         actions
     }
 
-    fn after(&self, action: Action) -> World {
+    fn after(&self, action: Action) -> ModelState {
         let mut next = self.clone();
-        next.acting = self.actor(action);
+        next.last_actor = self.actor(action);
         match action {
             Action::Advance => {
-                next.now += STEP;
-                next.acting = 0;
+                next.now_micros += STEP_MICROS;
+                next.last_actor = 0;
             }
             Action::Poll { holder } => next.poll(holder),
             Action::Deliver { index } => next.deliver(index),
             Action::RestartVoter { voter } => {
                 next.restarts += 1;
-                next.voters[voter] = Voter::new(&config(), self.voters[voter].state().clone(), at(self.now));
+                next.voters[voter] =
+                    Voter::new(&config(), self.voters[voter].state().clone(), at(self.now_micros));
             }
             Action::RestartHolder { holder } => {
                 next.restarts += 1;
@@ -219,8 +222,8 @@
 
     fn poll(&mut self, holder: usize) {
         self.polls[holder] += 1;
-        let step = self.holders[holder].poll(at(self.now));
-        self.event(step.event);
+        let step = self.holders[holder].poll(at(self.now_micros));
+        self.record_event(step.event);
         let Some(request) = step.request else {
             return;
         };
@@ -232,7 +235,7 @@
 
     fn shut_down(&mut self, holder: usize) {
         self.releases += 1;
-        let release = self.holders[holder].release(at(self.now)).expect("the role is held");
+        let release = self.holders[holder].release(at(self.now_micros)).expect("the role is held");
         let fencing_token = release.fencing_token;
         let released = (0..VOTERS).map(|voter| InFlight::Released { holder, voter, fencing_token });
         self.in_flight.extend(released);
@@ -245,16 +248,21 @@
         match message {
             InFlight::Request { holder, voter, attempt, fencing_token, is_renewal } => {
                 let request = LeaseRequest { role: role(), attempt, fencing_token, is_renewal };
-                let vote = self.voters[voter].handle_request(at(self.now), HolderId(holder as u64), &request);
+                let vote =
+                    self.voters[voter].handle_request(at(self.now_micros), HolderId(holder as u64), &request);
                 match vote.answer {
                     LeaseAnswer::Granted { attempt, bound_micros, .. } => {
                         self.in_flight.insert(InFlight::Granted { holder, voter, attempt, bound_micros });
                     }
-                    refused => self.answer(holder, voter, &refused),
+                    refused => self.deliver_answer(holder, voter, &refused),
                 }
             }
             InFlight::Granted { holder, voter, attempt, bound_micros } => {
-                self.answer(holder, voter, &LeaseAnswer::Granted { role: role(), attempt, bound_micros });
+                self.deliver_answer(
+                    holder,
+                    voter,
+                    &LeaseAnswer::Granted { role: role(), attempt, bound_micros },
+                );
             }
             InFlight::Released { holder, voter, fencing_token } => {
                 let release = LeaseRelease { role: role(), fencing_token };
@@ -263,37 +271,38 @@
         }
     }
 
-    fn answer(&mut self, holder: usize, voter: usize, answer: &LeaseAnswer) {
-        let step = self.holders[holder].handle_answer(at(self.now), VoterId(voter as u64), answer);
-        self.event(step.event);
+    fn deliver_answer(&mut self, holder: usize, voter: usize, answer: &LeaseAnswer) {
+        let step = self.holders[holder].handle_answer(at(self.now_micros), VoterId(voter as u64), answer);
+        self.record_event(step.event);
     }
 
-    fn event(&mut self, event: Option<HolderEvent>) {
+    fn record_event(&mut self, event: Option<HolderEvent>) {
         if let Some(HolderEvent::Granted { fencing_token }) = event {
-            assert!(fencing_token > self.highest, "fencing tokens rise: {self:?}");
-            self.highest = fencing_token;
+            assert!(fencing_token > self.highest_token, "fencing tokens rise: {self:?}");
+            self.highest_token = fencing_token;
         }
     }
 
-    fn check(&self) {
-        let holding = self.holders.iter().filter(|holder| holder.is_held(at(self.now))).count();
-        assert!(holding <= 1, "two holders of the role: {self:?}");
+    fn assert_at_most_one_holder(&self) {
+        let holders_of_role =
+            self.holders.iter().filter(|holder| holder.is_held(at(self.now_micros))).count();
+        assert!(holders_of_role <= 1, "two holders of the role: {self:?}");
     }
 }
 
 /// Explores breadth first from `start` and returns how many states were seen, and how deep.
-fn explore(start: World, bound: usize) -> Explored {
+fn explore(start: ModelState, max_states: usize) -> Explored {
     let mut seen = HashSet::new();
     let mut queue = VecDeque::from([(start, 0)]);
     let mut explored = Explored { states: 0, complete_depth: 0 };
-    while let Some((world, depth)) = queue.pop_front() {
-        world.check();
-        if seen.len() >= bound {
+    while let Some((state, depth)) = queue.pop_front() {
+        state.assert_at_most_one_holder();
+        if seen.len() >= max_states {
             break;
         }
         explored.complete_depth = depth;
-        for action in world.actions() {
-            let next = world.after(action);
+        for action in state.actions() {
+            let next = state.after(action);
             if seen.insert(next.fingerprint()) {
                 queue.push_back((next, depth + 1));
             }
@@ -312,44 +321,44 @@
 
 #[test]
 fn no_interleaving_grants_the_role_to_two_holders() {
-    let states = std::env::var("LEASE_MODEL_STATES").ok().and_then(|text| text.parse().ok());
-    let bound = states.unwrap_or(ORDINARY_STATES);
-    let unheld = explore(World::new(LIMITS), bound / 2);
-    let held = explore(held_by_the_first(), bound / 2);
+    let configured = std::env::var("LEASE_MODEL_STATES").ok().and_then(|text| text.parse().ok());
+    let max_states = configured.unwrap_or(DEFAULT_MAX_STATES);
+    let unheld = explore(ModelState::new(EXHAUSTIVE_LIMITS), max_states / 2);
+    let held = explore(held_by_first_holder(), max_states / 2);
     println!("from a free role {unheld:?}, from a held one {held:?}");
     assert!(unheld.complete_depth >= 6 && held.complete_depth >= 6);
 }
 
 #[test]
 fn long_histories_never_grant_the_role_to_two_holders() {
-    walk(LIMITS_OF_WALKS);
+    run_random_walks(RANDOM_WALK_LIMITS);
 }
 
 #[test]
 fn long_histories_with_releases_never_grant_the_role_to_two_holders() {
-    walk(LIMITS_OF_WALKS_WITH_RELEASES);
+    run_random_walks(RANDOM_WALK_LIMITS_WITH_RELEASES);
 }
 
 /// Plays long random histories; messages may overtake each other, and arrive after their sender was restarted.
-fn walk(limits: Limits) {
-    let mut grants = 0;
-    for seed in 0..WALKS {
+fn run_random_walks(limits: Limits) {
+    let mut leases_granted = 0;
+    for seed in 0..RANDOM_WALKS {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut world = World::new(limits);
-        for _ in 0..WALK_ACTIONS {
-            let mut actions = world.actions();
-            if random.f64() > RESTARTING {
+        let mut state = ModelState::new(limits);
+        for _ in 0..ACTIONS_PER_WALK {
+            let mut actions = state.actions();
+            if random.f64() > RESTART_SHARE {
                 actions.retain(|action| !action.is_restart());
             }
             let Some(action) = random.choice(actions) else {
                 continue;
             };
-            let before = world.highest;
-            world = world.after(action);
-            world.check();
-            grants += usize::from(world.highest > before);
+            let token_before = state.highest_token;
+            state = state.after(action);
+            state.assert_at_most_one_holder();
+            leases_granted += usize::from(state.highest_token > token_before);
         }
     }
-    println!("{grants} leases in {WALKS} histories of up to {WALK_ACTIONS} actions");
-    assert!(grants > WALKS as usize / 2, "the role changes hands");
+    println!("{leases_granted} leases in {RANDOM_WALKS} histories of up to {ACTIONS_PER_WALK} actions");
+    assert!(leases_granted > RANDOM_WALKS as usize / 2, "the role changes hands");
 }
--- a/coordination/lease/tests/renewals.rs
+++ b/coordination/lease/tests/renewals.rs
@@ -22,26 +22,26 @@
 struct Machine {
     voter: Voter,
     holder: Holder,
-    runs: bool,
+    is_running: bool,
 }
 
-struct World {
+struct Cluster {
     config: LeaseConfig,
     machines: Vec<Machine>,
     requests: Vec<(usize, usize, LeaseRequest)>,
     step: u64,
 }
 
-impl World {
-    fn new() -> World {
+impl Cluster {
+    fn new() -> Cluster {
         let config = LeaseConfig::default();
         let machine = |number| {
             let mut voter = Voter::new(&config, VoterState::default(), Instant::ORIGIN);
             voter.skip_grace_period();
-            Machine { voter, holder: candidate(&config, number as u64), runs: true }
+            Machine { voter, holder: candidate(&config, number as u64), is_running: true }
         };
         let machines = (0..MACHINES).map(machine).collect();
-        World { config, machines, requests: Vec::new(), step: 0 }
+        Cluster { config, machines, requests: Vec::new(), step: 0 }
     }
 
     fn now(&self) -> u64 {
@@ -54,7 +54,7 @@
         let state = self.machines[number].voter.state().clone();
         let voter = Voter::new(&self.config, state, at(now));
         let holder = candidate(&self.config, 50 + number as u64);
-        self.machines[number] = Machine { voter, holder, runs: true };
+        self.machines[number] = Machine { voter, holder, is_running: true };
     }
 
     fn run_for(&mut self, micros: u64) {
@@ -70,7 +70,7 @@
             self.deliver(now, from, to, &request);
         }
         for number in 0..MACHINES {
-            if !self.machines[number].runs {
+            if !self.machines[number].is_running {
                 continue;
             }
             let Some(request) = self.machines[number].holder.poll(at(now)).request else { continue };
@@ -81,7 +81,7 @@
     }
 
     fn deliver(&mut self, now: u64, from: usize, to: usize, request: &LeaseRequest) {
-        if !self.machines[from].runs || !self.machines[to].runs {
+        if !self.machines[from].is_running || !self.machines[to].is_running {
             return;
         }
         let answer: LeaseAnswer =
@@ -91,8 +91,9 @@
 
     fn holder(&self) -> Option<usize> {
         let now = self.now();
-        (0..MACHINES)
-            .find(|number| self.machines[*number].runs && self.machines[*number].holder.is_held(at(now)))
+        (0..MACHINES).find(|number| {
+            self.machines[*number].is_running && self.machines[*number].holder.is_held(at(now))
+        })
     }
 }
 
@@ -104,19 +105,19 @@
 
 #[test]
 fn a_lease_outlasts_the_restart_of_one_voter_and_the_loss_of_another() {
-    let mut world = World::new();
-    let lease = world.config.duration.as_micros() as u64;
-    world.run_for(10 * lease);
-    let holder = world.holder().expect("somebody holds the role");
-    let (restarted, lost) = ((holder + 1) % MACHINES, (holder + 2) % MACHINES);
-    world.restart(restarted);
+    let mut cluster = Cluster::new();
+    let lease = cluster.config.duration.as_micros() as u64;
+    cluster.run_for(10 * lease);
+    let holder = cluster.holder().expect("somebody holds the role");
+    let (restarted, stopped) = ((holder + 1) % MACHINES, (holder + 2) % MACHINES);
+    cluster.restart(restarted);
     // The restarted one asks for the role itself, without success; between two such attempts its voter is free for the holder.
-    world.run_for(20 * lease);
-    assert_eq!(world.holder(), Some(holder));
-    world.machines[lost].runs = false;
+    cluster.run_for(20 * lease);
+    assert_eq!(cluster.holder(), Some(holder));
+    cluster.machines[stopped].is_running = false;
     for _ in 0..50 {
-        world.run_for(lease / 10);
-        assert_eq!(world.holder(), Some(holder), "two of three voters are there");
+        cluster.run_for(lease / 10);
+        assert_eq!(cluster.holder(), Some(holder), "two of three voters are there");
     }
 }
 
@@ -126,24 +127,24 @@
     let lease = config.duration.as_micros() as u64;
     let mut voter = Voter::new(&config, VoterState::default(), Instant::ORIGIN);
     voter.skip_grace_period();
-    let ask = |fencing_token, is_renewal| LeaseRequest {
+    let request = |fencing_token, is_renewal| LeaseRequest {
         role: role(),
         attempt: 1,
         fencing_token: millrudder_lease::FencingToken(fencing_token),
         is_renewal,
     };
     let is_granted = |answer: LeaseAnswer| matches!(answer, LeaseAnswer::Granted { .. });
-    assert!(is_granted(voter.handle_request(Instant::ORIGIN, HolderId(2), &ask(9, false)).answer));
+    assert!(is_granted(voter.handle_request(Instant::ORIGIN, HolderId(2), &request(9, false)).answer));
     assert!(
-        !is_granted(voter.handle_request(at(lease - 1), HolderId(1), &ask(1, true)).answer),
+        !is_granted(voter.handle_request(at(lease - 1), HolderId(1), &request(1, true)).answer),
         "bound to the other"
     );
     assert!(
-        is_granted(voter.handle_request(at(lease), HolderId(1), &ask(1, true)).answer),
+        is_granted(voter.handle_request(at(lease), HolderId(1), &request(1, true)).answer),
         "the holder goes on"
     );
-    assert!(!is_granted(voter.handle_request(at(3 * lease), HolderId(3), &ask(9, false)).answer));
-    assert!(is_granted(voter.handle_request(at(3 * lease), HolderId(3), &ask(10, false)).answer));
+    assert!(!is_granted(voter.handle_request(at(3 * lease), HolderId(3), &request(9, false)).answer));
+    assert!(is_granted(voter.handle_request(at(3 * lease), HolderId(3), &request(10, false)).answer));
 }
 
 /// A lease of a core machine was lost for 570 ms when a machine without it lost power (`docs/design/control/days.md`). Why was
@@ -152,19 +153,23 @@
 #[test]
 fn a_lease_outlasts_the_loss_of_another_machine_at_any_moment() {
     let lease = LeaseConfig::default().duration.as_micros() as u64;
-    for moment in (0..3 * lease).step_by(10_000) {
+    for delay_micros in (0..3 * lease).step_by(10_000) {
         for offset in 1..MACHINES {
-            let mut world = World::new();
-            while world.holder().is_none() {
-                world.run_for(STEP_MICROS);
+            let mut cluster = Cluster::new();
+            while cluster.holder().is_none() {
+                cluster.run_for(STEP_MICROS);
             }
-            world.run_for(moment);
-            let holder = world.holder().expect("nothing has happened to the holder");
-            world.machines[(holder + offset) % MACHINES].runs = false;
+            cluster.run_for(delay_micros);
+            let holder = cluster.holder().expect("nothing has happened to the holder");
+            cluster.machines[(holder + offset) % MACHINES].is_running = false;
             for _ in 0..40 {
-                world.run_for(lease / 10);
-                let held = world.holder();
-                assert_eq!(held, Some(holder), "{moment} us after the lease, {offset} after the holder lost");
+                cluster.run_for(lease / 10);
+                let held = cluster.holder();
+                assert_eq!(
+                    held,
+                    Some(holder),
+                    "{delay_micros} us after the lease, {offset} after the holder lost"
+                );
             }
         }
     }
--- a/coordination/lease/tests/split_votes.rs
+++ b/coordination/lease/tests/split_votes.rs
@@ -7,7 +7,7 @@
 const MAJORITY: usize = 2;
 const STEP_MICROS: u64 = 1_000;
 /// Of the voters' answers.
-const DELAY_STEPS: u64 = 2;
+const REQUEST_DELAY_STEPS: u64 = 2;
 
 /// A reading of the clock, in microseconds since its origin.
 fn at(micros: u64) -> Instant {
@@ -15,7 +15,7 @@
 }
 
 /// Runs machines that are candidate and voter both, and returns when the role is first held.
-fn first_holder(seed: u64, until: u64) -> Option<u64> {
+fn time_of_first_lease(seed: u64, until_micros: u64) -> Option<u64> {
     let config = LeaseConfig::default();
     let role = || Role("role".to_owned());
     let mut voters: Vec<Voter> =
@@ -25,19 +25,20 @@
         (0..MACHINES).map(|number| Holder::new(&config, role(), seed + number as u64)).collect();
     holders.iter_mut().for_each(|holder| holder.set_voters(MAJORITY, 1));
     let mut in_flight = Vec::new();
-    for step in 0..until / STEP_MICROS {
+    for step in 0..until_micros / STEP_MICROS {
         let now = step * STEP_MICROS;
         for (candidate, holder) in holders.iter_mut().enumerate() {
             if let Some(request) = holder.poll(at(now)).request {
                 for voter in 0..MACHINES {
                     // A machine's own vote comes at once, others' requests take their time.
-                    let due = if voter == candidate { step } else { step + DELAY_STEPS };
-                    in_flight.push((due, candidate, voter, request.clone()));
+                    let delivery_step = if voter == candidate { step } else { step + REQUEST_DELAY_STEPS };
+                    in_flight.push((delivery_step, candidate, voter, request.clone()));
                 }
             }
         }
-        in_flight.sort_by_key(|(due, candidate, ..)| (*due, *candidate));
-        let later = in_flight.split_off(in_flight.partition_point(|(due, ..)| *due <= step));
+        in_flight.sort_by_key(|(delivery_step, candidate, ..)| (*delivery_step, *candidate));
+        let later =
+            in_flight.split_off(in_flight.partition_point(|(delivery_step, ..)| *delivery_step <= step));
         for (_, candidate, voter, request) in std::mem::replace(&mut in_flight, later) {
             let vote = voters[voter].handle_request(at(now), HolderId(candidate as u64), &request);
             let _ = holders[candidate].handle_answer(at(now), VoterId(voter as u64), &vote.answer);
@@ -52,7 +53,7 @@
 #[test]
 fn a_split_vote_ends() {
     for seed in 0..200 {
-        let held = first_holder(seed * 10, 20_000_000);
-        assert!(held.is_some(), "seed {seed}: nobody holds the role after 20 s");
+        let held_at = time_of_first_lease(seed * 10, 20_000_000);
+        assert!(held_at.is_some(), "seed {seed}: nobody holds the role after 20 s");
     }
 }
