--- a/coordination/lease/src/config.rs
+++ b/coordination/lease/src/config.rs
@@ -1,17 +1,21 @@
-//! Durations of a lease.
+//! Configuration of lease durations.
 
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// Durations that holders and voters share, in whole microseconds: messages carry nothing finer.
+/// Durations that must be the same at all holders and voters.
+///
+/// They are whole microseconds, the resolution of the durations in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// How long a grant binds its voter, and the grace period after a voter's start.
+    /// Duration of a grant: the voter grants the role to no other candidate for this long. It is also the length of the
+    /// grace period during which a voter that has just started grants nothing.
     pub duration: Duration,
-    /// How long before the voters' grants expire a holder stops, to cover the difference in clock rates.
+    /// How long before the voters' grants expire a holder treats its lease as expired. This covers the difference between
+    /// the clock rates of holder and voters.
     pub safety_margin: Duration,
-    /// Interval between renewals, and between the requests of a candidate.
+    /// Interval at which a holder renews its lease, and at which a candidate repeats its request.
     pub renew_interval: Duration,
 }
 
@@ -28,7 +32,7 @@
 /// Why a [`LeaseConfig`] is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LeaseConfigError {
-    /// A lease must outlast two renewals, or one lost message would end it.
+    /// The lease is shorter than two renewal intervals plus the safety margin, so a single lost message would end it.
     #[error("a lease of {duration:?} less {safety_margin:?} does not outlast two renewals every {renew_interval:?}")]
     TooShort {
         /// [`LeaseConfig::duration`].
@@ -38,17 +42,17 @@
         /// [`LeaseConfig::renew_interval`].
         renew_interval: Duration,
     },
-    /// Without an interval requests would be sent without end.
+    /// With an interval of zero, requests would be sent in an endless loop.
     #[error("the interval between renewals is zero")]
     NoRenewalInterval,
 }
 
 impl LeaseConfig {
-    /// Checks that the durations fit together.
+    /// Checks that the durations are consistent with each other.
     ///
     /// # Errors
     ///
-    /// Says which rule the durations break.
+    /// Returns the first rule that the durations violate.
     pub fn check(&self) -> Result<(), LeaseConfigError> {
         let LeaseConfig { duration, safety_margin, renew_interval } = *self;
         if renew_interval.is_zero() {
--- a/coordination/lease/src/holder.rs
+++ b/coordination/lease/src/holder.rs
@@ -1,4 +1,5 @@
-//! The holder's side: acquires a role, renews its lease, and stops before the lease expires.
+//! The holder's side of a lease: acquires a role, renews its lease, and gives the role up before the voters' grants
+//! expire.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,41 +8,41 @@
 
 use crate::{FencingToken, LeaseAnswer, LeaseConfig, LeaseRelease, LeaseRequest, Refusal, Role, VoterId};
 
-/// A change in the possession of a role.
+/// Reports that the local node acquired or lost a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderEvent {
-    /// The lease is held from now on.
+    /// A majority of the voters granted the lease; the role may be exercised from now on.
     Granted {
         /// Token of the lease.
         fencing_token: FencingToken,
     },
-    /// The lease has expired: the role must not be exercised any more.
+    /// The lease expired; the role must no longer be exercised.
     Lost {
         /// Token of the lease.
         fencing_token: FencingToken,
     },
 }
 
-/// What the embedder has to do after an input.
+/// Actions for the embedder after an input.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[must_use]
 pub struct HolderStep {
-    /// To be sent to all voters.
+    /// Request to send to all voters.
     pub request: Option<LeaseRequest>,
-    /// A change in possession.
+    /// Whether the role was acquired or lost.
     pub event: Option<HolderEvent>,
 }
 
-/// One attempt to acquire or renew the lease, with the grants counted for it.
+/// One attempt to acquire or renew the lease, and the grants received for it.
 #[derive(Clone, Debug)]
 struct Attempt {
     number: u64,
     sent_at: Instant,
     fencing_token: FencingToken,
     grants: BTreeSet<VoterId>,
-    /// For how long every grant binds its voter, counted from the request.
+    /// Shortest duration among the grants received so far, counted from [`Attempt::sent_at`].
     granted_for: Duration,
-    /// When the first of the voters that refused may grant.
+    /// Earliest time at which one of the voters that refused may grant a request.
     retry_at: Option<Instant>,
 }
 
@@ -51,7 +52,8 @@
     expires_at: Instant,
 }
 
-/// Candidate for, and holder of, one role. Instants are readings of its own steady clock.
+/// State machine of a node that competes for one role and holds it once elected. Instants are readings of the node's own
+/// steady clock.
 #[derive(Clone, Debug)]
 pub struct Holder {
     role: Role,
@@ -68,12 +70,13 @@
 }
 
 impl Holder {
-    /// A candidate that knows no voters yet.
+    /// Creates a candidate without voters; it sends no requests before [`Holder::set_voters`].
     ///
-    /// `seed` spreads the attempts of competing candidates; it must differ between processes.
+    /// `seed` initializes the random delays that spread the attempts of competing candidates. It must differ between
+    /// processes.
     pub fn new(config: &LeaseConfig, role: Role, seed: u64) -> Holder {
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Drawn at random, so that late grants to an earlier process never count.
+        // A random start of the attempt numbers: delayed grants to an earlier process of this node match no attempt.
         let last_attempt_number = rng.u64(..);
         Holder {
             role,
@@ -90,9 +93,9 @@
         }
     }
 
-    /// Sets how many grants are needed from now on (zero: there are no voters), and the generation of the voters.
+    /// Sets the number of grants that make a majority (zero if there are no voters) and the generation of the voters.
     ///
-    /// Grants of earlier voters do not count any more. An active lease stays valid and is renewed at once.
+    /// Grants received from earlier voters are discarded. An active lease stays valid and is renewed immediately.
     pub fn set_voters(&mut self, majority: usize, generation: u64) {
         self.majority = majority;
         self.highest_token = self.highest_token.max(FencingToken::floor(generation));
@@ -100,29 +103,31 @@
         self.next_request_at = Instant::ORIGIN;
     }
 
-    /// The role.
+    /// Returns the role this node competes for.
     pub fn role(&self) -> &Role {
         &self.role
     }
 
-    /// Whether the role may be exercised at `now`.
+    /// Returns whether the role may be exercised at `now`.
     pub fn is_held(&self, now: Instant) -> bool {
         self.active_lease(now).is_some()
     }
 
-    /// Fencing token of the lease, while it is held.
+    /// Returns the fencing token of the lease if it is held at `now`.
     pub fn fencing_token(&self, now: Instant) -> Option<FencingToken> {
         self.active_lease(now).map(|lease| lease.fencing_token)
     }
 
-    /// When [`poll`](Holder::poll) is due next.
+    /// Returns the time of the next call of [`Holder::poll`]: a request or the expiry of the lease, if either is pending.
     pub fn next_deadline(&self) -> Option<Instant> {
         let request = (self.majority > 0).then_some(self.next_request_at);
         let expiry = self.lease.map(|lease| lease.expires_at);
         request.into_iter().chain(expiry).min()
     }
 
-    /// Releases the lease, if it is held: the role must not be exercised from now on. The message is for all voters.
+    /// Releases the lease and returns the message to send to all voters, or `None` if no lease is held.
+    ///
+    /// The role must not be exercised after this call.
     pub fn release(&mut self, now: Instant) -> Option<LeaseRelease> {
         let lease = self.lease.take();
         self.attempt = None;
@@ -130,14 +135,14 @@
         Some(LeaseRelease { role: self.role.clone(), fencing_token })
     }
 
-    /// Another holder has released the role: brings the next request forward to within half a renewal interval, at
-    /// random so that candidates rarely collide.
+    /// Handles the release of the role by another holder: the next request is sent after a random delay of at most half a
+    /// renewal interval, so that candidates rarely collide.
     pub fn handle_release(&mut self, now: Instant) {
         let jitter = self.random_jitter();
         self.next_request_at = self.next_request_at.min(now + jitter);
     }
 
-    /// Ends an expired lease, and sends the next request when it is due.
+    /// Ends an expired lease and returns the next request if it is due.
     pub fn poll(&mut self, now: Instant) -> HolderStep {
         let event = self.expire(now);
         if self.majority == 0 || now < self.next_request_at {
@@ -147,7 +152,7 @@
         HolderStep { request: Some(self.start_attempt(now)), event }
     }
 
-    /// Counts the answer of the voter `from`.
+    /// Handles the answer of the voter `from`.
     pub fn handle_answer(&mut self, now: Instant, from: VoterId, answer: &LeaseAnswer) -> HolderStep {
         let event = self.expire(now);
         if event.is_some() {
@@ -204,14 +209,16 @@
         attempt.granted_for = attempt.granted_for.min(granted_for);
         let fencing_token = attempt.fencing_token;
         let expires_at = attempt.sent_at + attempt.granted_for.saturating_sub(self.safety_margin);
-        // A lease that some voter grants for a shorter time is renewed at once.
+        // If a voter granted less than the full duration, which it does for a repeated request, the lease is renewed
+        // immediately.
         let is_full_duration = attempt.granted_for == self.duration;
         let renew_at = if is_full_duration { attempt.sent_at + self.renew_interval } else { now };
         if attempt.grants.len() < self.majority || now >= expires_at {
             return None;
         }
         let is_new_lease = self.lease.is_none();
-        // A voter that refused has set a later time, which was meant for a candidate.
+        // A refusal that arrived earlier may have postponed the next request. That delay applies to candidates only; a
+        // holder renews at the usual interval.
         self.next_request_at = self.next_request_at.min(renew_at.max(now));
         let expires_at = self.lease.map_or(expires_at, |lease| lease.expires_at.max(expires_at));
         self.lease = Some(ActiveLease { fencing_token, expires_at });
@@ -229,7 +236,7 @@
         }
         let wait = match refusal {
             Refusal::StaleToken => jitter,
-            // An earlier request would be refused again.
+            // A request before `retry_after` would be refused again.
             Refusal::HeldByOther | Refusal::GracePeriod => retry_after.saturating_add(jitter),
         };
         let retry_at = attempt.retry_at.map_or(now + wait, |earlier| earlier.min(now + wait));
@@ -237,13 +244,14 @@
         self.next_request_at = retry_at;
     }
 
-    /// A random span of at most half a renewal interval, in whole microseconds.
+    /// Returns a random delay of at most half a renewal interval, in whole microseconds.
     fn random_jitter(&mut self) -> Duration {
         let half_interval_micros = self.renew_interval.as_micros() as u64 / 2;
         Duration::from_micros(self.rng.u64(0..half_interval_micros + 1))
     }
 
-    /// Ends an expired lease, and its renewal with it: others may have held the role since.
+    /// Ends an expired lease. A pending renewal is discarded too, since another node may have held the role since the
+    /// lease expired.
     fn expire(&mut self, now: Instant) -> Option<HolderEvent> {
         let lease = self.lease.filter(|lease| now >= lease.expires_at)?;
         self.lease = None;
--- a/coordination/lease/src/lib.rs
+++ b/coordination/lease/src/lib.rs
@@ -1,15 +1,16 @@
 //! Leader leases for named singleton roles, granted by a majority of voters (Gray, Cheriton, 1989).
 //!
-//! A [`Holder`] asks all voters for a role, counts the grants of one attempt, and holds the lease from the moment it
-//! *sent* the request, less a safety margin. A [`Voter`] binds itself from the moment it *received* the request.
+//! A [`Holder`] requests a role from all voters and acquires the lease once a majority has granted the same attempt. A
+//! [`Voter`] counts the duration of its grant from the time it *received* the request. The holder counts it from the time
+//! it *sent* the request and subtracts a safety margin, so its lease ends before any of the grants.
 //!
-//! Guaranteed: no two holders hold the same role at one time, and each lease carries a [`FencingToken`] higher than that
-//! of every earlier lease of the role. This rests on clocks whose rates differ by less than the safety margin; clocks
-//! need not show the same time.
+//! Guarantees: no two nodes hold the same role at the same time, and each lease carries a [`FencingToken`] higher than
+//! that of every earlier lease of the role. Both assume that during one lease the clocks of any two nodes drift apart by
+//! less than the safety margin; the clocks need not be synchronized.
 //!
-//! Both sides are state machines without I/O. The embedder passes the readings of its own steady clock, makes a
-//! [`LeaseRecord`] durable before the answer that rests on it leaves, polls the holder at
-//! [`Holder::next_deadline`], and asks [`Holder::is_held`] directly before each act of the role.
+//! Both sides are state machines without I/O. The embedder passes readings of its own steady clock, makes a
+//! [`LeaseRecord`] durable before it sends the answer that depends on it, calls [`Holder::poll`] at
+//! [`Holder::next_deadline`], and checks [`Holder::is_held`] immediately before each action of the role.
 //!
 //! ```
 //! use millrudder_clock::Instant;
@@ -21,7 +22,7 @@
 //! let mut voter = Voter::new(&config, VoterState::default(), Instant::ORIGIN);
 //! holder.set_voters(1, 0);
 //!
-//! // A voter that has just started grants nothing for one full lease.
+//! // A voter that has just started grants nothing for the duration of one lease.
 //! let now = Instant::ORIGIN + config.duration;
 //! let request = holder.poll(now).request.expect("a first request");
 //! let vote = voter.handle_request(now, HolderId(5), &request);
--- a/coordination/lease/src/message.rs
+++ b/coordination/lease/src/message.rs
@@ -1,9 +1,10 @@
-//! Messages between holders and voters, and the voter's durable record. The order of fields and variants is their form
-//! on the wire and on disk.
+//! Messages between holders and voters, and the voter's durable record.
+//!
+//! The encoding follows the order of fields and variants, so reordering them changes the format on the wire and on disk.
 
 use speedy::{Readable, Writable};
 
-/// Name of a singleton role.
+/// Name of a role that at most one node holds at a time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Role(pub String);
 
@@ -15,92 +16,92 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct VoterId(pub u64);
 
-/// Number of a lease: a later lease of the same role has a higher one, so that a resource can reject the work of
-/// an earlier holder (Kleppmann, "How to do distributed locking", 2016).
+/// Number of a lease that increases with each lease of the same role, so that a resource can reject requests of an
+/// earlier holder (Kleppmann, "How to do distributed locking", 2016).
 ///
-/// The upper half is the generation of the voters (their epoch), the lower half counts within it.
+/// The upper 32 bits are the generation of the voters (their epoch), the lower 32 bits count the leases within it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct FencingToken(pub u64);
 
-/// Bits of a [`FencingToken`] below the generation of the voters.
+/// Number of low bits of a [`FencingToken`] that count leases; the bits above them are the generation of the voters.
 const COUNTER_BITS: u32 = 32;
 
 impl FencingToken {
-    /// The token before the first one of a generation of voters.
+    /// Returns the lower bound of the tokens of a generation of voters; the first lease gets the token after it.
     pub fn floor(generation: u64) -> FencingToken {
         FencingToken(generation << COUNTER_BITS)
     }
 
-    /// The token that follows.
+    /// Returns the token that follows this one.
     pub fn next(self) -> FencingToken {
         FencingToken(self.0.saturating_add(1))
     }
 }
 
-/// Asks a voter to grant or renew a lease.
+/// Request to a voter to grant or renew a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct LeaseRequest {
-    /// The role.
+    /// Role the lease is for.
     pub role: Role,
-    /// Number of the holder's attempt; answers to its earlier attempts do not count.
+    /// Number of the sender's attempt; it ignores answers to earlier attempts.
     pub attempt: u64,
-    /// Token of the lease that is asked for or renewed.
+    /// Token of the lease that is requested or renewed.
     pub fencing_token: FencingToken,
-    /// Whether the sender holds the lease as it sends this.
+    /// Whether the sender held the lease when it sent this request.
     pub is_renewal: bool,
 }
 
-/// Gives a lease back before it expires, since the holder shuts down.
+/// Releases a lease before it expires because the holder shuts down.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct LeaseRelease {
-    /// The role.
+    /// Role of the released lease.
     pub role: Role,
-    /// Token of the lease.
+    /// Token of the released lease.
     pub fencing_token: FencingToken,
 }
 
-/// Why a voter does not grant a lease.
+/// Reason why a voter refuses to grant a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Refusal {
-    /// The voter is bound to another holder.
+    /// A grant to another candidate has not expired yet.
     HeldByOther,
-    /// The voter has started, or the voters have changed, less than a lease ago: leases that it does not know of may
-    /// still be valid.
+    /// The voter started, or the set of voters changed, less than one lease duration ago. Leases that this voter does not
+    /// know of may still be valid.
     GracePeriod,
-    /// The fencing token is not higher than one that was granted already.
+    /// The fencing token is not higher than the highest token granted so far.
     StaleToken,
 }
 
 /// A voter's answer to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum LeaseAnswer {
-    /// The voter has bound itself to the sender of the request.
+    /// The voter granted the lease to the sender of the request.
     Granted {
-        /// The role.
+        /// Role named by the request.
         role: Role,
         /// [`LeaseRequest::attempt`] of the request.
         attempt: u64,
-        /// For how long the voter is bound, in microseconds from the receipt of the request: a whole lease, or what is
-        /// left of a grant to an earlier attempt of the same candidate.
+        /// Remaining duration of the grant, in microseconds from the receipt of the request: a full lease, or the
+        /// remainder of a grant to an earlier attempt of the same candidate.
         bound_micros: u64,
     },
-    /// The voter has not bound itself.
+    /// The voter refused the request.
     Refused {
-        /// The role.
+        /// Role named by the request.
         role: Role,
         /// [`LeaseRequest::attempt`] of the request.
         attempt: u64,
-        /// The reason.
+        /// Reason of the refusal.
         refusal: Refusal,
-        /// The highest token that the voter has granted for the role.
+        /// Highest token that the voter has granted for the role.
         highest_token: FencingToken,
-        /// No request is granted before so many microseconds have passed.
+        /// Time in microseconds after which the voter may grant a request.
         retry_after_micros: u64,
     },
 }
 
 impl LeaseAnswer {
-    /// The role that this answer is about.
+    /// Returns the role of the request that this answers.
     pub fn role(&self) -> &Role {
         match self {
             LeaseAnswer::Granted { role, .. } | LeaseAnswer::Refused { role, .. } => role,
@@ -108,11 +109,11 @@
     }
 }
 
-/// The highest fencing token that a voter has granted for a role; durable before the grant leaves.
+/// Durable record of a granted fencing token; it must be durable before the grant is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct LeaseRecord {
-    /// The role.
+    /// Role the token was granted for.
     pub role: Role,
-    /// The token.
+    /// Highest token granted for the role.
     pub fencing_token: FencingToken,
 }
--- a/coordination/lease/src/voter.rs
+++ b/coordination/lease/src/voter.rs
@@ -1,4 +1,4 @@
-//! The voter's side: grants each role to one holder at a time, for the duration of a lease.
+//! The voter's side of a lease: grants each role to at most one candidate at a time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,35 +10,35 @@
     FencingToken, HolderId, LeaseAnswer, LeaseConfig, LeaseRecord, LeaseRelease, LeaseRequest, Refusal, Role,
 };
 
-/// Durable state of a voter.
+/// Durable state of a voter: the highest fencing token granted for each role.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct VoterState {
     highest_tokens: BTreeMap<Role, FencingToken>,
 }
 
 impl VoterState {
-    /// Folds one record into the state.
+    /// Applies one durable record to the state.
     pub fn apply(&mut self, record: &LeaseRecord) {
         let highest_token = self.highest_tokens.entry(record.role.clone()).or_default();
         *highest_token = record.fencing_token.max(*highest_token);
     }
 
-    /// The highest fencing token granted for a role.
+    /// Returns the highest fencing token granted for a role.
     pub fn highest_token(&self, role: &Role) -> FencingToken {
         self.highest_tokens.get(role).copied().unwrap_or_default()
     }
 }
 
-/// What the embedder has to do after a request: `answer` must not leave before `record` is durable.
+/// Actions for the embedder after a request. `answer` must not be sent before `record` is durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vote {
-    /// To be made durable first.
+    /// Record to make durable first, if the request changed the durable state.
     pub record: Option<LeaseRecord>,
-    /// To be sent afterwards.
+    /// Answer to send to the candidate afterwards.
     pub answer: LeaseAnswer,
 }
 
-/// The newest grant of a role.
+/// Latest grant of a role.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     holder: HolderId,
@@ -46,27 +46,27 @@
     expires_at: Instant,
 }
 
-/// Why a request is refused, and when it may be granted.
+/// Reason for refusing a request, and the time from which a request may be granted.
 struct RefusedUntil {
     refusal: Refusal,
     retry_at: Instant,
 }
 
-/// A voter for any number of roles. Instants are readings of its own steady clock.
+/// State machine of a voter for any number of roles. Instants are readings of the voter's own steady clock.
 #[derive(Clone, Debug)]
 pub struct Voter {
     duration: Duration,
     state: VoterState,
     grants: BTreeMap<Role, Grant>,
-    /// Nothing is granted before: grants of an earlier process may still be valid.
+    /// No request is granted before this time, because grants of an earlier process may still be valid.
     grace_period_ends_at: Instant,
-    /// Only renewals are granted before: grants of earlier voters may still be valid.
+    /// Only renewals are granted before this time, because grants of the earlier voters may still be valid.
     renewals_only_until: Instant,
 }
 
 impl Voter {
-    /// A voter that starts at `now`. It grants nothing for one lease, since it has lost the grants of the process
-    /// before.
+    /// Creates a voter that starts at `now`. It grants nothing for the duration of one lease: grants are kept in memory
+    /// only, so those of the previous process are unknown and may still be valid.
     pub fn new(config: &LeaseConfig, state: VoterState, now: Instant) -> Voter {
         Voter {
             duration: config.duration,
@@ -77,26 +77,26 @@
         }
     }
 
-    /// Ends the grace period after a start. Only for a voter whose disk has never been used, so that no earlier process
-    /// can have granted anything.
+    /// Ends the grace period immediately. This is safe only for a voter whose disk has never been used, since no earlier
+    /// process can have granted anything.
     pub fn skip_grace_period(&mut self) {
         self.grace_period_ends_at = Instant::ORIGIN;
     }
 
-    /// Notes that the set of voters has changed at `now`.
+    /// Handles a change of the set of voters at `now`.
     ///
-    /// A majority of the earlier voters need not overlap one of the new voters, so only the present holder is granted
-    /// anything until every lease of the earlier voters has expired.
+    /// A majority of the earlier voters need not intersect a majority of the new ones. Until every lease granted by the
+    /// earlier voters has expired, this voter therefore grants only renewals by the current holder.
     pub fn handle_voters_changed(&mut self, now: Instant) {
         self.renewals_only_until = now + self.duration;
     }
 
-    /// The durable state.
+    /// Returns the durable state.
     pub fn state(&self) -> &VoterState {
         &self.state
     }
 
-    /// Decides on a request that was received at `now`.
+    /// Grants or refuses a request received at `now`.
     pub fn handle_request(&mut self, now: Instant, from: HolderId, request: &LeaseRequest) -> Vote {
         match self.reason_to_refuse(now, from, request) {
             Some(refused) => self.refuse(now, request, &refused),
@@ -104,9 +104,10 @@
         }
     }
 
-    /// A holder releases its lease: this voter is not bound by it any more.
+    /// Removes the grant of a lease that its holder released.
     ///
-    /// A late release of an earlier lease changes nothing: the token of a grant never falls while it binds.
+    /// A delayed release of an earlier lease has no effect: it carries a lower token, and the token of a grant never
+    /// decreases before the grant expires.
     pub fn handle_release(&mut self, from: HolderId, release: &LeaseRelease) {
         let is_grant_of_lease =
             |grant: &Grant| grant.holder == from && grant.fencing_token == release.fencing_token;
@@ -134,22 +135,23 @@
         if now < self.renewals_only_until && !request.is_renewal {
             return Some(RefusedUntil { refusal: Refusal::GracePeriod, retry_at: self.renewals_only_until });
         }
-        // A renewal keeps its token, also where this voter has since granted a higher one to a candidate that did not
-        // win: that grant is over, and a later holder would have needed this voter's majority.
+        // A renewal is granted even if this voter has granted a higher token in the meantime to a candidate that got no
+        // majority: that grant has expired, and to become the holder the other candidate would have needed a voter that
+        // is still bound to the sender of the renewal.
         let is_stale =
             !request.is_renewal && request.fencing_token <= self.state.highest_token(&request.role);
         is_stale.then_some(RefusedUntil { refusal: Refusal::StaleToken, retry_at: now })
     }
 
-    /// Binds this voter, or confirms to a candidate that asks again that it is bound already.
+    /// Grants a request, or confirms an unexpired grant to a candidate that repeats its request.
     ///
-    /// A candidate that asks again has not got its majority. If its grant grew with each request, candidates that each
-    /// hold their own vote would keep it for ever; if the grant did not count for its later attempts, a candidate that
-    /// collects votes one after the other would never have a majority at one time.
+    /// A candidate repeats its request as long as it has no majority. The repeated request does not extend the grant:
+    /// otherwise candidates that each hold only their own vote would keep it forever. The grant does count for later
+    /// attempts: otherwise a candidate that collects votes one after another would never have a majority at one time.
     ///
-    /// A node keeps its identity over a restart, so a late renewal may come from its earlier process, which held an
-    /// earlier lease. It must not lower the token of the grant that the present lease rests on: the release that follows
-    /// such a renewal would end that grant.
+    /// A node keeps its identity across a restart, so a delayed renewal may come from its earlier process, which held an
+    /// earlier lease. Such a renewal must not lower the token of the grant that the current lease depends on: the release
+    /// that follows it would then match and remove that grant.
     fn grant(&mut self, now: Instant, from: HolderId, request: &LeaseRequest) -> Vote {
         let active = self.active_grant(now, &request.role).copied();
         let grant_to_keep = active.filter(|_| !request.is_renewal);
--- a/coordination/lease/tests/collected_votes.rs
+++ b/coordination/lease/tests/collected_votes.rs
@@ -1,4 +1,4 @@
-//! Grants that a candidate collects one after the other count together while they are valid.
+//! A candidate may collect its majority over several attempts: a grant to an earlier attempt counts until it expires.
 
 use millrudder_clock::Instant;
 use millrudder_lease::{
@@ -9,7 +9,7 @@
 const CANDIDATE: HolderId = HolderId(1);
 const COMPETITOR: HolderId = HolderId(2);
 
-/// A reading of the clock, in microseconds since its origin.
+/// Returns the clock reading `micros` microseconds after the origin.
 fn at(micros: u64) -> Instant {
     Instant::from_micros(micros)
 }
@@ -28,7 +28,7 @@
     LeaseRequest { role: role(), attempt, fencing_token: FencingToken(fencing_token), is_renewal: false }
 }
 
-/// Two voters, of which one was bound to another candidate when this one asked first.
+/// One of two voters is bound to a competitor at the first attempt and grants the second; the other voter grants both.
 #[test]
 fn a_grant_to_an_earlier_attempt_counts_for_the_next_one() {
     let config = LeaseConfig::default();
--- a/coordination/lease/tests/golden.rs
+++ b/coordination/lease/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Messages and records of leases, byte for byte as earlier versions write them.
+//! Compares the encodings of lease messages and records byte for byte with those of earlier versions.
 
 use millrudder_lease::{
     FencingToken, LeaseAnswer, LeaseRecord, LeaseRelease, LeaseRequest, Refusal, Role, VoterState,
--- a/coordination/lease/tests/lease.rs
+++ b/coordination/lease/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Tests of holder and voter, one rule each.
+//! Unit tests of holder and voter; each covers one rule.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const FIRST: HolderId = HolderId(1);
 const SECOND: HolderId = HolderId(2);
 
-/// A reading of the clock, in microseconds since its origin.
+/// Returns the clock reading `micros` microseconds after the origin.
 fn at(micros: u64) -> Instant {
     Instant::from_micros(micros)
 }
@@ -169,7 +169,7 @@
     assert_eq!(refusal(&competing.answer), Some(Refusal::HeldByOther));
     voter.handle_release(FIRST, &release(5));
     assert_eq!(refusal(&voter.handle_request(at(20), SECOND, &request(6, false)).answer), None);
-    // A late renewal of the earlier holder has the lower token.
+    // A delayed renewal of the earlier holder carries the lower token of its own lease.
     let late = voter.handle_request(at(30), FIRST, &request(5, true));
     assert_eq!(refusal(&late.answer), Some(Refusal::HeldByOther));
 }
--- a/coordination/lease/tests/model.rs
+++ b/coordination/lease/tests/model.rs
@@ -1,5 +1,7 @@
-//! Exhaustive check of the lease: every order of messages, losses, restarts of voters and passing of time, to a
-//! stated depth, and long random histories. `LEASE_MODEL_STATES` raises the bound on states.
+//! Model check of the lease: explores every order of message deliveries, restarts and clock steps to a bounded depth, and
+//! plays long random walks. A message that is never delivered models a lost one.
+//!
+//! The environment variable `LEASE_MODEL_STATES` overrides the maximum number of explored states.
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,21 +15,22 @@
 
 const VOTERS: usize = 3;
 const HOLDERS: usize = 2;
-/// The clock advances in steps of this many microseconds.
+/// Step of the clock, in microseconds.
 const STEP_MICROS: u64 = 100;
-/// Bounds of the exhaustive exploration.
+/// Limits of the exhaustive exploration.
 const EXHAUSTIVE_LIMITS: Limits = Limits { polls: [2, 1], restarts: 1, releases: 0, last_clock_step: 5 };
-/// Bounds of the long histories.
+/// Limits of the random walks without releases.
 const RANDOM_WALK_LIMITS: Limits =
     Limits { polls: [1_000, 1_000], restarts: 100, releases: 0, last_clock_step: 1_000 };
-/// Bounds of the long histories in which holders also shut down: they release the role, and start again.
+/// Limits of the random walks in which holders also shut down: they release the role and restart.
 const RANDOM_WALK_LIMITS_WITH_RELEASES: Limits = Limits { releases: 100, ..RANDOM_WALK_LIMITS };
-/// Number of long histories, and their actions.
+/// Number of random walks for each set of limits; the seeds count from zero.
 const RANDOM_WALKS: u64 = 1_500;
+/// Maximum number of actions of one random walk.
 const ACTIONS_PER_WALK: usize = 250;
-/// Share of the actions in long histories that may be restarts.
+/// Probability that restarts are among the choices for an action of a random walk.
 const RESTART_SHARE: f64 = 0.1;
-/// States explored in an ordinary run.
+/// Maximum number of explored states, unless `LEASE_MODEL_STATES` is set.
 const DEFAULT_MAX_STATES: usize = 60_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -52,7 +55,7 @@
     RestartHolder {
         holder: usize,
     },
-    /// The holder releases the role, and its process is followed by another.
+    /// The holder releases the role and its process is replaced by a new one.
     ShutDownHolder {
         holder: usize,
     },
@@ -64,14 +67,16 @@
     }
 }
 
-/// How much may happen.
+/// Limits on the number of events in one execution.
 #[derive(Clone, Copy, Debug)]
 struct Limits {
-    /// Requests of each holder.
+    /// Maximum number of requests of each holder.
     polls: [usize; HOLDERS],
+    /// Maximum number of restarts without a release, of voters and holders together.
     restarts: usize,
-    /// Restarts of a holder that releases the role first.
+    /// Maximum number of restarts of a holder that releases the role first.
     releases: usize,
+    /// Number of clock steps after which time stands still.
     last_clock_step: u64,
 }
 
@@ -86,8 +91,9 @@
     restarts: usize,
     releases: usize,
     polls: [usize; HOLDERS],
-    /// Within one step of the clock the parts act in a fixed order, since what different parts do commutes: holders
-    /// ask, voters receive, holders count. Whatever comes out of this order comes in a later step.
+    /// Rank of the actor of the latest action, see [`ModelState::actor`]. Actions of different actors commute, so within
+    /// one clock step only one order is explored: holders send requests, voters handle messages, holders handle grants.
+    /// An action out of this order is explored in a later clock step.
     last_actor: usize,
 }
 
@@ -99,7 +105,7 @@
     }
 }
 
-/// A reading of the clock, in microseconds since its origin.
+/// Returns the clock reading `micros` microseconds after the origin.
 fn at(micros: u64) -> Instant {
     Instant::from_micros(micros)
 }
@@ -108,7 +114,8 @@
     Role("reader".to_owned())
 }
 
-/// The first holder has the role by the grants of two voters; its request to the third is still in flight.
+/// Returns a state in which the first holder holds the role with the grants of two voters, and its request to the third
+/// is still in flight.
 fn held_by_first_holder() -> ModelState {
     let mut state = ModelState::new(EXHAUSTIVE_LIMITS);
     state.poll(0);
@@ -154,7 +161,7 @@
         hasher.finish()
     }
 
-    /// Position of an action's actor in the fixed order within one step.
+    /// Returns the rank of an action's actor in the fixed order of actors within one clock step.
     fn actor(&self, action: Action) -> usize {
         match action {
             Action::Poll { holder }
@@ -212,7 +219,7 @@
             }
             Action::RestartHolder { holder } => {
                 next.restarts += 1;
-                // Each process draws from another seed, as a holder asks for.
+                // Holders require a different seed for each process.
                 next.holders[holder] = candidate(99 + next.restarts as u64);
             }
             Action::ShutDownHolder { holder } => next.shut_down(holder),
@@ -290,7 +297,7 @@
     }
 }
 
-/// Explores breadth first from `start` and returns how many states were seen, and how deep.
+/// Explores up to `max_states` states breadth first from `start`.
 fn explore(start: ModelState, max_states: usize) -> Explored {
     let mut seen = HashSet::new();
     let mut queue = VecDeque::from([(start, 0)]);
@@ -314,8 +321,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Explored {
+    /// Number of distinct states.
     states: usize,
-    /// Every order of fewer actions than this was explored.
+    /// Every sequence of fewer actions than this was explored.
     complete_depth: usize,
 }
 
@@ -339,7 +347,7 @@
     run_random_walks(RANDOM_WALK_LIMITS_WITH_RELEASES);
 }
 
-/// Plays long random histories; messages may overtake each other, and arrive after their sender was restarted.
+/// Plays random walks, in which messages may overtake each other and may arrive after a restart of their sender.
 fn run_random_walks(limits: Limits) {
     let mut leases_granted = 0;
     for seed in 0..RANDOM_WALKS {
--- a/coordination/lease/tests/renewals.rs
+++ b/coordination/lease/tests/renewals.rs
@@ -1,4 +1,5 @@
-//! A lease goes on while a majority of the voters lives, whatever was granted to a candidate that did not win.
+//! A holder keeps its lease as long as a majority of the voters runs, whatever they granted to candidates that got no
+//! majority.
 
 use millrudder_clock::Instant;
 use millrudder_lease::{
@@ -7,9 +8,10 @@
 
 const MACHINES: usize = 3;
 const MAJORITY: usize = 2;
+/// Step of the clock, in microseconds.
 const STEP_MICROS: u64 = 1_000;
 
-/// A reading of the clock, in microseconds since its origin.
+/// Returns the clock reading `micros` microseconds after the origin.
 fn at(micros: u64) -> Instant {
     Instant::from_micros(micros)
 }
@@ -18,16 +20,19 @@
     Role("role".to_owned())
 }
 
-/// A machine is voter and candidate both; a message takes one step to another machine, none to itself.
+/// A machine that is both voter and candidate.
 struct Machine {
     voter: Voter,
     holder: Holder,
     is_running: bool,
 }
 
+/// Machines that compete for one role. A request reaches another machine one clock step after it was sent and the sending
+/// machine itself at once; answers arrive without delay.
 struct Cluster {
     config: LeaseConfig,
     machines: Vec<Machine>,
+    /// Requests in flight: sender, receiver, request.
     requests: Vec<(usize, usize, LeaseRequest)>,
     step: u64,
 }
@@ -48,7 +53,7 @@
         self.step * STEP_MICROS
     }
 
-    /// The process starts again with what its voter had on disk.
+    /// Restarts the process of a machine from the durable state of its voter.
     fn restart(&mut self, number: usize) {
         let now = self.now();
         let state = self.machines[number].voter.state().clone();
@@ -111,7 +116,8 @@
     let holder = cluster.holder().expect("somebody holds the role");
     let (restarted, stopped) = ((holder + 1) % MACHINES, (holder + 2) % MACHINES);
     cluster.restart(restarted);
-    // The restarted one asks for the role itself, without success; between two such attempts its voter is free for the holder.
+    // The restarted machine competes for the role without success. Between two of its attempts its voter is free to grant
+    // the holder's renewals.
     cluster.run_for(20 * lease);
     assert_eq!(cluster.holder(), Some(holder));
     cluster.machines[stopped].is_running = false;
@@ -147,9 +153,9 @@
     assert!(is_granted(voter.handle_request(at(3 * lease), HolderId(3), &request(10, false)).answer));
 }
 
-/// A lease of a core machine was lost for 570 ms when a machine without it lost power (`docs/design/control/days.md`). Why was
-/// not found; the guess was that the lost machine's vote had just been given to the holder, whose other vote was bound to a
-/// candidate.
+/// A core machine's lease was lost for 570 ms when a machine that did not hold the lease lost power
+/// (`docs/design/control/days.md`). The cause was not found. The hypothesis tested here: the machine that lost power had
+/// just voted for the holder, and the holder's other vote was bound to a competing candidate.
 #[test]
 fn a_lease_outlasts_the_loss_of_another_machine_at_any_moment() {
     let lease = LeaseConfig::default().duration.as_micros() as u64;
--- a/coordination/lease/tests/restarted_holder.rs
+++ b/coordination/lease/tests/restarted_holder.rs
@@ -1,10 +1,11 @@
-//! Two machines held the controller's lease at one time (`CORE_SEEDS=1123..1124` of the chain's simulation).
+//! Guards against two holders at the same time after a restart of the holder (found by the chain's simulation with
+//! `CORE_SEEDS=1123..1124`).
 //!
-//! A machine held the lease, renewed it, shut down and released it. One voter was paused meanwhile, and received none of
-//! this. The machine started again and acquired the role anew, with a higher token. Then the last requests of its earlier
-//! process reached the voter that had been paused: a renewal, and the release that followed it. Both processes share one
-//! identity, so the voter took the old renewal for one of the new lease, noted the old token, and let the old release
-//! remove the grant that the new lease rested on. The trace shows it at one voter within one microsecond:
+//! A machine renews its lease, releases it and shuts down while one voter is paused. After a restart the machine acquires
+//! a new lease with a higher token. Then the paused voter receives the renewal and the release of the earlier process,
+//! which has the same identity. A voter that records the old token for the new grant lets the old release remove that
+//! grant, and grants the role to another machine. The voter's trace, with the times in microseconds; the renewal and the
+//! release arrived within one microsecond:
 //!
 //! ```text
 //! 9642924 LeaseRequest  { attempt: 11481583298321184694, fencing_token: 17179869190, is_renewal: true }   granted
@@ -21,12 +22,12 @@
 
 const RESTARTED: HolderId = HolderId(1);
 const OTHER: HolderId = HolderId(2);
-/// Of the lease of the process that shut down.
+/// Token of the lease held by the process that shut down.
 const EARLIER_TOKEN: FencingToken = FencingToken(4);
-/// Of the lease of the process that followed it.
+/// Token of the lease held by the process after the restart.
 const PRESENT_TOKEN: FencingToken = FencingToken(7);
 
-/// A reading of the clock, in milliseconds since its origin.
+/// Returns the clock reading `millis` milliseconds after the origin.
 fn at(millis: u64) -> Instant {
     Instant::from_micros(millis * 1_000)
 }
@@ -43,7 +44,7 @@
     matches!(answer, LeaseAnswer::Granted { .. })
 }
 
-/// A voter that has just granted the role to the restarted machine's new process.
+/// Returns a voter that has just granted the role to the restarted machine's current process.
 fn voter_of_present_lease() -> Voter {
     let mut voter = Voter::new(&LeaseConfig::default(), VoterState::default(), Instant::ORIGIN);
     voter.skip_grace_period();
@@ -90,7 +91,7 @@
 
 #[test]
 fn a_late_request_of_an_earlier_process_leaves_the_present_lease_renewable() {
-    // The earlier process was a candidate with a token that this voter has not seen; it never held the lease.
+    // The earlier process was a candidate with a token that this voter has not seen, and never held the lease.
     let mut voter = voter_of_present_lease();
     let _ = voter.handle_request(at(10), RESTARTED, &request(3, PRESENT_TOKEN.next(), false));
     let renewal = voter.handle_request(at(150), RESTARTED, &request(101, PRESENT_TOKEN, true));
--- a/coordination/lease/tests/split_votes.rs
+++ b/coordination/lease/tests/split_votes.rs
@@ -1,20 +1,23 @@
-//! Candidates that ask at the same moment each get their own vote; one of them must hold the role soon after.
+//! Candidates that send their requests at the same time each get only their own vote. The test checks that one of them
+//! acquires the role within 20 s.
 
 use millrudder_clock::Instant;
 use millrudder_lease::{Holder, HolderId, LeaseConfig, Role, Voter, VoterId, VoterState};
 
 const MACHINES: usize = 3;
 const MAJORITY: usize = 2;
+/// Step of the clock, in microseconds.
 const STEP_MICROS: u64 = 1_000;
-/// Of the voters' answers.
+/// Clock steps between a request and its arrival at another machine; the answer arrives without delay.
 const REQUEST_DELAY_STEPS: u64 = 2;
 
-/// A reading of the clock, in microseconds since its origin.
+/// Returns the clock reading `micros` microseconds after the origin.
 fn at(micros: u64) -> Instant {
     Instant::from_micros(micros)
 }
 
-/// Runs machines that are candidate and voter both, and returns when the role is first held.
+/// Runs machines that are both candidate and voter, and returns the time in microseconds at which one of them first holds
+/// the role.
 fn time_of_first_lease(seed: u64, until_micros: u64) -> Option<u64> {
     let config = LeaseConfig::default();
     let role = || Role("role".to_owned());
@@ -30,7 +33,7 @@
         for (candidate, holder) in holders.iter_mut().enumerate() {
             if let Some(request) = holder.poll(at(now)).request {
                 for voter in 0..MACHINES {
-                    // A machine's own vote comes at once, others' requests take their time.
+                    // A request to the machine's own voter arrives without delay.
                     let delivery_step = if voter == candidate { step } else { step + REQUEST_DELAY_STEPS };
                     in_flight.push((delivery_step, candidate, voter, request.clone()));
                 }
