--- a/coordination/lease/src/config.rs
+++ b/coordination/lease/src/config.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LeaseConfigError {
     /// The lease is shorter than two renewal intervals plus the safety margin, so a single lost message would end it.
-    #[error("a lease of {duration:?} less {safety_margin:?} does not outlast two renewals every {renew_interval:?}")]
+    #[error("the lease duration {duration:?} is shorter than the safety margin {safety_margin:?} plus two renewal intervals of {renew_interval:?}")]
     TooShort {
         /// [`LeaseConfig::duration`].
         duration: Duration,
@@ -43,7 +43,7 @@
         renew_interval: Duration,
     },
     /// With an interval of zero, requests would be sent in an endless loop.
-    #[error("the interval between renewals is zero")]
+    #[error("the renewal interval is zero")]
     NoRenewalInterval,
 }
 
--- a/coordination/lease/tests/collected_votes.rs
+++ b/coordination/lease/tests/collected_votes.rs
@@ -47,7 +47,7 @@
     let retried_at = holder.next_deadline().expect("another attempt").as_micros();
     assert!(
         retried_at >= lease && retried_at < requested_at + lease,
-        "the other's vote is free, the own still binds"
+        "retried after the competitor's grant and before the candidate's own grant expires"
     );
     let second_request = holder.poll(at(retried_at)).request.expect("a request");
     let granted = second_voter.handle_request(at(retried_at), CANDIDATE, &second_request).answer;
@@ -56,8 +56,11 @@
     let event = holder.handle_answer(at(retried_at), VoterId(1), &repeated_grant).event;
     assert!(matches!(event, Some(HolderEvent::Granted { .. })), "{repeated_grant:?}");
     let end = requested_at + lease - margin;
-    assert!(holder.is_held(at(end - 1)) && !holder.is_held(at(end)), "no longer than the first vote binds");
-    assert_eq!(holder.next_deadline(), Some(at(retried_at)), "renewed at once");
+    assert!(
+        holder.is_held(at(end - 1)) && !holder.is_held(at(end)),
+        "the lease ends with the earliest grant"
+    );
+    assert_eq!(holder.next_deadline(), Some(at(retried_at)), "renewed immediately");
     let renewal = holder.poll(at(retried_at)).request.expect("a renewal");
     assert!(renewal.is_renewal);
     assert!(matches!(
--- a/coordination/lease/tests/lease.rs
+++ b/coordination/lease/tests/lease.rs
@@ -81,7 +81,7 @@
     let mut voter = fresh_voter();
     let vote = voter.handle_request(Instant::ORIGIN, FIRST, &request(7, false));
     let mut state = VoterState::default();
-    state.apply(&vote.record.expect("a new number is recorded"));
+    state.apply(&vote.record.expect("a new token is recorded"));
     assert_eq!(state, *voter.state());
     let mut voter = Voter::new(&LeaseConfig::default(), state, Instant::ORIGIN);
     let vote = voter.handle_request(at(lease_micros()), SECOND, &request(7, false));
--- a/coordination/lease/tests/model.rs
+++ b/coordination/lease/tests/model.rs
@@ -285,7 +285,10 @@
 
     fn record_event(&mut self, event: Option<HolderEvent>) {
         if let Some(HolderEvent::Granted { fencing_token }) = event {
-            assert!(fencing_token > self.highest_token, "fencing tokens rise: {self:?}");
+            assert!(
+                fencing_token > self.highest_token,
+                "a lease has no higher fencing token than an earlier one: {self:?}"
+            );
             self.highest_token = fencing_token;
         }
     }
@@ -293,7 +296,7 @@
     fn assert_at_most_one_holder(&self) {
         let holders_of_role =
             self.holders.iter().filter(|holder| holder.is_held(at(self.now_micros))).count();
-        assert!(holders_of_role <= 1, "two holders of the role: {self:?}");
+        assert!(holders_of_role <= 1, "two nodes hold the role at the same time: {self:?}");
     }
 }
 
@@ -333,7 +336,7 @@
     let max_states = configured.unwrap_or(DEFAULT_MAX_STATES);
     let unheld = explore(ModelState::new(EXHAUSTIVE_LIMITS), max_states / 2);
     let held = explore(held_by_first_holder(), max_states / 2);
-    println!("from a free role {unheld:?}, from a held one {held:?}");
+    println!("starting with a free role: {unheld:?}; starting with a held role: {held:?}");
     assert!(unheld.complete_depth >= 6 && held.complete_depth >= 6);
 }
 
@@ -367,6 +370,9 @@
             leases_granted += usize::from(state.highest_token > token_before);
         }
     }
-    println!("{leases_granted} leases in {RANDOM_WALKS} histories of up to {ACTIONS_PER_WALK} actions");
-    assert!(leases_granted > RANDOM_WALKS as usize / 2, "the role changes hands");
+    println!("{leases_granted} leases in {RANDOM_WALKS} random walks of up to {ACTIONS_PER_WALK} actions");
+    assert!(
+        leases_granted > RANDOM_WALKS as usize / 2,
+        "too few leases were granted for the check to mean anything: {leases_granted}"
+    );
 }
--- a/coordination/lease/tests/renewals.rs
+++ b/coordination/lease/tests/renewals.rs
@@ -113,7 +113,7 @@
     let mut cluster = Cluster::new();
     let lease = cluster.config.duration.as_micros() as u64;
     cluster.run_for(10 * lease);
-    let holder = cluster.holder().expect("somebody holds the role");
+    let holder = cluster.holder().expect("one machine holds the role");
     let (restarted, stopped) = ((holder + 1) % MACHINES, (holder + 2) % MACHINES);
     cluster.restart(restarted);
     // The restarted machine competes for the role without success. Between two of its attempts its voter is free to grant
@@ -123,7 +123,7 @@
     cluster.machines[stopped].is_running = false;
     for _ in 0..50 {
         cluster.run_for(lease / 10);
-        assert_eq!(cluster.holder(), Some(holder), "two of three voters are there");
+        assert_eq!(cluster.holder(), Some(holder), "two of three voters are running");
     }
 }
 
@@ -143,11 +143,11 @@
     assert!(is_granted(voter.handle_request(Instant::ORIGIN, HolderId(2), &request(9, false)).answer));
     assert!(
         !is_granted(voter.handle_request(at(lease - 1), HolderId(1), &request(1, true)).answer),
-        "bound to the other"
+        "the voter is bound to the other candidate"
     );
     assert!(
         is_granted(voter.handle_request(at(lease), HolderId(1), &request(1, true)).answer),
-        "the holder goes on"
+        "the renewal is granted after the other candidate's grant expired"
     );
     assert!(!is_granted(voter.handle_request(at(3 * lease), HolderId(3), &request(9, false)).answer));
     assert!(is_granted(voter.handle_request(at(3 * lease), HolderId(3), &request(10, false)).answer));
@@ -166,7 +166,7 @@
                 cluster.run_for(STEP_MICROS);
             }
             cluster.run_for(delay_micros);
-            let holder = cluster.holder().expect("nothing has happened to the holder");
+            let holder = cluster.holder().expect("the holder keeps the role while all machines run");
             cluster.machines[(holder + offset) % MACHINES].is_running = false;
             for _ in 0..40 {
                 cluster.run_for(lease / 10);
@@ -174,7 +174,7 @@
                 assert_eq!(
                     held,
                     Some(holder),
-                    "{delay_micros} us after the lease, {offset} after the holder lost"
+                    "stopped {delay_micros} us after the lease began: the machine {offset} after the holder"
                 );
             }
         }
