--- a/coordination/chain/src/node/departures.rs
+++ b/coordination/chain/src/node/departures.rs
@@ -56,7 +56,7 @@
         let Some(view) = self.agreement.view() else {
             return true;
         };
-        let holds_state = view.contains(id) || !self.are_members_healthy(now, view);
+        let holds_state = view.is_member(id) || !self.are_members_healthy(now, view);
         let waits_for_vote = self.departures.is_decommissioned(id) || self.has_spare_voter(now, view);
         let holds_vote = view.is_voter(id) && waits_for_vote;
         !holds_state && !holds_vote
@@ -90,7 +90,7 @@
 
     /// Whether every member is reachable and has caught up.
     fn are_members_healthy(&self, now: Instant, view: &View) -> bool {
-        view.ids().all(|id| self.is_caught_up_member(id) && !self.is_unreachable(now, id))
+        view.member_ids().all(|id| self.is_caught_up_member(id) && !self.is_unreachable(now, id))
     }
 
     /// Whether a node without a vote is reachable that could take one over.
--- a/coordination/chain/src/node/target_view.rs
+++ b/coordination/chain/src/node/target_view.rs
@@ -76,7 +76,7 @@
     /// Adds reachable voters, however far behind, where too few members are left to hold the state; those to be replaced
     /// only if nobody else is left.
     fn add_needed_voters(&self, now: Instant, view: &View, members: &mut Vec<Member>) {
-        let outside = view.voters.iter().filter(|voter| !view.contains(voter.id));
+        let outside = view.voters.iter().filter(|voter| !view.is_member(voter.id));
         let reachable = outside.filter(|voter| !self.is_unreachable(now, voter.id));
         let (replaced, staying): (Vec<&Member>, Vec<&Member>) =
             reachable.partition(|voter| self.should_be_replaced(now, voter.id));
--- a/coordination/chain/src/replica/mod.rs
+++ b/coordination/chain/src/replica/mod.rs
@@ -143,7 +143,7 @@
     }
 
     pub(super) fn is_member(&self) -> bool {
-        self.view.contains(self.local_id)
+        self.view.is_member(self.local_id)
     }
 
     pub(super) fn is_head(&self) -> bool {
@@ -285,7 +285,7 @@
     /// Sends again what was not acknowledged, and removes learners that are gone.
     pub(crate) fn handle_tick(&mut self, now: Instant, is_gone: impl Fn(NodeId) -> bool) {
         let view = &self.view;
-        self.progress.retain(|id, _| view.contains(*id) || !is_gone(*id));
+        self.progress.retain(|id, _| view.is_member(*id) || !is_gone(*id));
         for progress in self.progress.values_mut() {
             progress.rewind_if_stalled(now, self.limits.retry_after);
         }
@@ -298,7 +298,7 @@
         match self.is_member() {
             true => {
                 self.view.successor(self.local_id) == Some(from)
-                    || (self.catch_up.is_caught_up() && self.view.contains(from))
+                    || (self.catch_up.is_caught_up() && self.view.is_member(from))
             }
             false => self.view.tail() == Some(from),
         }
@@ -308,7 +308,7 @@
     fn is_receiver_of(&self, from: NodeId) -> bool {
         match self.is_member() {
             true => self.view.predecessor(self.local_id) == Some(from),
-            false => self.view.contains(from),
+            false => self.view.is_member(from),
         }
     }
 
--- a/coordination/chain/src/replica/replication.rs
+++ b/coordination/chain/src/replica/replication.rs
@@ -42,7 +42,7 @@
             return self.seal.is_target(to);
         }
         if self.is_tail() {
-            return !self.view.contains(to);
+            return !self.view.is_member(to);
         }
         self.view.successor(self.local_id) == Some(to)
     }
--- a/coordination/chain/src/replica/sealing.rs
+++ b/coordination/chain/src/replica/sealing.rs
@@ -99,7 +99,7 @@
     /// commands from a member that has sealed the epoch.
     pub(super) fn accepts_from(&self, from: NodeId, sealed: bool) -> bool {
         match sealed {
-            true => !self.durability.is_complete() && self.view.contains(from),
+            true => !self.durability.is_complete() && self.view.is_member(from),
             false => !self.is_sealed() && self.is_receiver_of(from),
         }
     }
--- a/coordination/chain/tests/node/catch_up.rs
+++ b/coordination/chain/tests/node/catch_up.rs
@@ -24,7 +24,7 @@
     let second = cluster.hosts.remove(&address(2)).expect("the second host");
     cluster.run(2 * SECOND);
     let view = cluster.host(1).node.view().expect("a view").clone();
-    assert!(view.contains(second.node.id()) && !view.contains(third), "{view:?}");
+    assert!(view.is_member(second.node.id()) && !view.is_member(third), "{view:?}");
     // The first machine's disk is lost; the second comes back with its own.
     cluster.hosts.remove(&address(1));
     cluster.without_appends.clear();
@@ -47,7 +47,7 @@
     cluster.without_appends.clear();
     cluster.run(SECOND / 2);
     let view = cluster.host(1).node.view().expect("a view").clone();
-    assert!(view.contains(third) && !view.contains(second), "{view:?}");
+    assert!(view.is_member(third) && !view.is_member(second), "{view:?}");
     assert_eq!(cluster.host(3).node.machine().0, "ab");
     assert!(cluster.host(1).replies.contains(&(RequestId(2), 2)), "{:?}", cluster.host(1).replies);
 }
--- a/coordination/view/src/agreement.rs
+++ b/coordination/view/src/agreement.rs
@@ -119,7 +119,7 @@
 
     /// Whether this node is a member of the newest decided view.
     pub fn is_member(&self) -> bool {
-        self.view().is_some_and(|view| view.contains(self.local_id))
+        self.view().is_some_and(|view| view.is_member(self.local_id))
     }
 
     /// Whether this node has accepted a next view, so that the present one may be over already.
--- a/coordination/view/src/identity.rs
+++ b/coordination/view/src/identity.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether `id` is a member, which holds the state.
-    pub fn contains(&self, id: NodeId) -> bool {
+    pub fn is_member(&self, id: NodeId) -> bool {
         self.members.iter().any(|member| member.id == id)
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Identities of the members in chain order.
-    pub fn ids(&self) -> impl Iterator<Item = NodeId> + '_ {
+    pub fn member_ids(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.members.iter().map(|member| member.id)
     }
 
@@ -85,7 +85,7 @@
 
     /// Whether the view has an epoch and members, nobody twice, and no member that does not vote.
     pub fn is_well_formed(&self) -> bool {
-        let members: BTreeSet<NodeId> = self.ids().collect();
+        let members: BTreeSet<NodeId> = self.member_ids().collect();
         let voters: BTreeSet<NodeId> = self.voter_ids().collect();
         let distinct = members.len() == self.members.len() && voters.len() == self.voters.len();
         self.epoch != Epoch::NONE && !self.members.is_empty() && distinct && members.is_subset(&voters)
--- a/coordination/view/src/proposer.rs
+++ b/coordination/view/src/proposer.rs
@@ -112,7 +112,7 @@
         let TargetView { voters, members, .. } = &self.target;
         let has_answered =
             |member: &Member| !base.is_voter(member.id) || self.promises.contains_key(&member.id);
-        let first = members.first().filter(|first| base.contains(first.id))?;
+        let first = members.first().filter(|first| base.is_member(first.id))?;
         let complete = members.iter().filter(|member| self.is_complete(base, member.id));
         let enough = complete.count() >= minimum_members;
         let is_usable = enough && members.iter().all(has_answered) && self.is_complete(base, first.id);
--- a/coordination/view/tests/bootstrap.rs
+++ b/coordination/view/tests/bootstrap.rs
@@ -76,7 +76,7 @@
     for node in nodes.values() {
         let view = node.agreement.view().expect("a view");
         assert_eq!(view.epoch, Epoch::FIRST);
-        assert_eq!(view.ids().collect::<Vec<_>>(), vec![NodeId(55), NodeId(77), NodeId(66)]);
+        assert_eq!(view.member_ids().collect::<Vec<_>>(), vec![NodeId(55), NodeId(77), NodeId(66)]);
     }
 }
 
--- a/coordination/view/tests/model.rs
+++ b/coordination/view/tests/model.rs
@@ -54,9 +54,9 @@
     fn new(members_of_first: &[u64], proposals_left: usize, restarts_left: usize) -> World {
         let view = View::of_members(Epoch::FIRST, members(members_of_first));
         let state = ViewState::from_view(view.clone());
-        let disks: BTreeMap<NodeId, ViewState> = view.ids().map(|id| (id, state.clone())).collect();
+        let disks: BTreeMap<NodeId, ViewState> = view.member_ids().map(|id| (id, state.clone())).collect();
         let started = |id| (id, ViewAgreement::new(id, state.clone(), MINIMUM_MEMBERS));
-        let nodes = view.ids().map(started).collect();
+        let nodes = view.member_ids().map(started).collect();
         let decided = BTreeMap::from([(view.epoch, view)]);
         World { nodes, disks, in_flight: Vec::new(), decided, proposals_left, restarts_left }
     }
@@ -147,7 +147,7 @@
                 } else if place >= voters.len() && voters.len() < 5 {
                     voters.push(newcomer);
                 } else {
-                    member_ids.extend(voters.iter().find(|voter| !view.contains(voter.id)).cloned());
+                    member_ids.extend(voters.iter().find(|voter| !view.is_member(voter.id)).cloned());
                 }
                 let target = TargetView::new(voters, member_ids);
                 Some(Action::Propose { node, target })
--- a/coordination/view/tests/voters_model.rs
+++ b/coordination/view/tests/voters_model.rs
@@ -160,7 +160,7 @@
     fn target(&self, state: &State, view: &View) -> TargetView {
         let up = |member: &&Member| !state.down.contains(&member.id);
         let mut members: Vec<Member> = view.members.iter().filter(up).cloned().collect();
-        let outside = view.voters.iter().filter(|voter| !view.contains(voter.id));
+        let outside = view.voters.iter().filter(|voter| !view.is_member(voter.id));
         for voter in outside.filter(up) {
             if members.len() < MINIMUM_MEMBERS {
                 members.push(voter.clone());
@@ -212,7 +212,7 @@
     }
 
     fn note_view(&mut self, node: NodeId, view: View) {
-        if !view.contains(node) {
+        if !view.is_member(node) {
             self.complete.remove(&node);
         }
         match self.decided.get(&view.epoch) {
@@ -225,10 +225,10 @@
     fn check_decided(&mut self, view: View) {
         let before = self.decided.get(&Epoch(view.epoch.0 - 1)).cloned().unwrap_or_default();
         let head = view.head().unwrap_or_default();
-        if !before.contains(head) || !self.complete.contains(&head) {
+        if !before.is_member(head) || !self.complete.contains(&head) {
             self.broken = Some("a head that may lack commands");
         }
-        if view.ids().filter(|id| self.complete.contains(id)).count() < MINIMUM_MEMBERS {
+        if view.member_ids().filter(|id| self.complete.contains(id)).count() < MINIMUM_MEMBERS {
             self.broken = Some("a loss may take the only copy");
         }
         let accepted = |id: &NodeId| {
@@ -285,7 +285,7 @@
         let newest = state.newest();
         let head_knows = newest.head().is_some_and(|head| state.nodes[&head].epoch() == newest.epoch);
         let next = self.target(state, newest);
-        let is_in_target = |id: &NodeId| newest.contains(*id) || next.members.iter().any(|it| it.id == *id);
+        let is_in_target = |id: &NodeId| newest.is_member(*id) || next.members.iter().any(|it| it.id == *id);
         let lagging =
             state.nodes.keys().filter(|id| !state.complete.contains(id) && up(id) && is_in_target(id));
         let lagging = lagging.filter(|id| head_knows && state.nodes[id].epoch() == newest.epoch);
@@ -332,7 +332,7 @@
             Property::always("what must hold holds", |_, state: &State| state.broken.is_none()),
             Property::sometimes("the core goes on after the second loss", |_, state: &State| {
                 let newest = state.newest();
-                state.down.contains(&SECOND) && !newest.contains(SECOND) && newest.contains(FIRST)
+                state.down.contains(&SECOND) && !newest.is_member(SECOND) && newest.is_member(FIRST)
             }),
         ]
     }
--- a/system/testing/simulation/src/recovery.rs
+++ b/system/testing/simulation/src/recovery.rs
@@ -137,7 +137,7 @@
         let mut processes = self.cores.iter().filter_map(|core| core.process.as_ref());
         processes.all(|process| {
             let view = process.node.view();
-            let has_all = view.is_some_and(|view| ids.iter().all(|id| view.contains(*id)));
+            let has_all = view.is_some_and(|view| ids.iter().all(|id| view.is_member(*id)));
             has_all && process.node.is_caught_up()
         })
     }
