--- a/coordination/view/src/agreement.rs
+++ b/coordination/view/src/agreement.rs
@@ -166,8 +166,8 @@
 
     fn can_propose(&self, target: &TargetView) -> bool {
         let changes_one_voter = |view: &View| view.voters_change_by_one(&target.voters);
-        let is_allowed = self.view().is_some_and(changes_one_voter);
-        self.is_voter() && is_allowed && target.members.len() >= self.minimum_members
+        let changes_at_most_one = self.view().is_some_and(changes_one_voter);
+        self.is_voter() && changes_at_most_one && target.members.len() >= self.minimum_members
     }
 
     /// Ends this node's attempt, if there is one.
@@ -224,7 +224,7 @@
     }
 
     fn handle_prepare(&mut self, from: NodeId, instance: Epoch, ballot: Ballot, complete: bool) -> Step {
-        if let Some(step) = self.other_instance(from, instance) {
+        if let Some(step) = self.answer_for_other_instance(from, instance) {
             return step;
         }
         self.highest_round = self.highest_round.max(ballot.round);
@@ -233,11 +233,11 @@
         }
         let accepted = self.state.acceptor.accepted.clone();
         let promise = ViewMessage::Promise { instance, ballot, accepted, complete };
-        Step { record: Some(ViewRecord::Promised { instance, ballot }), messages: to_one(from, promise) }
+        Step { record: Some(ViewRecord::Promised { instance, ballot }), messages: message_to(from, promise) }
     }
 
     fn handle_accept(&mut self, from: NodeId, instance: Epoch, ballot: Ballot, view: View) -> Step {
-        if let Some(step) = self.other_instance(from, instance) {
+        if let Some(step) = self.answer_for_other_instance(from, instance) {
             return step;
         }
         if view.epoch != instance || !view.is_well_formed() {
@@ -248,11 +248,11 @@
             return self.refuse(from, instance, ballot);
         }
         let record = ViewRecord::Accepted { instance, accepted: AcceptedView { ballot, view } };
-        Step { record: Some(record), messages: to_one(from, ViewMessage::Accepted { instance, ballot }) }
+        Step { record: Some(record), messages: message_to(from, ViewMessage::Accepted { instance, ballot }) }
     }
 
     fn handle_promise(&mut self, from: NodeId, instance: Epoch, ballot: Ballot, promise: Promise) -> Step {
-        let Some(base) = self.base_of(instance, from) else {
+        let Some(base) = self.base_view(instance, from) else {
             return Step::default();
         };
         let minimum_members = self.minimum_members;
@@ -267,7 +267,7 @@
     }
 
     fn handle_accepted(&mut self, from: NodeId, instance: Epoch, ballot: Ballot) -> Step {
-        let Some(base) = self.base_of(instance, from) else {
+        let Some(base) = self.base_view(instance, from) else {
             return Step::default();
         };
         let Some(proposer) = self.proposer.as_mut().filter(|proposer| proposer.ballot() == ballot) else {
@@ -276,12 +276,12 @@
         let Some(view) = proposer.handle_acceptance(&base, from) else {
             return Step::default();
         };
-        self.announce(&base, view)
+        self.adopt_and_announce(&base, view)
     }
 
     fn handle_refused(&mut self, instance: Epoch, ballot: Ballot, promised: Ballot) -> Step {
-        let is_own = self.proposer.as_ref().is_some_and(|proposer| proposer.ballot() == ballot);
-        if is_own && instance == self.epoch().next() {
+        let is_current_attempt = self.proposer.as_ref().is_some_and(|proposer| proposer.ballot() == ballot);
+        if is_current_attempt && instance == self.epoch().next() {
             self.highest_round = self.highest_round.max(promised.round);
             self.proposer = None;
         }
@@ -289,7 +289,7 @@
     }
 
     /// Adopts a decided view and sends it to the voters of both views.
-    fn announce(&mut self, base: &View, view: View) -> Step {
+    fn adopt_and_announce(&mut self, base: &View, view: View) -> Step {
         let decided = ViewMessage::Decided { view: view.clone() };
         let mut peers: Vec<NodeId> =
             base.voter_ids().chain(view.voter_ids()).filter(|id| *id != self.local_id).collect();
@@ -301,26 +301,26 @@
     }
 
     /// The present view, if `instance` follows it and `from` votes in it.
-    fn base_of(&self, instance: Epoch, from: NodeId) -> Option<View> {
+    fn base_view(&self, instance: Epoch, from: NodeId) -> Option<View> {
         let view = self.view()?;
         (instance == view.epoch.next() && view.is_voter(from)).then(|| view.clone())
     }
 
     /// The answer to a request for another instance than the one in which this node votes.
-    fn other_instance(&self, from: NodeId, instance: Epoch) -> Option<Step> {
+    fn answer_for_other_instance(&self, from: NodeId, instance: Epoch) -> Option<Step> {
         if instance <= self.epoch() {
             return Some(self.handle_query(from, Epoch(instance.0.saturating_sub(1))));
         }
         if instance > self.epoch().next() {
             let query = ViewMessage::Query { known: self.epoch() };
-            return Some(Step { record: None, messages: to_one(from, query) });
+            return Some(Step { record: None, messages: message_to(from, query) });
         }
         (!self.is_voter()).then(Step::default)
     }
 
     fn refuse(&self, from: NodeId, instance: Epoch, ballot: Ballot) -> Step {
         let promised = self.state.acceptor.promised;
-        Step { record: None, messages: to_one(from, ViewMessage::Refused { instance, ballot, promised }) }
+        Step { record: None, messages: message_to(from, ViewMessage::Refused { instance, ballot, promised }) }
     }
 
     fn to_voters(&self, message: &ViewMessage) -> Vec<Envelope> {
@@ -329,6 +329,6 @@
     }
 }
 
-fn to_one(to: NodeId, message: ViewMessage) -> Vec<Envelope> {
+fn message_to(to: NodeId, message: ViewMessage) -> Vec<Envelope> {
     vec![Envelope { to, message }]
 }
--- a/coordination/view/src/bootstrap.rs
+++ b/coordination/view/src/bootstrap.rs
@@ -14,7 +14,7 @@
 pub struct Bootstrap {
     local: Member,
     /// Addresses of all nodes of the bootstrap; empty at a node that must not propose one.
-    addresses: Vec<String>,
+    bootstrap_addresses: Vec<String>,
     /// No more of them than this become voters.
     max_voters: usize,
     ids_by_address: BTreeMap<String, NodeId>,
@@ -24,9 +24,9 @@
 impl Bootstrap {
     /// `addresses` are those of all nodes of the bootstrap, this one included; empty where this node must not propose
     /// one. At most `max_voters` of them form the first view; this number must be the same at all nodes.
-    pub fn new(local: Member, addresses: Vec<String>, max_voters: usize) -> Bootstrap {
+    pub fn new(local: Member, bootstrap_addresses: Vec<String>, max_voters: usize) -> Bootstrap {
         let ids_by_address = BTreeMap::from([(local.address.clone(), local.id)]);
-        Bootstrap { local, addresses, max_voters, ids_by_address, agreed_by: BTreeSet::new() }
+        Bootstrap { local, bootstrap_addresses, max_voters, ids_by_address, agreed_by: BTreeSet::new() }
     }
 
     /// Learns which node answers at an address.
@@ -41,7 +41,7 @@
             return Step::default();
         }
         if let Some(members) = agreement.state().bootstrap_members() {
-            return Step { record: None, messages: self.announcement(members) };
+            return Step { record: None, messages: self.agreement_messages(members) };
         }
         self.own_proposal().map_or_else(Step::default, |members| self.agree(agreement, members))
     }
@@ -52,7 +52,7 @@
             return agreement.handle_query(from, Epoch::NONE);
         }
         let Some(agreed) = agreement.state().bootstrap_members().map(<[Member]>::to_vec) else {
-            return self.join(agreement, from, members);
+            return self.agree_to_peer_list(agreement, from, members);
         };
         if agreed != members {
             return Step::default();
@@ -62,12 +62,17 @@
     }
 
     /// Agrees to a list that another node proposed, if it is the own list or this node has none.
-    fn join(&mut self, agreement: &mut ViewAgreement, from: NodeId, members: Vec<Member>) -> Step {
-        let acceptable = match self.addresses.is_empty() {
+    fn agree_to_peer_list(
+        &mut self,
+        agreement: &mut ViewAgreement,
+        from: NodeId,
+        members: Vec<Member>,
+    ) -> Step {
+        let is_acceptable = match self.bootstrap_addresses.is_empty() {
             true => members.contains(&self.local),
             false => self.own_proposal().is_some_and(|list| list == members),
         };
-        if !acceptable {
+        if !is_acceptable {
             return Step::default();
         }
         self.agreed_by.insert(from);
@@ -76,7 +81,7 @@
 
     fn agree(&self, agreement: &mut ViewAgreement, members: Vec<Member>) -> Step {
         let mut step = agreement.record_bootstrap_agreement(members.clone());
-        step.messages = self.announcement(&members);
+        step.messages = self.agreement_messages(&members);
         step
     }
 
@@ -97,19 +102,19 @@
 
     /// The members of the first view, once the node behind every address is known.
     fn own_proposal(&self) -> Option<Vec<Member>> {
-        if !self.addresses.contains(&self.local.address) {
+        if !self.bootstrap_addresses.contains(&self.local.address) {
             return None;
         }
         let member = |address: &String| {
             let id = *self.ids_by_address.get(address)?;
             Some(Member { id, address: address.clone() })
         };
-        let mut members: Vec<Member> = self.addresses.iter().map(member).collect::<Option<_>>()?;
+        let mut members: Vec<Member> = self.bootstrap_addresses.iter().map(member).collect::<Option<_>>()?;
         members.sort_by(|left, right| left.address.cmp(&right.address));
         Some(members)
     }
 
-    fn announcement(&self, members: &[Member]) -> Vec<Envelope> {
+    fn agreement_messages(&self, members: &[Member]) -> Vec<Envelope> {
         let message = ViewMessage::BootstrapAgreed { members: members.to_vec() };
         members.iter().map(|member| Envelope { to: member.id, message: message.clone() }).collect()
     }
--- a/coordination/view/src/detector.rs
+++ b/coordination/view/src/detector.rs
@@ -67,9 +67,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Contact {
     /// When its last heartbeat came.
-    last_heard: Instant,
+    last_heartbeat_at: Instant,
     /// When the last heartbeat came that named this node among those its sender hears.
-    last_heard_us: Instant,
+    last_listed_at: Instant,
     /// Since when contact has not been interrupted.
     stable_since: Instant,
     /// The peer has said that it shuts down.
@@ -101,32 +101,32 @@
 
     /// Notes the passing of time. After a gap in which this process itself did not run, all contacts start afresh.
     pub fn poll(&mut self, now: Instant) {
-        let gap = now - self.last_poll;
+        let since_last_poll = now - self.last_poll;
         self.last_poll = now;
-        if gap < self.suspect_after / 2 {
+        if since_last_poll < self.suspect_after / 2 {
             return;
         }
         for contact in self.contacts.values_mut() {
-            *contact = Contact::fresh(now);
+            *contact = Contact::starting_at(now);
         }
     }
 
     /// Starts to watch a peer, which has [`DetectorConfig::suspect_after`] to be heard for the first time.
     pub fn watch(&mut self, now: Instant, peer: NodeId) {
-        self.contacts.entry(peer).or_insert_with(|| Contact::fresh(now));
+        self.contacts.entry(peer).or_insert_with(|| Contact::starting_at(now));
     }
 
-    /// A heartbeat came from `peer`; `hears_us` tells whether it names this node among those its sender hears.
-    pub fn handle_heartbeat(&mut self, now: Instant, peer: NodeId, hears_us: bool) {
+    /// A heartbeat came from `peer`; `lists_local_node` tells whether it names this node among those its sender hears.
+    pub fn handle_heartbeat(&mut self, now: Instant, peer: NodeId, lists_local_node: bool) {
         let suspect_after = self.suspect_after;
-        let contact = self.contacts.entry(peer).or_insert_with(|| Contact::fresh(now));
+        let contact = self.contacts.entry(peer).or_insert_with(|| Contact::starting_at(now));
         if contact.is_suspect(now, suspect_after) {
             contact.stable_since = now;
         }
-        contact.last_heard = now;
+        contact.last_heartbeat_at = now;
         contact.is_leaving = false;
-        if hears_us {
-            contact.last_heard_us = now;
+        if lists_local_node {
+            contact.last_listed_at = now;
         }
     }
 
@@ -150,8 +150,9 @@
     /// When the next of `peers` becomes suspect unless it is heard.
     pub fn next_timeout(&self, now: Instant, peers: impl Iterator<Item = NodeId>) -> Option<Instant> {
         let contacts = peers.filter_map(|peer| self.contacts.get(&peer));
-        let due = contacts.map(|contact| contact.last_heard.min(contact.last_heard_us) + self.suspect_after);
-        due.filter(|due| *due > now).min()
+        let deadline = contacts
+            .map(|contact| contact.last_heartbeat_at.min(contact.last_listed_at) + self.suspect_after);
+        deadline.filter(|deadline| *deadline > now).min()
     }
 
     /// Whether a peer has said that it shuts down.
@@ -164,8 +165,8 @@
         let Some(contact) = self.contacts.get(&peer) else {
             return false;
         };
-        let long_enough = now - contact.stable_since >= self.stable_after;
-        long_enough && !contact.is_suspect(now, self.suspect_after)
+        let is_long_enough = now - contact.stable_since >= self.stable_after;
+        is_long_enough && !contact.is_suspect(now, self.suspect_after)
     }
 
     /// Peers whose heartbeats arrive, to be named in heartbeats.
@@ -176,12 +177,12 @@
 }
 
 impl Contact {
-    fn fresh(now: Instant) -> Contact {
-        Contact { last_heard: now, last_heard_us: now, stable_since: now, is_leaving: false }
+    fn starting_at(now: Instant) -> Contact {
+        Contact { last_heartbeat_at: now, last_listed_at: now, stable_since: now, is_leaving: false }
     }
 
     fn is_heard(&self, now: Instant, suspect_after: Duration) -> bool {
-        now - self.last_heard < suspect_after
+        now - self.last_heartbeat_at < suspect_after
     }
 
     fn is_suspect(&self, now: Instant, suspect_after: Duration) -> bool {
@@ -189,6 +190,6 @@
     }
 
     fn is_unreachable(&self, now: Instant, suspect_after: Duration) -> bool {
-        !self.is_heard(now, suspect_after) || now - self.last_heard_us >= suspect_after
+        !self.is_heard(now, suspect_after) || now - self.last_listed_at >= suspect_after
     }
 }
--- a/coordination/view/src/identity.rs
+++ b/coordination/view/src/identity.rs
@@ -87,8 +87,11 @@
     pub fn is_well_formed(&self) -> bool {
         let members: BTreeSet<NodeId> = self.member_ids().collect();
         let voters: BTreeSet<NodeId> = self.voter_ids().collect();
-        let distinct = members.len() == self.members.len() && voters.len() == self.voters.len();
-        self.epoch != Epoch::NONE && !self.members.is_empty() && distinct && members.is_subset(&voters)
+        let has_no_duplicates = members.len() == self.members.len() && voters.len() == self.voters.len();
+        self.epoch != Epoch::NONE
+            && !self.members.is_empty()
+            && has_no_duplicates
+            && members.is_subset(&voters)
     }
 
     /// Number of voters that make a majority.
@@ -121,14 +124,14 @@
 
     /// The member before `id` in chain order.
     pub fn predecessor(&self, id: NodeId) -> Option<NodeId> {
-        let position = self.position(id)?;
-        position.checked_sub(1).map(|before| self.members[before].id)
+        let index = self.position(id)?;
+        index.checked_sub(1).map(|previous| self.members[previous].id)
     }
 
     /// The member after `id` in chain order.
     pub fn successor(&self, id: NodeId) -> Option<NodeId> {
-        let position = self.position(id)?;
-        self.members.get(position + 1).map(|member| member.id)
+        let index = self.position(id)?;
+        self.members.get(index + 1).map(|member| member.id)
     }
 
     /// Index of `id` in chain order.
--- a/coordination/view/src/proposer.rs
+++ b/coordination/view/src/proposer.rs
@@ -113,9 +113,10 @@
         let has_answered =
             |member: &Member| !base.is_voter(member.id) || self.promises.contains_key(&member.id);
         let first = members.first().filter(|first| base.is_member(first.id))?;
-        let complete = members.iter().filter(|member| self.is_complete(base, member.id));
-        let enough = complete.count() >= minimum_members;
-        let is_usable = enough && members.iter().all(has_answered) && self.is_complete(base, first.id);
+        let complete_members = members.iter().filter(|member| self.is_complete(base, member.id));
+        let has_enough_complete = complete_members.count() >= minimum_members;
+        let is_usable =
+            has_enough_complete && members.iter().all(has_answered) && self.is_complete(base, first.id);
         is_usable.then(|| View { epoch: base.epoch.next(), voters: voters.clone(), members: members.clone() })
     }
 
--- a/coordination/view/tests/agreement.rs
+++ b/coordination/view/tests/agreement.rs
@@ -16,13 +16,13 @@
 }
 
 /// The voters of the first view, and these members.
-fn chain(epoch: u64, ids: &[u64]) -> View {
+fn view_of_three_voters(epoch: u64, ids: &[u64]) -> View {
     View { voters: view(epoch, &[1, 2, 3]).voters, ..view(epoch, ids) }
 }
 
 /// The same as a target.
 fn target(ids: &[u64]) -> TargetView {
-    let View { voters, members, .. } = chain(2, ids);
+    let View { voters, members, .. } = view_of_three_voters(2, ids);
     TargetView::new(voters, members)
 }
 
@@ -57,7 +57,7 @@
     let incomplete = proposer.handle(NodeId(2), promise(ballot, None, false), true);
     assert!(own.messages.is_empty() && incomplete.messages.is_empty());
     let complete = proposer.handle(NodeId(2), promise(ballot, None, true), true);
-    assert_eq!(accepted_views(&complete), vec![chain(2, &[2, 3]); 3]);
+    assert_eq!(accepted_views(&complete), vec![view_of_three_voters(2, &[2, 3]); 3]);
 }
 
 #[test]
@@ -67,8 +67,8 @@
     let next = TargetView::new(next.voters, next.members);
     let ballot = ballot_of(&proposer.propose(next));
     let own = proposer.handle(NodeId(2), promise(ballot, None, true), true);
-    let leaving = proposer.handle(NodeId(3), promise(ballot, None, true), true);
-    assert!(own.messages.is_empty() && leaving.messages.is_empty());
+    let leaving_voter = proposer.handle(NodeId(3), promise(ballot, None, true), true);
+    assert!(own.messages.is_empty() && leaving_voter.messages.is_empty());
     let step = proposer.handle(NodeId(1), promise(ballot, None, true), true);
     assert_eq!(accepted_views(&step), vec![view(2, &[1, 2, 4]); 3]);
 }
@@ -133,29 +133,32 @@
 
 #[test]
 fn a_non_voter_neither_promises_nor_proposes() {
-    let mut outsider = agreement(9);
+    let mut non_voter = agreement(9);
     let ballot = Ballot { round: 1, node: NodeId(2) };
-    let step = outsider.handle(NodeId(2), ViewMessage::Prepare { instance: SECOND_EPOCH, ballot }, true);
+    let step = non_voter.handle(NodeId(2), ViewMessage::Prepare { instance: SECOND_EPOCH, ballot }, true);
     assert_eq!(step, Step::default());
-    assert_eq!(outsider.propose(target(&[1, 9])), Step::default());
+    assert_eq!(non_voter.propose(target(&[1, 9])), Step::default());
 }
 
 #[test]
 fn views_that_are_too_small_or_malformed_are_rejected() {
     let mut node = agreement(1);
     assert_eq!(node.propose(target(&[1])), Step::default());
-    let twice = View::of_members(Epoch(7), vec![member(1), member(1)]);
-    assert_eq!(node.handle(NodeId(2), ViewMessage::Decided { view: twice }, true), Step::default());
+    let with_duplicate_member = View::of_members(Epoch(7), vec![member(1), member(1)]);
+    assert_eq!(
+        node.handle(NodeId(2), ViewMessage::Decided { view: with_duplicate_member }, true),
+        Step::default()
+    );
     assert_eq!(node.handle(NodeId(2), ViewMessage::Decided { view: view(7, &[]) }, true), Step::default());
-    let no_voter = ViewMessage::Decided { view: chain(7, &[1, 4]) };
-    assert_eq!(node.handle(NodeId(2), no_voter, true), Step::default());
+    let with_non_voting_member = ViewMessage::Decided { view: view_of_three_voters(7, &[1, 4]) };
+    assert_eq!(node.handle(NodeId(2), with_non_voting_member, true), Step::default());
     assert_eq!(node.epoch(), Epoch(1));
 }
 
 #[test]
 fn the_state_is_what_its_records_say() {
     let mut node = agreement(1);
-    let mut disk = ViewState::from_view(view(1, &[1, 2, 3]));
+    let mut replayed_state = ViewState::from_view(view(1, &[1, 2, 3]));
     let ballot = Ballot { round: 3, node: NodeId(2) };
     let messages = [
         ViewMessage::Prepare { instance: SECOND_EPOCH, ballot },
@@ -165,20 +168,20 @@
     ];
     for message in messages {
         let step = node.handle(NodeId(2), message, true);
-        disk.apply(&step.record.expect("each of these is recorded"));
-        assert_eq!(disk, *node.state());
+        replayed_state.apply(&step.record.expect("each of these is recorded"));
+        assert_eq!(replayed_state, *node.state());
     }
 }
 
 #[test]
 fn voters_that_are_no_members_decide_but_never_become_the_first() {
     // Two members and a voter beside them; one member is lost.
-    let state = || ViewState::from_view(chain(1, &[1, 2]));
+    let state = || ViewState::from_view(view_of_three_voters(1, &[1, 2]));
     let mut proposer = ViewAgreement::new(NodeId(1), state(), 2);
     let ballot = ballot_of(&proposer.propose(target(&[1, 3])));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
     let step = proposer.handle(NodeId(3), promise(ballot, None, true), true);
-    assert_eq!(accepted_views(&step), vec![chain(2, &[1, 3]); 3]);
+    assert_eq!(accepted_views(&step), vec![view_of_three_voters(2, &[1, 3]); 3]);
     // Even if it says that it is complete: it was no member until now.
     let mut proposer = ViewAgreement::new(NodeId(3), state(), 2);
     let ballot = ballot_of(&proposer.propose(target(&[3, 1])));
@@ -189,14 +192,14 @@
 
 #[test]
 fn no_view_begins_with_too_few_complete_members() {
-    let state = || ViewState::from_view(chain(1, &[1, 2]));
+    let state = || ViewState::from_view(view_of_three_voters(1, &[1, 2]));
     let mut proposer = ViewAgreement::new(NodeId(1), state(), 2);
     let ballot = ballot_of(&proposer.propose(target(&[1, 3])));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
     let step = proposer.handle(NodeId(3), promise(ballot, None, false), true);
     assert_eq!(accepted_views(&step), Vec::new(), "the only copy could be lost before the second is there");
     let step = proposer.handle(NodeId(3), promise(ballot, None, true), true);
-    assert_eq!(accepted_views(&step), vec![chain(2, &[1, 3]); 3]);
+    assert_eq!(accepted_views(&step), vec![view_of_three_voters(2, &[1, 3]); 3]);
 }
 
 #[test]
@@ -221,10 +224,10 @@
     let next = TargetView::new(base.voters.clone(), view(2, &[1, 2]).members);
     let ballot = ballot_of(&proposer.propose(next));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
-    let two = proposer.handle(NodeId(2), promise(ballot, None, true), true);
-    assert!(two.messages.is_empty(), "two of five voters are no majority");
-    let three = proposer.handle(NodeId(5), promise(ballot, None, false), true);
-    assert_eq!(accepted_views(&three).len(), 5);
+    let after_two_promises = proposer.handle(NodeId(2), promise(ballot, None, true), true);
+    assert!(after_two_promises.messages.is_empty(), "two of five voters are no majority");
+    let after_three_promises = proposer.handle(NodeId(5), promise(ballot, None, false), true);
+    assert_eq!(accepted_views(&after_three_promises).len(), 5);
     for from in [1, 2] {
         let accepted = ViewMessage::Accepted { instance: SECOND_EPOCH, ballot };
         let _ = proposer.handle(NodeId(from), accepted, true);
--- a/coordination/view/tests/bootstrap.rs
+++ b/coordination/view/tests/bootstrap.rs
@@ -15,9 +15,9 @@
     format!("10.0.0.{host}:9000")
 }
 
-fn node(id: u64, host: u64, may_propose: bool) -> Node {
+fn node(id: u64, host: u64, has_bootstrap_addresses: bool) -> Node {
     let local = Member { id: NodeId(id), address: address(host) };
-    let addresses = if may_propose { (1..=3).map(address).collect() } else { Vec::new() };
+    let addresses = if has_bootstrap_addresses { (1..=3).map(address).collect() } else { Vec::new() };
     let agreement = ViewAgreement::new(local.id, ViewState::default(), 2);
     Node { bootstrap: Bootstrap::new(local, addresses, 3), agreement }
 }
@@ -55,7 +55,7 @@
     }
 }
 
-fn all_know_each_other(nodes: &mut BTreeMap<NodeId, Node>, hosts: &[(u64, u64)]) {
+fn add_all_peers(nodes: &mut BTreeMap<NodeId, Node>, hosts: &[(u64, u64)]) {
     for node in nodes.values_mut() {
         for (id, host) in hosts {
             node.bootstrap.add_peer(NodeId(*id), &address(*host));
@@ -63,15 +63,15 @@
     }
 }
 
-fn core(hosts: &[(u64, u64)], may_propose: impl Fn(u64) -> bool) -> BTreeMap<NodeId, Node> {
-    hosts.iter().map(|(id, host)| (NodeId(*id), node(*id, *host, may_propose(*id)))).collect()
+fn new_nodes(hosts: &[(u64, u64)], has_bootstrap_addresses: impl Fn(u64) -> bool) -> BTreeMap<NodeId, Node> {
+    hosts.iter().map(|(id, host)| (NodeId(*id), node(*id, *host, has_bootstrap_addresses(*id)))).collect()
 }
 
 #[test]
 fn three_nodes_form_one_view_in_the_order_of_their_addresses() {
     let hosts = [(77, 2), (55, 1), (66, 3)];
-    let mut nodes = core(&hosts, |_| true);
-    all_know_each_other(&mut nodes, &hosts);
+    let mut nodes = new_nodes(&hosts, |_| true);
+    add_all_peers(&mut nodes, &hosts);
     deliver_all(&mut nodes);
     for node in nodes.values() {
         let view = node.agreement.view().expect("a view");
@@ -83,8 +83,8 @@
 #[test]
 fn no_view_is_formed_while_a_node_is_unknown() {
     let hosts = [(1, 1), (2, 2)];
-    let mut nodes = core(&hosts, |_| true);
-    all_know_each_other(&mut nodes, &hosts);
+    let mut nodes = new_nodes(&hosts, |_| true);
+    add_all_peers(&mut nodes, &hosts);
     deliver_all(&mut nodes);
     assert!(nodes.values().all(|node| node.agreement.view().is_none()));
 }
@@ -92,8 +92,8 @@
 #[test]
 fn nodes_without_bootstrap_addresses_form_no_view() {
     let hosts = [(1, 1), (2, 2), (3, 3)];
-    let mut nodes = core(&hosts, |_| false);
-    all_know_each_other(&mut nodes, &hosts);
+    let mut nodes = new_nodes(&hosts, |_| false);
+    add_all_peers(&mut nodes, &hosts);
     deliver_all(&mut nodes);
     assert!(nodes.values().all(|node| node.agreement.view().is_none()));
 }
@@ -101,8 +101,8 @@
 #[test]
 fn a_node_without_addresses_agrees_to_the_proposal_of_others() {
     let hosts = [(1, 1), (2, 2), (3, 3)];
-    let mut nodes = core(&hosts, |id| id != 3);
-    all_know_each_other(&mut nodes, &hosts);
+    let mut nodes = new_nodes(&hosts, |id| id != 3);
+    add_all_peers(&mut nodes, &hosts);
     deliver_all(&mut nodes);
     assert!(nodes.values().all(|node| node.agreement.epoch() == Epoch::FIRST));
 }
@@ -110,8 +110,8 @@
 #[test]
 fn a_node_that_agreed_to_one_list_agrees_to_no_other() {
     let hosts = [(1, 1), (2, 2), (3, 3)];
-    let mut nodes = core(&hosts, |_| true);
-    all_know_each_other(&mut nodes, &hosts);
+    let mut nodes = new_nodes(&hosts, |_| true);
+    add_all_peers(&mut nodes, &hosts);
     // The third node loses its disk after the others have agreed, and before it has.
     for id in [1, 2] {
         let node = nodes.get_mut(&NodeId(id)).expect("a node");
@@ -119,7 +119,7 @@
     }
     nodes.remove(&NodeId(3));
     nodes.insert(NodeId(4), node(4, 3, true));
-    all_know_each_other(&mut nodes, &[(1, 1), (2, 2), (4, 3)]);
+    add_all_peers(&mut nodes, &[(1, 1), (2, 2), (4, 3)]);
     deliver_all(&mut nodes);
     assert!(nodes.values().all(|node| node.agreement.view().is_none()));
 }
@@ -127,16 +127,16 @@
 #[test]
 fn a_late_node_learns_the_view() {
     let hosts = [(1, 1), (2, 2), (3, 3)];
-    let mut nodes = core(&hosts, |_| true);
-    all_know_each_other(&mut nodes, &hosts);
+    let mut nodes = new_nodes(&hosts, |_| true);
+    add_all_peers(&mut nodes, &hosts);
     deliver_all(&mut nodes);
-    let mut late = node(9, 3, true);
-    let list = vec![Member { id: NodeId(9), address: address(3) }];
-    let first = nodes.get_mut(&NodeId(1)).expect("a node");
-    let step = first.receive(NodeId(9), ViewMessage::BootstrapAgreed { members: list });
+    let mut late_node = node(9, 3, true);
+    let other_list = vec![Member { id: NodeId(9), address: address(3) }];
+    let first_node = nodes.get_mut(&NodeId(1)).expect("a node");
+    let step = first_node.receive(NodeId(9), ViewMessage::BootstrapAgreed { members: other_list });
     for envelope in step.messages {
-        let _ = late.receive(NodeId(1), envelope.message);
+        let _ = late_node.receive(NodeId(1), envelope.message);
     }
-    assert_eq!(late.agreement.epoch(), Epoch::FIRST);
-    assert!(!late.agreement.is_member());
+    assert_eq!(late_node.agreement.epoch(), Epoch::FIRST);
+    assert!(!late_node.agreement.is_member());
 }
--- a/coordination/view/tests/detector.rs
+++ b/coordination/view/tests/detector.rs
@@ -18,12 +18,12 @@
     detector
 }
 
-/// Polls every 100 ms up to `until`, with a heartbeat each time where `hears_us` is given.
-fn run(detector: &mut Detector, from: u64, until: u64, hears_us: Option<bool>) {
+/// Polls every 100 ms up to `until`, with a heartbeat each time where `lists_local_node` is given.
+fn poll_until(detector: &mut Detector, from: u64, until: u64, lists_local_node: Option<bool>) {
     for now in (from..=until).step_by(100) {
         detector.poll(at(now));
-        if let Some(hears_us) = hears_us {
-            detector.handle_heartbeat(at(now), PEER, hears_us);
+        if let Some(lists_local_node) = lists_local_node {
+            detector.handle_heartbeat(at(now), PEER, lists_local_node);
         }
     }
 }
@@ -31,7 +31,7 @@
 #[test]
 fn a_peer_without_heartbeats_is_suspected_after_the_configured_time() {
     let mut detector = detector();
-    run(&mut detector, 0, 500, None);
+    poll_until(&mut detector, 0, 500, None);
     assert!(!detector.is_suspect(at(599), PEER));
     assert!(detector.is_suspect(at(600), PEER));
     assert_eq!(detector.heard_peers(at(600)), vec![]);
@@ -40,7 +40,7 @@
 #[test]
 fn a_peer_that_does_not_hear_us_is_suspected_though_we_hear_it() {
     let mut detector = detector();
-    run(&mut detector, 0, 600, Some(false));
+    poll_until(&mut detector, 0, 600, Some(false));
     assert!(detector.is_suspect(at(600), PEER));
     assert_eq!(detector.heard_peers(at(600)), vec![PEER]);
 }
@@ -48,8 +48,8 @@
 #[test]
 fn a_peer_is_stable_only_after_uninterrupted_contact() {
     let mut detector = detector();
-    run(&mut detector, 0, 700, None);
-    run(&mut detector, 800, 1_700, Some(true));
+    poll_until(&mut detector, 0, 700, None);
+    poll_until(&mut detector, 800, 1_700, Some(true));
     assert!(!detector.is_stable(at(1_799), PEER));
     assert!(detector.is_stable(at(1_800), PEER));
 }
@@ -57,7 +57,7 @@
 #[test]
 fn a_node_that_was_paused_suspects_nobody() {
     let mut detector = detector();
-    run(&mut detector, 0, 200, Some(true));
+    poll_until(&mut detector, 0, 200, Some(true));
     detector.poll(at(5_000));
     assert!(!detector.is_suspect(at(5_000), PEER));
     assert!(!detector.is_stable(at(5_000), PEER));
@@ -66,7 +66,7 @@
 #[test]
 fn a_leaving_peer_is_suspected_until_its_next_heartbeat() {
     let mut detector = detector();
-    run(&mut detector, 0, 1_200, Some(true));
+    poll_until(&mut detector, 0, 1_200, Some(true));
     detector.mark_leaving(PEER);
     assert!(detector.is_suspect(at(1_200), PEER));
     detector.handle_heartbeat(at(1_300), PEER, true);
--- a/coordination/view/tests/model.rs
+++ b/coordination/view/tests/model.rs
@@ -7,10 +7,10 @@
 use millrudder_view::{Epoch, Member, NodeId, Step, TargetView, View, ViewAgreement, ViewMessage, ViewState};
 
 /// States explored in an ordinary run.
-const ORDINARY_STATES: usize = 12_000;
+const DEFAULT_MAX_STATES: usize = 12_000;
 /// Number of long histories, and their actions.
-const WALKS: u64 = 400;
-const WALK_ACTIONS: usize = 300;
+const RANDOM_WALKS: u64 = 400;
+const ACTIONS_PER_WALK: usize = 300;
 /// No view has fewer members.
 const MINIMUM_MEMBERS: usize = 2;
 
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct ModelState {
     nodes: BTreeMap<NodeId, ViewAgreement>,
     disks: BTreeMap<NodeId, ViewState>,
     in_flight: Vec<InFlight>,
@@ -50,15 +50,15 @@
     TargetView::new(members(voters), members(member_ids))
 }
 
-impl World {
-    fn new(members_of_first: &[u64], proposals_left: usize, restarts_left: usize) -> World {
-        let view = View::of_members(Epoch::FIRST, members(members_of_first));
+impl ModelState {
+    fn new(initial_members: &[u64], proposals_left: usize, restarts_left: usize) -> ModelState {
+        let view = View::of_members(Epoch::FIRST, members(initial_members));
         let state = ViewState::from_view(view.clone());
         let disks: BTreeMap<NodeId, ViewState> = view.member_ids().map(|id| (id, state.clone())).collect();
         let started = |id| (id, ViewAgreement::new(id, state.clone(), MINIMUM_MEMBERS));
         let nodes = view.member_ids().map(started).collect();
         let decided = BTreeMap::from([(view.epoch, view)]);
-        World { nodes, disks, in_flight: Vec::new(), decided, proposals_left, restarts_left }
+        ModelState { nodes, disks, in_flight: Vec::new(), decided, proposals_left, restarts_left }
     }
 
     fn fingerprint(&self) -> u64 {
@@ -71,7 +71,7 @@
         hasher.finish()
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::Propose { node, target } => {
                 self.proposals_left -= 1;
@@ -129,27 +129,27 @@
     }
 
     /// Any node proposes any selection of its view's voters, with a new one in the place of another or beside them.
-    fn drawn_action(&self, random: &mut fastrand::Rng) -> Option<Action> {
+    fn random_action(&self, random: &mut fastrand::Rng) -> Option<Action> {
         let node = random.choice(self.nodes.keys().copied())?;
         match random.u32(0..40) {
             0 => Some(Action::Restart { node }),
             1 | 2 => {
                 let view = self.nodes[&node].view()?;
                 let mut voters = view.voters.clone();
-                let mut member_ids = view.members.clone();
-                member_ids.retain(|member| member.id == node || random.u32(0..4) > 0);
+                let mut members = view.members.clone();
+                members.retain(|member| member.id == node || random.u32(0..4) > 0);
                 let newcomer = member(random.u64(10..1_000));
-                let place = random.usize(0..6);
-                let replaced = voters.get(place).filter(|voter| !member_ids.contains(voter)).is_some();
-                if replaced {
-                    voters[place] = newcomer.clone();
-                    member_ids.push(newcomer);
-                } else if place >= voters.len() && voters.len() < 5 {
+                let index = random.usize(0..6);
+                let is_replaced = voters.get(index).filter(|voter| !members.contains(voter)).is_some();
+                if is_replaced {
+                    voters[index] = newcomer.clone();
+                    members.push(newcomer);
+                } else if index >= voters.len() && voters.len() < 5 {
                     voters.push(newcomer);
                 } else {
-                    member_ids.extend(voters.iter().find(|voter| !view.is_member(voter.id)).cloned());
+                    members.extend(voters.iter().find(|voter| !view.is_member(voter.id)).cloned());
                 }
-                let target = TargetView::new(voters, member_ids);
+                let target = TargetView::new(voters, members);
                 Some(Action::Propose { node, target })
             }
             _ => random.choice(self.deliveries()),
@@ -159,19 +159,19 @@
 
 #[test]
 fn no_order_of_events_decides_two_views() {
-    let states = std::env::var("VIEW_MODEL_STATES").ok().and_then(|text| text.parse().ok());
-    let bound = states.unwrap_or(ORDINARY_STATES);
+    let configured = std::env::var("VIEW_MODEL_STATES").ok().and_then(|text| text.parse().ok());
+    let max_states = configured.unwrap_or(DEFAULT_MAX_STATES);
     let mut seen = HashSet::new();
-    let mut queue = VecDeque::from([(World::new(&[1, 2, 3], 2, 1), 0)]);
+    let mut queue = VecDeque::from([(ModelState::new(&[1, 2, 3], 2, 1), 0)]);
     let mut complete_depth = 0;
-    while let Some((world, depth)) = queue.pop_front() {
-        if seen.len() >= bound {
+    while let Some((state, depth)) = queue.pop_front() {
+        if seen.len() >= max_states {
             break;
         }
         complete_depth = depth;
-        for action in world.actions() {
-            let mut next = world.clone();
-            next.act(action);
+        for action in state.actions() {
+            let mut next = state.clone();
+            next.apply(action);
             if seen.insert(next.fingerprint()) {
                 queue.push_back((next, depth + 1));
             }
@@ -183,18 +183,18 @@
 
 #[test]
 fn long_histories_decide_one_view_an_epoch() {
-    let mut views = 0;
-    for seed in 0..WALKS {
+    let mut views_decided = 0;
+    for seed in 0..RANDOM_WALKS {
         let mut random = fastrand::Rng::with_seed(seed);
-        let first: &[u64] = if random.bool() { &[1, 2, 3] } else { &[1, 2, 3, 4, 5] };
-        let mut world = World::new(first, usize::MAX, usize::MAX);
-        for _ in 0..WALK_ACTIONS {
-            if let Some(action) = world.drawn_action(&mut random) {
-                world.act(action);
+        let initial_members: &[u64] = if random.bool() { &[1, 2, 3] } else { &[1, 2, 3, 4, 5] };
+        let mut state = ModelState::new(initial_members, usize::MAX, usize::MAX);
+        for _ in 0..ACTIONS_PER_WALK {
+            if let Some(action) = state.random_action(&mut random) {
+                state.apply(action);
             }
         }
-        views += world.decided.len() - 1;
+        views_decided += state.decided.len() - 1;
     }
-    println!("{views} views decided in {WALKS} histories");
-    assert!(views > WALKS as usize, "views are decided");
+    println!("{views_decided} views decided in {RANDOM_WALKS} histories");
+    assert!(views_decided > RANDOM_WALKS as usize, "views are decided");
 }
--- a/coordination/view/tests/voters_model.rs
+++ b/coordination/view/tests/voters_model.rs
@@ -21,21 +21,21 @@
 /// More views than this are not explored.
 const LAST_EPOCH: Epoch = Epoch(4);
 /// An ordinary run ends after this many states, repeated ones counted; `VOTERS_MODEL_STATES` sets another bound.
-const ORDINARY_STATES: usize = 120_000;
+const DEFAULT_MAX_STATES: usize = 120_000;
 /// Attempts to change the view, unless `VOTERS_MODEL_PROPOSALS` sets another number.
-const ORDINARY_PROPOSALS: usize = 2;
+const DEFAULT_PROPOSALS: usize = 2;
 /// Restarts of the first machine, unless `VOTERS_MODEL_RESTARTS` sets another number.
-const ORDINARY_RESTARTS: usize = 0;
+const DEFAULT_RESTARTS: usize = 0;
 /// The two that are there when the third is lost, and that one.
 const FIRST: NodeId = NodeId(1);
 const SECOND: NodeId = NodeId(2);
 const THIRD: NodeId = NodeId(3);
 /// A machine with an empty disk.
-const NEWCOMER: NodeId = NodeId(4);
+const REPLACEMENT: NodeId = NodeId(4);
 
 /// What becomes of the machine that is lost first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Lost {
+enum LostMachine {
     /// It comes back with its disk.
     Returns,
     /// Its disk is gone; an empty one takes over its vote.
@@ -44,15 +44,15 @@
 
 /// A change of the rules that must show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Rules {
-    AsBuilt,
+enum VoterRule {
+    Implemented,
     /// The members that are left are the only voters.
-    VotersShrink,
+    OnlyMembersVote,
 }
 
 struct Scenario {
-    lost: Lost,
-    rules: Rules,
+    lost_machine: LostMachine,
+    voter_rule: VoterRule,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -76,15 +76,16 @@
     entered: BTreeMap<NodeId, Epoch>,
     proposals_left: usize,
     restarts_left: usize,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 impl State {
-    fn print(&self) -> String {
+    fn canonical_text(&self) -> String {
         let messages: Vec<&InFlight> = self.in_flight.keys().collect();
-        let State { nodes, disks, down, complete, decided, proposals_left, restarts_left, broken, .. } = self;
+        let State { nodes, disks, down, complete, decided, proposals_left, restarts_left, violation, .. } =
+            self;
         format!(
-            "{nodes:?}{disks:?}{messages:?}{down:?}{complete:?}{decided:?}{proposals_left}{restarts_left}{broken:?}"
+            "{nodes:?}{disks:?}{messages:?}{down:?}{complete:?}{decided:?}{proposals_left}{restarts_left}{violation:?}"
         )
     }
 }
@@ -92,14 +93,14 @@
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
         let mut hasher = DefaultHasher::new();
-        self.print().hash(&mut hasher);
+        self.canonical_text().hash(&mut hasher);
         state.write_u64(hasher.finish());
     }
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &State) -> bool {
-        self.print() == other.print()
+        self.canonical_text() == other.canonical_text()
     }
 }
 
@@ -115,11 +116,11 @@
     /// The third comes back with its disk.
     ThirdReturns,
     /// A node takes over the state from the first member, within the view or ahead of the next one.
-    Fill(NodeId),
+    CatchUp(NodeId),
 }
 
-fn number(variable: &str, ordinary: usize) -> usize {
-    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(ordinary)
+fn usize_from_env(variable: &str, default: usize) -> usize {
+    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 fn member(id: NodeId) -> Member {
@@ -128,17 +129,18 @@
 
 impl Scenario {
     /// The core has gone on without the third machine.
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         let all = [FIRST, SECOND, THIRD];
         let first = View::of_members(Epoch::FIRST, all.into_iter().map(member).collect());
         let members = vec![member(FIRST), member(SECOND)];
-        let voters = if self.rules == Rules::AsBuilt { first.voters.clone() } else { members.clone() };
+        let voters =
+            if self.voter_rule == VoterRule::Implemented { first.voters.clone() } else { members.clone() };
         let second = View { epoch: first.epoch.next(), voters, members };
         let disks = BTreeMap::from([
             (FIRST, ViewState::from_view(second.clone())),
             (SECOND, ViewState::from_view(second.clone())),
             (THIRD, ViewState::from_view(first.clone())),
-            (NEWCOMER, ViewState::default()),
+            (REPLACEMENT, ViewState::default()),
         ]);
         let node =
             |(id, disk): (&NodeId, &ViewState)| (*id, ViewAgreement::new(*id, disk.clone(), MINIMUM_MEMBERS));
@@ -149,35 +151,35 @@
             complete: BTreeSet::from([FIRST, SECOND]),
             entered: BTreeMap::from([(FIRST, second.epoch), (SECOND, second.epoch), (THIRD, first.epoch)]),
             decided: BTreeMap::from([(first.epoch, first), (second.epoch, second)]),
-            proposals_left: number("VOTERS_MODEL_PROPOSALS", ORDINARY_PROPOSALS),
-            restarts_left: number("VOTERS_MODEL_RESTARTS", ORDINARY_RESTARTS),
-            broken: None,
+            proposals_left: usize_from_env("VOTERS_MODEL_PROPOSALS", DEFAULT_PROPOSALS),
+            restarts_left: usize_from_env("VOTERS_MODEL_RESTARTS", DEFAULT_RESTARTS),
+            violation: None,
             disks,
         }
     }
 
     /// What a member would have: those that are there, filled up, and the newcomer in place of a lost one.
     fn target(&self, state: &State, view: &View) -> TargetView {
-        let up = |member: &&Member| !state.down.contains(&member.id);
-        let mut members: Vec<Member> = view.members.iter().filter(up).cloned().collect();
-        let outside = view.voters.iter().filter(|voter| !view.is_member(voter.id));
-        for voter in outside.filter(up) {
+        let is_up = |member: &&Member| !state.down.contains(&member.id);
+        let mut members: Vec<Member> = view.members.iter().filter(is_up).cloned().collect();
+        let voters_without_state = view.voters.iter().filter(|voter| !view.is_member(voter.id));
+        for voter in voters_without_state.filter(is_up) {
             if members.len() < MINIMUM_MEMBERS {
                 members.push(voter.clone());
             }
         }
         let mut voters = view.voters.clone();
-        let gone = voters.iter().position(|voter| state.down.contains(&voter.id));
-        let takes_over = self.lost == Lost::IsReplaced && !view.is_voter(NEWCOMER);
-        if let Some(index) = gone.filter(|_| takes_over) {
-            voters[index] = member(NEWCOMER);
-            members.push(member(NEWCOMER));
+        let lost_voter = voters.iter().position(|voter| state.down.contains(&voter.id));
+        let needs_replacement = self.lost_machine == LostMachine::IsReplaced && !view.is_voter(REPLACEMENT);
+        if let Some(index) = lost_voter.filter(|_| needs_replacement) {
+            voters[index] = member(REPLACEMENT);
+            members.push(member(REPLACEMENT));
         }
-        match self.rules {
-            Rules::AsBuilt => {
+        match self.voter_rule {
+            VoterRule::Implemented => {
                 TargetView { complete: state.complete.clone(), ..TargetView::new(voters, members) }
             }
-            Rules::VotersShrink => TargetView::new(members.clone(), members),
+            VoterRule::OnlyMembersVote => TargetView::new(members.clone(), members),
         }
     }
 }
@@ -197,13 +199,13 @@
         let entered = self.nodes[&node].view().filter(|view| self.entered.get(&node) != Some(&view.epoch));
         if let Some(view) = entered.cloned() {
             self.entered.insert(node, view.epoch);
-            self.note_view(node, view);
+            self.record_view(node, view);
         }
         // What a node says to itself waits for its own disk only, which is written at once here.
-        own.into_iter().for_each(|envelope| self.take(node, node, envelope.message));
+        own.into_iter().for_each(|envelope| self.handle_message(node, node, envelope.message));
     }
 
-    fn take(&mut self, from: NodeId, to: NodeId, message: ViewMessage) {
+    fn handle_message(&mut self, from: NodeId, to: NodeId, message: ViewMessage) {
         let complete = self.complete.contains(&to);
         if let Some(node) = self.nodes.get_mut(&to) {
             let step = node.handle(from, message, complete);
@@ -211,38 +213,38 @@
         }
     }
 
-    fn note_view(&mut self, node: NodeId, view: View) {
+    fn record_view(&mut self, node: NodeId, view: View) {
         if !view.is_member(node) {
             self.complete.remove(&node);
         }
         match self.decided.get(&view.epoch) {
-            Some(first) if *first != view => self.broken = Some("two views in one epoch"),
+            Some(first) if *first != view => self.violation = Some("two views in one epoch"),
             Some(_) => {}
             None => self.check_decided(view),
         }
     }
 
     fn check_decided(&mut self, view: View) {
-        let before = self.decided.get(&Epoch(view.epoch.0 - 1)).cloned().unwrap_or_default();
+        let previous = self.decided.get(&Epoch(view.epoch.0 - 1)).cloned().unwrap_or_default();
         let head = view.head().unwrap_or_default();
-        if !before.is_member(head) || !self.complete.contains(&head) {
-            self.broken = Some("a head that may lack commands");
+        if !previous.is_member(head) || !self.complete.contains(&head) {
+            self.violation = Some("a head that may lack commands");
         }
         if view.member_ids().filter(|id| self.complete.contains(id)).count() < MINIMUM_MEMBERS {
-            self.broken = Some("a loss may take the only copy");
+            self.violation = Some("a loss may take the only copy");
         }
         let accepted = |id: &NodeId| {
             let disk = format!("{:?}", self.disks[id]);
-            let knows = self.nodes[id].epoch() >= view.epoch;
-            knows || disk.contains(&format!("view: {view:?}"))
+            let has_decided = self.nodes[id].epoch() >= view.epoch;
+            has_decided || disk.contains(&format!("view: {view:?}"))
         };
-        if before.voter_ids().filter(accepted).count() < before.majority() {
-            self.broken = Some("decided without a majority of the voters");
+        if previous.voter_ids().filter(accepted).count() < previous.majority() {
+            self.violation = Some("decided without a majority of the voters");
         }
         self.decided.insert(view.epoch, view);
     }
 
-    fn newest(&self) -> &View {
+    fn newest_view(&self) -> &View {
         self.decided.values().next_back().expect("the first view is there")
     }
 }
@@ -252,44 +254,46 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.start()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.broken.is_some() {
+        if state.violation.is_some() {
             return;
         }
-        let up = |id: &NodeId| !state.down.contains(id);
-        let reachable = state.in_flight.keys().filter(|message| up(&message.to));
+        let is_up = |id: &NodeId| !state.down.contains(id);
+        let reachable = state.in_flight.keys().filter(|message| is_up(&message.to));
         actions.extend(reachable.cloned().map(Action::Deliver));
-        for (id, node) in state.nodes.iter().filter(|(id, _)| up(id)) {
-            let may = node.is_member() && !node.is_proposing() && node.epoch() < LAST_EPOCH;
+        for (id, node) in state.nodes.iter().filter(|(id, _)| is_up(id)) {
+            let can_propose = node.is_member() && !node.is_proposing() && node.epoch() < LAST_EPOCH;
             let changes = node
                 .view()
                 .is_some_and(|view| node.has_accepted_next_view() || !self.target(state, view).matches(view));
-            if may && changes && state.proposals_left > 0 {
+            if can_propose && changes && state.proposals_left > 0 {
                 actions.push(Action::Propose(*id));
             }
         }
         if state.restarts_left > 0 {
             actions.push(Action::Restart(FIRST));
         }
-        let (returned, replaced) = (up(&THIRD), state.newest().is_voter(NEWCOMER));
-        let ready = if self.lost == Lost::Returns { returned } else { replaced };
-        if ready && up(&SECOND) {
+        let (returned, replaced) = (is_up(&THIRD), state.newest_view().is_voter(REPLACEMENT));
+        let first_loss_is_resolved =
+            if self.lost_machine == LostMachine::Returns { returned } else { replaced };
+        if first_loss_is_resolved && is_up(&SECOND) {
             actions.push(Action::LoseSecond);
         }
         if !returned {
             actions.push(Action::ThirdReturns);
         }
-        let newest = state.newest();
-        let head_knows = newest.head().is_some_and(|head| state.nodes[&head].epoch() == newest.epoch);
+        let newest = state.newest_view();
+        let head_is_in_newest_view =
+            newest.head().is_some_and(|head| state.nodes[&head].epoch() == newest.epoch);
         let next = self.target(state, newest);
         let is_in_target = |id: &NodeId| newest.is_member(*id) || next.members.iter().any(|it| it.id == *id);
         let lagging =
-            state.nodes.keys().filter(|id| !state.complete.contains(id) && up(id) && is_in_target(id));
-        let lagging = lagging.filter(|id| head_knows && state.nodes[id].epoch() == newest.epoch);
-        actions.extend(lagging.copied().map(Action::Fill));
+            state.nodes.keys().filter(|id| !state.complete.contains(id) && is_up(id) && is_in_target(id));
+        let lagging = lagging.filter(|id| head_is_in_newest_view && state.nodes[id].epoch() == newest.epoch);
+        actions.extend(lagging.copied().map(Action::CatchUp));
     }
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
@@ -304,7 +308,7 @@
             }
             Action::Deliver(envelope) => {
                 let message = state.in_flight.remove(&envelope)?;
-                state.take(envelope.from, envelope.to, message);
+                state.handle_message(envelope.from, envelope.to, message);
             }
             Action::Restart(node) => {
                 state.restarts_left -= 1;
@@ -320,7 +324,7 @@
                 let step = state.nodes[&FIRST].handle_query(THIRD, Epoch::FIRST);
                 state.carry_out(FIRST, step);
             }
-            Action::Fill(node) => {
+            Action::CatchUp(node) => {
                 state.complete.insert(node);
             }
         }
@@ -329,21 +333,26 @@
 
     fn properties(&self) -> Vec<Property<Scenario>> {
         vec![
-            Property::always("what must hold holds", |_, state: &State| state.broken.is_none()),
+            Property::always("what must hold holds", |_, state: &State| state.violation.is_none()),
             Property::sometimes("the core goes on after the second loss", |_, state: &State| {
-                let newest = state.newest();
+                let newest = state.newest_view();
                 state.down.contains(&SECOND) && !newest.is_member(SECOND) && newest.is_member(FIRST)
             }),
         ]
     }
 }
 
-fn check(lost: Lost, rules: Rules) -> impl Checker<Scenario> {
-    let bound = number("VOTERS_MODEL_STATES", ORDINARY_STATES);
+fn check(lost_machine: LostMachine, voter_rule: VoterRule) -> impl Checker<Scenario> {
+    let max_states = usize_from_env("VOTERS_MODEL_STATES", DEFAULT_MAX_STATES);
     let started = std::time::Instant::now();
-    let checker = Scenario { lost, rules }.checker().target_state_count(bound).threads(2).spawn_bfs().join();
+    let checker = Scenario { lost_machine, voter_rule }
+        .checker()
+        .target_state_count(max_states)
+        .threads(2)
+        .spawn_bfs()
+        .join();
     println!(
-        "{lost:?}, {rules:?}: {} states, {} of them distinct, depth {}, {:?}",
+        "{lost_machine:?}, {voter_rule:?}: {} states, {} of them distinct, depth {}, {:?}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth(),
@@ -354,21 +363,21 @@
 
 #[test]
 fn one_comes_back_and_another_is_lost() {
-    let checker = check(Lost::Returns, Rules::AsBuilt);
+    let checker = check(LostMachine::Returns, VoterRule::Implemented);
     checker.assert_no_discovery("what must hold holds");
     checker.assert_any_discovery("the core goes on after the second loss");
 }
 
 #[test]
 fn one_is_replaced_and_another_is_lost() {
-    let checker = check(Lost::IsReplaced, Rules::AsBuilt);
+    let checker = check(LostMachine::IsReplaced, VoterRule::Implemented);
     checker.assert_no_discovery("what must hold holds");
     checker.assert_any_discovery("the core goes on after the second loss");
 }
 
 #[test]
 fn voters_that_shrink_to_what_is_left_end_the_core() {
-    let checker = check(Lost::Returns, Rules::VotersShrink);
+    let checker = check(LostMachine::Returns, VoterRule::OnlyMembersVote);
     checker.assert_no_discovery("what must hold holds");
     checker.assert_no_discovery("the core goes on after the second loss");
 }
