--- a/coordination/view/src/acceptor.rs
+++ b/coordination/view/src/acceptor.rs
@@ -1,19 +1,19 @@
-//! The Paxos acceptor of one instance.
+//! Paxos acceptor of a single instance.
 
 use speedy::{Readable, Writable};
 
 use crate::{Ballot, View};
 
-/// A view accepted at a ballot.
+/// A view together with the ballot at which it was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct AcceptedView {
-    /// Ballot at which it was accepted.
+    /// Ballot at which the view was accepted.
     pub ballot: Ballot,
     /// The accepted view.
     pub view: View,
 }
 
-/// Promise and acceptance of one node in one instance.
+/// The highest promised ballot and the last accepted view of one node in one instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub(crate) struct Acceptor {
     pub(crate) promised: Ballot,
@@ -21,7 +21,7 @@
 }
 
 impl Acceptor {
-    /// Promises `ballot` unless a higher one was promised.
+    /// Promises to accept nothing at a ballot lower than `ballot`. Returns false if a higher ballot was promised already.
     pub(crate) fn promise(&mut self, ballot: Ballot) -> bool {
         if ballot < self.promised {
             return false;
@@ -30,7 +30,7 @@
         true
     }
 
-    /// Accepts `view` at `ballot` unless a higher ballot was promised.
+    /// Accepts `view` at `ballot`. Returns false if a higher ballot was promised already.
     pub(crate) fn accept(&mut self, ballot: Ballot, view: View) -> bool {
         if !self.promise(ballot) {
             return false;
--- a/coordination/view/src/agreement.rs
+++ b/coordination/view/src/agreement.rs
@@ -1,4 +1,4 @@
-//! Agreement on the next view: the acceptor, the proposer and the newest decided view of one node.
+//! Agreement on the next view at one node: its acceptor, its proposer and the newest view it knows to be decided.
 
 use speedy::{Readable, Writable};
 
@@ -6,26 +6,26 @@
 use crate::proposer::{Promise, Proposer, TargetView};
 use crate::{AcceptedView, Ballot, Epoch, Member, NodeId, View, ViewMessage, ViewRecord};
 
-/// A message with its recipient, which may be the sending node itself.
+/// A message and its recipient. The recipient may be the sending node itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// The recipient.
+    /// Node to send the message to.
     pub to: NodeId,
-    /// The message.
+    /// Message to send.
     pub message: ViewMessage,
 }
 
-/// What the embedder has to do after an input: `messages` must not leave before `record` is durable.
+/// Actions for the embedder after an input. `messages` must not be sent before `record` is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[must_use]
 pub struct Step {
-    /// To be made durable first.
+    /// Record to make durable first, if the input changed the durable state.
     pub record: Option<ViewRecord>,
-    /// To be sent afterwards.
+    /// Messages to send afterwards.
     pub messages: Vec<Envelope>,
 }
 
-/// Durable state of the agreement, rebuilt from the [`ViewRecord`]s.
+/// Durable state of the agreement; it is rebuilt by applying the [`ViewRecord`]s in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ViewState {
     bootstrap_members: Option<Vec<Member>>,
@@ -34,27 +34,27 @@
 }
 
 impl ViewState {
-    /// The state of a node that knows `view` and has promised and accepted nothing since.
+    /// Creates the state of a node that knows `view` and has promised and accepted nothing in the instance that follows it.
     pub fn from_view(view: View) -> ViewState {
         ViewState { view: Some(view), ..ViewState::default() }
     }
 
-    /// The newest decided view.
+    /// Returns the newest decided view.
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
     }
 
-    /// The members of the first view to which this node has agreed.
+    /// Returns the members of the first view that this node has agreed to.
     pub fn bootstrap_members(&self) -> Option<&[Member]> {
         self.bootstrap_members.as_deref()
     }
 
-    /// Epoch of the newest decided view.
+    /// Returns the epoch of the newest decided view, or [`Epoch::NONE`].
     pub fn epoch(&self) -> Epoch {
         self.view.as_ref().map_or(Epoch::NONE, |view| view.epoch)
     }
 
-    /// Folds one record into the state.
+    /// Applies one durable record to the state. Promises and acceptances of instances other than the current one are ignored.
     pub fn apply(&mut self, record: &ViewRecord) {
         match record {
             ViewRecord::BootstrapAgreed { members } => self.bootstrap_members = Some(members.clone()),
@@ -80,7 +80,7 @@
     }
 }
 
-/// Agreement on views at one node.
+/// State machine of the agreement on views at one node.
 #[derive(Clone, Debug)]
 pub struct ViewAgreement {
     local_id: NodeId,
@@ -91,52 +91,52 @@
 }
 
 impl ViewAgreement {
-    /// Continues from durable `state`. No view with fewer than `minimum_members` is ever proposed.
+    /// Resumes from the durable `state`. This node never proposes a view with fewer than `minimum_members` members.
     pub fn new(local_id: NodeId, state: ViewState, minimum_members: usize) -> ViewAgreement {
         let highest_round = state.acceptor.promised.round;
         ViewAgreement { local_id, minimum_members, state, proposer: None, highest_round }
     }
 
-    /// The durable state.
+    /// Returns the durable state.
     pub fn state(&self) -> &ViewState {
         &self.state
     }
 
-    /// The newest decided view.
+    /// Returns the newest decided view.
     pub fn view(&self) -> Option<&View> {
         self.state.view()
     }
 
-    /// Epoch of the newest decided view.
+    /// Returns the epoch of the newest decided view, or [`Epoch::NONE`].
     pub fn epoch(&self) -> Epoch {
         self.state.epoch()
     }
 
-    /// Whether this node votes in the newest decided view.
+    /// Returns whether this node votes in the newest decided view.
     pub fn is_voter(&self) -> bool {
         self.view().is_some_and(|view| view.is_voter(self.local_id))
     }
 
-    /// Whether this node is a member of the newest decided view.
+    /// Returns whether this node is a member of the newest decided view.
     pub fn is_member(&self) -> bool {
         self.view().is_some_and(|view| view.is_member(self.local_id))
     }
 
-    /// Whether this node has accepted a next view, so that the present one may be over already.
+    /// Returns whether this node has accepted a proposal for the next view.
     ///
-    /// Such a node must not confirm that its view is current.
+    /// That view may already be decided, so such a node must not confirm that its own view is current.
     pub fn has_accepted_next_view(&self) -> bool {
         self.state.acceptor.accepted.is_some()
     }
 
-    /// Whether an attempt of this node is in flight.
+    /// Returns whether this node has an unfinished attempt to decide the next view.
     pub fn is_proposing(&self) -> bool {
         self.proposer.is_some()
     }
 
-    /// Starts a new attempt to replace the present view by `target`.
+    /// Starts a new attempt, at a higher ballot, to replace the current view by `target`.
     ///
-    /// Does nothing at a node that does not vote, or where `target` has too few members or changes too many voters.
+    /// Does nothing if this node does not vote, if `target` has too few members, or if it changes more than one voter.
     pub fn propose(&mut self, target: TargetView) -> Step {
         if !self.can_propose(&target) {
             return Step::default();
@@ -148,8 +148,8 @@
         Step { record: None, messages: self.to_voters(&prepare) }
     }
 
-    /// Sends the request of the present phase again to each voter that has not answered it: its request or its answer may
-    /// be lost. Voters answer a request that comes twice as they did the first time.
+    /// Resends the request of the current phase to each voter that has not answered it, since the request or the answer
+    /// may have been lost. A repeated request gets the same answer as the first one, so resending is harmless.
     pub fn retransmit(&self) -> Step {
         let Some(proposer) = &self.proposer else {
             return Step::default();
@@ -170,12 +170,12 @@
         self.is_voter() && changes_at_most_one && target.members.len() >= self.minimum_members
     }
 
-    /// Ends this node's attempt, if there is one.
+    /// Abandons this node's attempt, if there is one.
     pub fn abandon(&mut self) {
         self.proposer = None;
     }
 
-    /// Adopts a view that was decided elsewhere, if it is newer and well formed.
+    /// Adopts a decided view if it is well-formed and newer than the one known here.
     pub fn adopt(&mut self, view: View) -> Step {
         if view.epoch <= self.epoch() || !view.is_well_formed() {
             return Step::default();
@@ -185,15 +185,16 @@
         Step { record: Some(ViewRecord::Decided { view }), messages: Vec::new() }
     }
 
-    /// Records the agreement to the members of the first view.
+    /// Records that this node agrees to the members of the first view.
     pub(crate) fn record_bootstrap_agreement(&mut self, members: Vec<Member>) -> Step {
         self.state.bootstrap_members = Some(members.clone());
         Step { record: Some(ViewRecord::BootstrapAgreed { members }), messages: Vec::new() }
     }
 
-    /// Handles a message. `complete` tells whether this node holds every committed command.
+    /// Handles a message. `complete` states whether this node holds every committed command.
     ///
-    /// Agreement to a bootstrap is handled by [`Bootstrap::handle`](crate::Bootstrap::handle) while no view is known.
+    /// While no view is known, [`ViewMessage::BootstrapAgreed`] must be passed to
+    /// [`Bootstrap::handle`](crate::Bootstrap::handle) instead.
     pub fn handle(&mut self, from: NodeId, message: ViewMessage, complete: bool) -> Step {
         match message {
             ViewMessage::Prepare { instance, ballot } => {
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Sends the newest view to a peer that knows only `known`.
+    /// Sends the newest decided view to a peer whose newest view has the epoch `known`, if that is older.
     pub fn handle_query(&self, from: NodeId, known: Epoch) -> Step {
         let newer = self.view().filter(|view| view.epoch > known);
         let messages =
@@ -288,7 +289,7 @@
         Step::default()
     }
 
-    /// Adopts a decided view and sends it to the voters of both views.
+    /// Adopts a decided view and sends it to the voters of the previous and the new view.
     fn adopt_and_announce(&mut self, base: &View, view: View) -> Step {
         let decided = ViewMessage::Decided { view: view.clone() };
         let mut peers: Vec<NodeId> =
@@ -300,13 +301,15 @@
         step
     }
 
-    /// The present view, if `instance` follows it and `from` votes in it.
+    /// Returns the current view if `instance` decides the view after it and `from` votes in it.
     fn base_view(&self, instance: Epoch, from: NodeId) -> Option<View> {
         let view = self.view()?;
         (instance == view.epoch.next() && view.is_voter(from)).then(|| view.clone())
     }
 
-    /// The answer to a request for another instance than the one in which this node votes.
+    /// Returns the answer to a request for an instance in which this node does not vote: the decided view if the instance
+    /// is over, a query if it is ahead of this node, and nothing if this node is no voter. Returns `None` for the instance
+    /// in which this node votes.
     fn answer_for_other_instance(&self, from: NodeId, instance: Epoch) -> Option<Step> {
         if instance <= self.epoch() {
             return Some(self.handle_query(from, Epoch(instance.0.saturating_sub(1))));
--- a/coordination/view/src/bootstrap.rs
+++ b/coordination/view/src/bootstrap.rs
@@ -1,41 +1,45 @@
-//! Bootstrap of a cluster: the members of its first view agree on it.
+//! Bootstrap of a cluster: agreement on the members of its first view.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::agreement::{Envelope, Step, ViewAgreement};
 use crate::{Epoch, Member, NodeId, View, ViewMessage};
 
-/// Forms the first view once all its nodes have agreed to the same list of members.
+/// Forms the first view once all listed nodes have agreed to the same list of members.
 ///
-/// A node agrees to one list in the life of its disk. Every list needs the agreement of all its members, so of two
-/// lists that share a disk at most one forms a view. Only a node that was given bootstrap addresses proposes a list; a
-/// node without them agrees to a list that names it, which cannot form a view by itself.
+/// A node records its agreement on disk and never agrees to another list afterwards. Every list needs the agreement of
+/// all its members, so at most one of two lists that share a node can form a view. Only nodes with configured bootstrap
+/// addresses propose a list. A node without them agrees to any list that contains it; such nodes cannot form a view on
+/// their own.
 #[derive(Clone, Debug)]
 pub struct Bootstrap {
     local: Member,
-    /// Addresses of all nodes of the bootstrap; empty at a node that must not propose one.
+    /// Addresses of all nodes of the bootstrap. Empty if this node must not propose a list.
     bootstrap_addresses: Vec<String>,
-    /// No more of them than this become voters.
+    /// Maximum number of nodes that become voters of the first view.
     max_voters: usize,
     ids_by_address: BTreeMap<String, NodeId>,
+    /// Nodes that have agreed to the list that this node agreed to.
     agreed_by: BTreeSet<NodeId>,
 }
 
 impl Bootstrap {
-    /// `addresses` are those of all nodes of the bootstrap, this one included; empty where this node must not propose
-    /// one. At most `max_voters` of them form the first view; this number must be the same at all nodes.
+    /// Creates the bootstrap of the node `local`.
+    ///
+    /// `bootstrap_addresses` are the addresses of all nodes of the bootstrap including this one, or empty if this node must
+    /// not propose a list. At most `max_voters` of the nodes form the first view; the number must be the same at all nodes.
     pub fn new(local: Member, bootstrap_addresses: Vec<String>, max_voters: usize) -> Bootstrap {
         let ids_by_address = BTreeMap::from([(local.address.clone(), local.id)]);
         Bootstrap { local, bootstrap_addresses, max_voters, ids_by_address, agreed_by: BTreeSet::new() }
     }
 
-    /// Learns which node answers at an address.
+    /// Records that the node `id` was reached at `address`.
     pub fn add_peer(&mut self, id: NodeId, address: &str) {
         self.ids_by_address.insert(address.to_owned(), id);
     }
 
-    /// Proposes the first view, or repeats this node's agreement. To be called at the heartbeat's pace while no view is
-    /// known.
+    /// Proposes the first view, or repeats this node's agreement. The embedder calls this at every heartbeat interval while
+    /// no view is known.
     pub fn poll(&self, agreement: &mut ViewAgreement) -> Step {
         if agreement.epoch() != Epoch::NONE {
             return Step::default();
@@ -46,7 +50,7 @@
         self.own_proposal().map_or_else(Step::default, |members| self.agree(agreement, members))
     }
 
-    /// Handles a peer's agreement to `members`.
+    /// Handles the agreement of the node `from` to the list `members`.
     pub fn handle(&mut self, agreement: &mut ViewAgreement, from: NodeId, members: Vec<Member>) -> Step {
         if agreement.epoch() != Epoch::NONE {
             return agreement.handle_query(from, Epoch::NONE);
@@ -61,7 +65,8 @@
         self.adopt_if_all_agree(agreement, agreed)
     }
 
-    /// Agrees to a list that another node proposed, if it is the own list or this node has none.
+    /// Agrees to the list of a peer if it equals the list that this node would propose or, at a node without bootstrap
+    /// addresses, if it contains this node.
     fn agree_to_peer_list(
         &mut self,
         agreement: &mut ViewAgreement,
@@ -85,7 +90,7 @@
         step
     }
 
-    /// Adopts the first view once every member has agreed; the own agreement arrives as a message to itself.
+    /// Adopts the first view once every listed node has agreed. This node's own agreement arrives as a message from itself.
     fn adopt_if_all_agree(&self, agreement: &mut ViewAgreement, members: Vec<Member>) -> Step {
         if !members.iter().all(|member| self.agreed_by.contains(&member.id)) {
             return Step::default();
@@ -100,7 +105,8 @@
         step
     }
 
-    /// The members of the first view, once the node behind every address is known.
+    /// Returns the list that this node proposes, in the order of addresses. Returns `None` until the node at every
+    /// bootstrap address is known, and at a node that must not propose a list.
     fn own_proposal(&self) -> Option<Vec<Member>> {
         if !self.bootstrap_addresses.contains(&self.local.address) {
             return None;
@@ -120,7 +126,8 @@
     }
 }
 
-/// At most `count` members at even distances in the list, since neighbours by address often share a failure domain.
+/// Selects at most `count` members at even distances in the list, because members with neighbouring addresses often share
+/// a failure domain.
 fn evenly_spaced(members: Vec<Member>, count: usize) -> Vec<Member> {
     let total = members.len();
     let chosen = count.clamp(1, total.max(1)).min(total);
--- a/coordination/view/src/detector.rs
+++ b/coordination/view/src/detector.rs
@@ -1,4 +1,4 @@
-//! Failure detection among the members of a core by heartbeats.
+//! Heartbeat-based failure detector for the members of a core.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 
 use crate::NodeId;
 
-/// Durations of the failure detector, in whole microseconds.
+/// Configuration of the failure detector. All durations are whole microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DetectorConfig {
     /// Interval between two heartbeats to the same peer.
     pub heartbeat_interval: Duration,
-    /// A peer without a heartbeat for so long is suspected.
+    /// Time without a heartbeat after which a peer is suspected.
     pub suspect_after: Duration,
-    /// Contact without an interruption for so long makes a peer stable again.
+    /// Time of uninterrupted contact after which a peer counts as stable.
     pub stable_after: Duration,
 }
 
@@ -32,10 +32,10 @@
 /// Why a [`DetectorConfig`] is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DetectorConfigError {
-    /// Without an interval heartbeats would be sent without end.
+    /// With an interval of zero, heartbeats would be sent in an endless loop.
     #[error("the interval between heartbeats is zero")]
     NoHeartbeatInterval,
-    /// A single lost heartbeat must not make a peer suspect.
+    /// A peer would be suspected after less than two heartbeat intervals, so a single lost heartbeat would suffice.
     #[error("a peer would be suspected after {suspect_after:?}, less than two heartbeats of {heartbeat_interval:?}")]
     SuspectsTooEarly {
         /// [`DetectorConfig::heartbeat_interval`].
@@ -46,11 +46,11 @@
 }
 
 impl DetectorConfig {
-    /// Checks that the durations fit together.
+    /// Checks that the durations are consistent with each other.
     ///
     /// # Errors
     ///
-    /// Says which rule the durations break.
+    /// Returns the first rule that the durations violate.
     pub fn check(&self) -> Result<(), DetectorConfigError> {
         let DetectorConfig { heartbeat_interval, suspect_after, .. } = *self;
         if heartbeat_interval.is_zero() {
@@ -63,23 +63,23 @@
     }
 }
 
-/// What is known of the contact with one peer.
+/// State of the contact with one peer.
 #[derive(Clone, Copy, Debug)]
 struct Contact {
-    /// When its last heartbeat came.
+    /// Arrival of the peer's last heartbeat.
     last_heartbeat_at: Instant,
-    /// When the last heartbeat came that named this node among those its sender hears.
+    /// Arrival of the peer's last heartbeat that listed this node among the peers it receives heartbeats from.
     last_listed_at: Instant,
-    /// Since when contact has not been interrupted.
+    /// Start of the current period of uninterrupted contact.
     stable_since: Instant,
-    /// The peer has said that it shuts down.
+    /// Whether the peer has announced its shutdown.
     is_leaving: bool,
 }
 
-/// Tells which peers are unreachable in one direction or the other.
+/// Detects peers that are unreachable in at least one direction.
 ///
-/// Each heartbeat names the peers that its sender hears, so that a partition which lets messages pass in one direction
-/// only makes both ends suspect each other.
+/// Each heartbeat lists the peers whose heartbeats its sender receives. If a partition drops messages in one direction
+/// only, both sides therefore suspect each other.
 #[derive(Clone, Debug)]
 pub struct Detector {
     suspect_after: Duration,
@@ -89,7 +89,7 @@
 }
 
 impl Detector {
-    /// A detector that starts at `now`, a reading of the steady clock.
+    /// Creates a detector without peers that starts at `now`, a reading of the steady clock.
     pub fn new(config: &DetectorConfig, now: Instant) -> Detector {
         Detector {
             suspect_after: config.suspect_after,
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Notes the passing of time. After a gap in which this process itself did not run, all contacts start afresh.
+    /// Must be called regularly. If the last call was at least half of [`DetectorConfig::suspect_after`] ago, this process
+    /// was paused and may have missed heartbeats, so all contacts are treated as if they had just begun.
     pub fn poll(&mut self, now: Instant) {
         let since_last_poll = now - self.last_poll;
         self.last_poll = now;
@@ -111,12 +112,13 @@
         }
     }
 
-    /// Starts to watch a peer, which has [`DetectorConfig::suspect_after`] to be heard for the first time.
+    /// Starts to monitor a peer. Its first heartbeat is due within [`DetectorConfig::suspect_after`].
     pub fn watch(&mut self, now: Instant, peer: NodeId) {
         self.contacts.entry(peer).or_insert_with(|| Contact::starting_at(now));
     }
 
-    /// A heartbeat came from `peer`; `lists_local_node` tells whether it names this node among those its sender hears.
+    /// Handles a heartbeat from `peer`. `lists_local_node` states whether the heartbeat lists this node among the peers its
+    /// sender receives heartbeats from.
     pub fn handle_heartbeat(&mut self, now: Instant, peer: NodeId, lists_local_node: bool) {
         let suspect_after = self.suspect_after;
         let contact = self.contacts.entry(peer).or_insert_with(|| Contact::starting_at(now));
@@ -130,24 +132,25 @@
         }
     }
 
-    /// A peer has said that it shuts down; it is suspected until its next heartbeat.
+    /// Handles the announcement of a peer that it shuts down: the peer is suspected until its next heartbeat.
     pub fn mark_leaving(&mut self, peer: NodeId) {
         if let Some(contact) = self.contacts.get_mut(&peer) {
             contact.is_leaving = true;
         }
     }
 
-    /// Whether a watched peer is unreachable or shuts down.
+    /// Returns whether a monitored peer is unreachable or has announced its shutdown.
     pub fn is_suspect(&self, now: Instant, peer: NodeId) -> bool {
         self.contacts.get(&peer).is_some_and(|contact| contact.is_suspect(now, self.suspect_after))
     }
 
-    /// Whether a watched peer is not heard, or does not hear this node. One that shuts down is still reachable.
+    /// Returns whether heartbeats from or to a monitored peer do not arrive. The announcement of a shutdown alone does not
+    /// make a peer unreachable.
     pub fn is_unreachable(&self, now: Instant, peer: NodeId) -> bool {
         self.contacts.get(&peer).is_some_and(|contact| contact.is_unreachable(now, self.suspect_after))
     }
 
-    /// When the next of `peers` becomes suspect unless it is heard.
+    /// Returns the earliest future time at which one of `peers` becomes unreachable if no heartbeat arrives.
     pub fn next_timeout(&self, now: Instant, peers: impl Iterator<Item = NodeId>) -> Option<Instant> {
         let contacts = peers.filter_map(|peer| self.contacts.get(&peer));
         let deadline = contacts
@@ -155,12 +158,13 @@
         deadline.filter(|deadline| *deadline > now).min()
     }
 
-    /// Whether a peer has said that it shuts down.
+    /// Returns whether a peer has announced its shutdown.
     pub fn is_leaving(&self, peer: NodeId) -> bool {
         self.contacts.get(&peer).is_some_and(|contact| contact.is_leaving)
     }
 
-    /// Whether contact with a peer has not been interrupted for [`DetectorConfig::stable_after`].
+    /// Returns whether a peer is not suspected and contact with it has been uninterrupted for at least
+    /// [`DetectorConfig::stable_after`].
     pub fn is_stable(&self, now: Instant, peer: NodeId) -> bool {
         let Some(contact) = self.contacts.get(&peer) else {
             return false;
@@ -169,7 +173,7 @@
         is_long_enough && !contact.is_suspect(now, self.suspect_after)
     }
 
-    /// Peers whose heartbeats arrive, to be named in heartbeats.
+    /// Returns the peers whose heartbeats arrive, to be listed in this node's own heartbeats.
     pub fn heard_peers(&self, now: Instant) -> Vec<NodeId> {
         let heard = self.contacts.iter().filter(|(_, contact)| contact.is_heard(now, self.suspect_after));
         heard.map(|(id, _)| *id).collect()
--- a/coordination/view/src/lib.rs
+++ b/coordination/view/src/lib.rs
@@ -1,16 +1,17 @@
-//! Agreed membership of a small core of machines.
+//! Agreement on the membership of a small core of machines.
 //!
-//! A [`View`] names the voters of one [`Epoch`], and those of them that hold the state, in order (views: Oki, Liskov,
+//! A [`View`] lists the voters of one [`Epoch`] and, in chain order, those of them that hold the state (views: Oki, Liskov,
 //! 1988; a configuration decided by its predecessor: vertical Paxos, Lamport, Malkhi, Zhou, 2009). The view that follows
-//! epoch `e` is decided by single-decree Paxos (Lamport, 2001) among the voters of view `e`, one instance an epoch.
-//! Voters change one at a time. The first view is formed by a [`Bootstrap`]: each of its members must agree to the same
-//! list.
+//! epoch `e` is decided by single-decree Paxos (Lamport, 2001) among the voters of view `e`, with one instance per epoch.
+//! Consecutive views differ in at most one voter. The first view is formed by a [`Bootstrap`]: each of its members must
+//! agree to the same list.
 //!
-//! Guaranteed: at most one view exists for each epoch; the first member of a view was a member of the view before and
-//! holds every command that was committed in it.
+//! Guarantees: at most one view is decided for each epoch, and the first member of a view was a member of the previous
+//! view and holds every command committed in it.
 //!
-//! Everything here is a state machine without I/O. [`ViewAgreement`] returns a [`Step`]: a record that the embedder makes
-//! durable, and messages that must not leave before it is. A [`Detector`] tells which members are unreachable.
+//! All parts are state machines without I/O. [`ViewAgreement`] returns a [`Step`]: a record that the embedder makes
+//! durable, and messages that must not be sent before the record is durable. A [`Detector`] reports which members are
+//! unreachable.
 //!
 //! ```
 //! use millrudder_view::{Epoch, Member, NodeId, View, ViewAgreement, ViewState};
--- a/coordination/view/src/message.rs
+++ b/coordination/view/src/message.rs
@@ -1,97 +1,99 @@
-//! Messages between nodes and durable records. The order of fields and variants is their form on the wire and on disk.
+//! Messages between nodes, and durable records.
+//!
+//! The encoding follows the order of fields and variants, so reordering them changes the format on the wire and on disk.
 
 use speedy::{Readable, Writable};
 
 use crate::{AcceptedView, Ballot, Epoch, Member, View};
 
-/// A message of the agreement on views (Paxos, single decree). `instance` is the epoch that is being decided.
+/// Message of the agreement on views (single-decree Paxos). `instance` is the epoch of the view that is being decided.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ViewMessage {
     /// Phase 1a: asks the voters of the previous view for a promise.
     Prepare {
-        /// The epoch.
+        /// Epoch that is being decided.
         instance: Epoch,
         /// The proposer's ballot.
         ballot: Ballot,
     },
-    /// Phase 1b: the voter will answer no lower ballot.
+    /// Phase 1b: the voter promises to accept nothing at a lower ballot.
     Promise {
-        /// The epoch.
+        /// Epoch that is being decided.
         instance: Epoch,
-        /// The promised ballot.
+        /// Highest ballot that the voter has promised.
         ballot: Ballot,
-        /// What the voter has accepted before.
+        /// View that the voter accepted last in this instance, with its ballot.
         accepted: Option<AcceptedView>,
-        /// Whether the voter holds all committed commands.
+        /// Whether the voter holds every committed command.
         complete: bool,
     },
-    /// The voter has promised a higher ballot already.
+    /// Refuses a request of phase 1 or 2, because the voter has promised a higher ballot.
     Refused {
-        /// The epoch.
+        /// Epoch that is being decided.
         instance: Epoch,
-        /// The refused ballot.
+        /// Ballot of the refused request.
         ballot: Ballot,
-        /// The promised ballot.
+        /// Highest ballot that the voter has promised.
         promised: Ballot,
     },
     /// Phase 2a: asks the voters of the previous view to accept a view.
     Accept {
-        /// The epoch.
+        /// Epoch that is being decided.
         instance: Epoch,
         /// The proposer's ballot.
         ballot: Ballot,
         /// The proposed view.
         view: View,
     },
-    /// Phase 2b: the voter has accepted the view of this ballot.
+    /// Phase 2b: the voter has accepted the view proposed at this ballot.
     Accepted {
-        /// The epoch.
+        /// Epoch that is being decided.
         instance: Epoch,
-        /// The accepted ballot.
+        /// Ballot at which the view was accepted.
         ballot: Ballot,
     },
-    /// A view was decided.
+    /// Announces a decided view.
     Decided {
-        /// The view.
+        /// The decided view.
         view: View,
     },
     /// Asks for the newest decided view.
     Query {
-        /// Only a newer view than that of this epoch is sent.
+        /// Epoch of the newest view that the sender knows; only a newer view is sent in return.
         known: Epoch,
     },
     /// The sender agrees to a first view with these members.
     BootstrapAgreed {
-        /// The members.
+        /// Members of the first view.
         members: Vec<Member>,
     },
 }
 
-/// What must be durable before the messages of the same [`Step`](crate::Step) leave.
+/// Durable record. It must be durable before the messages of the same [`Step`](crate::Step) are sent.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ViewRecord {
-    /// This node has agreed to a first view with these members, and will agree to no others.
+    /// This node has agreed to a first view with these members and must not agree to another list.
     BootstrapAgreed {
-        /// The members.
+        /// Members of the first view.
         members: Vec<Member>,
     },
-    /// No lower ballot will be answered in this instance.
+    /// This node has promised to accept nothing at a lower ballot in this instance.
     Promised {
-        /// The epoch.
+        /// Epoch that is being decided.
         instance: Epoch,
-        /// The promised ballot.
+        /// Highest ballot that the voter has promised.
         ballot: Ballot,
     },
-    /// A view was accepted in this instance.
+    /// This node has accepted a view in this instance.
     Accepted {
-        /// The epoch.
+        /// Epoch that is being decided.
         instance: Epoch,
-        /// The view with its ballot.
+        /// The accepted view and its ballot.
         accepted: AcceptedView,
     },
-    /// A view is known to be decided.
+    /// This node has learned that a view is decided.
     Decided {
-        /// The view.
+        /// The decided view.
         view: View,
     },
 }
--- a/coordination/view/src/proposer.rs
+++ b/coordination/view/src/proposer.rs
@@ -1,43 +1,43 @@
-//! The Paxos proposer of one attempt.
+//! Paxos proposer: one attempt to decide the next view.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{AcceptedView, Ballot, Member, NodeId, View};
 
-/// What a proposer wants the next view to be.
+/// The next view that a proposer aims for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetView {
-    /// Who is to vote: the present voters with at most one of them replaced, added or removed.
+    /// Voters of the next view: the current voters with at most one of them replaced, added or removed.
     pub voters: Vec<Member>,
-    /// Who is to hold the state: the present members that stay in their order, then others.
+    /// Members of the next view: the current members that stay, in their order, followed by new ones.
     pub members: Vec<Member>,
-    /// Which of the members are known to hold every command that the present view can commit. What voters say in
-    /// their promises counts; this is believed of nodes that do not vote yet.
+    /// Members known to hold every command that the current view can commit. This is used only for nodes that do not vote
+    /// yet; voters report it in their promises.
     pub complete: BTreeSet<NodeId>,
 }
 
 impl TargetView {
-    /// These voters and members, none of which is known to be complete.
+    /// Creates a target none of whose members is known to be complete.
     pub fn new(voters: Vec<Member>, members: Vec<Member>) -> TargetView {
         TargetView { voters, members, complete: BTreeSet::new() }
     }
 
-    /// Whether `view` has these voters and members already.
+    /// Returns whether `view` already has these voters and members.
     pub fn matches(&self, view: &View) -> bool {
         self.members == view.members && self.voters == view.voters
     }
 }
 
-/// A voter's promise to answer no lower ballot.
+/// A voter's promise to accept nothing at a lower ballot.
 #[derive(Clone, Debug)]
 pub(crate) struct Promise {
-    /// The view that the voter has accepted before, if any.
+    /// View that the voter accepted last in this instance, if any.
     pub(crate) accepted: Option<AcceptedView>,
     /// Whether the voter holds every committed command.
     pub(crate) complete: bool,
 }
 
-/// One attempt to decide the view that follows the present one, which every method is given as `base`.
+/// One attempt to decide the view that follows the current one. Methods take the current view as `base`.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposer {
     ballot: Ballot,
@@ -52,12 +52,13 @@
         Proposer { ballot, target, promises: BTreeMap::new(), proposal: None, acceptances: BTreeSet::new() }
     }
 
-    /// The ballot of the attempt.
+    /// Returns the ballot of the attempt.
     pub(crate) fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// Counts a promise. Returns the view to propose once a majority has promised and a first member is found.
+    /// Counts a promise. Returns the view to propose once a majority has promised, and either an earlier accepted view must
+    /// be proposed again or the target view is usable.
     pub(crate) fn handle_promise(
         &mut self,
         base: &View,
@@ -84,12 +85,12 @@
         (self.acceptances.len() >= base.majority()).then_some(proposal)
     }
 
-    /// The request of the present phase: the view to accept, or none while promises are collected.
+    /// Returns the proposed view in phase 2, or `None` in phase 1, while promises are collected.
     pub(crate) fn proposal(&self) -> Option<&View> {
         self.proposal.as_ref()
     }
 
-    /// Whether a voter has answered the request of the present phase.
+    /// Returns whether a voter has answered the request of the current phase.
     pub(crate) fn has_answered(&self, voter: NodeId) -> bool {
         match self.proposal {
             None => self.promises.contains_key(&voter),
@@ -97,17 +98,20 @@
         }
     }
 
-    /// The view accepted at the highest earlier ballot, which may have been decided and must be proposed again.
+    /// Returns the view that the voters accepted at the highest earlier ballot. It may be decided already, so it must be
+    /// proposed again.
     fn accepted_view(&self) -> Option<View> {
         let accepted = self.promises.values().filter_map(|promise| promise.accepted.as_ref());
         accepted.max_by_key(|accepted| accepted.ballot).map(|accepted| accepted.view.clone())
     }
 
-    /// The target view, once each of its members that votes now has answered, the first has held the state until now
-    /// and holds every committed command, and so do enough others that a loss of disks leaves one of them.
+    /// Returns the target view if it is usable. Each of its members that votes in the current view must have promised. Its
+    /// first member must be a member of the current view and hold every committed command. At least `minimum_members`
+    /// members must hold every committed command, so that one of them remains if disks are lost.
     ///
-    /// A majority alone could come from members that are to be removed, and leave a view whose others have failed
-    /// unnoticed. Complete members stand before all others, so no later member needs to be tried as the first.
+    /// A majority of promises alone is not enough: it could come from members that are about to be removed, while the
+    /// remaining members have failed unnoticed. Complete members precede all others in a target, so no member after the
+    /// first needs to be considered as the first.
     fn target_view(&self, base: &View, minimum_members: usize) -> Option<View> {
         let TargetView { voters, members, .. } = &self.target;
         let has_answered =
--- a/coordination/view/tests/agreement.rs
+++ b/coordination/view/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! Tests of the agreement on views, one rule each.
+//! Unit tests of the agreement on views; each covers one rule.
 
 use millrudder_view::{
     AcceptedView, Ballot, Epoch, Member, NodeId, Step, TargetView, View, ViewAgreement, ViewMessage,
@@ -15,12 +15,12 @@
     View::of_members(Epoch(epoch), ids.iter().copied().map(member).collect())
 }
 
-/// The voters of the first view, and these members.
+/// Returns a view with the voters 1, 2 and 3 and the given members.
 fn view_of_three_voters(epoch: u64, ids: &[u64]) -> View {
     View { voters: view(epoch, &[1, 2, 3]).voters, ..view(epoch, ids) }
 }
 
-/// The same as a target.
+/// Returns a target with the voters 1, 2 and 3 and the given members.
 fn target(ids: &[u64]) -> TargetView {
     let View { voters, members, .. } = view_of_three_voters(2, ids);
     TargetView::new(voters, members)
@@ -175,14 +175,14 @@
 
 #[test]
 fn voters_that_are_no_members_decide_but_never_become_the_first() {
-    // Two members and a voter beside them; one member is lost.
+    // Two members and a voter that is no member; the second member has failed.
     let state = || ViewState::from_view(view_of_three_voters(1, &[1, 2]));
     let mut proposer = ViewAgreement::new(NodeId(1), state(), 2);
     let ballot = ballot_of(&proposer.propose(target(&[1, 3])));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
     let step = proposer.handle(NodeId(3), promise(ballot, None, true), true);
     assert_eq!(accepted_views(&step), vec![view_of_three_voters(2, &[1, 3]); 3]);
-    // Even if it says that it is complete: it was no member until now.
+    // The voter reports that it is complete, but it is no member of the current view.
     let mut proposer = ViewAgreement::new(NodeId(3), state(), 2);
     let ballot = ballot_of(&proposer.propose(target(&[3, 1])));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
--- a/coordination/view/tests/bootstrap.rs
+++ b/coordination/view/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Tests of the bootstrap of the first view.
+//! Unit tests of the bootstrap of the first view.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Lets every message arrive until none is left.
+/// Polls every node once and delivers messages until none is in flight.
 fn deliver_all(nodes: &mut BTreeMap<NodeId, Node>) {
     let mut in_flight: VecDeque<(NodeId, Envelope)> = VecDeque::new();
     let send = |in_flight: &mut VecDeque<_>, from: NodeId, step: Step| {
@@ -112,7 +112,7 @@
     let hosts = [(1, 1), (2, 2), (3, 3)];
     let mut nodes = new_nodes(&hosts, |_| true);
     add_all_peers(&mut nodes, &hosts);
-    // The third node loses its disk after the others have agreed, and before it has.
+    // The third node loses its disk after the others have agreed and before it agrees itself.
     for id in [1, 2] {
         let node = nodes.get_mut(&NodeId(id)).expect("a node");
         let _ = node.poll();
--- a/coordination/view/tests/detector.rs
+++ b/coordination/view/tests/detector.rs
@@ -1,4 +1,4 @@
-//! Tests of the failure detector.
+//! Unit tests of the failure detector.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const PEER: NodeId = NodeId(7);
 
-/// A reading of the clock, in milliseconds since its origin.
+/// Returns the clock reading `millis` milliseconds after the origin.
 fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
@@ -18,7 +18,7 @@
     detector
 }
 
-/// Polls every 100 ms up to `until`, with a heartbeat each time where `lists_local_node` is given.
+/// Polls every 100 ms from `from` to `until`. If `lists_local_node` is given, a heartbeat arrives each time.
 fn poll_until(detector: &mut Detector, from: u64, until: u64, lists_local_node: Option<bool>) {
     for now in (from..=until).step_by(100) {
         detector.poll(at(now));
--- a/coordination/view/tests/golden.rs
+++ b/coordination/view/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Messages and records of the agreement on views, byte for byte as earlier versions write them.
+//! Compares the encodings of messages and records of the agreement on views byte for byte with those of earlier versions.
 
 use millrudder_testing::golden::Golden;
 use millrudder_view::{
--- a/coordination/view/tests/model.rs
+++ b/coordination/view/tests/model.rs
@@ -1,17 +1,20 @@
-//! At most one view an epoch: every order of events to a stated depth, and long random histories.
-//! `VIEW_MODEL_STATES` raises the bound on states.
+//! Model check that at most one view is decided per epoch: explores every order of events to a bounded depth, and plays
+//! long random walks.
+//!
+//! The environment variable `VIEW_MODEL_STATES` overrides the maximum number of explored states.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use millrudder_view::{Epoch, Member, NodeId, Step, TargetView, View, ViewAgreement, ViewMessage, ViewState};
 
-/// States explored in an ordinary run.
+/// Maximum number of explored states, unless `VIEW_MODEL_STATES` is set.
 const DEFAULT_MAX_STATES: usize = 12_000;
-/// Number of long histories, and their actions.
+/// Number of random walks; the seeds count from zero.
 const RANDOM_WALKS: u64 = 400;
+/// Number of actions of one random walk.
 const ACTIONS_PER_WALK: usize = 300;
-/// No view has fewer members.
+/// Minimum number of members of a view.
 const MINIMUM_MEMBERS: usize = 2;
 
 #[derive(Clone, Debug)]
@@ -115,7 +118,7 @@
         (0..self.in_flight.len()).map(|index| Action::Deliver { index })
     }
 
-    /// Two members want different views; any process may restart.
+    /// Two members propose different views, and any of the first three nodes may restart.
     fn actions(&self) -> Vec<Action> {
         let mut actions: Vec<Action> = self.deliveries().collect();
         if self.proposals_left > 0 {
@@ -128,7 +131,8 @@
         actions
     }
 
-    /// Any node proposes any selection of its view's voters, with a new one in the place of another or beside them.
+    /// Draws an action at random: a restart, a delivery, or the proposal of a view with a random selection of the current
+    /// members in which a new node may replace a voter or become one more voter.
     fn random_action(&self, random: &mut fastrand::Rng) -> Option<Action> {
         let node = random.choice(self.nodes.keys().copied())?;
         match random.u32(0..40) {
--- a/coordination/view/tests/voters_model.rs
+++ b/coordination/view/tests/voters_model.rs
@@ -1,12 +1,14 @@
-//! Voters and members with one lost and another replaced or back: every order of events, checked with `stateright`.
+//! Model check with `stateright` of a core that loses one machine, gets it back or gets a replacement, and then loses
+//! another machine. All orders of events are explored, up to a bound on the number of states.
 //!
-//! What must hold, in one sentence each:
+//! Checked properties:
 //!
-//! - At most one view is decided in an epoch.
-//! - The first member of a view was a member of the view before and holds every committed command.
-//! - So many members of a view hold every command committed before that the loss of one leaves another.
-//! - A node that is not a voter of a view is never counted in the decision of the next.
-//! - After one loss, with another machine back or in its place, the loss of a second leaves a core that can go on.
+//! - At most one view is decided per epoch.
+//! - The first member of a view was a member of the previous view and holds every committed command.
+//! - At least [`MINIMUM_MEMBERS`] members of a view hold every command committed before it, so the loss of one leaves
+//!   another.
+//! - Only voters of a view are counted in the decision of the next view.
+//! - Once the first lost machine is back or replaced, the core can continue after the loss of a second one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -16,37 +18,40 @@
 };
 use stateright::{Checker, Model, Property};
 
-/// No view has fewer members.
+/// Minimum number of members of a view.
 const MINIMUM_MEMBERS: usize = 2;
-/// More views than this are not explored.
+/// Nodes in this epoch propose no further view.
 const LAST_EPOCH: Epoch = Epoch(4);
-/// An ordinary run ends after this many states, repeated ones counted; `VOTERS_MODEL_STATES` sets another bound.
+/// The exploration ends after this many states, counting repeated ones, unless `VOTERS_MODEL_STATES` is set.
 const DEFAULT_MAX_STATES: usize = 120_000;
-/// Attempts to change the view, unless `VOTERS_MODEL_PROPOSALS` sets another number.
+/// Maximum number of attempts to change the view, unless `VOTERS_MODEL_PROPOSALS` is set.
 const DEFAULT_PROPOSALS: usize = 2;
-/// Restarts of the first machine, unless `VOTERS_MODEL_RESTARTS` sets another number.
+/// Maximum number of restarts of the first machine, unless `VOTERS_MODEL_RESTARTS` is set.
 const DEFAULT_RESTARTS: usize = 0;
-/// The two that are there when the third is lost, and that one.
+/// A machine that is never lost; it heads the chain at the start.
 const FIRST: NodeId = NodeId(1);
+/// The machine that is lost second, for good.
 const SECOND: NodeId = NodeId(2);
+/// The machine that is lost first, before the start.
 const THIRD: NodeId = NodeId(3);
-/// A machine with an empty disk.
+/// A machine with an empty disk that may replace a lost one.
 const REPLACEMENT: NodeId = NodeId(4);
 
-/// What becomes of the machine that is lost first.
+/// What happens to the machine that is lost first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LostMachine {
-    /// It comes back with its disk.
+    /// It returns with its disk.
     Returns,
-    /// Its disk is gone; an empty one takes over its vote.
+    /// Its disk is lost, and a machine with an empty disk replaces it as a voter.
     IsReplaced,
 }
 
-/// A change of the rules that must show.
+/// How a core that has lost a machine chooses the voters of the next view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum VoterRule {
+    /// As implemented: a lost voter remains a voter until it is replaced.
     Implemented,
-    /// The members that are left are the only voters.
+    /// A faulty rule that the check must detect: only the remaining members vote.
     OnlyMembersVote,
 }
 
@@ -59,7 +64,7 @@
 struct InFlight {
     from: NodeId,
     to: NodeId,
-    /// The message as text first, which gives it an order.
+    /// Debug text of the message. It gives messages, which have no order of their own, a total order.
     text: String,
 }
 
@@ -72,10 +77,11 @@
     /// Nodes that hold every committed command.
     complete: BTreeSet<NodeId>,
     decided: BTreeMap<Epoch, View>,
-    /// The newest view that each node has entered.
+    /// Epoch of the newest view that each node has adopted.
     entered: BTreeMap<NodeId, Epoch>,
     proposals_left: usize,
     restarts_left: usize,
+    /// Description of a violated property; no actions are explored after a violation.
     violation: Option<&'static str>,
 }
 
@@ -111,11 +117,11 @@
     Propose(NodeId),
     Deliver(InFlight),
     Restart(NodeId),
-    /// The second machine is lost for good, once the core has gone on without the third.
+    /// The second machine is lost for good, after the third has returned or has been replaced.
     LoseSecond,
-    /// The third comes back with its disk.
+    /// The third machine returns with its disk.
     ThirdReturns,
-    /// A node takes over the state from the first member, within the view or ahead of the next one.
+    /// A node copies the state from the first member, as a member of the current view or before it becomes one.
     CatchUp(NodeId),
 }
 
@@ -128,7 +134,7 @@
 }
 
 impl Scenario {
-    /// The core has gone on without the third machine.
+    /// Returns the state in which the core has adopted a second view without the third machine as a member.
     fn initial_state(&self) -> State {
         let all = [FIRST, SECOND, THIRD];
         let first = View::of_members(Epoch::FIRST, all.into_iter().map(member).collect());
@@ -158,7 +164,8 @@
         }
     }
 
-    /// What a member would have: those that are there, filled up, and the newcomer in place of a lost one.
+    /// Returns the view that a member proposes: the members that are up, other voters that are up until the minimum is
+    /// reached, and the replacement in the place of a lost voter.
     fn target(&self, state: &State, view: &View) -> TargetView {
         let is_up = |member: &&Member| !state.down.contains(&member.id);
         let mut members: Vec<Member> = view.members.iter().filter(is_up).cloned().collect();
@@ -201,7 +208,8 @@
             self.entered.insert(node, view.epoch);
             self.record_view(node, view);
         }
-        // What a node says to itself waits for its own disk only, which is written at once here.
+        // A message to the node itself needs no network and only has to wait until the record is durable, which in this
+        // model is immediately.
         own.into_iter().for_each(|envelope| self.handle_message(node, node, envelope.message));
     }
 
@@ -320,7 +328,7 @@
             }
             Action::ThirdReturns => {
                 state.down.remove(&THIRD);
-                // Its first heartbeat is answered with the views that it has missed.
+                // The answer to its first heartbeat carries the newest view.
                 let step = state.nodes[&FIRST].handle_query(THIRD, Epoch::FIRST);
                 state.carry_out(FIRST, step);
             }
