--- a/coordination/view/src/detector.rs
+++ b/coordination/view/src/detector.rs
@@ -33,10 +33,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DetectorConfigError {
     /// With an interval of zero, heartbeats would be sent in an endless loop.
-    #[error("the interval between heartbeats is zero")]
+    #[error("the heartbeat interval is zero")]
     NoHeartbeatInterval,
     /// A peer would be suspected after less than two heartbeat intervals, so a single lost heartbeat would suffice.
-    #[error("a peer would be suspected after {suspect_after:?}, less than two heartbeats of {heartbeat_interval:?}")]
+    #[error("the suspicion time-out {suspect_after:?} is shorter than two heartbeat intervals of {heartbeat_interval:?}")]
     SuspectsTooEarly {
         /// [`DetectorConfig::heartbeat_interval`].
         heartbeat_interval: Duration,
--- a/coordination/view/tests/agreement.rs
+++ b/coordination/view/tests/agreement.rs
@@ -33,7 +33,7 @@
 fn ballot_of(step: &Step) -> Ballot {
     match step.messages.first().map(|envelope| &envelope.message) {
         Some(ViewMessage::Prepare { ballot, .. }) => *ballot,
-        other => panic!("not a first phase: {other:?}"),
+        other => panic!("not a phase 1 request: {other:?}"),
     }
 }
 
@@ -83,7 +83,11 @@
     };
     let _ = proposer.handle(NodeId(1), promise(ballot, earlier(1, &[1, 2, 3]), true), true);
     let step = proposer.handle(NodeId(3), promise(ballot, earlier(2, &[1, 3]), true), true);
-    assert_eq!(accepted_views(&step), vec![view(2, &[1, 3]); 3], "the highest ballot binds");
+    assert_eq!(
+        accepted_views(&step),
+        vec![view(2, &[1, 3]); 3],
+        "the view accepted at the highest ballot must be proposed"
+    );
     let mut proposer = agreement(2);
     let ballot = ballot_of(&proposer.propose(target(&[1, 2])));
     let _ = proposer.handle(NodeId(2), promise(ballot, None, true), true);
@@ -168,7 +172,7 @@
     ];
     for message in messages {
         let step = node.handle(NodeId(2), message, true);
-        replayed_state.apply(&step.record.expect("each of these is recorded"));
+        replayed_state.apply(&step.record.expect("each of these messages changes the durable state"));
         assert_eq!(replayed_state, *node.state());
     }
 }
@@ -197,7 +201,7 @@
     let ballot = ballot_of(&proposer.propose(target(&[1, 3])));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
     let step = proposer.handle(NodeId(3), promise(ballot, None, false), true);
-    assert_eq!(accepted_views(&step), Vec::new(), "the only copy could be lost before the second is there");
+    assert_eq!(accepted_views(&step), Vec::new(), "only one member holds every committed command");
     let step = proposer.handle(NodeId(3), promise(ballot, None, true), true);
     assert_eq!(accepted_views(&step), vec![view_of_three_voters(2, &[1, 3]); 3]);
 }
@@ -225,7 +229,7 @@
     let ballot = ballot_of(&proposer.propose(next));
     let _ = proposer.handle(NodeId(1), promise(ballot, None, true), true);
     let after_two_promises = proposer.handle(NodeId(2), promise(ballot, None, true), true);
-    assert!(after_two_promises.messages.is_empty(), "two of five voters are no majority");
+    assert!(after_two_promises.messages.is_empty(), "two of five voters are not a majority");
     let after_three_promises = proposer.handle(NodeId(5), promise(ballot, None, false), true);
     assert_eq!(accepted_views(&after_three_promises).len(), 5);
     for from in [1, 2] {
--- a/coordination/view/tests/model.rs
+++ b/coordination/view/tests/model.rs
@@ -110,7 +110,7 @@
             return;
         };
         let first = self.decided.entry(view.epoch).or_insert_with(|| view.clone());
-        assert_eq!(*first, view, "one view an epoch");
+        assert_eq!(*first, view, "two different views were decided in one epoch");
         assert!(view.members.len() >= MINIMUM_MEMBERS);
     }
 
@@ -199,6 +199,9 @@
         }
         views_decided += state.decided.len() - 1;
     }
-    println!("{views_decided} views decided in {RANDOM_WALKS} histories");
-    assert!(views_decided > RANDOM_WALKS as usize, "views are decided");
+    println!("{views_decided} views decided in {RANDOM_WALKS} random walks");
+    assert!(
+        views_decided > RANDOM_WALKS as usize,
+        "too few views were decided for the check to mean anything: {views_decided}"
+    );
 }
--- a/coordination/view/tests/voters_model.rs
+++ b/coordination/view/tests/voters_model.rs
@@ -226,7 +226,9 @@
             self.complete.remove(&node);
         }
         match self.decided.get(&view.epoch) {
-            Some(first) if *first != view => self.violation = Some("two views in one epoch"),
+            Some(first) if *first != view => {
+                self.violation = Some("two different views were decided in one epoch")
+            }
             Some(_) => {}
             None => self.check_decided(view),
         }
@@ -236,10 +238,10 @@
         let previous = self.decided.get(&Epoch(view.epoch.0 - 1)).cloned().unwrap_or_default();
         let head = view.head().unwrap_or_default();
         if !previous.is_member(head) || !self.complete.contains(&head) {
-            self.violation = Some("a head that may lack commands");
+            self.violation = Some("the head may lack committed commands");
         }
         if view.member_ids().filter(|id| self.complete.contains(id)).count() < MINIMUM_MEMBERS {
-            self.violation = Some("a loss may take the only copy");
+            self.violation = Some("too few members hold every committed command");
         }
         let accepted = |id: &NodeId| {
             let disk = format!("{:?}", self.disks[id]);
@@ -247,13 +249,13 @@
             has_decided || disk.contains(&format!("view: {view:?}"))
         };
         if previous.voter_ids().filter(accepted).count() < previous.majority() {
-            self.violation = Some("decided without a majority of the voters");
+            self.violation = Some("a view was decided without a majority of the voters");
         }
         self.decided.insert(view.epoch, view);
     }
 
     fn newest_view(&self) -> &View {
-        self.decided.values().next_back().expect("the first view is there")
+        self.decided.values().next_back().expect("the first view is always decided")
     }
 }
 
@@ -341,8 +343,8 @@
 
     fn properties(&self) -> Vec<Property<Scenario>> {
         vec![
-            Property::always("what must hold holds", |_, state: &State| state.violation.is_none()),
-            Property::sometimes("the core goes on after the second loss", |_, state: &State| {
+            Property::always("no property is violated", |_, state: &State| state.violation.is_none()),
+            Property::sometimes("the core continues after the second loss", |_, state: &State| {
                 let newest = state.newest_view();
                 state.down.contains(&SECOND) && !newest.is_member(SECOND) && newest.is_member(FIRST)
             }),
@@ -372,20 +374,20 @@
 #[test]
 fn one_comes_back_and_another_is_lost() {
     let checker = check(LostMachine::Returns, VoterRule::Implemented);
-    checker.assert_no_discovery("what must hold holds");
-    checker.assert_any_discovery("the core goes on after the second loss");
+    checker.assert_no_discovery("no property is violated");
+    checker.assert_any_discovery("the core continues after the second loss");
 }
 
 #[test]
 fn one_is_replaced_and_another_is_lost() {
     let checker = check(LostMachine::IsReplaced, VoterRule::Implemented);
-    checker.assert_no_discovery("what must hold holds");
-    checker.assert_any_discovery("the core goes on after the second loss");
+    checker.assert_no_discovery("no property is violated");
+    checker.assert_any_discovery("the core continues after the second loss");
 }
 
 #[test]
 fn voters_that_shrink_to_what_is_left_end_the_core() {
     let checker = check(LostMachine::Returns, VoterRule::OnlyMembersVote);
-    checker.assert_no_discovery("what must hold holds");
-    checker.assert_no_discovery("the core goes on after the second loss");
+    checker.assert_no_discovery("no property is violated");
+    checker.assert_no_discovery("the core continues after the second loss");
 }
