--- a/coordination/membership/src/broadcast.rs
+++ b/coordination/membership/src/broadcast.rs
@@ -13,7 +13,7 @@
     /// Transmissions so far; the least sent update goes first.
     transmissions: u32,
     /// Among equals the latest goes first.
-    number: Reverse<u64>,
+    insertion_number: Reverse<u64>,
 }
 
 /// Names of the members whose records are to be disseminated.
@@ -21,18 +21,18 @@
 pub(crate) struct BroadcastQueue {
     ranked: BTreeSet<(Priority, MemberName)>,
     priorities: BTreeMap<MemberName, Priority>,
-    next_number: u64,
+    next_insertion_number: u64,
 }
 
 impl BroadcastQueue {
     /// Adds the member's present record, whatever was sent of it before.
     pub fn push(&mut self, name: MemberName) {
         self.remove(&name);
-        let priority = Priority { transmissions: 0, number: Reverse(self.next_number) };
-        self.next_number += 1;
+        let priority = Priority { transmissions: 0, insertion_number: Reverse(self.next_insertion_number) };
+        self.next_insertion_number += 1;
         self.insert(priority, name);
         if self.ranked.len() > MAX_PENDING {
-            self.drop_last();
+            self.drop_lowest_priority();
         }
     }
 
@@ -75,7 +75,7 @@
         self.priorities.insert(name, priority);
     }
 
-    fn drop_last(&mut self) {
+    fn drop_lowest_priority(&mut self) {
         if let Some((_, name)) = self.ranked.pop_last() {
             self.priorities.remove(&name);
         }
--- a/coordination/membership/src/clock.rs
+++ b/coordination/membership/src/clock.rs
@@ -8,12 +8,12 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveClock {
     now: Instant,
-    missed: Duration,
+    paused_time: Duration,
 }
 
 impl ActiveClock {
     pub const fn new(now: Instant) -> Self {
-        Self { now, missed: Duration::ZERO }
+        Self { now, paused_time: Duration::ZERO }
     }
 
     /// Active time of the input being handled.
@@ -29,19 +29,19 @@
         deadline: Option<Instant>,
         tolerance: Duration,
     ) -> Option<Duration> {
-        let active = (steady - self.missed).max(self.now);
-        let late = deadline.map_or(Duration::ZERO, |deadline| active - deadline);
-        if late <= tolerance {
+        let active = (steady - self.paused_time).max(self.now);
+        let lateness = deadline.map_or(Duration::ZERO, |deadline| active - deadline);
+        if lateness <= tolerance {
             self.now = active;
             return None;
         }
-        self.missed += late;
-        self.now = active - late;
-        Some(late)
+        self.paused_time += lateness;
+        self.now = active - lateness;
+        Some(lateness)
     }
 
     /// The steady clock's reading at an active time.
-    pub fn steady(&self, active: Instant) -> Instant {
-        active + self.missed
+    pub fn to_steady(&self, active: Instant) -> Instant {
+        active + self.paused_time
     }
 }
--- a/coordination/membership/src/config.rs
+++ b/coordination/membership/src/config.rs
@@ -122,9 +122,9 @@
     pub fn validate(&self) -> Result<(), ConfigError> {
         self.check_times()?;
         self.check_numbers()?;
-        less("min_probe_timeout", self.min_probe_timeout, "probe_period", self.probe_period)?;
-        less("probe_timeout", self.probe_timeout, "probe_period", self.probe_period)?;
-        less("suspicion_timeout", self.suspicion_timeout, "dead_retention", self.dead_retention)?;
+        check_less("min_probe_timeout", self.min_probe_timeout, "probe_period", self.probe_period)?;
+        check_less("probe_timeout", self.probe_timeout, "probe_period", self.probe_period)?;
+        check_less("suspicion_timeout", self.suspicion_timeout, "dead_retention", self.dead_retention)?;
         if !(MIN_DATAGRAM_BYTES..=MAX_DATAGRAM_BYTES).contains(&self.max_datagram_bytes) {
             return Err(ConfigError::DatagramSize { bytes: self.max_datagram_bytes });
         }
@@ -143,25 +143,25 @@
             ("reconnect_interval", self.reconnect_interval),
             ("late_tolerance", self.late_tolerance),
         ];
-        times.into_iter().try_for_each(|(setting, time)| more_than_zero(setting, time.is_zero()))
+        times.into_iter().try_for_each(|(setting, time)| check_positive(setting, time.is_zero()))
     }
 
     fn check_numbers(&self) -> Result<(), ConfigError> {
-        more_than_zero("gossip_fanout", self.gossip_fanout == 0)?;
-        more_than_zero("retransmit_multiplier", self.retransmit_multiplier == 0)?;
-        more_than_zero("sync_datagrams", self.sync_datagrams == 0)?;
-        more_than_zero("max_members", self.max_members == 0)
+        check_positive("gossip_fanout", self.gossip_fanout == 0)?;
+        check_positive("retransmit_multiplier", self.retransmit_multiplier == 0)?;
+        check_positive("sync_datagrams", self.sync_datagrams == 0)?;
+        check_positive("max_members", self.max_members == 0)
     }
 }
 
-fn more_than_zero(setting: &'static str, is_zero: bool) -> Result<(), ConfigError> {
+fn check_positive(setting: &'static str, is_zero: bool) -> Result<(), ConfigError> {
     if is_zero {
         return Err(ConfigError::Zero { setting });
     }
     Ok(())
 }
 
-fn less(
+fn check_less(
     shorter: &'static str,
     short: Duration,
     longer: &'static str,
--- a/coordination/membership/src/group_contact.rs
+++ b/coordination/membership/src/group_contact.rs
@@ -3,7 +3,7 @@
 use millrudder_clock::Instant;
 
 /// Probes in succession without any datagram at all that this process blames on its own connection.
-const EXCUSED_PROBES: u32 = 3;
+const MAX_EXCUSED_PROBES: u32 = 3;
 
 /// What follows from a probe that nobody answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,9 +16,9 @@
 
 /// What follows from a datagram of the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Heard {
+pub(crate) struct ContactUpdate {
     /// Whether probes had gone without an answer.
-    pub ends_silence: bool,
+    pub ends_missed_probes: bool,
     /// Whether contact, which was reported as lost, is restored.
     pub is_contact_restored: bool,
 }
@@ -27,9 +27,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GroupContact {
     /// In active time.
-    last: Option<Instant>,
+    last_datagram_at: Option<Instant>,
     /// On the steady clock.
-    last_steady: Option<Instant>,
+    last_datagram_steady: Option<Instant>,
     /// Probes in succession during which nothing was heard.
     missed_probes: u32,
     is_lost: bool,
@@ -37,8 +37,8 @@
 
 impl GroupContact {
     /// When a datagram of the group last came, on the steady clock.
-    pub const fn last_steady(&self) -> Option<Instant> {
-        self.last_steady
+    pub const fn last_datagram_steady(&self) -> Option<Instant> {
+        self.last_datagram_steady
     }
 
     /// Whether nothing was heard for so long that the loss of contact was reported.
@@ -47,21 +47,21 @@
     }
 
     /// A datagram of the group came.
-    pub fn handle_datagram(&mut self, now: Instant, steady: Instant) -> Heard {
-        self.last = Some(now);
-        self.last_steady = Some(steady);
-        let ends_silence = std::mem::take(&mut self.missed_probes) > 0;
+    pub fn handle_datagram(&mut self, now: Instant, steady: Instant) -> ContactUpdate {
+        self.last_datagram_at = Some(now);
+        self.last_datagram_steady = Some(steady);
+        let ends_missed_probes = std::mem::take(&mut self.missed_probes) > 0;
         let is_contact_restored = std::mem::take(&mut self.is_lost);
-        Heard { ends_silence, is_contact_restored }
+        ContactUpdate { ends_missed_probes, is_contact_restored }
     }
 
     /// A probe ended without an answer; others were asked at `asked_at` to probe the target too.
     pub fn handle_missed_probe(&mut self, asked_at: Instant) -> MissedProbe {
-        if self.last.is_some_and(|last| last >= asked_at) {
+        if self.last_datagram_at.is_some_and(|last| last >= asked_at) {
             return MissedProbe { is_excused: false, is_contact_lost: false };
         }
         self.missed_probes += 1;
-        let is_excused = self.missed_probes <= EXCUSED_PROBES;
+        let is_excused = self.missed_probes <= MAX_EXCUSED_PROBES;
         let is_contact_lost = !is_excused && !self.is_lost;
         self.is_lost |= is_contact_lost;
         MissedProbe { is_excused, is_contact_lost }
--- a/coordination/membership/src/health.rs
+++ b/coordination/membership/src/health.rs
@@ -9,7 +9,7 @@
 const MIN_SCORE_AFTER_FAILURES: u32 = 1;
 
 /// So many different members in succession without an answer count against this process.
-const FAILURES_UNTIL_BLAMED: u32 = 2;
+const FAILURES_SUGGESTING_LOCAL_FAULT: u32 = 2;
 
 /// Score of the local health multiplier (Lifeguard, section 4.1): signs that this process is slow or badly connected
 /// raise it, answered probes lower it. Time-outs are multiplied by the score plus one.
@@ -17,30 +17,30 @@
 pub(crate) struct LocalHealth {
     score: u32,
     /// Different members that did not answer since one did.
-    failures: u32,
+    consecutive_failures: u32,
     last_failed: Option<MemberName>,
 }
 
 impl LocalHealth {
     /// A late timer, a late answer, or suspicion by others.
-    pub fn worsen(&mut self) {
+    pub fn record_degradation(&mut self) {
         self.score = (self.score + 1).min(MAX_SCORE);
     }
 
     /// A probe was answered within the usual wait: an answer that took longer is no sign of health.
-    pub fn improve(&mut self) {
+    pub fn record_timely_answer(&mut self) {
         self.score = self.score.saturating_sub(1);
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.last_failed = None;
     }
 
     /// A probe was not answered.
-    pub fn fail(&mut self, target: &MemberName) {
+    pub fn record_missing_answer(&mut self, target: &MemberName) {
         if self.last_failed.as_ref() != Some(target) {
-            self.failures += 1;
+            self.consecutive_failures += 1;
             self.last_failed = Some(target.clone());
         }
-        if self.failures >= FAILURES_UNTIL_BLAMED {
+        if self.consecutive_failures >= FAILURES_SUGGESTING_LOCAL_FAULT {
             self.score = self.score.max(MIN_SCORE_AFTER_FAILURES);
         }
     }
--- a/coordination/membership/src/membership/dissemination.rs
+++ b/coordination/membership/src/membership/dissemination.rs
@@ -13,7 +13,7 @@
     /// Adds a member's record to the updates to disseminate.
     pub(super) fn broadcast(&mut self, name: MemberName) {
         self.broadcasts.push(name);
-        self.sync.expect_disagreement();
+        self.sync.reset_agreements();
         let now = self.now();
         self.timers.request_gossip(now);
     }
@@ -53,15 +53,15 @@
         outputs: &mut Vec<Output>,
     ) {
         let mut packet = self.packet(message);
-        packet.records.extend(self.accusation_against(receiver));
+        packet.records.extend(self.record_to_refute(receiver));
         self.piggyback_updates(&mut packet);
         outputs.push(Output::Send { to, bytes: packet.encode() });
     }
 
     /// The record that a receiver must refute, if it is suspected or dead.
-    pub(super) fn accusation_against(&self, receiver: Option<&MemberName>) -> Option<Record> {
+    pub(super) fn record_to_refute(&self, receiver: Option<&MemberName>) -> Option<Record> {
         let member = self.table.get(receiver?)?;
-        is_accused(member).then(|| Record::update(member))
+        must_refute(member).then(|| Record::update(member))
     }
 
     /// Sends a message with the own record, for a receiver that may not know this process.
@@ -114,12 +114,12 @@
 
     /// Transmissions after which a record has reached everyone with high probability.
     pub(super) fn transmission_limit(&self) -> u32 {
-        let size = u32::try_from(self.table.live()).unwrap_or(u32::MAX);
+        let size = u32::try_from(self.table.live_count()).unwrap_or(u32::MAX);
         let logarithm = size.saturating_add(1).next_power_of_two().trailing_zeros();
         self.config.retransmit_multiplier * logarithm.max(1)
     }
 }
 
-const fn is_accused(member: &Member) -> bool {
+const fn must_refute(member: &Member) -> bool {
     matches!(member.status, Status::Suspect | Status::Dead)
 }
--- a/coordination/membership/src/membership/failure_detection.rs
+++ b/coordination/membership/src/membership/failure_detection.rs
@@ -13,7 +13,7 @@
 
 impl Membership {
     pub(super) fn begin_probe_if_due(&mut self, outputs: &mut Vec<Output>) {
-        if !self.timers.take_probe(self.now(), self.config.probe_period) {
+        if !self.timers.take_due_probe(self.now(), self.config.probe_period) {
             return;
         }
         if let Some(name) = self.probe_order.advance(&mut self.random) {
@@ -51,9 +51,9 @@
         }
         let Some(member) = self.table.get(name).filter(|member| member.is_live()) else { return };
         let (target, address) = (member.id.clone(), member.address);
-        let sequence = self.probes.take_sequence();
+        let sequence = self.probes.allocate_sequence();
         let probe = self.new_probe(target.clone());
-        self.probes.open(sequence, probe);
+        self.probes.insert(sequence, probe);
         self.send(address, Some(name), Message::Ping { sequence, target }, outputs);
     }
 
@@ -65,9 +65,9 @@
             sent_at: now,
             last_sent_at: now,
             indirect_at: Some(now + timeout),
-            ends_at: now + self.scaled(self.config.probe_period),
+            ends_at: now + self.scaled_by_health(self.config.probe_period),
             has_relays: false,
-            excused: false,
+            is_excused: false,
         }
     }
 
@@ -80,10 +80,10 @@
             Some(measured) => measured.max(self.config.min_probe_timeout).min(upper),
             None => self.config.probe_timeout,
         };
-        self.scaled(timeout)
+        self.scaled_by_health(timeout)
     }
 
-    fn scaled(&self, time: Duration) -> Duration {
+    fn scaled_by_health(&self, time: Duration) -> Duration {
         time * self.health.multiplier()
     }
 
@@ -126,11 +126,11 @@
 
     fn expire_probe(&mut self, sequence: Sequence, outputs: &mut Vec<Output>) {
         let Some(probe) = self.probes.expire(sequence) else { return };
-        if probe.excused || self.suspicions.are_suspended(self.now()) {
+        if probe.is_excused || self.suspicions.are_suspended(self.now()) {
             self.probes.enqueue(probe.target.name);
             return;
         }
-        self.health.fail(&probe.target.name);
+        self.health.record_missing_answer(&probe.target.name);
         if self.is_excused_by_isolation(&probe, outputs) {
             self.probes.enqueue(probe.target.name);
             return;
@@ -165,21 +165,21 @@
     }
 
     pub(super) fn handle_ack(&mut self, sender: &MemberId, sequence: Sequence, outputs: &mut Vec<Output>) {
-        if let Some(relay) = self.relayed_probes.close(sequence) {
-            let answer = Message::Ack { sequence: relay.requested };
+        if let Some(relay) = self.relayed_probes.remove(sequence) {
+            let answer = Message::Ack { sequence: relay.requester_sequence };
             self.send(relay.requester, None, answer, outputs);
             return;
         }
-        let Some(probe) = self.probes.close(sequence) else {
+        let Some(probe) = self.probes.remove(sequence) else {
             self.handle_late_ack(sequence);
             return;
         };
         let sample = self.now() - probe.sent_at;
         if sample <= self.config.probe_period {
-            self.health.improve();
+            self.health.record_timely_answer();
         }
         // An answer to the second ping is measured from the first: too long at worst, and never beyond the period.
-        if *sender == probe.target && !probe.excused {
+        if *sender == probe.target && !probe.is_excused {
             if let Some(round_trip) = self.table.round_trip_mut(&sender.name) {
                 round_trip.record(sample);
             }
@@ -189,7 +189,7 @@
     /// The target is alive, and this process or its connection is slow: the target gets more time to refute.
     fn handle_late_ack(&mut self, sequence: Sequence) {
         let Some(target) = self.probes.take_expired(sequence) else { return };
-        self.health.worsen();
+        self.health.record_degradation();
         if self.table.get(&target.name).is_some_and(|known| known.id == target) {
             self.extend_suspicion(&target.name);
         }
@@ -197,12 +197,12 @@
 
     /// Another process answers at the target's address, so that the target is gone.
     pub(super) fn handle_wrong_target(&mut self, sequence: Sequence, outputs: &mut Vec<Output>) {
-        if let Some(relay) = self.relayed_probes.close(sequence) {
-            let answer = Message::WrongTarget { sequence: relay.requested };
+        if let Some(relay) = self.relayed_probes.remove(sequence) {
+            let answer = Message::WrongTarget { sequence: relay.requester_sequence };
             self.send(relay.requester, None, answer, outputs);
             return;
         }
-        let Some(probe) = self.probes.close(sequence) else { return };
+        let Some(probe) = self.probes.remove(sequence) else { return };
         let is_same_process =
             self.table.get(&probe.target.name).is_some_and(|known| known.id == probe.target);
         if is_same_process {
@@ -212,7 +212,7 @@
 
     pub(super) fn report_unanswered_relays(&mut self, outputs: &mut Vec<Output>) {
         while let Some(relay) = self.relayed_probes.take_unanswered(self.now()) {
-            let answer = Message::Nack { sequence: relay.requested };
+            let answer = Message::Nack { sequence: relay.requester_sequence };
             self.send(relay.requester, None, answer, outputs);
         }
     }
@@ -220,15 +220,15 @@
     pub(super) fn handle_indirect_ping(
         &mut self,
         from: SocketAddr,
-        requested: Sequence,
+        requester_sequence: Sequence,
         target: MemberId,
         address: SocketAddr,
         outputs: &mut Vec<Output>,
     ) {
-        let sequence = self.probes.take_sequence();
+        let sequence = self.probes.allocate_sequence();
         // Early enough for the requester to receive it within its period.
         let nack_at = Some(self.now() + self.config.probe_period / 4);
-        self.relayed_probes.open(sequence, RelayedProbe { requester: from, requested, nack_at });
+        self.relayed_probes.insert(sequence, RelayedProbe { requester: from, requester_sequence, nack_at });
         let name = target.name.clone();
         self.send(address, Some(&name), Message::Ping { sequence, target }, outputs);
     }
--- a/coordination/membership/src/membership/local.rs
+++ b/coordination/membership/src/membership/local.rs
@@ -28,7 +28,7 @@
         if record.id == self.local_id {
             self.handle_own_record(record);
         } else {
-            self.handle_record_of_namesake(record, outputs);
+            self.handle_record_of_other_process(record, outputs);
         }
     }
 
@@ -38,13 +38,13 @@
             return;
         }
         if record.status == Status::Suspect {
-            self.health.worsen();
+            self.health.record_degradation();
         }
         self.raise_incarnation(record.incarnation);
     }
 
     /// An earlier process of this name that others remember, or one that runs at the same time.
-    fn handle_record_of_namesake(&mut self, record: &Record, outputs: &mut Vec<Output>) {
+    fn handle_record_of_other_process(&mut self, record: &Record, outputs: &mut Vec<Output>) {
         let claims = self.name_claims.count_claim(record);
         if claims >= CLAIMS_OF_RUNNING_PROCESS && record.id.start > self.local_id.start {
             self.phase = Phase::Ended;
--- a/coordination/membership/src/membership/merge.rs
+++ b/coordination/membership/src/membership/merge.rs
@@ -68,7 +68,7 @@
             Some(_) => return,
         }
         if source == (Source::Subject { from: member.address }) {
-            self.take_over_address(&member, outputs);
+            self.replace_others_at_address(&member, outputs);
         }
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// A process that answers at an address replaces every other that was recorded there.
-    fn take_over_address(&mut self, member: &Member, outputs: &mut Vec<Output>) {
+    fn replace_others_at_address(&mut self, member: &Member, outputs: &mut Vec<Output>) {
         let others: Vec<MemberName> = self
             .table
             .live_at(member.address)
@@ -136,34 +136,34 @@
         let Some(known) = self.table.get(&record.id.name).cloned() else { return };
         match known.status {
             Status::Alive => self.probe_out_of_turn(known.name(), outputs),
-            Status::Suspect => self.remove_live(known, record, outputs),
-            Status::Dead | Status::Left => self.put_gone(known, record),
+            Status::Suspect => self.remove_live_member(known, record, outputs),
+            Status::Dead | Status::Left => self.put_dead_or_left(known, record),
         }
     }
 
     fn merge_left(&mut self, record: &Record, outputs: &mut Vec<Output>) {
         let Some(known) = self.table.get(&record.id.name).cloned() else { return };
         if known.is_live() {
-            self.remove_live(known, record, outputs);
+            self.remove_live_member(known, record, outputs);
         } else {
-            self.put_gone(known, record);
+            self.put_dead_or_left(known, record);
         }
     }
 
     /// Removes the live process that was known; the record may be about a later one under the same name.
-    fn remove_live(&mut self, known: Member, record: &Record, outputs: &mut Vec<Output>) {
-        let gone = Member { status: record.status, ..known };
-        self.put_gone(gone.clone(), record);
+    fn remove_live_member(&mut self, known: Member, record: &Record, outputs: &mut Vec<Output>) {
+        let removed = Member { status: record.status, ..known };
+        self.put_dead_or_left(removed.clone(), record);
         self.remove_from_group(&record.id.name);
         let event = match record.status {
-            Status::Left => Event::MemberLeft(gone),
-            _ => Event::MemberDown(gone),
+            Status::Left => Event::MemberLeft(removed),
+            _ => Event::MemberDown(removed),
         };
         outputs.push(Output::Event(event));
     }
 
     /// Stores the later of two records of a member that is gone in both.
-    fn put_gone(&mut self, known: Member, record: &Record) {
+    fn put_dead_or_left(&mut self, known: Member, record: &Record) {
         let Record { id, incarnation, status, .. } = record.clone();
         self.table.put(Member { id, incarnation, status, ..known });
     }
--- a/coordination/membership/src/membership/mod.rs
+++ b/coordination/membership/src/membership/mod.rs
@@ -117,7 +117,7 @@
     /// When [`Input::Tick`] is due, on the steady clock; none once this process has left the group.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
-        self.next_active_deadline().map(|deadline| self.clock.steady(deadline))
+        self.next_active_deadline().map(|deadline| self.clock.to_steady(deadline))
     }
 
     /// The record of this process, as it is sent to others.
@@ -155,7 +155,7 @@
     /// When a datagram of the group last came, on the steady clock.
     #[must_use]
     pub const fn last_contact(&self) -> Option<Instant> {
-        self.contact.last_steady()
+        self.contact.last_datagram_steady()
     }
 
     const fn now(&self) -> Instant {
@@ -164,10 +164,10 @@
 
     fn advance_clock(&mut self, now: Instant) {
         let deadline = self.next_active_deadline();
-        let Some(late) = self.clock.advance(now, deadline, self.config.late_tolerance) else { return };
-        self.health.worsen();
+        let Some(lateness) = self.clock.advance(now, deadline, self.config.late_tolerance) else { return };
+        self.health.record_degradation();
         self.probes.excuse_all();
-        if late >= self.config.probe_period {
+        if lateness >= self.config.probe_period {
             self.suspicions.suspend_until(self.now() + self.config.probe_period);
         }
     }
@@ -201,14 +201,14 @@
             self.join_if_due(outputs);
             self.reconnect_if_due(outputs);
             self.continue_sync_if_due(outputs);
-            self.remove_due();
+            self.remove_expired_members();
         }
         if self.phase != Phase::Ended {
             self.gossip_if_due(outputs);
         }
     }
 
-    fn remove_due(&mut self) {
+    fn remove_expired_members(&mut self) {
         while let Some(name) = self.removals.pop_due(self.now()) {
             self.table.remove(&name);
             self.broadcasts.remove(&name);
--- a/coordination/membership/src/membership/receive.rs
+++ b/coordination/membership/src/membership/receive.rs
@@ -56,11 +56,11 @@
 
     fn record_contact(&mut self, outputs: &mut Vec<Output>) {
         let now = self.now();
-        let heard = self.contact.handle_datagram(now, self.clock.steady(now));
-        if heard.ends_silence {
+        let update = self.contact.handle_datagram(now, self.clock.to_steady(now));
+        if update.ends_missed_probes {
             self.probes.excuse_all();
         }
-        if heard.is_contact_restored {
+        if update.is_contact_restored {
             outputs.push(Output::Event(Event::ContactRestored));
         }
     }
--- a/coordination/membership/src/membership/suspect.rs
+++ b/coordination/membership/src/membership/suspect.rs
@@ -73,7 +73,7 @@
 
     fn suspicion_timeout(&self) -> Duration {
         // Sizes of groups are far below the integers that f64 represents exactly.
-        let size = self.table.live() as f64;
+        let size = self.table.live_count() as f64;
         let growth = size.max(SMALL_GROUP).log(SMALL_GROUP);
         self.config.suspicion_timeout.mul_f64(growth) * self.health.multiplier()
     }
--- a/coordination/membership/src/membership/sync.rs
+++ b/coordination/membership/src/membership/sync.rs
@@ -31,14 +31,14 @@
 
     /// Asks one dead member, or one seed at which no live member is known: a partition may have healed.
     pub(super) fn reconnect_if_due(&mut self, outputs: &mut Vec<Output>) {
-        if !self.timers.take_reconnect(self.now(), self.config.reconnect_interval) {
+        if !self.timers.take_due_reconnect(self.now(), self.config.reconnect_interval) {
             return;
         }
-        let Some((address, name)) = self.absent_address() else { return };
+        let Some((address, name)) = self.choose_reconnect_target() else { return };
         self.request_sync(address, name.as_ref(), false, outputs);
     }
 
-    fn absent_address(&mut self) -> Option<(SocketAddr, Option<MemberName>)> {
+    fn choose_reconnect_target(&mut self) -> Option<(SocketAddr, Option<MemberName>)> {
         let dead = self.table.iter().filter(|member| member.status == Status::Dead);
         let dead = dead.map(|member| (member.address, Some(member.name().clone())));
         let seeds = self.seeds.iter().map(|seed| (*seed, None));
@@ -53,14 +53,14 @@
             self.count_agreement();
             return;
         }
-        self.sync.expect_disagreement();
-        if self.should_ask_for_difference() {
+        self.sync.reset_agreements();
+        if self.is_sync_request_due() {
             self.request_sync(from, None, false, outputs);
         }
     }
 
     /// A pending suspicion makes it urgent: the difference may be its refutation.
-    fn should_ask_for_difference(&self) -> bool {
+    fn is_sync_request_due(&self) -> bool {
         let spacing =
             if self.suspicions.is_empty() { self.config.sync_interval } else { self.config.gossip_interval };
         self.sync.requested_at().is_none_or(|last| self.now() >= last + spacing)
@@ -86,7 +86,7 @@
         let digests = self.table.digest().to_vec();
         let mut packet = self.packet(Message::SyncRequest { answer, digests });
         packet.records.push(Record::full(self.local()));
-        packet.records.extend(self.accusation_against(receiver));
+        packet.records.extend(self.record_to_refute(receiver));
         outputs.push(Output::Send { to, bytes: packet.encode() });
     }
 
@@ -107,7 +107,7 @@
 
     fn send_buckets(&self, to: SocketAddr, buckets: &BTreeSet<usize>, outputs: &mut Vec<Output>) {
         let records: Vec<Record> = self.table.in_buckets(buckets).map(Record::full).collect();
-        let mut packets = self.pack(records);
+        let mut packets = self.pack_records(records);
         let more = packets.len() > self.config.sync_datagrams;
         packets.truncate(self.config.sync_datagrams);
         for mut packet in packets {
@@ -116,7 +116,7 @@
         }
     }
 
-    fn pack(&self, records: Vec<Record>) -> Vec<Packet> {
+    fn pack_records(&self, records: Vec<Record>) -> Vec<Packet> {
         let empty = self.packet(Message::SyncRecords { more: false });
         let limit = self.config.max_datagram_bytes.saturating_sub(empty.encoded_bytes());
         let mut packets: Vec<Packet> = Vec::new();
@@ -139,7 +139,7 @@
     /// Plans another request where the answer was truncated.
     pub(super) fn handle_sync_records(&mut self, from: SocketAddr, more: bool) {
         if more {
-            self.sync.continue_at(self.now() + self.config.gossip_interval, from);
+            self.sync.schedule_continuation(self.now() + self.config.gossip_interval, from);
         }
     }
 
--- a/coordination/membership/src/probe_order.rs
+++ b/coordination/membership/src/probe_order.rs
@@ -50,7 +50,7 @@
     pub fn advance(&mut self, random: &mut Rng) -> Option<MemberName> {
         self.is_ring_next = !self.is_ring_next;
         if self.is_ring_next {
-            return self.ring.watched().cloned();
+            return self.ring.successor().cloned();
         }
         self.advance_round_robin(random)
     }
--- a/coordination/membership/src/probes.rs
+++ b/coordination/membership/src/probes.rs
@@ -8,7 +8,7 @@
 use crate::wire::Sequence;
 
 /// Probes in flight at once: that of the period, and those that verify what others said.
-const MAX_OPEN: usize = 4;
+const MAX_IN_FLIGHT: usize = 4;
 
 /// Probes remembered after they expired, so that a late answer is recognized.
 const MAX_EXPIRED: usize = 16;
@@ -26,7 +26,7 @@
     /// Whether others were asked to probe the target.
     pub has_relays: bool,
     /// Whether a missing answer may be the fault of this process itself.
-    pub excused: bool,
+    pub is_excused: bool,
 }
 
 /// What is due for a probe.
@@ -41,7 +41,7 @@
 /// The probes in flight, and what is known of others.
 #[derive(Clone, Debug)]
 pub(crate) struct Probes {
-    open: BTreeMap<Sequence, Probe>,
+    in_flight: BTreeMap<Sequence, Probe>,
     /// Members to be probed out of turn as soon as fewer probes are in flight.
     queued: BTreeSet<MemberName>,
     /// Probes that expired, the latest last.
@@ -52,35 +52,35 @@
 impl Probes {
     pub const fn new(first_sequence: u32) -> Self {
         Self {
-            open: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             queued: BTreeSet::new(),
             expired: VecDeque::new(),
             next_sequence: first_sequence,
         }
     }
 
-    pub fn take_sequence(&mut self) -> Sequence {
+    pub fn allocate_sequence(&mut self) -> Sequence {
         let sequence = Sequence(self.next_sequence);
         self.next_sequence = self.next_sequence.wrapping_add(1);
         sequence
     }
 
-    pub fn open(&mut self, sequence: Sequence, probe: Probe) {
+    pub fn insert(&mut self, sequence: Sequence, probe: Probe) {
         self.queued.remove(&probe.target.name);
-        self.open.insert(sequence, probe);
+        self.in_flight.insert(sequence, probe);
     }
 
     pub fn get_mut(&mut self, sequence: Sequence) -> Option<&mut Probe> {
-        self.open.get_mut(&sequence)
+        self.in_flight.get_mut(&sequence)
     }
 
-    pub fn close(&mut self, sequence: Sequence) -> Option<Probe> {
-        self.open.remove(&sequence)
+    pub fn remove(&mut self, sequence: Sequence) -> Option<Probe> {
+        self.in_flight.remove(&sequence)
     }
 
     /// Removes a probe that got no answer in time.
     pub fn expire(&mut self, sequence: Sequence) -> Option<Probe> {
-        let probe = self.open.remove(&sequence)?;
+        let probe = self.in_flight.remove(&sequence)?;
         if self.expired.len() == MAX_EXPIRED {
             self.expired.pop_front();
         }
@@ -96,16 +96,16 @@
 
     /// Removes the probes of a member that is gone.
     pub fn remove_target(&mut self, name: &MemberName) {
-        self.open.retain(|_, probe| probe.target.name != *name);
+        self.in_flight.retain(|_, probe| probe.target.name != *name);
         self.queued.remove(name);
     }
 
     pub fn has_capacity(&self) -> bool {
-        self.open.len() < MAX_OPEN
+        self.in_flight.len() < MAX_IN_FLIGHT
     }
 
     pub fn is_probing(&self, name: &MemberName) -> bool {
-        self.open.values().any(|probe| probe.target.name == *name)
+        self.in_flight.values().any(|probe| probe.target.name == *name)
     }
 
     pub fn enqueue(&mut self, name: MemberName) {
@@ -117,17 +117,17 @@
     }
 
     pub fn excuse_all(&mut self) {
-        for probe in self.open.values_mut() {
-            probe.excused = true;
+        for probe in self.in_flight.values_mut() {
+            probe.is_excused = true;
         }
     }
 
     pub fn next_deadline(&self) -> Option<Instant> {
-        self.open.values().map(Probe::next_deadline).min()
+        self.in_flight.values().map(Probe::next_deadline).min()
     }
 
     pub fn due(&self, now: Instant) -> Option<DueProbe> {
-        self.open.iter().find_map(|(sequence, probe)| probe.due(*sequence, now))
+        self.in_flight.iter().find_map(|(sequence, probe)| probe.due(*sequence, now))
     }
 }
 
--- a/coordination/membership/src/ring.rs
+++ b/coordination/membership/src/ring.rs
@@ -31,7 +31,7 @@
     }
 
     /// The member that this one watches: the next on the ring.
-    pub fn watched(&self) -> Option<&MemberName> {
+    pub fn successor(&self) -> Option<&MemberName> {
         let next = self.others.range(self.own.clone()..).next();
         next.or_else(|| self.others.first()).map(|(_, name)| name)
     }
--- a/coordination/membership/src/suspicions.rs
+++ b/coordination/membership/src/suspicions.rs
@@ -14,23 +14,23 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
-    began: Instant,
+    began_at: Instant,
     /// Whether the time to refute has passed.
-    is_over: bool,
+    is_timeout_over: bool,
 }
 
 /// Members under suspicion with the ends of their time-outs.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicions {
     expiries: Deadlines<MemberName>,
-    open: BTreeMap<MemberName, Suspicion>,
+    active: BTreeMap<MemberName, Suspicion>,
     /// No suspicion begins or expires before, since this process was paused itself.
     suspended_until: Instant,
 }
 
 impl Suspicions {
     pub const fn new() -> Self {
-        Self { expiries: Deadlines::new(), open: BTreeMap::new(), suspended_until: Instant::ORIGIN }
+        Self { expiries: Deadlines::new(), active: BTreeMap::new(), suspended_until: Instant::ORIGIN }
     }
 
     /// Lets no suspicion begin or expire until then.
@@ -44,13 +44,13 @@
 
     pub fn clear(&mut self, name: &MemberName) {
         self.expiries.clear(name);
-        self.open.remove(name);
+        self.active.remove(name);
     }
 
     /// Begins a suspicion, or begins it anew.
     pub fn begin(&mut self, name: MemberName, now: Instant, timeout: Duration) {
         self.expiries.set(name.clone(), now + timeout);
-        self.open.insert(name, Suspicion { began: now, is_over: false });
+        self.active.insert(name, Suspicion { began_at: now, is_timeout_over: false });
     }
 
     pub fn is_empty(&self) -> bool {
@@ -67,15 +67,15 @@
             return None;
         }
         while let Some(name) = self.expiries.pop_due(now) {
-            let Some(suspicion) = self.open.get_mut(&name) else { continue };
-            let expiry = suspicion.began + timeout;
+            let Some(suspicion) = self.active.get_mut(&name) else { continue };
+            let expiry = suspicion.began_at + timeout;
             if expiry > now {
                 self.expiries.set(name, expiry);
-            } else if !suspicion.is_over {
-                suspicion.is_over = true;
+            } else if !suspicion.is_timeout_over {
+                suspicion.is_timeout_over = true;
                 self.expiries.set(name, now + GRACE_PERIOD);
             } else {
-                self.open.remove(&name);
+                self.active.remove(&name);
                 return Some(name);
             }
         }
--- a/coordination/membership/src/sync_state.rs
+++ b/coordination/membership/src/sync_state.rs
@@ -22,7 +22,7 @@
 
 impl SyncState {
     /// There is an update that others do not know.
-    pub fn expect_disagreement(&mut self) {
+    pub fn reset_agreements(&mut self) {
         self.agreements = 0;
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// An answer was truncated: the rest is requested at `due`.
-    pub fn continue_at(&mut self, due: Instant, address: SocketAddr) {
+    pub fn schedule_continuation(&mut self, due: Instant, address: SocketAddr) {
         self.continuation = Some(Continuation { due, address });
     }
 
--- a/coordination/membership/src/table.rs
+++ b/coordination/membership/src/table.rs
@@ -21,12 +21,12 @@
 pub(crate) struct MemberTable {
     entries: BTreeMap<MemberName, Entry>,
     digest: ListDigest,
-    live: usize,
+    live_count: usize,
 }
 
 impl MemberTable {
     pub const fn new() -> Self {
-        Self { entries: BTreeMap::new(), digest: ListDigest::new(), live: 0 }
+        Self { entries: BTreeMap::new(), digest: ListDigest::new(), live_count: 0 }
     }
 
     pub fn get(&self, name: &MemberName) -> Option<&Member> {
@@ -35,12 +35,12 @@
 
     /// Adds a member or replaces what was known of it.
     pub fn put(&mut self, member: Member) {
-        self.count_in(&member);
+        self.add_to_totals(&member);
         let name = member.name().clone();
         match self.entries.get_mut(&name) {
             Some(entry) => {
                 let old = std::mem::replace(&mut entry.member, member);
-                self.count_out(&old);
+                self.subtract_from_totals(&old);
             }
             None => {
                 let bucket = bucket_of(&name);
@@ -51,7 +51,7 @@
 
     pub fn remove(&mut self, name: &MemberName) {
         if let Some(entry) = self.entries.remove(name) {
-            self.count_out(&entry.member);
+            self.subtract_from_totals(&entry.member);
         }
     }
 
@@ -80,21 +80,21 @@
     }
 
     /// Number of live members, this process included.
-    pub const fn live(&self) -> usize {
-        self.live
+    pub const fn live_count(&self) -> usize {
+        self.live_count
     }
 
     pub const fn digest(&self) -> &ListDigest {
         &self.digest
     }
 
-    fn count_in(&mut self, member: &Member) {
+    fn add_to_totals(&mut self, member: &Member) {
         self.digest.toggle(member);
-        self.live += usize::from(member.is_live());
+        self.live_count += usize::from(member.is_live());
     }
 
-    fn count_out(&mut self, member: &Member) {
+    fn subtract_from_totals(&mut self, member: &Member) {
         self.digest.toggle(member);
-        self.live -= usize::from(member.is_live());
+        self.live_count -= usize::from(member.is_live());
     }
 }
--- a/coordination/membership/src/timers.rs
+++ b/coordination/membership/src/timers.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether a probe is due; the next one follows after `period`.
-    pub fn take_probe(&mut self, now: Instant, period: Duration) -> bool {
+    pub fn take_due_probe(&mut self, now: Instant, period: Duration) -> bool {
         let is_due = self.probe <= now;
         if is_due {
             self.probe = now + period;
@@ -54,7 +54,7 @@
     }
 
     /// Whether a reconnection is due; the next one follows after `interval`.
-    pub fn take_reconnect(&mut self, now: Instant, interval: Duration) -> bool {
+    pub fn take_due_reconnect(&mut self, now: Instant, interval: Duration) -> bool {
         let is_due = self.reconnect <= now;
         if is_due {
             self.reconnect = now + interval;
--- a/coordination/membership/tests/config.rs
+++ b/coordination/membership/tests/config.rs
@@ -9,7 +9,7 @@
     Config, ConfigError, MemberName, Membership, Metadata, NameError, Zone, MAX_METADATA_BYTES,
     MAX_NAME_BYTES,
 };
-use support::{address, local, millis, secs};
+use support::{address, local_member, millis, secs};
 
 /// Makes one setting invalid.
 type Invalidate = fn(&mut Config);
@@ -62,15 +62,15 @@
 
 #[test]
 fn the_local_member_is_checked() {
-    let mut long = local(0, 1, address(0));
-    long.metadata = vec![0; MAX_METADATA_BYTES + 1];
-    let refused = Membership::new(Config::default(), long, 1, Instant::ORIGIN).err();
-    assert_eq!(refused, Some(ConfigError::MetadataTooLong { length: MAX_METADATA_BYTES + 1 }));
-    let late = local(0, u64::MAX, address(0));
-    let refused = Membership::new(Config::default(), late, 1, Instant::ORIGIN).err();
-    assert_eq!(refused, Some(ConfigError::StartTooLarge { start: u64::MAX }));
-    let refused = Metadata::new(vec![0; MAX_METADATA_BYTES + 1]).err();
-    assert_eq!(refused, Some(ConfigError::MetadataTooLong { length: MAX_METADATA_BYTES + 1 }));
+    let mut oversized = local_member(0, 1, address(0));
+    oversized.metadata = vec![0; MAX_METADATA_BYTES + 1];
+    let error = Membership::new(Config::default(), oversized, 1, Instant::ORIGIN).err();
+    assert_eq!(error, Some(ConfigError::MetadataTooLong { length: MAX_METADATA_BYTES + 1 }));
+    let too_late_start = local_member(0, u64::MAX, address(0));
+    let error = Membership::new(Config::default(), too_late_start, 1, Instant::ORIGIN).err();
+    assert_eq!(error, Some(ConfigError::StartTooLarge { start: u64::MAX }));
+    let error = Metadata::new(vec![0; MAX_METADATA_BYTES + 1]).err();
+    assert_eq!(error, Some(ConfigError::MetadataTooLong { length: MAX_METADATA_BYTES + 1 }));
 }
 
 #[test]
@@ -91,7 +91,7 @@
     for index in 0..3 {
         simulation.start(index, 1, address(index));
         let long = MemberName::new(format!("{index}").repeat(MAX_NAME_BYTES)).expect("a permitted length");
-        let mut largest = local(index, 1, address(index));
+        let mut largest = local_member(index, 1, address(index));
         largest.id.name = long;
         largest.zone = Zone::new("z".repeat(MAX_NAME_BYTES)).expect("a permitted length");
         largest.metadata = vec![7; MAX_METADATA_BYTES];
@@ -105,6 +105,6 @@
     for node in &simulation.nodes {
         assert_eq!(node.membership.live_members().count(), 3);
         assert_eq!(node.membership.digest(), digest);
-        assert!(node.largest <= 900, "{} bytes", node.largest);
+        assert!(node.largest_datagram_bytes <= 900, "{} bytes", node.largest_datagram_bytes);
     }
 }
--- a/coordination/membership/tests/detection.rs
+++ b/coordination/membership/tests/detection.rs
@@ -16,9 +16,9 @@
     for seed in 0..40 {
         let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.crash(7);
-        times.push(simulation.run_until(secs(10), |simulation| simulation.all_hold(7, Status::Dead)));
+        times.push(simulation.run_until(secs(10), |simulation| simulation.all_report(7, Status::Dead)));
         simulation.assert_agreed();
-        assert_eq!(simulation.downs(), 11);
+        assert_eq!(simulation.down_events(), 11);
     }
     times.sort();
     println!("time until all hold it for dead: median {:?}, most {:?}", times[20], times[39]);
@@ -30,6 +30,6 @@
 fn nobody_is_declared_dead_at_three_percent_loss() {
     let mut simulation = Simulation::converged(12, lossy(), 1);
     simulation.run_for(secs(1_800));
-    println!("suspicions in 30 minutes: {}", simulation.suspicions());
-    assert_eq!(simulation.downs(), 0);
+    println!("suspicions in 30 minutes: {}", simulation.suspect_events());
+    assert_eq!(simulation.down_events(), 0);
 }
--- a/coordination/membership/tests/faults.rs
+++ b/coordination/membership/tests/faults.rs
@@ -33,7 +33,7 @@
         simulation.run_for(millis(1_200));
         simulation.resume(3);
         simulation.run_for(secs(10));
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
         simulation.assert_agreed();
     }
 }
@@ -44,14 +44,14 @@
         let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.pause(3);
         simulation.run_for(secs(8));
-        assert!(simulation.all_hold(3, Status::Dead));
+        assert!(simulation.all_report(3, Status::Dead));
         simulation.clear_observations();
         simulation.resume(3);
         let back = simulation.run_until(secs(5), Simulation::is_agreed);
         assert!(back < millis(600), "seed {seed}: {back:?}");
         simulation.run_for(secs(10));
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
-        assert_eq!(simulation.suspicions(), 0, "seed {seed}");
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
+        assert_eq!(simulation.suspect_events(), 0, "seed {seed}");
     }
 }
 
@@ -66,7 +66,7 @@
             simulation.run_for(millis(40));
         }
         simulation.run_for(secs(10));
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
         simulation.assert_agreed();
     }
 }
@@ -75,10 +75,10 @@
 fn a_slow_member_stays_alive() {
     for seed in support::seeds() {
         let mut simulation = Simulation::converged(12, Network::default(), seed);
-        simulation.slow(5, millis(180));
+        simulation.set_lag(5, millis(180));
         simulation.run_for(secs(60));
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
-        simulation.slow(5, millis(0));
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
+        simulation.set_lag(5, millis(0));
         simulation.run_until(secs(10), Simulation::is_agreed);
     }
 }
@@ -88,15 +88,15 @@
     for lag in [300, 600, 900, 1_200, 1_800] {
         for seed in support::seeds().step_by(3) {
             let mut simulation = Simulation::converged(12, Network::default(), seed);
-            simulation.slow(5, millis(lag));
+            simulation.set_lag(5, millis(lag));
             simulation.run_for(secs(60));
             assert_eq!(
-                simulation.downs_by(5),
+                simulation.down_events_by(5),
                 0,
                 "seed {seed}, lag {lag}: the slow member declared others dead"
             );
-            assert_eq!(simulation.downs(), simulation.downs_of(5), "seed {seed}, lag {lag}");
-            simulation.slow(5, millis(0));
+            assert_eq!(simulation.down_events(), simulation.down_events_of(5), "seed {seed}, lag {lag}");
+            simulation.set_lag(5, millis(0));
             simulation.run_until(secs(15), Simulation::is_agreed);
         }
     }
@@ -109,7 +109,7 @@
         simulation.partition(2, 8);
         simulation.partition_one_way(4, 6);
         simulation.run_for(secs(60));
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
         simulation.assert_agreed();
     }
 }
@@ -123,9 +123,9 @@
         let among_others =
             simulation.count(|seen| seen.by != 5 && matches!(seen.event, Event::MemberDown(_)));
         assert_eq!(among_others, 11, "seed {seed}: the isolated member had others declared dead");
-        assert!(simulation.all_hold(5, Status::Dead));
+        assert!(simulation.all_report(5, Status::Dead));
         let other_suspicions =
-            simulation.suspicions() - simulation.suspicions_of(5) - simulation.suspicions_by(5);
+            simulation.suspect_events() - simulation.suspect_events_of(5) - simulation.suspect_events_by(5);
         assert_eq!(other_suspicions, 0, "seed {seed}: the isolated member's suspicions were disseminated");
         let lost = simulation.count(|seen| seen.by == 5 && seen.event == Event::ContactLost);
         assert_eq!(lost, 1, "seed {seed}");
@@ -148,7 +148,7 @@
         let among_others =
             simulation.count(|seen| seen.by != 5 && matches!(seen.event, Event::MemberDown(_)));
         assert_eq!(among_others, 11, "seed {seed}");
-        assert!(simulation.all_hold(5, Status::Dead));
+        assert!(simulation.all_report(5, Status::Dead));
         simulation.heal();
         simulation.run_until(secs(15), Simulation::is_agreed);
     }
@@ -162,12 +162,12 @@
             (4..12).for_each(|right| simulation.partition(left, right));
         }
         simulation.run_for(secs(30));
-        assert_eq!(simulation.downs(), 4 * 8 * 2, "seed {seed}");
+        assert_eq!(simulation.down_events(), 4 * 8 * 2, "seed {seed}");
         simulation.clear_observations();
         simulation.heal();
         let healed = simulation.run_until(secs(20), Simulation::is_agreed);
         assert!(healed < secs(6), "seed {seed}: {healed:?}");
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
     }
 }
 
@@ -209,8 +209,8 @@
     for seed in support::seeds() {
         let mut simulation = Simulation::converged(2, lossy(0.03), seed);
         simulation.run_for(secs(300));
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
         simulation.crash(1);
-        simulation.run_until(secs(5), |simulation| simulation.all_hold(1, Status::Dead));
+        simulation.run_until(secs(5), |simulation| simulation.all_report(1, Status::Dead));
     }
 }
--- a/coordination/membership/tests/identity.rs
+++ b/coordination/membership/tests/identity.rs
@@ -18,9 +18,9 @@
         simulation.run_for(millis(300));
         simulation.restart(6, 2, address(6));
         simulation.run_until(secs(5), Simulation::is_agreed);
-        assert_eq!(simulation.downs_of(6), 11, "seed {seed}");
+        assert_eq!(simulation.down_events_of(6), 11, "seed {seed}");
         assert_eq!(ups_of(&simulation, 6), 11, "seed {seed}");
-        assert_eq!(simulation.downs(), 11, "seed {seed}");
+        assert_eq!(simulation.down_events(), 11, "seed {seed}");
     }
 }
 
@@ -63,7 +63,7 @@
         simulation.restart(12, 1, address(6));
         let found = simulation.run_until(secs(6), Simulation::is_agreed);
         assert!(found < millis(600), "seed {seed}: {found:?}");
-        assert_eq!(simulation.downs(), simulation.downs_of(6), "seed {seed}");
+        assert_eq!(simulation.down_events(), simulation.down_events_of(6), "seed {seed}");
     }
 }
 
@@ -86,7 +86,7 @@
         let mut simulation = Simulation::converged(5, Network::default(), seed);
         simulation.start(5, 7, address(5));
         // The same name as the member 4, but a later process at another address.
-        let namesake = support::local(4, 2, address(5));
+        let namesake = support::local_member(4, 2, address(5));
         simulation.nodes[5].membership = millrudder_membership::Membership::new(
             millrudder_membership::Config::default(),
             namesake,
@@ -126,7 +126,7 @@
     let id = simulation.nodes[6].membership.local().id.clone();
     simulation.input(3, Input::Probe(id.clone()));
     simulation.run_for(secs(5));
-    assert_eq!(simulation.suspicions(), 0);
+    assert_eq!(simulation.suspect_events(), 0);
     simulation.crash(6);
     simulation.input(3, Input::Probe(id));
     simulation.run_for(millis(600));
--- a/coordination/membership/tests/joining.rs
+++ b/coordination/membership/tests/joining.rs
@@ -23,7 +23,7 @@
         let agreed = simulation.run_until(secs(60), Simulation::is_agreed);
         println!("{count} members agree after {agreed:?}");
         assert!(agreed < bound, "{count} members: {agreed:?}");
-        assert_eq!(simulation.downs(), 0);
+        assert_eq!(simulation.down_events(), 0);
     }
 }
 
@@ -84,7 +84,7 @@
         simulation.restart(12, 1, address(12));
         simulation.run_until(secs(10), Simulation::is_agreed);
         simulation.run_for(secs(5));
-        assert!(simulation.downs_of(6) <= 12, "seed {seed}");
+        assert!(simulation.down_events_of(6) <= 12, "seed {seed}");
         assert_ne!(simulation.status(12, 6), Some(Status::Alive));
     }
 }
--- a/coordination/membership/tests/leaving.rs
+++ b/coordination/membership/tests/leaving.rs
@@ -20,9 +20,9 @@
         let network = Network { loss: 0.03, ..Network::default() };
         let mut simulation = Simulation::converged(count, network, seed);
         leave(&mut simulation, 1);
-        simulation.run_until(secs(2), |simulation| simulation.all_hold(1, Status::Left));
+        simulation.run_until(secs(2), |simulation| simulation.all_report(1, Status::Left));
         simulation.run_for(secs(5));
-        assert_eq!(simulation.downs(), 0, "{count} members");
+        assert_eq!(simulation.down_events(), 0, "{count} members");
         let left = simulation.count(|seen| matches!(seen.event, Event::MemberLeft(_)));
         assert_eq!(left, count - 1);
     }
@@ -33,7 +33,7 @@
     for seed in support::seeds() {
         let mut simulation = Simulation::converged(12, Network::default(), seed);
         simulation.input(4, Input::Leave);
-        let known = simulation.run_until(secs(3), |simulation| simulation.all_hold(4, Status::Left));
+        let known = simulation.run_until(secs(3), |simulation| simulation.all_report(4, Status::Left));
         assert!(known < millis(500), "seed {seed}: {known:?}");
     }
 }
@@ -45,7 +45,7 @@
         leave(&mut simulation, 4);
         simulation.restart(4, 1_000, address(4));
         simulation.run_until(secs(3), Simulation::is_agreed);
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
     }
 }
 
@@ -57,7 +57,7 @@
         simulation.restart(index, 1_000, address(index));
         simulation.run_until(secs(3), Simulation::is_agreed);
     }
-    assert_eq!(simulation.downs(), 0);
+    assert_eq!(simulation.down_events(), 0);
 }
 
 #[test]
--- a/coordination/membership/tests/local_health.rs
+++ b/coordination/membership/tests/local_health.rs
@@ -8,7 +8,7 @@
 /// Lets a member be suspected by all, and returns right after the first suspicion.
 fn pause_until_suspected(simulation: &mut Simulation, index: usize) {
     simulation.pause(index);
-    simulation.run_until(secs(5), |simulation| simulation.suspicions_of(index) > 0);
+    simulation.run_until(secs(5), |simulation| simulation.suspect_events_of(index) > 0);
 }
 
 #[test]
@@ -21,8 +21,8 @@
             simulation.resume(3);
             simulation.run_for(millis(770));
         }
-        assert_eq!(simulation.suspicions_by(3), 0, "seed {seed}");
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
+        assert_eq!(simulation.suspect_events_by(3), 0, "seed {seed}");
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
     }
 }
 
@@ -38,7 +38,7 @@
         simulation.run_for(millis(450));
         simulation.resume(3);
         simulation.run_for(secs(3));
-        assert_eq!(simulation.downs_by(3), 0, "seed {seed}");
+        assert_eq!(simulation.down_events_by(3), 0, "seed {seed}");
     }
 }
 
@@ -55,7 +55,7 @@
         simulation.run_for(secs(3));
         simulation.resume_without_inbox(3);
         simulation.run_for(secs(3));
-        assert_eq!(simulation.downs_by(3), 0, "seed {seed}");
+        assert_eq!(simulation.down_events_by(3), 0, "seed {seed}");
     }
 }
 
@@ -67,8 +67,8 @@
         simulation.run_for(millis(1_100));
         simulation.heal();
         simulation.run_for(secs(5));
-        assert_eq!(simulation.suspicions_by(5), 0, "seed {seed}");
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
+        assert_eq!(simulation.suspect_events_by(5), 0, "seed {seed}");
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
     }
 }
 
@@ -94,7 +94,7 @@
         pause_until_suspected(&mut simulation, 6);
         simulation.resume(6);
         simulation.run_for(secs(5));
-        assert_eq!(simulation.downs(), 0, "seed {seed}");
+        assert_eq!(simulation.down_events(), 0, "seed {seed}");
     }
 }
 
@@ -105,7 +105,7 @@
     simulation.run_for(secs(30));
     simulation.clear_observations();
     simulation.run_for(secs(20));
-    let sent: u64 = simulation.nodes.iter().map(|node| node.sent).sum();
+    let sent: u64 = simulation.nodes.iter().map(|node| node.datagrams_sent).sum();
     // Four a second: a probe and an answer in each period.
     assert!(sent <= 12 * 20 * 4 + 24, "{sent}");
 }
--- a/coordination/membership/tests/robustness.rs
+++ b/coordination/membership/tests/robustness.rs
@@ -11,10 +11,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Bytes of the checksum at a datagram's end.
-const CHECKSUM: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
 
 /// A process and datagrams that it has been sent, of all kinds.
-fn sample() -> (Membership, Vec<Vec<u8>>) {
+fn sample_datagrams() -> (Membership, Vec<Vec<u8>>) {
     let mut subject = member(0, 1);
     let mut other = member(1, 2);
     let mut third = member(2, 3);
@@ -45,22 +45,22 @@
 fn exchange(
     subject: &mut Membership,
     other: &mut Membership,
-    at: SocketAddr,
+    other_address: SocketAddr,
     now: Instant,
     from_subject: Vec<Output>,
     from_other: Vec<Output>,
 ) -> Vec<Vec<u8>> {
-    let mut seen = Vec::new();
-    let mut to_other = sent_to(&from_subject, at);
+    let mut received_by_subject = Vec::new();
+    let mut to_other = sent_to(&from_subject, other_address);
     let mut to_subject = sent_to(&from_other, address(0));
     while !to_other.is_empty() || !to_subject.is_empty() {
-        seen.extend(to_subject.iter().cloned());
-        let answers = deliver(subject, at, now, &to_subject);
+        received_by_subject.extend(to_subject.iter().cloned());
+        let answers = deliver(subject, other_address, now, &to_subject);
         let replies = deliver(other, address(0), now, &to_other);
-        to_other = sent_to(&answers, at);
+        to_other = sent_to(&answers, other_address);
         to_subject = sent_to(&replies, address(0));
     }
-    seen
+    received_by_subject
 }
 
 fn deliver(to: &mut Membership, from: SocketAddr, now: Instant, datagrams: &[Vec<u8>]) -> Vec<Output> {
@@ -80,21 +80,21 @@
 }
 
 fn member(index: usize, seed: u64) -> Membership {
-    let local = support::local(index, 1, address(index));
+    let local = support::local_member(index, 1, address(index));
     Membership::new(Config::default(), local, seed, Instant::ORIGIN).expect("good settings")
 }
 
 /// Changes bytes and corrects the checksum, so that the content is decoded.
 fn corrupt(datagram: &[u8], changes: &[(usize, u8)]) -> Vec<u8> {
     let mut bytes = datagram.to_vec();
-    let covered = bytes.len() - CHECKSUM;
+    let covered = bytes.len() - CHECKSUM_BYTES;
     for (position, value) in changes {
         // The first bytes name the protocol; without them nothing else is looked at.
         let position = 3 + position % (covered - 3);
         bytes[position] = *value;
     }
     let checksum = xxh3_64(&bytes[..covered]).to_le_bytes();
-    bytes[covered..].copy_from_slice(&checksum[..CHECKSUM]);
+    bytes[covered..].copy_from_slice(&checksum[..CHECKSUM_BYTES]);
     bytes
 }
 
@@ -184,7 +184,7 @@
 
     #[test]
     fn any_inputs_at_any_times_are_handled_within_bounds(steps in steps()) {
-        let (mut membership, datagrams) = sample();
+        let (mut membership, datagrams) = sample_datagrams();
         let mut now = Instant::ORIGIN;
         for (pause, step) in steps {
             now += millis(pause);
@@ -196,7 +196,7 @@
 
 #[test]
 fn the_sample_holds_all_kinds_of_datagrams() {
-    let (_, datagrams) = sample();
+    let (_, datagrams) = sample_datagrams();
     assert!(datagrams.len() > 30, "{} datagrams", datagrams.len());
     let lengths: std::collections::BTreeSet<usize> = datagrams.iter().map(Vec::len).collect();
     assert!(lengths.len() > 8, "{lengths:?}");
@@ -204,10 +204,10 @@
 
 #[test]
 fn corrupted_or_truncated_datagrams_change_nothing() {
-    let (_, datagrams) = sample();
+    let (_, datagrams) = sample_datagrams();
     for datagram in &datagrams {
         let mut membership = member(0, 1);
-        let before = membership.digest();
+        let initial_digest = membership.digest();
         for length in 0..datagram.len() {
             let bytes = &datagram[..length];
             membership.handle(Instant::ORIGIN, Input::Datagram { from: address(1), bytes }, &mut Vec::new());
@@ -218,7 +218,7 @@
             let input = Input::Datagram { from: address(1), bytes: &bytes };
             membership.handle(Instant::ORIGIN, input, &mut Vec::new());
         }
-        assert_eq!(membership.digest(), before);
+        assert_eq!(membership.digest(), initial_digest);
         assert_eq!(membership.last_contact(), None);
     }
 }
@@ -255,7 +255,7 @@
         simulation.run_for(secs(10));
         simulation.crash(4);
         simulation.run_for(secs(10));
-        let sent: Vec<u64> = simulation.nodes.iter().map(|node| node.sent_bytes).collect();
+        let sent: Vec<u64> = simulation.nodes.iter().map(|node| node.bytes_sent).collect();
         (sent, format!("{:?}", simulation.observed))
     };
     assert_eq!(run(), run());
@@ -269,6 +269,6 @@
     simulation.input(1, Input::Tick);
     simulation.now = now;
     simulation.run_for(secs(10));
-    assert_eq!(simulation.downs(), 0);
+    assert_eq!(simulation.down_events(), 0);
     simulation.assert_agreed();
 }
--- a/coordination/membership/tests/support/mod.rs
+++ b/coordination/membership/tests/support/mod.rs
@@ -13,10 +13,10 @@
 };
 
 /// Seeds of one test, unless `MEMBERSHIP_SEEDS` names another number.
-const SEEDS: u64 = 10;
+const DEFAULT_SEED_COUNT: u64 = 10;
 
 /// Datagrams that are buffered for a paused process; the rest is lost, as with a socket's buffer.
-const INBOX: usize = 150;
+const INBOX_CAPACITY: usize = 150;
 
 pub const fn millis(value: u64) -> Duration {
     Duration::from_millis(value)
@@ -28,7 +28,7 @@
 
 pub fn seeds() -> std::ops::Range<u64> {
     let count = std::env::var("MEMBERSHIP_SEEDS").ok().and_then(|count| count.parse().ok());
-    0..count.unwrap_or(SEEDS)
+    0..count.unwrap_or(DEFAULT_SEED_COUNT)
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -52,19 +52,19 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SimulatedEvent {
     Delivery { to: SocketAddr, from: SocketAddr, bytes: Vec<u8> },
-    Tick { node: usize, generation: u64 },
+    Tick { node: usize, timer_generation: u64 },
 }
 
 pub struct Node {
     pub membership: Membership,
     pub address: SocketAddr,
     pub is_running: bool,
-    paused: Option<Vec<(SocketAddr, Vec<u8>)>>,
+    paused_inbox: Option<Vec<(SocketAddr, Vec<u8>)>>,
     lag: Duration,
-    generation: u64,
-    pub sent: u64,
-    pub sent_bytes: u64,
-    pub largest: usize,
+    timer_generation: u64,
+    pub datagrams_sent: u64,
+    pub bytes_sent: u64,
+    pub largest_datagram_bytes: usize,
 }
 
 #[derive(Clone, Debug)]
@@ -81,9 +81,9 @@
     pub nodes: Vec<Node>,
     pub observed: Vec<Observed>,
     queue: BinaryHeap<Reverse<(Instant, u64, SimulatedEvent)>>,
-    number: u64,
+    last_event_number: u64,
     partitions: BTreeSet<(usize, usize)>,
-    at_address: BTreeMap<SocketAddr, usize>,
+    index_by_address: BTreeMap<SocketAddr, usize>,
     random: Rng,
 }
 
@@ -97,7 +97,7 @@
     MemberName::new(format!("machine-{index}")).expect("a good name")
 }
 
-pub fn local(index: usize, start: u64, address: SocketAddr) -> LocalMember {
+pub fn local_member(index: usize, start: u64, address: SocketAddr) -> LocalMember {
     LocalMember {
         id: MemberId { name: name(index), start: ProcessStart(start) },
         address,
@@ -115,9 +115,9 @@
             nodes: Vec::new(),
             observed: Vec::new(),
             queue: BinaryHeap::new(),
-            number: 0,
+            last_event_number: 0,
             partitions: BTreeSet::new(),
-            at_address: BTreeMap::new(),
+            index_by_address: BTreeMap::new(),
             random: Rng::with_seed(seed),
         }
     }
@@ -146,27 +146,27 @@
     /// Starts the process of a member, or a later one of it.
     pub fn start(&mut self, index: usize, start: u64, at: SocketAddr) {
         let seed = self.random.u64(..);
-        let membership = Membership::new(self.config.clone(), local(index, start, at), seed, self.now)
+        let membership = Membership::new(self.config.clone(), local_member(index, start, at), seed, self.now)
             .expect("good settings");
         let node = Node {
             membership,
             address: at,
             is_running: true,
-            paused: None,
+            paused_inbox: None,
             lag: Duration::ZERO,
-            generation: 0,
-            sent: 0,
-            sent_bytes: 0,
-            largest: 0,
+            timer_generation: 0,
+            datagrams_sent: 0,
+            bytes_sent: 0,
+            largest_datagram_bytes: 0,
         };
         if index == self.nodes.len() {
             self.nodes.push(node);
         } else {
-            let generation = self.nodes[index].generation + 1;
-            self.nodes[index] = Node { generation, ..node };
+            let timer_generation = self.nodes[index].timer_generation + 1;
+            self.nodes[index] = Node { timer_generation, ..node };
         }
-        self.at_address.insert(at, index);
-        self.arm(index);
+        self.index_by_address.insert(at, index);
+        self.schedule_tick(index);
     }
 
     pub fn join(&mut self, index: usize) {
@@ -182,18 +182,18 @@
     pub fn crash(&mut self, index: usize) {
         self.nodes[index].is_running = false;
         let address = self.nodes[index].address;
-        if self.at_address.get(&address) == Some(&index) {
-            self.at_address.remove(&address);
+        if self.index_by_address.get(&address) == Some(&index) {
+            self.index_by_address.remove(&address);
         }
     }
 
     pub fn pause(&mut self, index: usize) {
-        self.nodes[index].paused = Some(Vec::new());
+        self.nodes[index].paused_inbox = Some(Vec::new());
     }
 
     /// Resumes a paused process: its timer fires first, then the buffered datagrams arrive.
     pub fn resume(&mut self, index: usize) {
-        let inbox = self.nodes[index].paused.take().unwrap_or_default();
+        let inbox = self.nodes[index].paused_inbox.take().unwrap_or_default();
         self.input(index, Input::Tick);
         for (from, bytes) in inbox {
             self.input(index, Input::Datagram { from, bytes: &bytes });
@@ -202,12 +202,12 @@
 
     /// Resumes a paused process whose buffered datagrams are lost.
     pub fn resume_without_inbox(&mut self, index: usize) {
-        self.nodes[index].paused = None;
+        self.nodes[index].paused_inbox = None;
         self.input(index, Input::Tick);
     }
 
     /// Makes all that a process does late by this much.
-    pub fn slow(&mut self, index: usize, lag: Duration) {
+    pub fn set_lag(&mut self, index: usize, lag: Duration) {
         self.nodes[index].lag = lag;
     }
 
@@ -239,15 +239,15 @@
                 }
             }
         }
-        self.arm(index);
+        self.schedule_tick(index);
     }
 
     pub fn inject(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
         self.input(to, Input::Datagram { from, bytes });
     }
 
-    pub fn run_for(&mut self, time: Duration) {
-        let end = self.now + time;
+    pub fn run_for(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.queue.peek().is_some_and(|Reverse((at, _, _))| *at <= end) {
             let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
             self.now = at;
@@ -257,21 +257,21 @@
     }
 
     /// Runs until the condition holds, and returns how long that took.
-    pub fn run_until(&mut self, bound: Duration, condition: impl Fn(&Self) -> bool) -> Duration {
-        let began = self.now;
+    pub fn run_until(&mut self, limit: Duration, condition: impl Fn(&Self) -> bool) -> Duration {
+        let started_at = self.now;
         while !condition(self) {
-            assert!(self.now < began + bound, "the condition did not come to hold within {bound:?}");
+            assert!(self.now < started_at + limit, "the condition did not come to hold within {limit:?}");
             self.run_for(millis(10));
         }
-        self.now - began
+        self.now - started_at
     }
 
     fn handle_event(&mut self, event: SimulatedEvent) {
         match event {
             SimulatedEvent::Delivery { to, from, bytes } => self.deliver(to, from, bytes),
-            SimulatedEvent::Tick { node, generation } => {
-                let is_current = self.nodes[node].generation == generation;
-                if is_current && self.nodes[node].paused.is_none() {
+            SimulatedEvent::Tick { node, timer_generation } => {
+                let is_current = self.nodes[node].timer_generation == timer_generation;
+                if is_current && self.nodes[node].paused_inbox.is_none() {
                     self.input(node, Input::Tick);
                 }
             }
@@ -279,9 +279,9 @@
     }
 
     fn deliver(&mut self, to: SocketAddr, from: SocketAddr, bytes: Vec<u8>) {
-        let Some(index) = self.at_address.get(&to).copied() else { return };
-        match &mut self.nodes[index].paused {
-            Some(inbox) if inbox.len() < INBOX => inbox.push((from, bytes)),
+        let Some(index) = self.index_by_address.get(&to).copied() else { return };
+        match &mut self.nodes[index].paused_inbox {
+            Some(inbox) if inbox.len() < INBOX_CAPACITY => inbox.push((from, bytes)),
             Some(_) => {}
             None => self.input(index, Input::Datagram { from, bytes: &bytes }),
         }
@@ -289,12 +289,12 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let node = &mut self.nodes[from];
-        node.sent += 1;
-        node.sent_bytes += bytes.len() as u64;
-        node.largest = node.largest.max(bytes.len());
+        node.datagrams_sent += 1;
+        node.bytes_sent += bytes.len() as u64;
+        node.largest_datagram_bytes = node.largest_datagram_bytes.max(bytes.len());
         let source = node.address;
         let lag = node.lag;
-        let target = self.at_address.get(&to).copied();
+        let target = self.index_by_address.get(&to).copied();
         let is_partitioned = target.is_some_and(|target| self.partitions.contains(&(from, target)));
         if is_partitioned || self.random.f64() < self.network.loss {
             return;
@@ -305,27 +305,27 @@
         self.push(at, SimulatedEvent::Delivery { to, from: source, bytes });
     }
 
-    fn arm(&mut self, index: usize) {
+    fn schedule_tick(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        node.generation += 1;
+        node.timer_generation += 1;
         let Some(deadline) = node.membership.next_deadline() else { return };
-        let late = self.network.timer_jitter.mul_f64(self.random.f64()) + node.lag;
-        let event = SimulatedEvent::Tick { node: index, generation: node.generation };
-        let at = deadline.max(self.now) + late;
+        let delay = self.network.timer_jitter.mul_f64(self.random.f64()) + node.lag;
+        let event = SimulatedEvent::Tick { node: index, timer_generation: node.timer_generation };
+        let at = deadline.max(self.now) + delay;
         self.push(at, event);
     }
 
     fn push(&mut self, at: Instant, event: SimulatedEvent) {
-        self.number += 1;
-        self.queue.push(Reverse((at, self.number, event)));
+        self.last_event_number += 1;
+        self.queue.push(Reverse((at, self.last_event_number, event)));
     }
 
     pub fn clear_observations(&mut self) {
         self.observed.clear();
         for node in &mut self.nodes {
-            node.sent = 0;
-            node.sent_bytes = 0;
-            node.largest = 0;
+            node.datagrams_sent = 0;
+            node.bytes_sent = 0;
+            node.largest_datagram_bytes = 0;
         }
     }
 
@@ -353,7 +353,7 @@
         assert!(self.is_agreed(), "the members' lists differ");
     }
 
-    pub fn all_hold(&self, of: usize, status: Status) -> bool {
+    pub fn all_report(&self, of: usize, status: Status) -> bool {
         self.running().into_iter().filter(|by| *by != of).all(|by| self.status(by, of) == Some(status))
     }
 
@@ -362,30 +362,30 @@
         self.observed.iter().filter(|observed| matches(observed)).count()
     }
 
-    pub fn downs(&self) -> usize {
+    pub fn down_events(&self) -> usize {
         self.count(|observed| matches!(observed.event, Event::MemberDown(_)))
     }
 
-    pub fn suspicions(&self) -> usize {
+    pub fn suspect_events(&self) -> usize {
         self.count(|observed| matches!(observed.event, Event::MemberSuspect(_)))
     }
 
-    pub fn downs_by(&self, index: usize) -> usize {
+    pub fn down_events_by(&self, index: usize) -> usize {
         self.count(|observed| observed.by == index && matches!(observed.event, Event::MemberDown(_)))
     }
 
-    pub fn suspicions_by(&self, index: usize) -> usize {
+    pub fn suspect_events_by(&self, index: usize) -> usize {
         self.count(|observed| observed.by == index && matches!(observed.event, Event::MemberSuspect(_)))
     }
 
-    pub fn suspicions_of(&self, index: usize) -> usize {
+    pub fn suspect_events_of(&self, index: usize) -> usize {
         let suspect = name(index);
         self.count(
             |observed| matches!(&observed.event, Event::MemberSuspect(member) if *member.name() == suspect),
         )
     }
 
-    pub fn downs_of(&self, index: usize) -> usize {
+    pub fn down_events_of(&self, index: usize) -> usize {
         let down = name(index);
         self.count(|observed| matches!(&observed.event, Event::MemberDown(member) if *member.name() == down))
     }
