--- a/coordination/membership/src/broadcast.rs
+++ b/coordination/membership/src/broadcast.rs
@@ -1,22 +1,22 @@
-//! Updates that are still to be disseminated, each a bounded number of times.
+//! Queue of updates to disseminate. Each update is transmitted a bounded number of times.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::identity::MemberName;
 
-/// Limit of pending updates. What is dropped reaches the others by the exchange of differing lists.
+/// Maximum number of pending updates. Dropped updates still reach the other members through the exchange of lists.
 const MAX_PENDING: usize = 128;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Priority {
-    /// Transmissions so far; the least sent update goes first.
+    /// Number of transmissions so far; updates with fewer transmissions are sent first.
     transmissions: u32,
-    /// Among equals the latest goes first.
+    /// Among updates with equally many transmissions, the latest is sent first.
     insertion_number: Reverse<u64>,
 }
 
-/// Names of the members whose records are to be disseminated.
+/// Names of the members whose records are pending, ordered by priority.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BroadcastQueue {
     ranked: BTreeSet<(Priority, MemberName)>,
@@ -25,7 +25,7 @@
 }
 
 impl BroadcastQueue {
-    /// Adds the member's present record, whatever was sent of it before.
+    /// Adds the member's current record. Transmissions of its earlier records do not count.
     pub fn push(&mut self, name: MemberName) {
         self.remove(&name);
         let priority = Priority { transmissions: 0, insertion_number: Reverse(self.next_insertion_number) };
@@ -55,12 +55,12 @@
         self.ranked.is_empty()
     }
 
-    /// Names in the order in which their records should be sent.
+    /// Iterates over the names in the order in which their records should be sent.
     pub fn iter(&self) -> impl Iterator<Item = &MemberName> {
         self.ranked.iter().map(|(_, name)| name)
     }
 
-    /// Counts one more transmission, and removes the update when it has been sent `limit` times.
+    /// Counts one transmission, and removes the update once it has been sent `limit` times.
     pub fn record_transmission(&mut self, name: &MemberName, limit: u32) {
         let Some(mut priority) = self.priorities.get(name).copied() else { return };
         self.remove(name);
--- a/coordination/membership/src/clock.rs
+++ b/coordination/membership/src/clock.rs
@@ -1,13 +1,15 @@
-//! Active time: spans in which this process was paused do not count.
+//! Active time: the steady clock without the intervals in which this process was paused.
 
 use std::time::Duration;
 
 use millrudder_clock::Instant;
 
-/// Turns the steady clock into active time, in which all timers of the membership run.
+/// Converts between the steady clock and active time. All timers of the membership use active time.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveClock {
+    /// Latest reading, in active time.
     now: Instant,
+    /// Total time excluded so far.
     paused_time: Duration,
 }
 
@@ -16,13 +18,13 @@
         Self { now, paused_time: Duration::ZERO }
     }
 
-    /// Active time of the input being handled.
+    /// Returns the active time of the input that is being handled.
     pub const fn now(&self) -> Instant {
         self.now
     }
 
-    /// Advances to an input. Where it comes later than `tolerance` after the deadline, the delay is excluded from active
-    /// time and returned.
+    /// Advances to the steady time of an input. If the input comes more than `tolerance` after `deadline`, this process is
+    /// taken to have been paused: the delay is excluded from active time and returned.
     pub fn advance(
         &mut self,
         steady: Instant,
@@ -40,7 +42,7 @@
         Some(lateness)
     }
 
-    /// The steady clock's reading at an active time.
+    /// Converts an active time to a reading of the steady clock.
     pub fn to_steady(&self, active: Instant) -> Instant {
         active + self.paused_time
     }
--- a/coordination/membership/src/config.rs
+++ b/coordination/membership/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a membership and their checks.
+//! Configuration of a membership, and its validation.
 
 use std::time::Duration;
 
@@ -7,49 +7,52 @@
 use crate::identity::GroupId;
 use crate::member::MAX_METADATA_BYTES;
 
-/// Smallest datagram in bytes that holds the largest record beside the largest message.
+/// Smallest permitted datagram size, in bytes: it holds the largest record together with the largest message.
 pub const MIN_DATAGRAM_BYTES: usize = 900;
 
-/// Largest datagram in bytes that is sent unfragmented over Ethernet.
+/// Largest permitted datagram size, in bytes: the largest UDP payload that Ethernet carries without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_472;
 
-/// Settings of a [`Membership`](crate::Membership). All members of a group should have the same ones.
+/// Configuration of a [`Membership`](crate::Membership). It should be the same for all members of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
     /// Group that this process belongs to.
     pub group: GroupId,
-    /// Time between two probes; one member is probed in each.
+    /// Interval between regular probes; one member is probed in each period.
     pub probe_period: Duration,
-    /// Time-out of a direct answer before others are asked to probe, while no round trip has been measured.
+    /// Time-out of a direct probe, after which indirect probes are sent, while no round trip to the target has been measured.
     pub probe_timeout: Duration,
-    /// Lower bound of that time-out once round trips have been measured.
+    /// Lower bound of the time-out of a direct probe once round trips have been measured.
     pub min_probe_timeout: Duration,
-    /// Members asked to probe one that does not answer.
+    /// Number of members that are asked to probe a member that does not answer (indirect probes).
     pub indirect_probes: usize,
-    /// Time to refute suspicion in groups of up to ten; it grows with the logarithm of the group's size.
+    /// Time that a suspect has to refute the suspicion, in groups of up to ten members. In larger groups it grows with the
+    /// logarithm of the group size.
     pub suspicion_timeout: Duration,
-    /// Interval of gossip while there are updates to disseminate.
+    /// Interval between gossip messages while updates are pending.
     pub gossip_interval: Duration,
-    /// Receivers of each gossip.
+    /// Number of random members that receive each round of gossip.
     pub gossip_fanout: usize,
-    /// A record is sent this number times the logarithm (base 2) of the group's size.
+    /// A record is transmitted this many times the logarithm (base 2) of the group size.
     pub retransmit_multiplier: u32,
-    /// Least time between two exchanges of differing lists that this process begins.
+    /// Minimum time between two exchanges of differing lists that this process starts.
     pub sync_interval: Duration,
-    /// Datagrams of records that answer one request for differing records.
+    /// Maximum number of datagrams with records that are sent in answer to one sync request.
     pub sync_datagrams: usize,
-    /// Time between two attempts to reach the seeds while no other member is known; it doubles up to eight times.
+    /// Initial backoff between attempts to contact the seeds while no other member is known. It doubles after each attempt,
+    /// up to eight times this value.
     pub join_interval: Duration,
-    /// Time between two messages to a dead member or an absent seed, by which healed partitions are found.
+    /// Interval between messages to a dead member or to a seed at which no live member is known. They detect that a partition
+    /// has healed.
     pub reconnect_interval: Duration,
-    /// Time after which dead and left members are removed from the table.
+    /// Time for which dead and left members are kept in the table.
     pub dead_retention: Duration,
-    /// An input that comes so long after [`next_deadline`](crate::Membership::next_deadline) shows that this process was
-    /// paused; missing answers are then not held against others.
+    /// If an input comes more than this time after [`next_deadline`](crate::Membership::next_deadline), this process is taken
+    /// to have been paused. Other members are then not suspected for probes that went unanswered.
     pub late_tolerance: Duration,
-    /// Size in bytes that no datagram passes.
+    /// Maximum size of a datagram, in bytes.
     pub max_datagram_bytes: usize,
-    /// Limit of the table, dead members included.
+    /// Maximum number of members in the table, including dead ones.
     pub max_members: usize,
 }
 
@@ -77,48 +80,48 @@
     }
 }
 
-/// A setting, or part of the local member, that cannot be used.
+/// Why a configuration or the local member is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// A time or a number must be more than zero.
+    /// A duration or a number is zero.
     #[error("{setting} must be more than zero")]
     Zero {
         /// Name of the field.
         setting: &'static str,
     },
-    /// A time must be shorter than another.
+    /// A duration is not shorter than the one that bounds it.
     #[error("{shorter} must be less than {longer}")]
     NotLess {
-        /// Name of the field that is too long.
+        /// Name of the field whose duration is too long.
         shorter: &'static str,
-        /// Name of the field that bounds it.
+        /// Name of the field that must be longer.
         longer: &'static str,
     },
-    /// The size of datagrams is out of bounds.
+    /// The maximum size of datagrams is out of bounds.
     #[error("max_datagram_bytes is {bytes}, outside of {MIN_DATAGRAM_BYTES} to {MAX_DATAGRAM_BYTES}")]
     DatagramSize {
-        /// The refused size.
+        /// Configured size in bytes.
         bytes: usize,
     },
     /// The local member's metadata is too long.
     #[error("the metadata has {length} bytes, more than {MAX_METADATA_BYTES}")]
     MetadataTooLong {
-        /// Length of the refused metadata in bytes.
+        /// Length of the metadata in bytes.
         length: usize,
     },
-    /// The local member's start is beyond the largest incarnation.
+    /// The local member's process start exceeds the largest incarnation.
     #[error("the process start {start} is beyond the largest incarnation")]
     StartTooLarge {
-        /// The refused number.
+        /// Number of the process start.
         start: u64,
     },
 }
 
 impl Config {
-    /// Checks the settings against each other.
+    /// Checks that the settings are valid and consistent with each other.
     ///
     /// # Errors
-    /// [`ConfigError`] names the first setting that cannot be used.
+    /// Returns the first violation found.
     pub fn validate(&self) -> Result<(), ConfigError> {
         self.check_times()?;
         self.check_numbers()?;
--- a/coordination/membership/src/deadlines.rs
+++ b/coordination/membership/src/deadlines.rs
@@ -1,10 +1,10 @@
-//! Deadlines by key, ordered by time.
+//! A set of keys with deadlines, ordered by time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use millrudder_clock::Instant;
 
-/// One deadline for each key.
+/// At most one deadline for each key.
 #[derive(Clone, Debug)]
 pub(crate) struct Deadlines<K> {
     ordered: BTreeSet<(Instant, K)>,
@@ -16,7 +16,7 @@
         Self { ordered: BTreeSet::new(), by_key: BTreeMap::new() }
     }
 
-    /// Sets the key's deadline in place of an earlier one.
+    /// Sets the deadline of a key, replacing any previous one.
     pub fn set(&mut self, key: K, deadline: Instant) {
         self.clear(&key);
         self.ordered.insert((deadline, key.clone()));
@@ -33,7 +33,7 @@
         self.ordered.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Removes one key whose deadline has passed.
+    /// Removes and returns the key with the earliest deadline if that has passed.
     pub fn pop_due(&mut self, now: Instant) -> Option<K> {
         if self.next()? > now {
             return None;
--- a/coordination/membership/src/events.rs
+++ b/coordination/membership/src/events.rs
@@ -1,44 +1,44 @@
-//! Inputs and outputs of the state machine.
+//! Inputs, outputs and events of the state machine.
 
 use std::net::SocketAddr;
 
 use crate::identity::{MemberId, ProcessStart};
 use crate::member::Member;
 
-/// Inputs of the state machine.
+/// Input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input<'a> {
-    /// A datagram was received; it may contain anything.
+    /// A datagram was received. Its content is not trusted.
     Datagram {
-        /// Address that it came from.
+        /// Source address.
         from: SocketAddr,
-        /// Its bytes.
+        /// Content of the datagram.
         bytes: &'a [u8],
     },
-    /// The time given by [`next_deadline`](crate::Membership::next_deadline) has come.
+    /// The time returned by [`next_deadline`](crate::Membership::next_deadline) has been reached.
     Tick,
-    /// Replaces the addresses at which other members may be found; this process' own among them is ignored.
+    /// Replaces the seeds, the addresses at which other members may be found. The address of this process is ignored.
     Join {
-        /// Addresses of members that may be up.
+        /// Addresses of members that may be running.
         seeds: Vec<SocketAddr>,
     },
-    /// The embedder suspects a fault, for example because a connection broke: the member is probed at once.
+    /// Probes a member immediately, because the embedder suspects a failure, for example after a broken connection.
     Probe(MemberId),
-    /// Announces new metadata of this process.
+    /// Replaces and disseminates the metadata of this process.
     UpdateMetadata(Metadata),
-    /// Leaves the group, and disseminates that.
+    /// Leaves the group and disseminates the departure.
     Leave,
 }
 
-/// Metadata of a permitted length.
+/// Metadata of a member, at most [`MAX_METADATA_BYTES`](crate::MAX_METADATA_BYTES) bytes long.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Metadata(Vec<u8>);
 
 impl Metadata {
-    /// Checks the length of a member's metadata.
+    /// Checks and wraps the metadata of a member.
     ///
     /// # Errors
-    /// [`ConfigError::MetadataTooLong`](crate::ConfigError::MetadataTooLong).
+    /// Returns [`ConfigError::MetadataTooLong`](crate::ConfigError::MetadataTooLong) if it is too long.
     pub fn new(bytes: Vec<u8>) -> Result<Self, crate::ConfigError> {
         if bytes.len() > crate::member::MAX_METADATA_BYTES {
             return Err(crate::ConfigError::MetadataTooLong { length: bytes.len() });
@@ -51,45 +51,46 @@
     }
 }
 
-/// What the embedder has to do.
+/// Action for the embedder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a datagram; it may be lost.
+    /// Send a datagram. It may be lost.
     Send {
-        /// Address of the receiver.
+        /// Destination address.
         to: SocketAddr,
-        /// The datagram's bytes.
+        /// Content of the datagram.
         bytes: Vec<u8>,
     },
-    /// Report a change.
+    /// Report a change of the membership.
     Event(Event),
 }
 
-/// A change in what this process knows of the other members.
+/// A change in what this process knows about the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A process was seen for the first time, or again after it was dead or had left.
+    /// A process was seen for the first time, or again after it had been declared dead or had left.
     MemberUp(Member),
-    /// The member does not answer; it may still refute that.
+    /// The member does not answer probes and is suspected. It may still refute the suspicion.
     MemberSuspect(Member),
-    /// The member has refuted the suspicion against it.
+    /// The member has refuted the suspicion.
     MemberRefuted(Member),
-    /// The member's process is dead, unreachable, or replaced by a later one (whose `MemberUp` follows).
+    /// The member's process has crashed, is unreachable, or was replaced by a later one, whose `MemberUp` follows.
     MemberDown(Member),
     /// The member has left.
     MemberLeft(Member),
-    /// Address, zone or metadata of a live member changed.
+    /// The address, zone or metadata of a live member changed.
     MemberUpdated(Member),
-    /// Nothing was heard from any member over several probes in succession: what is known of them becomes stale, and
-    /// deaths reported from now on may as well be this process's own isolation.
+    /// Several consecutive probes ended without a datagram from any member. What is known about the members becomes stale,
+    /// and deaths reported from now on may be caused by the isolation of this process.
     ContactLost,
-    /// The first datagram after `ContactLost`.
+    /// A datagram was received for the first time since `ContactLost`.
     ContactRestored,
-    /// The leaving of this process has been disseminated as far as possible.
+    /// The departure of this process has been disseminated as far as possible.
     LeaveCompleted,
-    /// A later process of the same name is in the group; this one takes no part any more, and has disseminated nothing.
+    /// A later process with the same name is in the group. This process no longer participates, and does not disseminate a
+    /// departure.
     Superseded {
-        /// The other process.
+        /// Start of the later process.
         by: ProcessStart,
     },
 }
--- a/coordination/membership/src/group_contact.rs
+++ b/coordination/membership/src/group_contact.rs
@@ -1,52 +1,53 @@
-//! When this process last heard from its group, and whether it may be isolated.
+//! Tracks the contact of this process with its group, to detect that the process itself may be isolated.
 
 use millrudder_clock::Instant;
 
-/// Probes in succession without any datagram at all that this process blames on its own connection.
+/// Number of consecutive probes without any datagram from the group that this process attributes to its own isolation rather
+/// than to the failure of their targets.
 const MAX_EXCUSED_PROBES: u32 = 3;
 
-/// What follows from a probe that nobody answered.
+/// Result of a probe that got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MissedProbe {
-    /// Whether this process rather than the target may be isolated.
+    /// Whether the target must not be suspected, because this process may be isolated.
     pub is_excused: bool,
-    /// Whether the loss of contact is to be reported.
+    /// Whether the loss of contact must be reported now.
     pub is_contact_lost: bool,
 }
 
-/// What follows from a datagram of the group.
+/// Result of the receipt of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ContactUpdate {
-    /// Whether probes had gone without an answer.
+    /// Whether nothing had been received during at least one probe before this datagram.
     pub ends_missed_probes: bool,
-    /// Whether contact, which was reported as lost, is restored.
+    /// Whether contact had been reported as lost and is now restored.
     pub is_contact_restored: bool,
 }
 
-/// Contact with the group as a whole.
+/// State of the contact with the group as a whole.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GroupContact {
-    /// In active time.
+    /// Arrival of the last datagram, in active time.
     last_datagram_at: Option<Instant>,
-    /// On the steady clock.
+    /// Arrival of the last datagram, on the steady clock.
     last_datagram_steady: Option<Instant>,
-    /// Probes in succession during which nothing was heard.
+    /// Number of consecutive probes during which no datagram arrived.
     missed_probes: u32,
     is_lost: bool,
 }
 
 impl GroupContact {
-    /// When a datagram of the group last came, on the steady clock.
+    /// Returns the arrival of the last datagram of the group, on the steady clock.
     pub const fn last_datagram_steady(&self) -> Option<Instant> {
         self.last_datagram_steady
     }
 
-    /// Whether nothing was heard for so long that the loss of contact was reported.
+    /// Returns whether the loss of contact has been reported and contact is not restored yet.
     pub const fn is_lost(&self) -> bool {
         self.is_lost
     }
 
-    /// A datagram of the group came.
+    /// Records the receipt of a datagram of the group.
     pub fn handle_datagram(&mut self, now: Instant, steady: Instant) -> ContactUpdate {
         self.last_datagram_at = Some(now);
         self.last_datagram_steady = Some(steady);
@@ -55,7 +56,7 @@
         ContactUpdate { ends_missed_probes, is_contact_restored }
     }
 
-    /// A probe ended without an answer; others were asked at `asked_at` to probe the target too.
+    /// Records a probe that got no answer. Its last pings, direct and indirect, were sent at `asked_at`.
     pub fn handle_missed_probe(&mut self, asked_at: Instant) -> MissedProbe {
         if self.last_datagram_at.is_some_and(|last| last >= asked_at) {
             return MissedProbe { is_excused: false, is_contact_lost: false };
--- a/coordination/membership/src/identity.rs
+++ b/coordination/membership/src/identity.rs
@@ -1,23 +1,23 @@
-//! Names and numbers that tell members, their processes and their records apart.
+//! Names and numbers that identify members, their processes and versions of their records.
 
 use std::fmt;
 
 use speedy::{Readable, Writable};
 use thiserror::Error;
 
-/// Longest member or zone name in bytes, so that any record fits into one datagram.
+/// Maximum length of member and zone names in bytes. The limit ensures that any record fits into one datagram.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// A name that cannot be used.
+/// Why a name is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NameError {
-    /// The name has no characters.
+    /// The name is empty.
     #[error("the name is empty")]
     Empty,
     /// The name is longer than [`MAX_NAME_BYTES`].
     #[error("the name has {length} bytes, more than {MAX_NAME_BYTES}")]
     TooLong {
-        /// Length of the refused name in bytes.
+        /// Length of the name in bytes.
         length: usize,
     },
 }
@@ -42,14 +42,14 @@
             /// Checks and wraps a name.
             ///
             /// # Errors
-            /// [`NameError`] when the name is empty or longer than [`MAX_NAME_BYTES`].
+            /// Returns [`NameError`] if the name is empty or longer than [`MAX_NAME_BYTES`].
             pub fn new(name: impl Into<String>) -> Result<Self, NameError> {
                 let name = name.into();
                 check_name(&name)?;
                 Ok(Self(name))
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -69,26 +69,26 @@
 }
 
 bounded_names! {
-    /// Name of a member, unique in its group and kept over restarts of the member's process.
+    /// Name of a member. It is unique in its group and stays the same across restarts of the member's process.
     pub struct MemberName;
 
     /// Name of the zone that a member runs in.
     pub struct Zone;
 }
 
-/// Tells one process of a member from its earlier and later ones.
+/// Distinguishes a process of a member from earlier and later processes with the same name.
 ///
-/// It must differ between any two processes of one name; the wall clock's microseconds at start serve well. A later
-/// process usually has the larger number, but nothing breaks where the clock was set back in between.
+/// It must differ between any two processes with one name; the wall clock in microseconds at the start of the process is a
+/// good choice. A later process normally has a larger number, but a clock that was set back between the starts does no harm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ProcessStart(pub u64);
 
-/// One process of a member: what is pinged, suspected and declared dead.
+/// Identity of one process of a member. Probes, suspicion and death concern a process, not a name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct MemberId {
     /// The member's name.
     pub name: MemberName,
-    /// The process under that name.
+    /// Start of the process.
     pub start: ProcessStart,
 }
 
@@ -98,23 +98,23 @@
     }
 }
 
-/// Orders the records about one name: a record with a larger number replaces one with a smaller.
+/// Version of a member's record. A record with a larger incarnation replaces one with a smaller incarnation.
 ///
-/// Only the member itself raises its number, to refute suspicion or to announce a change.
+/// Only the member itself increases its incarnation, to refute suspicion or to announce a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Largest number that is accepted from others, far above any wall clock's reading in nanoseconds.
+    /// Largest incarnation accepted from others. It exceeds any realistic reading of the wall clock in nanoseconds.
     pub const LIMIT: Self = Self(1 << 62);
 
-    /// The number that replaces this one.
+    /// Returns the incarnation that follows this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
 }
 
-/// Separates groups that can reach each other: datagrams of another group are ignored.
+/// Identity of a group. Datagrams of other groups are ignored, so that groups can share a network.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct GroupId(pub u64);
--- a/coordination/membership/src/lib.rs
+++ b/coordination/membership/src/lib.rs
@@ -1,26 +1,26 @@
 //! Decentralized group membership and failure detection.
 //!
-//! A [`Membership`] is the state machine of one process. It probes one other member in each period, asks some members
-//! to probe for it when no answer comes, and suspects a member that does not answer these either. A suspect that does
-//! not refute in time is declared dead. Updates are disseminated piggybacked on probes, by gossip while there are any,
-//! and by an exchange of the differing parts of two lists, which also serves joining and healed partitions. A member's
-//! cost does not grow with the group. The method is that of SWIM (Das, Gupta, Motivala, 2002), with the local health awareness of Lifeguard (Dadgar,
-//! Phillips, Currey, 2017).
+//! A [`Membership`] is the state machine of one process. In each period it probes one other member. If there is no answer,
+//! it asks other members to probe that member indirectly, and suspects it if these probes go unanswered too. A suspect that
+//! does not refute the suspicion in time is declared dead. Updates are piggybacked on probes, spread by gossip while any are
+//! pending, and repaired by an exchange of the differing parts of two lists, which is also used for joining and after healed
+//! partitions. The cost for each member does not grow with the size of the group. The protocol is SWIM (Das, Gupta,
+//! Motivala, 2002) with the local health awareness of Lifeguard (Dadgar, Phillips, Currey, 2017).
 //!
-//! The state machine does no I/O: the embedder hands in datagrams, the passage of time and its requests as [`Input`]s
-//! with readings of a steady clock, and carries out the [`Output`]s. It sends all datagrams from the
-//! one address that it announces, and hands in [`Input::Tick`] at [`Membership::next_deadline`].
+//! The state machine does no I/O. The embedder passes received datagrams, the passage of time and its requests as
+//! [`Input`]s with readings of a steady clock, and executes the [`Output`]s. It must send all datagrams from the address
+//! that it announces, and pass [`Input::Tick`] at [`Membership::next_deadline`].
 //!
-//! What the events mean, and what they do not:
-//! - [`Event::MemberDown`] is an opinion. A member that was only unreachable may come back with [`Event::MemberUp`]; nothing
-//!   here makes two members agree at any moment, only soon after the last change.
-//! - A process is told apart from its successor under the same name by [`MemberId`]; a restart shows as `MemberDown` of
-//!   the one and `MemberUp` of the other.
-//! - Datagrams carry a checksum against garbage. They are not authenticated: the network is trusted.
+//! Guarantees and limits:
+//! - [`Event::MemberDown`] is not proof of a crash. A member that was only unreachable may return with
+//!   [`Event::MemberUp`]. The lists of two members may differ at any moment; they converge soon after the last change.
+//! - [`MemberId`] distinguishes a process from its successor with the same name. A restart is reported as `MemberDown` of
+//!   the earlier process and `MemberUp` of the later one.
+//! - Datagrams carry a checksum that detects corruption. They are not authenticated: the network is trusted.
 //!
 //! # Example
 //!
-//! Two members in one program, with a vector for a network:
+//! Two members in one program, with a vector in place of a network:
 //!
 //! ```
 //! use std::net::SocketAddr;
--- a/coordination/membership/src/member.rs
+++ b/coordination/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known about one member.
+//! The record of a member.
 
 use std::net::SocketAddr;
 
@@ -6,67 +6,67 @@
 
 use crate::identity::{Incarnation, MemberId, MemberName, Zone};
 
-/// Longest metadata of a member in bytes, so that any record fits into one datagram.
+/// Maximum length of a member's metadata in bytes. The limit ensures that any record fits into one datagram.
 pub const MAX_METADATA_BYTES: usize = 256;
 
-/// Status of a member. The order is the precedence among records of equal incarnation.
+/// Status of a member. Among records with the same version, a later variant takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum Status {
-    /// Answers probes, or has not missed one yet.
+    /// The member answers probes, or has not missed one yet.
     Alive,
-    /// Did not answer a probe and has not refuted that yet.
+    /// The member did not answer a probe and has not refuted the suspicion yet.
     Suspect,
-    /// Did not refute suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// Has left the group.
+    /// The member has left the group.
     Left,
 }
 
 impl Status {
-    /// Whether the member still counts as part of the group.
+    /// Returns whether a member with this status counts as part of the group.
     #[must_use]
     pub const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// One member as this process knows it.
+/// Record of one member, as this process knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Name and process of the member.
     pub id: MemberId,
-    /// Where its datagrams are received.
+    /// Address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Zone that it runs in.
+    /// Zone that the member runs in.
     pub zone: Zone,
     /// Opaque bytes of the embedder, at most [`MAX_METADATA_BYTES`].
     pub metadata: Vec<u8>,
-    /// Number of the record.
+    /// Incarnation of the record.
     pub incarnation: Incarnation,
     /// Status of the member.
     pub status: Status,
 }
 
 impl Member {
-    /// The member's name.
+    /// Returns the member's name.
     #[must_use]
     pub const fn name(&self) -> &MemberName {
         &self.id.name
     }
 
-    /// Whether the member counts as part of the group.
+    /// Returns whether the member counts as part of the group.
     #[must_use]
     pub const fn is_live(&self) -> bool {
         self.status.is_live()
     }
 
-    /// What decides before the status does.
+    /// Returns the version of the record, which takes precedence over the status when two records are compared.
     pub(crate) const fn version(&self) -> Version {
         Version { incarnation: self.incarnation, start: self.id.start }
     }
 
-    /// What decides between two records about one name.
+    /// Returns the key by which two records with one name are compared; the larger one wins.
     pub(crate) const fn rank(&self) -> (Version, Status) {
         (self.version(), self.status)
     }
@@ -76,22 +76,22 @@
     }
 }
 
-/// Order of the records about one name.
+/// Version of a record, ordered by incarnation and then by process start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Version {
     pub incarnation: Incarnation,
     pub start: crate::identity::ProcessStart,
 }
 
-/// This process as it presents itself to the group.
+/// What this process announces about itself to the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalMember {
-    /// Name and process; the start's number is also the first incarnation.
+    /// Name and process. The number of the process start is also the first incarnation.
     pub id: MemberId,
-    /// Where this process receives datagrams; it must send them from there too.
+    /// Address at which this process receives datagrams. It must also send them from this address.
     pub address: SocketAddr,
     /// Zone that this process runs in.
     pub zone: Zone,
-    /// Bytes for the other members' programs, at most [`MAX_METADATA_BYTES`].
+    /// Opaque bytes for the embedders of the other members, at most [`MAX_METADATA_BYTES`].
     pub metadata: Vec<u8>,
 }
--- a/coordination/membership/src/membership/dissemination.rs
+++ b/coordination/membership/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination of updates: piggybacked on every message, and by gossip of its own while there are any.
+//! Dissemination of updates: piggybacked on every message, and by gossip messages while any are pending.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::wire::{Message, Packet, Record};
 
 impl Membership {
-    /// Adds a member's record to the updates to disseminate.
+    /// Queues a member's record for dissemination.
     pub(super) fn broadcast(&mut self, name: MemberName) {
         self.broadcasts.push(name);
         self.sync.reset_agreements();
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Sends a message with as many updates as fit. A receiver that is suspected or dead gets that record first.
+    /// Sends a message with as many updates as fit. If the receiver is suspected or dead, its own record comes first, so that it
+    /// can refute it.
     pub(super) fn send(
         &mut self,
         to: SocketAddr,
@@ -58,13 +59,13 @@
         outputs.push(Output::Send { to, bytes: packet.encode() });
     }
 
-    /// The record that a receiver must refute, if it is suspected or dead.
+    /// Returns the record of the receiver if it is suspected or dead, so that it can refute it.
     pub(super) fn record_to_refute(&self, receiver: Option<&MemberName>) -> Option<Record> {
         let member = self.table.get(receiver?)?;
         must_refute(member).then(|| Record::update(member))
     }
 
-    /// Sends a message with the own record, for a receiver that may not know this process.
+    /// Sends a message with the record of this process, for a receiver that may not know it.
     pub(super) fn send_with_own_record(
         &mut self,
         to: SocketAddr,
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Drops the updates that digests cover, once enough others are found to know them; digests do not cover suspicion.
+    /// Drops pending updates that other members were found to know by comparing digests. Suspicions are kept, since digests do
+    /// not cover them.
     pub(super) fn drop_known_updates(&mut self) {
         let table = &self.table;
         self.broadcasts.retain(|name| table.get(name).is_some_and(|member| member.status == Status::Suspect));
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Transmissions after which a record has reached everyone with high probability.
+    /// Returns the number of transmissions after which a record has reached all members with high probability.
     pub(super) fn transmission_limit(&self) -> u32 {
         let size = u32::try_from(self.table.live_count()).unwrap_or(u32::MAX);
         let logarithm = size.saturating_add(1).next_power_of_two().trailing_zeros();
--- a/coordination/membership/src/membership/failure_detection.rs
+++ b/coordination/membership/src/membership/failure_detection.rs
@@ -1,4 +1,4 @@
-//! Failure detection: direct and indirect probes, and what follows from their results.
+//! Failure detection: direct and indirect probes, and the handling of their results.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,7 +22,7 @@
         self.begin_queued_probes(outputs);
     }
 
-    /// Probes a member out of turn, if it is still live.
+    /// Probes a member immediately at the request of the embedder, if that process is still live.
     pub(super) fn handle_probe_request(&mut self, id: &MemberId, outputs: &mut Vec<Output>) {
         let is_known = self.table.get(&id.name).is_some_and(|member| member.id == *id && member.is_live());
         if is_known && *id != self.local_id {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Time-out of a direct answer: from measured round trips, within bounds that leave time for indirect probes, and
-    /// longer while this process is unhealthy.
+    /// Returns the time-out of a direct probe. It is derived from measured round trips, within bounds that leave time for
+    /// indirect probes, and is extended while the local health score is raised.
     fn probe_timeout(&mut self, name: &MemberName) -> Duration {
         let measured = self.table.round_trip_mut(name).and_then(|round_trip| round_trip.timeout());
         let upper = self.config.probe_period * 2 / 5;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Asks some members to ping the target, and pings it again since the first datagram may have been lost.
+    /// Asks some members to ping the target, and pings it again, since the first datagram may have been lost.
     fn probe_indirectly(&mut self, sequence: Sequence, outputs: &mut Vec<Output>) {
         let now = self.now();
         let Some(probe) = self.probes.get_mut(sequence) else { return };
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A random sample of members that are not suspected themselves.
+    /// Chooses random members that are not suspected themselves.
     fn choose_relays(&mut self, target: &MemberName) -> Vec<MemberName> {
         let mut relays =
             self.probe_order.sample(self.config.indirect_probes * 2, Some(target), &mut self.random);
@@ -136,11 +136,12 @@
             return;
         }
         self.suspect(&probe.target.name, outputs);
-        // The next probe carries the suspicion to the suspect, which can refute it at once.
+        // The next probe carries the suspicion to the suspect, which can then refute it immediately.
         self.probes.enqueue(probe.target.name);
     }
 
-    /// Whether nothing at all was heard since the last pings, so that this process rather than the target may be isolated.
+    /// Returns whether no datagram at all has arrived since the last pings of the probe, so that this process rather than the
+    /// target may be isolated.
     fn is_excused_by_isolation(&mut self, probe: &Probe, outputs: &mut Vec<Output>) -> bool {
         let missed = self.contact.handle_missed_probe(probe.last_sent_at);
         if missed.is_contact_lost {
@@ -178,7 +179,8 @@
         if sample <= self.config.probe_period {
             self.health.record_timely_answer();
         }
-        // An answer to the second ping is measured from the first: too long at worst, and never beyond the period.
+        // The round trip is measured from the first ping even if the second one was answered. The result may be too long, but
+        // never exceeds the extended probe period.
         if *sender == probe.target && !probe.is_excused {
             if let Some(round_trip) = self.table.round_trip_mut(&sender.name) {
                 round_trip.record(sample);
@@ -186,7 +188,8 @@
         }
     }
 
-    /// The target is alive, and this process or its connection is slow: the target gets more time to refute.
+    /// Handles an answer to an expired probe: the target is alive and this process or its connection is slow, so the target
+    /// gets more time to refute a suspicion.
     fn handle_late_ack(&mut self, sequence: Sequence) {
         let Some(target) = self.probes.take_expired(sequence) else { return };
         self.health.record_degradation();
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Another process answers at the target's address, so that the target is gone.
+    /// Handles the answer of another process at the target's address: the target no longer runs there and is declared dead.
     pub(super) fn handle_wrong_target(&mut self, sequence: Sequence, outputs: &mut Vec<Output>) {
         if let Some(relay) = self.relayed_probes.remove(sequence) {
             let answer = Message::WrongTarget { sequence: relay.requester_sequence };
@@ -226,7 +229,7 @@
         outputs: &mut Vec<Output>,
     ) {
         let sequence = self.probes.allocate_sequence();
-        // Early enough for the requester to receive it within its period.
+        // A quarter of the period, so that the requester receives the notice within its own period.
         let nack_at = Some(self.now() + self.config.probe_period / 4);
         self.relayed_probes.insert(sequence, RelayedProbe { requester: from, requester_sequence, nack_at });
         let name = target.name.clone();
--- a/coordination/membership/src/membership/local.rs
+++ b/coordination/membership/src/membership/local.rs
@@ -1,4 +1,4 @@
-//! The record of this process: refutation, changes, leaving, and another process under the same name.
+//! The record of this process: refutation, changes, leaving, and conflicts with another process of the same name.
 
 use super::Membership;
 use crate::events::{Event, Metadata, Output};
@@ -6,17 +6,18 @@
 use crate::member::{Member, Status};
 use crate::wire::{Message, Record};
 
-/// So many claims of another process to the own name, each after an own claim, show that it is running now.
+/// Number of claims to the name of this process by another process that show that the other process is running now. Each of
+/// them answers a preceding claim of this process, so they cannot all be old records.
 const CLAIMS_OF_RUNNING_PROCESS: u32 = 3;
 
-/// Whether this process takes part in the group.
+/// Participation of this process in the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It does.
+    /// The process participates.
     Active,
-    /// Disseminates that it leaves.
+    /// The process disseminates its departure.
     Leaving,
-    /// It has left, or was superseded.
+    /// The process has left or was superseded.
     Ended,
 }
 
@@ -43,7 +44,8 @@
         self.raise_incarnation(record.incarnation);
     }
 
-    /// An earlier process of this name that others remember, or one that runs at the same time.
+    /// Handles a record of another process with this name: an earlier one that others remember, or one that runs at the same
+    /// time.
     fn handle_record_of_other_process(&mut self, record: &Record, outputs: &mut Vec<Output>) {
         let claims = self.name_claims.count_claim(record);
         if claims >= CLAIMS_OF_RUNNING_PROCESS && record.id.start > self.local_id.start {
@@ -54,7 +56,7 @@
         self.raise_incarnation(record.incarnation);
     }
 
-    /// Makes the own record later than a claimed one.
+    /// Raises the incarnation of this process above `claimed`.
     fn raise_incarnation(&mut self, claimed: Incarnation) {
         let local = self.local().clone();
         let incarnation = claimed.max(local.incarnation).next();
@@ -70,7 +72,8 @@
         self.put_local(Member { incarnation, metadata: metadata.into_bytes(), ..local });
     }
 
-    /// Sends the record to as many members at once as its transmissions allow; gossip reaches the rest.
+    /// Leaves the group. The record is sent immediately to as many members as the transmission limit allows, less the
+    /// transmissions of two rounds of gossip, which reach the other members.
     pub(super) fn leave(&mut self, outputs: &mut Vec<Output>) {
         if self.phase != Phase::Active {
             return;
@@ -92,7 +95,7 @@
     }
 }
 
-/// Claims of another process to the own name.
+/// Counts the claims of another process to the name of this process.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NameClaims {
     claimant: Option<ProcessStart>,
@@ -100,7 +103,7 @@
 }
 
 impl NameClaims {
-    /// Counts a record that is later than the own one; only a running process can make several.
+    /// Counts a record that is at least as new as the record of this process. Only a running process can produce several.
     fn count_claim(&mut self, record: &Record) -> u32 {
         if self.claimant != Some(record.id.start) {
             self.claimant = Some(record.id.start);
--- a/coordination/membership/src/membership/merge.rs
+++ b/coordination/membership/src/membership/merge.rs
@@ -1,4 +1,4 @@
-//! Merging records from other members into the table.
+//! Merging of received records into the table.
 
 use std::net::SocketAddr;
 
@@ -8,14 +8,14 @@
 use crate::member::{Member, Status, Version};
 use crate::wire::{Details, Record};
 
-/// Where a record came from.
+/// Origin of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// From the process that it is about.
+    /// Sent by the process that the record describes.
     Subject { from: SocketAddr },
     /// Disseminated by another member.
     Gossip,
-    /// From another member's list.
+    /// Sent by another member as part of its list.
     Sync,
 }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A process that answers at an address replaces every other that was recorded there.
+    /// Declares every other member dead that is recorded at the address at which `member` was heard.
     fn replace_others_at_address(&mut self, member: &Member, outputs: &mut Vec<Output>) {
         let others: Vec<MemberName> = self
             .table
@@ -124,14 +124,15 @@
         if is_of_known {
             self.suspect(&name, outputs);
         } else if record.details.is_some() {
-            // A later record is adopted first; one without details will come by an exchange of lists.
+            // A newer record is adopted before its suspicion. A newer record without details cannot be adopted; it arrives with
+            // details through an exchange of lists.
             self.merge_alive(Record { status: Status::Alive, ..record }, Source::Gossip, outputs);
             self.suspect(&name, outputs);
         }
     }
 
-    /// A suspect is declared dead. Any other member is only probed, so that one process with a bad connection cannot have
-    /// others removed that answer.
+    /// Adopts the report of a death if the member is already suspected here. A member that is alive is only probed, so that one
+    /// process with a bad connection cannot remove members that answer others.
     fn merge_dead(&mut self, record: &Record, outputs: &mut Vec<Output>) {
         let Some(known) = self.table.get(&record.id.name).cloned() else { return };
         match known.status {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Removes the live process that was known; the record may be about a later one under the same name.
+    /// Removes a live member. `record` may concern a later process with the same name.
     fn remove_live_member(&mut self, known: Member, record: &Record, outputs: &mut Vec<Output>) {
         let removed = Member { status: record.status, ..known };
         self.put_dead_or_left(removed.clone(), record);
@@ -162,7 +163,7 @@
         outputs.push(Output::Event(event));
     }
 
-    /// Stores the later of two records of a member that is gone in both.
+    /// Stores process, incarnation and status of `record` for a member that is dead or has left, and keeps its known details.
     fn put_dead_or_left(&mut self, known: Member, record: &Record) {
         let Record { id, incarnation, status, .. } = record.clone();
         self.table.put(Member { id, incarnation, status, ..known });
--- a/coordination/membership/src/membership/mod.rs
+++ b/coordination/membership/src/membership/mod.rs
@@ -1,5 +1,7 @@
-//! The state machine of one process: construction, inputs, timers and queries. Its parts keep their state private; the
-//! files of this module route inputs and time-outs between them.
+//! The state machine of one process: construction, inputs, timers and queries.
+//!
+//! Its parts, such as the table and the probes, keep their state private. The submodules pass inputs and time-outs between
+//! them.
 
 mod dissemination;
 mod failure_detection;
@@ -35,7 +37,7 @@
 
 /// Membership of one process in its group.
 ///
-/// All instants given and returned are readings of one steady clock.
+/// All instants in arguments and return values are readings of the same steady clock.
 #[derive(Clone, Debug)]
 pub struct Membership {
     config: Config,
@@ -47,7 +49,7 @@
     probes: Probes,
     relayed_probes: RelayedProbes,
     suspicions: Suspicions,
-    /// When dead and left members are removed from the table.
+    /// Times at which dead and left members are removed from the table.
     removals: Deadlines<MemberName>,
     broadcasts: BroadcastQueue,
     sync: SyncState,
@@ -60,14 +62,14 @@
 }
 
 impl Membership {
-    /// Starts with this process as the only known member; [`Input::Join`] names addresses of others.
+    /// Creates a membership in which this process is the only known member. [`Input::Join`] provides the addresses of others.
     ///
-    /// `seed` feeds all random choices: equal seeds and inputs give equal outputs. Processes should have different
-    /// ones.
+    /// `seed` initializes the random number generator: equal seeds and inputs produce equal outputs. It should differ between
+    /// processes.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] when a setting or the local member cannot be used.
+    /// Returns [`ConfigError`] if a setting or the local member is invalid.
     pub fn new(config: Config, local: LocalMember, seed: u64, now: Instant) -> Result<Self, ConfigError> {
         config.validate()?;
         check_local(&local)?;
@@ -98,9 +100,10 @@
         })
     }
 
-    /// Handles one input and all timers that are due, and appends what is to be done to `outputs`.
+    /// Handles one input and all timers that are due, and appends the resulting actions to `outputs`.
     ///
-    /// Garbage and datagrams of other groups are ignored; a reading of `now` before the last one counts as the last one.
+    /// Datagrams that cannot be decoded and those of other groups are ignored. If `now` is earlier than the previous reading,
+    /// the previous reading is used.
     pub fn handle(&mut self, now: Instant, input: Input<'_>, outputs: &mut Vec<Output>) {
         self.advance_clock(now);
         match input {
@@ -114,45 +117,47 @@
         self.run_due_timers(outputs);
     }
 
-    /// When [`Input::Tick`] is due, on the steady clock; none once this process has left the group.
+    /// Returns the time at which [`Input::Tick`] is due, on the steady clock, or `None` once this process has left the group or
+    /// was superseded.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
         self.next_active_deadline().map(|deadline| self.clock.to_steady(deadline))
     }
 
-    /// The record of this process, as it is sent to others.
+    /// Returns the record of this process, as it is sent to others.
     ///
     /// # Panics
     ///
-    /// Never: the table always contains this process.
+    /// Does not panic, since the table always contains this process.
     #[must_use]
     pub fn local(&self) -> &Member {
         self.table.get(&self.local_id.name).expect("the local member is never removed")
     }
 
-    /// A member by its name, this process included.
+    /// Returns the member with this name, which may be this process.
     #[must_use]
     pub fn member(&self, name: &MemberName) -> Option<&Member> {
         self.table.get(name)
     }
 
-    /// All members by name, including this process and the dead that are not removed yet.
+    /// Iterates over all members in the order of names, including this process and dead or left members that are not removed
+    /// yet.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.iter()
     }
 
-    /// Members that count as part of the group, this process included.
+    /// Iterates over the members that count as part of the group, including this process.
     pub fn live_members(&self) -> impl Iterator<Item = &Member> {
         self.table.iter().filter(|member| member.is_live())
     }
 
-    /// Digest of the live members' records; equal in all members once their lists agree.
+    /// Returns the digest of the live members' records. It is equal at all members once their lists agree.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.table.digest().total()
     }
 
-    /// When a datagram of the group last came, on the steady clock.
+    /// Returns the time at which the last datagram of the group arrived, on the steady clock.
     #[must_use]
     pub const fn last_contact(&self) -> Option<Instant> {
         self.contact.last_datagram_steady()
--- a/coordination/membership/src/membership/receive.rs
+++ b/coordination/membership/src/membership/receive.rs
@@ -13,7 +13,7 @@
         if self.phase == Phase::Ended {
             return;
         }
-        // Datagrams that cannot be decoded are noise on an open port, and are dropped without an answer.
+        // Any host can send datagrams to the port, so those that cannot be decoded are dropped without an answer.
         let Ok(packet) = Packet::decode(bytes) else { return };
         if packet.group != self.config.group || packet.sender == self.local_id {
             return;
@@ -49,7 +49,7 @@
                 self.handle_sync_request(from, &sender.name, answer, &digests, outputs);
             }
             Message::SyncRecords { more } => self.handle_sync_records(from, more),
-            // Both only carry records, and show that this process can be reached.
+            // Both only carry records and show that this process is reachable. Both were evaluated above.
             Message::Nack { .. } | Message::Gossip => {}
         }
     }
--- a/coordination/membership/src/membership/suspect.rs
+++ b/coordination/membership/src/membership/suspect.rs
@@ -7,11 +7,12 @@
 use crate::identity::MemberName;
 use crate::member::Status;
 
-/// Group size up to which the configured time-out applies; beyond, it grows with the logarithm (SWIM, section 4.2).
+/// Group size up to which the configured suspicion time-out applies. In larger groups it grows with the logarithm of the size
+/// (SWIM, section 4.2).
 const SMALL_GROUP: f64 = 10.0;
 
 impl Membership {
-    /// Suspects a live member, and disseminates that unless this process may be isolated itself.
+    /// Suspects a member that is alive, and disseminates the suspicion unless contact with the group is lost.
     pub(super) fn suspect(&mut self, name: &MemberName, outputs: &mut Vec<Output>) {
         let Some(mut member) = self.table.get(name).cloned() else { return };
         if member.status != Status::Alive {
@@ -37,7 +38,7 @@
         self.suspicions.begin(name.clone(), self.now(), timeout);
     }
 
-    /// Declares a live member dead.
+    /// Declares a live member dead, and disseminates that unless contact with the group is lost.
     pub(super) fn declare_dead(&mut self, name: &MemberName, outputs: &mut Vec<Output>) {
         let Some(mut member) = self.table.get(name).cloned() else { return };
         if !member.is_live() {
@@ -50,7 +51,7 @@
         outputs.push(Output::Event(Event::MemberDown(member)));
     }
 
-    /// Ends all that concerns a live member once it is dead or has left, and schedules its removal from the table.
+    /// Ends the probes and the suspicion of a member that died or left, and schedules its removal from the table.
     pub(super) fn remove_from_group(&mut self, name: &MemberName) {
         self.probe_order.remove(name);
         self.probes.remove_target(name);
@@ -72,7 +73,7 @@
     }
 
     fn suspicion_timeout(&self) -> Duration {
-        // Sizes of groups are far below the integers that f64 represents exactly.
+        // The conversion is exact: group sizes are far below 2^53.
         let size = self.table.live_count() as f64;
         let growth = size.max(SMALL_GROUP).log(SMALL_GROUP);
         self.config.suspicion_timeout.mul_f64(growth) * self.health.multiplier()
--- a/coordination/membership/src/membership/sync.rs
+++ b/coordination/membership/src/membership/sync.rs
@@ -1,5 +1,5 @@
-//! Exchange of differing parts of two lists (anti-entropy): joining, repair of lost updates, and reconnection after a
-//! partition.
+//! Exchange of the differing parts of two lists (anti-entropy). It serves joining, the repair of lost updates, and
+//! reconnection after a partition.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
         self.timers.start_joining(self.now(), self.config.join_interval);
     }
 
-    /// Asks all seeds, repeatedly until some member is known.
+    /// Sends sync requests to all seeds if an attempt to join is due. Attempts end once another member is known.
     pub(super) fn join_if_due(&mut self, outputs: &mut Vec<Output>) {
         if !self.timers.is_join_due(self.now()) {
             return;
@@ -29,7 +29,8 @@
         self.timers.finish_join_attempt(self.now(), is_joined, self.config.join_interval);
     }
 
-    /// Asks one dead member, or one seed at which no live member is known: a partition may have healed.
+    /// Sends a sync request to one dead member, or to one seed at which no live member is known, since a partition may have
+    /// healed.
     pub(super) fn reconnect_if_due(&mut self, outputs: &mut Vec<Output>) {
         if !self.timers.take_due_reconnect(self.now(), self.config.reconnect_interval) {
             return;
@@ -47,7 +48,7 @@
         candidates.into_iter().find(|(address, _)| self.table.live_at(*address).next().is_none())
     }
 
-    /// Compares the digest that came with a datagram, and asks for the difference.
+    /// Compares the digest of a datagram with the local one, and requests the differing records.
     pub(super) fn compare_digests(&mut self, from: SocketAddr, digest: u64, outputs: &mut Vec<Output>) {
         if digest == self.digest() {
             self.count_agreement();
@@ -59,22 +60,23 @@
         }
     }
 
-    /// A pending suspicion makes it urgent: the difference may be its refutation.
+    /// Returns whether enough time has passed since the last sync request. The spacing is shorter while a suspicion is pending,
+    /// because the differing records may contain its refutation.
     fn is_sync_request_due(&self) -> bool {
         let spacing =
             if self.suspicions.is_empty() { self.config.sync_interval } else { self.config.gossip_interval };
         self.sync.requested_at().is_none_or(|last| self.now() >= last + spacing)
     }
 
-    /// After as many equal digests in succession as an update is transmitted, the others are taken to know all updates; one
-    /// that does not will ask for the difference.
+    /// Counts a datagram with an equal digest. Once their consecutive number reaches the transmission limit, all members are
+    /// assumed to know all updates. A member that does not will request the differing records.
     fn count_agreement(&mut self) {
         if self.sync.count_agreement() == self.transmission_limit() {
             self.drop_known_updates();
         }
     }
 
-    /// Sends the own digests; the receiver answers with records of the parts that differ.
+    /// Sends the digests of this process's list. The receiver answers with the records of the buckets that differ.
     fn request_sync(
         &mut self,
         to: SocketAddr,
@@ -136,7 +138,7 @@
         packets
     }
 
-    /// Plans another request where the answer was truncated.
+    /// Schedules another request if the answer was truncated.
     pub(super) fn handle_sync_records(&mut self, from: SocketAddr, more: bool) {
         if more {
             self.sync.schedule_continuation(self.now() + self.config.gossip_interval, from);
--- a/coordination/membership/src/probe_order.rs
+++ b/coordination/membership/src/probe_order.rs
@@ -1,4 +1,4 @@
-//! The order in which the other live members are probed, and random samples of them.
+//! Order in which the other live members are probed, and random samples of them.
 
 use std::collections::BTreeSet;
 
@@ -7,8 +7,9 @@
 use crate::identity::MemberName;
 use crate::ring::Ring;
 
-/// Every second probe goes to the member watched on the ring, which bounds the time until a failure is detected; the
-/// others go round robin (SWIM, section 4.3), in an order that is shuffled after each pass.
+/// Alternates between two ways of choosing the next target. Every second probe goes to the successor on the [`Ring`], which
+/// bounds the time until a failure is detected. The other probes go round robin (SWIM, section 4.3), in an order that is
+/// shuffled after each pass.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeOrder {
     names: Vec<MemberName>,
@@ -46,7 +47,7 @@
         self.names.is_empty()
     }
 
-    /// The member to probe next.
+    /// Returns the member to probe next.
     pub fn advance(&mut self, random: &mut Rng) -> Option<MemberName> {
         self.is_ring_next = !self.is_ring_next;
         if self.is_ring_next {
@@ -65,7 +66,7 @@
         Some(name)
     }
 
-    /// Up to `count` different members, without the excluded one.
+    /// Returns up to `count` different random members other than the excluded one.
     pub fn sample(&self, count: usize, excluded: Option<&MemberName>, random: &mut Rng) -> Vec<MemberName> {
         let spare = usize::from(excluded.is_some());
         let indexes = self.sample_indexes(count + spare, random);
@@ -76,7 +77,7 @@
         names
     }
 
-    /// Floyd's algorithm: each subset of that size is equally likely.
+    /// Draws `count` different indexes with Floyd's algorithm: each subset of that size is equally likely.
     fn sample_indexes(&self, count: usize, random: &mut Rng) -> BTreeSet<usize> {
         let length = self.names.len();
         let mut chosen = BTreeSet::new();
--- a/coordination/membership/src/probes.rs
+++ b/coordination/membership/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probes in flight.
+//! Probes sent by this process that are in flight, queued or expired.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,44 +7,44 @@
 use crate::identity::{MemberId, MemberName};
 use crate::wire::Sequence;
 
-/// Probes in flight at once: that of the period, and those that verify what others said.
+/// Maximum number of probes in flight: the regular probe of the period, and probes that verify reports of others.
 const MAX_IN_FLIGHT: usize = 4;
 
-/// Probes remembered after they expired, so that a late answer is recognized.
+/// Number of expired probes that are remembered, so that a late answer is recognized.
 const MAX_EXPIRED: usize = 16;
 
-/// A ping that has no answer yet.
+/// A probe that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
     pub target: MemberId,
     pub sent_at: Instant,
-    /// When pings were sent last, directly or through others.
+    /// Time at which the last pings were sent, directly or through others.
     pub last_sent_at: Instant,
-    /// When the target is to be probed through others; none once it has been.
+    /// Time at which indirect probes are due; `None` once they have been sent.
     pub indirect_at: Option<Instant>,
     pub ends_at: Instant,
-    /// Whether others were asked to probe the target.
+    /// Whether other members were asked to probe the target.
     pub has_relays: bool,
-    /// Whether a missing answer may be the fault of this process itself.
+    /// Whether a missing answer must not cause suspicion, because this process was paused or isolated meanwhile.
     pub is_excused: bool,
 }
 
-/// What is due for a probe.
+/// Action that is due for a probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum DueProbe {
-    /// The target is to be probed through others.
+    /// Send indirect probes.
     Indirect(Sequence),
-    /// No answer came in time.
+    /// End the probe without an answer.
     Expire(Sequence),
 }
 
-/// The probes in flight, and what is known of others.
+/// The probes of this process.
 #[derive(Clone, Debug)]
 pub(crate) struct Probes {
     in_flight: BTreeMap<Sequence, Probe>,
-    /// Members to be probed out of turn as soon as fewer probes are in flight.
+    /// Members to probe as soon as fewer probes are in flight.
     queued: BTreeSet<MemberName>,
-    /// Probes that expired, the latest last.
+    /// Probes that expired without an answer, the latest last.
     expired: VecDeque<(Sequence, MemberId)>,
     next_sequence: u32,
 }
@@ -78,7 +78,7 @@
         self.in_flight.remove(&sequence)
     }
 
-    /// Removes a probe that got no answer in time.
+    /// Removes a probe that got no answer in time, and remembers its target for a late answer.
     pub fn expire(&mut self, sequence: Sequence) -> Option<Probe> {
         let probe = self.in_flight.remove(&sequence)?;
         if self.expired.len() == MAX_EXPIRED {
@@ -88,13 +88,13 @@
         Some(probe)
     }
 
-    /// The target of an expired probe whose answer came late.
+    /// Returns the target of an expired probe whose answer came late, and forgets the probe.
     pub fn take_expired(&mut self, sequence: Sequence) -> Option<MemberId> {
         let position = self.expired.iter().position(|(expired, _)| *expired == sequence)?;
         self.expired.remove(position).map(|(_, target)| target)
     }
 
-    /// Removes the probes of a member that is gone.
+    /// Removes the probes of a member that is dead, has left or was replaced.
     pub fn remove_target(&mut self, name: &MemberName) {
         self.in_flight.retain(|_, probe| probe.target.name != *name);
         self.queued.remove(name);
--- a/coordination/membership/src/relayed_probes.rs
+++ b/coordination/membership/src/relayed_probes.rs
@@ -1,4 +1,4 @@
-//! Probes relayed for other members (indirect probes of SWIM).
+//! Probes that this process relays for other members (indirect probes of SWIM).
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -7,19 +7,19 @@
 
 use crate::wire::Sequence;
 
-/// Relayed probes that are remembered; older ones have been answered or will not be.
+/// Number of relayed probes that are remembered. Older ones have been answered or will not be answered any more.
 const MAX_REMEMBERED: usize = 64;
 
-/// A ping on behalf of another member.
+/// A ping that was sent on behalf of another member, the requester.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RelayedProbe {
     pub requester: SocketAddr,
     pub requester_sequence: Sequence,
-    /// When the requester is notified that there is no answer yet; none once it has been.
+    /// Time at which the requester is told that there is no answer yet; `None` once it has been told.
     pub nack_at: Option<Instant>,
 }
 
-/// Relayed probes by the sequence number of the own ping, the latest last.
+/// Relayed probes with the sequence numbers of this process's pings, the latest last.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RelayedProbes {
     probes: VecDeque<(Sequence, RelayedProbe)>,
@@ -42,7 +42,7 @@
         self.probes.iter().filter_map(|(_, probe)| probe.nack_at).min()
     }
 
-    /// A probe that is to be reported as unanswered; it may be answered still.
+    /// Returns a probe that must be reported as unanswered now. It stays in the list, since an answer may still arrive.
     pub fn take_unanswered(&mut self, now: Instant) -> Option<RelayedProbe> {
         let probes = self.probes.iter_mut().map(|(_, probe)| probe);
         let probe = probes.into_iter().find(|probe| probe.nack_at.is_some_and(|due| due <= now))?;
--- a/coordination/membership/src/ring.rs
+++ b/coordination/membership/src/ring.rs
@@ -1,4 +1,4 @@
-//! A ring of the live members, on which each is watched by its predecessor.
+//! Ring of the live members, on which each member is regularly probed by its predecessor.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +6,11 @@
 
 use crate::identity::MemberName;
 
-/// Position on the ring: by hash, since members with similar names may fail together and should not be neighbours.
+/// Position on the ring. It is determined by the hash of the name, because members with similar names may fail together and
+/// should not be neighbours.
 type RingPosition = (u64, MemberName);
 
-/// The other live members in the order of the ring, which is the same in all members whose lists agree.
+/// The other live members in ring order. All members whose lists agree have the same order.
 #[derive(Clone, Debug)]
 pub(crate) struct Ring {
     own: RingPosition,
@@ -21,7 +22,7 @@
         Self { own: position_of(own), others: BTreeSet::new() }
     }
 
-    /// Adds a member; tells whether it is new.
+    /// Adds a member. Returns false if it was present already.
     pub fn insert(&mut self, name: MemberName) -> bool {
         self.others.insert(position_of(name))
     }
@@ -30,7 +31,7 @@
         self.others.remove(&position_of(name.clone()));
     }
 
-    /// The member that this one watches: the next on the ring.
+    /// Returns the next member on the ring, which this process probes.
     pub fn successor(&self) -> Option<&MemberName> {
         let next = self.others.range(self.own.clone()..).next();
         next.or_else(|| self.others.first()).map(|(_, name)| name)
--- a/coordination/membership/src/round_trip.rs
+++ b/coordination/membership/src/round_trip.rs
@@ -1,8 +1,8 @@
-//! Round-trip times to one member, and the time-out that follows from them.
+//! Estimate of the round-trip time to one member, and the time-out derived from it.
 
 use std::time::Duration;
 
-/// Smoothed round-trip time and its deviation, with the gains of RFC 6298.
+/// Smoothed round-trip time and its mean deviation, computed as in RFC 6298.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RoundTrip {
     estimate: Option<Estimate>,
@@ -27,7 +27,7 @@
         self.estimate = Some(estimate);
     }
 
-    /// Time after which an answer counts as missing; none while no round trip was measured.
+    /// Returns the time after which an answer counts as missing, or `None` while no round trip has been measured.
     pub fn timeout(&self) -> Option<Duration> {
         self.estimate.map(|estimate| estimate.smoothed + estimate.deviation * 4)
     }
--- a/coordination/membership/src/suspicions.rs
+++ b/coordination/membership/src/suspicions.rs
@@ -1,4 +1,4 @@
-//! Suspected members, and how long each may refute.
+//! Suspected members and the time that each has to refute the suspicion.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,23 +8,23 @@
 use crate::deadlines::Deadlines;
 use crate::identity::MemberName;
 
-/// Time between the end of a suspect's time-out and its death. Datagrams that arrived during a pause of this process too
-/// short to be noticed are read meanwhile.
+/// Time between the end of a suspect's time-out and the declaration of its death. It lets this process read datagrams, such as
+/// a refutation, that arrived while the process was paused too briefly for the pause to be detected.
 const GRACE_PERIOD: Duration = Duration::from_millis(50);
 
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
     began_at: Instant,
-    /// Whether the time to refute has passed.
+    /// Whether the time-out has passed, so that the grace period is running.
     is_timeout_over: bool,
 }
 
-/// Members under suspicion with the ends of their time-outs.
+/// Suspected members with the ends of their time-outs.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicions {
     expiries: Deadlines<MemberName>,
     active: BTreeMap<MemberName, Suspicion>,
-    /// No suspicion begins or expires before, since this process was paused itself.
+    /// No suspicion begins or expires before this time, because this process was paused.
     suspended_until: Instant,
 }
 
@@ -33,7 +33,7 @@
         Self { expiries: Deadlines::new(), active: BTreeMap::new(), suspended_until: Instant::ORIGIN }
     }
 
-    /// Lets no suspicion begin or expire until then.
+    /// Prevents suspicions from beginning or expiring before `until`.
     pub fn suspend_until(&mut self, until: Instant) {
         self.suspended_until = self.suspended_until.max(until);
     }
@@ -47,7 +47,7 @@
         self.active.remove(name);
     }
 
-    /// Begins a suspicion, or begins it anew.
+    /// Begins a suspicion, or restarts its time-out.
     pub fn begin(&mut self, name: MemberName, now: Instant, timeout: Duration) {
         self.expiries.set(name.clone(), now + timeout);
         self.active.insert(name, Suspicion { began_at: now, is_timeout_over: false });
@@ -61,7 +61,8 @@
         self.expiries.next().map(|expiry| expiry.max(self.suspended_until))
     }
 
-    /// Removes a suspect whose time is over, also by the time-out that applies now.
+    /// Removes and returns a suspect whose time-out and grace period have passed. If the current `timeout` is longer than the
+    /// one that the suspicion began with, the suspect gets the additional time.
     pub fn pop_due(&mut self, now: Instant, timeout: Duration) -> Option<MemberName> {
         if self.are_suspended(now) {
             return None;
--- a/coordination/membership/src/sync_state.rs
+++ b/coordination/membership/src/sync_state.rs
@@ -1,38 +1,38 @@
-//! When this process exchanges lists with others, and whether the lists are known to agree.
+//! State of the exchange of lists with other members.
 
 use std::net::SocketAddr;
 
 use millrudder_clock::Instant;
 
-/// A member that has more records to send.
+/// A pending request to a member that has more records to send.
 #[derive(Clone, Copy, Debug)]
 struct Continuation {
     due: Instant,
     address: SocketAddr,
 }
 
-/// How far the lists of others agree, and when this process last asked for a difference.
+/// Count of datagrams with a matching digest, and the times of requests for differing records.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SyncState {
-    /// Datagrams in succession with a digest equal to the own one, since the last update.
+    /// Number of consecutive datagrams with a digest equal to that of this process, since the last update.
     agreements: u32,
     requested_at: Option<Instant>,
     continuation: Option<Continuation>,
 }
 
 impl SyncState {
-    /// There is an update that others do not know.
+    /// Resets the count of equal digests, because there is an update that other members do not know.
     pub fn reset_agreements(&mut self) {
         self.agreements = 0;
     }
 
-    /// Counts a digest equal to the own one. Returns how many came in succession.
+    /// Counts a digest equal to that of this process. Returns the number of consecutive ones.
     pub fn count_agreement(&mut self) -> u32 {
         self.agreements = self.agreements.saturating_add(1);
         self.agreements
     }
 
-    /// When this process last asked for a difference.
+    /// Returns the time at which this process last requested differing records.
     pub fn requested_at(&self) -> Option<Instant> {
         self.requested_at
     }
@@ -41,7 +41,7 @@
         self.requested_at = Some(now);
     }
 
-    /// An answer was truncated: the rest is requested at `due`.
+    /// Schedules a request at `due` for the rest of a truncated answer.
     pub fn schedule_continuation(&mut self, due: Instant, address: SocketAddr) {
         self.continuation = Some(Continuation { due, address });
     }
@@ -50,7 +50,7 @@
         self.continuation.map(|continuation| continuation.due)
     }
 
-    /// The member that is to be asked again now.
+    /// Returns the address of the member that must be asked for the rest of its records now.
     pub fn take_due(&mut self, now: Instant) -> Option<SocketAddr> {
         self.continuation.take_if(|continuation| continuation.due <= now).map(|due| due.address)
     }
--- a/coordination/membership/src/table.rs
+++ b/coordination/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of members, with a digest that is updated with each change.
+//! Table of members, with a digest that is updated with each change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use crate::member::Member;
 use crate::round_trip::RoundTrip;
 
-/// A member with what this process has measured of it.
+/// A member and the measurements of this process.
 #[derive(Clone, Debug)]
 struct Entry {
     member: Member,
@@ -16,7 +16,7 @@
     round_trip: RoundTrip,
 }
 
-/// All members that are known, this process included.
+/// All known members, including this process.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberTable {
     entries: BTreeMap<MemberName, Entry>,
@@ -33,7 +33,7 @@
         self.entries.get(name).map(|entry| &entry.member)
     }
 
-    /// Adds a member or replaces what was known of it.
+    /// Adds a member, or replaces its record.
     pub fn put(&mut self, member: Member) {
         self.add_to_totals(&member);
         let name = member.name().clone();
@@ -63,23 +63,23 @@
         self.entries.values().map(|entry| &entry.member)
     }
 
-    /// Members of some buckets of the digest.
+    /// Iterates over the members of the given buckets.
     pub fn in_buckets<'a>(&'a self, buckets: &'a BTreeSet<usize>) -> impl Iterator<Item = &'a Member> {
         let entries = self.entries.values().filter(|entry| buckets.contains(&entry.bucket));
         entries.map(|entry| &entry.member)
     }
 
-    /// Live members that are said to be at an address.
+    /// Iterates over the live members whose recorded address is `address`.
     pub fn live_at(&self, address: SocketAddr) -> impl Iterator<Item = &Member> {
         self.iter().filter(move |member| member.is_live() && member.address == address)
     }
 
-    /// Number of members, dead ones included.
+    /// Returns the number of members, including dead ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Number of live members, this process included.
+    /// Returns the number of live members, including this process.
     pub const fn live_count(&self) -> usize {
         self.live_count
     }
--- a/coordination/membership/src/timers.rs
+++ b/coordination/membership/src/timers.rs
@@ -1,4 +1,4 @@
-//! Next times of what recurs, in active time.
+//! Timers of recurring actions, in active time.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 
 use crate::config::Config;
 
-/// Longest backoff between attempts to join, as a multiple of the first.
+/// Maximum backoff between attempts to join, as a multiple of the initial backoff.
 const MAX_JOIN_BACKOFF_FACTOR: u32 = 8;
 
-/// Timers of probes, gossip, reconnection and joining.
+/// Next times of probes, gossip, reconnection and joining.
 #[derive(Clone, Debug)]
 pub(crate) struct Timers {
     probe: Instant,
     gossip: Option<Instant>,
     reconnect: Instant,
     join: Option<Instant>,
-    /// Backoff after the next attempt to join.
+    /// Backoff that follows the next attempt to join.
     join_backoff: Duration,
 }
 
 impl Timers {
-    /// The first probe and reconnection are due after random fractions of their intervals, so that the members of a
-    /// group do not act in step.
+    /// Schedules the first probe and reconnection with a random fraction of their intervals, so that the members of a group
+    /// do not act at the same times.
     pub fn new(config: &Config, now: Instant, random: &mut Rng) -> Self {
         Self {
             probe: now + random_fraction(config.probe_period, random),
@@ -34,17 +34,17 @@
         }
     }
 
-    /// All deadlines.
+    /// Returns the deadlines of all timers.
     pub fn deadlines(&self) -> [Option<Instant>; 4] {
         [Some(self.probe), Some(self.reconnect), self.gossip, self.join]
     }
 
-    /// When the next gossip is due, if there is anything to spread.
+    /// Returns the time of the next gossip, or `None` if no updates are pending.
     pub fn gossip(&self) -> Option<Instant> {
         self.gossip
     }
 
-    /// Whether a probe is due; the next one follows after `period`.
+    /// Returns whether a probe is due. If it is, schedules the next one after `period`.
     pub fn take_due_probe(&mut self, now: Instant, period: Duration) -> bool {
         let is_due = self.probe <= now;
         if is_due {
@@ -53,7 +53,7 @@
         is_due
     }
 
-    /// Whether a reconnection is due; the next one follows after `interval`.
+    /// Returns whether a reconnection is due. If it is, schedules the next one after `interval`.
     pub fn take_due_reconnect(&mut self, now: Instant, interval: Duration) -> bool {
         let is_due = self.reconnect <= now;
         if is_due {
@@ -62,33 +62,34 @@
         is_due
     }
 
-    /// Gossip is due now, unless it is planned already.
+    /// Schedules gossip for now, unless it is scheduled already.
     pub fn request_gossip(&mut self, now: Instant) {
         self.gossip.get_or_insert(now);
     }
 
-    /// Whether gossip is due.
+    /// Returns whether gossip is due.
     pub fn is_gossip_due(&self, now: Instant) -> bool {
         self.gossip.is_some_and(|due| due <= now)
     }
 
-    /// Plans the next gossip, or none.
+    /// Schedules the next gossip, or cancels it.
     pub fn set_gossip(&mut self, due: Option<Instant>) {
         self.gossip = due;
     }
 
-    /// Attempts to join begin now, `interval` apart at first.
+    /// Starts attempts to join, with an initial backoff of `interval`.
     pub fn start_joining(&mut self, now: Instant, interval: Duration) {
         self.join = Some(now);
         self.join_backoff = interval;
     }
 
-    /// Whether an attempt to join is due.
+    /// Returns whether an attempt to join is due.
     pub fn is_join_due(&self, now: Instant) -> bool {
         self.join.is_some_and(|due| due <= now)
     }
 
-    /// An attempt to join was made: ends the attempts, or plans the next one after a backoff that doubles.
+    /// Handles the end of an attempt to join: stops the attempts if this process has joined, or else schedules the next one
+    /// after a backoff that doubles each time.
     pub fn finish_join_attempt(&mut self, now: Instant, is_joined: bool, interval: Duration) {
         self.join = (!is_joined).then(|| now + self.join_backoff);
         self.join_backoff = (self.join_backoff * 2).min(interval * MAX_JOIN_BACKOFF_FACTOR);
--- a/coordination/membership/src/wire.rs
+++ b/coordination/membership/src/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams: their types, encoding, and decoding with bounds.
+//! Datagrams: their types, their encoding, and bounded decoding of untrusted bytes.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -10,23 +10,23 @@
 use crate::identity::{GroupId, Incarnation, MemberId, NameError, Zone};
 use crate::member::{Member, Status, MAX_METADATA_BYTES};
 
-/// First bytes of every datagram: two letters and the version of the format.
+/// First bytes of every datagram: two letters that identify the protocol, and the version of the format.
 const MAGIC: [u8; 3] = [b'm', b'b', 1];
 
-/// Bytes of the checksum at the end of a datagram, which reveals garbage and truncation.
+/// Length in bytes of the checksum at the end of a datagram, which detects corruption and truncation.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Datagrams above this size are not decoded; nothing that follows the format is longer.
+/// Maximum size in bytes of datagrams that are decoded. No valid datagram is larger.
 const MAX_DECODED_BYTES: usize = crate::config::MAX_DATAGRAM_BYTES;
 
-/// Records that one datagram carries at most; their number is encoded in a byte.
+/// Maximum number of records in one datagram. Their number is encoded in one byte.
 const MAX_RECORDS: usize = u8::MAX as usize;
 
-/// Sequence number that ties an answer to its probe.
+/// Sequence number that matches an answer to its probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub(crate) struct Sequence(pub u32);
 
-/// An IP address and a port as they are encoded.
+/// Encoded form of an IP address and a port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub(crate) struct Endpoint {
     ip: IpAddr,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Details of a member that is alive.
+/// Address, zone and metadata of a live member.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub(crate) struct Details {
     pub address: Endpoint,
@@ -54,7 +54,8 @@
     pub metadata: Vec<u8>,
 }
 
-/// The record of a member. Records of dead and left members, and of suspicion, are sent without details.
+/// Encoded record of a member. Records of dead and left members carry no details; for suspected members see
+/// [`Record::update`] and [`Record::full`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub(crate) struct Record {
     pub id: MemberId,
@@ -64,13 +65,14 @@
 }
 
 impl Record {
-    /// The record as gossip carries it: with details only where they may be new.
+    /// Creates the record that is disseminated as an update. Only members that are alive get details, since a suspicion does
+    /// not change them.
     pub fn update(member: &Member) -> Self {
         let details = (member.status == Status::Alive).then(|| details_of(member));
         Self { id: member.id.clone(), incarnation: member.incarnation, status: member.status, details }
     }
 
-    /// The record for a member that may know nothing of the subject.
+    /// Creates the record for a receiver that may not know the member: with the details of any live member.
     pub fn full(member: &Member) -> Self {
         let details = member.is_live().then(|| details_of(member));
         Self { id: member.id.clone(), incarnation: member.incarnation, status: member.status, details }
@@ -99,96 +101,98 @@
     Details { address: member.address.into(), zone: member.zone.clone(), metadata: member.metadata.clone() }
 }
 
-/// What a datagram asks or answers.
+/// Request or answer in a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub(crate) enum Message {
-    /// Asks `target` for an `Ack`.
+    /// Probe of `target`, which answers with an `Ack`.
     Ping { sequence: Sequence, target: MemberId },
-    /// Answers a `Ping`, directly or through the member that was asked to probe.
+    /// Answer to a `Ping`, sent directly or forwarded by the member that relayed the probe.
     Ack { sequence: Sequence },
-    /// Answers a `Ping` that was meant for another process than the one at this address.
+    /// Answer to a `Ping` for another process than the one at this address.
     WrongTarget { sequence: Sequence },
-    /// Asks the receiver to ping `target` and to pass on its answer.
+    /// Request to the receiver to ping `target` at `address` and to forward the answer.
     IndirectPing { sequence: Sequence, target: MemberId, address: Endpoint },
-    /// Answers an `IndirectPing` whose target has not answered yet.
+    /// Answer to an `IndirectPing` whose target has not answered yet.
     Nack { sequence: Sequence },
-    /// Asks for the records of the buckets whose digests differ; the receiver asks back unless `answer` is set.
+    /// Request for the records of the buckets whose digests differ. The receiver sends the same request in return unless
+    /// `answer` is set, which marks such a returned request.
     SyncRequest {
         answer: bool,
         #[speedy(length_type = u8)]
         digests: Vec<u64>,
     },
-    /// Carries records of buckets that differ; `more` says that not all of them were sent.
+    /// Records of buckets that differ; `more` states that not all of them were sent.
     SyncRecords { more: bool },
-    /// Carries records only.
+    /// A datagram that only carries records.
     Gossip,
 }
 
-/// A datagram.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub(crate) struct Packet {
     pub group: GroupId,
     pub sender: MemberId,
-    /// Digest of the sender's entire list.
+    /// Digest of the sender's entire member list.
     pub digest: u64,
     pub message: Message,
     #[speedy(length_type = u8)]
     pub records: Vec<Record>,
 }
 
-/// Why a datagram was ignored.
+/// Why a datagram could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// It is longer than any datagram of this protocol.
+    /// The datagram is longer than any datagram of this protocol.
     #[error("the datagram is too long")]
     TooLong,
-    /// It does not begin as datagrams of this protocol and version do.
+    /// The datagram does not begin with the bytes that identify this protocol and version, or is too short.
     #[error("the datagram is of another protocol or version")]
     OtherProtocol,
-    /// It was truncated or corrupted.
+    /// The datagram was truncated or corrupted.
     #[error("the checksum does not match")]
     Checksum,
-    /// Its checksum matches, but its content cannot be read.
+    /// The checksum matches, but the content cannot be decoded.
     #[error("the content cannot be read")]
     Content,
-    /// It names a member or zone with an empty or long name.
+    /// The name of a member or zone is empty or too long.
     #[error("a name cannot be used: {0}")]
     Name(#[from] NameError),
-    /// It carries more metadata than a member may have.
+    /// A record carries more metadata than a member may have.
     #[error("the metadata is too long")]
     MetadataTooLong,
-    /// It carries an incarnation beyond the limit.
+    /// A record carries an incarnation above [`Incarnation::LIMIT`].
     #[error("an incarnation is too large")]
     IncarnationTooLarge,
-    /// It carries another number of digests than there are buckets.
+    /// The number of digests differs from the number of buckets.
     #[error("the number of digests is wrong")]
     DigestCount,
 }
 
 impl Packet {
-    /// The datagram's bytes.
+    /// Encodes the packet as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = MAGIC.to_vec();
-        // Writing to memory cannot fail; a packet that did would be ignored by its checksum.
+        // Writing to memory does not fail. If it did, receivers would reject the truncated datagram, since its content
+        // cannot be decoded.
         bytes.extend(self.write_to_vec().unwrap_or_default());
         let checksum = checksum_of(&bytes);
         bytes.extend_from_slice(&checksum);
         bytes
     }
 
-    /// Size of the datagram in bytes.
+    /// Returns the size of the datagram in bytes.
     pub fn encoded_bytes(&self) -> usize {
         let content = encoded_bytes_of(self);
         content.saturating_add(MAGIC.len() + CHECKSUM_BYTES)
     }
 
-    /// Whether one more record may be added, apart from its size.
+    /// Returns whether the number of records permits one more. The size of the datagram is not checked.
     pub fn has_capacity_for_record(&self) -> bool {
         self.records.len() < MAX_RECORDS
     }
 
-    /// Decodes a datagram, which may contain anything.
+    /// Decodes a datagram, which may contain arbitrary bytes.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let content = checked_content(bytes)?;
         let packet = Self::read_from_buffer(content).map_err(|_| DecodeError::Content)?;
--- a/coordination/membership/src/wire/golden_tests.rs
+++ b/coordination/membership/src/wire/golden_tests.rs
@@ -1,4 +1,4 @@
-//! Datagrams, byte for byte as earlier versions send them.
+//! Compares the encodings of datagrams byte for byte with those of earlier versions.
 
 use super::{Details, Endpoint, Message, Packet, Record, Sequence};
 use crate::digest::BUCKETS;
--- a/coordination/membership/tests/config.rs
+++ b/coordination/membership/tests/config.rs
@@ -1,4 +1,4 @@
-//! Settings and the local member are checked.
+//! Validation of settings, names and the local member.
 
 mod support;
 
@@ -11,7 +11,7 @@
 };
 use support::{address, local_member, millis, secs};
 
-/// Makes one setting invalid.
+/// Changes one setting to an invalid value.
 type Invalidate = fn(&mut Config);
 
 #[test]
--- a/coordination/membership/tests/cost.rs
+++ b/coordination/membership/tests/cost.rs
@@ -1,10 +1,10 @@
-//! What a member sends does not grow with the group.
+//! The traffic that a member sends does not grow with the size of the group.
 
 mod support;
 
 use support::{secs, Network, Simulation};
 
-/// Sent by an average member of a quiet group.
+/// Average traffic that each member sends in a group without changes.
 #[derive(Debug)]
 struct Cost {
     datagrams_per_second: f64,
@@ -22,7 +22,7 @@
     Cost { datagrams_per_second: datagrams as f64 / divisor, bytes_per_second: bytes as f64 / divisor }
 }
 
-/// Bytes that any one member sends in the ten seconds after a crash.
+/// Returns the largest number of bytes that any member sends in the ten seconds after a crash.
 fn max_bytes_sent_after_crash(simulation: &mut Simulation) -> u64 {
     simulation.clear_observations();
     simulation.crash(5);
--- a/coordination/membership/tests/detection.rs
+++ b/coordination/membership/tests/detection.rs
@@ -1,11 +1,11 @@
-//! Failures are detected in time, and live members are not declared dead.
+//! Failures are detected within bounded time, and live members are not declared dead.
 
 mod support;
 
 use millrudder_membership::Status;
 use support::{millis, secs, Network, Simulation};
 
-/// Network with the loss that the false positives are counted at.
+/// Network with the loss rate of the test for false positives.
 fn lossy() -> Network {
     Network { loss: 0.03, ..Network::default() }
 }
--- a/coordination/membership/tests/faults.rs
+++ b/coordination/membership/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Pauses, slowness, partitions and loss: no false deaths where they can be avoided, and equal lists afterwards.
+//! Pauses, slow members, partitions and loss: live members are not declared dead where that can be avoided, and all lists
+//! agree afterwards.
 
 mod support;
 
--- a/coordination/membership/tests/identity.rs
+++ b/coordination/membership/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Restarts, earlier clocks, reused addresses, and two processes under one name.
+//! Restarts, clocks that were set back, reused addresses, and two processes with one name.
 
 mod support;
 
@@ -85,7 +85,7 @@
     for seed in support::seeds() {
         let mut simulation = Simulation::converged(5, Network::default(), seed);
         simulation.start(5, 7, address(5));
-        // The same name as the member 4, but a later process at another address.
+        // A later process with the name of member 4, at another address.
         let namesake = support::local_member(4, 2, address(5));
         simulation.nodes[5].membership = millrudder_membership::Membership::new(
             millrudder_membership::Config::default(),
--- a/coordination/membership/tests/joining.rs
+++ b/coordination/membership/tests/joining.rs
@@ -1,4 +1,4 @@
-//! Joining: groups of any size that start together, late seeds, late members.
+//! Joining: groups that start together, seeds that start late, and members that join later.
 
 mod support;
 
--- a/coordination/membership/tests/leaving.rs
+++ b/coordination/membership/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving is disseminated, and not mistaken for death.
+//! A departure is disseminated and is not reported as a death.
 
 mod support;
 
--- a/coordination/membership/tests/local_health.rs
+++ b/coordination/membership/tests/local_health.rs
@@ -1,11 +1,11 @@
-//! A process that was paused, slow or isolated itself does not suspect others.
+//! A process that was itself paused, slow or isolated does not suspect other members.
 
 mod support;
 
 use millrudder_membership::Status;
 use support::{millis, secs, Network, Simulation};
 
-/// Lets a member be suspected by all, and returns right after the first suspicion.
+/// Pauses a member and returns right after the first other member suspects it. The member stays paused.
 fn pause_until_suspected(simulation: &mut Simulation, index: usize) {
     simulation.pause(index);
     simulation.run_until(secs(5), |simulation| simulation.suspect_events_of(index) > 0);
@@ -106,6 +106,6 @@
     simulation.clear_observations();
     simulation.run_for(secs(20));
     let sent: u64 = simulation.nodes.iter().map(|node| node.datagrams_sent).sum();
-    // Four a second: a probe and an answer in each period.
+    // Four datagrams a second for each member: a probe and an answer in each period of 500 ms.
     assert!(sent <= 12 * 20 * 4 + 24, "{sent}");
 }
--- a/coordination/membership/tests/robustness.rs
+++ b/coordination/membership/tests/robustness.rs
@@ -1,4 +1,4 @@
-//! Whatever comes in, and whenever, the state machine stays within its bounds.
+//! The state machine stays within its bounds for arbitrary inputs at arbitrary times.
 
 mod support;
 
@@ -10,10 +10,10 @@
 use support::{address, millis, secs, Network, Simulation};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of the checksum at a datagram's end.
+/// Length in bytes of the checksum at the end of a datagram.
 const CHECKSUM_BYTES: usize = 4;
 
-/// A process and datagrams that it has been sent, of all kinds.
+/// Returns a new process, and datagrams of all kinds that two others sent to such a process in the course of 11 s.
 fn sample_datagrams() -> (Membership, Vec<Vec<u8>>) {
     let mut subject = member(0, 1);
     let mut other = member(1, 2);
@@ -25,7 +25,7 @@
     for step in 0..200 {
         let now = Instant::from_millis(step * 50);
         let mut outputs = Vec::new();
-        // The subject does not run for a while, so that the others probe it indirectly.
+        // After 3 s the subject gets datagrams but no more ticks, so that the others probe it indirectly.
         if step < 60 {
             subject.handle(now, Input::Tick, &mut outputs);
         }
@@ -84,12 +84,12 @@
     Membership::new(Config::default(), local, seed, Instant::ORIGIN).expect("good settings")
 }
 
-/// Changes bytes and corrects the checksum, so that the content is decoded.
+/// Changes bytes and then corrects the checksum, so that the changed content is decoded.
 fn corrupt(datagram: &[u8], changes: &[(usize, u8)]) -> Vec<u8> {
     let mut bytes = datagram.to_vec();
     let covered = bytes.len() - CHECKSUM_BYTES;
     for (position, value) in changes {
-        // The first bytes name the protocol; without them nothing else is looked at.
+        // The first three bytes identify the protocol and stay intact, since nothing else is decoded without them.
         let position = 3 + position % (covered - 3);
         bytes[position] = *value;
     }
--- a/coordination/membership/tests/support/mod.rs
+++ b/coordination/membership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deterministic network of members: loss, delay, partitions, pauses, slowness, restarts.
+//! Deterministic simulation of a group, with loss, delay, partitions, pauses, slow members and restarts.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -12,10 +12,10 @@
     Config, Event, Input, LocalMember, MemberId, MemberName, Membership, Output, ProcessStart, Status, Zone,
 };
 
-/// Seeds of one test, unless `MEMBERSHIP_SEEDS` names another number.
+/// Number of seeds that a test runs with, unless `MEMBERSHIP_SEEDS` is set.
 const DEFAULT_SEED_COUNT: u64 = 10;
 
-/// Datagrams that are buffered for a paused process; the rest is lost, as with a socket's buffer.
+/// Number of datagrams that are buffered for a paused process. Further ones are lost, as with a full socket buffer.
 const INBOX_CAPACITY: usize = 150;
 
 pub const fn millis(value: u64) -> Duration {
@@ -35,11 +35,11 @@
 pub struct Network {
     /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// One way, at least.
+    /// Minimum one-way delay.
     pub delay: Duration,
-    /// One way, at most added to `delay`; datagrams overtake each other.
+    /// Maximum random addition to `delay`. It lets datagrams overtake each other.
     pub jitter: Duration,
-    /// Ticks come late by at most this.
+    /// Maximum random lateness of ticks.
     pub timer_jitter: Duration,
 }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A group of `count` members whose lists agree; the first three are the seeds.
+    /// Creates a group of `count` members whose lists agree. The first three are the seeds.
     pub fn converged(count: usize, network: Network, seed: u64) -> Self {
         let mut simulation = Self::new(network, Config::default(), seed);
         simulation.start_group(count);
@@ -143,7 +143,7 @@
         (0..3).map(address).collect()
     }
 
-    /// Starts the process of a member, or a later one of it.
+    /// Starts the first process of a member, or a later one.
     pub fn start(&mut self, index: usize, start: u64, at: SocketAddr) {
         let seed = self.random.u64(..);
         let membership = Membership::new(self.config.clone(), local_member(index, start, at), seed, self.now)
@@ -191,7 +191,7 @@
         self.nodes[index].paused_inbox = Some(Vec::new());
     }
 
-    /// Resumes a paused process: its timer fires first, then the buffered datagrams arrive.
+    /// Resumes a paused process. Its timer fires first, then the buffered datagrams arrive.
     pub fn resume(&mut self, index: usize) {
         let inbox = self.nodes[index].paused_inbox.take().unwrap_or_default();
         self.input(index, Input::Tick);
@@ -206,7 +206,7 @@
         self.input(index, Input::Tick);
     }
 
-    /// Makes all that a process does late by this much.
+    /// Delays the timers of a process and all its datagrams, in both directions, by `lag`.
     pub fn set_lag(&mut self, index: usize, lag: Duration) {
         self.nodes[index].lag = lag;
     }
@@ -256,7 +256,7 @@
         self.now = end;
     }
 
-    /// Runs until the condition holds, and returns how long that took.
+    /// Runs until the condition holds, and returns the elapsed time.
     pub fn run_until(&mut self, limit: Duration, condition: impl Fn(&Self) -> bool) -> Duration {
         let started_at = self.now;
         while !condition(self) {
@@ -337,7 +337,7 @@
         self.nodes[by].membership.member(&name(of)).map(|member| member.status)
     }
 
-    /// Whether every running member holds exactly the running ones for alive, in equal records.
+    /// Returns whether all running members have equal lists in which exactly the running members are alive.
     pub fn is_agreed(&self) -> bool {
         let running = self.running();
         let digest = self.nodes[running[0]].membership.digest();
@@ -357,7 +357,7 @@
         self.running().into_iter().filter(|by| *by != of).all(|by| self.status(by, of) == Some(status))
     }
 
-    /// Observations that match.
+    /// Returns the number of observed events that match.
     pub fn count(&self, matches: impl Fn(&Observed) -> bool) -> usize {
         self.observed.iter().filter(|observed| matches(observed)).count()
     }
