--- a/coordination/membership/tests/config.rs
+++ b/coordination/membership/tests/config.rs
@@ -97,7 +97,7 @@
         largest.metadata = vec![7; MAX_METADATA_BYTES];
         let config = simulation.config.clone();
         simulation.nodes[index].membership =
-            Membership::new(config, largest, index as u64, simulation.now).expect("good settings");
+            Membership::new(config, largest, index as u64, simulation.now).expect("valid settings");
         simulation.join(index);
     }
     simulation.run_for(secs(5));
--- a/coordination/membership/tests/detection.rs
+++ b/coordination/membership/tests/detection.rs
@@ -21,9 +21,9 @@
         assert_eq!(simulation.down_events(), 11);
     }
     times.sort();
-    println!("time until all hold it for dead: median {:?}, most {:?}", times[20], times[39]);
+    println!("time until all members report the death: median {:?}, maximum {:?}", times[20], times[39]);
     assert!(times[20] < millis(2_300), "median {:?}", times[20]);
-    assert!(times[39] < secs(3), "most {:?}", times[39]);
+    assert!(times[39] < secs(3), "maximum {:?}", times[39]);
 }
 
 #[test]
--- a/coordination/membership/tests/identity.rs
+++ b/coordination/membership/tests/identity.rs
@@ -93,7 +93,7 @@
             seed,
             simulation.now,
         )
-        .expect("good settings");
+        .expect("valid settings");
         simulation.join(5);
         simulation.run_for(secs(10));
         let superseded = simulation
--- a/coordination/membership/tests/joining.rs
+++ b/coordination/membership/tests/joining.rs
@@ -11,7 +11,7 @@
     for index in 0..count {
         simulation.start(index, 1, address(index));
         simulation.join(index);
-        simulation.run_for(millis(300) / u32::try_from(count).expect("a small group"));
+        simulation.run_for(millis(300) / u32::try_from(count).expect("the group is small"));
     }
     simulation
 }
--- a/coordination/membership/tests/robustness.rs
+++ b/coordination/membership/tests/robustness.rs
@@ -81,7 +81,7 @@
 
 fn member(index: usize, seed: u64) -> Membership {
     let local = support::local_member(index, 1, address(index));
-    Membership::new(Config::default(), local, seed, Instant::ORIGIN).expect("good settings")
+    Membership::new(Config::default(), local, seed, Instant::ORIGIN).expect("valid settings")
 }
 
 /// Changes bytes and then corrects the checksum, so that the changed content is decoded.
--- a/coordination/membership/tests/support/mod.rs
+++ b/coordination/membership/tests/support/mod.rs
@@ -88,20 +88,20 @@
 }
 
 pub fn address(index: usize) -> SocketAddr {
-    let host = u8::try_from(index / 250).expect("small groups") + 1;
-    let port = 7780 + u16::try_from(index % 250).expect("small groups");
+    let host = u8::try_from(index / 250).expect("the group is small") + 1;
+    let port = 7780 + u16::try_from(index % 250).expect("the group is small");
     SocketAddr::from(([10, 0, 0, host], port))
 }
 
 pub fn name(index: usize) -> MemberName {
-    MemberName::new(format!("machine-{index}")).expect("a good name")
+    MemberName::new(format!("machine-{index}")).expect("a valid name")
 }
 
 pub fn local_member(index: usize, start: u64, address: SocketAddr) -> LocalMember {
     LocalMember {
         id: MemberId { name: name(index), start: ProcessStart(start) },
         address,
-        zone: Zone::new(format!("zone-{}", index % 3)).expect("a good name"),
+        zone: Zone::new(format!("zone-{}", index % 3)).expect("a valid name"),
         metadata: vec![1; 24],
     }
 }
@@ -147,7 +147,7 @@
     pub fn start(&mut self, index: usize, start: u64, at: SocketAddr) {
         let seed = self.random.u64(..);
         let membership = Membership::new(self.config.clone(), local_member(index, start, at), seed, self.now)
-            .expect("good settings");
+            .expect("valid settings");
         let node = Node {
             membership,
             address: at,
@@ -260,7 +260,7 @@
     pub fn run_until(&mut self, limit: Duration, condition: impl Fn(&Self) -> bool) -> Duration {
         let started_at = self.now;
         while !condition(self) {
-            assert!(self.now < started_at + limit, "the condition did not come to hold within {limit:?}");
+            assert!(self.now < started_at + limit, "the condition does not hold after {limit:?}");
             self.run_for(millis(10));
         }
         self.now - started_at
