--- a/coordination/lease/tests/renewals.rs
+++ b/coordination/lease/tests/renewals.rs
@@ -27,8 +27,8 @@
     is_running: bool,
 }
 
-/// Machines that compete for one role. A request reaches another machine one clock step after it was sent and the sending
-/// machine itself at once; answers arrive without delay.
+/// Machines that compete for one role. A request to another machine arrives one clock step after it was sent. Requests to the
+/// sending machine itself and all answers arrive without delay.
 struct Cluster {
     config: LeaseConfig,
     machines: Vec<Machine>,
--- a/coordination/membership/src/membership/merge.rs
+++ b/coordination/membership/src/membership/merge.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Declares every other member dead that is recorded at the address at which `member` was heard.
+    /// Declares dead every other live member with the address of `member`, which has just sent a datagram from there.
     fn replace_others_at_address(&mut self, member: &Member, outputs: &mut Vec<Output>) {
         let others: Vec<MemberName> = self
             .table
--- a/coordination/membership/src/relayed_probes.rs
+++ b/coordination/membership/src/relayed_probes.rs
@@ -7,7 +7,7 @@
 
 use crate::wire::Sequence;
 
-/// Number of relayed probes that are remembered. Older ones have been answered or will not be answered any more.
+/// Number of relayed probes that are remembered. Older ones have been answered or are no longer expected to be.
 const MAX_REMEMBERED: usize = 64;
 
 /// A ping that was sent on behalf of another member, the requester.
