--- a/coordination/lease/tests/model.rs
+++ b/coordination/lease/tests/model.rs
@@ -341,12 +341,12 @@
 }
 
 #[test]
-fn long_histories_never_grant_the_role_to_two_holders() {
+fn random_walks_never_grant_the_role_to_two_holders() {
     run_random_walks(RANDOM_WALK_LIMITS);
 }
 
 #[test]
-fn long_histories_with_releases_never_grant_the_role_to_two_holders() {
+fn random_walks_with_releases_never_grant_the_role_to_two_holders() {
     run_random_walks(RANDOM_WALK_LIMITS_WITH_RELEASES);
 }
 
--- a/coordination/lease/tests/split_votes.rs
+++ b/coordination/lease/tests/split_votes.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_split_vote_ends() {
+fn a_split_vote_is_resolved_within_20_seconds() {
     for seed in 0..200 {
         let held_at = time_of_first_lease(seed * 10, 20_000_000);
         assert!(held_at.is_some(), "seed {seed}: no machine holds the role after 20 s");
--- a/coordination/membership/tests/faults.rs
+++ b/coordination/membership/tests/faults.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn only_a_member_that_hears_nothing_is_declared_dead() {
+fn only_the_member_that_receives_nothing_is_declared_dead() {
     for seed in support::seeds() {
         let mut simulation = Simulation::converged(12, Network::default(), seed);
         (0..12).filter(|other| *other != 5).for_each(|other| simulation.partition_one_way(other, 5));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn only_a_member_that_cannot_be_heard_is_declared_dead() {
+fn only_the_member_whose_datagrams_are_lost_is_declared_dead() {
     for seed in support::seeds() {
         let mut simulation = Simulation::converged(12, Network::default(), seed);
         (0..12).filter(|other| *other != 5).for_each(|other| simulation.partition_one_way(5, other));
--- a/coordination/membership/tests/local_health.rs
+++ b/coordination/membership/tests/local_health.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn long_round_trips_are_measured_and_cost_nothing_more() {
+fn long_round_trips_cause_no_additional_datagrams() {
     let network = Network { delay: millis(80), ..Network::default() };
     let mut simulation = Simulation::converged(12, network, 1);
     simulation.run_for(secs(30));
--- a/coordination/view/tests/agreement.rs
+++ b/coordination/view/tests/agreement.rs
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn the_state_is_what_its_records_say() {
+fn replaying_the_records_rebuilds_the_state() {
     let mut node = agreement(1);
     let mut replayed_state = ViewState::from_view(view(1, &[1, 2, 3]));
     let ballot = Ballot { round: 3, node: NodeId(2) };
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn an_acceptor_takes_no_view_of_another_epoch() {
+fn an_acceptor_rejects_a_view_of_another_epoch() {
     let mut acceptor = agreement(1);
     let ballot = Ballot { round: 5, node: NodeId(2) };
     let accept = ViewMessage::Accept { instance: SECOND_EPOCH, ballot, view: view(3, &[1, 2]) };
--- a/coordination/view/tests/detector.rs
+++ b/coordination/view/tests/detector.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_peer_that_does_not_hear_us_is_suspected_though_we_hear_it() {
+fn a_peer_that_receives_no_heartbeats_is_suspected_though_its_own_arrive() {
     let mut detector = detector();
     poll_until(&mut detector, 0, 600, Some(false));
     assert!(detector.is_suspect(at(600), PEER));
--- a/coordination/view/tests/model.rs
+++ b/coordination/view/tests/model.rs
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn long_histories_decide_one_view_an_epoch() {
+fn random_walks_decide_at_most_one_view_per_epoch() {
     let mut views_decided = 0;
     for seed in 0..RANDOM_WALKS {
         let mut random = fastrand::Rng::with_seed(seed);
--- a/coordination/view/tests/voters_model.rs
+++ b/coordination/view/tests/voters_model.rs
@@ -372,21 +372,21 @@
 }
 
 #[test]
-fn one_comes_back_and_another_is_lost() {
+fn the_core_survives_a_second_loss_after_the_first_machine_returned() {
     let checker = check(LostMachine::Returns, VoterRule::Implemented);
     checker.assert_no_discovery("no property is violated");
     checker.assert_any_discovery("the core continues after the second loss");
 }
 
 #[test]
-fn one_is_replaced_and_another_is_lost() {
+fn the_core_survives_a_second_loss_after_the_first_machine_was_replaced() {
     let checker = check(LostMachine::IsReplaced, VoterRule::Implemented);
     checker.assert_no_discovery("no property is violated");
     checker.assert_any_discovery("the core continues after the second loss");
 }
 
 #[test]
-fn voters_that_shrink_to_what_is_left_end_the_core() {
+fn the_core_cannot_continue_if_only_the_remaining_members_vote() {
     let checker = check(LostMachine::Returns, VoterRule::OnlyMembersVote);
     checker.assert_no_discovery("no property is violated");
     checker.assert_no_discovery("the core continues after the second loss");
