--- a/balancer/admission/src/admission.rs
+++ b/balancer/admission/src/admission.rs
@@ -29,7 +29,7 @@
 
 /// What was lacking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lack {
+pub enum Shortage {
     Places,
     Bytes,
 }
@@ -37,7 +37,7 @@
 /// No room now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
-    pub lack: Lack,
+    pub shortage: Shortage,
     /// When to come back: about when what is claimed before will have become free (ms from now).
     pub retry_after: f64,
 }
@@ -75,9 +75,9 @@
     /// # Errors
     /// What is lacking, and when to come back. The refusal counts as a claim for [`crate::CLAIM_LIFE_MS`].
     pub fn take(&mut self, front: usize, bytes: u64, now: f64) -> Result<Held, Refused> {
-        let lack = match () {
-            () if !self.places.has_room(front, 1, now) => Lack::Places,
-            () if !self.bytes.has_room(front, bytes, now) => Lack::Bytes,
+        let shortage = match () {
+            () if !self.places.has_room(front, 1, now) => Shortage::Places,
+            () if !self.bytes.has_room(front, bytes, now) => Shortage::Bytes,
             () => {
                 self.places.take(front, 1);
                 self.bytes.take(front, bytes);
@@ -85,11 +85,11 @@
             }
         };
         let retry_after = self.advice(now);
-        match lack {
-            Lack::Places => self.places.claim(front, 1, now),
-            Lack::Bytes => self.bytes.claim(front, bytes, now),
+        match shortage {
+            Shortage::Places => self.places.claim(front, 1, now),
+            Shortage::Bytes => self.bytes.claim(front, bytes, now),
         }
-        Err(Refused { lack, retry_after })
+        Err(Refused { shortage, retry_after })
     }
 
     pub fn give_back(&mut self, held: Held, now: f64) {
--- a/balancer/admission/src/lib.rs
+++ b/balancer/admission/src/lib.rs
@@ -10,7 +10,7 @@
 mod admission;
 mod pool;
 
-pub use admission::{Admission, Capacity, Held, Lack, Refused, Usage};
+pub use admission::{Admission, Capacity, Held, Refused, Shortage, Usage};
 pub use pool::{CLAIM_LIFE_MS, KEPT_PART};
 
 /// Jain's fairness index of what each got for its weight: 1 is even, 1/n all to one. 1 for nothing at all.
--- a/balancer/admission/tests/model.rs
+++ b/balancer/admission/tests/model.rs
@@ -1,6 +1,6 @@
 //! Admission against random histories and against what max-min fairness promises.
 
-use millrudder_admission::{fairness, Admission, Capacity, Held, Lack, CLAIM_LIFE_MS, KEPT_PART};
+use millrudder_admission::{fairness, Admission, Capacity, Held, Shortage, CLAIM_LIFE_MS, KEPT_PART};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -143,7 +143,7 @@
     assert_eq!(held.len(), 75, "all but an eighth of the other's 40");
     held.extend((0..5).map(|_| admission.take(1, 0, 1.0).expect("kept for it")));
     // Then its claims take what ends, and the borrower gets none of it.
-    assert_eq!(admission.take(1, 0, 2.0).unwrap_err().lack, Lack::Places);
+    assert_eq!(admission.take(1, 0, 2.0).unwrap_err().shortage, Shortage::Places);
     admission.give_back(held.remove(0), 3.0);
     assert!(admission.take(0, 0, 3.0).is_err(), "another is behind and has asked");
     held.push(admission.take(1, 0, 4.0).unwrap());
@@ -198,7 +198,7 @@
         held.push(h);
         true
     }));
-    assert_eq!(admission.take(1, 600, 0.0).unwrap_err().lack, Lack::Bytes);
+    assert_eq!(admission.take(1, 600, 0.0).unwrap_err().shortage, Shortage::Bytes);
 }
 
 #[test]
--- a/balancer/config/src/lib.rs
+++ b/balancer/config/src/lib.rs
@@ -192,8 +192,8 @@
     let class = |(name, class): (&String, &mr::Class)| Class {
         name: name.clone(),
         keyed: class.effect == mr::Effect::Deduplicated,
-        limit: class.deadline,
-        until: f64::INFINITY,
+        default_timeout: class.deadline,
+        accepted_until: f64::INFINITY,
     };
     names.classes.iter().zip(&settings.classes).map(class).collect()
 }
--- a/balancer/core/src/dispatch/jobs/tests.rs
+++ b/balancer/core/src/dispatch/jobs/tests.rs
@@ -1,10 +1,10 @@
 //! Unit tests of `jobs`.
 
 use super::*;
-use millrudder_exchange::{Answer, Failure, Front, Verbatim};
+use millrudder_exchange::{Answer, Failure, ForwardedRequest, Front};
 
 fn entry() -> JobEntry {
-    let verbatim = Verbatim {
+    let forwarded = ForwardedRequest {
         method: "POST".to_owned(),
         target: "/api".to_owned(),
         body: Vec::new(),
@@ -18,7 +18,7 @@
         slots: 1.0,
         memory: 0.0,
         deadline: 5000.0,
-        verbatim,
+        forwarded,
     };
     JobEntry::new(Arc::new(job), Reply::new(|| {}), &Limits { max_attempts: 5, ..Limits::default() })
 }
--- a/balancer/core/src/dispatch/mod.rs
+++ b/balancer/core/src/dispatch/mod.rs
@@ -20,8 +20,8 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::shutdown::Stopping;
 use millrudder_exchange::{
-    Answer, AttemptEnd, AttemptId, Exchange, Failure, Inbox, Job, JobNews, JobState, LoadReport, Message,
-    Order, OrderResult, PeerProcess, PeerRequest, Progress, Reply, Ticket, Transfer, WorkerId,
+    Answer, AttemptEnd, AttemptId, Exchange, Failure, Inbox, Job, JobState, LoadReport, Message, Order,
+    OrderResult, PeerProcess, PeerRequest, Progress, Reply, Ticket, Transfer, WorkerCallBack, WorkerId,
     WorkerListUpdate,
 };
 use settings_reload::DroppedClasses;
@@ -163,10 +163,10 @@
         match message {
             Message::Submitted { ticket, job, reply } => self.on_submitted(ticket, job, reply),
             Message::Withdrawn { ticket } => self.on_withdrawn(ticket),
-            Message::News(news) => self.on_call_back(news),
+            Message::CallBack(news) => self.on_call_back(news),
             Message::Accepted { attempt } => self.on_accepted(attempt),
             Message::Ended { attempt, end, load } => self.on_ended(attempt, end, load.as_ref()),
-            Message::CalledOff { attempt } => self.on_cancelled(attempt),
+            Message::CancelFinished { attempt } => self.on_cancelled(attempt),
             Message::Probed { worker, end, latency, load } => {
                 let outcome = end.map_or(mr::Outcome::Ok, translate::outcome);
                 let load = load.map(|l| translate::load(&self.names, &l));
@@ -182,12 +182,12 @@
             Message::WorkerListUnavailable => {
                 self.handle_event(mr::Event::List { kind: mr::ListKind::Unavailable, entries: Vec::new() });
             }
-            Message::Retuned => self.on_settings(),
+            Message::SettingsChanged => self.on_settings(),
             Message::Discovery(address) => self.worker_list.switch_to(address),
             Message::Stop => self.on_stop(),
             Message::Ordered(pending) => pending.carry_out(|order| self.on_order(order)),
             Message::PeerRequest(request) => self.on_peer_request(request),
-            Message::Nudge => {}
+            Message::WakeUp => {}
         }
     }
 
@@ -233,16 +233,16 @@
                 );
                 let _ = reply.send(handover.encode());
             }
-            PeerRequest::UnderWay(reply) => {
+            PeerRequest::UnfinishedJobs(reply) => {
                 let _ = reply.send((self.jobs.ids(), self.transport.share_connections()));
             }
-            PeerRequest::Landed { worker: name, job, attempt } => {
+            PeerRequest::AttemptEnded { worker: name, job, attempt } => {
                 let Some(worker) = self.workers.id_of(&name) else { return };
                 let mut actions = Vec::new();
                 self.balancer.predecessor_attempt_ended(worker, job, attempt, &mut actions);
                 self.execute_all(actions);
             }
-            PeerRequest::Gone => {
+            PeerRequest::PeerEnded => {
                 let mut actions = Vec::new();
                 self.balancer.predecessor_gone(&mut actions);
                 self.execute_all(actions);
@@ -276,7 +276,7 @@
     }
 
     fn on_submitted(&mut self, ticket: Ticket, job: Arc<Job>, reply: Reply) {
-        if self.jobs.find(&job.trace_id).is_some() || self.peer_process.is_theirs(&job.trace_id) {
+        if self.jobs.find(&job.trace_id).is_some() || self.peer_process.is_peer_job(&job.trace_id) {
             // Call-backs carry only the job's id, so two live jobs with one id could not be distinguished.
             self.counters.answered_failed.add();
             reply.give(Answer::Failed(Failure::Repeated));
@@ -290,10 +290,10 @@
             return;
         }
         self.counters.taken.add();
-        self.notify_peer_process(|| Transfer::Began(job.trace_id.clone()));
+        self.notify_peer_process(|| Transfer::JobStarted(job.trace_id.clone()));
         let request = translate::request(&self.names, ticket, &job);
         self.timers.set(job.deadline, Due::Deadline(ticket));
-        reply.note(|progress| progress.accepted = true);
+        reply.update_progress(|progress| progress.accepted = true);
         self.jobs.insert(ticket, JobEntry::new(job, reply, &self.balancer.settings().limits));
         self.handle_event(mr::Event::Request(request));
     }
@@ -303,7 +303,7 @@
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
         if entry.reply.take().is_some() {
             let job = entry.job.clone();
-            self.notify_peer_process(|| Transfer::Ended(job.trace_id.clone()));
+            self.notify_peer_process(|| Transfer::JobEnded(job.trace_id.clone()));
             self.counters.withdrawn.add();
             self.queued.push_back(mr::Event::Lapsed { id: ticket });
             self.withhold_unsent(ticket);
@@ -315,10 +315,10 @@
     /// Handles a worker's call-back. It is matched to an attempt by the job's id and the worker's name and
     /// dropped if no attempt there is outstanding. During an upgrade, a call-back for an unknown job goes to
     /// the other process.
-    fn on_call_back(&mut self, news: JobNews) {
+    fn on_call_back(&mut self, news: WorkerCallBack) {
         self.counters.news.add();
         if self.peer_process.is_open() && self.jobs.find(&news.trace_id).is_none() {
-            let passed_on = news.body.map(|body| self.peer_process.put(Transfer::News(body)));
+            let passed_on = news.body.map(|body| self.peer_process.put(Transfer::CallBack(body)));
             if matches!(passed_on, Some(Ok(()))) {
                 self.counters.news_passed_on.add();
             } else {
@@ -418,7 +418,7 @@
         load: Option<mr::Load>,
     ) {
         translate::count(&self.counters, outcome);
-        self.notify_peer_process(|| Transfer::Landed {
+        self.notify_peer_process(|| Transfer::AttemptEnded {
             worker: self.workers.name(ended.worker),
             job: attempt.ticket,
             attempt: attempt.number,
@@ -445,7 +445,7 @@
     /// Updates the progress that a front may show to the job's client.
     fn note_progress(&mut self, ticket: Ticket, change: impl FnOnce(&mut Progress)) {
         if let Some(reply) = self.jobs.get_mut(ticket).and_then(|entry| entry.reply.get()) {
-            reply.note(change);
+            reply.update_progress(change);
         }
     }
 
@@ -454,7 +454,7 @@
         let Some(entry) = self.jobs.get_mut(ticket) else { return false };
         let Some(reply) = entry.reply.take() else { return false };
         let job = entry.job.clone();
-        self.notify_peer_process(|| Transfer::Ended(job.trace_id.clone()));
+        self.notify_peer_process(|| Transfer::JobEnded(job.trace_id.clone()));
         match answer {
             Answer::Served { .. } => self.counters.answered_served.add(),
             Answer::Defer { .. } => self.counters.answered_deferred.add(),
@@ -585,7 +585,7 @@
     /// Reports an attempt's end through the exchange, as the transport does, because the module must not be
     /// called while one of its actions is being carried out.
     fn report_end(&self, attempt: AttemptId, end: AttemptEnd) {
-        self.exchange.put(Message::Ended { attempt, end, load: None });
+        self.exchange.send(Message::Ended { attempt, end, load: None });
     }
 
     /// Stops waiting for an attempt. If the settings allow cancels, the worker is asked to cancel it.
--- a/balancer/core/src/dispatch/random_order_tests.rs
+++ b/balancer/core/src/dispatch/random_order_tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::worker_transport::{RequestControl, WorkerEndpoint};
-use millrudder_exchange::{Front, OrderHandle, Verbatim, WorkerEntry, WorkerState};
+use millrudder_exchange::{ForwardedRequest, Front, OrderHandle, WorkerEntry, WorkerState};
 use std::collections::BTreeSet;
 use std::sync::Mutex;
 
@@ -265,7 +265,7 @@
     fn submit(&mut self) {
         let (number, class) = (self.clients.len(), self.rng.usize(..CLASSES.len()));
         let id = format!("j{number}");
-        let verbatim = Verbatim {
+        let forwarded = ForwardedRequest {
             method: "POST".to_owned(),
             target: "/api".to_owned(),
             body: Vec::new(),
@@ -280,7 +280,7 @@
             slots: 1.0,
             memory: 0.0,
             deadline,
-            verbatim,
+            forwarded,
         };
         let (reply, ticket) = (Reply::new(|| {}), number as Ticket);
         self.log(format!("{id} ({}) until {deadline:.0}", CLASSES[class]));
@@ -389,7 +389,7 @@
         };
         let end = |end: AttemptEnd| Message::Ended { attempt: id, end, load: None };
         let or_cancelled =
-            |message: Message| if given_up { Message::CalledOff { attempt: id } } else { message };
+            |message: Message| if given_up { Message::CancelFinished { attempt: id } } else { message };
         let may_continue = |first: bool| {
             let net = shared.0.lock().unwrap();
             let control = &net.attempts[i].control;
@@ -401,7 +401,7 @@
         };
         let news = |state: JobState| {
             let (trace_id, from) = (job.trace_id.clone(), format!("s-{worker}"));
-            Message::News(JobNews { trace_id, from, state, load: None, body: None })
+            Message::CallBack(WorkerCallBack { trace_id, from, state, load: None, body: None })
         };
         let done = || JobState::Done { result: job.trace_id.as_bytes().to_vec() };
         match (phase, chance) {
@@ -492,7 +492,7 @@
         }
         drop(net);
         self.log(format!("the cancel of {}.{} is confirmed", id.ticket, id.number));
-        self.handle(Message::CalledOff { attempt: id });
+        self.handle(Message::CancelFinished { attempt: id });
     }
 
     /// Advances the clock and runs the timers that are due.
--- a/balancer/core/src/dispatch/settings_reload.rs
+++ b/balancer/core/src/dispatch/settings_reload.rs
@@ -2,13 +2,13 @@
 
 use millrudder as mr;
 use millrudder_config::Names;
-use millrudder_exchange::intake::DROPPED_MS;
+use millrudder_exchange::intake::DROPPED_CLASS_GRACE_MS;
 use millrudder_exchange::{Exchange, Message};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Fronts accept jobs of a dropped class for `DROPPED_MS` more. This is how much longer the core knows the
-/// class, because accepted jobs may wait in the exchange's queue (ms).
+/// Fronts accept jobs of a dropped class for `DROPPED_CLASS_GRACE_MS` more. This is how much longer the core knows
+/// the class, because accepted jobs may wait in the exchange's queue (ms).
 const QUEUED_JOB_GRACE_MS: f64 = 1_000.0;
 
 /// The part of reloaded settings that the core uses.
@@ -28,7 +28,7 @@
     /// Sets them and wakes the dispatch coroutine.
     pub fn put(&self, settings: ReloadedSettings, exchange: &Exchange) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(settings);
-        exchange.put(Message::Retuned);
+        exchange.send(Message::SettingsChanged);
     }
 
     pub(super) fn take(&self) -> Option<ReloadedSettings> {
@@ -57,7 +57,8 @@
             if names.classes.contains(name) {
                 continue;
             }
-            let until = *self.0.entry(name.clone()).or_insert(now + DROPPED_MS + QUEUED_JOB_GRACE_MS);
+            let until =
+                *self.0.entry(name.clone()).or_insert(now + DROPPED_CLASS_GRACE_MS + QUEUED_JOB_GRACE_MS);
             if until > now {
                 names.classes.push(name.clone());
                 new_settings.classes.push(class.clone());
--- a/balancer/core/src/worker_list/watch.rs
+++ b/balancer/core/src/worker_list/watch.rs
@@ -5,11 +5,11 @@
 use millrudder_exchange::clock::{span, Clock};
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::{Exchange, Message};
-use millrudder_wire::converse::{converse, Broken};
 use millrudder_wire::http::{self, Response};
 use millrudder_wire::json::{self, Node};
 use millrudder_wire::list::{read_list, List};
-use millrudder_wire::socket::{Cut, Socket};
+use millrudder_wire::round_trip::{round_trip, RoundTripError};
+use millrudder_wire::socket::{CancelToken, Socket};
 use slog::Logger;
 use std::io;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
 }
 
 /// The handle that aborts the call under way, and the clock time (ms) at which its answer is overdue.
-type CurrentCall = Arc<Mutex<(Arc<Cut>, f64)>>;
+type CurrentCall = Arc<Mutex<(Arc<CancelToken>, f64)>>;
 
 /// The dispatch coroutine's handle on the coroutine that calls discovery. Results come as messages through
 /// the exchange.
@@ -141,7 +141,7 @@
     fn abort_call(&self, due: f64) {
         let current_call = self.current_call.lock().unwrap_or_else(PoisonError::into_inner);
         if current_call.1 < due {
-            current_call.0.now();
+            current_call.0.cancel();
         }
     }
 }
@@ -171,7 +171,7 @@
         if let Err(problem) = result {
             self.counters.map_failures.add();
             slog::warn!(self.log, "discovery call failed"; "at" => %self.discovery, "problem" => %problem);
-            self.exchange.put(Message::WorkerListUnavailable);
+            self.exchange.send(Message::WorkerListUnavailable);
         }
     }
 
@@ -212,7 +212,7 @@
     /// Whether the last call was aborted by this program because its answer was overdue or discovery has
     /// moved.
     fn was_aborted(&self) -> bool {
-        self.current_call.lock().unwrap_or_else(PoisonError::into_inner).0.is_done()
+        self.current_call.lock().unwrap_or_else(PoisonError::into_inner).0.is_cancelled()
     }
 
     /// Handles the requests that came during a watch call; a request for a watch is already met. Returns true
@@ -252,13 +252,13 @@
         let list = self.fetch(&target, &cut).and_then(|response| self.read(&response))?;
         self.generation = Some(list.generation);
         self.counters.map_changes.add();
-        self.exchange.put(Message::WorkerList(list.news));
+        self.exchange.send(Message::WorkerList(list.update));
         Ok(())
     }
 
     /// Sets the time-out (ms) of the call that follows and returns the handle that aborts it.
-    fn start_call(&self, answer_timeout: f64) -> Arc<Cut> {
-        let cut = Arc::new(Cut::default());
+    fn start_call(&self, answer_timeout: f64) -> Arc<CancelToken> {
+        let cut = Arc::new(CancelToken::default());
         let until = self.clock.now() + answer_timeout;
         *self.current_call.lock().unwrap_or_else(PoisonError::into_inner) = (cut.clone(), until);
         cut
@@ -270,9 +270,9 @@
             return Err(CallError::Status(response.status));
         }
         let list = json::parse(&response.body).and_then(|document| read_list(&Node::root(&document)));
-        let list = list.map_err(CallError::from).and_then(|list| match list.news.whole {
+        let list = list.map_err(CallError::from).and_then(|list| match list.update.whole {
             // All workers do not leave at once: a discovery that sends an empty list has lost its data.
-            true if list.news.entries.is_empty() => Err(CallError::EmptyList),
+            true if list.update.entries.is_empty() => Err(CallError::EmptyList),
             // Changes older than the present list would bring back workers that have left since.
             false if Some(list.generation) < self.generation => {
                 Err(CallError::OldChanges { generation: list.generation, held: self.generation })
@@ -283,14 +283,14 @@
     }
 
     /// Sends a request to discovery and reads the response, on the last connection if it is still open.
-    fn fetch(&mut self, target: &str, cut: &Cut) -> Result<Response, CallError> {
+    fn fetch(&mut self, target: &str, cut: &CancelToken) -> Result<Response, CallError> {
         let socket = match self.connection.take().filter(Socket::is_quiet) {
             Some(kept) => kept,
             None => Socket::connect(self.discovery, span(CONNECT_TIMEOUT_MS)).map_err(CallError::Connect)?,
         };
         let request = http::request("GET", target, &self.discovery.to_string(), &[], b"");
-        let response = converse(&socket, &request, cut, || true).map_err(|broken| match broken {
-            Broken::BeforeWritten(error) | Broken::AfterWritten(error) => CallError::Broken(error),
+        let response = round_trip(&socket, &request, cut, || true).map_err(|broken| match broken {
+            RoundTripError::NotSent(error) | RoundTripError::Unanswered(error) => CallError::Broken(error),
         })?;
         if response.keep_alive {
             self.connection = Some(socket);
--- a/balancer/core/src/worker_transport/attempt.rs
+++ b/balancer/core/src/worker_transport/attempt.rs
@@ -4,9 +4,9 @@
 use super::{RequestControl, Shared, WorkerEndpoint};
 use millrudder_exchange::clock::span;
 use millrudder_exchange::{AttemptEnd, AttemptId, Job, Message};
-use millrudder_wire::converse::{self, Broken};
 use millrudder_wire::http::{self, Response};
 use millrudder_wire::report;
+use millrudder_wire::round_trip::{self, RoundTripError};
 use std::sync::atomic::Ordering;
 
 /// How long the answer to a probe or a cancel is waited for (ms).
@@ -41,10 +41,10 @@
                 send_cancel(shared, attempt, worker, job, until_confirmed)
             }
             // The attempt ended by itself, was never written, or was cancelled by closing its connection.
-            _ => shared.exchange.put(Message::CalledOff { attempt }),
+            _ => shared.exchange.send(Message::CancelFinished { attempt }),
         };
     }
-    shared.exchange.put(match result {
+    shared.exchange.send(match result {
         Ok(response) => message_for_response(attempt, &response),
         Err(end) => Message::Ended { attempt, end, load: None },
     });
@@ -67,10 +67,16 @@
 fn job_request(worker: &WorkerEndpoint, job: &Job, remaining_ms: f64) -> Vec<u8> {
     let expires = format!("{}u", (remaining_ms.max(0.0) * 1000.0) as u64);
     let mut headers = vec![("X-Trace-Id", job.trace_id.as_str()), ("X-Expires-In", &expires)];
-    let verbatim = &job.verbatim;
-    headers.extend(verbatim.idempotency_key.as_deref().map(|key| ("Idempotency-Key", key)));
-    headers.extend(verbatim.content_type.as_deref().map(|kind| ("Content-Type", kind)));
-    http::request(&verbatim.method, &verbatim.target, &worker.address.to_string(), &headers, &verbatim.body)
+    let forwarded = &job.forwarded;
+    headers.extend(forwarded.idempotency_key.as_deref().map(|key| ("Idempotency-Key", key)));
+    headers.extend(forwarded.content_type.as_deref().map(|kind| ("Content-Type", kind)));
+    http::request(
+        &forwarded.method,
+        &forwarded.target,
+        &worker.address.to_string(),
+        &headers,
+        &forwarded.body,
+    )
 }
 
 /// Asks the worker to cancel an accepted job. `until_confirmed`: repeats that until it has answered or the
@@ -92,7 +98,7 @@
     {
         may::coroutine::sleep(span(CANCEL_RETRY_INTERVAL_MS));
     }
-    shared.exchange.put(Message::CalledOff { attempt });
+    shared.exchange.send(Message::CancelFinished { attempt });
 }
 
 /// Asks a worker for its load, which shows whether it is healthy.
@@ -106,7 +112,7 @@
         Ok(response) => (Some(AttemptEnd::Failed), report::of_probe(response)),
         Err(end) => (Some(*end), None),
     };
-    shared.exchange.put(Message::Probed { worker: worker.id, end, latency, load });
+    shared.exchange.send(Message::Probed { worker: worker.id, end, latency, load });
 }
 
 /// Sends a request with a short time limit. The request must be safe to repeat: if an idle connection turns
@@ -120,11 +126,11 @@
     let timed_out = control.clone();
     may::go!(move || {
         may::coroutine::sleep(span(SHORT_REQUEST_TIMEOUT_MS));
-        timed_out.cut.now();
+        timed_out.cut.cancel();
     });
     loop {
         match send_request(shared, worker, || request.to_vec(), &control) {
-            Err(AttemptEnd::NotSent) if !control.cut.is_done() => {}
+            Err(AttemptEnd::NotSent) if !control.cut.is_cancelled() => {}
             result => return result,
         }
     }
@@ -139,7 +145,7 @@
     request: impl FnOnce() -> Vec<u8>,
     control: &RequestControl,
 ) -> Result<Response, AttemptEnd> {
-    let wanted = || control.may_begin() && !control.cut.is_done();
+    let wanted = || control.may_begin() && !control.cut.is_cancelled();
     let connection = shared.pool.acquire(worker, wanted).map_err(|error| match error {
         AcquireError::NoDescriptor => AttemptEnd::NotSent,
         AcquireError::NotConnected => AttemptEnd::NotConnected,
@@ -151,21 +157,21 @@
         return Err(AttemptEnd::NotSent);
     }
     control.set_answer_deadline(shared.clock.now() + shared.pool.limits().answer_timeout());
-    match converse::converse(&connection.socket, &request(), &control.cut, || control.may_finish()) {
+    match round_trip::round_trip(&connection.socket, &request(), &control.cut, || control.may_finish()) {
         Ok(response) => {
             return_connection(shared, worker, connection, &response);
             Ok(response)
         }
         // This program closed the connection, not the worker.
-        Err(Broken::AfterWritten(_)) if control.cut.is_done() => Err(AttemptEnd::Silent),
-        Err(Broken::AfterWritten(_)) => {
+        Err(RoundTripError::Unanswered(_)) if control.cut.is_cancelled() => Err(AttemptEnd::Silent),
+        Err(RoundTripError::Unanswered(_)) => {
             connection.idle_since.into_iter().for_each(|since| shared.pool.discard_older(worker.id, since));
             Err(AttemptEnd::Reset)
         }
-        Err(Broken::BeforeWritten(_)) if control.cut.is_done() || !control.may_finish() => {
+        Err(RoundTripError::NotSent(_)) if control.cut.is_cancelled() || !control.may_finish() => {
             Err(AttemptEnd::NotSent)
         }
-        Err(Broken::BeforeWritten(_)) => Err(match connection.idle_since {
+        Err(RoundTripError::NotSent(_)) => Err(match connection.idle_since {
             // The connection had died while idle, which says nothing about the worker.
             Some(since) => {
                 shared.pool.discard_older(worker.id, since);
--- a/balancer/core/src/worker_transport/mod.rs
+++ b/balancer/core/src/worker_transport/mod.rs
@@ -8,7 +8,7 @@
 use millrudder_exchange::clock::{span, Clock};
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::{AttemptId, Exchange, Job, PeerProcess, WorkerId};
-use millrudder_wire::socket::Cut;
+use millrudder_wire::socket::CancelToken;
 use pool::Pool;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
     /// to draining workers.
     accepts_jobs: Option<Arc<AtomicBool>>,
     /// Closes the connection and ends the wait for the response.
-    cut: Cut,
+    cut: CancelToken,
     /// Clock time (bits of an `f64`, ms) by which a reachable worker has answered. Infinite until there is a
     /// connection: waiting for a descriptor or for the connect says nothing about the worker.
     answer_deadline: AtomicU64,
@@ -53,7 +53,7 @@
             until_confirmed: AtomicBool::default(),
             answer_unwanted: AtomicBool::default(),
             accepts_jobs: None,
-            cut: Cut::default(),
+            cut: CancelToken::default(),
             answer_deadline: AtomicU64::new(f64::INFINITY.to_bits()),
         }
     }
@@ -122,9 +122,9 @@
     /// Gives an attempt up. If the worker has accepted the job, it gets a cancel request. A 202 that may be
     /// under way is waited for during `cancel_grace`, because closing the connection at once would cost both
     /// sides a new one. `accepted`: the worker is known to hold the job, by a 202 or by a call-back, which
-    /// may come before the 202. `Message::CalledOff` follows in all cases.
+    /// may come before the 202. `Message::CancelFinished` follows in all cases.
     ///
-    /// `until_confirmed`: `CalledOff` follows only when the worker has answered the cancel or the job's
+    /// `until_confirmed`: `CancelFinished` follows only when the worker has answered the cancel or the job's
     /// deadline has passed; until then the cancel is repeated.
     fn cancel(
         &self,
@@ -210,7 +210,7 @@
                 control.give_up(accepted);
                 may::go!(move || {
                     may::coroutine::sleep(span(shared.pool.limits().cancel_grace));
-                    control.cut.now();
+                    control.cut.cancel();
                 });
             }
             None => {
@@ -251,7 +251,7 @@
         let now = self.0.clock.now();
         for control in self.unanswered().values() {
             if control.answer_deadline() < now {
-                control.cut.now();
+                control.cut.cancel();
             }
         }
     }
--- a/balancer/core/src/worker_transport/pool.rs
+++ b/balancer/core/src/worker_transport/pool.rs
@@ -244,7 +244,7 @@
         let max_kept = (self.limits().connections / 2).max(1);
         while self.open.load(Ordering::Relaxed) > max_kept && self.drop_oldest_idle() {}
         let kept = self.open.load(Ordering::Relaxed).clamp(MIN_KEPT_CONNECTIONS.min(max_kept), max_kept);
-        self.peer_process.share(self.peer_process.inbound(), self.limits().connections - kept);
+        self.peer_process.set_peer_connections(self.peer_process.inbound(), self.limits().connections - kept);
         kept
     }
 
--- a/balancer/core/src/worker_transport/tests.rs
+++ b/balancer/core/src/worker_transport/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `worker_transport`.
 
 use super::*;
-use millrudder_exchange::{AttemptEnd, Front, Inbox, Message, Verbatim};
+use millrudder_exchange::{AttemptEnd, ForwardedRequest, Front, Inbox, Message};
 use nix::sys::socket::{listen, Backlog};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -33,7 +33,7 @@
         reuse_delay: 60_000.0,
     };
     let transport = HttpTransport::new(limits, exchange, PeerProcess::default(), Arc::default(), clock);
-    let verbatim = Verbatim {
+    let forwarded = ForwardedRequest {
         method: "POST".to_owned(),
         target: "/api".to_owned(),
         body: b"body".to_vec(),
@@ -43,7 +43,7 @@
     let deadline = clock.now() + 600_000.0;
     let (trace_id, class) = ("9b1f".to_owned(), "c".to_owned());
     let job =
-        Arc::new(Job { front: Front::Http, trace_id, class, slots: 1.0, memory: 0.0, deadline, verbatim });
+        Arc::new(Job { front: Front::Http, trace_id, class, slots: 1.0, memory: 0.0, deadline, forwarded });
     transport.deliver(ATTEMPT, worker.clone(), job.clone(), deadline);
     (transport, worker, job, inbox)
 }
@@ -99,7 +99,7 @@
     peer.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").unwrap();
     assert!(read_to(&mut peer, "\r\n\r\n").starts_with("DELETE /jobs/9b1f HTTP/1.1"));
     peer.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").unwrap();
-    assert!(matches!(inbox.recv(), Ok(Message::CalledOff { attempt: ATTEMPT })));
+    assert!(matches!(inbox.recv(), Ok(Message::CancelFinished { attempt: ATTEMPT })));
 }
 
 #[test]
@@ -196,7 +196,7 @@
         }
     };
     assert!(arrived > 3, "the cancel was not repeated");
-    assert!(matches!(answered, Message::CalledOff { attempt: ATTEMPT }));
+    assert!(matches!(answered, Message::CancelFinished { attempt: ATTEMPT }));
 }
 
 /// The next message, or the connection on which the cancel is sent again.
@@ -225,7 +225,7 @@
     assert!(read_to(&mut second, "\r\n\r\n").starts_with("DELETE /jobs/9b1f HTTP/1.1"));
     assert!(inbox.try_recv().is_err(), "the worker may not have got the cancel");
     second.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").unwrap();
-    assert!(matches!(inbox.recv(), Ok(Message::CalledOff { attempt: ATTEMPT })));
+    assert!(matches!(inbox.recv(), Ok(Message::CancelFinished { attempt: ATTEMPT })));
 }
 
 #[test]
@@ -233,7 +233,7 @@
     let (transport, worker, job, mut peer, inbox) = attempt_at_worker(0.0);
     transport.cancel(ATTEMPT, worker, job, false, false);
     assert_eq!(read_to(&mut peer, "never"), "");
-    assert!(matches!(inbox.recv(), Ok(Message::CalledOff { attempt: ATTEMPT })));
+    assert!(matches!(inbox.recv(), Ok(Message::CancelFinished { attempt: ATTEMPT })));
 }
 
 #[test]
--- a/balancer/dispatcher/src/demo.rs
+++ b/balancer/dispatcher/src/demo.rs
@@ -123,7 +123,7 @@
         for (_, load) in &loads {
             self.runtime.block_on(load.stop());
         }
-        exchange.put(Message::Stop);
+        exchange.send(Message::Stop);
         Summary(loads.iter().map(|(name, load)| (*name, load.seen())).collect())
     }
 }
--- a/balancer/dispatcher/src/reload.rs
+++ b/balancer/dispatcher/src/reload.rs
@@ -8,7 +8,7 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{AdmissionGate, Advice, Exchange, Message};
+use millrudder_exchange::{AdmissionGate, Exchange, Message, RetryAdvice};
 use slog::Logger;
 use std::path::PathBuf;
 
@@ -24,7 +24,7 @@
     pub pending_settings: PendingSettings,
     pub classes: Classes,
     pub stopping: Stopping,
-    pub advice: Advice,
+    pub advice: RetryAdvice,
     pub clock: Clock,
 }
 
@@ -42,13 +42,14 @@
                     slog::warn!(log, "not changed while running: {}", kept.join(", "));
                 }
                 let taken = classes(&platform.names, &platform.settings);
-                self.stopping.set_longest(taken.iter().map(|class| class.limit).fold(0.0, f64::max));
+                self.stopping
+                    .set_longest(taken.iter().map(|class| class.default_timeout).fold(0.0, f64::max));
                 self.advice.allow(platform.settings.limits.retry_after);
                 // The core first: no front lets a job in whose class it does not know.
                 let (settings, names, conn_idle) = (platform.settings, platform.names, platform.conn_idle);
                 self.pending_settings.put(ReloadedSettings { settings, names, conn_idle }, exchange);
                 self.classes.replace(taken, self.clock.now());
-                exchange.put(Message::Discovery(platform.discovery));
+                exchange.send(Message::Discovery(platform.discovery));
             }
             (platform, settings) => {
                 counters.reloads_bad.add();
--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -14,7 +14,7 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{AdmissionGate, Advice, Core, Drain, Exchange, PeerProcess, PeerRole};
+use millrudder_exchange::{AdmissionGate, Core, Drain, Exchange, PeerProcess, PeerRole, RetryAdvice};
 use millrudder_front_grpc::GrpcFront;
 use millrudder_front_http::{Listen, SenderSide};
 use millrudder_front_operators as operators;
@@ -76,7 +76,7 @@
     let capacity = Capacity { places: shares.places, bytes: shares.bodies };
     let admission_gate = AdmissionGate::new(capacity, &shares.weights, clock);
     let (pending_settings, classes) = (PendingSettings::default(), Classes::new(config.classes()));
-    let advice = Advice::new(config.settings.limits.retry_after);
+    let advice = RetryAdvice::new(config.settings.limits.retry_after);
     let reload = files.map(|(source, file)| Reload {
         source,
         settings: file,
@@ -103,7 +103,9 @@
         HttpTransport::new(limits, exchange.clone(), peer_process.clone(), counters.clone(), clock);
     let (generation, known) = match &legacy {
         Some(legacy) => (legacy.generation(), Some(legacy.worker_list())),
-        None => config.known.clone().map(|list| (Some(list.generation), Some(list.news))).unwrap_or_default(),
+        None => {
+            config.known.clone().map(|list| (Some(list.generation), Some(list.update))).unwrap_or_default()
+        }
     };
     let worker_list = WorkerListWatcher::follow(
         config.discovery,
@@ -172,9 +174,9 @@
             if let Err(error) = upgrade::await_successors(shell.clone()) {
                 slog::warn!(log, "upgrade: no successor will find this process"; "why" => %error);
             }
-            core.now_serves();
+            core.set_serving();
         }
-        _ => core.now_serves(),
+        _ => core.set_serving(),
     }
     slog::info!(log, "serving"; "name" => &config.name, "listen" => %listen);
     if let Some(grpc) = &grpc {
--- a/balancer/dispatcher/src/signals.rs
+++ b/balancer/dispatcher/src/signals.rs
@@ -32,7 +32,7 @@
                 (SIGHUP, None) => slog::info!(log, "nothing to read again"),
                 _ => {
                     slog::info!(log, "told to stop"; "signal" => signal);
-                    exchange.put(Message::Stop);
+                    exchange.send(Message::Stop);
                 }
             }
         }
--- a/balancer/exchange/src/attempt.rs
+++ b/balancer/exchange/src/attempt.rs
@@ -59,7 +59,7 @@
 
 /// A call-back of a worker about a job.
 #[derive(Clone, Debug, PartialEq)]
-pub struct JobNews {
+pub struct WorkerCallBack {
     /// The job's id, as its client gave it.
     pub trace_id: String,
     /// The next hop's name in the transport map.
--- a/balancer/exchange/src/drain.rs
+++ b/balancer/exchange/src/drain.rs
@@ -32,7 +32,7 @@
     }
 
     /// Clients know by now: their idle connections may end.
-    pub fn is_noticed(&self, now: f64) -> bool {
+    pub fn clients_notified(&self, now: f64) -> bool {
         self.since().is_some_and(|since| now >= since + NOTICE_MS)
     }
 
--- a/balancer/exchange/src/exchange.rs
+++ b/balancer/exchange/src/exchange.rs
@@ -32,7 +32,7 @@
     /// The answer comes by `reply`, also where dispatch ends at this moment: then the job is deferred.
     pub fn submit(&self, job: Job, reply: Reply) -> Ticket {
         let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
-        self.put(Message::Submitted { ticket, job: Arc::new(job), reply: reply.clone() });
+        self.send(Message::Submitted { ticket, job: Arc::new(job), reply: reply.clone() });
         // Put in after dispatch looked for the last time, it sees this; before that, dispatch sees the job.
         if self.ended.load(Ordering::SeqCst) {
             reply.give(Answer::Defer { retry_after: None });
@@ -42,7 +42,7 @@
 
     /// The client is gone: nothing is owed for this job any more.
     pub fn withdraw(&self, ticket: Ticket) {
-        self.put(Message::Withdrawn { ticket });
+        self.send(Message::Withdrawn { ticket });
     }
 
     /// Goes before all that waits: operators are owed an answer under any load.
@@ -59,11 +59,11 @@
 
     fn urge(&self, message: Message) {
         let _ = self.urgent.send(message);
-        self.put(Message::Nudge);
+        self.send(Message::WakeUp);
     }
 
     /// Puts a message in.
-    pub fn put(&self, message: Message) {
+    pub fn send(&self, message: Message) {
         // Fails only once dispatch has ended, when nobody is left to act on it.
         let _ = self.inbox.send(message);
     }
@@ -118,7 +118,7 @@
                 return Ok(order);
             }
             match take()? {
-                Message::Nudge => {}
+                Message::WakeUp => {}
                 message => return Ok(message),
             }
         }
--- a/balancer/exchange/src/exchange/tests.rs
+++ b/balancer/exchange/src/exchange/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `exchange`.
 
 use super::*;
-use crate::job::{Front, Verbatim};
+use crate::job::{ForwardedRequest, Front};
 
 fn job() -> Job {
     Job {
@@ -11,7 +11,7 @@
         slots: 1.0,
         memory: 0.0,
         deadline: 5000.0,
-        verbatim: Verbatim {
+        forwarded: ForwardedRequest {
             method: "POST".to_owned(),
             target: "/api".to_owned(),
             body: Vec::new(),
@@ -38,12 +38,12 @@
 #[test]
 fn orders_go_before_all_that_waits() {
     let (exchange, inbox) = Exchange::new();
-    exchange.put(Message::Stop);
-    exchange.put(Message::WorkerListUnavailable);
+    exchange.send(Message::Stop);
+    exchange.send(Message::WorkerListUnavailable);
     let awaited = exchange.order(Order::Disable("s-1".to_owned()));
     let Ok(Message::Ordered(asked)) = inbox.try_recv() else { panic!("not the order") };
     asked.carry_out(|_| Ok(()));
-    assert_eq!(awaited.look(), Some(Ok(())));
+    assert_eq!(awaited.result(), Some(Ok(())));
     assert!(matches!(inbox.try_recv(), Ok(Message::Stop)));
     assert!(matches!(inbox.try_recv(), Ok(Message::WorkerListUnavailable)));
     assert!(inbox.try_recv().is_err(), "nothing is given out twice");
--- a/balancer/exchange/src/front.rs
+++ b/balancer/exchange/src/front.rs
@@ -31,19 +31,19 @@
     /// Classes of jobs.
     pub classes: Classes,
     /// Whether clients are told when to come back.
-    pub advice: Advice,
+    pub advice: RetryAdvice,
     /// The log.
     pub log: Logger,
 }
 
 /// Whether the settings in force allow clients to be told when to come back; they may change (SIGHUP).
 #[derive(Clone, Default)]
-pub struct Advice(Arc<AtomicBool>);
+pub struct RetryAdvice(Arc<AtomicBool>);
 
-impl Advice {
+impl RetryAdvice {
     /// As the settings allow it at the start.
     pub fn new(allowed: bool) -> Self {
-        Advice(Arc::new(AtomicBool::new(allowed)))
+        RetryAdvice(Arc::new(AtomicBool::new(allowed)))
     }
 
     /// Takes new settings over.
@@ -64,7 +64,7 @@
     }
 
     /// Notes that jobs can come in.
-    pub fn now_serves(&self) {
+    pub fn set_serving(&self) {
         self.serving.store(true, Ordering::Release);
     }
 }
--- a/balancer/exchange/src/intake.rs
+++ b/balancer/exchange/src/intake.rs
@@ -27,13 +27,13 @@
     /// Its jobs carry a key by which next hops drop repeats.
     pub keyed: bool,
     /// How long a job's client waits if it does not say (ms).
-    pub limit: f64,
+    pub default_timeout: f64,
     /// Its jobs are taken until then; infinite unless the settings have dropped it.
-    pub until: f64,
+    pub accepted_until: f64,
 }
 
 /// How long jobs of a class are taken that new settings have dropped (ms): clients learn of it later than this program.
-pub const DROPPED_MS: f64 = 2_000.0;
+pub const DROPPED_CLASS_GRACE_MS: f64 = 2_000.0;
 
 /// The classes as all fronts see them, replaced whole.
 #[derive(Clone)]
@@ -53,11 +53,14 @@
     /// Those of new settings; what they have dropped stays known for a while.
     pub fn replace(&self, mut newer: Vec<Class>, now: f64) {
         let mut known = self.0.write().unwrap_or_else(PoisonError::into_inner);
-        let gone = |c: &&Class| newer.iter().all(|n| n.name != c.name) && c.until > now;
+        let gone = |c: &&Class| newer.iter().all(|n| n.name != c.name) && c.accepted_until > now;
         let dropped: Vec<Class> = known
             .iter()
             .filter(gone)
-            .map(|c| Class { until: c.until.min(now + DROPPED_MS), ..c.clone() })
+            .map(|c| Class {
+                accepted_until: c.accepted_until.min(now + DROPPED_CLASS_GRACE_MS),
+                ..c.clone()
+            })
             .collect();
         newer.extend(dropped);
         *known = Arc::new(newer);
@@ -66,7 +69,7 @@
 
 /// The class of this name, if its jobs are taken at this time.
 pub fn find_class<'a>(classes: &'a [Class], name: &str, now: f64) -> Option<&'a Class> {
-    classes.iter().find(|known| known.name == name && now < known.until)
+    classes.iter().find(|known| known.name == name && now < known.accepted_until)
 }
 
 /// Printable ASCII and no fragment; the length is for the caller to check against [`TARGET_LIMIT`].
--- a/balancer/exchange/src/intake/tests.rs
+++ b/balancer/exchange/src/intake/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn class(name: &str, limit: f64) -> Class {
-    Class { name: name.to_owned(), keyed: false, limit, until: f64::INFINITY }
+fn class(name: &str, default_timeout: f64) -> Class {
+    Class { name: name.to_owned(), keyed: false, default_timeout, accepted_until: f64::INFINITY }
 }
 
 #[test]
@@ -11,10 +11,14 @@
     let classes = Classes::new(vec![class("a", 1.0), class("b", 1.0)]);
     classes.replace(vec![class("b", 2.0), class("c", 1.0)], 1_000.0);
     let known = classes.now();
-    assert_eq!(find_class(&known, "b", 1_000.0).map(|c| c.limit), Some(2.0), "the new set holds at once");
+    assert_eq!(
+        find_class(&known, "b", 1_000.0).map(|c| c.default_timeout),
+        Some(2.0),
+        "the new set holds at once"
+    );
     assert!(find_class(&known, "c", 1_000.0).is_some());
-    assert!(find_class(&known, "a", 999.0 + DROPPED_MS).is_some());
-    assert!(find_class(&known, "a", 1_000.0 + DROPPED_MS).is_none());
+    assert!(find_class(&known, "a", 999.0 + DROPPED_CLASS_GRACE_MS).is_some());
+    assert!(find_class(&known, "a", 1_000.0 + DROPPED_CLASS_GRACE_MS).is_none());
     for i in 0..100 {
         classes.replace(vec![class(&format!("r{i}"), 1.0)], 10_000.0 + 100.0 * f64::from(i));
     }
--- a/balancer/exchange/src/job.rs
+++ b/balancer/exchange/src/job.rs
@@ -17,7 +17,7 @@
 
 /// What passes on to a next hop as the client gave it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Verbatim {
+pub struct ForwardedRequest {
     /// Method of the request.
     pub method: String,
     /// Target of the request.
@@ -46,7 +46,7 @@
     /// Clock time at which its client gives up.
     pub deadline: f64,
     /// What is passed on unchanged.
-    pub verbatim: Verbatim,
+    pub forwarded: ForwardedRequest,
 }
 
 /// The one final answer to a job.
@@ -97,13 +97,13 @@
     }
 
     /// `wake` is also called when the job has come further.
-    pub fn followed(wake: impl Fn() + Send + Sync + 'static) -> Self {
+    pub fn with_progress(wake: impl Fn() + Send + Sync + 'static) -> Self {
         let progress = Some(Followed::default());
         Reply(Arc::new(ReplySlot { answer: Mutex::new(None), progress, wake: Box::new(wake) }))
     }
 
     /// Notes how far the job has come, for whoever follows it.
-    pub fn note(&self, change: impl FnOnce(&mut Progress)) {
+    pub fn update_progress(&self, change: impl FnOnce(&mut Progress)) {
         if let Some(followed) = &self.0.progress {
             followed.change(change);
             (self.0.wake)();
--- a/balancer/exchange/src/lib.rs
+++ b/balancer/exchange/src/lib.rs
@@ -24,11 +24,11 @@
 pub mod shutdown;
 
 pub use admission_gate::{AdmissionGate, Permit};
-pub use attempt::{AttemptEnd, AttemptId, JobNews, JobState, LoadReport};
+pub use attempt::{AttemptEnd, AttemptId, JobState, LoadReport, WorkerCallBack};
 pub use drain::Drain;
 pub use exchange::{Exchange, Inbox};
-pub use front::{Advice, Core};
-pub use job::{Answer, Failure, Front, Job, Reply, Ticket, Verbatim};
+pub use front::{Core, RetryAdvice};
+pub use job::{Answer, Failure, ForwardedRequest, Front, Job, Reply, Ticket};
 pub use message::Message;
 pub use operator_order::{Order, OrderHandle, OrderResult, PendingOrder};
 pub use peer_process::{PeerProcess, PeerRequest, PeerRole, Transfer};
--- a/balancer/exchange/src/message.rs
+++ b/balancer/exchange/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages to the dispatch coroutine.
 
-use crate::attempt::{AttemptEnd, AttemptId, JobNews, LoadReport};
+use crate::attempt::{AttemptEnd, AttemptId, LoadReport, WorkerCallBack};
 use crate::job::{Job, Reply, Ticket};
 use crate::operator_order::PendingOrder;
 use crate::peer_process::PeerRequest;
@@ -24,7 +24,7 @@
         ticket: Ticket,
     },
     /// A call-back of a worker.
-    News(JobNews),
+    CallBack(WorkerCallBack),
     /// A worker has accepted an attempt.
     Accepted {
         /// The attempt.
@@ -40,7 +40,7 @@
         load: Option<LoadReport>,
     },
     /// A worker has confirmed that an attempt is cancelled.
-    CalledOff {
+    CancelFinished {
         /// The attempt.
         attempt: AttemptId,
     },
@@ -60,7 +60,7 @@
     /// A call at discovery failed.
     WorkerListUnavailable,
     /// New settings wait for the core.
-    Retuned,
+    SettingsChanged,
     /// From now on discovery is here.
     Discovery(std::net::SocketAddr),
     /// The program ends once nothing is owed.
@@ -70,5 +70,5 @@
     /// The other process of an upgrade asks.
     PeerRequest(PeerRequest),
     /// Something more urgent has come; `Inbox` never gives this out.
-    Nudge,
+    WakeUp,
 }
--- a/balancer/exchange/src/operator_order.rs
+++ b/balancer/exchange/src/operator_order.rs
@@ -56,7 +56,7 @@
     }
 
     /// None as long as it is neither carried out nor refused.
-    pub fn look(&self) -> Option<OrderResult> {
+    pub fn result(&self) -> Option<OrderResult> {
         match *lock(&self.0) {
             State::OrderResult(carried) => Some(carried),
             _ => None,
--- a/balancer/exchange/src/peer_process.rs
+++ b/balancer/exchange/src/peer_process.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PeerRole {
     /// Nothing yet.
-    Stranger,
+    Unproven,
     /// A next hop with call-backs, or a watcher of this program.
-    Caller,
+    WorkerOrMonitor,
     /// It has had a job answered.
     Client,
 }
@@ -26,13 +26,13 @@
     /// A connection between two requests.
     Connection(TcpStream, PeerRole),
     /// A call-back whose job is not here, as it came.
-    News(Vec<u8>),
+    CallBack(Vec<u8>),
     /// Jobs of this process, by their clients' ids.
-    Began(String),
+    JobStarted(String),
     /// A job of this process has ended.
-    Ended(String),
+    JobEnded(String),
     /// An attempt of this process has ended at its worker.
-    Landed {
+    AttemptEnded {
         /// The worker.
         worker: String,
         /// The job.
@@ -93,7 +93,7 @@
         self.take_connections(false);
         self.parcels().clear();
         self.theirs().clear();
-        self.share(0, 0);
+        self.set_peer_connections(0, 0);
     }
 
     /// Connections between two requests go over from now on.
@@ -135,22 +135,22 @@
     }
 
     /// Whether the other process owes this job.
-    pub fn is_theirs(&self, id: &str) -> bool {
+    pub fn is_peer_job(&self, id: &str) -> bool {
         self.is_open() && self.theirs().contains(id)
     }
 
     /// Notes a job of the other process.
-    pub fn their_job(&self, id: String) {
+    pub fn add_peer_job(&self, id: String) {
         self.theirs().insert(id);
     }
 
     /// Notes the end of a job of the other process.
-    pub fn their_job_ended(&self, id: &str) {
+    pub fn remove_peer_job(&self, id: &str) {
         self.theirs().remove(id);
     }
 
     /// Descriptors that the other holds, or may: this process has so many fewer.
-    pub fn share(&self, inbound: usize, worker_connections: usize) {
+    pub fn set_peer_connections(&self, inbound: usize, worker_connections: usize) {
         self.0.inbound.store(inbound, Ordering::Release);
         self.0.worker_connections.store(worker_connections, Ordering::Release);
     }
@@ -179,9 +179,9 @@
     /// All that a successor needs, in the core's own form.
     Export(std::sync::mpsc::Sender<Vec<u8>>),
     /// Ids of the jobs that are owed, and the descriptors held for next hops.
-    UnderWay(std::sync::mpsc::Sender<(Vec<String>, usize)>),
+    UnfinishedJobs(std::sync::mpsc::Sender<(Vec<String>, usize)>),
     /// An attempt of the other process has ended at its worker.
-    Landed {
+    AttemptEnded {
         /// The worker.
         worker: String,
         /// The job.
@@ -190,7 +190,7 @@
         attempt: usize,
     },
     /// The other process is gone, and its attempts with it.
-    Gone,
+    PeerEnded,
 }
 
 #[cfg(test)]
--- a/balancer/exchange/src/peer_process/tests.rs
+++ b/balancer/exchange/src/peer_process/tests.rs
@@ -8,12 +8,12 @@
     assert!(peer.accepts() && !peer.takes_connections());
     assert!(peer.put(Transfer::Drain(true)).is_err());
     peer.open();
-    peer.their_job("a".to_owned());
-    peer.share(9, 3);
-    assert!(peer.put(Transfer::Ended("b".to_owned())).is_ok() && peer.is_theirs("a"));
-    assert!(matches!(peer.take(), Some(Transfer::Ended(id)) if id == "b"));
+    peer.add_peer_job("a".to_owned());
+    peer.set_peer_connections(9, 3);
+    assert!(peer.put(Transfer::JobEnded("b".to_owned())).is_ok() && peer.is_peer_job("a"));
+    assert!(matches!(peer.take(), Some(Transfer::JobEnded(id)) if id == "b"));
     peer.close();
-    assert!(!peer.is_theirs("a") && peer.take().is_none());
+    assert!(!peer.is_peer_job("a") && peer.take().is_none());
     assert_eq!((peer.inbound(), peer.worker_connections()), (0, 0), "all of the budget is ours again");
 }
 
--- a/balancer/exchange/src/shutdown.rs
+++ b/balancer/exchange/src/shutdown.rs
@@ -73,7 +73,7 @@
 
     /// Whether another process accepts: new connections come there, and this one ends as soon as nothing is owed and
     /// its clients' connections have gone over.
-    pub fn succeed(&self, succeeded: bool) {
+    pub fn set_succeeded(&self, succeeded: bool) {
         self.succeeded.store(succeeded, Ordering::Release);
     }
 
@@ -87,12 +87,12 @@
     }
 
     /// A client's connection on another front has opened.
-    pub fn client_came(&self) {
+    pub fn client_connected(&self) {
         self.elsewhere.fetch_add(1, Ordering::AcqRel);
     }
 
     /// A client's connection on another front has closed.
-    pub fn client_left(&self) {
+    pub fn client_disconnected(&self) {
         self.elsewhere.fetch_sub(1, Ordering::AcqRel);
     }
 
--- a/balancer/exchange/src/shutdown/tests.rs
+++ b/balancer/exchange/src/shutdown/tests.rs
@@ -23,10 +23,10 @@
     assert!(stopping.last_moment() < 3_700.0);
     stopping.note_no_clients(799.0);
     assert!(!stopping.grace_is_over(800.0), "the front may still send new ones");
-    stopping.client_came();
+    stopping.client_connected();
     stopping.note_no_clients(800.0);
     assert!(!stopping.grace_is_over(800.0), "one is left on another front");
-    stopping.client_left();
+    stopping.client_disconnected();
     stopping.note_no_clients(800.0);
     assert!(stopping.grace_is_over(800.0));
 }
@@ -58,7 +58,7 @@
 #[test]
 fn with_a_successor_nobody_new_comes_here() {
     let stopping = Stopping::new(5_000.0);
-    stopping.succeed(true);
+    stopping.set_succeeded(true);
     stopping.begin(0.0);
     assert!(!stopping.grace_is_over(1.0), "clients' connections are still here");
     stopping.note_no_clients(2.0);
--- a/balancer/fronts/grpc/src/intake.rs
+++ b/balancer/fronts/grpc/src/intake.rs
@@ -5,7 +5,7 @@
     find_class, is_figure, is_id, is_plain, is_target, Class, BODY_LIMIT, ID_LIMIT, JOB_METHOD, JOB_PATH,
     TARGET_LIMIT, VALUE_LIMIT,
 };
-use millrudder_exchange::{Front, Job, Verbatim};
+use millrudder_exchange::{ForwardedRequest, Front, Job};
 
 /// Figures that a job may carry.
 const MOST_PROPS: usize = 32;
@@ -72,8 +72,8 @@
         class: class.name.clone(),
         slots: prop("slots").unwrap_or(1.0),
         memory: prop("memory").unwrap_or(0.0),
-        deadline: began + timeout.unwrap_or(class.limit),
-        verbatim: Verbatim {
+        deadline: began + timeout.unwrap_or(class.default_timeout),
+        forwarded: ForwardedRequest {
             method: JOB_METHOD.to_owned(),
             target,
             body: request.body,
--- a/balancer/fronts/grpc/src/intake/tests.rs
+++ b/balancer/fronts/grpc/src/intake/tests.rs
@@ -4,8 +4,12 @@
 use std::collections::HashMap;
 
 fn classes() -> Vec<Class> {
-    let class =
-        |name: &str, keyed| Class { name: name.to_owned(), keyed, limit: 5_000.0, until: f64::INFINITY };
+    let class = |name: &str, keyed| Class {
+        name: name.to_owned(),
+        keyed,
+        default_timeout: 5_000.0,
+        accepted_until: f64::INFINITY,
+    };
     vec![class("copy-issue", true), class("look-up", false)]
 }
 
@@ -29,13 +33,16 @@
         ("9b1f", "copy-issue", Front::Grpc)
     );
     assert_eq!((made.slots, made.memory, made.deadline), (2.0, 1.433, 1_480.0));
-    let verbatim = &made.verbatim;
-    assert_eq!((verbatim.method.as_str(), verbatim.target.as_str()), ("POST", "/api?q=1"));
-    assert_eq!((verbatim.body.as_slice(), verbatim.idempotency_key.as_deref()), (&b"body"[..], Some("5c0f")));
+    let forwarded = &made.forwarded;
+    assert_eq!((forwarded.method.as_str(), forwarded.target.as_str()), ("POST", "/api?q=1"));
+    assert_eq!(
+        (forwarded.body.as_slice(), forwarded.idempotency_key.as_deref()),
+        (&b"body"[..], Some("5c0f"))
+    );
     let bare = SubmitRequest { job_class: "look-up".to_owned(), ..SubmitRequest::default() };
     let (first, second) =
         (job(bare.clone(), 0.0, None, &classes()).unwrap(), job(bare, 0.0, None, &classes()).unwrap());
-    assert_eq!((first.deadline, first.slots, first.verbatim.target.as_str()), (5_000.0, 1.0, "/api"));
+    assert_eq!((first.deadline, first.slots, first.forwarded.target.as_str()), (5_000.0, 1.0, "/api"));
     assert!(is_id(&first.trace_id) && first.trace_id != second.trace_id, "one is made, each time another");
 }
 
--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -285,7 +285,7 @@
         }
         // Clients of a process that has laid its place down find the new one; calls under way are answered here.
         let moved = shared.peer_process.is_open() && !shared.peer_process.accepts();
-        let closing = shared.stopping.grace_is_over(now) || shared.drain.is_noticed(now) || moved;
+        let closing = shared.stopping.grace_is_over(now) || shared.drain.clients_notified(now) || moved;
         shared.door.sweep(shared.limits.idle_time.ms(), closing, now, &shared.counters);
     }
 }
--- a/balancer/fronts/grpc/src/service.rs
+++ b/balancer/fronts/grpc/src/service.rs
@@ -91,7 +91,7 @@
             core.counters.turned_away.add();
             return Err(status::refused("the dispatcher stops", None));
         }
-        let permit = core.admission_gate.enter(Front::Grpc, job.verbatim.body.len()).map_err(|refused| {
+        let permit = core.admission_gate.enter(Front::Grpc, job.forwarded.body.len()).map_err(|refused| {
             core.counters.turned_away.add();
             let advice = Some(refused.retry_after).filter(|_| core.advice.is_allowed());
             status::refused("no room now, try again", advice)
@@ -99,7 +99,7 @@
         let wake = Arc::new(Notify::new());
         let waker = wake.clone();
         let wake_up = move || waker.notify_one();
-        let reply = if followed { Reply::followed(wake_up) } else { Reply::new(wake_up) };
+        let reply = if followed { Reply::with_progress(wake_up) } else { Reply::new(wake_up) };
         let id = job.trace_id.clone();
         core.counters.grpc_jobs.add();
         let ticket = core.exchange.submit(job, reply.clone());
--- a/balancer/fronts/grpc/src/transport.rs
+++ b/balancer/fronts/grpc/src/transport.rs
@@ -107,13 +107,13 @@
 
 impl Client {
     fn came(shared: &Arc<Shared>) -> Self {
-        shared.stopping.client_came();
+        shared.stopping.client_connected();
         Client(shared.clone())
     }
 }
 
 impl Drop for Client {
     fn drop(&mut self) {
-        self.0.stopping.client_left();
+        self.0.stopping.client_disconnected();
     }
 }
--- a/balancer/fronts/grpc/tests/grpc/front.rs
+++ b/balancer/fronts/grpc/tests/grpc/front.rs
@@ -17,7 +17,7 @@
     let (_, job, reply) = rig.job();
     let left = job.deadline - began;
     assert!((29_000.0..60_000.0).contains(&left), "{left}");
-    assert_eq!((job.trace_id.as_str(), job.verbatim.body.as_slice()), ("a", &b"body"[..]));
+    assert_eq!((job.trace_id.as_str(), job.forwarded.body.as_slice()), ("a", &b"body"[..]));
     assert_eq!(rig.admission_gate.usage(job.front).places, 1);
     reply.give(served("made here"));
     let (answer, mut client) = asked.await.unwrap();
@@ -103,16 +103,16 @@
     let mut client = rig.client().await;
     let asked = tokio::spawn(async move { client.follow(request("a")).await });
     let (_, _, reply) = rig.job();
-    reply.note(|p| p.accepted = true);
+    reply.update_progress(|p| p.accepted = true);
     let mut events = asked.await.unwrap().unwrap().into_inner();
     let next = |event: Option<millrudder_front_grpc::proto::JobEvent>| event.unwrap().event.unwrap();
     assert!(matches!(next(events.message().await.unwrap()), Event::Accepted(a) if a.id == "a"));
-    reply.note(|p| p.starts = 1);
+    reply.update_progress(|p| p.starts = 1);
     assert!(matches!(next(events.message().await.unwrap()), Event::Started(s) if s.attempt == 1));
-    reply.note(|p| p.share = 0.4);
+    reply.update_progress(|p| p.share = 0.4);
     assert!(matches!(next(events.message().await.unwrap()), Event::Progress(p) if p.share == 0.4));
     // A repeat starts over.
-    reply.note(|p| (p.starts, p.share) = (2, 0.0));
+    reply.update_progress(|p| (p.starts, p.share) = (2, 0.0));
     assert!(matches!(next(events.message().await.unwrap()), Event::Started(s) if s.attempt == 2));
     reply.give(served("made"));
     assert!(matches!(next(events.message().await.unwrap()), Event::Done(d) if d.result == b"made"));
@@ -143,7 +143,7 @@
     // The same while events flow.
     let call = tokio::spawn(async move { second.follow(request("b")).await });
     let (ticket, _, reply) = rig.job();
-    reply.note(|p| p.accepted = true);
+    reply.update_progress(|p| p.accepted = true);
     drop(call.await.unwrap().unwrap());
     assert_eq!(rig.withdrawn(), ticket);
     // The connection serves on.
--- a/balancer/fronts/grpc/tests/grpc/rig.rs
+++ b/balancer/fronts/grpc/tests/grpc/rig.rs
@@ -8,7 +8,8 @@
 use millrudder_exchange::intake::{Class, Classes};
 use millrudder_exchange::shutdown::Stopping;
 use millrudder_exchange::{
-    AdmissionGate, Advice, Answer, Core, Drain, Exchange, Front, Job, Message, PeerProcess, Reply, Ticket,
+    AdmissionGate, Answer, Core, Drain, Exchange, Front, Job, Message, PeerProcess, Reply, RetryAdvice,
+    Ticket,
 };
 use millrudder_front_grpc::proto::jobs_client::JobsClient;
 use millrudder_front_grpc::proto::SubmitRequest;
@@ -76,10 +77,10 @@
             classes: Classes::new(vec![Class {
                 name: "copy-issue".to_owned(),
                 keyed: true,
-                limit: 5_000.0,
-                until: f64::INFINITY,
+                default_timeout: 5_000.0,
+                accepted_until: f64::INFINITY,
             }]),
-            advice: Advice::new(true),
+            advice: RetryAdvice::new(true),
             log: slog::Logger::root(slog::Discard, slog::o!()),
         };
         let grpc = settings.fronts.grpc.unwrap();
--- a/balancer/fronts/http/src/call_back.rs
+++ b/balancer/fronts/http/src/call_back.rs
@@ -1,7 +1,7 @@
 //! Call-backs of next hops: `POST /_jobs/news`.
 
 use super::Shared;
-use millrudder_exchange::{JobNews, JobState, Message};
+use millrudder_exchange::{JobState, Message, WorkerCallBack};
 use millrudder_wire::json::{self, JsonError, Node};
 use millrudder_wire::report::read_load;
 use tinyjson::JsonValue;
@@ -11,7 +11,7 @@
 pub fn take(shared: &Shared, body: Vec<u8>) -> bool {
     match read(&body) {
         Ok(news) => {
-            shared.exchange.put(Message::News(JobNews { body: Some(body), ..news }));
+            shared.exchange.send(Message::CallBack(WorkerCallBack { body: Some(body), ..news }));
             true
         }
         Err(error) => {
@@ -27,11 +27,11 @@
 /// News of a job of ours that reached the other process of an upgrade.
 pub fn take_over(shared: &Shared, body: &[u8]) {
     if let Ok(news) = read(body) {
-        shared.exchange.put(Message::News(news));
+        shared.exchange.send(Message::CallBack(news));
     }
 }
 
-pub(super) fn read(body: &[u8]) -> Result<JobNews, JsonError> {
+pub(super) fn read(body: &[u8]) -> Result<WorkerCallBack, JsonError> {
     let document = json::parse(body)?;
     let root = Node::root(&document).object()?;
     let state = match root.at("state").needed_text()? {
@@ -47,7 +47,7 @@
         JsonValue::Object(map) => read_load(&root.at("load"), map.get("load"))?,
         _ => None,
     };
-    Ok(JobNews {
+    Ok(WorkerCallBack {
         trace_id: root.at("id").needed_text()?.to_owned(),
         from: root.at("from").needed_text()?.to_owned(),
         state,
--- a/balancer/fronts/http/src/connection.rs
+++ b/balancer/fronts/http/src/connection.rs
@@ -111,7 +111,7 @@
             let idle = self.decoder.is_idle();
             self.doing(if idle { Doing::Idle } else { Doing::Reading });
             match self.read() {
-                Ok(Got::Bytes(_)) if !self.shared.doors.holds(&self.pass, self.decoder.held()) => {
+                Ok(Got::Bytes(_)) if !self.shared.doors.holds(&self.pass, self.decoder.buffered_bytes()) => {
                     return Err(NoRequest::Refused(Refusal::NoMemory));
                 }
                 Ok(Got::Bytes(_)) if idle => self.began = self.shared.clock.now(),
@@ -134,7 +134,7 @@
             return false;
         }
         let standing = self.shared.doors.standing(&self.pass);
-        let parcel = self.socket.to_pass_on().map(|stream| Transfer::Connection(stream, standing));
+        let parcel = self.socket.try_clone_stream().map(|stream| Transfer::Connection(stream, standing));
         parcel.is_ok_and(|parcel| peer_process.put(parcel).is_ok())
     }
 
@@ -149,12 +149,12 @@
     /// Reads on while a job is here, to see its client leave; what it sends ahead waits, within bounds. `dropped`
     /// counts what did not.
     fn read_ahead(&mut self, dropped: &mut usize) -> io::Result<Got> {
-        if *dropped == 0 && self.decoder.held() <= AHEAD_BYTES {
+        if *dropped == 0 && self.decoder.buffered_bytes() <= AHEAD_BYTES {
             return self.read();
         }
         let got = self.socket.try_read(&mut self.buffer)?;
         if let Got::Bytes(n) = got {
-            *dropped += n + self.decoder.held();
+            *dropped += n + self.decoder.buffered_bytes();
             self.decoder = Decoder::default();
         }
         Ok(got)
@@ -174,7 +174,7 @@
             }
             Ok(Intake::News(body)) => {
                 if call_back::take(&self.shared, body) {
-                    self.shared.doors.proved(&self.pass, PeerRole::Caller);
+                    self.shared.doors.proved(&self.pass, PeerRole::WorkerOrMonitor);
                 }
                 self.reply(keep, answer::no_content)
             }
@@ -188,14 +188,14 @@
             let advice = (!self.shared.stopping.has_begun()).then_some(CROWDED_RETRY_MS);
             return self.turn_away(advice, false);
         }
-        let permit = match self.shared.admission_gate.enter(Front::Http, job.verbatim.body.len()) {
+        let permit = match self.shared.admission_gate.enter(Front::Http, job.forwarded.body.len()) {
             Ok(permit) => permit,
             Err(refused) => {
                 return self.turn_away(Some(refused.retry_after), keep);
             }
         };
         self.doing(Doing::Waiting);
-        self.shared.doors.holds(&self.pass, self.decoder.held() + job.verbatim.body.len());
+        self.shared.doors.holds(&self.pass, self.decoder.buffered_bytes() + job.forwarded.body.len());
         let waker = self.socket.waker();
         let reply = Reply::new(move || waker.wakeup());
         let ticket = self.shared.exchange.submit(job, reply.clone());
@@ -233,7 +233,7 @@
 
     fn give(&mut self, answer: &Answer, keep: bool) -> io::Result<()> {
         self.shared.doors.proved(&self.pass, PeerRole::Client);
-        self.shared.doors.holds(&self.pass, self.decoder.held());
+        self.shared.doors.holds(&self.pass, self.decoder.buffered_bytes());
         // Its client has somewhere else to go.
         let keep = keep && !self.shared.drain.is_on();
         self.reply(keep, |close| answer::of_job(answer, close))
--- a/balancer/fronts/http/src/doors.rs
+++ b/balancer/fronts/http/src/doors.rs
@@ -48,13 +48,13 @@
 
 impl State {
     fn new(now: f64) -> Self {
-        State { doing: Doing::Idle, standing: PeerRole::Stranger, opened: now, since: now }
+        State { doing: Doing::Idle, standing: PeerRole::Unproven, opened: now, since: now }
     }
 
     /// When it has had its time. Idle connections of peers that are known stay.
     pub fn limit(&self) -> f64 {
         match (self.doing, self.standing) {
-            (Doing::Idle | Doing::Reading, PeerRole::Stranger) => self.opened + REQUEST_MS,
+            (Doing::Idle | Doing::Reading, PeerRole::Unproven) => self.opened + REQUEST_MS,
             (Doing::Reading, _) => self.since + REQUEST_MS,
             (Doing::Writing, _) => self.since + WRITE_MS,
             (Doing::Lingering, _) => self.since + LINGER_MS,
@@ -67,8 +67,8 @@
         let stalled = now - self.since > STALLED_MS;
         match (self.doing, self.standing) {
             (Doing::Waiting, _) => None,
-            (Doing::Lingering, _) | (Doing::Idle | Doing::Reading, PeerRole::Stranger) => Some(0),
-            (Doing::Idle, PeerRole::Caller) => Some(1),
+            (Doing::Lingering, _) | (Doing::Idle | Doing::Reading, PeerRole::Unproven) => Some(0),
+            (Doing::Idle, PeerRole::WorkerOrMonitor) => Some(1),
             (Doing::Idle, PeerRole::Client) => Some(2),
             (Doing::Reading | Doing::Writing, _) => stalled.then_some(3),
         }
@@ -148,7 +148,7 @@
     }
 
     pub fn standing(&self, pass: &Pass) -> PeerRole {
-        self.open().doors.get(&pass.number).map_or(PeerRole::Stranger, |d| d.state.standing)
+        self.open().doors.get(&pass.number).map_or(PeerRole::Unproven, |d| d.state.standing)
     }
 
     pub fn enter(&self, waker: WaitIoWaker, now: f64) -> Pass {
@@ -195,7 +195,7 @@
     /// call-backs and, where it has proved nothing yet, for clients that have.
     pub fn is_crowded(&self, pass: &Pass) -> bool {
         let open = self.open();
-        let stranger = open.doors.get(&pass.number).is_none_or(|d| d.state.standing == PeerRole::Stranger);
+        let stranger = open.doors.get(&pass.number).is_none_or(|d| d.state.standing == PeerRole::Unproven);
         let share = if stranger { STRANGERS_SHARE } else { 1.0 };
         open.waiting as f64 >= self.ours(self.budget.inbound_jobs) as f64 * share
     }
@@ -233,14 +233,16 @@
     /// Ends those of clients, and of peers that may be, that have been idle since this time or longer.
     pub fn end_idle_clients(&self, since: f64) {
         let idle = |d: &&Door| {
-            d.state.doing == Doing::Idle && d.state.standing != PeerRole::Caller && d.state.since <= since
+            d.state.doing == Doing::Idle
+                && d.state.standing != PeerRole::WorkerOrMonitor
+                && d.state.since <= since
         };
         self.open().doors.values().filter(idle).for_each(Door::end);
     }
 
     /// A connection is open on which a job may come.
     pub fn has_clients(&self) -> bool {
-        self.open().doors.values().any(|d| d.state.standing != PeerRole::Caller)
+        self.open().doors.values().any(|d| d.state.standing != PeerRole::WorkerOrMonitor)
     }
 
     pub fn busy(&self) -> usize {
--- a/balancer/fronts/http/src/intake.rs
+++ b/balancer/fronts/http/src/intake.rs
@@ -5,7 +5,7 @@
     find_class, is_figure, is_id, is_plain, is_target, Class, JOB_METHOD, JOB_PATH, LONGEST_WAIT_MS,
     TARGET_LIMIT, VALUE_LIMIT,
 };
-use millrudder_exchange::{Front, Job, Verbatim};
+use millrudder_exchange::{ForwardedRequest, Front, Job};
 use millrudder_wire::http::{FrameError, Request};
 use std::fmt;
 
@@ -142,8 +142,8 @@
     }
     let (content_type, class) = (passed_on(CONTENT_TYPE)?, class.name.clone());
     let Request { method, target, body, .. } = request;
-    let verbatim = Verbatim { method, target, body, idempotency_key, content_type };
-    Ok(Job { front: Front::Http, trace_id, class, slots, memory, deadline: began + expires, verbatim })
+    let forwarded = ForwardedRequest { method, target, body, idempotency_key, content_type };
+    Ok(Job { front: Front::Http, trace_id, class, slots, memory, deadline: began + expires, forwarded })
 }
 
 /// A number and its unit: `480m` are milliseconds, `480u` microseconds.
--- a/balancer/fronts/http/src/lib.rs
+++ b/balancer/fronts/http/src/lib.rs
@@ -20,7 +20,7 @@
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::rate::Limiter;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{AdmissionGate, Advice, Core, Drain, Exchange, PeerProcess, PeerRole};
+use millrudder_exchange::{AdmissionGate, Core, Drain, Exchange, PeerProcess, PeerRole, RetryAdvice};
 use millrudder_wire::descriptor;
 use slog::Logger;
 use std::io::ErrorKind;
@@ -51,7 +51,7 @@
     doors: Doors,
     classes: Classes,
     admission_gate: AdmissionGate,
-    advice: Advice,
+    advice: RetryAdvice,
     log: Logger,
     /// For the log of bad call-backs, so that a broken next hop cannot flood it.
     bad_news: Limiter,
@@ -154,7 +154,7 @@
         }
         // Not may's own `accept`: blocked in it, a process that has laid its place down would take one more.
         match listener.inner().accept().and_then(|(stream, _)| descriptor::stream(stream)) {
-            Ok(stream) => admit(stream, PeerRole::Stranger, shared),
+            Ok(stream) => admit(stream, PeerRole::Unproven, shared),
             Err(error) if error.kind() == ErrorKind::WouldBlock => drop(listener.wait_io()),
             Err(error) => {
                 shared.counters.accept_errors.add();
@@ -183,7 +183,7 @@
         if shared.stopping.grace_is_over(now) {
             shared.doors.end_idle(now - JUST_OPENED_MS);
         }
-        if shared.drain.is_noticed(now) {
+        if shared.drain.clients_notified(now) {
             shared.doors.end_idle_clients(now - JUST_OPENED_MS);
         }
     }
--- a/balancer/fronts/http/src/tests.rs
+++ b/balancer/fronts/http/src/tests.rs
@@ -23,7 +23,12 @@
     Idempotency-Key: 5c0f\r\nX-Props: slots=1,memory=1.433";
 
 fn job(head: &str) -> Result<Job, Refusal> {
-    let class = Class { name: "copy-issue".to_owned(), keyed: true, limit: 5_000.0, until: f64::INFINITY };
+    let class = Class {
+        name: "copy-issue".to_owned(),
+        keyed: true,
+        default_timeout: 5_000.0,
+        accepted_until: f64::INFINITY,
+    };
     match route(request(head, "body"), 1000.0, &[class])? {
         Intake::Job(job) => Ok(*job),
         other => panic!("not a job: {other:?}"),
@@ -36,10 +41,10 @@
     assert_eq!((job.trace_id.as_str(), job.class.as_str()), ("9b1f", "copy-issue"));
     assert_eq!((job.slots, job.memory, job.deadline), (1.0, 1.433, 5998.0));
     assert_eq!(
-        (job.verbatim.target.as_str(), job.verbatim.body.as_slice()),
+        (job.forwarded.target.as_str(), job.forwarded.body.as_slice()),
         ("/api?q=1", b"body".as_slice())
     );
-    assert_eq!(job.verbatim.idempotency_key.as_deref(), Some("5c0f"));
+    assert_eq!(job.forwarded.idempotency_key.as_deref(), Some("5c0f"));
     let micro = self::job(&HEAD.replace("4998m", "2500u")).unwrap();
     assert_eq!(micro.deadline, 1002.5);
 }
@@ -134,16 +139,16 @@
     // Hundreds that connect and say nothing must not end the kept connections of usual clients.
     use {Doing::*, PeerRole::*};
     let pick = |doors: &[State]| first_to_leave(doors.iter().copied(), 10_000.0);
-    let waits = state(Waiting, Stranger, 0.0);
+    let waits = state(Waiting, Unproven, 0.0);
     let idle = state(Idle, Client, 10.0);
     let stalled = state(Reading, Client, 20.0);
     let busy = state(Reading, Client, 9_500.0);
     assert_eq!(
-        pick(&[waits, idle, state(Idle, Stranger, 9_990.0), state(Reading, Stranger, 9_000.0)]),
+        pick(&[waits, idle, state(Idle, Unproven, 9_990.0), state(Reading, Unproven, 9_000.0)]),
         Some(3)
     );
     assert_eq!(
-        pick(&[waits, stalled, idle, state(Idle, Caller, 9_000.0)]),
+        pick(&[waits, stalled, idle, state(Idle, WorkerOrMonitor, 9_000.0)]),
         Some(3),
         "call-backs' before clients'"
     );
@@ -156,13 +161,13 @@
 fn every_wait_on_a_peer_has_its_end_but_that_of_a_known_idle_one() {
     // A bad client is owed an error or a close within 3 s of connecting, however slowly it sends.
     use {Doing::*, PeerRole::*};
-    let first = State { opened: 1_000.0, since: 2_900.0, ..state(Reading, Stranger, 0.0) };
-    assert!(first.limit() < 4_000.0 - 500.0 && state(Idle, Stranger, 1_000.0).limit() < 4_000.0 - 500.0);
+    let first = State { opened: 1_000.0, since: 2_900.0, ..state(Reading, Unproven, 0.0) };
+    assert!(first.limit() < 4_000.0 - 500.0 && state(Idle, Unproven, 1_000.0).limit() < 4_000.0 - 500.0);
     for doing in [Reading, Writing, Lingering] {
         assert!(state(doing, Client, 0.0).limit() <= 5_000.0, "{doing:?}");
     }
     assert_eq!(state(Idle, Client, 0.0).limit(), f64::INFINITY);
-    assert_eq!(state(Waiting, Stranger, 0.0).limit(), f64::INFINITY);
+    assert_eq!(state(Waiting, Unproven, 0.0).limit(), f64::INFINITY);
 }
 
 #[test]
--- a/balancer/fronts/operators/src/lib.rs
+++ b/balancer/fronts/operators/src/lib.rs
@@ -187,7 +187,7 @@
 
     fn look(&mut self, core: &Core, now: f64) {
         let Some((order, awaited)) = self.order.take() else { return };
-        let carried = match awaited.look() {
+        let carried = match awaited.result() {
             Some(carried) => carried,
             None if self.talk.until() <= now => awaited.give_up().unwrap_or(Err("not taken on in time")),
             None => return self.order = Some((order, awaited)),
--- a/balancer/upgrade/src/giver.rs
+++ b/balancer/upgrade/src/giver.rs
@@ -74,7 +74,7 @@
         self.shell.part();
         // Also where the machine never saw the place laid down: between this process's word and its own.
         self.shell.peer_process().accept(true);
-        self.shell.core.stopping.succeed(false);
+        self.shell.core.stopping.set_succeeded(false);
         slog::warn!(self.shell.log(), "upgrade: the successor has gone"; "why" => self.giver.reason());
     }
 
@@ -108,7 +108,7 @@
     fn lay_down(&mut self) -> io::Result<()> {
         self.shell.peer_process().accept(false);
         let (give, given) = channel();
-        self.shell.core.exchange.ask(PeerRequest::UnderWay(give));
+        self.shell.core.exchange.ask(PeerRequest::UnfinishedJobs(give));
         let (under_way, next_hops) =
             given.recv_timeout(EXPORT).map_err(|e| io::Error::new(ErrorKind::TimedOut, e))?;
         self.giver.set_under_way(under_way);
@@ -136,10 +136,10 @@
                 Action::Accept => {
                     peer_process.accept(true);
                     peer_process.take_connections(false);
-                    self.shell.core.stopping.succeed(false);
+                    self.shell.core.stopping.set_succeeded(false);
                 }
                 // The platform has said so already, or it says it in a moment.
-                Action::Drain => self.shell.core.exchange.put(Inbound::Stop),
+                Action::Drain => self.shell.core.exchange.send(Inbound::Stop),
                 Action::Tell(step) => slog::info!(self.shell.log(), "upgrade: {}", step),
                 _ => {}
             }
@@ -147,7 +147,7 @@
         // The new process accepts: connections go there, and this one ends when it has none and owes nothing.
         if matches!(self.giver.phase(), GiverPhase::Probation | GiverPhase::Draining) {
             peer_process.take_connections(true);
-            self.shell.core.stopping.succeed(true);
+            self.shell.core.stopping.set_succeeded(true);
         }
         Ok(())
     }
--- a/balancer/upgrade/src/giver/tests.rs
+++ b/balancer/upgrade/src/giver/tests.rs
@@ -6,7 +6,7 @@
 use millrudder_exchange::clock::Clock;
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{AdmissionGate, Advice, Core, Exchange, Inbox, PeerRole};
+use millrudder_exchange::{AdmissionGate, Core, Exchange, Inbox, PeerRole, RetryAdvice};
 use millrudder_handover::VERSION;
 use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
@@ -34,7 +34,7 @@
         serving: Arc::default(),
         clock,
         classes: Classes::new(Vec::new()),
-        advice: Advice::new(true),
+        advice: RetryAdvice::new(true),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
     (Shell { core, front: Arc::new(NoFront), path: "unused".into() }, inbox)
@@ -60,8 +60,10 @@
                 there.send(&Message::Ready, None).unwrap();
             }
             // The core is stuck: what it was asked for is dropped.
-            Inbound::PeerRequest(PeerRequest::UnderWay(_)) => parked = !shell.core.peer_process.accepts(),
-            Inbound::PeerRequest(PeerRequest::Gone) => break,
+            Inbound::PeerRequest(PeerRequest::UnfinishedJobs(_)) => {
+                parked = !shell.core.peer_process.accepts()
+            }
+            Inbound::PeerRequest(PeerRequest::PeerEnded) => break,
             _ => {}
         }
     }
--- a/balancer/upgrade/src/lib.rs
+++ b/balancer/upgrade/src/lib.rs
@@ -81,15 +81,15 @@
                     self.core.counters.connections_passed_on.add();
                     link.send(&Message::Connection { was: was(standing) }, Some(stream.as_fd()))?;
                 }
-                Transfer::News(body) => link.send(&Message::CallBack(Call { number: 0, body }), None)?,
+                Transfer::CallBack(body) => link.send(&Message::CallBack(Call { number: 0, body }), None)?,
                 Transfer::Ordered(Order::Disable(id)) => link.send(&Message::Ban { id, on: true }, None)?,
                 Transfer::Ordered(Order::Enable(id)) => link.send(&Message::Ban { id, on: false }, None)?,
                 Transfer::Drain(on) => link.send(&Message::Drain { on }, None)?,
                 // Only the one that ends tells of its jobs.
                 _ if !giver => {}
-                Transfer::Began(id) => link.send(&Message::Began { id }, None)?,
-                Transfer::Ended(id) => link.send(&Message::Ended { id }, None)?,
-                Transfer::Landed { worker, job, attempt } => {
+                Transfer::JobStarted(id) => link.send(&Message::Began { id }, None)?,
+                Transfer::JobEnded(id) => link.send(&Message::Ended { id }, None)?,
+                Transfer::AttemptEnded { worker, job, attempt } => {
                     link.send(&Message::Landed { worker, job, attempt }, None)?;
                 }
             }
@@ -114,10 +114,10 @@
             (Message::Drain { on: true }, _) => self.core.drain.begin(self.core.clock.now()),
             (Message::Drain { on: false }, _) => self.core.drain.end(),
             (Message::Landed { worker, job, attempt }, _) => {
-                self.core.exchange.ask(PeerRequest::Landed { worker, job, attempt });
+                self.core.exchange.ask(PeerRequest::AttemptEnded { worker, job, attempt });
             }
             (Message::Held { inbound }, _) => {
-                self.peer_process().share(inbound, self.peer_process().worker_connections());
+                self.peer_process().set_peer_connections(inbound, self.peer_process().worker_connections());
             }
             (message, _) => return Some(message),
         }
@@ -127,22 +127,22 @@
     /// The other process is gone.
     fn part(&self) {
         self.peer_process().close();
-        self.core.exchange.ask(PeerRequest::Gone);
+        self.core.exchange.ask(PeerRequest::PeerEnded);
     }
 }
 
 fn was(standing: PeerRole) -> Was {
     match standing {
-        PeerRole::Stranger => Was::Stranger,
-        PeerRole::Caller => Was::Caller,
+        PeerRole::Unproven => Was::Stranger,
+        PeerRole::WorkerOrMonitor => Was::Caller,
         PeerRole::Client => Was::Client,
     }
 }
 
 fn standing(was: Was) -> PeerRole {
     match was {
-        Was::Stranger => PeerRole::Stranger,
-        Was::Caller => PeerRole::Caller,
+        Was::Stranger => PeerRole::Unproven,
+        Was::Caller => PeerRole::WorkerOrMonitor,
         Was::Client => PeerRole::Client,
     }
 }
--- a/balancer/upgrade/src/taker.rs
+++ b/balancer/upgrade/src/taker.rs
@@ -150,11 +150,11 @@
         let Some(message) = shell.take(heard) else { return };
         match &message {
             Message::Commit { under_way, inbound, next_hops } => {
-                under_way.iter().for_each(|id| shell.peer_process().their_job(id.clone()));
-                shell.peer_process().share(*inbound, *next_hops);
+                under_way.iter().for_each(|id| shell.peer_process().add_peer_job(id.clone()));
+                shell.peer_process().set_peer_connections(*inbound, *next_hops);
             }
-            Message::Began { id } => shell.peer_process().their_job(id.clone()),
-            Message::Ended { id } => shell.peer_process().their_job_ended(id),
+            Message::Began { id } => shell.peer_process().add_peer_job(id.clone()),
+            Message::Ended { id } => shell.peer_process().remove_peer_job(id),
             _ => {}
         }
         self.taker.handle(Event::Message(message), shell.core.clock.now(), out);
@@ -167,7 +167,7 @@
                 Action::Accept => {
                     slog::info!(shell.log(), "upgrade: this process accepts");
                     shell.peer_process().accept(true);
-                    shell.core.now_serves();
+                    shell.core.set_serving();
                 }
                 Action::StopAccepting => shell.peer_process().accept(false),
                 _ => {}
--- a/balancer/wire/src/http/decode.rs
+++ b/balancer/wire/src/http/decode.rs
@@ -212,7 +212,7 @@
     }
 
     /// Bytes that wait here for their message to be whole.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() + self.open.as_ref().map_or(0, |open| open.chunks.len())
     }
 
--- a/balancer/wire/src/list.rs
+++ b/balancer/wire/src/list.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
     pub generation: u64,
-    pub news: WorkerListUpdate,
+    pub update: WorkerListUpdate,
 }
 
 /// All or nothing: a list with one bad entry is refused whole, and the old one stands.
@@ -18,7 +18,7 @@
     let entries = node.at("instances").items()?.iter().map(read_entry).collect::<Result<_, _>>()?;
     Ok(List {
         generation,
-        news: WorkerListUpdate { whole: node.at("reset").flag()?, generation: Some(generation), entries },
+        update: WorkerListUpdate { whole: node.at("reset").flag()?, generation: Some(generation), entries },
     })
 }
 
--- a/balancer/wire/src/list/tests.rs
+++ b/balancer/wire/src/list/tests.rs
@@ -15,8 +15,8 @@
 #[test]
 fn a_list_is_read_whole_or_not_at_all() {
     let list = read(LIST.replace(r#""hostPort":"","#, "").as_bytes()).unwrap();
-    assert_eq!((list.generation, list.news.whole, list.news.entries.len()), (43, false, 2));
-    let first = &list.news.entries[0];
+    assert_eq!((list.generation, list.update.whole, list.update.entries.len()), (43, false, 2));
+    let first = &list.update.entries[0];
     assert_eq!((first.cell, first.state, first.started_at), (3, WorkerState::Leaving, None));
     let error = read(LIST.as_bytes()).unwrap_err().to_string();
     assert_eq!(error, "key instances[1].hostPort: an address with a port is wanted");
--- a/balancer/wire/src/converse/tests.rs
+++ b/balancer/wire/src/round_trip/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `converse`.
+//! Unit tests of `round_trip`.
 
 use super::*;
 use may::coroutine::yield_now;
@@ -17,10 +17,10 @@
         while socket.is_quiet() {
             yield_now();
         }
-        converse(&socket, b"POST /api HTTP/1.1\r\n\r\n", &Cut::default(), || true)
+        round_trip(&socket, b"POST /api HTTP/1.1\r\n\r\n", &CancelToken::default(), || true)
     };
     let result = may::go!(talk).join().expect("the test's coroutine");
-    assert!(matches!(result, Err(Broken::BeforeWritten(_))), "{result:?}");
+    assert!(matches!(result, Err(RoundTripError::NotSent(_))), "{result:?}");
 }
 
 #[test]
@@ -30,7 +30,7 @@
     let to = listener.local_addr().unwrap();
     let talk = move || {
         let socket = Socket::connect(to, Duration::from_secs(60)).unwrap();
-        converse(&socket, b"POST /api HTTP/1.1\r\n\r\n", &Cut::default(), || false)
+        round_trip(&socket, b"POST /api HTTP/1.1\r\n\r\n", &CancelToken::default(), || false)
     };
     let talking = may::go!(talk);
     let mut peer = listener.accept().unwrap().0;
@@ -40,6 +40,6 @@
     }
     drop(peer);
     let result = talking.join().expect("the test's coroutine");
-    assert!(matches!(result, Err(Broken::BeforeWritten(_))), "{result:?}");
+    assert!(matches!(result, Err(RoundTripError::NotSent(_))), "{result:?}");
     assert_eq!(seen, b"POST /api HTTP/1.1\r\n\r");
 }
--- a/balancer/wire/src/socket.rs
+++ b/balancer/wire/src/socket.rs
@@ -14,17 +14,17 @@
 
 /// Ends a wait on a socket from outside, wherever its coroutine is; one is for one conversation.
 #[derive(Default)]
-pub struct Cut {
+pub struct CancelToken {
     done: AtomicBool,
     waker: Mutex<Option<WaitIoWaker>>,
 }
 
-impl Cut {
-    pub fn is_done(&self) -> bool {
+impl CancelToken {
+    pub fn is_cancelled(&self) -> bool {
         self.done.load(Ordering::Acquire)
     }
 
-    pub fn now(&self) {
+    pub fn cancel(&self) {
         self.done.store(true, Ordering::Release);
         if let Some(waker) = self.waker.lock().unwrap_or_else(PoisonError::into_inner).as_ref() {
             waker.wakeup();
@@ -32,7 +32,7 @@
     }
 
     /// The conversation has its socket from here on.
-    pub fn wakes(&self, socket: &Socket) {
+    pub fn attach(&self, socket: &Socket) {
         *self.waker.lock().unwrap_or_else(PoisonError::into_inner) = Some(socket.waker());
     }
 }
@@ -93,7 +93,7 @@
     }
 
     /// A second descriptor of the connection, to be passed on.
-    pub fn to_pass_on(&self) -> io::Result<std::net::TcpStream> {
+    pub fn try_clone_stream(&self) -> io::Result<std::net::TcpStream> {
         self.stream.inner().try_clone()
     }
 
