--- a/balancer/config/src/lib.rs
+++ b/balancer/config/src/lib.rs
@@ -107,7 +107,7 @@
     /// The listening socket that the platform holds, by its descriptor's number as it was told.
     pub inherited: Option<String>,
     /// Where an old process is found and a new one waited for; only where the platform holds the listening socket.
-    pub meeting: Option<PathBuf>,
+    pub upgrade_socket: Option<PathBuf>,
     pub seed: u64,
     pub budget: Budget,
     /// The transport map as it was last held, maybe old; none at a first start.
@@ -172,7 +172,7 @@
                     None => None,
                 },
             },
-            meeting: inherited.as_ref().and(folder).map(|folder| PathBuf::from(folder).join(MEETING)),
+            upgrade_socket: inherited.as_ref().and(folder).map(|folder| PathBuf::from(folder).join(MEETING)),
             inherited,
             seed: read_seed(&root.at("seed"))?,
             budget: read_budget(&root.at("limits"))?,
--- a/balancer/config/src/settings/mod.rs
+++ b/balancer/config/src/settings/mod.rs
@@ -226,7 +226,7 @@
     }
 
     /// Keys that differ and wait for the next start; the others are applied while running.
-    pub fn waiting(&self, newer: &Settings) -> Vec<&'static str> {
+    pub fn pending_keys(&self, newer: &Settings) -> Vec<&'static str> {
         let (old, new) = (&self.fronts, &newer.fronts);
         let grpc = |fronts: &Fronts| fronts.grpc.as_ref().map(|g| (g.listen, g.limits.clone()));
         let differing = [
--- a/balancer/config/src/settings/tests.rs
+++ b/balancer/config/src/settings/tests.rs
@@ -79,9 +79,9 @@
 fn weights_and_level_change_while_running_and_the_rest_waits() {
     let old = read(WHOLE).unwrap();
     let live = read(&WHOLE.replace("weight: 2", "weight: 5").replace("warning", "debug")).unwrap();
-    assert_eq!(old.waiting(&live), [""; 0]);
+    assert_eq!(old.pending_keys(&live), [""; 0]);
     let later = WHOLE.replace("7071", "7072").replace("jobs: 400", "jobs: 9").replace("json", "text");
-    assert_eq!(old.waiting(&read(&later).unwrap()), ["fronts.grpc", "admission", "log.format"]);
+    assert_eq!(old.pending_keys(&read(&later).unwrap()), ["fronts.grpc", "admission", "log.format"]);
 }
 
 #[test]
--- a/balancer/core/src/dispatch/random_order_tests.rs
+++ b/balancer/core/src/dispatch/random_order_tests.rs
@@ -183,7 +183,7 @@
     fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (cancel, copies, reports_start) = (rng.u8(..4) > 0, rng.bool(), rng.bool());
-        let (clock, net) = (Clock::by_hand(), SimulatedTransport::default());
+        let (clock, net) = (Clock::manual(), SimulatedTransport::default());
         let (exchange, inbox) = Exchange::new();
         let dependencies = DispatchDependencies {
             exchange,
@@ -497,7 +497,7 @@
 
     /// Advances the clock and runs the timers that are due.
     fn advance(&mut self, ms: f64) {
-        self.clock.turn_to(self.clock.now() + ms);
+        self.clock.set(self.clock.now() + ms);
         self.dispatch.run_due_timers();
         self.collect_answers();
     }
--- a/balancer/dispatcher/src/reload.rs
+++ b/balancer/dispatcher/src/reload.rs
@@ -42,8 +42,9 @@
                     slog::warn!(log, "not changed while running: {}", kept.join(", "));
                 }
                 let taken = classes(&platform.names, &platform.settings);
-                self.stopping
-                    .set_longest(taken.iter().map(|class| class.default_timeout).fold(0.0, f64::max));
+                self.stopping.set_longest_deadline(
+                    taken.iter().map(|class| class.default_timeout).fold(0.0, f64::max),
+                );
                 self.advice.allow(platform.settings.limits.retry_after);
                 // The core first: no front lets a job in whose class it does not know.
                 let (settings, names, conn_idle) = (platform.settings, platform.names, platform.conn_idle);
@@ -65,6 +66,6 @@
     fn apply(&self, newer: &Settings) -> Vec<String> {
         self.threshold.set(newer.log.level);
         self.admission_gate.set_weights(&newer.weights());
-        self.running.waiting(newer).into_iter().map(str::to_owned).collect()
+        self.running.pending_keys(newer).into_iter().map(str::to_owned).collect()
     }
 }
--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -62,7 +62,7 @@
     // Before anything else runs: the number must not name a descriptor of our own.
     let inherited = config.inherited.as_deref().map(descriptor::inherited_listener).transpose();
     let inherited = inherited.map_err(StartError::InheritedListener)?;
-    let met = config.meeting.as_deref().and_then(|path| upgrade::meet(path, clock, &log));
+    let met = config.upgrade_socket.as_deref().and_then(|path| upgrade::meet(path, clock, &log));
     let legacy = met.as_ref().and_then(|met| read_legacy(&met.state.core, &log));
     let peer_process = PeerProcess::default();
     let drain = Drain::default();
@@ -159,12 +159,12 @@
         (Some(grpc), Some(budget)) => {
             let address = grpc.listen.0;
             let opened =
-                GrpcFront::open(address, config.meeting.is_some(), grpc.limits, budget, core.clone());
+                GrpcFront::open(address, config.upgrade_socket.is_some(), grpc.limits, budget, core.clone());
             Some(opened.map_err(|source| StartError::Listen { address, source })?)
         }
         _ => None,
     };
-    let shell = config.meeting.clone().map(|path| {
+    let shell = config.upgrade_socket.clone().map(|path| {
         let front = Arc::new(Doorway(sender.clone()));
         upgrade::Shell { core: core.clone(), front, path }
     });
--- a/balancer/exchange/src/clock.rs
+++ b/balancer/exchange/src/clock.rs
@@ -28,13 +28,13 @@
         Clock { goes_by: GoesBy::Monotonic(Instant::now()), unix_ms: unix.as_secs_f64() * 1000.0 }
     }
 
-    /// One that stands at 0 until `turn_to`: for tests of what happens at which moment. Each keeps a few bytes for good.
-    pub fn by_hand() -> Self {
+    /// One that stands at 0 until `set`: for tests of what happens at which moment. Each keeps a few bytes for good.
+    pub fn manual() -> Self {
         Clock { goes_by: GoesBy::Hand(Box::leak(Box::default())), unix_ms: 0.0 }
     }
 
-    /// Turns a clock `by_hand` to this time (ms); another goes on by itself.
-    pub fn turn_to(&self, ms: f64) {
+    /// Turns a clock `manual` to this time (ms); another goes on by itself.
+    pub fn set(&self, ms: f64) {
         if let GoesBy::Hand(hand) = self.goes_by {
             hand.store(ms.to_bits(), Ordering::Release);
         }
--- a/balancer/exchange/src/shutdown.rs
+++ b/balancer/exchange/src/shutdown.rs
@@ -44,7 +44,7 @@
 
     /// New settings have another longest deadline: the platform waits by those in force. A stop that has begun ends as it
     /// was begun.
-    pub fn set_longest(&self, longest_deadline: f64) {
+    pub fn set_longest_deadline(&self, longest_deadline: f64) {
         if !self.has_begun() {
             let mut longest = self.longest.lock().unwrap_or_else(PoisonError::into_inner);
             *longest = longest_deadline.min(LONGEST_MS);
--- a/balancer/exchange/src/shutdown/tests.rs
+++ b/balancer/exchange/src/shutdown/tests.rs
@@ -46,11 +46,11 @@
 fn a_stop_goes_by_the_deadlines_in_force_when_it_begins() {
     // Once 3 s always 3 s: after settings with 1 s the kill came 1.3 s before the last moment.
     let stopping = Stopping::new(5_000.0);
-    stopping.set_longest(1_000.0);
+    stopping.set_longest_deadline(1_000.0);
     stopping.begin(0.0);
     assert_eq!(stopping.last_moment(), 1_450.0);
     // SIGHUP right after SIGTERM: what is armed for the last moment does not move with it.
-    stopping.set_longest(5_000.0);
+    stopping.set_longest_deadline(5_000.0);
     assert_eq!(stopping.last_moment(), 1_450.0);
     assert!(stopping.grace_is_over(1_450.0));
 }
