--- a/balancer/exchange/src/admission_gate.rs
+++ b/balancer/exchange/src/admission_gate.rs
@@ -1,11 +1,11 @@
-//! The door that all fronts share: admission behind a lock, and permits that give themselves back.
+//! The admission control that all fronts share, behind a lock. Permits release their place when dropped.
 
 use crate::clock::Clock;
 use crate::Front;
 use millrudder_admission::{Admission, Capacity, Held, Refused, Usage};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Every front holds a copy. A front that is not in use has no weight and so no share.
+/// Admission control shared by all fronts; clones share it. Only fronts in use have a weight, and so a share.
 #[derive(Clone)]
 pub struct AdmissionGate {
     admission: Arc<Mutex<Admission>>,
@@ -13,14 +13,14 @@
     clock: Clock,
 }
 
-/// One job's place; given back when dropped.
+/// The place of one admitted job and the bytes of its body, released on drop.
 pub struct Permit {
     admission_gate: AdmissionGate,
     held: Option<Held>,
 }
 
 impl AdmissionGate {
-    /// `weights`: the fronts in use, each with its weight.
+    /// Shares `capacity` among the fronts in use, each given with its weight.
     pub fn new(capacity: Capacity, weights: &[(Front, u32)], clock: Clock) -> Self {
         let numbers: Vec<u32> = weights.iter().map(|(_, weight)| *weight).collect();
         AdmissionGate {
@@ -30,16 +30,17 @@
         }
     }
 
-    /// A place for one job with a body of so many bytes.
+    /// Admits one job with a body of this many bytes.
     ///
     /// # Errors
-    /// What is lacking, and when to come back.
+    /// States which resource is short, and when to retry.
     pub fn enter(&self, front: Front, bytes: usize) -> Result<Permit, Refused> {
         let held = self.admission().take(self.number(front), bytes as u64, self.clock.now())?;
         Ok(Permit { admission_gate: self.clone(), held: Some(held) })
     }
 
-    /// New weights for the fronts in use; others are passed over.
+    /// Sets new weights for the fronts in use; other fronts are ignored, and a front in use that is not listed
+    /// gets 1.
     pub fn set_weights(&self, weights: &[(Front, u32)]) {
         let weight =
             |front: &Front| weights.iter().find(|(f, _)| f == front).map_or(1, |(_, weight)| *weight);
@@ -47,7 +48,7 @@
         self.admission().set_weights(&numbers);
     }
 
-    /// What a front uses, and its fair share.
+    /// What a front uses now, and its fair share.
     pub fn usage(&self, front: Front) -> Usage {
         self.admission().usage(self.number(front))
     }
--- a/balancer/exchange/src/attempt.rs
+++ b/balancer/exchange/src/attempt.rs
@@ -1,73 +1,75 @@
-//! Delivery attempts: their identifiers, how they end, and what workers report of a job by call-back.
+//! Delivery attempts: identifiers, outcomes, and the job states that workers report by call-back.
 
 use crate::job::Ticket;
 
-/// One delivery attempt: of which job, and its number from 0.
+/// Identifies one delivery attempt of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
     /// The job.
     pub ticket: Ticket,
-    /// The attempt, from 0.
+    /// Number of the attempt within the job, from 0.
     pub number: usize,
 }
 
-/// A next hop's load report, name to value.
+/// A worker's load report: metric names with their values.
 pub type LoadReport = Vec<(String, f64)>;
 
-/// How a delivery attempt ended, by the next hop or by the way to it.
+/// How a delivery attempt ended, at the worker or on the connection to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The worker reported a failure.
     Failed,
-    /// The worker rejected it: it did not run.
+    /// The worker rejected the job without running it.
     NeverRan,
-    /// It never left, for a reason that is not the next hop's: a kept connection had died, or no descriptor was
-    /// free here.
+    /// The request was not sent, for a reason that is not the worker's fault: a reused keep-alive connection was
+    /// dead, or this process had no free file descriptor.
     NotSent,
     /// No connection could be opened.
     NotConnected,
-    /// The connection broke after the request was written: it may have run.
+    /// The connection broke after the request was written; the job may have run.
     Reset,
-    /// The next hop took the whole request and said nothing for far longer than it needs: it may run, or may yet.
+    /// The worker read the whole request but did not answer within a time-out far above its usual time; the job
+    /// may be running or may still start.
     Silent,
-    /// The next hop cannot use this job, whoever sends it; nothing is wrong there.
+    /// The worker refused the job itself, as every worker would; the worker is healthy.
     Refused,
 }
 
-/// What a next hop tells of a job by call-back.
+/// State of a job as a worker reports it by call-back.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobState {
-    /// It runs.
+    /// The job has started to run.
     Started,
-    /// It runs; `share` of it is done (0 to 1).
+    /// The job is running.
     Running {
-        /// Fraction of the job that is done.
+        /// Completed fraction of the job (0 to 1).
         share: f64,
     },
-    /// It has succeeded.
+    /// The job has succeeded.
     Done {
-        /// What the client gets.
+        /// Result for the client.
         result: Vec<u8>,
     },
     /// The worker reported a failure.
     Failed,
-    /// The worker gives it back unrun.
+    /// The worker returns the job without having run it.
     Returned,
-    /// The worker does not know it.
+    /// The worker does not know the job.
     Lost,
 }
 
-/// A call-back of a worker about a job.
+/// A worker's call-back about a job (`POST /_jobs/news`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerCallBack {
     /// The job's id, as its client gave it.
     pub trace_id: String,
-    /// The next hop's name in the transport map.
+    /// The worker's name in the worker list.
     pub from: String,
-    /// What it reports.
+    /// The reported state.
     pub state: JobState,
     /// The worker's load report, if it sent one.
     pub load: Option<LoadReport>,
-    /// As it came, where it may have to go over to another process; none: it has come from there.
+    /// The request body as received, to be forwarded to the other process of an upgrade if the job is there.
+    /// `None` if that process has forwarded it here.
     pub body: Option<Vec<u8>>,
 }
--- a/balancer/exchange/src/clock.rs
+++ b/balancer/exchange/src/clock.rs
@@ -1,8 +1,8 @@
-//! The module's clock: milliseconds of Unix time as it was at the start, carried on by the monotonic clock.
+//! The dispatcher's clock: Unix time in milliseconds at the start, advanced by the monotonic clock.
 //!
-//! Starting from Unix time lets `startedAtMs` of the transport map be used as it comes, and gives all
-//! dispatchers nearly the same numbers; being monotonic from there on, a step of the system's clock cannot
-//! make deadlines or timers jump.
+//! Because it starts from Unix time, `startedAtMs` of the worker list can be compared with it directly, and all
+//! dispatchers read nearly the same values. Because it is monotonic, a step of the system clock does not make
+//! deadlines or timers jump.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -28,19 +28,20 @@
         Clock { goes_by: GoesBy::Monotonic(Instant::now()), unix_ms: unix.as_secs_f64() * 1000.0 }
     }
 
-    /// One that stands at 0 until `set`: for tests of what happens at which moment. Each keeps a few bytes for good.
+    /// A clock for tests that stays at 0 until [`Clock::set`] is called. Each one leaks a few bytes, so that
+    /// `Clock` can be `Copy`.
     pub fn manual() -> Self {
         Clock { goes_by: GoesBy::Hand(Box::leak(Box::default())), unix_ms: 0.0 }
     }
 
-    /// Turns a clock `manual` to this time (ms); another goes on by itself.
+    /// Sets a manual clock to this time (ms); does nothing to a real clock.
     pub fn set(&self, ms: f64) {
         if let GoesBy::Hand(hand) = self.goes_by {
             hand.store(ms.to_bits(), Ordering::Release);
         }
     }
 
-    /// The present reading (ms).
+    /// The current time (ms).
     pub fn now(&self) -> f64 {
         let since = match self.goes_by {
             GoesBy::Monotonic(start) => start.elapsed().as_secs_f64() * 1000.0,
@@ -50,7 +51,7 @@
     }
 }
 
-/// A span of milliseconds as a duration; what is not a positive number is none.
+/// Converts milliseconds to a [`Duration`]; negative numbers, NaN and values out of range become zero.
 pub fn span(ms: f64) -> Duration {
     Duration::try_from_secs_f64(ms.max(0.0) / 1000.0).unwrap_or(Duration::ZERO)
 }
--- a/balancer/exchange/src/counters.rs
+++ b/balancer/exchange/src/counters.rs
@@ -1,28 +1,28 @@
-//! What the dispatcher takes in, sends and answers, counted. Printed at exit, on SIGUSR1 and at `GET /counters`.
+//! Event counters of the dispatcher, printed at exit, on SIGUSR1 and at `GET /counters`.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One counter; it only grows.
+/// A counter that only increases.
 #[derive(Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Counts one.
+    /// Adds 1.
     pub fn add(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
-    /// Counts `n`.
+    /// Adds `n`.
     pub fn add_all(&self, n: u64) {
         self.0.fetch_add(n, Ordering::Relaxed);
     }
-    /// The count.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// One struct, one list of names: a counter cannot be left out of the print.
+/// Declares the struct and its list of names together, so that no counter can be missing from the printed output.
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
         /// All counters of the program.
@@ -39,28 +39,32 @@
 }
 
 counters! {
+    /// Jobs that the core has accepted.
     taken,
-    /// Answered without the core: bytes that are no HTTP or whose end two readers could see differently ...
+    /// Requests refused before they reached the core because they are not valid HTTP, or because two readers could
+    /// disagree on where they end.
     rejected_malformed,
-    /// ... heads, targets or bodies over the limits ...
+    /// Requests refused because the head, the target or the body is over its limit.
     rejected_too_large,
-    /// ... paths and methods that are not served ...
+    /// Requests refused because the path or the method is not served.
     rejected_unknown,
-    /// ... jobs whose headers are missing, doubled or cannot be read ...
+    /// Jobs refused because a header is missing, repeated or cannot be read.
     rejected_headers,
-    /// ... the id of a job that is under way ...
+    /// Jobs refused because a job with the same id has not been answered yet.
     rejected_repeated,
-    /// ... requests that did not come whole in time ...
+    /// Requests refused because they were not complete in time.
     rejected_too_slow,
-    /// ... and those that found the memory for inbound bytes full.
+    /// Requests refused because the memory for inbound bytes was full.
     rejected_no_memory,
-    /// Refused at the door for want of descriptors, or because the dispatcher stops.
+    /// Jobs refused before they reached the core because the dispatcher had no room for them (the places are
+    /// limited by the file descriptors), or because it is stopping.
     turned_away,
+    /// Jobs whose clients disconnected or cancelled before the answer.
     withdrawn,
     answered_served,
     answered_deferred,
     answered_failed,
-    /// Answered by the safety net at the deadline: the module had left the request open.
+    /// Jobs that got the fallback answer at their deadline because the decision module had not answered them.
     answered_overdue,
     attempts_sent,
     attempts_accepted,
@@ -74,47 +78,50 @@
     outcome_ignored,
     calls_off,
     news,
-    /// Call-backs for an attempt that is over or unknown.
+    /// Call-backs for an attempt that has ended or is unknown.
     news_stale,
     news_bad,
     probes,
     connections_in,
-    /// Connections closed to make room.
+    /// Inbound connections closed to make room for others.
     connections_evicted,
-    /// Connections that had their time for a first request, a head, a body, an answer or a last look.
+    /// Inbound connections closed by a time-out: for the first request, a head, a body, an answer or the
+    /// lingering close.
     connections_timed_out,
     connections_out,
     connections_reused,
-    /// Kept ones that were found dead before a request's last byte.
+    /// Reused keep-alive connections to workers that were found dead before a request's last byte was sent.
     connections_died,
-    /// Attempts for which no descriptor was free in time.
+    /// Attempts for which no file descriptor was free in time.
     connections_lacking,
     connects_failed,
     accept_errors,
     map_calls,
     map_failures,
-    /// Watches that fell silent and were opened anew at once.
+    /// Watch calls to discovery that got no answer in time and were opened again at once.
     map_silent,
     map_bad,
     map_changes,
-    /// Turns to another discovery.
+    /// Changes to another discovery address.
     map_moves,
     reloads_good,
-    /// Files that were refused on SIGHUP.
+    /// Settings files that were refused on SIGHUP.
     reloads_bad,
-    /// Calls at the operators' address: carried out, ...
+    /// Operators' calls that were carried out.
     operator_calls,
-    /// ... answered with `fail`, ...
+    /// Operators' calls answered with `fail`.
     operator_fails,
-    /// ... closed without one: nothing whole came in time, or room was short.
+    /// Operators' connections closed without an answer, because no complete call came in time or because a new
+    /// connection needed the room.
     operator_closed,
-    /// Call-backs that went over to the other process of an upgrade, ...
+    /// Call-backs forwarded to the other process of an upgrade.
     news_passed_on,
-    /// ... and connections.
+    /// Connections passed to the other process of an upgrade.
     connections_passed_on,
     connections_taken_over,
-    /// Predecessors' maps and memories taken in, and those that could not be used.
+    /// Worker lists and learned values taken over from a predecessor process.
     legacies,
+    /// Worker lists and learned values of a predecessor process that could not be used.
     legacies_bad,
     bans,
     bans_ended,
@@ -122,36 +129,36 @@
     /// Jobs that the gRPC front has submitted.
     grpc_jobs,
     grpc_connections,
-    /// Connections closed at once because every other one had a job here.
+    /// gRPC connections closed at once because the limit was reached and every other connection had a job.
     grpc_connections_refused,
-    /// Connections that the peer broke, or that broke HTTP/2's rules.
+    /// gRPC connections that the peer broke off, or that violated HTTP/2.
     grpc_broken,
-    /// Calls that their clients cancelled or left.
+    /// Calls that clients cancelled, or whose clients disconnected.
     grpc_cancelled,
-    /// Streams over the bound on calls at once.
+    /// Streams refused by the limit on concurrent calls.
     grpc_streams_refused,
-    /// Header lists over their bound.
+    /// Header lists over the size limit.
     grpc_headers_too_large,
-    /// Connections without a call for so long that they were told to go.
+    /// gRPC connections closed with GOAWAY because they had no call for too long.
     grpc_idle,
-    /// Prefaces, header blocks and calls that did not come whole in time.
+    /// Prefaces, header blocks and calls that were not complete in time.
     grpc_too_slow,
-    /// Answers, or whole connections, whose peers did not take what was written.
+    /// Answers or whole connections given up because the peer did not read what was written.
     grpc_stalled,
-    /// Connections ended for too many PINGs ...
+    /// Connections closed for too many PING frames.
     grpc_flood_ping,
-    /// ... SETTINGS ...
+    /// Connections closed for too many SETTINGS frames.
     grpc_flood_settings,
-    /// ... calls reset as soon as they were made ...
+    /// Connections closed for too many calls that were reset right after they were opened.
     grpc_flood_reset,
-    /// ... CONTINUATIONs of one header block ...
+    /// Connections closed for too many CONTINUATION frames in one header block.
     grpc_flood_continuation,
-    /// ... and other frames that bring nothing.
+    /// Connections closed for too many other frames without content.
     grpc_flood_other,
 }
 
 impl Counters {
-    /// One `name value` a line.
+    /// Formats all counters, one `name value` per line.
     pub fn print(&self) -> String {
         self.each().iter().fold(String::new(), |mut text, (name, value)| {
             let _ = writeln!(text, "{name} {value}");
@@ -159,7 +166,7 @@
         })
     }
 
-    /// On one line, for the log.
+    /// Formats all counters on one line, for the log.
     pub fn line(&self) -> String {
         let parts: Vec<String> = self.each().iter().map(|(name, value)| format!("{name}={value}")).collect();
         parts.join(" ")
--- a/balancer/exchange/src/drain.rs
+++ b/balancer/exchange/src/drain.rs
@@ -1,37 +1,39 @@
-//! Whether clients are to go elsewhere (the operators' `DRAIN`). Apart from a planned stop: a drained dispatcher goes
-//! on, serves what still comes, and takes clients again.
+//! Drain state (the operators' `DRAIN` and `UNDRAIN`): whether clients are asked to use another dispatcher.
+//! Unlike a planned stop, a drained dispatcher keeps running, serves the requests that still arrive, and can be
+//! undrained.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// After a no at `/ready` new connections may come for 0.2 s; idle ones end from then on (ms).
+/// Idle connections are closed this long after the drain began (ms): new connections may still arrive for 0.2 s
+/// after `/ready` has turned negative.
 const NOTICE_MS: f64 = 300.0;
 
-/// Shared by all that act on it.
+/// The drain state; clones share it.
 #[derive(Clone, Default)]
 pub struct Drain(Arc<Mutex<Option<f64>>>);
 
 impl Drain {
-    /// Again while it is on: the first call's time holds.
+    /// Starts the drain at `now` (ms). While it is on, further calls do not move its start.
     pub fn begin(&self, now: f64) {
         self.at().get_or_insert(now);
     }
 
-    /// Clients are taken again.
+    /// Ends the drain: the dispatcher is ready for clients again.
     pub fn end(&self) {
         *self.at() = None;
     }
 
-    /// Since when (ms on the dispatcher's clock).
+    /// Start of the drain (ms on the dispatcher's clock), while it is on.
     pub fn since(&self) -> Option<f64> {
         *self.at()
     }
 
-    /// Whether clients are to go elsewhere.
+    /// Whether the drain is on.
     pub fn is_on(&self) -> bool {
         self.since().is_some()
     }
 
-    /// Clients know by now: their idle connections may end.
+    /// Whether clients have had time to learn of the drain, so that idle connections may be closed.
     pub fn clients_notified(&self, now: f64) -> bool {
         self.since().is_some_and(|since| now >= since + NOTICE_MS)
     }
--- a/balancer/exchange/src/exchange.rs
+++ b/balancer/exchange/src/exchange.rs
@@ -1,4 +1,5 @@
-//! The exchange: the queue through which fronts, workers' call-backs, discovery and operators reach the dispatch coroutine.
+//! The message queue of the dispatch coroutine, with an urgent queue beside it. Fronts, the worker transport, the
+//! discovery client and operators send to it.
 
 use crate::job::{Answer, Job, Reply, Ticket};
 use crate::message::Message;
@@ -10,18 +11,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The meeting point: every side holds a copy of it and puts messages in; dispatch takes them out.
+/// The sending side of the dispatch coroutine's queue; clones send to the same queue.
 #[derive(Clone)]
 pub struct Exchange {
     inbox: mpsc::Sender<Message>,
     urgent: mpsc::Sender<Message>,
     tickets: Arc<AtomicU64>,
-    /// Dispatch has ended, or is about to.
+    /// Set when the [`Inbox`] is dropped: no message is read after that.
     ended: Arc<AtomicBool>,
 }
 
 impl Exchange {
-    /// An exchange, and the end at which the dispatch coroutine takes messages out.
+    /// The sending and the receiving side of a new queue.
     pub fn new() -> (Self, Inbox) {
         let ((inbox, outlet), (urgent, first)) = (mpsc::channel(), mpsc::channel());
         let ended = Arc::new(AtomicBool::new(false));
@@ -29,30 +30,32 @@
         (Exchange { inbox, urgent, tickets, ended: ended.clone() }, Inbox { outlet, first, ended })
     }
 
-    /// The answer comes by `reply`, also where dispatch ends at this moment: then the job is deferred.
+    /// Submits a job. The answer comes through `reply`; if dispatch has ended or ends meanwhile, it is
+    /// [`Answer::Defer`].
     pub fn submit(&self, job: Job, reply: Reply) -> Ticket {
         let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
         self.send(Message::Submitted { ticket, job: Arc::new(job), reply: reply.clone() });
-        // Put in after dispatch looked for the last time, it sees this; before that, dispatch sees the job.
+        // `Inbox::drop` sets `ended` before it drains the queue, and here the job is sent before `ended` is
+        // read. So either the drain finds the job, or this load sees the flag.
         if self.ended.load(Ordering::SeqCst) {
             reply.give(Answer::Defer { retry_after: None });
         }
         ticket
     }
 
-    /// The client is gone: nothing is owed for this job any more.
+    /// Reports that the client has disconnected or cancelled: the job needs no answer any more.
     pub fn withdraw(&self, ticket: Ticket) {
         self.send(Message::Withdrawn { ticket });
     }
 
-    /// Goes before all that waits: operators are owed an answer under any load.
+    /// Sends an operator's order through the urgent queue, because operators must get an answer under any load.
     pub fn order(&self, order: Order) -> OrderHandle {
         let (asked, awaited) = OrderHandle::new(order);
         self.urge(Message::Ordered(asked));
         awaited
     }
 
-    /// As orders do.
+    /// Sends a request of the other process of an upgrade, through the urgent queue as well.
     pub fn ask(&self, request: PeerRequest) {
         self.urge(Message::PeerRequest(request));
     }
@@ -62,14 +65,15 @@
         self.send(Message::WakeUp);
     }
 
-    /// Puts a message in.
+    /// Sends an ordinary message.
     pub fn send(&self, message: Message) {
-        // Fails only once dispatch has ended, when nobody is left to act on it.
+        // Fails only after dispatch has ended, when no receiver is left.
         let _ = self.inbox.send(message);
     }
 }
 
-/// Where dispatch takes messages out, orders first. Jobs that are in it when it is dropped are deferred.
+/// The receiving side: returns urgent messages before ordinary ones. When it is dropped, the jobs left in the
+/// queue are answered with [`Answer::Defer`].
 pub struct Inbox {
     outlet: mpsc::Receiver<Message>,
     first: mpsc::Receiver<Message>,
@@ -91,7 +95,7 @@
     /// Waits for the next message.
     ///
     /// # Errors
-    /// Nobody can put messages in any more.
+    /// All senders have been dropped.
     pub fn recv(&self) -> Result<Message, RecvError> {
         self.next(|| self.outlet.recv())
     }
@@ -99,15 +103,15 @@
     /// Waits for the next message for `timeout` at most.
     ///
     /// # Errors
-    /// None came in time, or nobody can put messages in any more.
+    /// None came in time, or all senders have been dropped.
     pub fn recv_timeout(&self, timeout: Duration) -> Result<Message, RecvTimeoutError> {
         self.next(|| self.outlet.recv_timeout(timeout))
     }
 
-    /// The next message, if there is one.
+    /// Returns the next message without waiting.
     ///
     /// # Errors
-    /// There is none, or nobody can put messages in any more.
+    /// There is none, or all senders have been dropped.
     pub fn try_recv(&self) -> Result<Message, TryRecvError> {
         self.next(|| self.outlet.try_recv())
     }
--- a/balancer/exchange/src/exchange/tests.rs
+++ b/balancer/exchange/src/exchange/tests.rs
@@ -23,7 +23,8 @@
 
 #[test]
 fn a_job_submitted_as_dispatch_ends_is_deferred() {
-    // A front on a thread of its own may have looked just before: its job lay there, and its client waited.
+    // A front on its own thread may submit at the moment at which dispatch stops reading. Without the check in
+    // `submit` nobody answered the job, and its client waited.
     let deferred = Some(Answer::Defer { retry_after: None });
     let (exchange, inbox) = Exchange::new();
     let (before, after) = (Reply::new(|| {}), Reply::new(|| {}));
--- a/balancer/exchange/src/front.rs
+++ b/balancer/exchange/src/front.rs
@@ -1,4 +1,4 @@
-//! What every front is given of the rest of the program, and no more.
+//! The parts of the program that every front can use.
 
 use crate::clock::Clock;
 use crate::counters::Counters;
@@ -9,61 +9,62 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// What a front needs of the rest of the program.
+/// Handles to the parts of the program that a front uses.
 #[derive(Clone)]
 pub struct Core {
-    /// Where jobs are submitted.
+    /// Queue to which jobs are submitted.
     pub exchange: Exchange,
-    /// Admission of jobs, over all fronts.
+    /// Admission control for jobs, shared by all fronts.
     pub admission_gate: AdmissionGate,
-    /// Counters of the program.
+    /// The program's counters.
     pub counters: Arc<Counters>,
-    /// The planned stop.
+    /// State of a planned stop.
     pub stopping: Stopping,
-    /// Clients are sent away.
+    /// Drain state, as operators set it.
     pub drain: Drain,
-    /// The other process of an upgrade.
+    /// The other process during an upgrade.
     pub peer_process: PeerProcess,
-    /// Jobs can come in.
+    /// Whether jobs are accepted; set once the start is complete.
     pub serving: Arc<AtomicBool>,
-    /// The clock.
+    /// The dispatcher's clock.
     pub clock: Clock,
-    /// Classes of jobs.
+    /// The current job classes.
     pub classes: Classes,
-    /// Whether clients are told when to come back.
+    /// Whether answers tell clients when to retry.
     pub advice: RetryAdvice,
-    /// The log.
+    /// Logger.
     pub log: Logger,
 }
 
-/// Whether the settings in force allow clients to be told when to come back; they may change (SIGHUP).
+/// Whether the current settings allow answers to tell clients when to retry. A reload of the settings (SIGHUP)
+/// may change it.
 #[derive(Clone, Default)]
 pub struct RetryAdvice(Arc<AtomicBool>);
 
 impl RetryAdvice {
-    /// As the settings allow it at the start.
+    /// Starts with the value of the first settings.
     pub fn new(allowed: bool) -> Self {
         RetryAdvice(Arc::new(AtomicBool::new(allowed)))
     }
 
-    /// Takes new settings over.
+    /// Takes over the value of reloaded settings.
     pub fn allow(&self, allowed: bool) {
         self.0.store(allowed, Ordering::Release);
     }
 
-    /// Whether clients may be told.
+    /// Whether answers may tell clients when to retry.
     pub fn is_allowed(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 }
 
 impl Core {
-    /// Whether jobs can come in.
+    /// Whether jobs are accepted.
     pub fn is_serving(&self) -> bool {
         self.serving.load(Ordering::Acquire)
     }
 
-    /// Notes that jobs can come in.
+    /// Accepts jobs from now on.
     pub fn set_serving(&self) {
         self.serving.store(true, Ordering::Release);
     }
--- a/balancer/exchange/src/intake.rs
+++ b/balancer/exchange/src/intake.rs
@@ -1,51 +1,53 @@
-//! What any front may let in: the same rules whatever protocol a job comes by. What passes on has to mean the same
-//! to every next hop.
+//! Validation rules for jobs, the same for every front whatever its protocol. Forwarded values must mean the
+//! same to every worker, so only unambiguous forms are accepted.
 
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// An id becomes part of a path at the next hop (bytes).
+/// Longest id of a job (bytes); the id becomes part of a path at the worker.
 pub const ID_LIMIT: usize = 128;
-/// What passes on of a target (bytes): a next hop need not take more.
+/// Longest target that is forwarded (bytes); workers need not accept longer ones.
 pub const TARGET_LIMIT: usize = 2_048;
-/// What passes on of a header (bytes).
+/// Longest header value that is forwarded (bytes).
 pub const VALUE_LIMIT: usize = 512;
-/// The platform's limit on a body (bytes).
+/// Largest body that the platform allows (bytes).
 pub const BODY_LIMIT: usize = 64 * 1024;
-/// Longer than a day is no span that a client waits (ms).
+/// Longest time-out that a client can ask for: one day (ms).
 pub const LONGEST_WAIT_MS: f64 = 86_400_000.0;
-/// The one method and the one path by which jobs go to next hops. Any other would let a client reach what next hops
-/// serve beside jobs, such as call-offs.
+/// The only method with which jobs are sent to workers. Any other method or path would let a client reach a
+/// worker's other endpoints, such as the cancel of a job.
 pub const JOB_METHOD: &str = "POST";
-/// The path; see [`JOB_METHOD`].
+/// The only path to which jobs are sent at workers; see [`JOB_METHOD`].
 pub const JOB_PATH: &str = "/api";
 
-/// A class of jobs, as far as fronts know it.
+/// The part of a job class's settings that fronts use.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its jobs carry a key by which next hops drop repeats.
+    /// Whether its jobs must carry a key by which workers detect duplicates.
     pub keyed: bool,
-    /// How long a job's client waits if it does not say (ms).
+    /// Time until the deadline of a job whose client does not state one (ms).
     pub default_timeout: f64,
-    /// Its jobs are taken until then; infinite unless the settings have dropped it.
+    /// Time until which its jobs are accepted (ms on the dispatcher's clock); infinite unless new settings have
+    /// dropped the class.
     pub accepted_until: f64,
 }
 
-/// How long jobs of a class are taken that new settings have dropped (ms): clients learn of it later than this program.
+/// How long jobs of a class are still accepted after new settings have dropped it (ms), because clients learn
+/// of the change later than this program.
 pub const DROPPED_CLASS_GRACE_MS: f64 = 2_000.0;
 
-/// The classes as all fronts see them, replaced whole.
+/// The current job classes, shared by all fronts and replaced as a whole.
 #[derive(Clone)]
 pub struct Classes(Arc<RwLock<Arc<Vec<Class>>>>);
 
 impl Classes {
-    /// The classes of the settings at the start.
+    /// Starts with the classes of the first settings.
     pub fn new(classes: Vec<Class>) -> Self {
         Classes(Arc::new(RwLock::new(Arc::new(classes))))
     }
 
-    /// The classes that are known now.
+    /// The current classes, including dropped ones that are still accepted.
     pub fn now(&self) -> Arc<Vec<Class>> {
         self.0.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -67,28 +69,30 @@
     }
 }
 
-/// The class of this name, if its jobs are taken at this time.
+/// Finds the class by its name, if its jobs are accepted at `now`.
 pub fn find_class<'a>(classes: &'a [Class], name: &str, now: f64) -> Option<&'a Class> {
     classes.iter().find(|known| known.name == name && now < known.accepted_until)
 }
 
-/// Printable ASCII and no fragment; the length is for the caller to check against [`TARGET_LIMIT`].
+/// Whether the target is printable ASCII without spaces and without a fragment. The caller checks the length
+/// against [`TARGET_LIMIT`].
 pub fn is_target(target: &str) -> bool {
     target.bytes().all(|b| b.is_ascii_graphic() && b != b'#')
 }
 
-/// Printable ASCII, with spaces.
+/// Whether the value is printable ASCII; spaces are allowed.
 pub fn is_plain(value: &str) -> bool {
     value.bytes().all(|b| b.is_ascii_graphic() || b == b' ')
 }
 
-/// Only dots would name another path.
+/// Whether this is a valid id of a job: 1 to [`ID_LIMIT`] of the characters that a URL path leaves unescaped.
+/// An id of dots only is refused, because `.` and `..` would name another path.
 pub fn is_id(id: &str) -> bool {
     let known = |b: u8| b.is_ascii_alphanumeric() || b"-_.~".contains(&b);
     !id.is_empty() && id.len() <= ID_LIMIT && id.bytes().all(known) && id.bytes().any(|b| b != b'.')
 }
 
-/// A figure that a job carries, such as its slots.
+/// Whether this is a valid number for a job's property, such as its slots: finite and not negative.
 pub fn is_figure(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/balancer/exchange/src/intake/tests.rs
+++ b/balancer/exchange/src/intake/tests.rs
@@ -23,7 +23,7 @@
         classes.replace(vec![class(&format!("r{i}"), 1.0)], 10_000.0 + 100.0 * f64::from(i));
     }
     assert!(classes.now().len() <= 22, "{}", classes.now().len());
-    // Back in the settings it is a class like any other.
+    // A dropped class that returns in newer settings is accepted without an end.
     classes.replace(vec![class("r98", 1.0)], 20_000.0);
     assert!(find_class(&classes.now(), "r98", 1e9).is_some());
 }
--- a/balancer/exchange/src/job.rs
+++ b/balancer/exchange/src/job.rs
@@ -1,12 +1,12 @@
-//! Jobs as fronts submit them, and the answers that fronts get back. Owned values only, and none of HTTP's types, so that
-//! any protocol can submit jobs.
+//! Jobs as fronts submit them, and the answers that fronts get back. The types hold owned values and nothing
+//! specific to HTTP, so that a front of any protocol can submit jobs.
 
 use crate::progress::{Followed, Progress};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A submitted job, numbered over the whole life of the dispatcher.
+/// Number of a submitted job, unique within the dispatcher process.
 pub type Ticket = u64;
-/// A way by which jobs come in.
+/// A protocol by which clients submit jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Front {
     /// HTTP/1.1.
@@ -15,71 +15,71 @@
     Grpc,
 }
 
-/// What passes on to a next hop as the client gave it.
+/// The parts of a request that are forwarded to a worker unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedRequest {
-    /// Method of the request.
+    /// The method.
     pub method: String,
-    /// Target of the request.
+    /// Path and query.
     pub target: String,
-    /// Body of the request.
+    /// The body.
     pub body: Vec<u8>,
-    /// Key by which workers drop repeats.
+    /// Key by which workers detect duplicates.
     pub idempotency_key: Option<String>,
-    /// Type of the body.
+    /// Media type of the body.
     pub content_type: Option<String>,
 }
 
-/// One job as a front took it in.
+/// A job as a front accepted it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Where it came in.
+    /// The front that received it.
     pub front: Front,
-    /// Its id, as the client gave it.
+    /// The id that the client chose.
     pub trace_id: String,
-    /// Name of its class.
+    /// Name of its job class.
     pub class: String,
-    /// Slots that it takes at its worker.
+    /// Slots that it occupies at a worker.
     pub slots: f64,
-    /// Memory that it takes at its worker, in the site's unit.
+    /// Memory that it occupies at a worker, in the unit that the site uses.
     pub memory: f64,
-    /// Clock time at which its client gives up.
+    /// Time at which its client gives up (ms on the dispatcher's clock).
     pub deadline: f64,
-    /// What is passed on unchanged.
+    /// The parts that are forwarded unchanged.
     pub forwarded: ForwardedRequest,
 }
 
-/// The one final answer to a job.
+/// The final answer to a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// A worker has served it.
+    /// A worker has run the job successfully.
     Served {
-        /// What the worker answered.
+        /// The worker's result.
         result: Vec<u8>,
     },
-    /// Refused: trying again is harmless, best after this many milliseconds.
+    /// The job was not run and may be submitted again without harm.
     Defer {
-        /// When the client should come back (ms).
+        /// How long the client should wait before it retries (ms).
         retry_after: Option<f64>,
     },
-    /// It failed.
+    /// The job failed.
     Failed(Failure),
 }
 
 /// Why a job failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The attempts failed and none may follow.
+    /// Its attempts failed, and no further attempt is allowed.
     Attempts,
-    /// The deadline has come.
+    /// Its deadline has passed.
     Late,
-    /// A job with this id is still here.
+    /// Another job with the same id has not been answered yet.
     Repeated,
-    /// A next hop cannot use it.
+    /// A worker refused the job itself, as every worker would.
     Refused,
 }
 
-/// Where one job's answer is put and fetched: settled once, whatever comes later is dropped.
+/// Carries the answer of one job from dispatch to the front. Only the first answer counts; later ones are dropped.
 #[derive(Clone)]
 pub struct Reply(Arc<ReplySlot>);
 
@@ -91,18 +91,18 @@
 }
 
 impl Reply {
-    /// `wake` is called once the answer is there.
+    /// A reply without progress; `wake` is called when the answer has been stored.
     pub fn new(wake: impl Fn() + Send + Sync + 'static) -> Self {
         Reply(Arc::new(ReplySlot { answer: Mutex::new(None), progress: None, wake: Box::new(wake) }))
     }
 
-    /// `wake` is also called when the job has come further.
+    /// A reply with progress: `wake` is also called at each progress update before the answer.
     pub fn with_progress(wake: impl Fn() + Send + Sync + 'static) -> Self {
         let progress = Some(Followed::default());
         Reply(Arc::new(ReplySlot { answer: Mutex::new(None), progress, wake: Box::new(wake) }))
     }
 
-    /// Notes how far the job has come, for whoever follows it.
+    /// Changes the stored progress and wakes the front; does nothing for a reply without progress.
     pub fn update_progress(&self, change: impl FnOnce(&mut Progress)) {
         if let Some(followed) = &self.0.progress {
             followed.change(change);
@@ -110,12 +110,12 @@
         }
     }
 
-    /// How far the job has come; the default where nobody follows it.
+    /// The newest progress; the default for a reply without progress.
     pub fn progress(&self) -> Progress {
         self.0.progress.as_ref().map(Followed::now).unwrap_or_default()
     }
 
-    /// Puts the answer in and wakes the front; a second answer is dropped.
+    /// Stores the answer and wakes the front; drops the answer if there is one already.
     pub fn give(&self, answer: Answer) {
         let mut slot = self.0.answer.lock().unwrap_or_else(PoisonError::into_inner);
         if slot.is_none() {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Takes the answer out, if it is there.
+    /// Takes the stored answer, if there is one.
     pub fn take(&self) -> Option<Answer> {
         self.0.answer.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
--- a/balancer/exchange/src/lib.rs
+++ b/balancer/exchange/src/lib.rs
@@ -1,8 +1,10 @@
-//! What the fronts and the core of the dispatcher share.
+//! Types shared by the dispatcher's fronts (the HTTP, gRPC and operators' listeners) and its core (the dispatch
+//! coroutine, which assigns jobs to workers).
 //!
-//! - [`Exchange`]: the queue of the dispatch coroutine; fronts submit [`Job`]s and get [`Answer`]s.
-//! - [`intake`]: the rules by which every front accepts jobs; [`AdmissionGate`]: the admission that they share.
-//! - [`PeerProcess`]: the other process of an upgrade; [`Order`]: what operators order.
+//! - [`Exchange`]: the message queue of the dispatch coroutine; fronts submit [`Job`]s and get [`Answer`]s.
+//! - [`intake`]: validation rules that every front applies to jobs; [`AdmissionGate`]: the admission control that
+//!   all fronts share.
+//! - [`PeerProcess`]: the other process during an upgrade; [`Order`]: operators' orders to the core.
 //! - [`clock`], [`counters`], [`Drain`], [`shutdown`].
 
 mod admission_gate;
--- a/balancer/exchange/src/message.rs
+++ b/balancer/exchange/src/message.rs
@@ -7,25 +7,25 @@
 use crate::worker_list::{WorkerId, WorkerListUpdate};
 use std::sync::Arc;
 
-/// All that reaches the dispatch coroutine.
+/// A message to the dispatch coroutine.
 pub enum Message {
     /// A front submits a job.
     Submitted {
-        /// The job.
+        /// Identifies the job from here on.
         ticket: Ticket,
-        /// The job itself.
+        /// The job.
         job: Arc<Job>,
-        /// Where its answer goes.
+        /// Receives the answer.
         reply: Reply,
     },
-    /// The client has gone: nothing is owed for this job.
+    /// The client has disconnected or cancelled: the job needs no answer.
     Withdrawn {
         /// The job.
         ticket: Ticket,
     },
-    /// A call-back of a worker.
+    /// A worker's call-back about a job.
     CallBack(WorkerCallBack),
-    /// A worker has accepted an attempt.
+    /// A worker has accepted an attempt; the result follows by call-back.
     Accepted {
         /// The attempt.
         attempt: AttemptId,
@@ -34,41 +34,42 @@
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// The outcome.
         end: AttemptEnd,
         /// The worker's load report.
         load: Option<LoadReport>,
     },
-    /// A worker has confirmed that an attempt is cancelled.
+    /// The cancel of an attempt has finished: the worker has confirmed it, the attempt needed none, or the worker
+    /// transport does not wait for the confirmation.
     CancelFinished {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// `end`: none if the probe passed.
+    /// A probe of a worker has finished.
     Probed {
         /// The worker.
         worker: WorkerId,
-        /// How it failed.
+        /// How the probe failed; `None` if it passed.
         end: Option<AttemptEnd>,
-        /// How long it took (ms).
+        /// Time from the start of the probe to its end (ms).
         latency: f64,
         /// The worker's load report.
         load: Option<LoadReport>,
     },
-    /// A list of workers, or a change of it.
+    /// A full worker list from discovery, or a change to the current one.
     WorkerList(WorkerListUpdate),
-    /// A call at discovery failed.
+    /// A call to discovery failed.
     WorkerListUnavailable,
-    /// New settings wait for the core.
+    /// Reloaded settings are ready for the core to take over.
     SettingsChanged,
-    /// From now on discovery is here.
+    /// The new address of discovery.
     Discovery(std::net::SocketAddr),
-    /// The program ends once nothing is owed.
+    /// Stop the program once every accepted job has its answer.
     Stop,
-    /// An operator's order: it comes before all else that waits.
+    /// An operator's order; delivered before all ordinary messages in the queue.
     Ordered(PendingOrder),
-    /// The other process of an upgrade asks.
+    /// A request from the other process during an upgrade.
     PeerRequest(PeerRequest),
-    /// Something more urgent has come; `Inbox` never gives this out.
+    /// Wakes the receiver for a message in the urgent queue; [`Inbox`](crate::Inbox) never returns it.
     WakeUp,
 }
--- a/balancer/exchange/src/operator_order.rs
+++ b/balancer/exchange/src/operator_order.rs
@@ -1,18 +1,18 @@
-//! What operators order of the core, and what becomes of it: taken on, refused, or given up by who asked. An order that
-//! was given up is never carried out later: its caller has been told that it failed.
+//! Operators' orders to the core and their results: carried out, refused, or given up by the caller. An order
+//! that was given up is never carried out later, because its caller has been told that it failed.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What an operator orders.
+/// An order of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Nothing new to this next hop until `Enable`, whatever lists say.
+    /// Send no new jobs to this worker until `Enable`, whatever the worker list says.
     Disable(String),
-    /// This worker may get jobs again.
+    /// Allow jobs to this worker again.
     Enable(String),
 }
 
-/// What became of it: refused with the reason.
+/// Result of an order; the error is the reason for a refusal.
 pub type OrderResult = Result<(), &'static str>;
 
 #[derive(Default)]
@@ -29,14 +29,14 @@
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The core's end of an order.
+/// An order as the core receives it.
 pub struct PendingOrder {
     order: Order,
     state: Shared,
 }
 
 impl PendingOrder {
-    /// Carries it out, unless its caller has given it up.
+    /// Carries the order out with `act` and stores the result, unless the caller has given the order up.
     pub fn carry_out(self, act: impl FnOnce(&Order) -> OrderResult) {
         let mut state = lock(&self.state);
         if matches!(*state, State::PendingOrder) {
@@ -45,17 +45,17 @@
     }
 }
 
-/// The caller's end.
+/// The caller's handle to an order.
 pub struct OrderHandle(Shared);
 
 impl OrderHandle {
-    /// An order with its two ends.
+    /// Creates an order and the handle to its result.
     pub fn new(order: Order) -> (PendingOrder, Self) {
         let state = Shared::default();
         (PendingOrder { order, state: state.clone() }, OrderHandle(state))
     }
 
-    /// None as long as it is neither carried out nor refused.
+    /// The result; `None` as long as the order is neither carried out nor refused.
     pub fn result(&self) -> Option<OrderResult> {
         match *lock(&self.0) {
             State::OrderResult(carried) => Some(carried),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Waits no longer: what has not been carried out by now never is.
+    /// Gives the order up unless it has finished already; returns the result if it has.
     pub fn give_up(self) -> Option<OrderResult> {
         let mut state = lock(&self.0);
         match *state {
--- a/balancer/exchange/src/peer_process.rs
+++ b/balancer/exchange/src/peer_process.rs
@@ -1,5 +1,7 @@
-//! The other process of an upgrade, as fronts and core see it: whether this one accepts, what goes over, and what the
-//! other holds of the descriptors that both share. Without an upgrade it says: accept, nothing goes over.
+//! The other process during an upgrade (the successor or the predecessor), as fronts and core see it: whether
+//! this process accepts connections, what is transferred to the other, and how many of the shared budget of
+//! file descriptors the other uses. Outside an upgrade this process accepts connections and nothing is
+//! transferred.
 
 use crate::{Order, Ticket};
 use std::collections::{HashSet, VecDeque};
@@ -7,29 +9,31 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What waits to go over at most: connections are bounded by descriptors, call-backs by their senders' patience.
+/// Most transfers that may be queued. The other bounds are weaker: connections are limited by the file
+/// descriptors, call-backs only by how long their senders wait for an answer.
 const MAX_TRANSFERS: usize = 4_096;
 
-/// What a connection's peer has proved to be by a valid request.
+/// What a connection's peer is, as proved by its valid requests. Later variants are kept over earlier ones when
+/// connections must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PeerRole {
-    /// Nothing yet.
+    /// No valid request has come yet.
     Unproven,
-    /// A next hop with call-backs, or a watcher of this program.
+    /// A worker that sends call-backs, or a monitor of this program.
     WorkerOrMonitor,
-    /// It has had a job answered.
+    /// A client that has had a job answered.
     Client,
 }
 
-/// What goes over to the other process.
+/// An item to be transferred to the other process.
 pub enum Transfer {
-    /// A connection between two requests.
+    /// An idle connection, between two requests.
     Connection(TcpStream, PeerRole),
-    /// A call-back whose job is not here, as it came.
+    /// The body of a call-back whose job is not in this process.
     CallBack(Vec<u8>),
-    /// Jobs of this process, by their clients' ids.
+    /// This process has accepted a job with this id.
     JobStarted(String),
-    /// A job of this process has ended.
+    /// The job of this process with this id has ended.
     JobEnded(String),
     /// An attempt of this process has ended at its worker.
     AttemptEnded {
@@ -42,21 +46,21 @@
     },
     /// An operator's order, for both processes.
     Ordered(Order),
-    /// Clients are sent away, or taken again.
+    /// Operators have started (`true`) or ended (`false`) the drain.
     Drain(bool),
 }
 
-/// Shared by all that act on it.
+/// State shared by this process's parts about the other process of an upgrade; clones share it.
 #[derive(Clone, Default)]
 pub struct PeerProcess(Arc<Inner>);
 
 #[derive(Default)]
 struct Inner {
-    /// This process does not accept.
+    /// This process does not accept connections.
     parked: AtomicBool,
-    /// There is another process that takes parcels ...
+    /// There is another process, and it accepts transfers.
     open: AtomicBool,
-    /// ... connections too.
+    /// The other process accepts connections as well.
     takes_connections: AtomicBool,
     parcels: Mutex<VecDeque<Transfer>>,
     /// Ids under way there.
@@ -87,7 +91,7 @@
         self.0.open.store(true, Ordering::Release);
     }
 
-    /// The other process is gone, and all that was its with it.
+    /// Notes that the other process has ended, and clears all state that belongs to it.
     pub fn close(&self) {
         self.0.open.store(false, Ordering::Release);
         self.take_connections(false);
@@ -96,17 +100,17 @@
         self.set_peer_connections(0, 0);
     }
 
-    /// Connections between two requests go over from now on.
+    /// Whether idle connections are transferred to the other process.
     pub fn takes_connections(&self) -> bool {
         self.0.takes_connections.load(Ordering::Acquire)
     }
 
-    /// Sets whether connections go over.
+    /// Sets whether idle connections are transferred to the other process.
     pub fn take_connections(&self, takes: bool) {
         self.0.takes_connections.store(takes, Ordering::Release);
     }
 
-    /// Puts one on its way.
+    /// Queues a transfer.
     ///
     /// # Errors
     /// There is no other process, or too much waits for it: the parcel comes back.
@@ -119,48 +123,48 @@
         Ok(())
     }
 
-    /// Takes the next transfer out.
+    /// Takes the next transfer from the queue.
     pub fn take(&self) -> Option<Transfer> {
         self.parcels().pop_front()
     }
 
-    /// Connections that wait to go over: their descriptors are still here.
+    /// Number of queued connections, whose descriptors this process still uses.
     pub fn waiting_connections(&self) -> usize {
         self.parcels().iter().filter(|p| matches!(p, Transfer::Connection(..))).count()
     }
 
-    /// Whether no transfer waits.
+    /// Whether no transfer is queued.
     pub fn is_empty(&self) -> bool {
         self.parcels().is_empty()
     }
 
-    /// Whether the other process owes this job.
+    /// Whether the other process has accepted this job and not answered it yet.
     pub fn is_peer_job(&self, id: &str) -> bool {
         self.is_open() && self.theirs().contains(id)
     }
 
-    /// Notes a job of the other process.
+    /// Adds a job that the other process has accepted.
     pub fn add_peer_job(&self, id: String) {
         self.theirs().insert(id);
     }
 
-    /// Notes the end of a job of the other process.
+    /// Removes a job of the other process that has ended.
     pub fn remove_peer_job(&self, id: &str) {
         self.theirs().remove(id);
     }
 
-    /// Descriptors that the other holds, or may: this process has so many fewer.
+    /// Sets how many descriptors the other process uses or may use; this process may use that many fewer.
     pub fn set_peer_connections(&self, inbound: usize, worker_connections: usize) {
         self.0.inbound.store(inbound, Ordering::Release);
         self.0.worker_connections.store(worker_connections, Ordering::Release);
     }
 
-    /// Inbound descriptors that the other process holds, or may.
+    /// Descriptors for inbound connections that the other process uses or may use.
     pub fn inbound(&self) -> usize {
         self.0.inbound.load(Ordering::Acquire)
     }
 
-    /// Descriptors to workers that the other process holds, or may.
+    /// Descriptors for connections to workers that the other process uses or may use.
     pub fn worker_connections(&self) -> usize {
         self.0.worker_connections.load(Ordering::Acquire)
     }
@@ -174,11 +178,12 @@
     }
 }
 
-/// What the other process's side asks of the core.
+/// A request to the core on behalf of the other process.
 pub enum PeerRequest {
-    /// All that a successor needs, in the core's own form.
+    /// Send the state that a successor needs, in the core's own encoding.
     Export(std::sync::mpsc::Sender<Vec<u8>>),
-    /// Ids of the jobs that are owed, and the descriptors held for next hops.
+    /// Send the ids of the jobs that have not been answered, and the number of descriptors held for connections to
+    /// workers.
     UnfinishedJobs(std::sync::mpsc::Sender<(Vec<String>, usize)>),
     /// An attempt of the other process has ended at its worker.
     AttemptEnded {
@@ -189,7 +194,7 @@
         /// The attempt, from 0.
         attempt: usize,
     },
-    /// The other process is gone, and its attempts with it.
+    /// The other process has ended, and its attempts with it.
     PeerEnded,
 }
 
--- a/balancer/exchange/src/progress.rs
+++ b/balancer/exchange/src/progress.rs
@@ -1,16 +1,16 @@
-//! What a client may follow of its job before the answer. Only the newest state is kept, so that a client that does
-//! not read cannot make anything grow.
+//! Progress of a job, reported to clients that ask for it. Only the newest state is kept, so that a client that
+//! does not read its stream cannot make a queue grow.
 
 use std::sync::{Mutex, PoisonError};
 
-/// How far a job has come.
+/// Progress of a job before its answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Progress {
-    /// The core has taken it on.
+    /// The core has accepted the job.
     pub accepted: bool,
-    /// How many attempts have started to run.
+    /// Number of attempts that have started to run.
     pub starts: u32,
-    /// Of the newest attempt, the share that is done (0 to 1).
+    /// Completed fraction of the newest attempt (0 to 1).
     pub share: f64,
 }
 
--- a/balancer/exchange/src/rate.rs
+++ b/balancer/exchange/src/rate.rs
@@ -1,11 +1,11 @@
-//! Keeps a repeated message from flooding the log.
+//! Rate limit for repeated log messages.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// At most one line in this many milliseconds.
 const GAP_MS: f64 = 1_000.0;
 
-/// Lets one line through in each second.
+/// Allows one log line per second.
 #[derive(Default)]
 pub struct Limiter(AtomicU64);
 
--- a/balancer/exchange/src/shutdown.rs
+++ b/balancer/exchange/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop: how long the dispatcher goes on after it was told to.
+//! A planned stop: how long the dispatcher accepts jobs and runs after it was told to stop.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,13 +15,13 @@
 
 /// Since when the dispatcher has been told to stop; shared by all that act on it.
 ///
-/// Clients that hold a connection may have no other dispatcher to go to, so they are served on it for as long as
-/// time allows; then connections end between requests and new jobs are deferred.
+/// Clients with an open connection may have no other dispatcher to use, so they are served on it for as long as
+/// time allows. After that connections are closed between requests and new jobs are deferred.
 #[derive(Clone)]
 pub struct Stopping {
     since: Arc<Mutex<Option<f64>>>,
     no_clients: Arc<AtomicBool>,
-    /// Another process accepts in this one's place.
+    /// A successor process accepts connections in place of this one.
     succeeded: Arc<AtomicBool>,
     /// Connections of clients on fronts other than the one that calls `note_no_clients`.
     elsewhere: Arc<AtomicUsize>,
@@ -30,7 +30,7 @@
 }
 
 impl Stopping {
-    /// No stop has begun; `longest_deadline` is that of the settings (ms).
+    /// No stop has begun. `longest_deadline` is the longest of all job classes in the settings (ms).
     pub fn new(longest_deadline: f64) -> Self {
         let longest = Arc::new(Mutex::new(longest_deadline.min(LONGEST_MS)));
         Stopping {
@@ -42,8 +42,8 @@
         }
     }
 
-    /// New settings have another longest deadline: the platform waits by those in force. A stop that has begun ends as it
-    /// was begun.
+    /// Takes over the longest deadline of reloaded settings, because the platform's wait before SIGKILL follows
+    /// the current settings. Does not change a stop that has begun.
     pub fn set_longest_deadline(&self, longest_deadline: f64) {
         if !self.has_begun() {
             let mut longest = self.longest.lock().unwrap_or_else(PoisonError::into_inner);
@@ -55,29 +55,30 @@
         *self.longest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// True at the first call.
+    /// Begins the stop at `now` (ms). Returns true at the first call only; later calls change nothing.
     pub fn begin(&self, now: f64) -> bool {
         let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
         since.is_none() && since.replace(now).is_none()
     }
 
-    /// When the stop began (ms).
+    /// Start of the stop (ms), if it has begun.
     pub fn since(&self) -> Option<f64> {
         *self.since.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the dispatcher was told to stop.
+    /// Whether the dispatcher has been told to stop.
     pub fn has_begun(&self) -> bool {
         self.since().is_some()
     }
 
-    /// Whether another process accepts: new connections come there, and this one ends as soon as nothing is owed and
-    /// its clients' connections have gone over.
+    /// Sets whether a successor process accepts the new connections. If it does, this process stops as soon as
+    /// all jobs are answered and its client connections have been transferred.
     pub fn set_succeeded(&self, succeeded: bool) {
         self.succeeded.store(succeeded, Ordering::Release);
     }
 
-    /// No connection is left on which a job could come; none comes anew once the front has left.
+    /// Notes that the calling front has no connection left on which a job could come. It takes effect once no new
+    /// connection can arrive either: after the least grace period, or at once if a successor accepts connections.
     pub fn note_no_clients(&self, now: f64) {
         let elsewhere = self.elsewhere.load(Ordering::Acquire);
         let grace = if self.succeeded.load(Ordering::Acquire) { 0.0 } else { GRACE_MS };
@@ -86,17 +87,17 @@
         }
     }
 
-    /// A client's connection on another front has opened.
+    /// Notes that a client has connected on another front than the one that calls [`Stopping::note_no_clients`].
     pub fn client_connected(&self) {
         self.elsewhere.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// A client's connection on another front has closed.
+    /// Notes that a client connection counted by [`Stopping::client_connected`] has closed.
     pub fn client_disconnected(&self) {
         self.elsewhere.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// The time is over in which jobs are still taken on.
+    /// Whether the grace period is over, in which jobs are still accepted during a stop.
     pub fn grace_is_over(&self, now: f64) -> bool {
         let end = self.longest() + KILL_MARGIN_MS;
         // Whatever is taken on must be answered by the last moment, also where deadlines are shorter than the least grace.
@@ -105,7 +106,7 @@
         over || self.no_clients.load(Ordering::Acquire)
     }
 
-    /// By then all must be answered.
+    /// Time by which all jobs must be answered (ms); infinite if no stop has begun.
     pub fn last_moment(&self) -> f64 {
         self.since().map_or(f64::INFINITY, |since| since + self.longest() + KILL_MARGIN_MS)
     }
--- a/balancer/exchange/src/shutdown/tests.rs
+++ b/balancer/exchange/src/shutdown/tests.rs
@@ -49,7 +49,7 @@
     stopping.set_longest_deadline(1_000.0);
     stopping.begin(0.0);
     assert_eq!(stopping.last_moment(), 1_450.0);
-    // SIGHUP right after SIGTERM: what is armed for the last moment does not move with it.
+    // A SIGHUP right after SIGTERM must not move the last moment: its timer is already set.
     stopping.set_longest_deadline(5_000.0);
     assert_eq!(stopping.last_moment(), 1_450.0);
     assert!(stopping.grace_is_over(1_450.0));
--- a/balancer/exchange/src/worker_list.rs
+++ b/balancer/exchange/src/worker_list.rs
@@ -1,49 +1,49 @@
-//! The transport map: the list of workers as discovery tells it.
+//! The worker list as discovery reports it.
 
 use serde::{Deserialize, Serialize};
 
-/// A worker, numbered by the transport map.
+/// Number of a worker in the core's worker table.
 pub type WorkerId = u32;
 
-/// One line of the transport map.
+/// One worker in the worker list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerEntry {
-    /// Its name.
+    /// Name of the worker.
     pub name: String,
-    /// Its address; `None` where the list gives none that can be used.
+    /// Address; `None` if the list has no usable one.
     pub address: Option<std::net::SocketAddr>,
-    /// Name of its zone.
+    /// Name of the zone that it runs in.
     pub zone: String,
-    /// Name of its kind.
+    /// Name of its machine type.
     pub kind: String,
-    /// Its cell.
+    /// Number of its cell, a group of workers that may share the detection of duplicates.
     pub cell: i64,
-    /// Its state.
+    /// Life-cycle state.
     pub state: WorkerState,
-    /// Its weight.
+    /// Relative weight.
     pub weight: f64,
-    /// Unix time in milliseconds; none: long ago.
+    /// Start of the worker (Unix time, ms); `None` means long ago.
     pub started_at: Option<f64>,
 }
 
-/// State of a worker by the list.
+/// Life-cycle state of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerState {
-    /// It takes jobs.
+    /// Accepts jobs.
     Active,
-    /// It is draining.
+    /// Is draining: gets no new jobs.
     Leaving,
-    /// It has left.
+    /// Has left the worker list.
     Left,
 }
 
-/// A list of workers, or a change of it.
+/// A full worker list, or changes to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerListUpdate {
-    /// Workers that are not named have left.
+    /// A full list: workers that are not named have left.
     pub whole: bool,
-    /// Discovery's number of the map with these changes.
+    /// Discovery's generation number of the list after these changes.
     pub generation: Option<u64>,
-    /// Its entries.
+    /// All workers, or the changed ones.
     pub entries: Vec<WorkerEntry>,
 }
