--- a/balancer/exchange/src/admission_gate.rs
+++ b/balancer/exchange/src/admission_gate.rs
@@ -22,9 +22,9 @@
 impl AdmissionGate {
     /// Shares `capacity` among the fronts in use, each given with its weight.
     pub fn new(capacity: Capacity, weights: &[(Front, u32)], clock: Clock) -> Self {
-        let numbers: Vec<u32> = weights.iter().map(|(_, weight)| *weight).collect();
+        let front_weights: Vec<u32> = weights.iter().map(|(_, weight)| *weight).collect();
         AdmissionGate {
-            admission: Arc::new(Mutex::new(Admission::new(capacity, &numbers))),
+            admission: Arc::new(Mutex::new(Admission::new(capacity, &front_weights))),
             fronts: weights.iter().map(|(front, _)| *front).collect(),
             clock,
         }
@@ -35,7 +35,7 @@
     /// # Errors
     /// States which resource is short, and when to retry.
     pub fn enter(&self, front: Front, bytes: usize) -> Result<Permit, Refused> {
-        let held = self.admission().take(self.number(front), bytes as u64, self.clock.now())?;
+        let held = self.admission().take(self.index(front), bytes as u64, self.clock.now())?;
         Ok(Permit { admission_gate: self.clone(), held: Some(held) })
     }
 
@@ -44,13 +44,13 @@
     pub fn set_weights(&self, weights: &[(Front, u32)]) {
         let weight =
             |front: &Front| weights.iter().find(|(f, _)| f == front).map_or(1, |(_, weight)| *weight);
-        let numbers: Vec<u32> = self.fronts.iter().map(weight).collect();
-        self.admission().set_weights(&numbers);
+        let front_weights: Vec<u32> = self.fronts.iter().map(weight).collect();
+        self.admission().set_weights(&front_weights);
     }
 
     /// What a front uses now, and its fair share.
     pub fn usage(&self, front: Front) -> Usage {
-        self.admission().usage(self.number(front))
+        self.admission().usage(self.index(front))
     }
 
     /// The fronts in use.
@@ -58,8 +58,9 @@
         &self.fronts
     }
 
-    /// Fronts are made from the same settings as the gate: one without a weight does not run.
-    fn number(&self, front: Front) -> usize {
+    /// Index of the front in the admission's list of weights. Fronts are started from the same settings as the
+    /// gate, so a front without a weight does not run and never asks.
+    fn index(&self, front: Front) -> usize {
         self.fronts.iter().position(|f| *f == front).unwrap_or_default()
     }
 
--- a/balancer/exchange/src/clock.rs
+++ b/balancer/exchange/src/clock.rs
@@ -10,42 +10,42 @@
 /// The dispatcher's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    goes_by: GoesBy,
+    source: Source,
     unix_ms: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum GoesBy {
+enum Source {
     Monotonic(Instant),
-    /// Milliseconds since the start (bits).
-    Hand(&'static AtomicU64),
+    /// Set by tests: milliseconds since the start, as the bits of an `f64`.
+    Manual(&'static AtomicU64),
 }
 
 impl Clock {
     /// Starts at the present Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Clock { goes_by: GoesBy::Monotonic(Instant::now()), unix_ms: unix.as_secs_f64() * 1000.0 }
+        Clock { source: Source::Monotonic(Instant::now()), unix_ms: unix.as_secs_f64() * 1000.0 }
     }
 
     /// A clock for tests that stays at 0 until [`Clock::set`] is called. Each one leaks a few bytes, so that
     /// `Clock` can be `Copy`.
     pub fn manual() -> Self {
-        Clock { goes_by: GoesBy::Hand(Box::leak(Box::default())), unix_ms: 0.0 }
+        Clock { source: Source::Manual(Box::leak(Box::default())), unix_ms: 0.0 }
     }
 
     /// Sets a manual clock to this time (ms); does nothing to a real clock.
     pub fn set(&self, ms: f64) {
-        if let GoesBy::Hand(hand) = self.goes_by {
-            hand.store(ms.to_bits(), Ordering::Release);
+        if let Source::Manual(reading) = self.source {
+            reading.store(ms.to_bits(), Ordering::Release);
         }
     }
 
     /// The current time (ms).
     pub fn now(&self) -> f64 {
-        let since = match self.goes_by {
-            GoesBy::Monotonic(start) => start.elapsed().as_secs_f64() * 1000.0,
-            GoesBy::Hand(hand) => f64::from_bits(hand.load(Ordering::Acquire)),
+        let since = match self.source {
+            Source::Monotonic(start) => start.elapsed().as_secs_f64() * 1000.0,
+            Source::Manual(reading) => f64::from_bits(reading.load(Ordering::Acquire)),
         };
         self.unix_ms + since
     }
--- a/balancer/exchange/src/drain/tests.rs
+++ b/balancer/exchange/src/drain/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_repeat_does_not_begin_anew() {
+fn a_repeated_begin_does_not_move_the_start_of_the_drain() {
     let drain = Drain::default();
     drain.begin(1_000.0);
     drain.begin(1_250.0);
--- a/balancer/exchange/src/exchange.rs
+++ b/balancer/exchange/src/exchange.rs
@@ -24,10 +24,11 @@
 impl Exchange {
     /// The sending and the receiving side of a new queue.
     pub fn new() -> (Self, Inbox) {
-        let ((inbox, outlet), (urgent, first)) = (mpsc::channel(), mpsc::channel());
+        let ((inbox, messages), (urgent, urgent_messages)) = (mpsc::channel(), mpsc::channel());
         let ended = Arc::new(AtomicBool::new(false));
         let tickets = Arc::new(AtomicU64::new(0));
-        (Exchange { inbox, urgent, tickets, ended: ended.clone() }, Inbox { outlet, first, ended })
+        let exchange = Exchange { inbox, urgent, tickets, ended: ended.clone() };
+        (exchange, Inbox { messages, urgent_messages, ended })
     }
 
     /// Submits a job. The answer comes through `reply`; if dispatch has ended or ends meanwhile, it is
@@ -50,17 +51,17 @@
 
     /// Sends an operator's order through the urgent queue, because operators must get an answer under any load.
     pub fn order(&self, order: Order) -> OrderHandle {
-        let (asked, awaited) = OrderHandle::new(order);
-        self.urge(Message::Ordered(asked));
-        awaited
+        let (pending, handle) = OrderHandle::new(order);
+        self.send_urgent(Message::Ordered(pending));
+        handle
     }
 
     /// Sends a request of the other process of an upgrade, through the urgent queue as well.
     pub fn ask(&self, request: PeerRequest) {
-        self.urge(Message::PeerRequest(request));
+        self.send_urgent(Message::PeerRequest(request));
     }
 
-    fn urge(&self, message: Message) {
+    fn send_urgent(&self, message: Message) {
         let _ = self.urgent.send(message);
         self.send(Message::WakeUp);
     }
@@ -75,8 +76,8 @@
 /// The receiving side: returns urgent messages before ordinary ones. When it is dropped, the jobs left in the
 /// queue are answered with [`Answer::Defer`].
 pub struct Inbox {
-    outlet: mpsc::Receiver<Message>,
-    first: mpsc::Receiver<Message>,
+    messages: mpsc::Receiver<Message>,
+    urgent_messages: mpsc::Receiver<Message>,
     ended: Arc<AtomicBool>,
 }
 
@@ -97,7 +98,7 @@
     /// # Errors
     /// All senders have been dropped.
     pub fn recv(&self) -> Result<Message, RecvError> {
-        self.next(|| self.outlet.recv())
+        self.next(|| self.messages.recv())
     }
 
     /// Waits for the next message for `timeout` at most.
@@ -105,7 +106,7 @@
     /// # Errors
     /// None came in time, or all senders have been dropped.
     pub fn recv_timeout(&self, timeout: Duration) -> Result<Message, RecvTimeoutError> {
-        self.next(|| self.outlet.recv_timeout(timeout))
+        self.next(|| self.messages.recv_timeout(timeout))
     }
 
     /// Returns the next message without waiting.
@@ -113,13 +114,13 @@
     /// # Errors
     /// There is none, or all senders have been dropped.
     pub fn try_recv(&self) -> Result<Message, TryRecvError> {
-        self.next(|| self.outlet.try_recv())
+        self.next(|| self.messages.try_recv())
     }
 
     fn next<E>(&self, take: impl Fn() -> Result<Message, E>) -> Result<Message, E> {
         loop {
-            if let Ok(order) = self.first.try_recv() {
-                return Ok(order);
+            if let Ok(urgent) = self.urgent_messages.try_recv() {
+                return Ok(urgent);
             }
             match take()? {
                 Message::WakeUp => {}
--- a/balancer/exchange/src/exchange/tests.rs
+++ b/balancer/exchange/src/exchange/tests.rs
@@ -37,15 +37,15 @@
 }
 
 #[test]
-fn orders_go_before_all_that_waits() {
+fn orders_are_received_before_ordinary_messages() {
     let (exchange, inbox) = Exchange::new();
     exchange.send(Message::Stop);
     exchange.send(Message::WorkerListUnavailable);
-    let awaited = exchange.order(Order::Disable("s-1".to_owned()));
-    let Ok(Message::Ordered(asked)) = inbox.try_recv() else { panic!("not the order") };
-    asked.carry_out(|_| Ok(()));
-    assert_eq!(awaited.result(), Some(Ok(())));
+    let handle = exchange.order(Order::Disable("s-1".to_owned()));
+    let Ok(Message::Ordered(pending)) = inbox.try_recv() else { panic!("not the order") };
+    pending.carry_out(|_| Ok(()));
+    assert_eq!(handle.result(), Some(Ok(())));
     assert!(matches!(inbox.try_recv(), Ok(Message::Stop)));
     assert!(matches!(inbox.try_recv(), Ok(Message::WorkerListUnavailable)));
-    assert!(inbox.try_recv().is_err(), "nothing is given out twice");
+    assert!(inbox.try_recv().is_err(), "no message is received twice");
 }
--- a/balancer/exchange/src/intake.rs
+++ b/balancer/exchange/src/intake.rs
@@ -52,20 +52,20 @@
         self.0.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Those of new settings; what they have dropped stays known for a while.
-    pub fn replace(&self, mut newer: Vec<Class>, now: f64) {
+    /// Takes over the classes of new settings; a dropped class stays for [`DROPPED_CLASS_GRACE_MS`].
+    pub fn replace(&self, mut new_classes: Vec<Class>, now: f64) {
         let mut known = self.0.write().unwrap_or_else(PoisonError::into_inner);
-        let gone = |c: &&Class| newer.iter().all(|n| n.name != c.name) && c.accepted_until > now;
+        let is_dropped = |c: &&Class| new_classes.iter().all(|n| n.name != c.name) && c.accepted_until > now;
         let dropped: Vec<Class> = known
             .iter()
-            .filter(gone)
+            .filter(is_dropped)
             .map(|c| Class {
                 accepted_until: c.accepted_until.min(now + DROPPED_CLASS_GRACE_MS),
                 ..c.clone()
             })
             .collect();
-        newer.extend(dropped);
-        *known = Arc::new(newer);
+        new_classes.extend(dropped);
+        *known = Arc::new(new_classes);
     }
 }
 
@@ -88,8 +88,8 @@
 /// Whether this is a valid id of a job: 1 to [`ID_LIMIT`] of the characters that a URL path leaves unescaped.
 /// An id of dots only is refused, because `.` and `..` would name another path.
 pub fn is_id(id: &str) -> bool {
-    let known = |b: u8| b.is_ascii_alphanumeric() || b"-_.~".contains(&b);
-    !id.is_empty() && id.len() <= ID_LIMIT && id.bytes().all(known) && id.bytes().any(|b| b != b'.')
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.~".contains(&b);
+    !id.is_empty() && id.len() <= ID_LIMIT && id.bytes().all(allowed) && id.bytes().any(|b| b != b'.')
 }
 
 /// Whether this is a valid number for a job's property, such as its slots: finite and not negative.
--- a/balancer/exchange/src/intake/tests.rs
+++ b/balancer/exchange/src/intake/tests.rs
@@ -7,14 +7,14 @@
 }
 
 #[test]
-fn a_dropped_class_is_taken_for_a_while_and_a_hundred_reloads_leave_no_more() {
+fn a_dropped_class_is_accepted_for_a_while_and_repeated_reloads_do_not_pile_up_classes() {
     let classes = Classes::new(vec![class("a", 1.0), class("b", 1.0)]);
     classes.replace(vec![class("b", 2.0), class("c", 1.0)], 1_000.0);
     let known = classes.now();
     assert_eq!(
         find_class(&known, "b", 1_000.0).map(|c| c.default_timeout),
         Some(2.0),
-        "the new set holds at once"
+        "the new settings apply at once"
     );
     assert!(find_class(&known, "c", 1_000.0).is_some());
     assert!(find_class(&known, "a", 999.0 + DROPPED_CLASS_GRACE_MS).is_some());
--- a/balancer/exchange/src/job.rs
+++ b/balancer/exchange/src/job.rs
@@ -1,7 +1,7 @@
 //! Jobs as fronts submit them, and the answers that fronts get back. The types hold owned values and nothing
 //! specific to HTTP, so that a front of any protocol can submit jobs.
 
-use crate::progress::{Followed, Progress};
+use crate::progress::{Progress, SharedProgress};
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Number of a submitted job, unique within the dispatcher process.
@@ -85,8 +85,8 @@
 
 struct ReplySlot {
     answer: Mutex<Option<Answer>>,
-    /// None where nobody follows the job.
-    progress: Option<Followed>,
+    /// `None` if the client has not asked for progress.
+    progress: Option<SharedProgress>,
     wake: Box<dyn Fn() + Send + Sync>,
 }
 
@@ -98,21 +98,21 @@
 
     /// A reply with progress: `wake` is also called at each progress update before the answer.
     pub fn with_progress(wake: impl Fn() + Send + Sync + 'static) -> Self {
-        let progress = Some(Followed::default());
+        let progress = Some(SharedProgress::default());
         Reply(Arc::new(ReplySlot { answer: Mutex::new(None), progress, wake: Box::new(wake) }))
     }
 
     /// Changes the stored progress and wakes the front; does nothing for a reply without progress.
     pub fn update_progress(&self, change: impl FnOnce(&mut Progress)) {
-        if let Some(followed) = &self.0.progress {
-            followed.change(change);
+        if let Some(shared) = &self.0.progress {
+            shared.change(change);
             (self.0.wake)();
         }
     }
 
     /// The newest progress; the default for a reply without progress.
     pub fn progress(&self) -> Progress {
-        self.0.progress.as_ref().map(Followed::now).unwrap_or_default()
+        self.0.progress.as_ref().map(SharedProgress::current).unwrap_or_default()
     }
 
     /// Stores the answer and wakes the front; drops the answer if there is one already.
--- a/balancer/exchange/src/operator_order.rs
+++ b/balancer/exchange/src/operator_order.rs
@@ -18,9 +18,9 @@
 #[derive(Default)]
 enum State {
     #[default]
-    PendingOrder,
+    Pending,
     GivenUp,
-    OrderResult(OrderResult),
+    Finished(OrderResult),
 }
 
 type Shared = Arc<Mutex<State>>;
@@ -39,8 +39,8 @@
     /// Carries the order out with `act` and stores the result, unless the caller has given the order up.
     pub fn carry_out(self, act: impl FnOnce(&Order) -> OrderResult) {
         let mut state = lock(&self.state);
-        if matches!(*state, State::PendingOrder) {
-            *state = State::OrderResult(act(&self.order));
+        if matches!(*state, State::Pending) {
+            *state = State::Finished(act(&self.order));
         }
     }
 }
@@ -58,7 +58,7 @@
     /// The result; `None` as long as the order is neither carried out nor refused.
     pub fn result(&self) -> Option<OrderResult> {
         match *lock(&self.0) {
-            State::OrderResult(carried) => Some(carried),
+            State::Finished(result) => Some(result),
             _ => None,
         }
     }
@@ -67,7 +67,7 @@
     pub fn give_up(self) -> Option<OrderResult> {
         let mut state = lock(&self.0);
         match *state {
-            State::OrderResult(carried) => Some(carried),
+            State::Finished(result) => Some(result),
             _ => {
                 *state = State::GivenUp;
                 None
--- a/balancer/exchange/src/peer_process.rs
+++ b/balancer/exchange/src/peer_process.rs
@@ -62,10 +62,11 @@
     open: AtomicBool,
     /// The other process accepts connections as well.
     takes_connections: AtomicBool,
-    parcels: Mutex<VecDeque<Transfer>>,
-    /// Ids under way there.
-    theirs: Mutex<HashSet<String>>,
-    /// What the other holds, or may, of the descriptors meant for inbound connections and for next hops.
+    transfers: Mutex<VecDeque<Transfer>>,
+    /// Ids of the jobs that the other process has accepted and not answered yet.
+    peer_jobs: Mutex<HashSet<String>>,
+    /// Descriptors of the shared budget that the other process uses or may use, for inbound connections and for
+    /// connections to workers.
     inbound: AtomicUsize,
     worker_connections: AtomicUsize,
 }
@@ -95,8 +96,8 @@
     pub fn close(&self) {
         self.0.open.store(false, Ordering::Release);
         self.take_connections(false);
-        self.parcels().clear();
-        self.theirs().clear();
+        self.transfers().clear();
+        self.peer_jobs().clear();
         self.set_peer_connections(0, 0);
     }
 
@@ -113,44 +114,44 @@
     /// Queues a transfer.
     ///
     /// # Errors
-    /// There is no other process, or too much waits for it: the parcel comes back.
-    pub fn put(&self, parcel: Transfer) -> Result<(), Transfer> {
-        let mut parcels = self.parcels();
-        if !self.is_open() || parcels.len() >= MAX_TRANSFERS {
-            return Err(parcel);
+    /// Returns the transfer if there is no other process, or if `MAX_TRANSFERS` are queued.
+    pub fn put(&self, transfer: Transfer) -> Result<(), Transfer> {
+        let mut transfers = self.transfers();
+        if !self.is_open() || transfers.len() >= MAX_TRANSFERS {
+            return Err(transfer);
         }
-        parcels.push_back(parcel);
+        transfers.push_back(transfer);
         Ok(())
     }
 
     /// Takes the next transfer from the queue.
     pub fn take(&self) -> Option<Transfer> {
-        self.parcels().pop_front()
+        self.transfers().pop_front()
     }
 
     /// Number of queued connections, whose descriptors this process still uses.
     pub fn waiting_connections(&self) -> usize {
-        self.parcels().iter().filter(|p| matches!(p, Transfer::Connection(..))).count()
+        self.transfers().iter().filter(|transfer| matches!(transfer, Transfer::Connection(..))).count()
     }
 
     /// Whether no transfer is queued.
     pub fn is_empty(&self) -> bool {
-        self.parcels().is_empty()
+        self.transfers().is_empty()
     }
 
     /// Whether the other process has accepted this job and not answered it yet.
     pub fn is_peer_job(&self, id: &str) -> bool {
-        self.is_open() && self.theirs().contains(id)
+        self.is_open() && self.peer_jobs().contains(id)
     }
 
     /// Adds a job that the other process has accepted.
     pub fn add_peer_job(&self, id: String) {
-        self.theirs().insert(id);
+        self.peer_jobs().insert(id);
     }
 
     /// Removes a job of the other process that has ended.
     pub fn remove_peer_job(&self, id: &str) {
-        self.theirs().remove(id);
+        self.peer_jobs().remove(id);
     }
 
     /// Sets how many descriptors the other process uses or may use; this process may use that many fewer.
@@ -169,12 +170,12 @@
         self.0.worker_connections.load(Ordering::Acquire)
     }
 
-    fn parcels(&self) -> MutexGuard<'_, VecDeque<Transfer>> {
-        self.0.parcels.lock().unwrap_or_else(PoisonError::into_inner)
+    fn transfers(&self) -> MutexGuard<'_, VecDeque<Transfer>> {
+        self.0.transfers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn theirs(&self) -> MutexGuard<'_, HashSet<String>> {
-        self.0.theirs.lock().unwrap_or_else(PoisonError::into_inner)
+    fn peer_jobs(&self) -> MutexGuard<'_, HashSet<String>> {
+        self.0.peer_jobs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/balancer/exchange/src/peer_process/tests.rs
+++ b/balancer/exchange/src/peer_process/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn without_another_process_nothing_goes_over_and_this_one_accepts() {
+fn without_another_process_nothing_is_transferred_and_connections_are_accepted() {
     let peer = PeerProcess::default();
     assert!(peer.accepts() && !peer.takes_connections());
     assert!(peer.put(Transfer::Drain(true)).is_err());
@@ -14,13 +14,17 @@
     assert!(matches!(peer.take(), Some(Transfer::JobEnded(id)) if id == "b"));
     peer.close();
     assert!(!peer.is_peer_job("a") && peer.take().is_none());
-    assert_eq!((peer.inbound(), peer.worker_connections()), (0, 0), "all of the budget is ours again");
+    assert_eq!(
+        (peer.inbound(), peer.worker_connections()),
+        (0, 0),
+        "the whole budget belongs to this process again"
+    );
 }
 
 #[test]
-fn what_waits_is_bounded() {
+fn the_transfer_queue_is_bounded() {
     let peer = PeerProcess::default();
     peer.open();
-    let put = (0..2 * MAX_TRANSFERS).filter(|_| peer.put(Transfer::Drain(true)).is_ok()).count();
-    assert_eq!(put, MAX_TRANSFERS);
+    let queued = (0..2 * MAX_TRANSFERS).filter(|_| peer.put(Transfer::Drain(true)).is_ok()).count();
+    assert_eq!(queued, MAX_TRANSFERS);
 }
--- a/balancer/exchange/src/progress.rs
+++ b/balancer/exchange/src/progress.rs
@@ -15,14 +15,14 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Followed(Mutex<Progress>);
+pub(crate) struct SharedProgress(Mutex<Progress>);
 
-impl Followed {
+impl SharedProgress {
     pub fn change(&self, change: impl FnOnce(&mut Progress)) {
         change(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    pub fn now(&self) -> Progress {
+    pub fn current(&self) -> Progress {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/balancer/exchange/src/rate.rs
+++ b/balancer/exchange/src/rate.rs
@@ -2,8 +2,8 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// At most one line in this many milliseconds.
-const GAP_MS: f64 = 1_000.0;
+/// Least time between two lines (ms).
+const MIN_INTERVAL_MS: f64 = 1_000.0;
 
 /// Allows one log line per second.
 #[derive(Default)]
@@ -13,7 +13,7 @@
     /// Whether a line may be written at `now` (ms).
     pub fn allows(&self, now: f64) -> bool {
         let last = f64::from_bits(self.0.load(Ordering::Relaxed));
-        let allowed = now - last >= GAP_MS;
+        let allowed = now - last >= MIN_INTERVAL_MS;
         if allowed {
             self.0.store(now.to_bits(), Ordering::Relaxed);
         }
