--- a/balancer/admission/src/admission.rs
+++ b/balancer/admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! Places and bytes together: a job gets both or neither.
+//! Admission over both resources: a job gets a place and its bytes, or neither.
 
 use crate::pool::Pool;
 
@@ -10,16 +10,17 @@
 /// Of the mean time between two ends, the weight of the newest: about the last 32 count.
 const NEWEST: f64 = 1.0 / 32.0;
 
-/// How much there is to share.
+/// The amounts that fronts share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Jobs that may be here at once.
+    /// Jobs that may be admitted at the same time.
     pub places: u64,
-    /// Bytes of their bodies.
+    /// Total bytes of their bodies.
     pub bytes: u64,
 }
 
-/// One job's place and bytes. Has to be given back, once: it can be neither copied nor made elsewhere.
+/// The place and the bytes of one admitted job. It must be passed to [`Admission::give_back`] exactly once; it
+/// cannot be copied, nor created outside this module.
 #[derive(Debug)]
 #[must_use = "what is held has to be given back"]
 pub struct Held {
@@ -27,32 +28,33 @@
     bytes: u64,
 }
 
-/// What was lacking.
+/// The resource that was short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
     Places,
     Bytes,
 }
 
-/// No room now.
+/// Refusal of a job for want of room.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
     pub shortage: Shortage,
-    /// When to come back: about when what is claimed before will have become free (ms from now).
+    /// When to retry (ms from now): about when all units claimed before this refusal will have become free.
     pub retry_after: f64,
 }
 
-/// What one front holds.
+/// What one front uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
     pub places: u64,
     pub bytes: u64,
-    /// Places that it has a right to.
+    /// Places that the front can always claim, by its weight.
     pub share: u64,
 }
 
 pub struct Admission {
     places: Pool,
+/// Admission control over all fronts.
     bytes: Pool,
     last_end: Option<f64>,
     /// Mean time between two ends of jobs (ms).
@@ -60,7 +62,7 @@
 }
 
 impl Admission {
-    /// `weights`: one for each front, which is known by its place in this list.
+    /// `weights` has one entry for each front; its index in the list identifies the front.
     pub fn new(capacity: Capacity, weights: &[u32]) -> Self {
         Admission {
             places: Pool::new(capacity.places, weights),
@@ -70,10 +72,10 @@
         }
     }
 
-    /// Takes a place and so many bytes.
+    /// Takes a place and `bytes` bytes for one job.
     ///
     /// # Errors
-    /// What is lacking, and when to come back. The refusal counts as a claim for [`crate::CLAIM_LIFE_MS`].
+    /// States which resource is short, and when to retry. The refusal counts as a claim for [`crate::CLAIM_LIFE_MS`].
     pub fn take(&mut self, front: usize, bytes: u64, now: f64) -> Result<Held, Refused> {
         let shortage = match () {
             () if !self.places.has_room(front, 1, now) => Shortage::Places,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// New weights, for the same fronts: what is held stays where it is.
+    /// Sets new weights for the same fronts; nothing that is in use is taken back.
     pub fn set_weights(&mut self, weights: &[u32]) {
         self.places.set_weights(weights);
         self.bytes.set_weights(weights);
--- a/balancer/admission/src/lib.rs
+++ b/balancer/admission/src/lib.rs
@@ -1,11 +1,12 @@
-//! Who gets a place when several fronts ask for it.
+//! Admission control: which front may accept a job when several fronts compete for limited resources.
 //!
-//! Places for jobs and bytes of their bodies are shared by weighted max-min fairness (Bertsekas and Gallager, Data
-//! Networks, 2nd ed., section 6.5.2): whoever is furthest behind for its weight comes first, and what one does not
-//! ask for is lent to the others. Nothing waits here: what finds no place is refused at once, with advice when to
-//! come back, and the refusal is remembered for a while as a claim on what becomes free next.
+//! Two resources, places (jobs at once) and bytes of job bodies, are shared by weighted max-min fairness
+//! (Bertsekas and Gallager, Data Networks, 2nd ed., section 6.5.2): the front that uses least for its weight
+//! has precedence, and the part of a share that a front does not ask for is lent to the others. There is no
+//! queue: a job without room is refused at once, with the time after which to retry, and the refusal counts for
+//! a while as the front's claim on the units that become free next.
 //!
-//! No I/O and no clock: callers pass the time in, in milliseconds of any clock that does not go back.
+//! The crate has no I/O and no clock. Callers pass the time in milliseconds of any clock that does not go back.
 
 mod admission;
 mod pool;
@@ -13,7 +14,8 @@
 pub use admission::{Admission, Capacity, Held, Refused, Shortage, Usage};
 pub use pool::{CLAIM_LIFE_MS, KEPT_PART};
 
-/// Jain's fairness index of what each got for its weight: 1 is even, 1/n all to one. 1 for nothing at all.
+/// Jain's fairness index of the amounts relative to the weights: 1 if they are even, 1/n if one of n gets all.
+/// It is 1 if nobody gets anything.
 ///
 /// Jain, Chiu, Hawe: A Quantitative Measure of Fairness (DEC-TR-301, 1984).
 pub fn fairness(got: &[f64], weights: &[f64]) -> f64 {
--- a/balancer/admission/src/pool.rs
+++ b/balancer/admission/src/pool.rs
@@ -1,23 +1,24 @@
-//! One resource that fronts share: so many units, of which each holds some and claims some.
+//! One shared resource: a number of units, of which each front uses some and claims some.
 
-/// How long (ms) a refusal is remembered as a claim. Longer than the advice that goes with a refusal, so that one
-/// who comes back as told finds its claim standing; short, so that units do not stay empty for one who does not.
+/// How long a refusal counts as a claim (ms). Longer than the retry time that a refusal advises, so that the
+/// claim still counts when the client retries as advised; short, so that units do not stay unused for clients
+/// that do not retry.
 pub const CLAIM_LIFE_MS: f64 = 1_000.0;
-/// One part in so many of a front's unused share is never lent: its next jobs find room at once, while those that
-/// borrowed the rest still run.
+/// Divisor of a front's unused share: one part in this many is never lent, so that the front's next jobs find
+/// room at once while the jobs that borrowed the rest still run.
 pub const KEPT_PART: u64 = 8;
 
 #[derive(Clone, Debug)]
 struct Stake {
     weight: u64,
     used: u64,
-    /// What was refused and not made up for since ...
+    /// Units that were refused and have not been granted since.
     claimed: u64,
-    /// ... and until when that counts.
+    /// Time until which `claimed` counts (ms).
     claimed_until: f64,
 }
 
-/// Units of one kind, shared out among fronts by weight.
+/// The units of one resource, shared among fronts by weight.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     capacity: u64,
@@ -25,7 +26,7 @@
 }
 
 impl Pool {
-    /// Weights of 0 count as 1.
+    /// A weight of 0 counts as 1.
     pub fn new(capacity: u64, weights: &[u32]) -> Self {
         let stake = |weight: &u32| Stake {
             weight: u64::from((*weight).max(1)),
@@ -36,7 +37,7 @@
         Pool { capacity, stakes: weights.iter().map(stake).collect() }
     }
 
-    /// Takes effect with what is asked for next; nothing that is held is taken back.
+    /// The new weights apply to later requests; nothing that is in use is taken back.
     pub fn set_weights(&mut self, weights: &[u32]) {
         for (stake, weight) in self.stakes.iter_mut().zip(weights) {
             stake.weight = u64::from((*weight).max(1));
@@ -51,13 +52,13 @@
         self.capacity - self.stakes.iter().map(|s| s.used).sum::<u64>()
     }
 
-    /// What this front has a right to however much the others ask for.
+    /// Units that this front can claim by its weight, however much the others ask for.
     pub fn share(&self, front: usize) -> u64 {
         let weights: u64 = self.stakes.iter().map(|s| s.weight).sum();
         self.capacity * self.stakes[front].weight / weights
     }
 
-    /// Whether `amount` more may go to this front now.
+    /// Whether this front may take `amount` more units now.
     pub fn has_room(&self, front: usize, amount: u64, now: f64) -> bool {
         let wanted = self.stakes[front].used + amount;
         let mut needed = amount;
@@ -67,7 +68,7 @@
         needed <= self.free()
     }
 
-    /// Units that stay free for `other` while `front` asks to hold `wanted`.
+    /// Units that must stay free for `other` if `front` is to use `wanted` units in total.
     fn kept_for(&self, other: usize, front: usize, wanted: u64, now: f64) -> u64 {
         let (asker, stake) = (&self.stakes[front], &self.stakes[other]);
         // As many as lift it to the level that the asker would reach.
@@ -79,7 +80,7 @@
         claimed.max(if lent { kept } else { 0 })
     }
 
-    /// The caller has asked `has_room`.
+    /// Takes units; the caller has checked `has_room`.
     pub fn take(&mut self, front: usize, amount: u64) {
         let stake = &mut self.stakes[front];
         stake.used += amount;
@@ -92,7 +93,7 @@
         stake.used = stake.used.saturating_sub(amount);
     }
 
-    /// Remembers a refusal. More than the whole pool cannot be claimed.
+    /// Records a refusal as a claim. At most the whole capacity can be claimed.
     pub fn claim(&mut self, front: usize, amount: u64, now: f64) {
         let capacity = self.capacity;
         let stake = &mut self.stakes[front];
@@ -103,7 +104,7 @@
         stake.claimed_until = now + CLAIM_LIFE_MS;
     }
 
-    /// Units claimed by all, as far as claims still count.
+    /// Units claimed by all fronts whose claims still count.
     pub fn claims(&self, now: f64) -> u64 {
         self.stakes.iter().filter(|s| now < s.claimed_until).map(|s| s.claimed).sum()
     }
--- a/balancer/admission/tests/model.rs
+++ b/balancer/admission/tests/model.rs
@@ -1,4 +1,4 @@
-//! Admission against random histories and against what max-min fairness promises.
+//! Tests of admission control with random sequences of events and against the guarantees of max-min fairness.
 
 use millrudder_admission::{fairness, Admission, Capacity, Held, Shortage, CLAIM_LIFE_MS, KEPT_PART};
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 
 const BIG: u64 = 1 << 40;
 
-/// The same cases at every run.
+/// Runs the test on the same 400 random cases at every run.
 fn check<S: Strategy>(strategy: S, test: impl Fn(S::Value)) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
@@ -77,7 +77,7 @@
             }
             assert!(out.len() as u64 <= places && out.iter().map(|o| o.1).sum::<u64>() <= bytes);
         }
-        // All given back, the whole pool is there again for whoever is alone.
+        // After all are given back, a front that is alone can take everything except what is never lent.
         out.into_iter().for_each(|(_, _, held)| admission.give_back(held, now));
         now += CLAIM_LIFE_MS + 1.0;
         let kept: u64 = [1, 2].iter().map(|f| admission.usage(*f).share.div_ceil(KEPT_PART)).sum();
@@ -103,7 +103,8 @@
 
 #[test]
 fn a_front_that_asks_gets_its_share_back_as_borrowed_jobs_end() {
-    // One front has borrowed all it may; from now on both ask for everything, and one job ends at a time.
+    // Front 0 has borrowed all that it may. From then on both fronts ask for all they can get, and one job ends
+    // at a time.
     check((8..80u64, 1..9u32, 1..9u32, any::<u64>()), |(capacity, own, other, order)| {
         let mut admission = places(capacity, &[own, other]);
         let mut out: Vec<(usize, Held)> = Vec::new();
@@ -126,7 +127,8 @@
             admission.give_back(held, now);
             now += 1.0;
             ends += 1;
-            // Each end gives a place to the one behind: as many ends as places were lent, and those of its own.
+            // Each end frees a place for the front that is behind. The ends needed are as many as the places
+            // that were lent, plus the ends of that front's own jobs.
             assert!(ends <= capacity * 40, "{:?} of {share}", admission.usage(1));
         }
         assert!(admission.usage(0).places <= capacity - share);
@@ -151,7 +153,7 @@
 
 #[test]
 fn a_claim_that_is_not_renewed_is_forgotten() {
-    // A front that asked once and went away must not keep places empty.
+    // A front whose clients do not retry must not keep places unused.
     let mut admission = places(16, &[1, 1]);
     let mut held: Vec<Held> = (0..15).map(|_| admission.take(0, 0, 0.0).unwrap()).collect();
     held.push(admission.take(1, 0, 0.0).unwrap());
@@ -169,7 +171,7 @@
     let (mut out, mut got, mut now) = (Vec::new(), [0.0, 0.0], 0.0);
     for round in 0..20_000u64 {
         now += 1.0;
-        // 4 asks of each a millisecond, one end: far more is asked for than there is.
+        // Each millisecond every front asks 4 times and one job ends: the demand is far above the capacity.
         for front in [1, 0, 1, 0, 0, 1, 1, 0] {
             if let Ok(held) = admission.take(front, 64, now) {
                 got[front] += 1.0;
