--- a/balancer/admission/src/admission.rs
+++ b/balancer/admission/src/admission.rs
@@ -2,13 +2,15 @@
 
 use crate::pool::Pool;
 
-/// Advice with a refusal lies between these (ms): sooner would only be refused again, later than a claim counts.
-const SOONEST_MS: f64 = 50.0;
-const LATEST_MS: f64 = 900.0;
-/// Before anything has ended, nothing is known of how fast places become free (ms).
-const FIRST_ADVICE_MS: f64 = 500.0;
-/// Of the mean time between two ends, the weight of the newest: about the last 32 count.
-const NEWEST: f64 = 1.0 / 32.0;
+/// Least time to a retry that a refusal advises (ms); a retry before that would only be refused again.
+const MIN_RETRY_MS: f64 = 50.0;
+/// Longest time to a retry that a refusal advises (ms). It is below [`crate::CLAIM_LIFE_MS`], so that the claim
+/// still counts at the retry.
+const MAX_RETRY_MS: f64 = 900.0;
+/// Advised time to a retry as long as too few jobs have ended to know how fast places become free (ms).
+const DEFAULT_RETRY_MS: f64 = 500.0;
+/// Weight of the newest value in the moving average of the time between two ends of jobs: about the last 32 count.
+const NEWEST_WEIGHT: f64 = 1.0 / 32.0;
 
 /// The amounts that fronts share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +24,7 @@
 /// The place and the bytes of one admitted job. It must be passed to [`Admission::give_back`] exactly once; it
 /// cannot be copied, nor created outside this module.
 #[derive(Debug)]
-#[must_use = "what is held has to be given back"]
+#[must_use = "the place and the bytes must be given back"]
 pub struct Held {
     front: usize,
     bytes: u64,
@@ -52,13 +54,13 @@
     pub share: u64,
 }
 
+/// Admission control over all fronts.
 pub struct Admission {
     places: Pool,
-/// Admission control over all fronts.
     bytes: Pool,
     last_end: Option<f64>,
-    /// Mean time between two ends of jobs (ms).
-    gap: Option<f64>,
+    /// Moving average of the time between two ends of jobs (ms).
+    mean_gap: Option<f64>,
 }
 
 impl Admission {
@@ -68,7 +70,7 @@
             places: Pool::new(capacity.places, weights),
             bytes: Pool::new(capacity.bytes, weights),
             last_end: None,
-            gap: None,
+            mean_gap: None,
         }
     }
 
@@ -86,7 +88,7 @@
                 return Ok(Held { front, bytes });
             }
         };
-        let retry_after = self.advice(now);
+        let retry_after = self.retry_after(now);
         match shortage {
             Shortage::Places => self.places.claim(front, 1, now),
             Shortage::Bytes => self.bytes.claim(front, bytes, now),
@@ -99,7 +101,7 @@
         self.bytes.give_back(held.front, held.bytes);
         if let Some(last) = self.last_end.replace(now) {
             let gap = (now - last).max(0.0);
-            self.gap = Some(self.gap.map_or(gap, |mean| mean + (gap - mean) * NEWEST));
+            self.mean_gap = Some(self.mean_gap.map_or(gap, |mean| mean + (gap - mean) * NEWEST_WEIGHT));
         }
     }
 
@@ -117,8 +119,8 @@
         }
     }
 
-    fn advice(&self, now: f64) -> f64 {
+    fn retry_after(&self, now: f64) -> f64 {
         let ahead = self.places.claims(now) + 1;
-        self.gap.map_or(FIRST_ADVICE_MS, |gap| (gap * ahead as f64).clamp(SOONEST_MS, LATEST_MS))
+        self.mean_gap.map_or(DEFAULT_RETRY_MS, |gap| (gap * ahead as f64).clamp(MIN_RETRY_MS, MAX_RETRY_MS))
     }
 }
--- a/balancer/admission/src/pool.rs
+++ b/balancer/admission/src/pool.rs
@@ -9,7 +9,7 @@
 pub const KEPT_PART: u64 = 8;
 
 #[derive(Clone, Debug)]
-struct Stake {
+struct FrontState {
     weight: u64,
     used: u64,
     /// Units that were refused and have not been granted since.
@@ -22,47 +22,47 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     capacity: u64,
-    stakes: Vec<Stake>,
+    fronts: Vec<FrontState>,
 }
 
 impl Pool {
     /// A weight of 0 counts as 1.
     pub fn new(capacity: u64, weights: &[u32]) -> Self {
-        let stake = |weight: &u32| Stake {
+        let front = |weight: &u32| FrontState {
             weight: u64::from((*weight).max(1)),
             used: 0,
             claimed: 0,
             claimed_until: f64::NEG_INFINITY,
         };
-        Pool { capacity, stakes: weights.iter().map(stake).collect() }
+        Pool { capacity, fronts: weights.iter().map(front).collect() }
     }
 
     /// The new weights apply to later requests; nothing that is in use is taken back.
     pub fn set_weights(&mut self, weights: &[u32]) {
-        for (stake, weight) in self.stakes.iter_mut().zip(weights) {
-            stake.weight = u64::from((*weight).max(1));
+        for (state, weight) in self.fronts.iter_mut().zip(weights) {
+            state.weight = u64::from((*weight).max(1));
         }
     }
 
     pub fn used(&self, front: usize) -> u64 {
-        self.stakes[front].used
+        self.fronts[front].used
     }
 
     fn free(&self) -> u64 {
-        self.capacity - self.stakes.iter().map(|s| s.used).sum::<u64>()
+        self.capacity - self.fronts.iter().map(|s| s.used).sum::<u64>()
     }
 
     /// Units that this front can claim by its weight, however much the others ask for.
     pub fn share(&self, front: usize) -> u64 {
-        let weights: u64 = self.stakes.iter().map(|s| s.weight).sum();
-        self.capacity * self.stakes[front].weight / weights
+        let weights: u64 = self.fronts.iter().map(|s| s.weight).sum();
+        self.capacity * self.fronts[front].weight / weights
     }
 
     /// Whether this front may take `amount` more units now.
     pub fn has_room(&self, front: usize, amount: u64, now: f64) -> bool {
-        let wanted = self.stakes[front].used + amount;
+        let wanted = self.fronts[front].used + amount;
         let mut needed = amount;
-        for other in (0..self.stakes.len()).filter(|other| *other != front) {
+        for other in (0..self.fronts.len()).filter(|other| *other != front) {
             needed += self.kept_for(other, front, wanted, now);
         }
         needed <= self.free()
@@ -70,42 +70,42 @@
 
     /// Units that must stay free for `other` if `front` is to use `wanted` units in total.
     fn kept_for(&self, other: usize, front: usize, wanted: u64, now: f64) -> u64 {
-        let (asker, stake) = (&self.stakes[front], &self.stakes[other]);
-        // As many as lift it to the level that the asker would reach.
-        let behind = (wanted * stake.weight / asker.weight).saturating_sub(stake.used);
-        let claimed = if now < stake.claimed_until { stake.claimed.min(behind) } else { 0 };
-        // One within its own share is never refused for what another might want.
-        let lent = wanted > self.share(front);
-        let kept = self.share(other).saturating_sub(stake.used).div_ceil(KEPT_PART);
-        claimed.max(if lent { kept } else { 0 })
+        let (asker, other_front) = (&self.fronts[front], &self.fronts[other]);
+        // As many as bring `other` to the same use per weight that `front` would reach.
+        let behind = (wanted * other_front.weight / asker.weight).saturating_sub(other_front.used);
+        let claimed = if now < other_front.claimed_until { other_front.claimed.min(behind) } else { 0 };
+        // A front within its own share is never refused for what another has not asked for yet.
+        let is_borrowing = wanted > self.share(front);
+        let kept = self.share(other).saturating_sub(other_front.used).div_ceil(KEPT_PART);
+        claimed.max(if is_borrowing { kept } else { 0 })
     }
 
     /// Takes units; the caller has checked `has_room`.
     pub fn take(&mut self, front: usize, amount: u64) {
-        let stake = &mut self.stakes[front];
-        stake.used += amount;
-        stake.claimed = stake.claimed.saturating_sub(amount);
+        let state = &mut self.fronts[front];
+        state.used += amount;
+        state.claimed = state.claimed.saturating_sub(amount);
     }
 
     pub fn give_back(&mut self, front: usize, amount: u64) {
-        let stake = &mut self.stakes[front];
-        debug_assert!(stake.used >= amount, "given back twice");
-        stake.used = stake.used.saturating_sub(amount);
+        let state = &mut self.fronts[front];
+        debug_assert!(state.used >= amount, "given back twice");
+        state.used = state.used.saturating_sub(amount);
     }
 
     /// Records a refusal as a claim. At most the whole capacity can be claimed.
     pub fn claim(&mut self, front: usize, amount: u64, now: f64) {
         let capacity = self.capacity;
-        let stake = &mut self.stakes[front];
-        if now >= stake.claimed_until {
-            stake.claimed = 0;
+        let state = &mut self.fronts[front];
+        if now >= state.claimed_until {
+            state.claimed = 0;
         }
-        stake.claimed = (stake.claimed + amount).min(capacity);
-        stake.claimed_until = now + CLAIM_LIFE_MS;
+        state.claimed = (state.claimed + amount).min(capacity);
+        state.claimed_until = now + CLAIM_LIFE_MS;
     }
 
     /// Units claimed by all fronts whose claims still count.
     pub fn claims(&self, now: f64) -> u64 {
-        self.stakes.iter().filter(|s| now < s.claimed_until).map(|s| s.claimed).sum()
+        self.fronts.iter().filter(|s| now < s.claimed_until).map(|s| s.claimed).sum()
     }
 }
--- a/balancer/admission/tests/model.rs
+++ b/balancer/admission/tests/model.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn no_place_is_lost_or_given_twice_over_any_order_of_events() {
+fn no_place_is_lost_or_granted_twice_in_any_order_of_events() {
     check((1..40u64, 1..400u64, steps()), |(places, bytes, steps)| {
         let mut weights = vec![1, 2, 5];
         let mut admission = Admission::new(Capacity { places, bytes }, &weights);
@@ -54,7 +54,7 @@
                     match admission.take(front, bytes, now) {
                         Ok(held) => out.push((front, bytes, held)),
                         Err(refused) => {
-                            assert_eq!(admission.usage(front), before, "a refusal holds nothing");
+                            assert_eq!(admission.usage(front), before, "a refusal takes nothing");
                             assert!((50.0..CLAIM_LIFE_MS).contains(&refused.retry_after), "{refused:?}");
                         }
                     }
@@ -143,11 +143,11 @@
         held.push(one);
     }
     assert_eq!(held.len(), 75, "all but an eighth of the other's 40");
-    held.extend((0..5).map(|_| admission.take(1, 0, 1.0).expect("kept for it")));
-    // Then its claims take what ends, and the borrower gets none of it.
+    held.extend((0..5).map(|_| admission.take(1, 0, 1.0).expect("a place that is never lent")));
+    // Then each place that becomes free goes to the quiet front's claims, and none to the borrower.
     assert_eq!(admission.take(1, 0, 2.0).unwrap_err().shortage, Shortage::Places);
     admission.give_back(held.remove(0), 3.0);
-    assert!(admission.take(0, 0, 3.0).is_err(), "another is behind and has asked");
+    assert!(admission.take(0, 0, 3.0).is_err(), "the other front is behind and has a claim");
     held.push(admission.take(1, 0, 4.0).unwrap());
 }
 
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn weights_hold_under_a_surge_on_all_fronts() {
+fn weights_hold_under_overload_on_all_fronts() {
     let weights = [3, 1];
     let mut admission = places(200, &weights);
     let (mut out, mut got, mut now) = (Vec::new(), [0.0, 0.0], 0.0);
