--- a/balancer/wire/src/descriptor.rs
+++ b/balancer/wire/src/descriptor.rs
@@ -1,5 +1,6 @@
-//! Descriptors from outside this process's own calls: one inherited from the platform, those that another process
-//! passed on. The only unsafe code of the workspace; each call below says why it is sound.
+//! File descriptors that this process has not opened itself: the listening socket inherited from the platform,
+//! and those passed by another process. This is the only unsafe code of the workspace; each unsafe call states
+//! why it is sound.
 #![allow(unsafe_code)]
 
 use may::net::{TcpListener, TcpStream};
@@ -12,7 +13,7 @@
 /// Standard streams are no sockets of anybody's.
 const FIRST: i32 = 3;
 
-/// The listening socket that the platform has left open under this number.
+/// Takes over the listening socket that the platform has left open under this descriptor number.
 ///
 /// # Errors
 /// The number is out of range, nothing is open under it, or it is not a listening TCP socket.
@@ -28,27 +29,29 @@
         return Err(wrong("not a listening socket"));
     }
     rustix::io::fcntl_setfd(borrowed, rustix::io::FdFlags::CLOEXEC)?;
-    // SAFETY: it is open, and inherited for this use alone; from here on the listener owns it.
+    // SAFETY: the descriptor is open and was inherited for this use only; from here on the listener owns it.
     Ok(unsafe { std::net::TcpListener::from_raw_fd(fd) })
 }
 
-/// may gives no other way to a listener that is already bound.
+/// Converts a bound listener to one of the coroutine library `may`, which has no safe way to do so.
 ///
 /// # Errors
-/// It cannot be watched for events.
+/// The descriptor cannot be registered for events.
 pub fn listener(listener: std::net::TcpListener) -> io::Result<TcpListener> {
-    // SAFETY: the descriptor was owned by `listener` and passes whole. may panics if it cannot be watched.
+    // SAFETY: `listener` owned the descriptor, and its ownership passes to the new one. `may` panics if it
+    // cannot register the descriptor for events.
     let fd = listener.into_raw_fd();
     catch_unwind(|| unsafe { TcpListener::from_raw_fd(fd) })
         .map_err(|_| io::Error::other("cannot be watched"))
 }
 
-/// As [`listener`], for a connection.
+/// Like [`listener`], for a connection.
 ///
 /// # Errors
-/// It cannot be watched for events.
+/// The descriptor cannot be registered for events.
 pub fn stream(stream: std::net::TcpStream) -> io::Result<TcpStream> {
-    // SAFETY: the descriptor was owned by `stream` and passes whole. may panics if it cannot be watched.
+    // SAFETY: `stream` owned the descriptor, and its ownership passes to the new one. `may` panics if it cannot
+    // register the descriptor for events.
     let fd = stream.into_raw_fd();
     catch_unwind(|| unsafe { TcpStream::from_raw_fd(fd) }).map_err(|_| io::Error::other("cannot be watched"))
 }
--- a/balancer/wire/src/http/decode.rs
+++ b/balancer/wire/src/http/decode.rs
@@ -1,9 +1,10 @@
-//! Bytes to messages. A `Decoder` holds what has come of one connection and gives each message once whole.
+//! Decoding of messages. A [`Decoder`] buffers the bytes received on one connection and returns each message
+//! once it is complete.
 
 use super::{Headers, Request, Response, BODY_LIMIT, HEAD_LIMIT, MAX_HEADERS};
 use std::fmt;
 
-/// Room for a chunk's size line with its extensions.
+/// Longest size line of a chunk, with its extensions (bytes).
 const CHUNK_LINE_LIMIT: usize = 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +32,7 @@
 
 type Framed<T> = Result<T, FrameError>;
 
-/// How a body's end is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Framing {
     Length(usize),
@@ -39,11 +40,12 @@
     UntilClose,
 }
 
-/// A request or a response: what differs between the two in framing.
+/// What differs between requests and responses in framing.
 pub trait Message: Sized {
-    /// The head at the front of `bytes` and its length, once it is whole; the body is still empty.
+    /// Parses the head at the front of `bytes`; returns the message with an empty body and the length of the
+    /// head, once the head is complete.
     fn head(bytes: &[u8]) -> Framed<Option<(Self, usize)>>;
-    /// It only announces the message to come (1xx).
+    /// Whether this is an interim response (1xx), which the final one follows.
     fn is_interim(&self) -> bool;
     /// A body is never there, whatever the headers say.
     fn bodiless(&self) -> bool;
@@ -144,8 +146,8 @@
     }
 }
 
-/// Two lengths, or a length beside a coding, let two readers disagree on where a message ends (request
-/// smuggling): refused rather than guessed.
+/// Determines the framing from the headers. Two different lengths, or a length beside a transfer coding, are
+/// refused: two readers could disagree on where the message ends (request smuggling).
 fn framing<M: Message>(message: &M) -> Framed<Framing> {
     let headers = message.headers();
     let mut lengths = headers.all("content-length").flat_map(|v| v.split(',')).map(str::trim);
@@ -172,7 +174,7 @@
     if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) {
         return Err(FrameError::Malformed("Content-Length"));
     }
-    // Digits that overflow are a length too, and too large.
+    // Digits that overflow `usize` are a valid length, but too large.
     match digits.parse::<usize>() {
         Ok(n) if n <= BODY_LIMIT => Ok(n),
         _ => Err(FrameError::BodyTooLarge),
@@ -183,7 +185,7 @@
 struct Open<M> {
     message: M,
     framing: Framing,
-    /// What has been decoded of a chunked body.
+    /// The decoded part of a chunked body.
     chunks: Vec<u8>,
     /// The peer waits for `100 Continue` before it sends the body.
     expects: bool,
@@ -191,6 +193,7 @@
 
 #[derive(Debug)]
 pub struct Decoder<M> {
+/// Incremental decoder of the messages on one connection.
     buffer: Vec<u8>,
     open: Option<Open<M>>,
 }
@@ -206,22 +209,22 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Nothing has come since the last whole message.
+    /// Whether nothing has been received since the last complete message.
     pub fn is_idle(&self) -> bool {
         self.buffer.is_empty() && self.open.is_none()
     }
 
-    /// Bytes that wait here for their message to be whole.
+    /// Bytes buffered for a message that is not complete yet.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() + self.open.as_ref().map_or(0, |open| open.chunks.len())
     }
 
-    /// True once for a message whose sender waits for `100 Continue`.
+    /// Whether the peer waits for `100 Continue`; true only once for each message.
     pub fn take_expectation(&mut self) -> bool {
         self.open.as_mut().is_some_and(|open| std::mem::take(&mut open.expects))
     }
 
-    /// The next message, once whole. After an error the connection cannot be read on.
+    /// Returns the next message once it is complete. After an error nothing more can be decoded on the connection.
     pub fn next_message(&mut self) -> Framed<Option<M>> {
         while self.open.is_none() {
             match self.read_head()? {
@@ -241,7 +244,7 @@
         Ok(body.and_then(|body| self.close(body)))
     }
 
-    /// The peer has ended the connection: a body that only the end delimits is whole now.
+    /// Handles the end of the connection, which completes a body that is delimited by it.
     pub fn finish(&mut self) -> Framed<Option<M>> {
         match &self.open {
             Some(open) if open.framing == Framing::UntilClose => {
@@ -257,7 +260,8 @@
         let mut message = self.open.take()?.message;
         message.set_body(body);
         if self.buffer.is_empty() {
-            // A kept connection is idle most of the time: it should not hold the memory of its largest message.
+            // A keep-alive connection is idle most of the time and should not keep the memory of its largest
+            // message.
             self.buffer = Vec::new();
         }
         Some(message)
@@ -278,7 +282,8 @@
     }
 }
 
-/// Takes whole chunks from the front of `buffer`; gives the body after the last one and its trailers.
+/// Moves complete chunks from the front of `buffer` to `body`; returns the body after the last chunk and its
+/// trailers.
 fn read_chunks(buffer: &mut Vec<u8>, body: &mut Vec<u8>) -> Framed<Option<Vec<u8>>> {
     loop {
         let bad = |_| FrameError::Malformed("chunk size");
@@ -309,7 +314,7 @@
     }
 }
 
-/// Length of the trailer section, once whole. Trailers themselves mean nothing here.
+/// Length of the trailer section, once it is complete. The trailers themselves are ignored.
 fn read_trailers(bytes: &[u8]) -> Framed<Option<usize>> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     match httparse::parse_headers(bytes, &mut lines).map_err(no_head)? {
--- a/balancer/wire/src/http/encode.rs
+++ b/balancer/wire/src/http/encode.rs
@@ -1,5 +1,6 @@
-//! Messages to bytes.
+//! Encoding of messages.
 
+/// The interim response to `Expect: 100-continue`.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 fn reason(status: u16) -> &'static str {
@@ -38,12 +39,13 @@
     bytes
 }
 
-/// `headers` must hold no line breaks; what was read by the decoder holds none.
+/// Encodes a request. `headers` must not contain line breaks; headers read by the decoder never do.
 pub fn request(method: &str, target: &str, host: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let head = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
     finish(head, headers, body, !matches!(method, "GET" | "HEAD" | "DELETE") || !body.is_empty())
 }
 
+/// Encodes a response; `close` announces that the connection will be closed.
 pub fn response(status: u16, headers: &[(&str, &str)], body: &[u8], close: bool) -> Vec<u8> {
     let close = if close { "Connection: close\r\n" } else { "" };
     finish(format!("HTTP/1.1 {status} {}\r\n{close}", reason(status)), headers, body, status != 204)
--- a/balancer/wire/src/json.rs
+++ b/balancer/wire/src/json.rs
@@ -1,9 +1,10 @@
-//! Bounded decoding of JSON, and reading of values that names the key that is wrong.
+//! JSON decoding with bounded nesting, and access to values with errors that name the key.
 
 use std::fmt;
 use tinyjson::JsonValue;
 
-/// tinyjson recurses for each level, and a coroutine's stack is small: deeper text is refused unparsed.
+/// Deepest nesting that is parsed. tinyjson recurses for each level and a coroutine's stack is small, so deeper
+/// text is refused before parsing.
 const MAX_DEPTH: usize = 24;
 
 #[derive(Debug, PartialEq)]
@@ -11,7 +12,7 @@
     TooDeep,
     NotText,
     Malformed(String),
-    /// The value at this key is missing or of another kind than the one wanted.
+    /// The value at this key is missing or not of the wanted kind.
     Wrong {
         key: String,
         wanted: &'static str,
@@ -58,7 +59,7 @@
     text.parse().map_err(|e: tinyjson::JsonParseError| JsonError::Malformed(e.to_string()))
 }
 
-/// A place in a document: the value there, if any, and the way to it for messages.
+/// A position in a document: the value there, if any, and its full key for error messages.
 #[derive(Clone)]
 pub struct Node<'a> {
     value: Option<&'a JsonValue>,
@@ -72,6 +73,7 @@
         Node { value: Some(value), key: String::new() }
     }
 
+    /// The member `name` of an object; an absent node if there is none or if it is null.
     pub fn at(&self, name: &str) -> Node<'a> {
         let key = if self.key.is_empty() { name.to_owned() } else { format!("{}.{name}", self.key) };
         let value = match self.value {
@@ -81,6 +83,7 @@
         Node { value, key }
     }
 
+    /// An error that the value here is missing or not the `wanted` one.
     pub fn wrong<T>(&self, wanted: &'static str) -> Read<T> {
         let key = if self.key.is_empty() { "(whole document)".to_owned() } else { self.key.clone() };
         Err(JsonError::Wrong { key, wanted })
@@ -90,7 +93,7 @@
         self.value.is_none()
     }
 
-    /// The value as a number; none if absent.
+    /// The value as a number; `None` if absent.
     pub fn number(&self) -> Read<Option<f64>> {
         match self.value {
             None => Ok(None),
@@ -103,7 +106,7 @@
         Ok(self.number()?.unwrap_or(default))
     }
 
-    /// A whole number from 0 up.
+    /// The value as a whole number from 0 up; `None` if absent.
     pub fn count(&self) -> Read<Option<u64>> {
         match self.number()? {
             None => Ok(None),
@@ -112,6 +115,7 @@
         }
     }
 
+    /// The value as a Boolean; false if absent.
     pub fn flag(&self) -> Read<bool> {
         match self.value {
             None => Ok(false),
@@ -135,7 +139,7 @@
         }
     }
 
-    /// The items of an array, each with its own key; none if absent.
+    /// The items of an array, each with its own key; empty if absent.
     pub fn items(&self) -> Read<Vec<Node<'a>>> {
         match self.value {
             None => Ok(Vec::new()),
--- a/balancer/wire/src/lib.rs
+++ b/balancer/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the platform's protocol looks like on sockets, for every side that speaks it: HTTP/1.1 framing, JSON, load
-//! reports, discovery's lists, and one conversation on a connection.
+//! The platform's protocol on sockets, for clients and servers alike: HTTP/1.1 framing, JSON, load reports,
+//! discovery's worker lists, and one request with its response on a connection.
 
 pub mod descriptor;
 pub mod http;
@@ -9,6 +9,6 @@
 pub mod round_trip;
 pub mod socket;
 
-/// Stack of a coroutine, in words of 8 bytes. The deepest are JSON (bounded nesting) and formatting for the log;
-/// pages that are never touched cost no memory.
+/// Stack size of a coroutine, in words of 8 bytes. JSON parsing (with bounded nesting) and formatting for the
+/// log need most of it; pages that are never touched use no memory.
 pub const STACK_WORDS: usize = 16 * 1024;
--- a/balancer/wire/src/list.rs
+++ b/balancer/wire/src/list.rs
@@ -1,15 +1,16 @@
-//! Discovery's JSON to entries of the transport map.
+//! Decoding of worker lists from discovery's JSON.
 
 use crate::json::{JsonError, Node};
 use millrudder_exchange::{WorkerEntry, WorkerListUpdate, WorkerState};
 
+/// A worker list as discovery sends it: complete, or the changes since an earlier generation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
     pub generation: u64,
     pub update: WorkerListUpdate,
 }
 
-/// All or nothing: a list with one bad entry is refused whole, and the old one stands.
+/// Decodes a list. A list with one bad entry is refused as a whole, and the current one stays in force.
 pub fn read_list(node: &Node) -> Result<List, JsonError> {
     let node = node.object()?;
     let Some(generation) = node.at("generation").count()? else {
@@ -31,7 +32,7 @@
     };
     let address = match node.at("hostPort").text()?.map(str::parse) {
         Some(Ok(address)) => Some(address),
-        // One that has left needs none; one to send to does.
+        // A worker that has left needs no address; one that gets jobs does.
         None if state == WorkerState::Left => None,
         _ => return node.at("hostPort").wrong("an address with a port"),
     };
--- a/balancer/wire/src/report.rs
+++ b/balancer/wire/src/report.rs
@@ -1,14 +1,16 @@
-//! Load reports of next hops, in whichever of the protocol's forms they come.
+//! Load reports of workers, in each of the forms that the protocol allows.
 
 use crate::http::Response;
 use crate::json::{self, JsonError, Node};
 use millrudder_exchange::LoadReport;
 use tinyjson::JsonValue;
 
+/// Response header with a load report.
 const HEADER: &str = "endpoint-load-metrics";
 
-/// `TEXT inflight=7, queue=2`: the format's name, then names and numbers. What does not read as such is left
-/// out: a report is a hint, and one bad figure should not cost the others.
+/// Reads the text form, such as `TEXT inflight=7, queue=2`: the name of the format, then names with numbers.
+/// Entries that cannot be read are skipped: a report is a hint, and one bad entry should not invalidate the
+/// others.
 fn read_text(text: &str) -> Option<LoadReport> {
     let figures = text.trim().strip_prefix("TEXT").unwrap_or(text);
     let figure = |part: &str| {
@@ -20,7 +22,7 @@
     (!report.is_empty()).then_some(report)
 }
 
-/// The `load` object of a call-back.
+/// Reads the `load` object of a call-back.
 pub fn read_load(node: &Node, value: Option<&JsonValue>) -> Result<Option<LoadReport>, JsonError> {
     match value {
         None | Some(JsonValue::Null) => Ok(None),
@@ -37,11 +39,13 @@
     }
 }
 
+/// Reads the load report in a response's header, if there is one.
 pub fn of_response(response: &Response) -> Option<LoadReport> {
     response.headers.get(HEADER).and_then(read_text)
 }
 
-/// A probe's report is its body; an object or the header's text.
+/// Reads the load report of a probe's response: from the header or else from the body, which is a JSON object
+/// or the text form.
 pub fn of_probe(response: &Response) -> Option<LoadReport> {
     let header = of_response(response);
     header.or_else(|| {
--- a/balancer/wire/src/round_trip.rs
+++ b/balancer/wire/src/round_trip.rs
@@ -1,27 +1,33 @@
-//! One request and its response on a connection that this program opened, for next hops and discovery alike.
+//! One request and its response on a connection that this program opened to a worker or to discovery.
 
 use crate::http::{Decoder, FrameError, Response};
 use crate::socket::{CancelToken, Got, Socket};
 use millrudder_exchange::clock::span;
 use std::io;
 
+/// Size of the read buffer (bytes).
 const READ_SIZE: usize = 2048;
 /// A round trip to a next hop, with room: by then a connection that is dead has said so (ms).
 const HOLD_BACK_MS: f64 = 0.5;
 
-/// How far a conversation came before it failed: only before the last byte is it certain that nothing ran.
+/// How far a round trip came before it failed. Only if the last byte of the request was not sent is it certain
+/// that the job did not run.
 #[derive(Debug)]
 pub enum RoundTripError {
     NotSent(io::Error),
+    /// The request was not sent completely.
     Unanswered(io::Error),
+    /// The request was sent completely, but no complete response came.
 }
 
-/// Ends early once it is cut. What is `wanted` no more when its last byte is due never gets that byte: an answer may
-/// have been given meanwhile, and a job must not be sent on after its answer.
+/// Sends a request and reads its response; ends early once `cancel` is set.
 ///
-/// The last byte is held back until the rest is out and nothing has come back for a round trip: a connection that
-/// the peer's machine or one between has dropped without a word answers the first bytes with a reset. Had the last
-/// byte been among them, the request might have run; so it is certain that it has not.
+/// The last byte is sent only if `wanted` still returns true then: the client may have got an answer meanwhile,
+/// and a job must not reach a worker after its answer.
+///
+/// The last byte is held back until the rest has been sent and nothing has come back for a network round trip.
+/// If the peer's machine or a router has silently dropped the connection, the first bytes are answered with a
+/// reset. With the last byte among them the job might have run; without it, it certainly has not.
 pub fn round_trip(
     socket: &Socket,
     request: &[u8],
--- a/balancer/wire/src/socket.rs
+++ b/balancer/wire/src/socket.rs
@@ -1,8 +1,9 @@
-//! A TCP connection of one coroutine that waits for the socket and for other coroutines at the same time.
+//! A TCP connection whose coroutine can wait for the socket and for wake-ups by other coroutines at the same time.
 //!
-//! may's own `read` can only be woken by the socket. A coroutine that must also see an answer or a call-off
-//! reads without blocking and waits in `wait`, which its `waker` ends too. So one coroutine and one descriptor
-//! serve a connection; a second reader would need a duplicate of each.
+//! The `read` of the coroutine library `may` can only be woken by the socket. A coroutine that must also react
+//! to an answer or a cancel reads without blocking and waits in [`Socket::wait`], which [`Socket::waker`] ends
+//! as well. So one coroutine and one file descriptor serve a connection; a second coroutine that reads would
+//! need a duplicate of each.
 
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::TcpStream;
@@ -12,7 +13,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// Ends a wait on a socket from outside, wherever its coroutine is; one is for one conversation.
+/// Cancels one round trip from another thread or coroutine, wherever the round trip stands.
 #[derive(Default)]
 pub struct CancelToken {
     done: AtomicBool,
@@ -20,10 +21,12 @@
 }
 
 impl CancelToken {
+    /// Whether the round trip has been cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.done.load(Ordering::Acquire)
     }
 
+    /// Cancels the round trip and wakes the coroutine that waits on its socket.
     pub fn cancel(&self) {
         self.done.store(true, Ordering::Release);
         if let Some(waker) = self.waker.lock().unwrap_or_else(PoisonError::into_inner).as_ref() {
@@ -31,26 +34,30 @@
         }
     }
 
-    /// The conversation has its socket from here on.
+    /// Sets the socket on which the round trip waits from now on.
     pub fn attach(&self, socket: &Socket) {
         *self.waker.lock().unwrap_or_else(PoisonError::into_inner) = Some(socket.waker());
     }
 }
 
+/// A non-blocking TCP connection.
 pub struct Socket {
     stream: TcpStream,
 }
 
-/// What a read without blocking found.
+/// Result of a read that does not block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Got {
+    /// This many bytes were read.
     Bytes(usize),
+    /// No bytes are available now.
     Nothing,
+    /// The peer has closed its sending side.
     End,
 }
 
 impl Socket {
-    /// Small messages wait for nothing: Nagle's delay would add up to 40 ms to each.
+    /// Disables Nagle's algorithm, which would delay each small message by up to 40 ms.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Socket { stream })
@@ -68,12 +75,13 @@
         }
     }
 
-    /// Writes what the socket takes now.
+    /// Writes as much as the socket accepts now, and returns how many bytes that was.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         Ok(retry(|| self.stream.inner().write(bytes))?.unwrap_or(0))
     }
 
-    /// Writes all of it, unless `stop` says so on a wake-up.
+    /// Writes all bytes. `stop` is checked before each write; once it returns true, the call fails with
+    /// [`ErrorKind::Interrupted`].
     pub fn write_all(&self, mut bytes: &[u8], stop: impl Fn() -> bool) -> io::Result<()> {
         while !bytes.is_empty() {
             if stop() {
@@ -87,12 +95,12 @@
         Ok(())
     }
 
-    /// Waits until the socket has changed or the waker was used; may return early.
+    /// Waits until the socket is ready or the waker is used; may also return early.
     pub fn wait(&self) {
         self.stream.wait_io();
     }
 
-    /// A second descriptor of the connection, to be passed on.
+    /// Duplicates the connection's file descriptor, to pass it to another process.
     pub fn try_clone_stream(&self) -> io::Result<std::net::TcpStream> {
         self.stream.inner().try_clone()
     }
@@ -101,16 +109,18 @@
         self.stream.waker()
     }
 
-    /// Says that nothing more comes; the peer can still read what was sent.
+    /// Shuts down the sending side; the peer can still read what was sent.
     pub fn end(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Idle and open as far as is known: an end, an error or stray bytes make a kept connection useless.
+    /// Whether the connection is open and idle as far as is known. A close, an error or unexpected bytes make a
+    /// keep-alive connection unusable.
     pub fn is_quiet(&self) -> bool {
         self.check_quiet().is_ok()
     }
 
+    /// Like [`Socket::is_quiet`], with the reason as an error.
     pub fn check_quiet(&self) -> io::Result<()> {
         match self.try_read(&mut [0; 16])? {
             Got::Nothing => Ok(()),
@@ -120,6 +130,7 @@
     }
 }
 
+/// Repeats an interrupted operation; `None` if it would block.
 fn retry(mut operation: impl FnMut() -> io::Result<usize>) -> io::Result<Option<usize>> {
     loop {
         match operation() {
