--- a/balancer/wire/src/descriptor.rs
+++ b/balancer/wire/src/descriptor.rs
@@ -10,8 +10,8 @@
 use std::os::fd::{BorrowedFd, FromRawFd, IntoRawFd};
 use std::panic::catch_unwind;
 
-/// Standard streams are no sockets of anybody's.
-const FIRST: i32 = 3;
+/// Lowest number that an inherited socket can have; 0 to 2 are the standard streams.
+const MIN_FD: i32 = 3;
 
 /// Takes over the listening socket that the platform has left open under this descriptor number.
 ///
@@ -19,9 +19,10 @@
 /// The number is out of range, nothing is open under it, or it is not a listening TCP socket.
 pub fn inherited_listener(number: &str) -> io::Result<std::net::TcpListener> {
     let wrong = |what: &str| io::Error::new(io::ErrorKind::InvalidInput, format!("{number:?}: {what}"));
-    let fd = number.parse::<i32>().ok().filter(|fd| *fd >= FIRST).ok_or_else(|| wrong("no descriptor"))?;
-    // SAFETY: the number is only asked about; whether it is open is what `fcntl` finds out. Nothing else of this
-    // process closes or opens descriptors yet: the platform's promise is that this one is ours.
+    let fd = number.parse::<i32>().ok().filter(|fd| *fd >= MIN_FD).ok_or_else(|| wrong("no descriptor"))?;
+    // SAFETY: the descriptor is only queried, and `fcntl` reports whether it is open at all. Nothing else in
+    // this process opens or closes descriptors yet, and the platform guarantees that this one is for this
+    // process.
     let borrowed = unsafe { BorrowedFd::borrow_raw(fd) };
     rustix::io::fcntl_getfd(borrowed).map_err(|e| wrong(&io::Error::from(e).to_string()))?;
     let listens = socket_type(borrowed) == Ok(SocketType::STREAM) && socket_acceptconn(borrowed) == Ok(true);
--- a/balancer/wire/src/descriptor/tests.rs
+++ b/balancer/wire/src/descriptor/tests.rs
@@ -4,7 +4,7 @@
 use std::os::fd::AsRawFd;
 
 #[test]
-fn only_a_listening_socket_is_taken() {
+fn only_a_listening_socket_is_accepted() {
     for number in ["", "x", "-1", "0", "2", "99999"] {
         assert!(inherited_listener(number).is_err(), "{number}");
     }
--- a/balancer/wire/src/http/decode.rs
+++ b/balancer/wire/src/http/decode.rs
@@ -47,15 +47,16 @@
     fn head(bytes: &[u8]) -> Framed<Option<(Self, usize)>>;
     /// Whether this is an interim response (1xx), which the final one follows.
     fn is_interim(&self) -> bool;
-    /// A body is never there, whatever the headers say.
-    fn bodiless(&self) -> bool;
-    /// How a body without a stated length is framed.
-    fn unstated() -> Option<()>;
+    /// Whether the message has no body whatever its headers say.
+    fn has_no_body(&self) -> bool;
+    /// Whether a body for which the headers give neither a length nor a transfer coding extends to the end of
+    /// the connection; otherwise there is no body.
+    fn is_close_delimited() -> bool;
     fn headers(&self) -> &Headers;
     fn set_body(&mut self, body: Vec<u8>);
 }
 
-fn no_head(error: httparse::Error) -> FrameError {
+fn head_error(error: httparse::Error) -> FrameError {
     match error {
         httparse::Error::TooManyHeaders => FrameError::HeadTooLarge,
         httparse::Error::HeaderName | httparse::Error::HeaderValue => FrameError::Malformed("header"),
@@ -63,7 +64,7 @@
     }
 }
 
-fn owned(parsed: &[httparse::Header]) -> Framed<Headers> {
+fn owned_headers(parsed: &[httparse::Header]) -> Framed<Headers> {
     let line = |h: &httparse::Header| {
         let value = std::str::from_utf8(h.value).map_err(|_| FrameError::Malformed("header"))?;
         Ok((h.name.to_owned(), value.trim().to_owned()))
@@ -71,8 +72,8 @@
     parsed.iter().map(line).collect::<Framed<Vec<_>>>().map(Headers)
 }
 
-/// HTTP/1.1 keeps a connection unless told otherwise, HTTP/1.0 closes it unless told otherwise.
-fn keeps(version: Option<u8>, headers: &Headers) -> bool {
+/// Whether the connection stays open: by default yes in HTTP/1.1 and no in HTTP/1.0.
+fn is_keep_alive(version: Option<u8>, headers: &Headers) -> bool {
     match version {
         Some(0) => headers.lists("connection", "keep-alive"),
         _ => !headers.lists("connection", "close"),
@@ -83,14 +84,14 @@
     fn head(bytes: &[u8]) -> Framed<Option<(Self, usize)>> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut lines);
-        let httparse::Status::Complete(length) = parsed.parse(bytes).map_err(no_head)? else {
+        let httparse::Status::Complete(length) = parsed.parse(bytes).map_err(head_error)? else {
             return Ok(None);
         };
-        let headers = owned(parsed.headers)?;
+        let headers = owned_headers(parsed.headers)?;
         let request = Request {
             method: parsed.method.unwrap_or_default().to_owned(),
             target: parsed.path.unwrap_or_default().to_owned(),
-            keep_alive: keeps(parsed.version, &headers),
+            keep_alive: is_keep_alive(parsed.version, &headers),
             headers,
             body: Vec::new(),
         };
@@ -99,11 +100,11 @@
     fn is_interim(&self) -> bool {
         false
     }
-    fn bodiless(&self) -> bool {
+    fn has_no_body(&self) -> bool {
         false
     }
-    fn unstated() -> Option<()> {
-        None
+    fn is_close_delimited() -> bool {
+        false
     }
     fn headers(&self) -> &Headers {
         &self.headers
@@ -117,13 +118,13 @@
     fn head(bytes: &[u8]) -> Framed<Option<(Self, usize)>> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut lines);
-        let httparse::Status::Complete(length) = parsed.parse(bytes).map_err(no_head)? else {
+        let httparse::Status::Complete(length) = parsed.parse(bytes).map_err(head_error)? else {
             return Ok(None);
         };
-        let headers = owned(parsed.headers)?;
+        let headers = owned_headers(parsed.headers)?;
         let response = Response {
             status: parsed.code.unwrap_or_default(),
-            keep_alive: keeps(parsed.version, &headers),
+            keep_alive: is_keep_alive(parsed.version, &headers),
             headers,
             body: Vec::new(),
         };
@@ -132,11 +133,11 @@
     fn is_interim(&self) -> bool {
         matches!(self.status, 100..=199)
     }
-    fn bodiless(&self) -> bool {
+    fn has_no_body(&self) -> bool {
         self.is_interim() || matches!(self.status, 204 | 304)
     }
-    fn unstated() -> Option<()> {
-        Some(())
+    fn is_close_delimited() -> bool {
+        true
     }
     fn headers(&self) -> &Headers {
         &self.headers
@@ -157,7 +158,7 @@
     }
     let coding = headers.get("transfer-encoding");
     match (length, coding) {
-        _ if message.bodiless() => Ok(Framing::Length(0)),
+        _ if message.has_no_body() => Ok(Framing::Length(0)),
         (Some(_), Some(_)) => Err(FrameError::Malformed("Content-Length beside Transfer-Encoding")),
         (None, Some(c))
             if c.eq_ignore_ascii_case("chunked") && headers.all("transfer-encoding").count() == 1 =>
@@ -166,7 +167,8 @@
         }
         (None, Some(_)) => Err(FrameError::UnknownCoding),
         (Some(digits), None) => read_length(digits).map(Framing::Length),
-        (None, None) => Ok(M::unstated().map_or(Framing::Length(0), |()| Framing::UntilClose)),
+        (None, None) if M::is_close_delimited() => Ok(Framing::UntilClose),
+        (None, None) => Ok(Framing::Length(0)),
     }
 }
 
@@ -182,20 +184,20 @@
 }
 
 #[derive(Debug)]
-struct Open<M> {
+struct PartialMessage<M> {
     message: M,
     framing: Framing,
     /// The decoded part of a chunked body.
     chunks: Vec<u8>,
-    /// The peer waits for `100 Continue` before it sends the body.
-    expects: bool,
+    /// The peer waits for `100 Continue` before it sends the body, and has not been told yet.
+    expects_continue: bool,
 }
 
+/// Incremental decoder of the messages on one connection.
 #[derive(Debug)]
 pub struct Decoder<M> {
-/// Incremental decoder of the messages on one connection.
     buffer: Vec<u8>,
-    open: Option<Open<M>>,
+    open: Option<PartialMessage<M>>,
 }
 
 impl<M> Default for Decoder<M> {
@@ -221,7 +223,7 @@
 
     /// Whether the peer waits for `100 Continue`; true only once for each message.
     pub fn take_expectation(&mut self) -> bool {
-        self.open.as_mut().is_some_and(|open| std::mem::take(&mut open.expects))
+        self.open.as_mut().is_some_and(|open| std::mem::take(&mut open.expects_continue))
     }
 
     /// Returns the next message once it is complete. After an error nothing more can be decoded on the connection.
@@ -241,7 +243,7 @@
             Framing::UntilClose if self.buffer.len() > BODY_LIMIT => return Err(FrameError::BodyTooLarge),
             Framing::UntilClose => None,
         };
-        Ok(body.and_then(|body| self.close(body)))
+        Ok(body.and_then(|body| self.complete(body)))
     }
 
     /// Handles the end of the connection, which completes a body that is delimited by it.
@@ -249,14 +251,15 @@
         match &self.open {
             Some(open) if open.framing == Framing::UntilClose => {
                 let body = std::mem::take(&mut self.buffer);
-                Ok(self.close(body))
+                Ok(self.complete(body))
             }
             _ if self.is_idle() => Ok(None),
             _ => Err(FrameError::CutShort),
         }
     }
 
-    fn close(&mut self, body: Vec<u8>) -> Option<M> {
+    /// Completes the open message with its body.
+    fn complete(&mut self, body: Vec<u8>) -> Option<M> {
         let mut message = self.open.take()?.message;
         message.set_body(body);
         if self.buffer.is_empty() {
@@ -267,8 +270,9 @@
         Some(message)
     }
 
-    fn read_head(&mut self) -> Framed<Option<Open<M>>> {
-        // httparse skips blank lines before a head; they must not gather without bound.
+    fn read_head(&mut self) -> Framed<Option<PartialMessage<M>>> {
+        // httparse skips blank lines before a head; the limit below keeps them from filling the buffer without
+        // bound.
         if self.buffer.is_empty() {
             return Ok(None);
         }
@@ -276,9 +280,10 @@
             return if self.buffer.len() >= HEAD_LIMIT { Err(FrameError::HeadTooLarge) } else { Ok(None) };
         };
         let framing = framing(&message)?;
-        let expects = message.headers().lists("expect", "100-continue") && framing != Framing::Length(0);
+        let expects_continue =
+            message.headers().lists("expect", "100-continue") && framing != Framing::Length(0);
         self.buffer.drain(..length);
-        Ok(Some(Open { message, framing, chunks: Vec::new(), expects }))
+        Ok(Some(PartialMessage { message, framing, chunks: Vec::new(), expects_continue }))
     }
 }
 
@@ -317,7 +322,7 @@
 /// Length of the trailer section, once it is complete. The trailers themselves are ignored.
 fn read_trailers(bytes: &[u8]) -> Framed<Option<usize>> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    match httparse::parse_headers(bytes, &mut lines).map_err(no_head)? {
+    match httparse::parse_headers(bytes, &mut lines).map_err(head_error)? {
         httparse::Status::Complete((length, _)) => Ok(Some(length)),
         httparse::Status::Partial if bytes.len() > HEAD_LIMIT => Err(FrameError::HeadTooLarge),
         httparse::Status::Partial => Ok(None),
--- a/balancer/wire/src/http/tests.rs
+++ b/balancer/wire/src/http/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn messages_do_not_depend_on_how_they_are_cut() {
+fn messages_do_not_depend_on_how_the_bytes_are_split() {
     let bytes = [CHUNKED, SIZED, SIZED, CHUNKED].concat();
     cuts(1, &bytes, |parts| {
         let found: Vec<Request> = read(parts).unwrap();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_two_readers_could_end_differently_is_refused() {
+fn messages_with_an_ambiguous_end_are_refused() {
     for lengths in [
         "Content-Length: 4\r\nContent-Length: 5",
         "Content-Length: 4, 5",
@@ -81,13 +81,13 @@
 }
 
 #[test]
-fn an_interim_answer_is_not_the_answer() {
+fn interim_responses_are_skipped() {
     let bytes = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
     cuts(9, bytes, |parts| assert_eq!(read::<Response>(parts).unwrap()[0].status, 202));
 }
 
 #[test]
-fn connections_are_kept_as_the_version_says() {
+fn keep_alive_follows_the_http_version() {
     let keeps = |text: &str| requests(text.as_bytes()).unwrap()[0].keep_alive;
     assert!(keeps("GET / HTTP/1.1\r\n\r\n"));
     assert!(!keeps("GET / HTTP/1.1\r\nConnection: Close\r\n\r\n"));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_client_that_waits_for_continue_is_told_once() {
+fn an_expectation_of_continue_is_reported_once() {
     let mut decoder = Decoder::<Request>::default();
     decoder.push(b"POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
     assert_eq!(decoder.next_message(), Ok(None));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_again() {
+fn encoded_messages_are_decoded_unchanged() {
     let bytes = response(503, &[("Retry-After", "0.250")], b"later", true);
     let found: Vec<Response> = read(&[&bytes]).unwrap();
     assert_eq!((found[0].status, found[0].keep_alive), (503, false));
--- a/balancer/wire/src/json.rs
+++ b/balancer/wire/src/json.rs
@@ -33,8 +33,8 @@
 impl std::error::Error for JsonError {}
 
 /// Deepest nesting of brackets outside strings.
-fn depth(text: &str) -> usize {
-    let (mut depth, mut most, mut in_string, mut escaped) = (0usize, 0, false, false);
+fn nesting_depth(text: &str) -> usize {
+    let (mut depth, mut deepest, mut in_string, mut escaped) = (0usize, 0, false, false);
     for byte in text.bytes() {
         match byte {
             _ if escaped => escaped = false,
@@ -42,18 +42,18 @@
             b'"' => in_string = !in_string,
             b'[' | b'{' if !in_string => {
                 depth += 1;
-                most = most.max(depth);
+                deepest = deepest.max(depth);
             }
             b']' | b'}' if !in_string => depth = depth.saturating_sub(1),
             _ => {}
         }
     }
-    most
+    deepest
 }
 
 pub fn parse(bytes: &[u8]) -> Result<JsonValue, JsonError> {
     let text = std::str::from_utf8(bytes).map_err(|_| JsonError::NotText)?;
-    if depth(text) > MAX_DEPTH {
+    if nesting_depth(text) > MAX_DEPTH {
         return Err(JsonError::TooDeep);
     }
     text.parse().map_err(|e: tinyjson::JsonParseError| JsonError::Malformed(e.to_string()))
--- a/balancer/wire/src/json/tests.rs
+++ b/balancer/wire/src/json/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 #[test]
-fn deep_nesting_is_refused_before_it_recurses() {
-    // Guards against a stack overflow in a coroutine, which is a crash of the whole dispatcher.
+fn deep_nesting_is_refused_before_parsing() {
+    // A stack overflow in a coroutine would crash the whole dispatcher.
     let deep = "[".repeat(100_000);
     assert_eq!(parse(deep.as_bytes()), Err(JsonError::TooDeep));
     assert!(
--- a/balancer/wire/src/list/tests.rs
+++ b/balancer/wire/src/list/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_list_is_read_whole_or_not_at_all() {
+fn a_list_with_a_bad_entry_is_refused_as_a_whole() {
     let list = read(LIST.replace(r#""hostPort":"","#, "").as_bytes()).unwrap();
     assert_eq!((list.generation, list.update.whole, list.update.entries.len()), (43, false, 2));
     let first = &list.update.entries[0];
--- a/balancer/wire/src/report/tests.rs
+++ b/balancer/wire/src/report/tests.rs
@@ -6,7 +6,7 @@
 const TEXT: &str = "TEXT inflight=7, queue=2, util=0.61";
 
 #[test]
-fn a_report_is_read_and_what_is_bad_in_it_left_out() {
+fn a_report_is_read_without_its_bad_entries() {
     let figure = |name: &str, value| (name.to_owned(), value);
     let report = read_text(TEXT).unwrap();
     assert_eq!(report, [figure("inflight", 7.0), figure("queue", 2.0), figure("util", 0.61)]);
--- a/balancer/wire/src/round_trip.rs
+++ b/balancer/wire/src/round_trip.rs
@@ -7,17 +7,18 @@
 
 /// Size of the read buffer (bytes).
 const READ_SIZE: usize = 2048;
-/// A round trip to a next hop, with room: by then a connection that is dead has said so (ms).
-const HOLD_BACK_MS: f64 = 0.5;
+/// How long the last byte of a request is held back (ms): longer than a network round trip to a worker, so that
+/// a dead connection has reported its reset by then.
+const LAST_BYTE_DELAY_MS: f64 = 0.5;
 
 /// How far a round trip came before it failed. Only if the last byte of the request was not sent is it certain
 /// that the job did not run.
 #[derive(Debug)]
 pub enum RoundTripError {
-    NotSent(io::Error),
     /// The request was not sent completely.
-    Unanswered(io::Error),
+    NotSent(io::Error),
     /// The request was sent completely, but no complete response came.
+    Unanswered(io::Error),
 }
 
 /// Sends a request and reads its response; ends early once `cancel` is set.
@@ -37,7 +38,7 @@
     cancel.attach(socket);
     let (first, last) = request.split_at(request.len().saturating_sub(1));
     let written = socket.write_all(first, || cancel.is_cancelled()).and_then(|()| {
-        may::coroutine::sleep(span(HOLD_BACK_MS));
+        may::coroutine::sleep(span(LAST_BYTE_DELAY_MS));
         socket.check_quiet()?;
         socket.write_all(last, || cancel.is_cancelled() || !wanted())
     });
