--- a/balancer/config/src/lib.rs
+++ b/balancer/config/src/lib.rs
@@ -1,4 +1,5 @@
-//! The one place that reads the environment and `NODE_CONFIG`, checks them and fills in defaults.
+//! Configuration of the dispatcher: the only code that reads the environment and the file named by `NODE_CONFIG`,
+//! validates them and fills in defaults.
 
 mod reload;
 pub mod settings;
@@ -15,16 +16,17 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Descriptors of the program itself: standard streams, listener, epoll, signals, discovery, and a reserve so
-/// that an accept or a look into /proc never meets the limit.
+/// File descriptors that the program needs for itself: standard streams, listener, epoll, signals, discovery,
+/// and a reserve so that an accept or a read of a file in /proc never hits the limit.
 const OWN_DESCRIPTORS: usize = 48;
+/// The environment variables that are read.
 const VARIABLES: [&str; 7] =
     ["NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_MGMT", "NODE_INHERITED_FD", "TMPDIR"];
 /// Where the two processes of an upgrade meet, in the folder that they share.
 const MEETING: &str = "millrudder.sock";
 const LEAST_SOCKETS: usize = 96;
 const DEFAULT_SOCKETS: usize = 1024;
-/// A call-back or a drain must still come in when clients hold all they may.
+/// Inbound connections reserved for call-backs and drains, which must get through when clients use all of theirs.
 const CALL_BACK_RESERVE: usize = 32;
 const LEAST_MEMORY_MB: usize = 24;
 const DEFAULT_MEMORY_MB: usize = 192;
@@ -37,6 +39,7 @@
     Missing(&'static str),
     Unreadable { path: String, error: std::io::Error },
     Json(JsonError),
+/// Why a configuration cannot be used.
     Address { key: &'static str, value: String },
     Value { key: String, problem: String },
 }
@@ -63,7 +66,7 @@
     }
 }
 
-/// How many descriptors each concern may hold.
+/// Limits on file descriptors and memory for the parts of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     /// Inbound connections, call-backs included.
@@ -71,12 +74,14 @@
     /// Inbound connections beyond which new jobs are deferred.
     pub inbound_jobs: usize,
     pub worker_connections: usize,
-    /// Bytes that all inbound connections together may hold of requests.
+    /// Bytes of requests that all inbound connections together may buffer.
     pub buffers: usize,
 }
 
+    /// Connections to workers.
 impl Budget {
-    /// The next hops need few: an accepted job gives its connection back at the 202.
+    /// Divides the limits. Connections to workers get the smaller part, because an accepted job frees its
+    /// connection when the worker answers 202.
     pub fn of(sockets: usize, memory_mb: usize) -> Self {
         let free = sockets - OWN_DESCRIPTORS;
         let worker_connections = (free / 4).min(256);
@@ -87,44 +92,57 @@
     }
 }
 
-/// Names by which the wire's words are found in the module's numbers.
+/// Names in the protocol and the settings; the index of a name is the number that the decision module uses for it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     pub classes: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    /// What the load report's `x0` and `x1` mean.
+    /// Meaning of the value `x0` in load reports.
     pub report_x0: String,
+    /// Job classes.
     pub report_x1: String,
+    /// Zones.
 }
+    /// Machine types.
 
 pub struct Config {
     pub name: String,
+    /// Meaning of the value `x1` in load reports.
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Where operators call; none: nowhere.
+    /// Address for operators' calls; `None` if there is none.
+/// The configuration of a dispatcher.
     pub mgmt: Option<SocketAddr>,
-    /// The listening socket that the platform holds, by its descriptor's number as it was told.
+    /// Name of this dispatcher.
+    /// Descriptor number of the listening socket inherited from the platform, as given in the environment.
+    /// Address of the HTTP/1.1 front.
     pub inherited: Option<String>,
-    /// Where an old process is found and a new one waited for; only where the platform holds the listening socket.
+    /// Address of discovery.
+    /// Path of the socket that connects the two processes of an upgrade; only if the listening socket is
+    /// inherited.
     pub upgrade_socket: Option<PathBuf>,
     pub seed: u64,
     pub budget: Budget,
-    /// The transport map as it was last held, maybe old; none at a first start.
+    /// The last known worker list, which may be outdated; `None` at a first start.
     pub known: Option<List>,
     pub settings: mr::Settings,
+    /// Seed of the random number generators.
     pub names: Names,
-    /// How long a kept connection to a next hop may stand idle before the next hop may close it (ms).
+    /// Limits on file descriptors and memory.
+    /// Idle time after which a worker may close a keep-alive connection (ms).
     pub conn_idle: f64,
 }
+    /// Settings of the decision module.
 
+    /// Names behind the numbers in `settings`.
 impl Config {
-    /// The classes as fronts know them.
+    /// The job classes in the form that fronts use.
     pub fn classes(&self) -> Vec<Class> {
         classes(&self.names, &self.settings)
     }
 
-    /// The configuration at the start, and where to read it again.
+    /// Loads the configuration at the start; the [`Source`] reads it again at a reload.
     pub fn load() -> Result<(Self, Source), ConfigError> {
         let environment: HashMap<String, String> = VARIABLES
             .into_iter()
@@ -137,15 +155,15 @@
         Ok((config, source))
     }
 
-    /// A configuration that names everything itself, without an environment.
+    /// Reads a configuration from JSON alone, without the environment.
     ///
     /// # Errors
-    /// As for a file.
+    /// The JSON is malformed, or a value is missing or invalid.
     pub fn from_json(bytes: &[u8]) -> Result<Self, ConfigError> {
         Config::read(bytes, |_| None)
     }
 
-    /// What the environment names stands before the file: it is what the platform sets at each start.
+    /// Values from the environment take precedence over the file, because the platform sets them at each start.
     fn read(bytes: &[u8], environment: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let document = json::parse(bytes)?;
         let root = Node::root(&document).object()?;
@@ -187,7 +205,7 @@
     }
 }
 
-/// The classes as fronts know them.
+/// The job classes in the form that fronts use.
 pub fn classes(names: &Names, settings: &mr::Settings) -> Vec<Class> {
     let class = |(name, class): (&String, &mr::Class)| Class {
         name: name.clone(),
@@ -226,12 +244,13 @@
     }
 }
 
-/// The number that the module knows a name by.
+/// The number that the decision module uses for a name.
 pub fn position(names: &[String], name: &str) -> Option<u32> {
     names.iter().position(|n| n == name).and_then(|i| u32::try_from(i).ok())
 }
 
-/// The settings object in the module's words. Names and units are those of the simulator's first message.
+/// Converts the `settings` object to the decision module's types. Its keys and units are those of the first
+/// message of the simulator's protocol.
 fn read_settings(node: &Node) -> Result<(mr::Settings, Names), ConfigError> {
     let specifics = node.at("specifics");
     let names = Names {
--- a/balancer/config/src/reload.rs
+++ b/balancer/config/src/reload.rs
@@ -1,8 +1,9 @@
-//! Reading `NODE_CONFIG` again while the program runs (SIGHUP).
+//! Reload of the file named by `NODE_CONFIG` while the program runs (SIGHUP).
 //!
-//! `discovery` and most of `settings` change under load. Whatever else differs keeps its value until the next start and
-//! is named, so that nobody takes it for applied. A file that cannot be used changes nothing; here that is also one
-//! that lacks a key which the running one has: it was cut, or written by half.
+//! `discovery` and most of `settings` take effect at once. Any other key that differs keeps its value until the
+//! next start and is reported, so that nobody believes it applied. An invalid file changes nothing. A file that
+//! lacks a key of the running configuration is invalid as well, because it was probably truncated or only half
+//! written.
 
 use super::{position, read_file, Config, ConfigError, Names};
 use millrudder as mr;
@@ -22,7 +23,7 @@
 /// More is no number of attempts that can be meant.
 const MOST_ATTEMPTS: f64 = 1_000.0;
 
-/// The file, and what the running program was made from.
+/// The path of the file, and the configuration with which the program was started.
 pub struct Source {
     path: String,
     environment: HashMap<String, String>,
@@ -31,16 +32,18 @@
     names: Names,
 }
 
-/// What a changed file asks for.
+/// The result of a reload.
 #[derive(Debug)]
 pub struct Reloaded {
     pub discovery: SocketAddr,
-    /// In the numbers of the running program.
+    /// Address of discovery.
+    /// Settings of the decision module, with the numbers that the running program uses for names.
     pub settings: mr::Settings,
     pub names: Names,
-    /// As in `Config`.
+    /// Names behind the numbers in `settings`.
+    /// As in [`Config`].
     pub conn_idle: f64,
-    /// Keys that differ but wait for the next start.
+    /// Keys that differ but are not applied before the next start.
     pub kept: Vec<String>,
 }
 
@@ -55,12 +58,13 @@
         Ok(Source { path, environment, running: json::parse(bytes)?, settings, names })
     }
 
-    /// Reads and checks the whole file as at a start. It blocks: not for coroutines.
+    /// Reads and checks the whole file as at a start. It blocks, so it must not be called in a coroutine.
     pub fn reload(&self) -> Result<Reloaded, ConfigError> {
         self.check(&read_file(&self.path)?)
     }
 
-    /// The environment is as old as the process, so here it stands behind the file.
+    /// Unlike at a start, `discovery` in the file takes precedence over the environment, which is as old as the
+    /// process.
     fn check(&self, bytes: &[u8]) -> Result<Reloaded, ConfigError> {
         let document = json::parse(bytes)?;
         check_keys(&self.running, &document, "")?;
@@ -79,7 +83,8 @@
     /// The new settings, with what stays as it is.
     fn fit(&self, config: Config) -> (mr::Settings, Names) {
         let (mut settings, mut names, running) = (config.settings, config.names, &self.settings);
-        // A class runs on one kind: by that kind's name, as the kinds' numbers stay.
+        // A class may be bound to a machine type. The file's number of the type is converted by its name,
+        // because this process keeps its own numbers.
         let kind = |k: u32| names.kinds.get(k as usize).and_then(|name| position(&self.names.kinds, name));
         for class in &mut settings.classes {
             class.kind = class.kind.map(|k| kind(k).unwrap_or(u32::MAX));
@@ -97,7 +102,7 @@
     ConfigError::Value { key, problem: "is missing".to_owned() }
 }
 
-/// Every key that the running document has, null being none.
+/// Checks that the new document has every key of the running one; null counts as missing.
 fn check_keys(running: &JsonValue, newer: &JsonValue, above: &str) -> Result<(), ConfigError> {
     let Some(map) = running.get::<HashMap<String, JsonValue>>() else { return Ok(()) };
     for (name, value) in map {
@@ -114,7 +119,8 @@
     Ok(())
 }
 
-/// Every key that all running classes have, but for what only keyed ones need; and each name once.
+/// Checks that each new class has every key that all running classes have, except that only classes with keyed
+/// jobs need [`DEDUPLICATION_KEYS`], and that no class name repeats.
 fn check_classes(running: &JsonValue, newer: &JsonValue) -> Result<(), ConfigError> {
     let lanes = |value: &JsonValue| value.get::<Vec<JsonValue>>().cloned().unwrap_or_default();
     let (running, newer) = (lanes(running), lanes(newer));
--- a/balancer/config/src/reload/tests.rs
+++ b/balancer/config/src/reload/tests.rs
@@ -70,7 +70,7 @@
         let error = source.check(changed.as_bytes()).unwrap_err().to_string();
         assert!(error.contains(key), "{to:?}: {error}");
     }
-    // Values that are no JSON at all.
+    // Values that are not valid JSON.
     for odd in ["NaN", "Infinity", ""] {
         assert!(source.check(CONFIG.replacen("5000", odd, 1).as_bytes()).is_err(), "{odd}");
     }
--- a/balancer/config/src/settings/mod.rs
+++ b/balancer/config/src/settings/mod.rs
@@ -1,7 +1,8 @@
-//! The operators' own settings: a YAML file, `deploy/millrudder.yaml` by custom, named by `--settings` or
-//! `MILLRUDDER_SETTINGS`. Without one every default below holds, which is the platform's deployment.
+//! Operators' settings: a YAML file, usually `deploy/millrudder.yaml`, given by `--settings` or
+//! `MILLRUDDER_SETTINGS`. Without a file the defaults below apply, which suit the platform's deployment.
 //!
-//! Everything unknown, doubled, mistyped or without its unit is an error that names file, line and key.
+//! An unknown or repeated key, a value of the wrong type and a number without its unit are errors that name the
+//! file, the line and the key.
 
 mod units;
 
@@ -11,13 +12,15 @@
 use std::path::{Path, PathBuf};
 pub use units::{Address, Count, Size, Span};
 
-/// The variable that names the file where no flag does.
+/// Environment variable with the path of the file, used if there is no `--settings`.
 pub const VARIABLE: &str = "MILLRUDDER_SETTINGS";
-/// A file beyond this is none of ours (bytes).
+/// Largest settings file that is read (bytes); a larger one is certainly not a settings file.
 const FILE_LIMIT: u64 = 1024 * 1024;
 
+/// Weight of a front in the division of places.
 pub type Weight = Count<1, 1_000>;
 
+/// The whole settings file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
@@ -27,21 +30,22 @@
     pub log: Log,
 }
 
+/// Settings of the fronts.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fronts {
     pub http: Http,
-    /// Absent: the front is off.
+    /// The gRPC front; it is off if this is absent.
     pub grpc: Option<Grpc>,
 }
 
-/// The platform's HTTP/1.1 front.
+/// The HTTP/1.1 front, which the platform uses.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Http {
-    /// Stands before the platform's address; absent: the platform's.
+    /// Address that overrides the one given by the platform.
     pub listen: Option<Address>,
-    /// Its share of the places beside the other fronts' weights.
+    /// Weight in the division of places among the fronts.
     pub weight: Weight,
     pub limits: HttpLimits,
 }
@@ -49,7 +53,7 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct HttpLimits {
-    /// Inbound connections, call-backs included; absent: what the budget of descriptors leaves.
+    /// Inbound connections, call-backs included; if absent, as many as the file descriptors allow.
     pub connections: Option<Count<16, 100_000>>,
 }
 
@@ -67,37 +71,39 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct GrpcLimits {
-    /// Client connections; they come out of the budget of descriptors.
+    /// Client connections; they are subtracted from the budget of file descriptors.
     pub connections: Count<1, 10_000>,
-    /// Calls at once on one connection (HTTP/2's SETTINGS_MAX_CONCURRENT_STREAMS).
+    /// Concurrent calls on one connection (HTTP/2's SETTINGS_MAX_CONCURRENT_STREAMS).
     pub streams: Count<1, 10_000>,
-    /// A call's headers, decoded (SETTINGS_MAX_HEADER_LIST_SIZE).
+    /// Size of a call's decoded headers (SETTINGS_MAX_HEADER_LIST_SIZE).
     pub header_list: Size<1_024, 262_144>,
-    /// From connecting to a whole preface, and from a call's headers to its last byte.
+    /// Time from the connect to the complete preface, and from a call's headers to its last byte.
     pub request_time: Span<100, 60_000>,
-    /// For the client to take what has been answered.
+    /// Time for the client to read an answer.
     pub answer_time: Span<100, 600_000>,
-    /// A connection without a call for so long is told to go away.
+    /// Idle time after which a connection without a call gets GOAWAY.
     pub idle_time: Span<1_000, 86_400_000>,
-    /// Frames a second beyond those that calls bring with them: PING, SETTINGS, PRIORITY, empty DATA, unknown ones.
+    /// Frames per second in addition to those that belong to calls: PING, SETTINGS, PRIORITY, empty DATA,
+    /// unknown ones.
     pub control_frames: Count<10, 100_000>,
 }
 
-/// What fronts share.
+/// Limits that all fronts share.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Admission {
-    /// Jobs here at once, over all fronts; absent: the places for jobs of the budget of descriptors.
+    /// Jobs that may be admitted at the same time, over all fronts; if absent, as many as the budget of file
+    /// descriptors has places for.
     pub jobs: Option<Count<1, 1_000_000>>,
-    /// Their bodies; absent: half of what the budget of memory gives to buffers.
+    /// Total size of their bodies; if absent, half of the memory budget for buffers.
     pub bodies: Option<Size<65_536, 1_099_511_627_776>>,
 }
 
-/// Handing over to a new process.
+/// Handover to a new process.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Upgrade {
-    /// Where the control socket is; absent: there is none.
+    /// Path of the control socket; there is none if this is absent.
     pub control: Option<PathBuf>,
 }
 
@@ -150,7 +156,7 @@
     }
 }
 
-/// What is wrong with a settings file, and where.
+/// An error in a settings file, with its position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsError {
     file: PathBuf,
@@ -176,10 +182,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Reads and checks a file. It blocks: not for coroutines.
+    /// Reads and checks a file. It blocks, so it must not be called in a coroutine.
     ///
     /// # Errors
-    /// The file cannot be read, is no YAML, or a key or value in it cannot be used.
+    /// The file cannot be read or is not YAML, or a key or value in it is invalid.
     pub fn load(file: &Path) -> Result<Self, SettingsError> {
         let unread = |problem: String| SettingsError {
             file: file.to_owned(),
@@ -195,7 +201,7 @@
         Settings::read(&text, file)
     }
 
-    /// `file`: for messages.
+    /// Reads settings from `text`; `file` is only used in error messages.
     ///
     /// # Errors
     /// As for [`Settings::load`].
@@ -225,7 +231,8 @@
         std::iter::once(http).chain(grpc).collect()
     }
 
-    /// Keys that differ and wait for the next start; the others are applied while running.
+    /// Keys that differ from `newer` and are not applied before the next start; all others are applied while
+    /// running.
     pub fn pending_keys(&self, newer: &Settings) -> Vec<&'static str> {
         let (old, new) = (&self.fronts, &newer.fronts);
         let grpc = |fronts: &Fronts| fronts.grpc.as_ref().map(|g| (g.listen, g.limits.clone()));
@@ -241,13 +248,13 @@
     }
 }
 
-/// The key and the problem in the operators' words.
+/// The key and a description of the problem in the terms of the settings file, not of the parser.
 fn explain(path: &str, error: &serde_saphyr::Error) -> (String, String) {
     use serde_saphyr::Error;
     let path = if path == "." { "" } else { path };
     let within = |key: &str| match path.rsplit_once('.') {
         _ if path.is_empty() => key.to_owned(),
-        // Depending on where it is met, the path ends with the key itself.
+        // Depending on where the parser finds the error, the path already ends with the key.
         Some((parent, last)) if last == key || last == "?" => format!("{parent}.{key}"),
         None if path == key || path == "?" => key.to_owned(),
         _ => format!("{path}.{key}"),
@@ -275,7 +282,7 @@
     }
 }
 
-/// The known word that was most likely meant, if one is near enough.
+/// The known word with the least edit distance, if it is near enough to be a likely typing error.
 fn nearest<'a>(word: &str, known: &[&'a str]) -> Option<&'a str> {
     let far = |other: &&str| strsim::damerau_levenshtein(&word.to_lowercase(), &other.to_lowercase());
     known.iter().copied().min_by_key(far).filter(|near| far(near) <= 1 + near.len() / 4)
--- a/balancer/config/src/settings/units.rs
+++ b/balancer/config/src/settings/units.rs
@@ -1,4 +1,4 @@
-//! Values with units and ranges, as the operators write them: `5 s`, `64 KiB`, `128`.
+//! Values with units and ranges as written in the settings file: `5 s`, `64 KiB`, `128`.
 
 use serde::de::{Deserialize, Deserializer, Error as _};
 use std::fmt;
@@ -8,7 +8,7 @@
 const SPANS: [(&str, f64); 5] = [("us", 0.001), ("ms", 1.0), ("s", 1e3), ("min", 6e4), ("h", 3.6e6)];
 const SIZES: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
 
-/// A time between `LEAST` and `MOST` milliseconds.
+/// A time between `MIN` and `MAX` milliseconds.
 #[derive(Clone, Copy, PartialEq)]
 pub struct Span<const LEAST: u64, const MOST: u64>(f64);
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// A number of bytes between `LEAST` and `MOST`.
+/// A number of bytes between `MIN` and `MAX`.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Size<const LEAST: u64, const MOST: u64>(u64);
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A whole number between `LEAST` and `MOST`.
+/// A whole number between `MIN` and `MAX`.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Count<const LEAST: u64, const MOST: u64>(u64);
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// A number and what stands behind it.
+/// Splits a text into the number and the unit after it.
 fn split(text: &str) -> (&str, &str) {
     let text = text.trim();
     let end = text.find(|c: char| !(c.is_ascii_digit() || c == '.')).unwrap_or(text.len());
@@ -96,7 +96,7 @@
     UnknownUnit { text: String, unit: String, expected: ExpectedQuantity },
 }
 
-/// What a quantity looks like, for error messages.
+/// The expected form of a quantity, for error messages.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{kind} is wanted: a number and one of {}", units.join(", "))]
 struct ExpectedQuantity {
@@ -104,7 +104,7 @@
     units: Vec<&'static str>,
 }
 
-/// Reads a number with its unit, in terms of the smallest unit.
+/// Reads a number with its unit and returns it scaled by the unit's factor.
 fn read(text: &str, units: &[(&'static str, f64)], kind: &'static str) -> Result<f64, QuantityError> {
     let (number, unit) = split(text);
     let names: Vec<&'static str> = units.iter().map(|(name, _)| *name).collect();
--- a/balancer/config/src/shares.rs
+++ b/balancer/config/src/shares.rs
@@ -1,4 +1,4 @@
-//! How the platform's limits on descriptors and memory are shared out among fronts.
+//! Division of the platform's limits on file descriptors and memory among the fronts.
 
 use crate::settings::Settings;
 use crate::Budget;
@@ -8,35 +8,39 @@
 /// descriptor each, gRPC's calls share theirs.
 const GRPC_PART: usize = 4;
 
-/// What each front may hold, and what they share.
+/// The limits of each front, and the limits that they share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shares {
-    /// The HTTP/1.1 front's; without a second front just the budget.
+    /// Limits of the HTTP/1.1 front; the whole budget if it is the only front.
     pub http: Budget,
+    /// Limits of the gRPC front; `None` if it is off.
     pub grpc: Option<GrpcBudget>,
-    /// Jobs here at once, over all fronts.
+    /// Jobs that may be admitted at the same time, over all fronts.
     pub places: u64,
-    /// Bytes of their bodies.
+    /// Total bytes of their bodies.
     pub bodies: u64,
-    /// The fronts in use.
+    /// The fronts in use, each with its weight.
     pub weights: Vec<(Front, u32)>,
 }
 
+/// Limits of the gRPC front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrpcBudget {
+    /// Client connections.
     pub connections: usize,
-    /// Bytes of calls that have not come whole.
+    /// Bytes buffered for calls that are not complete yet.
     pub buffers: usize,
 }
 
 impl Budget {
-    /// Every descriptor and byte has one owner: what the gRPC front gets, the HTTP/1.1 front loses. Call-backs keep
-    /// their reserve.
+    /// Divides the budget among the fronts. What the gRPC front gets is subtracted from the HTTP/1.1 front, so
+    /// that no descriptor or byte counts twice. The reserve for call-backs stays.
     pub fn share_out(self, settings: &Settings) -> Shares {
         let (fronts, admission) = (&settings.fronts, &settings.admission);
         let mut http = self;
         let reserve = self.inbound - self.inbound_jobs;
-        // Bodies of jobs are within what HTTP/1.1 connections hold: alone, that front's own bound is enough.
+        // Without a second front, bodies need no limit of their own: they are part of the bytes that HTTP/1.1
+        // connections buffer, which are limited already.
         let mut bodies = u64::MAX >> 16;
         let grpc = fronts.grpc.as_ref().map(|grpc| {
             let connections = (grpc.limits.connections.get() as usize).min(self.inbound / GRPC_PART);
