--- a/balancer/config/src/lib.rs
+++ b/balancer/config/src/lib.rs
@@ -22,24 +22,29 @@
 /// The environment variables that are read.
 const VARIABLES: [&str; 7] =
     ["NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_MGMT", "NODE_INHERITED_FD", "TMPDIR"];
-/// Where the two processes of an upgrade meet, in the folder that they share.
-const MEETING: &str = "millrudder.sock";
-const LEAST_SOCKETS: usize = 96;
+/// File name of the Unix socket over which the two processes of an upgrade connect, in the directory `TMPDIR`
+/// that they share.
+const UPGRADE_SOCKET: &str = "millrudder.sock";
+/// Least value of `limits.sockets` (file descriptors).
+const MIN_SOCKETS: usize = 96;
+/// Value of `limits.sockets` if it is absent (file descriptors).
 const DEFAULT_SOCKETS: usize = 1024;
 /// Inbound connections reserved for call-backs and drains, which must get through when clients use all of theirs.
 const CALL_BACK_RESERVE: usize = 32;
-const LEAST_MEMORY_MB: usize = 24;
+/// Least value of `limits.memory_mb` (MiB).
+const MIN_MEMORY_MB: usize = 24;
+/// Value of `limits.memory_mb` if it is absent (MiB).
 const DEFAULT_MEMORY_MB: usize = 192;
-/// One part in so many of the memory is for what inbound connections hold of requests: a body is held twice
-/// while it is taken in and passed on, and the program with its stacks needs 14 to 20 MB.
-const BUFFERS_PART: usize = 8;
+/// Divisor of the memory: one part in this many is for the requests that inbound connections buffer. A body is
+/// held twice while it is received and forwarded, and the program with its stacks needs 14 to 20 MB.
+const BUFFERS_DIVISOR: usize = 8;
 
+/// Why a configuration cannot be used.
 #[derive(Debug)]
 pub enum ConfigError {
     Missing(&'static str),
     Unreadable { path: String, error: std::io::Error },
     Json(JsonError),
-/// Why a configuration cannot be used.
     Address { key: &'static str, value: String },
     Value { key: String, problem: String },
 }
@@ -73,12 +78,12 @@
     pub inbound: usize,
     /// Inbound connections beyond which new jobs are deferred.
     pub inbound_jobs: usize,
+    /// Connections to workers.
     pub worker_connections: usize,
     /// Bytes of requests that all inbound connections together may buffer.
     pub buffers: usize,
 }
 
-    /// Connections to workers.
 impl Budget {
     /// Divides the limits. Connections to workers get the smaller part, because an accepted job frees its
     /// connection when the worker answers 202.
@@ -86,7 +91,7 @@
         let free = sockets - OWN_DESCRIPTORS;
         let worker_connections = (free / 4).min(256);
         let inbound = free - worker_connections;
-        let buffers = memory_mb * 1024 * 1024 / BUFFERS_PART;
+        let buffers = memory_mb * 1024 * 1024 / BUFFERS_DIVISOR;
         let reserve = CALL_BACK_RESERVE.min(inbound / 4);
         Budget { inbound, inbound_jobs: inbound - reserve, worker_connections, buffers }
     }
@@ -95,47 +100,47 @@
 /// Names in the protocol and the settings; the index of a name is the number that the decision module uses for it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
+    /// Job classes.
     pub classes: Vec<String>,
+    /// Zones.
     pub zones: Vec<String>,
+    /// Machine types.
     pub kinds: Vec<String>,
     /// Meaning of the value `x0` in load reports.
     pub report_x0: String,
-    /// Job classes.
+    /// Meaning of the value `x1` in load reports.
     pub report_x1: String,
-    /// Zones.
 }
-    /// Machine types.
 
+/// The configuration of a dispatcher.
 pub struct Config {
+    /// Name of this dispatcher.
     pub name: String,
-    /// Meaning of the value `x1` in load reports.
+    /// Address of the HTTP/1.1 front.
     pub listen: SocketAddr,
+    /// Address of discovery.
     pub discovery: SocketAddr,
     /// Address for operators' calls; `None` if there is none.
-/// The configuration of a dispatcher.
     pub mgmt: Option<SocketAddr>,
-    /// Name of this dispatcher.
     /// Descriptor number of the listening socket inherited from the platform, as given in the environment.
-    /// Address of the HTTP/1.1 front.
     pub inherited: Option<String>,
-    /// Address of discovery.
     /// Path of the socket that connects the two processes of an upgrade; only if the listening socket is
     /// inherited.
     pub upgrade_socket: Option<PathBuf>,
+    /// Seed of the random number generators.
     pub seed: u64,
+    /// Limits on file descriptors and memory.
     pub budget: Budget,
     /// The last known worker list, which may be outdated; `None` at a first start.
     pub known: Option<List>,
+    /// Settings of the decision module.
     pub settings: mr::Settings,
-    /// Seed of the random number generators.
+    /// Names behind the numbers in `settings`.
     pub names: Names,
-    /// Limits on file descriptors and memory.
     /// Idle time after which a worker may close a keep-alive connection (ms).
     pub conn_idle: f64,
 }
-    /// Settings of the decision module.
 
-    /// Names behind the numbers in `settings`.
 impl Config {
     /// The job classes in the form that fronts use.
     pub fn classes(&self) -> Vec<Class> {
@@ -167,7 +172,7 @@
     fn read(bytes: &[u8], environment: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let document = json::parse(bytes)?;
         let root = Node::root(&document).object()?;
-        let told = |variable: &'static str, key: &str| -> Result<String, ConfigError> {
+        let required = |variable: &'static str, key: &str| -> Result<String, ConfigError> {
             match environment(variable).filter(|v| !v.is_empty()) {
                 Some(value) => Ok(value),
                 None => Ok(root.at(key).needed_text()?.to_owned()),
@@ -180,9 +185,9 @@
         let settings = root.at("settings").object()?;
         let (module, names) = read_settings(&settings)?;
         Ok(Config {
-            name: told("NODE_NAME", "name")?,
-            listen: address("NODE_LISTEN", told("NODE_LISTEN", "listen")?)?,
-            discovery: address("NODE_DISCOVERY", told("NODE_DISCOVERY", "discovery")?)?,
+            name: required("NODE_NAME", "name")?,
+            listen: address("NODE_LISTEN", required("NODE_LISTEN", "listen")?)?,
+            discovery: address("NODE_DISCOVERY", required("NODE_DISCOVERY", "discovery")?)?,
             mgmt: match set("NODE_MGMT") {
                 Some(value) => Some(address("NODE_MGMT", value)?),
                 None => match root.at("mgmt").text()? {
@@ -190,7 +195,10 @@
                     None => None,
                 },
             },
-            upgrade_socket: inherited.as_ref().and(folder).map(|folder| PathBuf::from(folder).join(MEETING)),
+            upgrade_socket: inherited
+                .as_ref()
+                .and(folder)
+                .map(|folder| PathBuf::from(folder).join(UPGRADE_SOCKET)),
             inherited,
             seed: read_seed(&root.at("seed"))?,
             budget: read_budget(&root.at("limits"))?,
@@ -229,17 +237,17 @@
 }
 
 fn read_budget(limits: &Node) -> Result<Budget, ConfigError> {
-    let sockets = read_limit(limits, "sockets", DEFAULT_SOCKETS, LEAST_SOCKETS)?;
-    let memory_mb = read_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB)?;
+    let sockets = read_limit(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS)?;
+    let memory_mb = read_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)?;
     Ok(Budget::of(sockets, memory_mb))
 }
 
-fn read_limit(limits: &Node, key: &str, default: usize, least: usize) -> Result<usize, ConfigError> {
+fn read_limit(limits: &Node, key: &str, default: usize, min: usize) -> Result<usize, ConfigError> {
     match limits.at(key).count()?.map_or(default, |n| n as usize) {
-        n if n >= least => Ok(n),
+        n if n >= min => Ok(n),
         n => Err(ConfigError::Value {
             key: format!("limits.{key}"),
-            problem: format!("{n} is too few, at least {least} are needed"),
+            problem: format!("{n} is too few, at least {min} are needed"),
         }),
     }
 }
--- a/balancer/config/src/reload.rs
+++ b/balancer/config/src/reload.rs
@@ -13,15 +13,16 @@
 use std::net::SocketAddr;
 use tinyjson::JsonValue;
 
-/// Keys that may differ: one is applied, the other is only the list to start from.
-const FREE: [&str; 2] = ["discovery", "known"];
-/// Of the settings, those on which numbers of this process rest, or its place among others.
-const FIXED: [&str; 8] =
+/// Top-level keys that may differ without a report: `discovery` is applied, and `known` is only used at a start.
+const UNREPORTED_KEYS: [&str; 2] = ["discovery", "known"];
+/// Keys of `settings` that cannot change while running: numbers in this process are assigned by them, or they
+/// define its place among the dispatchers.
+const FIXED_SETTINGS: [&str; 8] =
     ["me", "replicas_of_me", "zone", "failure_domains", "kinds", "tenants", "registry_mode", "reporting"];
-/// A class needs them only if its jobs are keyed.
-const KEYED_ONLY: [&str; 2] = ["dedup_scope", "window"];
-/// More is no number of attempts that can be meant.
-const MOST_ATTEMPTS: f64 = 1_000.0;
+/// Keys that a class needs only if its jobs carry a key for the detection of duplicates.
+const DEDUPLICATION_KEYS: [&str; 2] = ["dedup_scope", "window"];
+/// Largest plausible value of `max_attempts`.
+const MAX_ATTEMPTS: f64 = 1_000.0;
 
 /// The path of the file, and the configuration with which the program was started.
 pub struct Source {
@@ -35,12 +36,12 @@
 /// The result of a reload.
 #[derive(Debug)]
 pub struct Reloaded {
-    pub discovery: SocketAddr,
     /// Address of discovery.
+    pub discovery: SocketAddr,
     /// Settings of the decision module, with the numbers that the running program uses for names.
     pub settings: mr::Settings,
-    pub names: Names,
     /// Names behind the numbers in `settings`.
+    pub names: Names,
     /// As in [`Config`].
     pub conn_idle: f64,
     /// Keys that differ but are not applied before the next start.
@@ -68,20 +69,20 @@
     fn check(&self, bytes: &[u8]) -> Result<Reloaded, ConfigError> {
         let document = json::parse(bytes)?;
         check_keys(&self.running, &document, "")?;
-        check_figures(&document)?;
-        let newer = at(&document, "discovery").is_some();
+        check_numbers(&document)?;
+        let file_has_discovery = at(&document, "discovery").is_some();
         let config = Config::read(bytes, |key| match key {
-            "NODE_DISCOVERY" if newer => None,
+            "NODE_DISCOVERY" if file_has_discovery => None,
             _ => self.environment.get(key).cloned(),
         })?;
-        let kept = differing(&self.running, &document);
+        let kept = pending_keys(&self.running, &document);
         let (discovery, conn_idle) = (config.discovery, config.conn_idle);
-        let (settings, names) = self.fit(config);
+        let (settings, names) = self.merge(config);
         Ok(Reloaded { discovery, settings, names, conn_idle, kept })
     }
 
-    /// The new settings, with what stays as it is.
-    fn fit(&self, config: Config) -> (mr::Settings, Names) {
+    /// The new settings, with the values kept that cannot change while running.
+    fn merge(&self, config: Config) -> (mr::Settings, Names) {
         let (mut settings, mut names, running) = (config.settings, config.names, &self.settings);
         // A class may be bound to a machine type. The file's number of the type is converted by its name,
         // because this process keeps its own numbers.
@@ -125,12 +126,13 @@
     let lanes = |value: &JsonValue| value.get::<Vec<JsonValue>>().cloned().unwrap_or_default();
     let (running, newer) = (lanes(running), lanes(newer));
     let first = running.first().and_then(|lane| lane.get::<HashMap<String, JsonValue>>());
-    let everywhere = |key: &&String| running.iter().all(|lane| at(lane, key).is_some_and(|v| !v.is_null()));
-    let common: Vec<&String> = first.into_iter().flat_map(HashMap::keys).filter(everywhere).collect();
+    let is_in_all = |key: &&String| running.iter().all(|lane| at(lane, key).is_some_and(|v| !v.is_null()));
+    let common: Vec<&String> = first.into_iter().flat_map(HashMap::keys).filter(is_in_all).collect();
     let mut names = BTreeSet::new();
     for (i, lane) in newer.iter().enumerate() {
         let keyed = at(lane, "effect").and_then(|v| v.get::<String>()).is_some_and(|e| e == "deduplicated");
-        let wanted = common.iter().map(|key| key.as_str()).filter(|key| keyed || !KEYED_ONLY.contains(key));
+        let wanted =
+            common.iter().map(|key| key.as_str()).filter(|key| keyed || !DEDUPLICATION_KEYS.contains(key));
         for key in wanted {
             if at(lane, key).is_none_or(JsonValue::is_null) {
                 return Err(missing(format!("settings.lanes[{i}].{key}")));
@@ -144,33 +146,35 @@
     Ok(())
 }
 
-/// Deadlines and the number of attempts are numbers over 0 that can be meant.
-fn check_figures(document: &JsonValue) -> Result<(), ConfigError> {
+/// Checks that deadlines and the number of attempts are above 0 and plausible.
+fn check_numbers(document: &JsonValue) -> Result<(), ConfigError> {
     let settings = Node::root(document).at("settings");
-    let figure = |node: Node, most: f64, whole: bool| -> Result<(), ConfigError> {
+    let check_number = |node: Node, max: f64, whole: bool| -> Result<(), ConfigError> {
         match node.number()? {
-            Some(n) if n > 0.0 && n <= most && (!whole || n.fract() == 0.0) => Ok(()),
+            Some(n) if n > 0.0 && n <= max && (!whole || n.fract() == 0.0) => Ok(()),
             _ => Ok(node.wrong("a number over 0")?),
         }
     };
     for lane in settings.at("lanes").items()? {
-        figure(lane.at("hard_limit"), LONGEST_WAIT_MS, false)?;
+        check_number(lane.at("hard_limit"), LONGEST_WAIT_MS, false)?;
     }
     match settings.at("permissions").at("max_attempts") {
         absent if absent.is_absent() => Ok(()),
-        attempts => figure(attempts, MOST_ATTEMPTS, true),
+        attempts => check_number(attempts, MAX_ATTEMPTS, true),
     }
 }
 
-/// The keys of two documents whose values differ and wait for the next start; within `settings` and `limits`, theirs.
-fn differing(old: &JsonValue, new: &JsonValue) -> Vec<String> {
+/// The keys whose values differ between two documents and are not applied before the next start. For an object
+/// such as `settings` or `limits`, the keys inside it are reported.
+fn pending_keys(old: &JsonValue, new: &JsonValue) -> Vec<String> {
     let mut found = Vec::new();
-    for key in keys(old, new).into_iter().filter(|key| !FREE.contains(key)) {
+    for key in keys(old, new).into_iter().filter(|key| !UNREPORTED_KEYS.contains(key)) {
         match (at(old, key), at(new, key)) {
             (a, b) if a == b => {}
             (Some(a @ JsonValue::Object(_)), Some(b @ JsonValue::Object(_))) => {
-                let waits = |inner: &&str| key != "settings" || FIXED.contains(inner);
-                let inner = keys(a, b).into_iter().filter(|inner| at(a, inner) != at(b, inner)).filter(waits);
+                let is_pending = |inner: &&str| key != "settings" || FIXED_SETTINGS.contains(inner);
+                let inner =
+                    keys(a, b).into_iter().filter(|inner| at(a, inner) != at(b, inner)).filter(is_pending);
                 found.extend(inner.map(|inner| format!("{key}.{inner}")));
             }
             _ => found.push(key.to_owned()),
--- a/balancer/config/src/reload/tests.rs
+++ b/balancer/config/src/reload/tests.rs
@@ -11,8 +11,8 @@
 }
 
 #[test]
-fn the_files_discovery_stands_before_an_environment_older_than_it() {
-    // The platform sets NODE_DISCOVERY once, at the start: at a reload it names the old address.
+fn discovery_in_the_file_takes_precedence_over_the_older_environment() {
+    // The platform sets NODE_DISCOVERY only at the start, so at a reload the variable still has the old address.
     let reloaded = source().check(CONFIG.replace("127.0.0.2", "127.0.0.7").as_bytes()).unwrap();
     assert_eq!((reloaded.discovery.to_string().as_str(), reloaded.kept.len()), ("127.0.0.7:8500", 0));
 }
@@ -31,7 +31,11 @@
     assert_eq!(reloaded.names.classes, ["audit", "copy-issue"]);
     let settings = reloaded.settings;
     assert_eq!((settings.limits.max_attempts, settings.classes[0].deadline), (2, 900.0));
-    assert_eq!((settings.classes[0].kind, settings.classes[1].kind), (Some(1), None), "kind b, by its name");
+    assert_eq!(
+        (settings.classes[0].kind, settings.classes[1].kind),
+        (Some(1), None),
+        "machine type b, found by its name"
+    );
     assert_eq!(
         (reloaded.names.kinds.as_slice(), reloaded.kept),
         (&["a", "b"].map(str::to_owned)[..], vec!["settings.kinds".to_owned()])
@@ -39,7 +43,7 @@
 }
 
 #[test]
-fn a_file_that_is_cut_or_lacks_a_key_or_has_no_sane_figure_is_refused_whole() {
+fn a_truncated_file_a_missing_key_and_an_implausible_number_are_refused() {
     let source = source();
     for cut in 0..CONFIG.len() {
         assert!(source.check(&CONFIG.as_bytes()[..cut]).is_err(), "cut at {cut}");
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn what_cannot_change_is_named_and_a_bad_file_refused_by_key() {
+fn keys_that_cannot_change_are_reported_and_a_bad_file_is_refused_with_its_key() {
     let changed = CONFIG.replace("\"me\":1", "\"me\":0").replace("\"sockets\":1024", "\"sockets\":512");
     let changed = changed.replace("\"name\":\"n0\"", "\"name\":\"n1\"");
     let kept = source().check(changed.as_bytes()).unwrap().kept;
--- a/balancer/config/src/settings/mod.rs
+++ b/balancer/config/src/settings/mod.rs
@@ -160,8 +160,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsError {
     file: PathBuf,
-    /// Line and column, from 1; none if the file could not be read at all.
-    place: Option<(u64, u64)>,
+    /// Line and column, from 1; `None` if the file could not be read at all.
+    position: Option<(u64, u64)>,
     key: String,
     problem: String,
 }
@@ -169,7 +169,7 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file.display())?;
-        if let Some((line, column)) = self.place {
+        if let Some((line, column)) = self.position {
             write!(f, ":{line}:{column}")?;
         }
         if !self.key.is_empty() {
@@ -189,7 +189,7 @@
     pub fn load(file: &Path) -> Result<Self, SettingsError> {
         let unread = |problem: String| SettingsError {
             file: file.to_owned(),
-            place: None,
+            position: None,
             key: String::new(),
             problem,
         };
@@ -218,9 +218,9 @@
             })
         });
         read.map_err(|error| {
-            let place = error.location().filter(|l| l.line() > 0).map(|l| (l.line(), l.column()));
+            let position = error.location().filter(|l| l.line() > 0).map(|l| (l.line(), l.column()));
             let (key, problem) = explain(&key, &error);
-            SettingsError { file: file.to_owned(), place, key, problem }
+            SettingsError { file: file.to_owned(), position, key, problem }
         })
     }
 
@@ -284,8 +284,8 @@
 
 /// The known word with the least edit distance, if it is near enough to be a likely typing error.
 fn nearest<'a>(word: &str, known: &[&'a str]) -> Option<&'a str> {
-    let far = |other: &&str| strsim::damerau_levenshtein(&word.to_lowercase(), &other.to_lowercase());
-    known.iter().copied().min_by_key(far).filter(|near| far(near) <= 1 + near.len() / 4)
+    let distance = |other: &&str| strsim::damerau_levenshtein(&word.to_lowercase(), &other.to_lowercase());
+    known.iter().copied().min_by_key(distance).filter(|near| distance(near) <= 1 + near.len() / 4)
 }
 
 #[cfg(test)]
--- a/balancer/config/src/settings/tests.rs
+++ b/balancer/config/src/settings/tests.rs
@@ -34,13 +34,17 @@
     assert_eq!((grpc.limits.streams.get(), grpc.limits.header_list.bytes()), (64, 8192));
     let times = [grpc.limits.request_time.ms(), grpc.limits.answer_time.ms(), grpc.limits.idle_time.ms()];
     assert_eq!(times, [1_500.0, 2_500.0, 300_000.0]);
-    assert_eq!(grpc.limits.connections, GrpcLimits::default().connections, "what is left out is default");
+    assert_eq!(
+        grpc.limits.connections,
+        GrpcLimits::default().connections,
+        "a key that is left out has its default"
+    );
     assert_eq!(settings.admission.bodies.map(Size::bytes), Some(16 << 20));
     assert_eq!((settings.log.format, settings.log.level), (LogFormat::Json, LogLevel::Warning));
 }
 
 #[test]
-fn nothing_set_is_the_platforms_deployment() {
+fn empty_settings_are_the_defaults() {
     for text in ["", "# nothing yet\n\n", "fronts: {}\n", "log: {}"] {
         assert_eq!(read(text), Ok(Settings::default()), "{text:?}");
     }
@@ -48,7 +52,7 @@
 }
 
 #[test]
-fn an_error_names_file_line_key_and_what_was_meant() {
+fn an_error_names_the_file_the_line_the_key_and_a_suggestion() {
     for (from, to, expected) in [
         ("listen:", "lisen:", "m.yaml:6:5: key fronts.grpc.lisen: unknown key; did you mean listen?"),
         ("admission:", "admision:", "m.yaml:14:1: key admision: unknown key; did you mean admission?"),
@@ -76,7 +80,7 @@
 }
 
 #[test]
-fn weights_and_level_change_while_running_and_the_rest_waits() {
+fn weights_and_log_level_change_while_running_and_the_rest_does_not() {
     let old = read(WHOLE).unwrap();
     let live = read(&WHOLE.replace("weight: 2", "weight: 5").replace("warning", "debug")).unwrap();
     assert_eq!(old.pending_keys(&live), [""; 0]);
@@ -91,5 +95,8 @@
     });
     let deep = format!("fronts: {}", "[".repeat(50_000));
     assert!(read(&deep).is_err());
-    assert!(read("a: &a [1]\nb: &b [*a,*a]\nc: [*b,*b]\n").is_err(), "aliases do not multiply");
+    assert!(
+        read("a: &a [1]\nb: &b [*a,*a]\nc: [*b,*b]\n").is_err(),
+        "repeated aliases must not multiply the memory"
+    );
 }
--- a/balancer/config/src/settings/units.rs
+++ b/balancer/config/src/settings/units.rs
@@ -5,17 +5,19 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-const SPANS: [(&str, f64); 5] = [("us", 0.001), ("ms", 1.0), ("s", 1e3), ("min", 6e4), ("h", 3.6e6)];
-const SIZES: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
+/// Units of time, in milliseconds.
+const TIME_UNITS: [(&str, f64); 5] = [("us", 0.001), ("ms", 1.0), ("s", 1e3), ("min", 6e4), ("h", 3.6e6)];
+/// Units of size, in bytes.
+const SIZE_UNITS: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
 
 /// A time between `MIN` and `MAX` milliseconds.
 #[derive(Clone, Copy, PartialEq)]
-pub struct Span<const LEAST: u64, const MOST: u64>(f64);
+pub struct Span<const MIN: u64, const MAX: u64>(f64);
 
-impl<const LEAST: u64, const MOST: u64> Span<LEAST, MOST> {
-    /// For defaults, which are within their ranges by the tests.
+impl<const MIN: u64, const MAX: u64> Span<MIN, MAX> {
+    /// A default value; panics if it is outside the range, which the tests rule out.
     pub const fn of_ms(ms: u64) -> Self {
-        assert!(LEAST <= ms && ms <= MOST);
+        assert!(MIN <= ms && ms <= MAX);
         Span(ms as f64)
     }
 
@@ -26,11 +28,11 @@
 
 /// A number of bytes between `MIN` and `MAX`.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct Size<const LEAST: u64, const MOST: u64>(u64);
+pub struct Size<const MIN: u64, const MAX: u64>(u64);
 
-impl<const LEAST: u64, const MOST: u64> Size<LEAST, MOST> {
+impl<const MIN: u64, const MAX: u64> Size<MIN, MAX> {
     pub const fn of_bytes(bytes: u64) -> Self {
-        assert!(LEAST <= bytes && bytes <= MOST);
+        assert!(MIN <= bytes && bytes <= MAX);
         Size(bytes)
     }
 
@@ -41,11 +43,11 @@
 
 /// A whole number between `MIN` and `MAX`.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct Count<const LEAST: u64, const MOST: u64>(u64);
+pub struct Count<const MIN: u64, const MAX: u64>(u64);
 
-impl<const LEAST: u64, const MOST: u64> Count<LEAST, MOST> {
+impl<const MIN: u64, const MAX: u64> Count<MIN, MAX> {
     pub const fn of(n: u64) -> Self {
-        assert!(LEAST <= n && n <= MOST);
+        assert!(MIN <= n && n <= MAX);
         Count(n)
     }
 
@@ -58,19 +60,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Address(pub SocketAddr);
 
-impl<const LEAST: u64, const MOST: u64> fmt::Debug for Span<LEAST, MOST> {
+impl<const MIN: u64, const MAX: u64> fmt::Debug for Span<MIN, MAX> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} ms", self.0)
     }
 }
 
-impl<const LEAST: u64, const MOST: u64> fmt::Debug for Size<LEAST, MOST> {
+impl<const MIN: u64, const MAX: u64> fmt::Debug for Size<MIN, MAX> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} B", self.0)
     }
 }
 
-impl<const LEAST: u64, const MOST: u64> fmt::Debug for Count<LEAST, MOST> {
+impl<const MIN: u64, const MAX: u64> fmt::Debug for Count<MIN, MAX> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -127,46 +129,49 @@
 
 fn show_span(ms: u64) -> String {
     let fits = |(_, scale): &&(&str, f64)| ms as f64 / scale >= 1.0 && (ms as f64 / scale).fract() == 0.0;
-    let (name, scale) = SPANS.iter().rev().find(fits).unwrap_or(&SPANS[1]);
+    let (name, scale) = TIME_UNITS.iter().rev().find(fits).unwrap_or(&TIME_UNITS[1]);
     format!("{} {name}", ms as f64 / scale)
 }
 
 fn show_size(bytes: u64) -> String {
-    let (name, scale) =
-        SIZES.iter().rev().find(|(_, s)| bytes >= *s && bytes.is_multiple_of(*s)).unwrap_or(&SIZES[0]);
+    let (name, scale) = SIZE_UNITS
+        .iter()
+        .rev()
+        .find(|(_, s)| bytes >= *s && bytes.is_multiple_of(*s))
+        .unwrap_or(&SIZE_UNITS[0]);
     format!("{} {name}", bytes / scale)
 }
 
-impl<'de, const LEAST: u64, const MOST: u64> Deserialize<'de> for Span<LEAST, MOST> {
+impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for Span<MIN, MAX> {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        let ms = read(&text, &SPANS, "a time").map_err(D::Error::custom)?;
-        if ms < LEAST as f64 || ms > MOST as f64 {
-            let (least, most) = (show_span(LEAST), show_span(MOST));
-            return Err(D::Error::custom(format!("{text:?} is outside {least} to {most}")));
+        let ms = read(&text, &TIME_UNITS, "a time").map_err(D::Error::custom)?;
+        if ms < MIN as f64 || ms > MAX as f64 {
+            let (min, max) = (show_span(MIN), show_span(MAX));
+            return Err(D::Error::custom(format!("{text:?} is outside {min} to {max}")));
         }
         Ok(Span(ms))
     }
 }
 
-impl<'de, const LEAST: u64, const MOST: u64> Deserialize<'de> for Size<LEAST, MOST> {
+impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for Size<MIN, MAX> {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        let units = SIZES.map(|(name, scale)| (name, scale as f64));
+        let units = SIZE_UNITS.map(|(name, scale)| (name, scale as f64));
         let bytes = read(&text, &units, "a size").map_err(D::Error::custom)?;
-        if bytes < LEAST as f64 || bytes > MOST as f64 {
-            let (least, most) = (show_size(LEAST), show_size(MOST));
-            return Err(D::Error::custom(format!("{text:?} is outside {least} to {most}")));
+        if bytes < MIN as f64 || bytes > MAX as f64 {
+            let (min, max) = (show_size(MIN), show_size(MAX));
+            return Err(D::Error::custom(format!("{text:?} is outside {min} to {max}")));
         }
         Ok(Size(bytes as u64))
     }
 }
 
-impl<'de, const LEAST: u64, const MOST: u64> Deserialize<'de> for Count<LEAST, MOST> {
+impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for Count<MIN, MAX> {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let n = u64::deserialize(from)?;
-        if !(LEAST..=MOST).contains(&n) {
-            return Err(D::Error::custom(format!("{n} is outside {LEAST} to {MOST}")));
+        if !(MIN..=MAX).contains(&n) {
+            return Err(D::Error::custom(format!("{n} is outside {MIN} to {MAX}")));
         }
         Ok(Count(n))
     }
--- a/balancer/config/src/shares.rs
+++ b/balancer/config/src/shares.rs
@@ -4,9 +4,9 @@
 use crate::Budget;
 use millrudder_exchange::Front;
 
-/// Of the inbound descriptors, the gRPC front may take one part in so many: call-backs and HTTP/1.1 clients need a
-/// descriptor each, gRPC's calls share theirs.
-const GRPC_PART: usize = 4;
+/// Divisor of the inbound descriptors: the gRPC front may use one part in this many. Call-backs and HTTP/1.1
+/// clients need one descriptor each, while many gRPC calls share one.
+const GRPC_DIVISOR: usize = 4;
 
 /// The limits of each front, and the limits that they share.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,14 +43,14 @@
         // connections buffer, which are limited already.
         let mut bodies = u64::MAX >> 16;
         let grpc = fronts.grpc.as_ref().map(|grpc| {
-            let connections = (grpc.limits.connections.get() as usize).min(self.inbound / GRPC_PART);
+            let connections = (grpc.limits.connections.get() as usize).min(self.inbound / GRPC_DIVISOR);
             http.inbound -= connections;
             http.buffers = self.buffers * 3 / 4;
             bodies = self.buffers as u64 / 2;
             GrpcBudget { connections, buffers: self.buffers / 4 }
         });
-        if let Some(most) = fronts.http.limits.connections {
-            http.inbound = http.inbound.min((most.get() as usize).max(reserve + 1));
+        if let Some(max) = fronts.http.limits.connections {
+            http.inbound = http.inbound.min((max.get() as usize).max(reserve + 1));
         }
         http.inbound_jobs = http.inbound - reserve;
         Shares {
--- a/balancer/config/src/shares/tests.rs
+++ b/balancer/config/src/shares/tests.rs
@@ -8,15 +8,15 @@
 }
 
 #[test]
-fn without_a_second_front_nothing_changes() {
+fn a_single_front_gets_the_whole_budget() {
     let budget = Budget::of(1024, 192);
     let shares = budget.share_out(&Settings::default());
     assert_eq!((shares.http, shares.grpc, shares.places), (budget, None, budget.inbound_jobs as u64));
-    assert!(shares.bodies > 1 << 40, "no bound of its own");
+    assert!(shares.bodies > 1 << 40, "bodies have no limit of their own");
 }
 
 #[test]
-fn two_fronts_stay_within_the_one_budget_and_call_backs_keep_theirs() {
+fn two_fronts_stay_within_the_budget_and_call_backs_keep_their_reserve() {
     for (sockets, memory) in [(96, 24), (256, 32), (1024, 192), (4096, 2048)] {
         let budget = Budget::of(sockets, memory);
         let shares = budget.share_out(&settings("fronts: {grpc: {listen: '127.0.0.1:1', weight: 2}}"));
--- a/balancer/config/src/tests.rs
+++ b/balancer/config/src/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_settings_reach_the_module() {
+fn the_settings_reach_the_decision_module() {
     let config = read(CONFIG).unwrap();
     assert_eq!((config.name.as_str(), config.seed, config.conn_idle), ("n0", 0x8c1f30d27a5be964, 10_000.0));
     let (settings, class) = (&config.settings, &config.settings.classes[0]);
@@ -30,7 +30,11 @@
     assert!(settings.reports_starts && settings.limits.hedging && config.known.is_none());
     let listen =
         Config::read(CONFIG.as_bytes(), |key| (key == "NODE_LISTEN").then(|| "127.0.0.3:1".to_owned()));
-    assert_eq!(listen.unwrap().listen.to_string(), "127.0.0.3:1", "the environment stands before the file");
+    assert_eq!(
+        listen.unwrap().listen.to_string(),
+        "127.0.0.3:1",
+        "the environment takes precedence over the file"
+    );
 }
 
 #[test]
@@ -52,8 +56,8 @@
 }
 
 #[test]
-fn descriptors_are_shared_out_within_the_limit() {
-    for sockets in [LEAST_SOCKETS, 256, 1024, 4096] {
+fn descriptors_are_divided_within_the_limit() {
+    for sockets in [MIN_SOCKETS, 256, 1024, 4096] {
         let budget = Budget::of(sockets, 32);
         assert!(budget.inbound + budget.worker_connections + OWN_DESCRIPTORS <= sockets);
         assert!(budget.inbound_jobs < budget.inbound && budget.worker_connections >= 12, "{budget:?}");
