--- a/balancer/exchange/src/attempt.rs
+++ b/balancer/exchange/src/attempt.rs
@@ -31,7 +31,7 @@
     /// The worker read the whole request but did not answer within a time-out far above its usual time; the job
     /// may be running or may still start.
     Silent,
-    /// The worker refused the job itself, as every worker would; the worker is healthy.
+    /// The worker cannot process this job, whoever sends it; the worker itself is healthy.
     Refused,
 }
 
--- a/balancer/exchange/src/job.rs
+++ b/balancer/exchange/src/job.rs
@@ -75,7 +75,7 @@
     Late,
     /// Another job with the same id has not been answered yet.
     Repeated,
-    /// A worker refused the job itself, as every worker would.
+    /// A worker reported that it cannot process the job, whoever sends it.
     Refused,
 }
 
--- a/balancer/exchange/src/peer_process.rs
+++ b/balancer/exchange/src/peer_process.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Most transfers that may be queued. The other bounds are weaker: connections are limited by the file
-/// descriptors, call-backs only by how long their senders wait for an answer.
+/// Most transfers that may be queued. Queued connections are also limited by the file descriptors, and queued
+/// call-backs by how long their senders wait for an answer.
 const MAX_TRANSFERS: usize = 4_096;
 
 /// What a connection's peer is, as proved by its valid requests. Later variants are kept over earlier ones when
--- a/balancer/exchange/src/shutdown.rs
+++ b/balancer/exchange/src/shutdown.rs
@@ -77,8 +77,9 @@
         self.succeeded.store(succeeded, Ordering::Release);
     }
 
-    /// Notes that the calling front has no connection left on which a job could come. It takes effect once no new
-    /// connection can arrive either: after the least grace period, or at once if a successor accepts connections.
+    /// Reports that the calling front has no connection left on which a job could come. It ends the grace period,
+    /// but is ignored while another front has clients and while new connections can still arrive: for the least
+    /// grace period after the stop began, unless a successor process accepts them.
     pub fn note_no_clients(&self, now: f64) {
         let other_clients = self.other_clients.load(Ordering::Acquire);
         let grace = if self.succeeded.load(Ordering::Acquire) { 0.0 } else { MIN_GRACE_MS };
