--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -14,7 +14,7 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{AdmissionGate, Core, Drain, Exchange, PeerProcess, PeerRole, RetryAdvice};
+use millrudder_exchange::{AdmissionGate, Drain, Exchange, FrontContext, PeerProcess, PeerRole, RetryAdvice};
 use millrudder_front_grpc::GrpcFront;
 use millrudder_front_http::{Listen, SenderSide};
 use millrudder_front_operators as operators;
@@ -115,7 +115,7 @@
         clock,
         log.clone(),
     );
-    let core = Core {
+    let core = FrontContext {
         exchange: exchange.clone(),
         admission_gate,
         counters: counters.clone(),
--- a/balancer/dispatcher/src/status.rs
+++ b/balancer/dispatcher/src/status.rs
@@ -3,7 +3,7 @@
 use crate::cli;
 use crate::error::StartError;
 use millrudder_control::{ask, Answer, Control, Question, Status};
-use millrudder_exchange::{AdmissionGate, Core};
+use millrudder_exchange::{AdmissionGate, FrontContext};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 /// [`StartError::ControlSocket`]: the socket cannot be had.
-pub fn open(path: &Path, core: &Core) -> Result<Control, StartError> {
+pub fn open(path: &Path, core: &FrontContext) -> Result<Control, StartError> {
     let (core, start) = (core.clone(), core.clock.now());
     let answer = move |Question::Status| {
         let places = |admission_gate: &AdmissionGate| {
--- a/balancer/exchange/src/front.rs
+++ b/balancer/exchange/src/front.rs
@@ -11,7 +11,7 @@
 
 /// Handles to the parts of the program that a front uses.
 #[derive(Clone)]
-pub struct Core {
+pub struct FrontContext {
     /// Queue to which jobs are submitted.
     pub exchange: Exchange,
     /// Admission control for jobs, shared by all fronts.
@@ -58,7 +58,7 @@
     }
 }
 
-impl Core {
+impl FrontContext {
     /// Whether jobs are accepted.
     pub fn is_serving(&self) -> bool {
         self.serving.load(Ordering::Acquire)
--- a/balancer/exchange/src/lib.rs
+++ b/balancer/exchange/src/lib.rs
@@ -29,7 +29,7 @@
 pub use attempt::{AttemptEnd, AttemptId, JobState, LoadReport, WorkerCallBack};
 pub use drain::Drain;
 pub use exchange::{Exchange, Inbox};
-pub use front::{Core, RetryAdvice};
+pub use front::{FrontContext, RetryAdvice};
 pub use job::{Answer, Failure, ForwardedRequest, Front, Job, Reply, Ticket};
 pub use message::Message;
 pub use operator_order::{Order, OrderHandle, OrderResult, PendingOrder};
--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -23,7 +23,7 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::rate::Limiter;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{Core, Drain, PeerProcess};
+use millrudder_exchange::{Drain, FrontContext, PeerProcess};
 use proto::jobs_server::JobsServer;
 use service::JobsService;
 use slog::Logger;
@@ -104,7 +104,7 @@
         upgrades: bool,
         limits: GrpcLimits,
         budget: GrpcBudget,
-        core: Core,
+        core: FrontContext,
     ) -> io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
         let listener = {
@@ -150,7 +150,7 @@
     listener: TcpListener,
     limits: GrpcLimits,
     budget: GrpcBudget,
-    core: Core,
+    core: FrontContext,
     door: Arc<Door>,
     ended: oneshot::Receiver<()>,
 ) {
--- a/balancer/fronts/grpc/src/service.rs
+++ b/balancer/fronts/grpc/src/service.rs
@@ -6,7 +6,7 @@
 use crate::{intake, status, timeout};
 use futures_util::stream::{self, Stream};
 use millrudder_exchange::intake::BODY_LIMIT;
-use millrudder_exchange::{Answer, Core, Front, Permit, Progress, Reply, Ticket};
+use millrudder_exchange::{Answer, Front, FrontContext, Permit, Progress, Reply, Ticket};
 use std::pin::Pin;
 use std::sync::Arc;
 use tokio::sync::Notify;
@@ -22,11 +22,11 @@
 }
 
 #[derive(Clone)]
-pub struct JobsService(pub Arc<Core>);
+pub struct JobsService(pub Arc<FrontContext>);
 
 /// A job that is here for a call. Dropped before its answer, it is withdrawn.
 struct Pending {
-    core: Arc<Core>,
+    core: Arc<FrontContext>,
     ticket: Ticket,
     reply: Reply,
     wake: Arc<Notify>,
--- a/balancer/fronts/grpc/tests/grpc/rig.rs
+++ b/balancer/fronts/grpc/tests/grpc/rig.rs
@@ -8,8 +8,8 @@
 use millrudder_exchange::intake::{Class, Classes};
 use millrudder_exchange::shutdown::Stopping;
 use millrudder_exchange::{
-    AdmissionGate, Answer, Core, Drain, Exchange, Front, Job, Message, PeerProcess, Reply, RetryAdvice,
-    Ticket,
+    AdmissionGate, Answer, Drain, Exchange, Front, FrontContext, Job, Message, PeerProcess, Reply,
+    RetryAdvice, Ticket,
 };
 use millrudder_front_grpc::proto::jobs_client::JobsClient;
 use millrudder_front_grpc::proto::SubmitRequest;
@@ -65,7 +65,7 @@
         let (stopping, drain) = (Stopping::new(5_000.0), Drain::default());
         let capacity = Capacity { places: 16, bytes: 1 << 20 };
         let admission_gate = AdmissionGate::new(capacity, &[(Front::Grpc, 1)], clock);
-        let core = Core {
+        let core = FrontContext {
             exchange,
             admission_gate: admission_gate.clone(),
             counters: counters.clone(),
--- a/balancer/fronts/http/src/connection.rs
+++ b/balancer/fronts/http/src/connection.rs
@@ -6,7 +6,7 @@
 use may::net::TcpStream;
 use millrudder_exchange::{Answer, Failure, Front, Job, PeerRole, Reply, Transfer};
 use millrudder_wire::http::{self, Decoder, Request};
-use millrudder_wire::socket::{Got, Socket};
+use millrudder_wire::socket::{ReadOutcome, Socket};
 use std::io;
 use std::sync::Arc;
 
@@ -84,9 +84,9 @@
         let mut left = LINGER_BYTES;
         while left > 0 && !self.pass.is_ended() {
             match self.socket.try_read(&mut self.buffer) {
-                Ok(Got::Bytes(n)) => left = left.saturating_sub(n),
-                Ok(Got::Nothing) => self.socket.wait(),
-                Ok(Got::End) | Err(_) => return,
+                Ok(ReadOutcome::Bytes(n)) => left = left.saturating_sub(n),
+                Ok(ReadOutcome::WouldBlock) => self.socket.wait(),
+                Ok(ReadOutcome::End) | Err(_) => return,
             }
         }
     }
@@ -111,17 +111,21 @@
             let idle = self.decoder.is_idle();
             self.doing(if idle { Doing::Idle } else { Doing::Reading });
             match self.read() {
-                Ok(Got::Bytes(_)) if !self.shared.doors.holds(&self.pass, self.decoder.buffered_bytes()) => {
+                Ok(ReadOutcome::Bytes(_))
+                    if !self.shared.doors.holds(&self.pass, self.decoder.buffered_bytes()) =>
+                {
                     return Err(NoRequest::Refused(Refusal::NoMemory));
                 }
-                Ok(Got::Bytes(_)) if idle => self.began = self.shared.clock.now(),
-                Ok(Got::Bytes(_)) => {}
-                Ok(Got::Nothing) if idle && self.pass_on() => return Err(NoRequest::Gone),
+                Ok(ReadOutcome::Bytes(_)) if idle => self.began = self.shared.clock.now(),
+                Ok(ReadOutcome::Bytes(_)) => {}
+                Ok(ReadOutcome::WouldBlock) if idle && self.pass_on() => return Err(NoRequest::Gone),
                 // What has come is read before a connection is ended: a request may be in it.
-                Ok(Got::Nothing) if self.pass.is_ended() && idle => return Err(NoRequest::Gone),
-                Ok(Got::Nothing) if self.pass.is_ended() => return Err(NoRequest::Refused(Refusal::TooSlow)),
-                Ok(Got::Nothing) => self.socket.wait(),
-                Ok(Got::End) | Err(_) => return Err(NoRequest::Gone),
+                Ok(ReadOutcome::WouldBlock) if self.pass.is_ended() && idle => return Err(NoRequest::Gone),
+                Ok(ReadOutcome::WouldBlock) if self.pass.is_ended() => {
+                    return Err(NoRequest::Refused(Refusal::TooSlow))
+                }
+                Ok(ReadOutcome::WouldBlock) => self.socket.wait(),
+                Ok(ReadOutcome::End) | Err(_) => return Err(NoRequest::Gone),
             }
         }
     }
@@ -138,9 +142,9 @@
         parcel.is_ok_and(|parcel| peer_process.put(parcel).is_ok())
     }
 
-    fn read(&mut self) -> io::Result<Got> {
+    fn read(&mut self) -> io::Result<ReadOutcome> {
         let got = self.socket.try_read(&mut self.buffer)?;
-        if let Got::Bytes(n) = got {
+        if let ReadOutcome::Bytes(n) = got {
             self.decoder.push(&self.buffer[..n]);
         }
         Ok(got)
@@ -148,12 +152,12 @@
 
     /// Reads on while a job is here, to see its client leave; what it sends ahead waits, within bounds. `dropped`
     /// counts what did not.
-    fn read_ahead(&mut self, dropped: &mut usize) -> io::Result<Got> {
+    fn read_ahead(&mut self, dropped: &mut usize) -> io::Result<ReadOutcome> {
         if *dropped == 0 && self.decoder.buffered_bytes() <= AHEAD_BYTES {
             return self.read();
         }
         let got = self.socket.try_read(&mut self.buffer)?;
-        if let Got::Bytes(n) = got {
+        if let ReadOutcome::Bytes(n) = got {
             *dropped += n + self.decoder.buffered_bytes();
             self.decoder = Decoder::default();
         }
@@ -210,13 +214,13 @@
                 };
             }
             match self.read_ahead(&mut dropped) {
-                Ok(Got::Bytes(_)) if dropped > DROPPED_BYTES => {
+                Ok(ReadOutcome::Bytes(_)) if dropped > DROPPED_BYTES => {
                     self.shared.exchange.withdraw(ticket);
                     return self.refuse(&Refusal::Flood);
                 }
-                Ok(Got::Bytes(_)) => {}
-                Ok(Got::Nothing) => self.socket.wait(),
-                Ok(Got::End) | Err(_) => {
+                Ok(ReadOutcome::Bytes(_)) => {}
+                Ok(ReadOutcome::WouldBlock) => self.socket.wait(),
+                Ok(ReadOutcome::End) | Err(_) => {
                     self.shared.exchange.withdraw(ticket);
                     return Err(io::ErrorKind::ConnectionAborted.into());
                 }
--- a/balancer/fronts/http/src/lib.rs
+++ b/balancer/fronts/http/src/lib.rs
@@ -20,7 +20,7 @@
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::rate::Limiter;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{AdmissionGate, Core, Drain, Exchange, PeerProcess, PeerRole, RetryAdvice};
+use millrudder_exchange::{AdmissionGate, Drain, Exchange, FrontContext, PeerProcess, PeerRole, RetryAdvice};
 use millrudder_wire::descriptor;
 use slog::Logger;
 use std::io::ErrorKind;
@@ -69,10 +69,10 @@
 }
 
 impl SenderSide {
-    pub fn new(budget: Budget, core: Core) -> Self {
+    pub fn new(budget: Budget, core: FrontContext) -> Self {
         let doors = Doors::new(budget, core.peer_process.clone());
         let (bad_news, bad_accepts) = (Limiter::default(), Limiter::default());
-        let Core {
+        let FrontContext {
             exchange,
             admission_gate,
             counters,
--- a/balancer/fronts/operators/src/lib.rs
+++ b/balancer/fronts/operators/src/lib.rs
@@ -7,7 +7,7 @@
 mod talk;
 
 pub use call::{parse, BadCall, Call, LINE_LIMIT};
-use millrudder_exchange::{Core, Order, OrderHandle, Transfer};
+use millrudder_exchange::{FrontContext, Order, OrderHandle, Transfer};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// There is no thread to be had.
-pub fn open(listener: TcpListener, core: Core) -> io::Result<()> {
+pub fn open(listener: TcpListener, core: FrontContext) -> io::Result<()> {
     let desk = Desk { listener, core, callers: Vec::new() };
     std::thread::Builder::new().name("operators".to_owned()).spawn(move || desk.run())?;
     Ok(())
@@ -51,7 +51,7 @@
 
 struct Desk {
     listener: TcpListener,
-    core: Core,
+    core: FrontContext,
     callers: Vec<Caller>,
 }
 
@@ -130,7 +130,7 @@
 
 impl Caller {
     /// Takes what has come, and answers what can be answered.
-    fn turn(&mut self, core: &Core, now: f64) {
+    fn turn(&mut self, core: &FrontContext, now: f64) {
         let mut part = [0; 512];
         let asked = match self.talk.stage() {
             Stage::Listening => match self.stream.read(&mut part) {
@@ -158,7 +158,7 @@
         }
     }
 
-    fn carry_out(&mut self, call: Call, core: &Core, now: f64) {
+    fn carry_out(&mut self, call: Call, core: &FrontContext, now: f64) {
         slog::info!(core.log, "operators call"; "call" => format!("{call:?}"));
         match call {
             Call::Ready if core.stopping.has_begun() => self.answer(Err("it is told to stop"), core, now),
@@ -180,12 +180,12 @@
         }
     }
 
-    fn order(&mut self, order: Order, core: &Core) {
+    fn order(&mut self, order: Order, core: &FrontContext) {
         let awaited = core.exchange.order(order.clone());
         self.order = Some((order, awaited));
     }
 
-    fn look(&mut self, core: &Core, now: f64) {
+    fn look(&mut self, core: &FrontContext, now: f64) {
         let Some((order, awaited)) = self.order.take() else { return };
         let carried = match awaited.result() {
             Some(carried) => carried,
@@ -199,7 +199,7 @@
         self.answer(carried, core, now);
     }
 
-    fn answer(&mut self, answer: Result<(), &str>, core: &Core, now: f64) {
+    fn answer(&mut self, answer: Result<(), &str>, core: &FrontContext, now: f64) {
         let text = match answer {
             Ok(()) => {
                 core.counters.operator_calls.add();
--- a/balancer/upgrade/src/giver/tests.rs
+++ b/balancer/upgrade/src/giver/tests.rs
@@ -6,7 +6,7 @@
 use millrudder_exchange::clock::Clock;
 use millrudder_exchange::intake::Classes;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{AdmissionGate, Core, Exchange, Inbox, PeerRole, RetryAdvice};
+use millrudder_exchange::{AdmissionGate, Exchange, FrontContext, Inbox, PeerRole, RetryAdvice};
 use millrudder_handover::VERSION;
 use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
@@ -24,7 +24,7 @@
 
 fn shell() -> (Shell, Inbox) {
     let ((exchange, inbox), clock) = (Exchange::new(), Clock::start());
-    let core = Core {
+    let core = FrontContext {
         exchange,
         admission_gate: AdmissionGate::new(Capacity { places: 1, bytes: 1 }, &[], clock),
         counters: Arc::default(),
--- a/balancer/upgrade/src/lib.rs
+++ b/balancer/upgrade/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use giver::flush;
 use link::{Heard, Link};
-use millrudder_exchange::{Core, Order, PeerProcess, PeerRequest, PeerRole, Transfer};
+use millrudder_exchange::{FrontContext, Order, PeerProcess, PeerRequest, PeerRole, Transfer};
 use millrudder_handover::{Call, Message, Was};
 use slog::Logger;
 use std::io;
@@ -39,7 +39,7 @@
 /// What both sides act on.
 #[derive(Clone)]
 pub struct Shell {
-    pub core: Core,
+    pub core: FrontContext,
     pub front: Arc<dyn Front>,
     pub path: PathBuf,
 }
--- a/balancer/wire/src/round_trip.rs
+++ b/balancer/wire/src/round_trip.rs
@@ -1,7 +1,7 @@
 //! One request and its response on a connection that this program opened to a worker or to discovery.
 
 use crate::http::{Decoder, FrameError, Response};
-use crate::socket::{CancelToken, Got, Socket};
+use crate::socket::{CancelToken, ReadOutcome, Socket};
 use millrudder_exchange::clock::span;
 use std::io;
 
@@ -51,13 +51,13 @@
     let mut buffer = vec![0; READ_SIZE];
     loop {
         let next = match socket.try_read(&mut buffer)? {
-            Got::Bytes(n) => {
+            ReadOutcome::Bytes(n) => {
                 decoder.push(&buffer[..n]);
                 decoder.next_message()
             }
-            Got::End => decoder.finish().and_then(|r| r.ok_or(FrameError::CutShort).map(Some)),
-            Got::Nothing if cancel.is_cancelled() => return Err(io::ErrorKind::TimedOut.into()),
-            Got::Nothing => {
+            ReadOutcome::End => decoder.finish().and_then(|r| r.ok_or(FrameError::CutShort).map(Some)),
+            ReadOutcome::WouldBlock if cancel.is_cancelled() => return Err(io::ErrorKind::TimedOut.into()),
+            ReadOutcome::WouldBlock => {
                 socket.wait();
                 continue;
             }
--- a/balancer/wire/src/socket.rs
+++ b/balancer/wire/src/socket.rs
@@ -47,11 +47,11 @@
 
 /// Result of a read that does not block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ReadOutcome {
     /// This many bytes were read.
     Bytes(usize),
     /// No bytes are available now.
-    Nothing,
+    WouldBlock,
     /// The peer has closed its sending side.
     End,
 }
@@ -67,11 +67,11 @@
         Socket::new(TcpStream::connect_timeout(&to, timeout)?)
     }
 
-    pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<Got> {
+    pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<ReadOutcome> {
         match retry(|| self.stream.inner().read(buffer))? {
-            None => Ok(Got::Nothing),
-            Some(0) => Ok(Got::End),
-            Some(n) => Ok(Got::Bytes(n)),
+            None => Ok(ReadOutcome::WouldBlock),
+            Some(0) => Ok(ReadOutcome::End),
+            Some(n) => Ok(ReadOutcome::Bytes(n)),
         }
     }
 
@@ -123,9 +123,9 @@
     /// Like [`Socket::is_quiet`], with the reason as an error.
     pub fn check_quiet(&self) -> io::Result<()> {
         match self.try_read(&mut [0; 16])? {
-            Got::Nothing => Ok(()),
-            Got::End => Err(ErrorKind::UnexpectedEof.into()),
-            Got::Bytes(_) => Err(ErrorKind::InvalidData.into()),
+            ReadOutcome::WouldBlock => Ok(()),
+            ReadOutcome::End => Err(ErrorKind::UnexpectedEof.into()),
+            ReadOutcome::Bytes(_) => Err(ErrorKind::InvalidData.into()),
         }
     }
 }
