--- a/balancer/config/src/lib.rs
+++ b/balancer/config/src/lib.rs
@@ -1,4 +1,5 @@
-//! The one place that reads the environment and `NODE_CONFIG`, checks them and fills in defaults.
+//! Configuration of the dispatcher: the only code that reads the environment and the file named by `NODE_CONFIG`,
+//! validates them and fills in defaults.
 
 mod reload;
 pub mod settings;
@@ -15,23 +16,30 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Descriptors of the program itself: standard streams, listener, epoll, signals, discovery, and a reserve so
-/// that an accept or a look into /proc never meets the limit.
+/// File descriptors that the program needs for itself: standard streams, listener, epoll, signals, discovery,
+/// and a reserve so that an accept or a read of a file in /proc never hits the limit.
 const OWN_DESCRIPTORS: usize = 48;
+/// The environment variables that are read.
 const VARIABLES: [&str; 7] =
     ["NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_MGMT", "NODE_INHERITED_FD", "TMPDIR"];
-/// Where the two processes of an upgrade meet, in the folder that they share.
-const MEETING: &str = "millrudder.sock";
-const LEAST_SOCKETS: usize = 96;
+/// File name of the Unix socket over which the two processes of an upgrade connect, in the directory `TMPDIR`
+/// that they share.
+const UPGRADE_SOCKET: &str = "millrudder.sock";
+/// Least value of `limits.sockets` (file descriptors).
+const MIN_SOCKETS: usize = 96;
+/// Value of `limits.sockets` if it is absent (file descriptors).
 const DEFAULT_SOCKETS: usize = 1024;
-/// A call-back or a drain must still come in when clients hold all they may.
+/// Inbound connections reserved for call-backs and drains, which must get through when clients use all of theirs.
 const CALL_BACK_RESERVE: usize = 32;
-const LEAST_MEMORY_MB: usize = 24;
+/// Least value of `limits.memory_mb` (MiB).
+const MIN_MEMORY_MB: usize = 24;
+/// Value of `limits.memory_mb` if it is absent (MiB).
 const DEFAULT_MEMORY_MB: usize = 192;
-/// One part in so many of the memory is for what inbound connections hold of requests: a body is held twice
-/// while it is taken in and passed on, and the program with its stacks needs 14 to 20 MB.
-const BUFFERS_PART: usize = 8;
+/// Divisor of the memory: one part in this many is for the requests that inbound connections buffer. A body is
+/// held twice while it is received and forwarded, and the program with its stacks needs 14 to 20 MB.
+const BUFFERS_DIVISOR: usize = 8;
 
+/// Why a configuration cannot be used.
 #[derive(Debug)]
 pub enum ConfigError {
     Missing(&'static str),
@@ -63,68 +71,83 @@
     }
 }
 
-/// How many descriptors each concern may hold.
+/// Limits on file descriptors and memory for the parts of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     /// Inbound connections, call-backs included.
     pub inbound: usize,
     /// Inbound connections beyond which new jobs are deferred.
     pub inbound_jobs: usize,
+    /// Connections to workers.
     pub worker_connections: usize,
-    /// Bytes that all inbound connections together may hold of requests.
+    /// Bytes of requests that all inbound connections together may buffer.
     pub buffers: usize,
 }
 
 impl Budget {
-    /// The next hops need few: an accepted job gives its connection back at the 202.
+    /// Divides the limits. Connections to workers get the smaller part, because an accepted job frees its
+    /// connection when the worker answers 202.
     pub fn of(sockets: usize, memory_mb: usize) -> Self {
         let free = sockets - OWN_DESCRIPTORS;
         let worker_connections = (free / 4).min(256);
         let inbound = free - worker_connections;
-        let buffers = memory_mb * 1024 * 1024 / BUFFERS_PART;
+        let buffers = memory_mb * 1024 * 1024 / BUFFERS_DIVISOR;
         let reserve = CALL_BACK_RESERVE.min(inbound / 4);
         Budget { inbound, inbound_jobs: inbound - reserve, worker_connections, buffers }
     }
 }
 
-/// Names by which the wire's words are found in the module's numbers.
+/// Names in the protocol and the settings; the index of a name is the number that the decision module uses for it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
+    /// Job classes.
     pub classes: Vec<String>,
+    /// Zones.
     pub zones: Vec<String>,
+    /// Machine types.
     pub kinds: Vec<String>,
-    /// What the load report's `x0` and `x1` mean.
+    /// Meaning of the value `x0` in load reports.
     pub report_x0: String,
+    /// Meaning of the value `x1` in load reports.
     pub report_x1: String,
 }
 
+/// The configuration of a dispatcher.
 pub struct Config {
+    /// Name of this dispatcher.
     pub name: String,
+    /// Address of the HTTP/1.1 front.
     pub listen: SocketAddr,
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators call; none: nowhere.
+    /// Address for operators' calls; `None` if there is none.
     pub mgmt: Option<SocketAddr>,
-    /// The listening socket that the platform holds, by its descriptor's number as it was told.
+    /// Descriptor number of the listening socket inherited from the platform, as given in the environment.
     pub inherited: Option<String>,
-    /// Where an old process is found and a new one waited for; only where the platform holds the listening socket.
-    pub meeting: Option<PathBuf>,
+    /// Path of the socket that connects the two processes of an upgrade; only if the listening socket is
+    /// inherited.
+    pub upgrade_socket: Option<PathBuf>,
+    /// Seed of the random number generators.
     pub seed: u64,
+    /// Limits on file descriptors and memory.
     pub budget: Budget,
-    /// The transport map as it was last held, maybe old; none at a first start.
+    /// The last known worker list, which may be outdated; `None` at a first start.
     pub known: Option<List>,
+    /// Settings of the decision module.
     pub settings: mr::Settings,
+    /// Names behind the numbers in `settings`.
     pub names: Names,
-    /// How long a kept connection to a next hop may stand idle before the next hop may close it (ms).
+    /// Idle time after which a worker may close a keep-alive connection (ms).
     pub conn_idle: f64,
 }
 
 impl Config {
-    /// The classes as fronts know them.
+    /// The job classes in the form that fronts use.
     pub fn classes(&self) -> Vec<Class> {
         classes(&self.names, &self.settings)
     }
 
-    /// The configuration at the start, and where to read it again.
+    /// Loads the configuration at the start; the [`Source`] reads it again at a reload.
     pub fn load() -> Result<(Self, Source), ConfigError> {
         let environment: HashMap<String, String> = VARIABLES
             .into_iter()
@@ -137,19 +160,19 @@
         Ok((config, source))
     }
 
-    /// A configuration that names everything itself, without an environment.
+    /// Reads a configuration from JSON alone, without the environment.
     ///
     /// # Errors
-    /// As for a file.
+    /// The JSON is malformed, or a value is missing or invalid.
     pub fn from_json(bytes: &[u8]) -> Result<Self, ConfigError> {
         Config::read(bytes, |_| None)
     }
 
-    /// What the environment names stands before the file: it is what the platform sets at each start.
+    /// Values from the environment take precedence over the file, because the platform sets them at each start.
     fn read(bytes: &[u8], environment: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let document = json::parse(bytes)?;
         let root = Node::root(&document).object()?;
-        let told = |variable: &'static str, key: &str| -> Result<String, ConfigError> {
+        let required = |variable: &'static str, key: &str| -> Result<String, ConfigError> {
             match environment(variable).filter(|v| !v.is_empty()) {
                 Some(value) => Ok(value),
                 None => Ok(root.at(key).needed_text()?.to_owned()),
@@ -162,9 +185,9 @@
         let settings = root.at("settings").object()?;
         let (module, names) = read_settings(&settings)?;
         Ok(Config {
-            name: told("NODE_NAME", "name")?,
-            listen: address("NODE_LISTEN", told("NODE_LISTEN", "listen")?)?,
-            discovery: address("NODE_DISCOVERY", told("NODE_DISCOVERY", "discovery")?)?,
+            name: required("NODE_NAME", "name")?,
+            listen: address("NODE_LISTEN", required("NODE_LISTEN", "listen")?)?,
+            discovery: address("NODE_DISCOVERY", required("NODE_DISCOVERY", "discovery")?)?,
             mgmt: match set("NODE_MGMT") {
                 Some(value) => Some(address("NODE_MGMT", value)?),
                 None => match root.at("mgmt").text()? {
@@ -172,7 +195,10 @@
                     None => None,
                 },
             },
-            meeting: inherited.as_ref().and(folder).map(|folder| PathBuf::from(folder).join(MEETING)),
+            upgrade_socket: inherited
+                .as_ref()
+                .and(folder)
+                .map(|folder| PathBuf::from(folder).join(UPGRADE_SOCKET)),
             inherited,
             seed: read_seed(&root.at("seed"))?,
             budget: read_budget(&root.at("limits"))?,
@@ -187,13 +213,13 @@
     }
 }
 
-/// The classes as fronts know them.
+/// The job classes in the form that fronts use.
 pub fn classes(names: &Names, settings: &mr::Settings) -> Vec<Class> {
     let class = |(name, class): (&String, &mr::Class)| Class {
         name: name.clone(),
         keyed: class.effect == mr::Effect::Deduplicated,
-        limit: class.deadline,
-        until: f64::INFINITY,
+        default_timeout: class.deadline,
+        accepted_until: f64::INFINITY,
     };
     names.classes.iter().zip(&settings.classes).map(class).collect()
 }
@@ -211,27 +237,28 @@
 }
 
 fn read_budget(limits: &Node) -> Result<Budget, ConfigError> {
-    let sockets = read_limit(limits, "sockets", DEFAULT_SOCKETS, LEAST_SOCKETS)?;
-    let memory_mb = read_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB)?;
+    let sockets = read_limit(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS)?;
+    let memory_mb = read_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)?;
     Ok(Budget::of(sockets, memory_mb))
 }
 
-fn read_limit(limits: &Node, key: &str, default: usize, least: usize) -> Result<usize, ConfigError> {
+fn read_limit(limits: &Node, key: &str, default: usize, min: usize) -> Result<usize, ConfigError> {
     match limits.at(key).count()?.map_or(default, |n| n as usize) {
-        n if n >= least => Ok(n),
+        n if n >= min => Ok(n),
         n => Err(ConfigError::Value {
             key: format!("limits.{key}"),
-            problem: format!("{n} is too few, at least {least} are needed"),
+            problem: format!("{n} is too few, at least {min} are needed"),
         }),
     }
 }
 
-/// The number that the module knows a name by.
+/// The number that the decision module uses for a name.
 pub fn position(names: &[String], name: &str) -> Option<u32> {
     names.iter().position(|n| n == name).and_then(|i| u32::try_from(i).ok())
 }
 
-/// The settings object in the module's words. Names and units are those of the simulator's first message.
+/// Converts the `settings` object to the decision module's types. Its keys and units are those of the first
+/// message of the simulator's protocol.
 fn read_settings(node: &Node) -> Result<(mr::Settings, Names), ConfigError> {
     let specifics = node.at("specifics");
     let names = Names {
--- a/balancer/config/src/reload.rs
+++ b/balancer/config/src/reload.rs
@@ -1,8 +1,9 @@
-//! Reading `NODE_CONFIG` again while the program runs (SIGHUP).
+//! Reload of the file named by `NODE_CONFIG` while the program runs (SIGHUP).
 //!
-//! `discovery` and most of `settings` change under load. Whatever else differs keeps its value until the next start and
-//! is named, so that nobody takes it for applied. A file that cannot be used changes nothing; here that is also one
-//! that lacks a key which the running one has: it was cut, or written by half.
+//! `discovery` and most of `settings` take effect at once. Any other key that differs keeps its value until the
+//! next start and is reported, so that nobody believes it applied. An invalid file changes nothing. A file that
+//! lacks a key of the running configuration is invalid as well, because it was probably truncated or only half
+//! written.
 
 use super::{position, read_file, Config, ConfigError, Names};
 use millrudder as mr;
@@ -12,17 +13,18 @@
 use std::net::SocketAddr;
 use tinyjson::JsonValue;
 
-/// Keys that may differ: one is applied, the other is only the list to start from.
-const FREE: [&str; 2] = ["discovery", "known"];
-/// Of the settings, those on which numbers of this process rest, or its place among others.
-const FIXED: [&str; 8] =
+/// Top-level keys that may differ without a report: `discovery` is applied, and `known` is only used at a start.
+const UNREPORTED_KEYS: [&str; 2] = ["discovery", "known"];
+/// Keys of `settings` that cannot change while running: numbers in this process are assigned by them, or they
+/// define its place among the dispatchers.
+const FIXED_SETTINGS: [&str; 8] =
     ["me", "replicas_of_me", "zone", "failure_domains", "kinds", "tenants", "registry_mode", "reporting"];
-/// A class needs them only if its jobs are keyed.
-const KEYED_ONLY: [&str; 2] = ["dedup_scope", "window"];
-/// More is no number of attempts that can be meant.
-const MOST_ATTEMPTS: f64 = 1_000.0;
+/// Keys that a class needs only if its jobs carry a key for the detection of duplicates.
+const DEDUPLICATION_KEYS: [&str; 2] = ["dedup_scope", "window"];
+/// Largest plausible value of `max_attempts`.
+const MAX_ATTEMPTS: f64 = 1_000.0;
 
-/// The file, and what the running program was made from.
+/// The path of the file, and the configuration with which the program was started.
 pub struct Source {
     path: String,
     environment: HashMap<String, String>,
@@ -31,16 +33,18 @@
     names: Names,
 }
 
-/// What a changed file asks for.
+/// The result of a reload.
 #[derive(Debug)]
 pub struct Reloaded {
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// In the numbers of the running program.
+    /// Settings of the decision module, with the numbers that the running program uses for names.
     pub settings: mr::Settings,
+    /// Names behind the numbers in `settings`.
     pub names: Names,
-    /// As in `Config`.
+    /// As in [`Config`].
     pub conn_idle: f64,
-    /// Keys that differ but wait for the next start.
+    /// Keys that differ but are not applied before the next start.
     pub kept: Vec<String>,
 }
 
@@ -55,31 +59,33 @@
         Ok(Source { path, environment, running: json::parse(bytes)?, settings, names })
     }
 
-    /// Reads and checks the whole file as at a start. It blocks: not for coroutines.
+    /// Reads and checks the whole file as at a start. It blocks, so it must not be called in a coroutine.
     pub fn reload(&self) -> Result<Reloaded, ConfigError> {
         self.check(&read_file(&self.path)?)
     }
 
-    /// The environment is as old as the process, so here it stands behind the file.
+    /// Unlike at a start, `discovery` in the file takes precedence over the environment, which is as old as the
+    /// process.
     fn check(&self, bytes: &[u8]) -> Result<Reloaded, ConfigError> {
         let document = json::parse(bytes)?;
         check_keys(&self.running, &document, "")?;
-        check_figures(&document)?;
-        let newer = at(&document, "discovery").is_some();
+        check_numbers(&document)?;
+        let file_has_discovery = at(&document, "discovery").is_some();
         let config = Config::read(bytes, |key| match key {
-            "NODE_DISCOVERY" if newer => None,
+            "NODE_DISCOVERY" if file_has_discovery => None,
             _ => self.environment.get(key).cloned(),
         })?;
-        let kept = differing(&self.running, &document);
+        let kept = pending_keys(&self.running, &document);
         let (discovery, conn_idle) = (config.discovery, config.conn_idle);
-        let (settings, names) = self.fit(config);
+        let (settings, names) = self.merge(config);
         Ok(Reloaded { discovery, settings, names, conn_idle, kept })
     }
 
-    /// The new settings, with what stays as it is.
-    fn fit(&self, config: Config) -> (mr::Settings, Names) {
+    /// The new settings, with the values kept that cannot change while running.
+    fn merge(&self, config: Config) -> (mr::Settings, Names) {
         let (mut settings, mut names, running) = (config.settings, config.names, &self.settings);
-        // A class runs on one kind: by that kind's name, as the kinds' numbers stay.
+        // A class may be bound to a machine type. The file's number of the type is converted by its name,
+        // because this process keeps its own numbers.
         let kind = |k: u32| names.kinds.get(k as usize).and_then(|name| position(&self.names.kinds, name));
         for class in &mut settings.classes {
             class.kind = class.kind.map(|k| kind(k).unwrap_or(u32::MAX));
@@ -97,7 +103,7 @@
     ConfigError::Value { key, problem: "is missing".to_owned() }
 }
 
-/// Every key that the running document has, null being none.
+/// Checks that the new document has every key of the running one; null counts as missing.
 fn check_keys(running: &JsonValue, newer: &JsonValue, above: &str) -> Result<(), ConfigError> {
     let Some(map) = running.get::<HashMap<String, JsonValue>>() else { return Ok(()) };
     for (name, value) in map {
@@ -114,17 +120,19 @@
     Ok(())
 }
 
-/// Every key that all running classes have, but for what only keyed ones need; and each name once.
+/// Checks that each new class has every key that all running classes have, except that only classes with keyed
+/// jobs need [`DEDUPLICATION_KEYS`], and that no class name repeats.
 fn check_classes(running: &JsonValue, newer: &JsonValue) -> Result<(), ConfigError> {
     let lanes = |value: &JsonValue| value.get::<Vec<JsonValue>>().cloned().unwrap_or_default();
     let (running, newer) = (lanes(running), lanes(newer));
     let first = running.first().and_then(|lane| lane.get::<HashMap<String, JsonValue>>());
-    let everywhere = |key: &&String| running.iter().all(|lane| at(lane, key).is_some_and(|v| !v.is_null()));
-    let common: Vec<&String> = first.into_iter().flat_map(HashMap::keys).filter(everywhere).collect();
+    let is_in_all = |key: &&String| running.iter().all(|lane| at(lane, key).is_some_and(|v| !v.is_null()));
+    let common: Vec<&String> = first.into_iter().flat_map(HashMap::keys).filter(is_in_all).collect();
     let mut names = BTreeSet::new();
     for (i, lane) in newer.iter().enumerate() {
         let keyed = at(lane, "effect").and_then(|v| v.get::<String>()).is_some_and(|e| e == "deduplicated");
-        let wanted = common.iter().map(|key| key.as_str()).filter(|key| keyed || !KEYED_ONLY.contains(key));
+        let wanted =
+            common.iter().map(|key| key.as_str()).filter(|key| keyed || !DEDUPLICATION_KEYS.contains(key));
         for key in wanted {
             if at(lane, key).is_none_or(JsonValue::is_null) {
                 return Err(missing(format!("settings.lanes[{i}].{key}")));
@@ -138,33 +146,35 @@
     Ok(())
 }
 
-/// Deadlines and the number of attempts are numbers over 0 that can be meant.
-fn check_figures(document: &JsonValue) -> Result<(), ConfigError> {
+/// Checks that deadlines and the number of attempts are above 0 and plausible.
+fn check_numbers(document: &JsonValue) -> Result<(), ConfigError> {
     let settings = Node::root(document).at("settings");
-    let figure = |node: Node, most: f64, whole: bool| -> Result<(), ConfigError> {
+    let check_number = |node: Node, max: f64, whole: bool| -> Result<(), ConfigError> {
         match node.number()? {
-            Some(n) if n > 0.0 && n <= most && (!whole || n.fract() == 0.0) => Ok(()),
+            Some(n) if n > 0.0 && n <= max && (!whole || n.fract() == 0.0) => Ok(()),
             _ => Ok(node.wrong("a number over 0")?),
         }
     };
     for lane in settings.at("lanes").items()? {
-        figure(lane.at("hard_limit"), LONGEST_WAIT_MS, false)?;
+        check_number(lane.at("hard_limit"), LONGEST_WAIT_MS, false)?;
     }
     match settings.at("permissions").at("max_attempts") {
         absent if absent.is_absent() => Ok(()),
-        attempts => figure(attempts, MOST_ATTEMPTS, true),
+        attempts => check_number(attempts, MAX_ATTEMPTS, true),
     }
 }
 
-/// The keys of two documents whose values differ and wait for the next start; within `settings` and `limits`, theirs.
-fn differing(old: &JsonValue, new: &JsonValue) -> Vec<String> {
+/// The keys whose values differ between two documents and are not applied before the next start. For an object
+/// such as `settings` or `limits`, the keys inside it are reported.
+fn pending_keys(old: &JsonValue, new: &JsonValue) -> Vec<String> {
     let mut found = Vec::new();
-    for key in keys(old, new).into_iter().filter(|key| !FREE.contains(key)) {
+    for key in keys(old, new).into_iter().filter(|key| !UNREPORTED_KEYS.contains(key)) {
         match (at(old, key), at(new, key)) {
             (a, b) if a == b => {}
             (Some(a @ JsonValue::Object(_)), Some(b @ JsonValue::Object(_))) => {
-                let waits = |inner: &&str| key != "settings" || FIXED.contains(inner);
-                let inner = keys(a, b).into_iter().filter(|inner| at(a, inner) != at(b, inner)).filter(waits);
+                let is_pending = |inner: &&str| key != "settings" || FIXED_SETTINGS.contains(inner);
+                let inner =
+                    keys(a, b).into_iter().filter(|inner| at(a, inner) != at(b, inner)).filter(is_pending);
                 found.extend(inner.map(|inner| format!("{key}.{inner}")));
             }
             _ => found.push(key.to_owned()),
--- a/balancer/exchange/src/clock.rs
+++ b/balancer/exchange/src/clock.rs
@@ -1,8 +1,8 @@
-//! The module's clock: milliseconds of Unix time as it was at the start, carried on by the monotonic clock.
+//! The dispatcher's clock: Unix time in milliseconds at the start, advanced by the monotonic clock.
 //!
-//! Starting from Unix time lets `startedAtMs` of the transport map be used as it comes, and gives all
-//! dispatchers nearly the same numbers; being monotonic from there on, a step of the system's clock cannot
-//! make deadlines or timers jump.
+//! Because it starts from Unix time, `startedAtMs` of the worker list can be compared with it directly, and all
+//! dispatchers read nearly the same values. Because it is monotonic, a step of the system clock does not make
+//! deadlines or timers jump.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -10,47 +10,48 @@
 /// The dispatcher's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    goes_by: GoesBy,
+    source: Source,
     unix_ms: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum GoesBy {
+enum Source {
     Monotonic(Instant),
-    /// Milliseconds since the start (bits).
-    Hand(&'static AtomicU64),
+    /// Set by tests: milliseconds since the start, as the bits of an `f64`.
+    Manual(&'static AtomicU64),
 }
 
 impl Clock {
     /// Starts at the present Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Clock { goes_by: GoesBy::Monotonic(Instant::now()), unix_ms: unix.as_secs_f64() * 1000.0 }
+        Clock { source: Source::Monotonic(Instant::now()), unix_ms: unix.as_secs_f64() * 1000.0 }
     }
 
-    /// One that stands at 0 until `turn_to`: for tests of what happens at which moment. Each keeps a few bytes for good.
-    pub fn by_hand() -> Self {
-        Clock { goes_by: GoesBy::Hand(Box::leak(Box::default())), unix_ms: 0.0 }
+    /// A clock for tests that stays at 0 until [`Clock::set`] is called. Each one leaks a few bytes, so that
+    /// `Clock` can be `Copy`.
+    pub fn manual() -> Self {
+        Clock { source: Source::Manual(Box::leak(Box::default())), unix_ms: 0.0 }
     }
 
-    /// Turns a clock `by_hand` to this time (ms); another goes on by itself.
-    pub fn turn_to(&self, ms: f64) {
-        if let GoesBy::Hand(hand) = self.goes_by {
-            hand.store(ms.to_bits(), Ordering::Release);
+    /// Sets a manual clock to this time (ms); does nothing to a real clock.
+    pub fn set(&self, ms: f64) {
+        if let Source::Manual(reading) = self.source {
+            reading.store(ms.to_bits(), Ordering::Release);
         }
     }
 
-    /// The present reading (ms).
+    /// The current time (ms).
     pub fn now(&self) -> f64 {
-        let since = match self.goes_by {
-            GoesBy::Monotonic(start) => start.elapsed().as_secs_f64() * 1000.0,
-            GoesBy::Hand(hand) => f64::from_bits(hand.load(Ordering::Acquire)),
+        let since = match self.source {
+            Source::Monotonic(start) => start.elapsed().as_secs_f64() * 1000.0,
+            Source::Manual(reading) => f64::from_bits(reading.load(Ordering::Acquire)),
         };
         self.unix_ms + since
     }
 }
 
-/// A span of milliseconds as a duration; what is not a positive number is none.
+/// Converts milliseconds to a [`Duration`]; negative numbers, NaN and values out of range become zero.
 pub fn span(ms: f64) -> Duration {
     Duration::try_from_secs_f64(ms.max(0.0) / 1000.0).unwrap_or(Duration::ZERO)
 }
--- a/balancer/exchange/src/exchange/tests.rs
+++ b/balancer/exchange/src/exchange/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `exchange`.
 
 use super::*;
-use crate::job::{Front, Verbatim};
+use crate::job::{ForwardedRequest, Front};
 
 fn job() -> Job {
     Job {
@@ -11,7 +11,7 @@
         slots: 1.0,
         memory: 0.0,
         deadline: 5000.0,
-        verbatim: Verbatim {
+        forwarded: ForwardedRequest {
             method: "POST".to_owned(),
             target: "/api".to_owned(),
             body: Vec::new(),
@@ -23,7 +23,8 @@
 
 #[test]
 fn a_job_submitted_as_dispatch_ends_is_deferred() {
-    // A front on a thread of its own may have looked just before: its job lay there, and its client waited.
+    // A front on its own thread may submit at the moment at which dispatch stops reading. Without the check in
+    // `submit` nobody answered the job, and its client waited.
     let deferred = Some(Answer::Defer { retry_after: None });
     let (exchange, inbox) = Exchange::new();
     let (before, after) = (Reply::new(|| {}), Reply::new(|| {}));
@@ -36,15 +37,15 @@
 }
 
 #[test]
-fn orders_go_before_all_that_waits() {
+fn orders_are_received_before_ordinary_messages() {
     let (exchange, inbox) = Exchange::new();
-    exchange.put(Message::Stop);
-    exchange.put(Message::WorkerListUnavailable);
-    let awaited = exchange.order(Order::Disable("s-1".to_owned()));
-    let Ok(Message::Ordered(asked)) = inbox.try_recv() else { panic!("not the order") };
-    asked.carry_out(|_| Ok(()));
-    assert_eq!(awaited.look(), Some(Ok(())));
+    exchange.send(Message::Stop);
+    exchange.send(Message::WorkerListUnavailable);
+    let handle = exchange.order(Order::Disable("s-1".to_owned()));
+    let Ok(Message::Ordered(pending)) = inbox.try_recv() else { panic!("not the order") };
+    pending.carry_out(|_| Ok(()));
+    assert_eq!(handle.result(), Some(Ok(())));
     assert!(matches!(inbox.try_recv(), Ok(Message::Stop)));
     assert!(matches!(inbox.try_recv(), Ok(Message::WorkerListUnavailable)));
-    assert!(inbox.try_recv().is_err(), "nothing is given out twice");
+    assert!(inbox.try_recv().is_err(), "no message is received twice");
 }
--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -23,7 +23,7 @@
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::rate::Limiter;
 use millrudder_exchange::shutdown::Stopping;
-use millrudder_exchange::{Core, Drain, PeerProcess};
+use millrudder_exchange::{Drain, FrontContext, PeerProcess};
 use proto::jobs_server::JobsServer;
 use service::JobsService;
 use slog::Logger;
@@ -104,7 +104,7 @@
         upgrades: bool,
         limits: GrpcLimits,
         budget: GrpcBudget,
-        core: Core,
+        core: FrontContext,
     ) -> io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
         let listener = {
@@ -150,7 +150,7 @@
     listener: TcpListener,
     limits: GrpcLimits,
     budget: GrpcBudget,
-    core: Core,
+    core: FrontContext,
     door: Arc<Door>,
     ended: oneshot::Receiver<()>,
 ) {
@@ -285,7 +285,7 @@
         }
         // Clients of a process that has laid its place down find the new one; calls under way are answered here.
         let moved = shared.peer_process.is_open() && !shared.peer_process.accepts();
-        let closing = shared.stopping.grace_is_over(now) || shared.drain.is_noticed(now) || moved;
+        let closing = shared.stopping.grace_is_over(now) || shared.drain.clients_notified(now) || moved;
         shared.door.sweep(shared.limits.idle_time.ms(), closing, now, &shared.counters);
     }
 }
--- a/balancer/fronts/http/src/connection.rs
+++ b/balancer/fronts/http/src/connection.rs
@@ -6,7 +6,7 @@
 use may::net::TcpStream;
 use millrudder_exchange::{Answer, Failure, Front, Job, PeerRole, Reply, Transfer};
 use millrudder_wire::http::{self, Decoder, Request};
-use millrudder_wire::socket::{Got, Socket};
+use millrudder_wire::socket::{ReadOutcome, Socket};
 use std::io;
 use std::sync::Arc;
 
@@ -84,9 +84,9 @@
         let mut left = LINGER_BYTES;
         while left > 0 && !self.pass.is_ended() {
             match self.socket.try_read(&mut self.buffer) {
-                Ok(Got::Bytes(n)) => left = left.saturating_sub(n),
-                Ok(Got::Nothing) => self.socket.wait(),
-                Ok(Got::End) | Err(_) => return,
+                Ok(ReadOutcome::Bytes(n)) => left = left.saturating_sub(n),
+                Ok(ReadOutcome::WouldBlock) => self.socket.wait(),
+                Ok(ReadOutcome::End) | Err(_) => return,
             }
         }
     }
@@ -111,17 +111,21 @@
             let idle = self.decoder.is_idle();
             self.doing(if idle { Doing::Idle } else { Doing::Reading });
             match self.read() {
-                Ok(Got::Bytes(_)) if !self.shared.doors.holds(&self.pass, self.decoder.held()) => {
+                Ok(ReadOutcome::Bytes(_))
+                    if !self.shared.doors.holds(&self.pass, self.decoder.buffered_bytes()) =>
+                {
                     return Err(NoRequest::Refused(Refusal::NoMemory));
                 }
-                Ok(Got::Bytes(_)) if idle => self.began = self.shared.clock.now(),
-                Ok(Got::Bytes(_)) => {}
-                Ok(Got::Nothing) if idle && self.pass_on() => return Err(NoRequest::Gone),
+                Ok(ReadOutcome::Bytes(_)) if idle => self.began = self.shared.clock.now(),
+                Ok(ReadOutcome::Bytes(_)) => {}
+                Ok(ReadOutcome::WouldBlock) if idle && self.pass_on() => return Err(NoRequest::Gone),
                 // What has come is read before a connection is ended: a request may be in it.
-                Ok(Got::Nothing) if self.pass.is_ended() && idle => return Err(NoRequest::Gone),
-                Ok(Got::Nothing) if self.pass.is_ended() => return Err(NoRequest::Refused(Refusal::TooSlow)),
-                Ok(Got::Nothing) => self.socket.wait(),
-                Ok(Got::End) | Err(_) => return Err(NoRequest::Gone),
+                Ok(ReadOutcome::WouldBlock) if self.pass.is_ended() && idle => return Err(NoRequest::Gone),
+                Ok(ReadOutcome::WouldBlock) if self.pass.is_ended() => {
+                    return Err(NoRequest::Refused(Refusal::TooSlow))
+                }
+                Ok(ReadOutcome::WouldBlock) => self.socket.wait(),
+                Ok(ReadOutcome::End) | Err(_) => return Err(NoRequest::Gone),
             }
         }
     }
@@ -134,13 +138,13 @@
             return false;
         }
         let standing = self.shared.doors.standing(&self.pass);
-        let parcel = self.socket.to_pass_on().map(|stream| Transfer::Connection(stream, standing));
+        let parcel = self.socket.try_clone_stream().map(|stream| Transfer::Connection(stream, standing));
         parcel.is_ok_and(|parcel| peer_process.put(parcel).is_ok())
     }
 
-    fn read(&mut self) -> io::Result<Got> {
+    fn read(&mut self) -> io::Result<ReadOutcome> {
         let got = self.socket.try_read(&mut self.buffer)?;
-        if let Got::Bytes(n) = got {
+        if let ReadOutcome::Bytes(n) = got {
             self.decoder.push(&self.buffer[..n]);
         }
         Ok(got)
@@ -148,13 +152,13 @@
 
     /// Reads on while a job is here, to see its client leave; what it sends ahead waits, within bounds. `dropped`
     /// counts what did not.
-    fn read_ahead(&mut self, dropped: &mut usize) -> io::Result<Got> {
-        if *dropped == 0 && self.decoder.held() <= AHEAD_BYTES {
+    fn read_ahead(&mut self, dropped: &mut usize) -> io::Result<ReadOutcome> {
+        if *dropped == 0 && self.decoder.buffered_bytes() <= AHEAD_BYTES {
             return self.read();
         }
         let got = self.socket.try_read(&mut self.buffer)?;
-        if let Got::Bytes(n) = got {
-            *dropped += n + self.decoder.held();
+        if let ReadOutcome::Bytes(n) = got {
+            *dropped += n + self.decoder.buffered_bytes();
             self.decoder = Decoder::default();
         }
         Ok(got)
@@ -174,7 +178,7 @@
             }
             Ok(Intake::News(body)) => {
                 if call_back::take(&self.shared, body) {
-                    self.shared.doors.proved(&self.pass, PeerRole::Caller);
+                    self.shared.doors.proved(&self.pass, PeerRole::WorkerOrMonitor);
                 }
                 self.reply(keep, answer::no_content)
             }
@@ -188,14 +192,14 @@
             let advice = (!self.shared.stopping.has_begun()).then_some(CROWDED_RETRY_MS);
             return self.turn_away(advice, false);
         }
-        let permit = match self.shared.admission_gate.enter(Front::Http, job.verbatim.body.len()) {
+        let permit = match self.shared.admission_gate.enter(Front::Http, job.forwarded.body.len()) {
             Ok(permit) => permit,
             Err(refused) => {
                 return self.turn_away(Some(refused.retry_after), keep);
             }
         };
         self.doing(Doing::Waiting);
-        self.shared.doors.holds(&self.pass, self.decoder.held() + job.verbatim.body.len());
+        self.shared.doors.holds(&self.pass, self.decoder.buffered_bytes() + job.forwarded.body.len());
         let waker = self.socket.waker();
         let reply = Reply::new(move || waker.wakeup());
         let ticket = self.shared.exchange.submit(job, reply.clone());
@@ -210,13 +214,13 @@
                 };
             }
             match self.read_ahead(&mut dropped) {
-                Ok(Got::Bytes(_)) if dropped > DROPPED_BYTES => {
+                Ok(ReadOutcome::Bytes(_)) if dropped > DROPPED_BYTES => {
                     self.shared.exchange.withdraw(ticket);
                     return self.refuse(&Refusal::Flood);
                 }
-                Ok(Got::Bytes(_)) => {}
-                Ok(Got::Nothing) => self.socket.wait(),
-                Ok(Got::End) | Err(_) => {
+                Ok(ReadOutcome::Bytes(_)) => {}
+                Ok(ReadOutcome::WouldBlock) => self.socket.wait(),
+                Ok(ReadOutcome::End) | Err(_) => {
                     self.shared.exchange.withdraw(ticket);
                     return Err(io::ErrorKind::ConnectionAborted.into());
                 }
@@ -233,7 +237,7 @@
 
     fn give(&mut self, answer: &Answer, keep: bool) -> io::Result<()> {
         self.shared.doors.proved(&self.pass, PeerRole::Client);
-        self.shared.doors.holds(&self.pass, self.decoder.held());
+        self.shared.doors.holds(&self.pass, self.decoder.buffered_bytes());
         // Its client has somewhere else to go.
         let keep = keep && !self.shared.drain.is_on();
         self.reply(keep, |close| answer::of_job(answer, close))
--- a/balancer/wire/src/descriptor.rs
+++ b/balancer/wire/src/descriptor.rs
@@ -1,5 +1,6 @@
-//! Descriptors from outside this process's own calls: one inherited from the platform, those that another process
-//! passed on. The only unsafe code of the workspace; each call below says why it is sound.
+//! File descriptors that this process has not opened itself: the listening socket inherited from the platform,
+//! and those passed by another process. This is the only unsafe code of the workspace; each unsafe call states
+//! why it is sound.
 #![allow(unsafe_code)]
 
 use may::net::{TcpListener, TcpStream};
@@ -9,18 +10,19 @@
 use std::os::fd::{BorrowedFd, FromRawFd, IntoRawFd};
 use std::panic::catch_unwind;
 
-/// Standard streams are no sockets of anybody's.
-const FIRST: i32 = 3;
+/// Lowest number that an inherited socket can have; 0 to 2 are the standard streams.
+const MIN_FD: i32 = 3;
 
-/// The listening socket that the platform has left open under this number.
+/// Takes over the listening socket that the platform has left open under this descriptor number.
 ///
 /// # Errors
 /// The number is out of range, nothing is open under it, or it is not a listening TCP socket.
 pub fn inherited_listener(number: &str) -> io::Result<std::net::TcpListener> {
     let wrong = |what: &str| io::Error::new(io::ErrorKind::InvalidInput, format!("{number:?}: {what}"));
-    let fd = number.parse::<i32>().ok().filter(|fd| *fd >= FIRST).ok_or_else(|| wrong("no descriptor"))?;
-    // SAFETY: the number is only asked about; whether it is open is what `fcntl` finds out. Nothing else of this
-    // process closes or opens descriptors yet: the platform's promise is that this one is ours.
+    let fd = number.parse::<i32>().ok().filter(|fd| *fd >= MIN_FD).ok_or_else(|| wrong("no descriptor"))?;
+    // SAFETY: the descriptor is only queried, and `fcntl` reports whether it is open at all. Nothing else in
+    // this process opens or closes descriptors yet, and the platform guarantees that this one is for this
+    // process.
     let borrowed = unsafe { BorrowedFd::borrow_raw(fd) };
     rustix::io::fcntl_getfd(borrowed).map_err(|e| wrong(&io::Error::from(e).to_string()))?;
     let listens = socket_type(borrowed) == Ok(SocketType::STREAM) && socket_acceptconn(borrowed) == Ok(true);
@@ -28,27 +30,29 @@
         return Err(wrong("not a listening socket"));
     }
     rustix::io::fcntl_setfd(borrowed, rustix::io::FdFlags::CLOEXEC)?;
-    // SAFETY: it is open, and inherited for this use alone; from here on the listener owns it.
+    // SAFETY: the descriptor is open and was inherited for this use only; from here on the listener owns it.
     Ok(unsafe { std::net::TcpListener::from_raw_fd(fd) })
 }
 
-/// may gives no other way to a listener that is already bound.
+/// Converts a bound listener to one of the coroutine library `may`, which has no safe way to do so.
 ///
 /// # Errors
-/// It cannot be watched for events.
+/// The descriptor cannot be registered for events.
 pub fn listener(listener: std::net::TcpListener) -> io::Result<TcpListener> {
-    // SAFETY: the descriptor was owned by `listener` and passes whole. may panics if it cannot be watched.
+    // SAFETY: `listener` owned the descriptor, and its ownership passes to the new one. `may` panics if it
+    // cannot register the descriptor for events.
     let fd = listener.into_raw_fd();
     catch_unwind(|| unsafe { TcpListener::from_raw_fd(fd) })
         .map_err(|_| io::Error::other("cannot be watched"))
 }
 
-/// As [`listener`], for a connection.
+/// Like [`listener`], for a connection.
 ///
 /// # Errors
-/// It cannot be watched for events.
+/// The descriptor cannot be registered for events.
 pub fn stream(stream: std::net::TcpStream) -> io::Result<TcpStream> {
-    // SAFETY: the descriptor was owned by `stream` and passes whole. may panics if it cannot be watched.
+    // SAFETY: `stream` owned the descriptor, and its ownership passes to the new one. `may` panics if it cannot
+    // register the descriptor for events.
     let fd = stream.into_raw_fd();
     catch_unwind(|| unsafe { TcpStream::from_raw_fd(fd) }).map_err(|_| io::Error::other("cannot be watched"))
 }
--- a/balancer/wire/src/http/decode.rs
+++ b/balancer/wire/src/http/decode.rs
@@ -1,9 +1,10 @@
-//! Bytes to messages. A `Decoder` holds what has come of one connection and gives each message once whole.
+//! Decoding of messages. A [`Decoder`] buffers the bytes received on one connection and returns each message
+//! once it is complete.
 
 use super::{Headers, Request, Response, BODY_LIMIT, HEAD_LIMIT, MAX_HEADERS};
 use std::fmt;
 
-/// Room for a chunk's size line with its extensions.
+/// Longest size line of a chunk, with its extensions (bytes).
 const CHUNK_LINE_LIMIT: usize = 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +32,7 @@
 
 type Framed<T> = Result<T, FrameError>;
 
-/// How a body's end is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Framing {
     Length(usize),
@@ -39,21 +40,23 @@
     UntilClose,
 }
 
-/// A request or a response: what differs between the two in framing.
+/// What differs between requests and responses in framing.
 pub trait Message: Sized {
-    /// The head at the front of `bytes` and its length, once it is whole; the body is still empty.
+    /// Parses the head at the front of `bytes`; returns the message with an empty body and the length of the
+    /// head, once the head is complete.
     fn head(bytes: &[u8]) -> Framed<Option<(Self, usize)>>;
-    /// It only announces the message to come (1xx).
+    /// Whether this is an interim response (1xx), which the final one follows.
     fn is_interim(&self) -> bool;
-    /// A body is never there, whatever the headers say.
-    fn bodiless(&self) -> bool;
-    /// How a body without a stated length is framed.
-    fn unstated() -> Option<()>;
+    /// Whether the message has no body whatever its headers say.
+    fn has_no_body(&self) -> bool;
+    /// Whether a body for which the headers give neither a length nor a transfer coding extends to the end of
+    /// the connection; otherwise there is no body.
+    fn is_close_delimited() -> bool;
     fn headers(&self) -> &Headers;
     fn set_body(&mut self, body: Vec<u8>);
 }
 
-fn no_head(error: httparse::Error) -> FrameError {
+fn head_error(error: httparse::Error) -> FrameError {
     match error {
         httparse::Error::TooManyHeaders => FrameError::HeadTooLarge,
         httparse::Error::HeaderName | httparse::Error::HeaderValue => FrameError::Malformed("header"),
@@ -61,7 +64,7 @@
     }
 }
 
-fn owned(parsed: &[httparse::Header]) -> Framed<Headers> {
+fn owned_headers(parsed: &[httparse::Header]) -> Framed<Headers> {
     let line = |h: &httparse::Header| {
         let value = std::str::from_utf8(h.value).map_err(|_| FrameError::Malformed("header"))?;
         Ok((h.name.to_owned(), value.trim().to_owned()))
@@ -69,8 +72,8 @@
     parsed.iter().map(line).collect::<Framed<Vec<_>>>().map(Headers)
 }
 
-/// HTTP/1.1 keeps a connection unless told otherwise, HTTP/1.0 closes it unless told otherwise.
-fn keeps(version: Option<u8>, headers: &Headers) -> bool {
+/// Whether the connection stays open: by default yes in HTTP/1.1 and no in HTTP/1.0.
+fn is_keep_alive(version: Option<u8>, headers: &Headers) -> bool {
     match version {
         Some(0) => headers.lists("connection", "keep-alive"),
         _ => !headers.lists("connection", "close"),
@@ -81,14 +84,14 @@
     fn head(bytes: &[u8]) -> Framed<Option<(Self, usize)>> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut lines);
-        let httparse::Status::Complete(length) = parsed.parse(bytes).map_err(no_head)? else {
+        let httparse::Status::Complete(length) = parsed.parse(bytes).map_err(head_error)? else {
             return Ok(None);
         };
-        let headers = owned(parsed.headers)?;
+        let headers = owned_headers(parsed.headers)?;
         let request = Request {
             method: parsed.method.unwrap_or_default().to_owned(),
             target: parsed.path.unwrap_or_default().to_owned(),
-            keep_alive: keeps(parsed.version, &headers),
+            keep_alive: is_keep_alive(parsed.version, &headers),
             headers,
             body: Vec::new(),
         };
@@ -97,11 +100,11 @@
     fn is_interim(&self) -> bool {
         false
     }
-    fn bodiless(&self) -> bool {
+    fn has_no_body(&self) -> bool {
         false
     }
-    fn unstated() -> Option<()> {
-        None
+    fn is_close_delimited() -> bool {
+        false
     }
     fn headers(&self) -> &Headers {
         &self.headers
@@ -115,13 +118,13 @@
     fn head(bytes: &[u8]) -> Framed<Option<(Self, usize)>> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut lines);
-        let httparse::Status::Complete(length) = parsed.parse(bytes).map_err(no_head)? else {
+        let httparse::Status::Complete(length) = parsed.parse(bytes).map_err(head_error)? else {
             return Ok(None);
         };
-        let headers = owned(parsed.headers)?;
+        let headers = owned_headers(parsed.headers)?;
         let response = Response {
             status: parsed.code.unwrap_or_default(),
-            keep_alive: keeps(parsed.version, &headers),
+            keep_alive: is_keep_alive(parsed.version, &headers),
             headers,
             body: Vec::new(),
         };
@@ -130,11 +133,11 @@
     fn is_interim(&self) -> bool {
         matches!(self.status, 100..=199)
     }
-    fn bodiless(&self) -> bool {
+    fn has_no_body(&self) -> bool {
         self.is_interim() || matches!(self.status, 204 | 304)
     }
-    fn unstated() -> Option<()> {
-        Some(())
+    fn is_close_delimited() -> bool {
+        true
     }
     fn headers(&self) -> &Headers {
         &self.headers
@@ -144,8 +147,8 @@
     }
 }
 
-/// Two lengths, or a length beside a coding, let two readers disagree on where a message ends (request
-/// smuggling): refused rather than guessed.
+/// Determines the framing from the headers. Two different lengths, or a length beside a transfer coding, are
+/// refused: two readers could disagree on where the message ends (request smuggling).
 fn framing<M: Message>(message: &M) -> Framed<Framing> {
     let headers = message.headers();
     let mut lengths = headers.all("content-length").flat_map(|v| v.split(',')).map(str::trim);
@@ -155,7 +158,7 @@
     }
     let coding = headers.get("transfer-encoding");
     match (length, coding) {
-        _ if message.bodiless() => Ok(Framing::Length(0)),
+        _ if message.has_no_body() => Ok(Framing::Length(0)),
         (Some(_), Some(_)) => Err(FrameError::Malformed("Content-Length beside Transfer-Encoding")),
         (None, Some(c))
             if c.eq_ignore_ascii_case("chunked") && headers.all("transfer-encoding").count() == 1 =>
@@ -164,7 +167,8 @@
         }
         (None, Some(_)) => Err(FrameError::UnknownCoding),
         (Some(digits), None) => read_length(digits).map(Framing::Length),
-        (None, None) => Ok(M::unstated().map_or(Framing::Length(0), |()| Framing::UntilClose)),
+        (None, None) if M::is_close_delimited() => Ok(Framing::UntilClose),
+        (None, None) => Ok(Framing::Length(0)),
     }
 }
 
@@ -172,7 +176,7 @@
     if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) {
         return Err(FrameError::Malformed("Content-Length"));
     }
-    // Digits that overflow are a length too, and too large.
+    // Digits that overflow `usize` are a valid length, but too large.
     match digits.parse::<usize>() {
         Ok(n) if n <= BODY_LIMIT => Ok(n),
         _ => Err(FrameError::BodyTooLarge),
@@ -180,19 +184,20 @@
 }
 
 #[derive(Debug)]
-struct Open<M> {
+struct PartialMessage<M> {
     message: M,
     framing: Framing,
-    /// What has been decoded of a chunked body.
+    /// The decoded part of a chunked body.
     chunks: Vec<u8>,
-    /// The peer waits for `100 Continue` before it sends the body.
-    expects: bool,
+    /// The peer waits for `100 Continue` before it sends the body, and has not been told yet.
+    expects_continue: bool,
 }
 
+/// Incremental decoder of the messages on one connection.
 #[derive(Debug)]
 pub struct Decoder<M> {
     buffer: Vec<u8>,
-    open: Option<Open<M>>,
+    open: Option<PartialMessage<M>>,
 }
 
 impl<M> Default for Decoder<M> {
@@ -206,22 +211,22 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Nothing has come since the last whole message.
+    /// Whether nothing has been received since the last complete message.
     pub fn is_idle(&self) -> bool {
         self.buffer.is_empty() && self.open.is_none()
     }
 
-    /// Bytes that wait here for their message to be whole.
-    pub fn held(&self) -> usize {
+    /// Bytes buffered for a message that is not complete yet.
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() + self.open.as_ref().map_or(0, |open| open.chunks.len())
     }
 
-    /// True once for a message whose sender waits for `100 Continue`.
+    /// Whether the peer waits for `100 Continue`; true only once for each message.
     pub fn take_expectation(&mut self) -> bool {
-        self.open.as_mut().is_some_and(|open| std::mem::take(&mut open.expects))
+        self.open.as_mut().is_some_and(|open| std::mem::take(&mut open.expects_continue))
     }
 
-    /// The next message, once whole. After an error the connection cannot be read on.
+    /// Returns the next message once it is complete. After an error nothing more can be decoded on the connection.
     pub fn next_message(&mut self) -> Framed<Option<M>> {
         while self.open.is_none() {
             match self.read_head()? {
@@ -238,33 +243,36 @@
             Framing::UntilClose if self.buffer.len() > BODY_LIMIT => return Err(FrameError::BodyTooLarge),
             Framing::UntilClose => None,
         };
-        Ok(body.and_then(|body| self.close(body)))
+        Ok(body.and_then(|body| self.complete(body)))
     }
 
-    /// The peer has ended the connection: a body that only the end delimits is whole now.
+    /// Handles the end of the connection, which completes a body that is delimited by it.
     pub fn finish(&mut self) -> Framed<Option<M>> {
         match &self.open {
             Some(open) if open.framing == Framing::UntilClose => {
                 let body = std::mem::take(&mut self.buffer);
-                Ok(self.close(body))
+                Ok(self.complete(body))
             }
             _ if self.is_idle() => Ok(None),
             _ => Err(FrameError::CutShort),
         }
     }
 
-    fn close(&mut self, body: Vec<u8>) -> Option<M> {
+    /// Completes the open message with its body.
+    fn complete(&mut self, body: Vec<u8>) -> Option<M> {
         let mut message = self.open.take()?.message;
         message.set_body(body);
         if self.buffer.is_empty() {
-            // A kept connection is idle most of the time: it should not hold the memory of its largest message.
+            // A keep-alive connection is idle most of the time and should not keep the memory of its largest
+            // message.
             self.buffer = Vec::new();
         }
         Some(message)
     }
 
-    fn read_head(&mut self) -> Framed<Option<Open<M>>> {
-        // httparse skips blank lines before a head; they must not gather without bound.
+    fn read_head(&mut self) -> Framed<Option<PartialMessage<M>>> {
+        // httparse skips blank lines before a head; the limit below keeps them from filling the buffer without
+        // bound.
         if self.buffer.is_empty() {
             return Ok(None);
         }
@@ -272,13 +280,15 @@
             return if self.buffer.len() >= HEAD_LIMIT { Err(FrameError::HeadTooLarge) } else { Ok(None) };
         };
         let framing = framing(&message)?;
-        let expects = message.headers().lists("expect", "100-continue") && framing != Framing::Length(0);
+        let expects_continue =
+            message.headers().lists("expect", "100-continue") && framing != Framing::Length(0);
         self.buffer.drain(..length);
-        Ok(Some(Open { message, framing, chunks: Vec::new(), expects }))
+        Ok(Some(PartialMessage { message, framing, chunks: Vec::new(), expects_continue }))
     }
 }
 
-/// Takes whole chunks from the front of `buffer`; gives the body after the last one and its trailers.
+/// Moves complete chunks from the front of `buffer` to `body`; returns the body after the last chunk and its
+/// trailers.
 fn read_chunks(buffer: &mut Vec<u8>, body: &mut Vec<u8>) -> Framed<Option<Vec<u8>>> {
     loop {
         let bad = |_| FrameError::Malformed("chunk size");
@@ -309,10 +319,10 @@
     }
 }
 
-/// Length of the trailer section, once whole. Trailers themselves mean nothing here.
+/// Length of the trailer section, once it is complete. The trailers themselves are ignored.
 fn read_trailers(bytes: &[u8]) -> Framed<Option<usize>> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    match httparse::parse_headers(bytes, &mut lines).map_err(no_head)? {
+    match httparse::parse_headers(bytes, &mut lines).map_err(head_error)? {
         httparse::Status::Complete((length, _)) => Ok(Some(length)),
         httparse::Status::Partial if bytes.len() > HEAD_LIMIT => Err(FrameError::HeadTooLarge),
         httparse::Status::Partial => Ok(None),
