--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -16,7 +16,7 @@
 use millrudder_exchange::shutdown::Stopping;
 use millrudder_exchange::{AdmissionGate, Advice, Core, Drain, Exchange, PeerProcess, PeerRole};
 use millrudder_front_grpc::GrpcFront;
-use millrudder_front_http::{Listen, SenderSide};
+use millrudder_front_http::{HttpFront, Listen};
 use millrudder_front_operators as operators;
 use millrudder_upgrade as upgrade;
 use millrudder_wire::{descriptor, STACK_WORDS};
@@ -127,7 +127,7 @@
         log: log.clone(),
     };
     let control = settings.upgrade.control.as_deref().map(|path| status::open(path, &core)).transpose()?;
-    let sender = SenderSide::new(shares.http, core.clone());
+    let sender = HttpFront::new(shares.http, core.clone());
     let dependencies = DispatchDependencies {
         exchange: exchange.clone(),
         transport,
@@ -148,7 +148,7 @@
     // The module knows the last list before the first client can come.
     let dispatching = may::go!(move || dispatch.run(&inbox, known, legacy.as_ref()));
     let listen = settings.fronts.http.listen.map_or(config.listen, |address| address.0);
-    let opens = inherited.map_or(Listen::At(listen), Listen::On);
+    let opens = inherited.map_or(Listen::Address(listen), Listen::Socket);
     // A new process listens, and accepts once the old one has laid that down.
     peer_process.accept(met.is_none());
     sender.open(opens).map_err(|source| StartError::Listen { address: listen, source })?;
@@ -189,7 +189,7 @@
 }
 
 /// The HTTP/1.1 front, as an upgrade sees it.
-struct Doorway(SenderSide);
+struct Doorway(HttpFront);
 
 impl upgrade::Front for Doorway {
     fn adopt(&self, stream: TcpStream, standing: PeerRole) {
@@ -212,10 +212,10 @@
 }
 
 /// Nothing is owed; what has been answered is still to be written out.
-fn finish(sender: &SenderSide, grpc: Option<GrpcFront>) {
-    sender.end_idle();
+fn finish(sender: &HttpFront, grpc: Option<GrpcFront>) {
+    sender.close_idle_connections();
     for _ in 0..LAST_WRITES {
-        if sender.busy() + grpc.as_ref().map_or(0, GrpcFront::busy) == 0 {
+        if sender.unsent_answers() + grpc.as_ref().map_or(0, GrpcFront::unsent_answers) == 0 {
             break;
         }
         std::thread::sleep(span(5.0));
--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -125,7 +125,7 @@
     }
 
     /// Answers that are still to be written.
-    pub fn busy(&self) -> usize {
+    pub fn unsent_answers(&self) -> usize {
         self.door.jobs()
     }
 
--- a/balancer/fronts/http/src/lib.rs
+++ b/balancer/fronts/http/src/lib.rs
@@ -59,16 +59,16 @@
 }
 
 #[derive(Clone)]
-pub struct SenderSide(Arc<Shared>);
+pub struct HttpFront(Arc<Shared>);
 
 /// Where clients come.
 pub enum Listen {
-    At(SocketAddr),
+    Address(SocketAddr),
     /// The platform holds the socket, and so may another process of this dispatcher.
-    On(std::net::TcpListener),
+    Socket(std::net::TcpListener),
 }
 
-impl SenderSide {
+impl HttpFront {
     pub fn new(budget: Budget, core: Core) -> Self {
         let doors = Doors::new(budget, core.peer_process.clone());
         let (bad_news, bad_accepts) = (Limiter::default(), Limiter::default());
@@ -85,7 +85,7 @@
             log,
             ..
         } = core;
-        SenderSide(Arc::new(Shared {
+        HttpFront(Arc::new(Shared {
             exchange,
             admission_gate,
             counters,
@@ -105,8 +105,8 @@
     /// Listens, and accepts in a coroutine of its own for as long as the program runs.
     pub fn open(&self, listen: Listen) -> std::io::Result<()> {
         let listener = match listen {
-            Listen::At(address) => TcpListener::bind(address)?,
-            Listen::On(listener) => descriptor::listener(listener)?,
+            Listen::Address(address) => TcpListener::bind(address)?,
+            Listen::Socket(listener) => descriptor::listener(listener)?,
         };
         let (shared, watched) = (self.0.clone(), self.0.clone());
         may::go!(move || accept(&listener, &shared));
@@ -132,12 +132,12 @@
     }
 
     /// Ends the connections that wait for their next request.
-    pub fn end_idle(&self) {
+    pub fn close_idle_connections(&self) {
         self.0.doors.end_idle(f64::INFINITY);
     }
 
     /// Answers that are still to be written.
-    pub fn busy(&self) -> usize {
+    pub fn unsent_answers(&self) -> usize {
         self.0.doors.busy()
     }
 }
