--- a/balancer/fronts/http/src/connection.rs
+++ b/balancer/fronts/http/src/connection.rs
@@ -1,6 +1,6 @@
 //! One inbound connection, from its first byte to its end, in one coroutine.
 
-use super::doors::{Doing, Pass};
+use super::connection_table::{Doing, Pass};
 use super::intake::{self, Intake, Refusal};
 use super::{answer, call_back, Shared};
 use may::net::TcpStream;
--- a/balancer/fronts/http/src/lib.rs
+++ b/balancer/fronts/http/src/lib.rs
@@ -5,13 +5,13 @@
 mod answer;
 mod call_back;
 mod connection;
-mod doors;
+mod connection_table;
 mod intake;
 #[cfg(test)]
 mod tests;
 
 use connection::Connection;
-use doors::Doors;
+use connection_table::Doors;
 use may::io::WaitIo;
 use may::net::{TcpListener, TcpStream};
 use millrudder_config::Budget;
--- a/balancer/fronts/http/src/tests.rs
+++ b/balancer/fronts/http/src/tests.rs
@@ -1,6 +1,6 @@
 use super::answer;
 use super::call_back;
-use super::doors::{first_to_leave, Doing, Doors, State};
+use super::connection_table::{first_to_leave, Doing, Doors, State};
 use super::intake::{route, Intake, Refusal};
 use millrudder_config::Budget;
 use millrudder_exchange::intake::Class;
