--- a/balancer/fronts/http/src/call_back.rs
+++ b/balancer/fronts/http/src/call_back.rs
@@ -8,15 +8,15 @@
 
 /// Passes news on; false if it cannot be read. That is counted and logged now and then; it is answered like any
 /// other, as the next hop would only repeat it.
-pub fn take(shared: &Shared, body: Vec<u8>) -> bool {
-    match read(&body) {
+pub fn receive(shared: &Shared, body: Vec<u8>) -> bool {
+    match parse(&body) {
         Ok(news) => {
             shared.exchange.put(Message::News(JobNews { body: Some(body), ..news }));
             true
         }
         Err(error) => {
             shared.counters.news_bad.add();
-            if shared.bad_news.allows(shared.clock.now()) {
+            if shared.bad_call_back_log.allows(shared.clock.now()) {
                 slog::warn!(shared.log, "call-back cannot be read"; "problem" => %error);
             }
             false
@@ -25,19 +25,19 @@
 }
 
 /// News of a job of ours that reached the other process of an upgrade.
-pub fn take_over(shared: &Shared, body: &[u8]) {
-    if let Ok(news) = read(body) {
+pub fn receive_forwarded(shared: &Shared, body: &[u8]) {
+    if let Ok(news) = parse(body) {
         shared.exchange.put(Message::News(news));
     }
 }
 
-pub(super) fn read(body: &[u8]) -> Result<JobNews, JsonError> {
+pub(super) fn parse(body: &[u8]) -> Result<JobNews, JsonError> {
     let document = json::parse(body)?;
     let root = Node::root(&document).object()?;
     let state = match root.at("state").needed_text()? {
         "started" => JobState::Started,
         "running" => JobState::Running { share: root.at("share").number_or(0.0)? },
-        "done" => JobState::Done { result: result(&root)? },
+        "done" => JobState::Done { result: required_result(&root)? },
         "failed" => JobState::Failed,
         "returned" => JobState::Returned,
         "lost" => JobState::Lost,
@@ -57,7 +57,7 @@
 }
 
 /// The result may be empty, but it must be there: nothing else may be served in its place.
-fn result(root: &Node) -> Result<Vec<u8>, JsonError> {
+fn required_result(root: &Node) -> Result<Vec<u8>, JsonError> {
     match root.at("result").text()? {
         Some(text) => Ok(text.as_bytes().to_vec()),
         None => root.at("result").wrong("a string"),
--- a/balancer/fronts/http/src/intake.rs
+++ b/balancer/fronts/http/src/intake.rs
@@ -10,11 +10,11 @@
 use std::fmt;
 
 #[derive(Debug)]
-pub enum Intake {
+pub enum RoutedRequest {
     Ready,
     Counters,
     /// A call-back's body.
-    News(Vec<u8>),
+    CallBack(Vec<u8>),
     Job(Box<Job>),
 }
 
@@ -36,7 +36,7 @@
     /// All inbound connections together hold as much as they may.
     NoMemory,
     /// More was sent before the job's answer than is read.
-    Flood,
+    TooMuchPipelined,
 }
 
 impl Refusal {
@@ -51,7 +51,7 @@
             Refusal::Repeated => 409,
             Refusal::TooSlow => 408,
             Refusal::NoMemory => 503,
-            Refusal::Flood => 413,
+            Refusal::TooMuchPipelined => 413,
             _ => 400,
         }
     }
@@ -60,7 +60,7 @@
         match self {
             Refusal::Framing(FrameError::BodyTooLarge | FrameError::HeadTooLarge)
             | Refusal::LongTarget
-            | Refusal::Flood => &counters.rejected_too_large,
+            | Refusal::TooMuchPipelined => &counters.rejected_too_large,
             Refusal::Framing(_) | Refusal::BadTarget => &counters.rejected_malformed,
             Refusal::UnknownPath | Refusal::WrongMethod(_) => &counters.rejected_unknown,
             Refusal::MissingHeader(_) | Refusal::BadHeader(_) => &counters.rejected_headers,
@@ -85,31 +85,33 @@
             Refusal::Repeated => f.write_str("a job with this id is under way"),
             Refusal::TooSlow => f.write_str("the request did not come whole in time"),
             Refusal::NoMemory => f.write_str("no memory for this request now"),
-            Refusal::Flood => f.write_str("too much was sent before the answer"),
+            Refusal::TooMuchPipelined => f.write_str("too much was sent before the answer"),
         }
     }
 }
 
 const TRACE_ID: &str = "X-Trace-Id";
 const CLASS: &str = "X-Qos";
-const EXPIRES: &str = "X-Expires-In";
+const EXPIRES_IN: &str = "X-Expires-In";
 const PROPS: &str = "X-Props";
-const KEY: &str = "Idempotency-Key";
+const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 const CONTENT_TYPE: &str = "Content-Type";
 /// `began`: when the request's first byte came; `classes`: those that the settings name.
-pub fn route(request: Request, began: f64, classes: &[Class]) -> Result<Intake, Refusal> {
+pub fn route(request: Request, received_at: f64, classes: &[Class]) -> Result<RoutedRequest, Refusal> {
     match (request.path(), request.method.as_str()) {
-        (JOB_PATH, JOB_METHOD) => job(request, began, classes).map(|job| Intake::Job(Box::new(job))),
-        ("/_jobs/news", "POST") => Ok(Intake::News(request.body)),
-        ("/ready", "GET") => Ok(Intake::Ready),
-        ("/counters", "GET") => Ok(Intake::Counters),
+        (JOB_PATH, JOB_METHOD) => {
+            parse_job(request, received_at, classes).map(|job| RoutedRequest::Job(Box::new(job)))
+        }
+        ("/_jobs/news", "POST") => Ok(RoutedRequest::CallBack(request.body)),
+        ("/ready", "GET") => Ok(RoutedRequest::Ready),
+        ("/counters", "GET") => Ok(RoutedRequest::Counters),
         (JOB_PATH | "/_jobs/news", _) => Err(Refusal::WrongMethod("POST")),
         ("/ready" | "/counters", _) => Err(Refusal::WrongMethod("GET")),
         _ => Err(Refusal::UnknownPath),
     }
 }
 
-fn job(request: Request, began: f64, classes: &[Class]) -> Result<Job, Refusal> {
+fn parse_job(request: Request, received_at: f64, classes: &[Class]) -> Result<Job, Refusal> {
     match request.target.len() {
         length if length > TARGET_LIMIT => return Err(Refusal::LongTarget),
         _ if !is_target(&request.target) => return Err(Refusal::BadTarget),
@@ -120,34 +122,42 @@
         0 | 1 => Ok(headers.get(name).filter(|value| !value.is_empty())),
         _ => Err(Refusal::BadHeader(name)),
     };
-    let needed = |name| single(name)?.ok_or(Refusal::MissingHeader(name));
-    let passed_on = |name| match single(name)? {
+    let required = |name| single(name)?.ok_or(Refusal::MissingHeader(name));
+    let forwarded = |name| match single(name)? {
         Some(value) if value.len() > VALUE_LIMIT || !is_plain(value) => Err(Refusal::BadHeader(name)),
         value => Ok(value.map(str::to_owned)),
     };
-    let trace_id = needed(TRACE_ID)?.to_owned();
+    let trace_id = required(TRACE_ID)?.to_owned();
     if !is_id(&trace_id) {
         return Err(Refusal::BadHeader(TRACE_ID));
     }
     // Of a class without settings neither worth nor what may be repeated is known.
-    let class = needed(CLASS)?;
-    let class = find_class(classes, class, began).ok_or(Refusal::BadHeader(CLASS))?;
-    let expires = read_span(needed(EXPIRES)?).ok_or(Refusal::BadHeader(EXPIRES))?;
+    let class = required(CLASS)?;
+    let class = find_class(classes, class, received_at).ok_or(Refusal::BadHeader(CLASS))?;
+    let expires_in = parse_duration_ms(required(EXPIRES_IN)?).ok_or(Refusal::BadHeader(EXPIRES_IN))?;
     let props = single(PROPS)?.unwrap_or_default();
-    let prop = |name| read_prop(props, name).map_err(|()| Refusal::BadHeader(PROPS));
+    let prop = |name| parse_prop(props, name).map_err(|()| Refusal::BadHeader(PROPS));
     let (slots, memory) = (prop("slots")?.unwrap_or(1.0), prop("memory")?.unwrap_or(0.0));
-    let idempotency_key = passed_on(KEY)?;
+    let idempotency_key = forwarded(IDEMPOTENCY_KEY)?;
     if class.keyed && idempotency_key.is_none() {
-        return Err(Refusal::MissingHeader(KEY));
+        return Err(Refusal::MissingHeader(IDEMPOTENCY_KEY));
     }
-    let (content_type, class) = (passed_on(CONTENT_TYPE)?, class.name.clone());
+    let (content_type, class) = (forwarded(CONTENT_TYPE)?, class.name.clone());
     let Request { method, target, body, .. } = request;
     let verbatim = Verbatim { method, target, body, idempotency_key, content_type };
-    Ok(Job { front: Front::Http, trace_id, class, slots, memory, deadline: began + expires, verbatim })
+    Ok(Job {
+        front: Front::Http,
+        trace_id,
+        class,
+        slots,
+        memory,
+        deadline: received_at + expires_in,
+        verbatim,
+    })
 }
 
 /// A number and its unit: `480m` are milliseconds, `480u` microseconds.
-fn read_span(text: &str) -> Option<f64> {
+fn parse_duration_ms(text: &str) -> Option<f64> {
     let (number, scale) = match text.strip_suffix('m') {
         Some(number) => (number, 1.0),
         None => (text.strip_suffix('u')?, 0.001),
@@ -158,7 +168,7 @@
 }
 
 /// One figure of `name=value,name=value`.
-fn read_prop(props: &str, name: &str) -> Result<Option<f64>, ()> {
+fn parse_prop(props: &str, name: &str) -> Result<Option<f64>, ()> {
     let found = props.split(',').filter_map(|p| p.split_once('=')).find(|(n, _)| n.trim() == name);
     match found.map(|(_, value)| value.trim().parse::<f64>()) {
         None => Ok(None),
--- a/balancer/fronts/http/src/lib.rs
+++ b/balancer/fronts/http/src/lib.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 use connection::Connection;
-use connection_table::Doors;
+use connection_table::ConnectionTable;
 use may::io::WaitIo;
 use may::net::{TcpListener, TcpStream};
 use millrudder_config::Budget;
@@ -30,15 +30,15 @@
 /// After a failed accept (no descriptor is free, say) the next try waits: retrying at once would spin.
 const ACCEPT_PAUSE_MS: f64 = 10.0;
 /// How soon one that was ended to make room has left: its coroutine runs next.
-const ROOM_PAUSE_MS: f64 = 1.0;
+const EVICTION_PAUSE_MS: f64 = 1.0;
 
 /// How often it is looked whether this process is to accept (again).
-const PARKED_MS: f64 = 1.0;
+const ACCEPT_CHECK_MS: f64 = 1.0;
 
 /// How often connections are looked through.
-const WATCH_MS: f64 = 50.0;
+const SWEEP_INTERVAL_MS: f64 = 50.0;
 /// A connection younger than this was opened to bring something, a call-back most likely.
-const JUST_OPENED_MS: f64 = 200.0;
+const NEWLY_IDLE_MS: f64 = 200.0;
 
 /// What the coroutines of all inbound connections share.
 struct Shared {
@@ -48,14 +48,14 @@
     drain: Drain,
     peer_process: PeerProcess,
     clock: Clock,
-    doors: Doors,
+    connections: ConnectionTable,
     classes: Classes,
     admission_gate: AdmissionGate,
     advice: Advice,
     log: Logger,
     /// For the log of bad call-backs, so that a broken next hop cannot flood it.
-    bad_news: Limiter,
-    bad_accepts: Limiter,
+    bad_call_back_log: Limiter,
+    accept_error_log: Limiter,
 }
 
 #[derive(Clone)]
@@ -70,8 +70,8 @@
 
 impl HttpFront {
     pub fn new(budget: Budget, core: Core) -> Self {
-        let doors = Doors::new(budget, core.peer_process.clone());
-        let (bad_news, bad_accepts) = (Limiter::default(), Limiter::default());
+        let connections = ConnectionTable::new(budget, core.peer_process.clone());
+        let (bad_call_back_log, accept_error_log) = (Limiter::default(), Limiter::default());
         let Core {
             exchange,
             admission_gate,
@@ -93,12 +93,12 @@
             drain,
             peer_process,
             clock,
-            doors,
+            connections,
             classes,
             advice,
             log,
-            bad_news,
-            bad_accepts,
+            bad_call_back_log,
+            accept_error_log,
         }))
     }
 
@@ -108,57 +108,57 @@
             Listen::Address(address) => TcpListener::bind(address)?,
             Listen::Socket(listener) => descriptor::listener(listener)?,
         };
-        let (shared, watched) = (self.0.clone(), self.0.clone());
-        may::go!(move || accept(&listener, &shared));
-        may::go!(move || watch(&watched));
+        let (shared, swept) = (self.0.clone(), self.0.clone());
+        may::go!(move || accept_loop(&listener, &shared));
+        may::go!(move || sweep(&swept));
         Ok(())
     }
 
     /// A connection between two requests that another process has served so far.
-    pub fn adopt(&self, stream: std::net::TcpStream, standing: PeerRole) {
+    pub fn adopt(&self, stream: std::net::TcpStream, role: PeerRole) {
         if let Ok(stream) = descriptor::stream(stream) {
-            admit(stream, standing, &self.0);
+            start_connection(stream, role, &self.0);
         }
     }
 
     /// A call-back that reached another process.
     pub fn take_news(&self, body: &[u8]) {
-        call_back::take_over(&self.0, body);
+        call_back::receive_forwarded(&self.0, body);
     }
 
     /// Connections that are open.
     pub fn connections(&self) -> usize {
-        self.0.doors.count()
+        self.0.connections.len()
     }
 
     /// Ends the connections that wait for their next request.
     pub fn close_idle_connections(&self) {
-        self.0.doors.end_idle(f64::INFINITY);
+        self.0.connections.close_idle(f64::INFINITY);
     }
 
     /// Answers that are still to be written.
     pub fn unsent_answers(&self) -> usize {
-        self.0.doors.busy()
+        self.0.connections.unsent_answers()
     }
 }
 
-fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
+fn accept_loop(listener: &TcpListener, shared: &Arc<Shared>) {
     loop {
         if !shared.peer_process.accepts() {
-            may::coroutine::sleep(span(PARKED_MS));
+            may::coroutine::sleep(span(ACCEPT_CHECK_MS));
             continue;
         }
-        if !shared.doors.make_room(&shared.counters, shared.clock.now()) {
-            may::coroutine::sleep(span(ROOM_PAUSE_MS));
+        if !shared.connections.make_room(&shared.counters, shared.clock.now()) {
+            may::coroutine::sleep(span(EVICTION_PAUSE_MS));
             continue;
         }
         // Not may's own `accept`: blocked in it, a process that has laid its place down would take one more.
         match listener.inner().accept().and_then(|(stream, _)| descriptor::stream(stream)) {
-            Ok(stream) => admit(stream, PeerRole::Stranger, shared),
+            Ok(stream) => start_connection(stream, PeerRole::Stranger, shared),
             Err(error) if error.kind() == ErrorKind::WouldBlock => drop(listener.wait_io()),
             Err(error) => {
                 shared.counters.accept_errors.add();
-                if shared.bad_accepts.allows(shared.clock.now()) {
+                if shared.accept_error_log.allows(shared.clock.now()) {
                     slog::warn!(shared.log, "accept failed"; "error" => %error);
                 }
                 may::coroutine::sleep(span(ACCEPT_PAUSE_MS));
@@ -169,31 +169,31 @@
 
 /// Ends connections that have had their time, and those between requests once a stop takes no more jobs on: their
 /// clients would go on using them, and be deferred.
-fn watch(shared: &Shared) {
+fn sweep(shared: &Shared) {
     loop {
-        may::coroutine::sleep(span(WATCH_MS));
+        may::coroutine::sleep(span(SWEEP_INTERVAL_MS));
         let now = shared.clock.now();
-        shared.doors.end_overdue(&shared.counters, now);
+        shared.connections.close_overdue(&shared.counters, now);
         if shared.peer_process.takes_connections() {
-            shared.doors.wake_idle();
+            shared.connections.wake_idle();
         }
-        if !shared.doors.has_clients() {
+        if !shared.connections.may_have_clients() {
             shared.stopping.note_no_clients(now);
         }
         if shared.stopping.grace_is_over(now) {
-            shared.doors.end_idle(now - JUST_OPENED_MS);
+            shared.connections.close_idle(now - NEWLY_IDLE_MS);
         }
         if shared.drain.is_noticed(now) {
-            shared.doors.end_idle_clients(now - JUST_OPENED_MS);
+            shared.connections.close_idle_clients(now - NEWLY_IDLE_MS);
         }
     }
 }
 
 /// The connection counts against the budget from here on, not from when its coroutine first runs: many may be
 /// accepted in between.
-fn admit(stream: TcpStream, standing: PeerRole, shared: &Arc<Shared>) {
+fn start_connection(stream: TcpStream, role: PeerRole, shared: &Arc<Shared>) {
     shared.counters.connections_in.add();
-    if let Ok(connection) = Connection::new(stream, standing, shared) {
+    if let Ok(connection) = Connection::new(stream, role, shared) {
         may::go!(move || connection.serve());
     }
 }
--- a/balancer/fronts/http/src/tests.rs
+++ b/balancer/fronts/http/src/tests.rs
@@ -1,7 +1,7 @@
 use super::answer;
 use super::call_back;
-use super::connection_table::{first_to_leave, Doing, Doors, State};
-use super::intake::{route, Intake, Refusal};
+use super::connection_table::{eviction_candidate, Activity, ConnectionTable, State};
+use super::intake::{route, Refusal, RoutedRequest};
 use millrudder_config::Budget;
 use millrudder_exchange::intake::Class;
 use millrudder_exchange::{Answer, Failure, Job, JobState, PeerProcess, PeerRole};
@@ -18,21 +18,21 @@
     decoder.next_message().unwrap().unwrap()
 }
 
-const HEAD: &str =
+const JOB_HEAD: &str =
     "POST /api?q=1 HTTP/1.1\r\nX-Trace-Id: 9b1f\r\nX-Qos: copy-issue\r\nX-Expires-In: 4998m\r\n\
     Idempotency-Key: 5c0f\r\nX-Props: slots=1,memory=1.433";
 
 fn job(head: &str) -> Result<Job, Refusal> {
     let class = Class { name: "copy-issue".to_owned(), keyed: true, limit: 5_000.0, until: f64::INFINITY };
     match route(request(head, "body"), 1000.0, &[class])? {
-        Intake::Job(job) => Ok(*job),
+        RoutedRequest::Job(job) => Ok(*job),
         other => panic!("not a job: {other:?}"),
     }
 }
 
 #[test]
-fn a_job_is_read_as_its_client_wrote_it() {
-    let job = job(HEAD).unwrap();
+fn a_job_request_is_parsed_field_by_field() {
+    let job = job(JOB_HEAD).unwrap();
     assert_eq!((job.trace_id.as_str(), job.class.as_str()), ("9b1f", "copy-issue"));
     assert_eq!((job.slots, job.memory, job.deadline), (1.0, 1.433, 5998.0));
     assert_eq!(
@@ -40,7 +40,7 @@
         ("/api?q=1", b"body".as_slice())
     );
     assert_eq!(job.verbatim.idempotency_key.as_deref(), Some("5c0f"));
-    let micro = self::job(&HEAD.replace("4998m", "2500u")).unwrap();
+    let micro = self::job(&JOB_HEAD.replace("4998m", "2500u")).unwrap();
     assert_eq!(micro.deadline, 1002.5);
 }
 
@@ -66,12 +66,12 @@
         ("4998m", "infm", Refusal::BadHeader("X-Expires-In")),
         ("slots=1", "slots=x", Refusal::BadHeader("X-Props")),
     ] {
-        assert_eq!(job(&HEAD.replace(from, to)), Err(refusal));
+        assert_eq!(job(&JOB_HEAD.replace(from, to)), Err(refusal));
     }
 }
 
 #[test]
-fn paths_and_methods() {
+fn unknown_paths_and_methods_are_refused() {
     let status = |head: &str| match route(request(head, ""), 0.0, &[]) {
         Ok(_) => 200,
         Err(refusal) => refusal.status(),
@@ -83,111 +83,113 @@
     assert_eq!(status("GET /other HTTP/1.1"), 404);
 }
 
-const NEWS: &[u8] =
+const CALL_BACK: &[u8] =
     br#"{"id":"9b1f","from":"s-1","state":"done","result":"a\"b\u00e9","load":{"rif":2,"x0":1.5,"odd":"x"}}"#;
 
 #[test]
-fn news_is_read_with_its_result_unescaped() {
-    let news = call_back::read(NEWS).unwrap();
+fn call_back_result_is_unescaped() {
+    let news = call_back::parse(CALL_BACK).unwrap();
     assert_eq!((news.trace_id.as_str(), news.from.as_str()), ("9b1f", "s-1"));
     assert_eq!(news.state, JobState::Done { result: "a\"b\u{e9}".as_bytes().to_vec() });
     assert_eq!(news.load, Some(vec![("rif".to_owned(), 2.0), ("x0".to_owned(), 1.5)]));
 }
 
 #[test]
-fn bad_news_is_an_error_not_a_panic() {
-    garbage(5, NEWS, |bytes| drop(call_back::read(bytes)));
+fn malformed_call_back_is_an_error_not_a_panic() {
+    garbage(5, CALL_BACK, |bytes| drop(call_back::parse(bytes)));
     for (bad, key) in [
         (r#"{"id":"a","from":"b","state":"done"}"#, "result"),
         (r#"{"id":"a","from":"b","state":"odd"}"#, "state"),
         (r#"{"id":7,"from":"b","state":"lost"}"#, "id"),
     ] {
-        let error = call_back::read(bad.as_bytes()).unwrap_err().to_string();
+        let error = call_back::parse(bad.as_bytes()).unwrap_err().to_string();
         assert!(error.contains(&format!("key {key}")), "{error}");
     }
 }
 
 #[test]
-fn answers_mean_what_the_protocol_says() {
+fn answers_have_the_status_of_the_protocol() {
     let read = |bytes: Vec<u8>| {
         let mut decoder = Decoder::<Response>::default();
         decoder.push(&bytes);
         decoder.next_message().unwrap().unwrap()
     };
-    let served = read(answer::of_job(&Answer::Served { result: b"made".to_vec() }, false));
+    let served = read(answer::job_answer(&Answer::Served { result: b"made".to_vec() }, false));
     assert_eq!((served.status, served.body.as_slice()), (200, b"made".as_slice()));
-    let later = read(answer::of_job(&Answer::Defer { retry_after: Some(250.0) }, false));
+    let later = read(answer::job_answer(&Answer::Defer { retry_after: Some(250.0) }, false));
     assert_eq!((later.status, later.headers.get("retry-after")), (503, Some("0.250")));
     // 429 and 503 would promise that nothing ran.
     for failure in [Failure::Attempts, Failure::Late, Failure::Repeated, Failure::Refused] {
-        let failed = read(answer::of_job(&Answer::Failed(failure), true)).status;
+        let failed = read(answer::job_answer(&Answer::Failed(failure), true)).status;
         assert!(![200, 429, 503].contains(&failed));
     }
 }
 
-fn state(doing: Doing, standing: PeerRole, since: f64) -> State {
-    State { doing, standing, opened: since, since }
+fn state(activity: Activity, role: PeerRole, since: f64) -> State {
+    State { activity, role, opened: since, since }
 }
 
 #[test]
-fn room_is_made_by_strangers_first_and_never_by_one_that_waits() {
+fn eviction_takes_unidentified_peers_first_and_never_one_awaiting_an_answer() {
     // Hundreds that connect and say nothing must not end the kept connections of usual clients.
-    use {Doing::*, PeerRole::*};
-    let pick = |doors: &[State]| first_to_leave(doors.iter().copied(), 10_000.0);
-    let waits = state(Waiting, Stranger, 0.0);
+    use {Activity::*, PeerRole::*};
+    let pick = |states: &[State]| eviction_candidate(states.iter().copied(), 10_000.0);
+    let awaiting = state(AwaitingAnswer, Stranger, 0.0);
     let idle = state(Idle, Client, 10.0);
     let stalled = state(Reading, Client, 20.0);
     let busy = state(Reading, Client, 9_500.0);
     assert_eq!(
-        pick(&[waits, idle, state(Idle, Stranger, 9_990.0), state(Reading, Stranger, 9_000.0)]),
+        pick(&[awaiting, idle, state(Idle, Stranger, 9_990.0), state(Reading, Stranger, 9_000.0)]),
         Some(3)
     );
     assert_eq!(
-        pick(&[waits, stalled, idle, state(Idle, Caller, 9_000.0)]),
+        pick(&[awaiting, stalled, idle, state(Idle, Caller, 9_000.0)]),
         Some(3),
         "call-backs' before clients'"
     );
-    assert_eq!(pick(&[waits, stalled, idle]), Some(2));
-    assert_eq!(pick(&[waits, busy, stalled]), Some(2));
-    assert_eq!(pick(&[waits, busy]), None);
+    assert_eq!(pick(&[awaiting, stalled, idle]), Some(2));
+    assert_eq!(pick(&[awaiting, busy, stalled]), Some(2));
+    assert_eq!(pick(&[awaiting, busy]), None);
 }
 
 #[test]
-fn every_wait_on_a_peer_has_its_end_but_that_of_a_known_idle_one() {
+fn every_activity_waiting_on_a_peer_has_a_deadline_except_idle_after_identification() {
     // A bad client is owed an error or a close within 3 s of connecting, however slowly it sends.
-    use {Doing::*, PeerRole::*};
+    use {Activity::*, PeerRole::*};
     let first = State { opened: 1_000.0, since: 2_900.0, ..state(Reading, Stranger, 0.0) };
-    assert!(first.limit() < 4_000.0 - 500.0 && state(Idle, Stranger, 1_000.0).limit() < 4_000.0 - 500.0);
-    for doing in [Reading, Writing, Lingering] {
-        assert!(state(doing, Client, 0.0).limit() <= 5_000.0, "{doing:?}");
+    assert!(
+        first.deadline() < 4_000.0 - 500.0 && state(Idle, Stranger, 1_000.0).deadline() < 4_000.0 - 500.0
+    );
+    for activity in [Reading, Writing, Lingering] {
+        assert!(state(activity, Client, 0.0).deadline() <= 5_000.0, "{activity:?}");
     }
-    assert_eq!(state(Idle, Client, 0.0).limit(), f64::INFINITY);
-    assert_eq!(state(Waiting, Stranger, 0.0).limit(), f64::INFINITY);
+    assert_eq!(state(Idle, Client, 0.0).deadline(), f64::INFINITY);
+    assert_eq!(state(AwaitingAnswer, Stranger, 0.0).deadline(), f64::INFINITY);
 }
 
 #[test]
-fn memory_and_places_for_jobs_are_bounded_over_all_connections() {
+fn buffers_and_jobs_are_bounded_over_all_connections() {
     // With 32 MB, hundreds of half-sent bodies would be the end of the program.
     let check = || {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let socket = Socket::connect(listener.local_addr().unwrap(), Duration::from_secs(60)).unwrap();
-        let doors = Doors::new(
+        let connections = ConnectionTable::new(
             Budget { inbound: 9, inbound_jobs: 4, worker_connections: 1, buffers: 100 },
             PeerProcess::default(),
         );
-        let [first, second, known] = [(); 3].map(|()| doors.enter(socket.waker(), 0.0));
-        assert!(doors.holds(&first, 80) && !doors.holds(&second, 30));
-        assert!(doors.holds(&second, 10), "giving some back is never refused");
-        doors.leave(&first);
-        assert!(doors.holds(&second, 90));
+        let [first, second, known] = [(); 3].map(|()| connections.register(socket.waker(), 0.0));
+        assert!(connections.set_buffered(&first, 80) && !connections.set_buffered(&second, 30));
+        assert!(connections.set_buffered(&second, 10), "giving some back is never refused");
+        connections.unregister(&first);
+        assert!(connections.set_buffered(&second, 90));
         // Three jobs are here: a stranger's next is deferred, a known client's is not; silent ones do not count.
-        doors.proved(&known, PeerRole::Client);
-        let waits = [(); 3].map(|()| doors.enter(socket.waker(), 0.0));
-        assert!(!doors.is_crowded(&second));
-        waits.iter().for_each(|pass| doors.now_doing(pass, Doing::Waiting, 1.0));
-        assert!(doors.is_crowded(&second) && !doors.is_crowded(&known));
-        doors.now_doing(&second, Doing::Waiting, 1.0);
-        assert!(doors.is_crowded(&known));
+        connections.raise_role(&known, PeerRole::Client);
+        let awaiting = [(); 3].map(|()| connections.register(socket.waker(), 0.0));
+        assert!(!connections.job_limit_reached(&second));
+        awaiting.iter().for_each(|handle| connections.set_activity(handle, Activity::AwaitingAnswer, 1.0));
+        assert!(connections.job_limit_reached(&second) && !connections.job_limit_reached(&known));
+        connections.set_activity(&second, Activity::AwaitingAnswer, 1.0);
+        assert!(connections.job_limit_reached(&known));
     };
     may::go!(check).join().expect("the test's coroutine");
 }
