--- a/balancer/fronts/http/src/answer.rs
+++ b/balancer/fronts/http/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers as bytes.
+//! Encodes HTTP answers.
 
 use super::intake::Refusal;
 use millrudder_exchange::{Answer, Failure};
@@ -12,7 +12,7 @@
     http::response(204, &[], b"", close)
 }
 
-/// The last answer on its connection.
+/// A refusal with its reason as text; the connection closes after it.
 pub fn rejection(refusal: &Refusal) -> Vec<u8> {
     let text = format!("{refusal}\n");
     match refusal {
@@ -21,7 +21,8 @@
     }
 }
 
-/// 200 only with what a next hop made; 503 only where a further try is harmless; a failure promises nothing.
+/// The answer to a job. 200 only with a worker's result; 503 only if the job did not run, so that a retry is safe.
+/// Other failures do not say whether the job ran.
 pub fn job_answer(answer: &Answer, close: bool) -> Vec<u8> {
     match answer {
         Answer::Served { result } => http::response(200, &[], result, close),
--- a/balancer/fronts/http/src/call_back.rs
+++ b/balancer/fronts/http/src/call_back.rs
@@ -1,4 +1,4 @@
-//! Call-backs of next hops: `POST /_jobs/news`.
+//! Call-backs of workers: `POST /_jobs/news` with the state of a job.
 
 use super::Shared;
 use millrudder_exchange::{JobNews, JobState, Message};
@@ -6,8 +6,8 @@
 use millrudder_wire::report::read_load;
 use tinyjson::JsonValue;
 
-/// Passes news on; false if it cannot be read. That is counted and logged now and then; it is answered like any
-/// other, as the next hop would only repeat it.
+/// Forwards a call-back to the core; false if it is malformed. A malformed one is counted, logged at a limited rate and
+/// answered like any other, since an error would only make the worker send it again.
 pub fn receive(shared: &Shared, body: Vec<u8>) -> bool {
     match parse(&body) {
         Ok(news) => {
@@ -24,7 +24,7 @@
     }
 }
 
-/// News of a job of ours that reached the other process of an upgrade.
+/// Handles a call-back for a job of this process that reached the other process of an upgrade.
 pub fn receive_forwarded(shared: &Shared, body: &[u8]) {
     if let Ok(news) = parse(body) {
         shared.exchange.put(Message::News(news));
@@ -56,7 +56,7 @@
     })
 }
 
-/// The result may be empty, but it must be there: nothing else may be served in its place.
+/// The result of a finished job. It may be empty but must be present: an absent one must not be served as empty.
 fn required_result(root: &Node) -> Result<Vec<u8>, JsonError> {
     match root.at("result").text()? {
         Some(text) => Ok(text.as_bytes().to_vec()),
--- a/balancer/fronts/http/src/connection.rs
+++ b/balancer/fronts/http/src/connection.rs
@@ -10,30 +10,36 @@
 use std::io;
 use std::sync::Arc;
 
+/// Bytes read from the socket at once.
 const READ_BUFFER_BYTES: usize = 2048;
-/// What is read of a refused message before its connection is closed all the same.
+/// Bytes read and discarded of a refused message before its connection is closed anyway.
 const LINGER_LIMIT_BYTES: usize = 1024 * 1024;
-/// What a client sends ahead while its job is here is kept up to this. More is read and dropped, to see it leave, and
-/// the connection ends with the job's answer: what a close crosses is sent once more.
+/// Bytes kept of what a client pipelines while its job is in progress. Beyond this, input is read and discarded,
+/// because only reading shows that the client disconnected. The connection is then closed after the job's answer; a
+/// client sends again the requests that the close cut off.
 const PIPELINED_BYTES: usize = 4 * 1024;
-/// ... and no peer that sends without end is read past this: its job ends as failed, and so does the connection.
+/// Bytes discarded after which a client that keeps sending during its job is refused: the job is withdrawn and the
+/// connection closed.
 const DISCARD_LIMIT_BYTES: usize = LINGER_LIMIT_BYTES;
-/// What a client is told that finds the place crowded (ms): about the time in which running jobs end.
+/// The `Retry-After` (ms) for a job refused by the limit on jobs in progress: about the time in which running jobs end.
 const JOB_LIMIT_RETRY_MS: f64 = 500.0;
 
+/// One inbound connection and the request that it is reading.
 pub struct Connection {
     socket: Socket,
     shared: Arc<Shared>,
     handle: ConnectionHandle,
     decoder: Decoder<Request>,
     buffer: Vec<u8>,
-    /// When the first byte of the request now being read came: its client's time runs from there.
+    /// When the first byte of the current request arrived. Its client's deadline counts from then.
     received_at: f64,
 }
 
-/// Why the next request does not come.
+/// Why there is no next request.
 enum NoRequest {
+    /// The peer sent something that is not accepted; it is told so.
     Refused(Refusal),
+    /// The connection has ended, must be closed, or now belongs to the other process of an upgrade.
     Closed,
 }
 
@@ -44,6 +50,7 @@
 }
 
 impl Connection {
+    /// Registers the connection. `role`: what its peer proved to another process, or `Stranger`.
     pub fn new(stream: TcpStream, role: PeerRole, shared: &Arc<Shared>) -> io::Result<Self> {
         let socket = Socket::new(stream)?;
         let received_at = shared.clock.now();
@@ -53,6 +60,7 @@
         Ok(Connection { socket, shared: shared.clone(), handle, decoder, buffer, received_at })
     }
 
+    /// Serves requests one after another until the connection ends.
     pub fn serve(mut self) {
         loop {
             let handled = match self.next_request() {
@@ -66,7 +74,7 @@
         }
     }
 
-    /// Says what is wrong, and ends the connection: who sends what is not served should not hold a descriptor.
+    /// Sends the reason and closes the connection: a peer whose requests are not served should not hold a descriptor.
     fn refuse(&mut self, refusal: &Refusal) -> io::Result<()> {
         refusal.count(&self.shared.counters);
         self.write(&answer::rejection(refusal))?;
@@ -74,8 +82,8 @@
         Err(io::ErrorKind::ConnectionAborted.into())
     }
 
-    /// Reads past what the peer still sends of a refused message, within bounds of bytes and time: closing over
-    /// unread bytes resets the connection, and the peer would never see why it was refused.
+    /// Reads and discards the rest of a refused message, up to a limit of bytes and time. Closing a socket with unread
+    /// bytes resets the connection, and the peer would never see why it was refused.
     fn linger(&mut self) {
         self.socket.end();
         self.decoder = Decoder::default();
@@ -95,13 +103,14 @@
         self.shared.connections.set_activity(&self.handle, activity, self.shared.clock.now());
     }
 
+    /// Reads until a whole request has arrived.
     fn next_request(&mut self) -> Result<Request, NoRequest> {
         self.received_at = self.shared.clock.now();
         loop {
             let next =
                 self.decoder.next_message().map_err(|error| NoRequest::Refused(Refusal::Framing(error)))?;
             if let Some(request) = next {
-                // Chosen to leave just as its request came: it stays for that one.
+                // If the connection was told to close just as its request arrived, that request is still served.
                 self.handle.cancel_close();
                 return Ok(request);
             }
@@ -119,7 +128,7 @@
                 Ok(Got::Bytes(_)) if idle => self.received_at = self.shared.clock.now(),
                 Ok(Got::Bytes(_)) => {}
                 Ok(Got::Nothing) if idle && self.hand_over() => return Err(NoRequest::Closed),
-                // What has come is read before a connection is ended: a request may be in it.
+                // Checked only once the socket is empty: a request may be in the bytes that already arrived.
                 Ok(Got::Nothing) if self.handle.must_close() && idle => return Err(NoRequest::Closed),
                 Ok(Got::Nothing) if self.handle.must_close() => {
                     return Err(NoRequest::Refused(Refusal::TooSlow))
@@ -130,8 +139,8 @@
         }
     }
 
-    /// To the other process of an upgrade, which takes it up where it stands: nothing of a request has been read.
-    /// What comes meanwhile waits in the socket.
+    /// Hands the idle connection to the other process of an upgrade; true if it took it. No byte of a request has been
+    /// read, and what arrives meanwhile waits in the socket.
     fn hand_over(&self) -> bool {
         let peer_process = &self.shared.peer_process;
         if !peer_process.takes_connections() {
@@ -142,6 +151,7 @@
         transfer.is_ok_and(|transfer| peer_process.put(transfer).is_ok())
     }
 
+    /// Reads what has arrived into the decoder.
     fn read(&mut self) -> io::Result<Got> {
         let got = self.socket.try_read(&mut self.buffer)?;
         if let Got::Bytes(n) = got {
@@ -150,8 +160,8 @@
         Ok(got)
     }
 
-    /// Reads on while a job is here, to see its client leave; what it sends ahead waits, within bounds. `dropped`
-    /// counts what did not.
+    /// Reads while a job is in progress, to notice when its client disconnects. Pipelined bytes are kept up to
+    /// [`PIPELINED_BYTES`]; `discarded` counts those beyond.
     fn read_ahead(&mut self, discarded: &mut usize) -> io::Result<Got> {
         if *discarded == 0 && self.decoder.held() <= PIPELINED_BYTES {
             return self.read();
@@ -164,6 +174,7 @@
         Ok(got)
     }
 
+    /// Answers one request.
     fn dispatch(&mut self, request: Request) -> io::Result<()> {
         self.set_activity(Activity::Reading);
         let keep_alive = request.keep_alive;
@@ -189,6 +200,7 @@
         }
     }
 
+    /// Submits a job and waits for its answer, or for its client to disconnect.
     fn serve_job(&mut self, job: Job, keep_alive: bool) -> io::Result<()> {
         if self.rejects_new_jobs() {
             let advice = (!self.shared.stopping.has_begun()).then_some(JOB_LIMIT_RETRY_MS);
@@ -208,7 +220,7 @@
         let mut discarded = 0;
         loop {
             if let Some(answer) = reply.take() {
-                // A client that is slow to read holds no place for a job.
+                // Released before the answer is written, so that a slow reader does not occupy a job's place.
                 drop(permit);
                 return match answer {
                     Answer::Failed(Failure::Repeated) => self.refuse(&Refusal::Repeated),
@@ -230,29 +242,30 @@
         }
     }
 
-    /// A job that is not taken on, with advice (ms) where the settings allow any.
+    /// Defers a job that was not accepted. `advice`: when to retry (ms), sent only if the settings allow it.
     fn defer(&mut self, advice: Option<f64>, keep_alive: bool) -> io::Result<()> {
         self.shared.counters.turned_away.add();
         let retry_after = advice.filter(|_| self.shared.advice.is_allowed());
         self.respond(keep_alive, |close| answer::job_answer(&Answer::Defer { retry_after }, close))
     }
 
+    /// Answers a job; having had one answered makes its sender a known client.
     fn send_job_answer(&mut self, answer: &Answer, keep_alive: bool) -> io::Result<()> {
         self.shared.connections.raise_role(&self.handle, PeerRole::Client);
         self.shared.connections.set_buffered(&self.handle, self.decoder.held());
-        // Its client has somewhere else to go.
+        // During a drain the client is to go to another dispatcher.
         let keep_alive = keep_alive && !self.shared.drain.is_on();
         self.respond(keep_alive, |close| answer::job_answer(answer, close))
     }
 
-    /// No new job is taken on: the dispatcher stops, or the rest of the descriptors is kept for others.
+    /// Whether new jobs on this connection are deferred: the dispatcher stops, or the job limit has been reached.
     fn rejects_new_jobs(&self) -> bool {
         let shared = &self.shared;
         shared.stopping.grace_is_over(shared.clock.now())
             || shared.connections.job_limit_reached(&self.handle)
     }
 
-    /// Writes an answer; an error tells that the connection is at its end.
+    /// Writes an answer. An error means that the connection has ended.
     fn respond(&mut self, keep_alive: bool, write: impl FnOnce(bool) -> Vec<u8>) -> io::Result<()> {
         let ends = self.shared.stopping.grace_is_over(self.shared.clock.now());
         let close = !keep_alive || ends && !self.shared.peer_process.takes_connections();
@@ -264,10 +277,11 @@
         Ok(())
     }
 
+    /// Writes bytes, until the connection must close.
     fn write(&self, bytes: &[u8]) -> io::Result<()> {
         self.set_activity(Activity::Writing);
         if self.handle.must_close() {
-            // It has had its time: a last word, if it fits.
+            // The connection must close: one attempt without waiting for room in the socket's buffer.
             return self.socket.try_write(bytes).map(drop);
         }
         self.socket.write_all(bytes, || self.handle.must_close())
--- a/balancer/fronts/http/src/connection_table.rs
+++ b/balancer/fronts/http/src/connection_table.rs
@@ -1,7 +1,8 @@
-//! Which inbound connections are open, what they do and what they hold, so that descriptors, memory and time
-//! stay within bounds whatever peers do.
+//! The table of inbound connections: what each one is doing and how much memory it uses. It keeps descriptors, memory
+//! and time within bounds whatever the peers do.
 //!
-//! Peers that have proved themselves come first: when room is short, strangers leave before them.
+//! A peer is unidentified ([`PeerRole::Stranger`]) until a job of its was answered or a call-back of its was parsed.
+//! When descriptors run short, unidentified peers are evicted first.
 
 use may::io::WaitIoWaker;
 use millrudder_config::Budget;
@@ -11,38 +12,45 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A stranger is owed an error or a close within 3 s of connecting: its first request must be whole by then, with
-/// time left to answer. Later requests have as long from their first byte.
+/// Time (ms) for an unidentified peer to send its whole first request after connecting. The peer must get an error or a
+/// close within 3 s of connecting, so this leaves time to answer. Later requests have as long from their first byte.
 const REQUEST_TIMEOUT_MS: f64 = 2_200.0;
-/// A peer that does not take an answer for so long will not.
+/// Time (ms) for a peer to read an answer. One that has not read it by then is taken to have stalled.
 const WRITE_TIMEOUT_MS: f64 = 5_000.0;
-/// How long a refused peer may take to read why.
+/// Time (ms) for a refused peer to read the reason.
 const LINGER_TIMEOUT_MS: f64 = 600.0;
-/// A peer that has been inside one request or answer for this long (ms) may be cut off to make room: call-backs
-/// must not wait long at a full door, and a message takes milliseconds.
+/// A peer that has been inside one request or answer for longer than this (ms) may be evicted. Call-backs must not wait
+/// long for a descriptor, and a message normally takes milliseconds.
 const STALL_EVICTION_MS: f64 = 1_000.0;
-/// Room is made ahead of need, so that who comes next does not wait for it.
+/// The number of connections kept free by evicting early, so that the next peer does not wait for an eviction.
 const SPARE_CONNECTIONS: usize = 8;
-/// Of the places for jobs, those that strangers' first jobs may fill: the rest is for clients known to be usual.
+/// The share of the job limit up to which unidentified peers may submit jobs. The rest is reserved for clients that
+/// have had a job answered.
 const UNIDENTIFIED_JOB_SHARE: f64 = 0.75;
 
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activity {
     /// Between requests.
     Idle,
+    /// Part of a request has arrived.
     Reading,
-    /// A job is here and its answer is awaited.
+    /// A job was submitted and its answer is not yet known.
     AwaitingAnswer,
+    /// An answer is being written.
     Writing,
-    /// Refused; what it still sends is passed over.
+    /// Its request was refused; what the peer still sends is read and discarded.
     Lingering,
 }
 
+/// What decides when a connection is closed. Times are in ms on the dispatcher's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct State {
     pub activity: Activity,
     pub role: PeerRole,
+    /// When the connection was accepted.
     pub opened: f64,
+    /// When the current activity began.
     pub since: f64,
 }
 
@@ -51,7 +59,8 @@
         State { activity: Activity::Idle, role: PeerRole::Stranger, opened: now, since: now }
     }
 
-    /// When it has had its time. Idle connections of peers that are known stay.
+    /// The time at which the connection is closed if its activity has not changed. Identified peers may stay idle
+    /// without limit, and a job has a deadline of its own.
     pub fn deadline(&self) -> f64 {
         match (self.activity, self.role) {
             (Activity::Idle | Activity::Reading, PeerRole::Stranger) => self.opened + REQUEST_TIMEOUT_MS,
@@ -62,7 +71,7 @@
         }
     }
 
-    /// Whose turn it is to leave when room is short, lowest first; none: it stays.
+    /// The order of eviction when descriptors run short, lowest first. `None`: never evicted.
     fn eviction_rank(&self, now: f64) -> Option<u8> {
         let stalled = now - self.since > STALL_EVICTION_MS;
         match (self.activity, self.role) {
@@ -75,10 +84,12 @@
     }
 }
 
+/// One open connection.
 struct Entry {
     state: State,
-    /// Bytes that it holds in memory.
+    /// Bytes of its requests in memory.
     buffered: usize,
+    /// Shared with the connection's [`ConnectionHandle`]; set when its coroutine must close it.
     close_flag: Arc<AtomicBool>,
     waker: WaitIoWaker,
 }
@@ -94,6 +105,7 @@
     }
 }
 
+/// All inbound connections of this process.
 pub struct ConnectionTable {
     budget: Budget,
     peer_process: PeerProcess,
@@ -104,24 +116,27 @@
 struct Entries {
     last_id: u64,
     by_id: BTreeMap<u64, Entry>,
-    /// Sum over all doors.
+    /// Bytes in memory, the sum over all connections.
     buffered: usize,
-    /// Doors whose job is here.
+    /// The number of connections that await a job's answer.
     awaiting: usize,
 }
 
-/// One connection's entry; gone when dropped.
+/// Names one connection's entry in the table. The connection removes the entry with [`ConnectionTable::unregister`]
+/// when it is dropped.
 pub struct ConnectionHandle {
     id: u64,
     close_flag: Arc<AtomicBool>,
 }
 
 impl ConnectionHandle {
-    /// This connection was chosen to make room, has had its time, or the dispatcher stops.
+    /// Whether the connection must be closed: it was evicted, its deadline has passed, or the dispatcher stops or
+    /// drains.
     pub fn must_close(&self) -> bool {
         self.close_flag.load(Ordering::Acquire)
     }
 
+    /// Withdraws a request to close the connection.
     pub fn cancel_close(&self) {
         self.close_flag.store(false, Ordering::Release);
     }
@@ -132,7 +147,7 @@
         ConnectionTable { budget, peer_process, entries: Mutex::default() }
     }
 
-    /// What the other process of an upgrade holds is not ours.
+    /// The part of a limit that this process may use: during an upgrade, the other process' connections are subtracted.
     fn own_share(&self, of: usize) -> usize {
         of.saturating_sub(self.peer_process.inbound()).max(1)
     }
@@ -141,16 +156,18 @@
         self.lock().by_id.len()
     }
 
-    /// Lets those between two requests see that something has changed.
+    /// Wakes the coroutines of idle connections, so that they can hand their connections to the other process.
     pub fn wake_idle(&self) {
         let entries = self.lock();
         entries.by_id.values().filter(|e| e.state.activity == Activity::Idle).for_each(|e| e.waker.wakeup());
     }
 
+    /// What the peer has proved to be so far.
     pub fn role(&self, handle: &ConnectionHandle) -> PeerRole {
         self.lock().by_id.get(&handle.id).map_or(PeerRole::Stranger, |e| e.state.role)
     }
 
+    /// Adds a connection, idle and unidentified. `waker` wakes its coroutine.
     pub fn register(&self, waker: WaitIoWaker, now: f64) -> ConnectionHandle {
         let mut entries = self.lock();
         entries.last_id += 1;
@@ -161,6 +178,7 @@
         ConnectionHandle { id, close_flag }
     }
 
+    /// Removes a connection and what it counted for.
     pub fn unregister(&self, handle: &ConnectionHandle) {
         let mut entries = self.lock();
         if let Some(entry) = entries.by_id.remove(&handle.id) {
@@ -169,6 +187,7 @@
         }
     }
 
+    /// Records what the connection is doing from `now` on.
     pub fn set_activity(&self, handle: &ConnectionHandle, activity: Activity, now: f64) {
         let mut entries = self.lock();
         let Some(entry) = entries.by_id.get_mut(&handle.id).filter(|e| e.state.activity != activity) else {
@@ -180,13 +199,15 @@
         entries.awaiting += usize::from(activity == Activity::AwaitingAnswer);
     }
 
+    /// Records what the peer has proved to be; a role is never lowered.
     pub fn raise_role(&self, handle: &ConnectionHandle, role: PeerRole) {
         if let Some(entry) = self.lock().by_id.get_mut(&handle.id) {
             entry.state.role = entry.state.role.max(role);
         }
     }
 
-    /// Books what a connection holds in memory; false if that is more than all together may.
+    /// Records how many bytes the connection has in memory. False if it grew and all connections together exceed the
+    /// budget.
     pub fn set_buffered(&self, handle: &ConnectionHandle, bytes: usize) -> bool {
         let mut entries = self.lock();
         let Some(entry) = entries.by_id.get_mut(&handle.id) else { return true };
@@ -195,8 +216,8 @@
         bytes <= previous || entries.buffered <= self.budget.buffers
     }
 
-    /// So many jobs are here that this connection's next one is deferred: the rest of the descriptors is kept for
-    /// call-backs and, where it has proved nothing yet, for clients that have.
+    /// Whether so many jobs are in progress that this connection's next one must be deferred. The remaining descriptors
+    /// are reserved for call-backs and, if this peer is unidentified, for known clients.
     pub fn job_limit_reached(&self, handle: &ConnectionHandle) -> bool {
         let entries = self.lock();
         let stranger = entries.by_id.get(&handle.id).is_none_or(|e| e.state.role == PeerRole::Stranger);
@@ -204,8 +225,8 @@
         entries.awaiting as f64 >= self.own_share(self.budget.inbound_jobs) as f64 * share
     }
 
-    /// Makes sure that one more connection fits, if need be by ending one. False if none fits yet; the peer then
-    /// waits in the listener's queue.
+    /// Makes room for one more connection, by evicting one if necessary. False if there is no room yet; the new peer
+    /// then waits in the listener's queue.
     pub fn make_room(&self, counters: &Counters, now: f64) -> bool {
         let entries = self.lock();
         let closing = entries.by_id.values().filter(|e| e.must_close()).count();
@@ -216,11 +237,11 @@
                 remaining[i].close();
             }
         }
-        // A descriptor is free once its connection's coroutine has run.
+        // An evicted connection's descriptor is free only once its coroutine has run.
         entries.by_id.len() < self.own_share(self.budget.inbound)
     }
 
-    /// Ends those that have had their time.
+    /// Closes the connections whose deadline has passed.
     pub fn close_overdue(&self, counters: &Counters, now: f64) {
         for entry in self.lock().by_id.values().filter(|e| !e.must_close() && e.state.deadline() <= now) {
             counters.connections_timed_out.add();
@@ -228,13 +249,14 @@
         }
     }
 
-    /// Ends those that have been idle since this time or longer.
+    /// Closes the connections that have been idle since `since` or longer.
     pub fn close_idle(&self, since: f64) {
         let idle = |e: &&Entry| e.state.activity == Activity::Idle && e.state.since <= since;
         self.lock().by_id.values().filter(idle).for_each(Entry::close);
     }
 
-    /// Ends those of clients, and of peers that may be, that have been idle since this time or longer.
+    /// Like [`ConnectionTable::close_idle`], but spares workers' connections ([`PeerRole::Caller`]): they bring
+    /// call-backs, never jobs.
     pub fn close_idle_clients(&self, since: f64) {
         let idle = |e: &&Entry| {
             e.state.activity == Activity::Idle && e.state.role != PeerRole::Caller && e.state.since <= since
@@ -242,11 +264,12 @@
         self.lock().by_id.values().filter(idle).for_each(Entry::close);
     }
 
-    /// A connection is open on which a job may come.
+    /// Whether any open connection may bring a job.
     pub fn may_have_clients(&self) -> bool {
         self.lock().by_id.values().any(|e| e.state.role != PeerRole::Caller)
     }
 
+    /// The number of jobs whose answers are not yet written in full.
     pub fn unsent_answers(&self) -> usize {
         let unsent = |e: &&Entry| matches!(e.state.activity, Activity::AwaitingAnswer | Activity::Writing);
         self.lock().by_id.values().filter(unsent).count()
@@ -257,8 +280,9 @@
     }
 }
 
-/// Strangers first, then idle peers, call-backs' before clients', then those stalled inside a message; of equals
-/// the one that has been so for longest. Never one whose job is here.
+/// The index of the connection to evict: unidentified peers first, then idle workers, then idle clients, then peers
+/// that stalled inside a message. Among equals the one whose activity has lasted longest. Never one that awaits a job's
+/// answer.
 pub(super) fn eviction_candidate(states: impl Iterator<Item = State>, now: f64) -> Option<usize> {
     let ranked =
         states.enumerate().filter_map(|(i, state)| Some((state.eviction_rank(now)?, state.since, i)));
--- a/balancer/fronts/http/src/intake.rs
+++ b/balancer/fronts/http/src/intake.rs
@@ -1,4 +1,4 @@
-//! A request as it came to what it asks for. Whatever is wrong with it is named in the refusal.
+//! Validates and routes requests. A refusal names what is wrong with the request.
 
 use millrudder_exchange::counters::Counters;
 use millrudder_exchange::intake::{
@@ -9,37 +9,45 @@
 use millrudder_wire::http::{FrameError, Request};
 use std::fmt;
 
+/// What a valid request asks for.
 #[derive(Debug)]
 pub enum RoutedRequest {
+    /// `GET /ready`.
     Ready,
+    /// `GET /counters`.
     Counters,
-    /// A call-back's body.
+    /// A worker's call-back, with its unparsed body.
     CallBack(Vec<u8>),
+    /// A client's job.
     Job(Box<Job>),
 }
 
+/// Why a request is refused.
 #[derive(Debug, PartialEq)]
 pub enum Refusal {
+    /// The bytes are not an acceptable HTTP/1.1 message.
     Framing(FrameError),
     UnknownPath,
-    /// A target that a next hop might read differently, or not at all.
+    /// A target with characters that a worker might interpret differently or reject.
     BadTarget,
+    /// A target over `TARGET_LIMIT` bytes.
     LongTarget,
-    /// The methods that the path knows.
+    /// The path exists; the text lists its methods.
     WrongMethod(&'static str),
     MissingHeader(&'static str),
     BadHeader(&'static str),
-    /// A job with this id is under way.
+    /// A job with the same id is in progress.
     Repeated,
-    /// Not whole in time.
+    /// The request was not complete in time.
     TooSlow,
-    /// All inbound connections together hold as much as they may.
+    /// All inbound connections together have used up the memory for request bytes.
     NoMemory,
-    /// More was sent before the job's answer than is read.
+    /// The client sent more before its job's answer than the front reads.
     TooMuchPipelined,
 }
 
 impl Refusal {
+    /// The HTTP status of the answer.
     pub fn status(&self) -> u16 {
         match self {
             Refusal::Framing(FrameError::BodyTooLarge) => 413,
@@ -56,6 +64,7 @@
         }
     }
 
+    /// Counts the refusal under its cause.
     pub fn count(&self, counters: &Counters) {
         match self {
             Refusal::Framing(FrameError::BodyTooLarge | FrameError::HeadTooLarge)
@@ -96,7 +105,9 @@
 const PROPS: &str = "X-Props";
 const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 const CONTENT_TYPE: &str = "Content-Type";
-/// `began`: when the request's first byte came; `classes`: those that the settings name.
+
+/// Finds what the request asks for. `received_at`: when the request's first byte arrived; `classes`: the job classes of
+/// the settings.
 pub fn route(request: Request, received_at: f64, classes: &[Class]) -> Result<RoutedRequest, Refusal> {
     match (request.path(), request.method.as_str()) {
         (JOB_PATH, JOB_METHOD) => {
@@ -131,7 +142,7 @@
     if !is_id(&trace_id) {
         return Err(Refusal::BadHeader(TRACE_ID));
     }
-    // Of a class without settings neither worth nor what may be repeated is known.
+    // For a class that is not in the settings, neither its priority nor whether it may be retried is known.
     let class = required(CLASS)?;
     let class = find_class(classes, class, received_at).ok_or(Refusal::BadHeader(CLASS))?;
     let expires_in = parse_duration_ms(required(EXPIRES_IN)?).ok_or(Refusal::BadHeader(EXPIRES_IN))?;
@@ -156,7 +167,7 @@
     })
 }
 
-/// A number and its unit: `480m` are milliseconds, `480u` microseconds.
+/// Parses a number and its unit into ms: `480m` is 480 milliseconds, `480u` is 480 microseconds.
 fn parse_duration_ms(text: &str) -> Option<f64> {
     let (number, scale) = match text.strip_suffix('m') {
         Some(number) => (number, 1.0),
@@ -167,7 +178,7 @@
     (value * scale <= LONGEST_WAIT_MS).then_some(value * scale)
 }
 
-/// One figure of `name=value,name=value`.
+/// Parses one number of a list `name=value,name=value`; `None` if it is absent.
 fn parse_prop(props: &str, name: &str) -> Result<Option<f64>, ()> {
     let found = props.split(',').filter_map(|p| p.split_once('=')).find(|(n, _)| n.trim() == name);
     match found.map(|(_, value)| value.trim().parse::<f64>()) {
--- a/balancer/fronts/http/src/lib.rs
+++ b/balancer/fronts/http/src/lib.rs
@@ -1,6 +1,7 @@
-//! The sender side: accepts connections, takes in jobs and call-backs, writes answers.
+//! The HTTP/1.1 front: accepts connections, parses jobs and call-backs, and writes answers.
 //!
-//! Clients and next hops come to the same address; a connection is known for what it is only by its requests.
+//! Clients and workers connect to the same address; only the requests on a connection tell which of the two the peer
+//! is.
 
 mod answer;
 mod call_back;
@@ -27,20 +28,22 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// After a failed accept (no descriptor is free, say) the next try waits: retrying at once would spin.
+/// Pause (ms) after a failed accept, for example when no file descriptor is free. An immediate retry would spin.
 const ACCEPT_PAUSE_MS: f64 = 10.0;
-/// How soon one that was ended to make room has left: its coroutine runs next.
+/// Pause (ms) after a connection was evicted to make room. Its coroutine runs next and frees the descriptor.
 const EVICTION_PAUSE_MS: f64 = 1.0;
 
-/// How often it is looked whether this process is to accept (again).
+/// Interval (ms) at which a process that does not accept connections checks whether it should. During an upgrade only
+/// one of the two processes accepts.
 const ACCEPT_CHECK_MS: f64 = 1.0;
 
-/// How often connections are looked through.
+/// Interval (ms) between two checks of all connections for timeouts and shutdown.
 const SWEEP_INTERVAL_MS: f64 = 50.0;
-/// A connection younger than this was opened to bring something, a call-back most likely.
+/// A connection that became idle less than this long ago (ms) is not closed at a stop or drain: it was most likely
+/// opened to deliver something, usually a call-back.
 const NEWLY_IDLE_MS: f64 = 200.0;
 
-/// What the coroutines of all inbound connections share.
+/// State shared by the coroutines of all inbound connections.
 struct Shared {
     exchange: Exchange,
     counters: Arc<Counters>,
@@ -53,22 +56,26 @@
     admission_gate: AdmissionGate,
     advice: Advice,
     log: Logger,
-    /// For the log of bad call-backs, so that a broken next hop cannot flood it.
+    /// Limits the log lines on malformed call-backs, so that a broken worker cannot flood the log.
     bad_call_back_log: Limiter,
+    /// Limits the log lines on failed accepts.
     accept_error_log: Limiter,
 }
 
+/// The HTTP/1.1 front. Clones share the same connections.
 #[derive(Clone)]
 pub struct HttpFront(Arc<Shared>);
 
-/// Where clients come.
+/// Where the front listens.
 pub enum Listen {
+    /// Binds this address.
     Address(SocketAddr),
-    /// The platform holds the socket, and so may another process of this dispatcher.
+    /// Uses a listening socket that the platform bound. Another process of this dispatcher may hold it too.
     Socket(std::net::TcpListener),
 }
 
 impl HttpFront {
+    /// Creates the front; it does not listen until [`HttpFront::open`].
     pub fn new(budget: Budget, core: Core) -> Self {
         let connections = ConnectionTable::new(budget, core.peer_process.clone());
         let (bad_call_back_log, accept_error_log) = (Limiter::default(), Limiter::default());
@@ -102,7 +109,7 @@
         }))
     }
 
-    /// Listens, and accepts in a coroutine of its own for as long as the program runs.
+    /// Listens, and starts the coroutines that accept and that check connections. They run until the program ends.
     pub fn open(&self, listen: Listen) -> std::io::Result<()> {
         let listener = match listen {
             Listen::Address(address) => TcpListener::bind(address)?,
@@ -114,29 +121,30 @@
         Ok(())
     }
 
-    /// A connection between two requests that another process has served so far.
+    /// Takes over a connection from the other process of an upgrade. It is between two requests; `role` is what its
+    /// peer has proved to be so far.
     pub fn adopt(&self, stream: std::net::TcpStream, role: PeerRole) {
         if let Ok(stream) = descriptor::stream(stream) {
             start_connection(stream, role, &self.0);
         }
     }
 
-    /// A call-back that reached another process.
+    /// Handles a call-back that reached the other process of an upgrade.
     pub fn take_news(&self, body: &[u8]) {
         call_back::receive_forwarded(&self.0, body);
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.0.connections.len()
     }
 
-    /// Ends the connections that wait for their next request.
+    /// Closes the connections that wait for their next request.
     pub fn close_idle_connections(&self) {
         self.0.connections.close_idle(f64::INFINITY);
     }
 
-    /// Answers that are still to be written.
+    /// The number of jobs whose answers are not yet written in full.
     pub fn unsent_answers(&self) -> usize {
         self.0.connections.unsent_answers()
     }
@@ -152,7 +160,8 @@
             may::coroutine::sleep(span(EVICTION_PAUSE_MS));
             continue;
         }
-        // Not may's own `accept`: blocked in it, a process that has laid its place down would take one more.
+        // Not may's own `accept`: a process blocked in it would accept one more connection after an upgrade has taken
+        // this duty from it.
         match listener.inner().accept().and_then(|(stream, _)| descriptor::stream(stream)) {
             Ok(stream) => start_connection(stream, PeerRole::Stranger, shared),
             Err(error) if error.kind() == ErrorKind::WouldBlock => drop(listener.wait_io()),
@@ -167,8 +176,8 @@
     }
 }
 
-/// Ends connections that have had their time, and those between requests once a stop takes no more jobs on: their
-/// clients would go on using them, and be deferred.
+/// Closes connections whose deadline has passed. Once a stop or a drain accepts no more jobs, it also closes idle
+/// connections: their clients would otherwise keep using them, and every job would be deferred.
 fn sweep(shared: &Shared) {
     loop {
         may::coroutine::sleep(span(SWEEP_INTERVAL_MS));
@@ -189,8 +198,8 @@
     }
 }
 
-/// The connection counts against the budget from here on, not from when its coroutine first runs: many may be
-/// accepted in between.
+/// Registers a connection and starts its coroutine. It counts against the budget from here on, not from when the
+/// coroutine first runs, because many connections may be accepted in between.
 fn start_connection(stream: TcpStream, role: PeerRole, shared: &Arc<Shared>) {
     shared.counters.connections_in.add();
     if let Ok(connection) = Connection::new(stream, role, shared) {
--- a/balancer/fronts/http/src/tests.rs
+++ b/balancer/fronts/http/src/tests.rs
@@ -48,13 +48,13 @@
 fn a_refusal_names_the_header() {
     for (from, to, refusal) in [
         ("X-Trace-Id: 9b1f", "X-Other: 1", Refusal::MissingHeader("X-Trace-Id")),
-        // An id becomes part of a path at the next hop.
+        // The id becomes part of a path at the worker.
         ("9b1f", "../status", Refusal::BadHeader("X-Trace-Id")),
         ("9b1f", "..", Refusal::BadHeader("X-Trace-Id")),
-        // Two readers could each take another of the two.
+        // Of a repeated header, the dispatcher and the worker could each use a different one.
         ("9b1f", "9b1f\r\nX-Trace-Id: 9b20", Refusal::BadHeader("X-Trace-Id")),
         ("4998m", "4998m\r\nX-Expires-In: 1m", Refusal::BadHeader("X-Expires-In")),
-        // A keyed job without its key could be logged twice.
+        // A retry of a keyed job without its key could take effect twice.
         ("Idempotency-Key: 5c0f", "X-Other: 1", Refusal::MissingHeader("Idempotency-Key")),
         ("5c0f", "5c\u{e9}f", Refusal::BadHeader("Idempotency-Key")),
         ("/api?q=1", "/api#q", Refusal::BadTarget),
@@ -118,7 +118,7 @@
     assert_eq!((served.status, served.body.as_slice()), (200, b"made".as_slice()));
     let later = read(answer::job_answer(&Answer::Defer { retry_after: Some(250.0) }, false));
     assert_eq!((later.status, later.headers.get("retry-after")), (503, Some("0.250")));
-    // 429 and 503 would promise that nothing ran.
+    // 429 and 503 would promise that the job did not run.
     for failure in [Failure::Attempts, Failure::Late, Failure::Repeated, Failure::Refused] {
         let failed = read(answer::job_answer(&Answer::Failed(failure), true)).status;
         assert!(![200, 429, 503].contains(&failed));
@@ -131,7 +131,7 @@
 
 #[test]
 fn eviction_takes_unidentified_peers_first_and_never_one_awaiting_an_answer() {
-    // Hundreds that connect and say nothing must not end the kept connections of usual clients.
+    // Guards against hundreds of silent connections evicting the idle kept-alive connections of known clients.
     use {Activity::*, PeerRole::*};
     let pick = |states: &[State]| eviction_candidate(states.iter().copied(), 10_000.0);
     let awaiting = state(AwaitingAnswer, Stranger, 0.0);
@@ -145,7 +145,7 @@
     assert_eq!(
         pick(&[awaiting, stalled, idle, state(Idle, Caller, 9_000.0)]),
         Some(3),
-        "call-backs' before clients'"
+        "idle workers are evicted before idle clients"
     );
     assert_eq!(pick(&[awaiting, stalled, idle]), Some(2));
     assert_eq!(pick(&[awaiting, busy, stalled]), Some(2));
@@ -154,7 +154,7 @@
 
 #[test]
 fn every_activity_waiting_on_a_peer_has_a_deadline_except_idle_after_identification() {
-    // A bad client is owed an error or a close within 3 s of connecting, however slowly it sends.
+    // A client must get an error or a close within 3 s of connecting, however slowly it sends.
     use {Activity::*, PeerRole::*};
     let first = State { opened: 1_000.0, since: 2_900.0, ..state(Reading, Stranger, 0.0) };
     assert!(
@@ -169,7 +169,7 @@
 
 #[test]
 fn buffers_and_jobs_are_bounded_over_all_connections() {
-    // With 32 MB, hundreds of half-sent bodies would be the end of the program.
+    // With 32 MB of memory, hundreds of unfinished bodies would exhaust it and end the program.
     let check = || {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let socket = Socket::connect(listener.local_addr().unwrap(), Duration::from_secs(60)).unwrap();
@@ -179,10 +179,11 @@
         );
         let [first, second, known] = [(); 3].map(|()| connections.register(socket.waker(), 0.0));
         assert!(connections.set_buffered(&first, 80) && !connections.set_buffered(&second, 30));
-        assert!(connections.set_buffered(&second, 10), "giving some back is never refused");
+        assert!(connections.set_buffered(&second, 10), "a smaller buffer is never refused");
         connections.unregister(&first);
         assert!(connections.set_buffered(&second, 90));
-        // Three jobs are here: a stranger's next is deferred, a known client's is not; silent ones do not count.
+        // With three jobs in progress, the next job of an unidentified peer is deferred and a known client's is not.
+        // Connections without a job do not count.
         connections.raise_role(&known, PeerRole::Client);
         let awaiting = [(); 3].map(|()| connections.register(socket.waker(), 0.0));
         assert!(!connections.job_limit_reached(&second));
