--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -208,7 +208,7 @@
 async fn accept(listener: TcpListener, shared: &Arc<Shared>, log: &Logger) {
     let (address, bad_accepts) = (listener.local_addr(), Limiter::default());
     let (mut listens, mut accepted) = (Some(listener), false);
-    let complain = |what: &str, error: &io::Error| {
+    let log_failure = |what: &str, error: &io::Error| {
         shared.counters.accept_errors.add();
         if bad_accepts.allows(shared.clock.now()) {
             slog::warn!(log, "{} failed", what; "front" => "grpc", "error" => %error);
@@ -227,7 +227,7 @@
                     next = listener.accept() => match next {
                         Ok((stream, _)) => admit(stream, shared).await,
                         Err(error) => {
-                            complain("accept", &error);
+                            log_failure("accepting a connection", &error);
                             tokio::time::sleep(span(ACCEPT_PAUSE_MS)).await;
                         }
                     },
@@ -243,7 +243,7 @@
             (None, true, Ok(address)) => match listen_on(*address, true) {
                 Ok(listener) => listens = Some(listener),
                 Err(error) => {
-                    complain("listen", &error);
+                    log_failure("listening", &error);
                     tokio::time::sleep(span(ACCEPT_PAUSE_MS)).await;
                 }
             },
--- a/balancer/fronts/http/src/lib.rs
+++ b/balancer/fronts/http/src/lib.rs
@@ -168,7 +168,7 @@
             Err(error) => {
                 shared.counters.accept_errors.add();
                 if shared.accept_error_log.allows(shared.clock.now()) {
-                    slog::warn!(shared.log, "accept failed"; "error" => %error);
+                    slog::warn!(shared.log, "accepting a connection failed"; "error" => %error);
                 }
                 may::coroutine::sleep(span(ACCEPT_PAUSE_MS));
             }
