--- a/balancer/fronts/grpc/src/call.rs
+++ b/balancer/fronts/grpc/src/call.rs
@@ -1,7 +1,7 @@
 //! One call: its message is taken in whole and in time, handed to its service, and what comes back is written for
 //! as long as the client takes it.
 
-use crate::door::Pass;
+use crate::connection_table::Pass;
 use crate::intake::Invalid;
 use crate::service::{Arrival, MESSAGE_LIMIT};
 use crate::{status, Shared};
--- a/balancer/fronts/grpc/src/door.rs
+++ b/balancer/fronts/grpc/src/connection_table.rs
@@ -1,7 +1,7 @@
 //! Which client connections are open, and who leaves when room is short: peers that have proved nothing first.
 
 use crate::meter::Cause;
-use crate::watched::Watch;
+use crate::metered_stream::Watch;
 use millrudder_exchange::counters::{Counter, Counters};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -5,17 +5,17 @@
 //! carry that out.
 
 mod call;
-mod door;
+mod connection_table;
 mod intake;
 mod meter;
+mod metered_stream;
 pub mod proto;
 mod service;
 mod status;
 mod timeout;
 mod transport;
-mod watched;
 
-use door::{Door, Room};
+use connection_table::{Door, Room};
 use http::{Request, Response};
 use millrudder_config::settings::GrpcLimits;
 use millrudder_config::GrpcBudget;
--- a/balancer/fronts/grpc/src/transport.rs
+++ b/balancer/fronts/grpc/src/transport.rs
@@ -1,9 +1,9 @@
 //! One client connection: HTTP/2 by h2 over a metered socket, each call in a task of its own that ends with it.
 
 use crate::call;
-use crate::door::{count, End, Pass};
+use crate::connection_table::{count, End, Pass};
 use crate::meter::{Bounds, Meter};
-use crate::watched::{Watch, Watched};
+use crate::metered_stream::{Watch, Watched};
 use crate::Shared;
 use bytes::Bytes;
 use h2::server::{Builder, Connection};
