--- a/balancer/fronts/grpc/src/call.rs
+++ b/balancer/fronts/grpc/src/call.rs
@@ -1,9 +1,9 @@
 //! One call: its message is taken in whole and in time, handed to its service, and what comes back is written for
 //! as long as the client takes it.
 
-use crate::connection_table::Pass;
-use crate::intake::Invalid;
-use crate::service::{Arrival, MESSAGE_LIMIT};
+use crate::connection_table::ConnectionHandle;
+use crate::intake::InvalidField;
+use crate::service::{ReceivedAt, MESSAGE_LIMIT};
 use crate::{status, Shared};
 use bytes::{Bytes, BytesMut};
 use h2::server::SendResponse;
@@ -22,65 +22,65 @@
 use tower_service::Service;
 
 /// Calls for health and reflection that one connection may hold.
-const MOST_OTHERS: usize = 8;
-const GRPC: &str = "application/grpc";
+const MAX_OTHER_CALLS: usize = 8;
+const GRPC_CONTENT_TYPE: &str = "application/grpc";
 /// Flag and length before a message (gRPC over HTTP/2, "Length-Prefixed-Message").
-const PREFIX: usize = 5;
+const MESSAGE_PREFIX_BYTES: usize = 5;
 
-pub const JOBS: &str = "millrudder.v1.Jobs";
-pub const HEALTH: &str = "grpc.health.v1.Health";
-pub const REFLECTION: &str = "grpc.reflection.v1.ServerReflection";
-pub const OLD_REFLECTION: &str = "grpc.reflection.v1alpha.ServerReflection";
+pub const JOBS_SERVICE: &str = "millrudder.v1.Jobs";
+pub const HEALTH_SERVICE: &str = "grpc.health.v1.Health";
+pub const REFLECTION_SERVICE: &str = "grpc.reflection.v1.ServerReflection";
+pub const REFLECTION_ALPHA_SERVICE: &str = "grpc.reflection.v1alpha.ServerReflection";
 
 pub async fn serve(
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
     shared: Arc<Shared>,
-    pass: Arc<Pass>,
+    handle: Arc<ConnectionHandle>,
 ) {
-    let began = shared.clock.now();
-    let is_job = service_of(&request) == JOBS;
-    let mut guard = Guard::new(&shared, &pass, is_job);
-    let answered = tokio::select! {
+    let received_at = shared.clock.now();
+    let is_job = service_of(&request) == JOBS_SERVICE;
+    let mut guard = CallGuard::new(&shared, &handle, is_job);
+    let response = tokio::select! {
         biased;
         // The client has cancelled, or is gone: dropping the work withdraws its job.
         _ = poll_fn(|cx| respond.poll_reset(cx)) => {
             shared.counters.grpc_cancelled.add();
             return;
         }
-        answered = answer(request, began, &shared, guard.crowd) => answered,
+        response = answer(request, received_at, &shared, guard.other_calls) => response,
     };
-    guard.answered = write(answered, respond, &shared).await;
+    guard.answer_sent = write_response(response, respond, &shared).await;
 }
 
 /// Books a call on its connection for as long as it lives.
-struct Guard<'a> {
+struct CallGuard<'a> {
     shared: &'a Shared,
-    pass: &'a Pass,
+    handle: &'a ConnectionHandle,
     is_job: bool,
-    crowd: usize,
-    answered: bool,
+    other_calls: usize,
+    answer_sent: bool,
 }
 
-impl<'a> Guard<'a> {
-    fn new(shared: &'a Shared, pass: &'a Pass, is_job: bool) -> Self {
-        let crowd = if is_job {
-            pass.job_began();
+impl<'a> CallGuard<'a> {
+    fn new(shared: &'a Shared, handle: &'a ConnectionHandle, is_job: bool) -> Self {
+        let other_calls = if is_job {
+            handle.job_started();
             0
         } else {
-            pass.others(1, shared.clock.now())
+            handle.change_other_calls(1, shared.clock.now())
         };
-        Guard { shared, pass, is_job, crowd, answered: false }
+        CallGuard { shared, handle, is_job, other_calls, answer_sent: false }
     }
 }
 
-impl Drop for Guard<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         let now = self.shared.clock.now();
         if self.is_job {
-            self.pass.job_ended(self.answered, now);
+            self.handle.job_ended(self.answer_sent, now);
         } else {
-            self.pass.others(-1, now);
+            self.handle.change_other_calls(-1, now);
         }
     }
 }
@@ -89,22 +89,29 @@
     request.uri().path().split('/').nth(1).unwrap_or_default()
 }
 
-async fn answer(request: Request<RecvStream>, began: f64, shared: &Shared, crowd: usize) -> Response<Body> {
+async fn answer(
+    request: Request<RecvStream>,
+    received_at: f64,
+    shared: &Shared,
+    other_calls: usize,
+) -> Response<Body> {
     let content = request.headers().get(http::header::CONTENT_TYPE).map(|v| v.as_bytes());
-    if request.method() != http::Method::POST || !content.is_some_and(|c| c.starts_with(GRPC.as_bytes())) {
+    if request.method() != http::Method::POST
+        || !content.is_some_and(|c| c.starts_with(GRPC_CONTENT_TYPE.as_bytes()))
+    {
         shared.counters.rejected_unknown.add();
         let (mut response, status) = (Response::new(Body::empty()), http::StatusCode::UNSUPPORTED_MEDIA_TYPE);
         *response.status_mut() = status;
         return response;
     }
-    if crowd > MOST_OTHERS {
+    if other_calls > MAX_OTHER_CALLS {
         return Status::resource_exhausted("too many calls beside jobs on this connection").into_http();
     }
     let service = service_of(&request);
-    if service == JOBS {
-        return job(request, began, shared).await;
+    if service == JOBS_SERVICE {
+        return answer_job(request, received_at, shared).await;
     }
-    let Some((_, other)) = shared.others.iter().find(|(name, _)| *name == service) else {
+    let Some((_, other)) = shared.other_services.iter().find(|(name, _)| *name == service) else {
         shared.counters.rejected_unknown.add();
         return Status::unimplemented("unknown service").into_http();
     };
@@ -112,12 +119,13 @@
 }
 
 /// The message of a job is taken in before anything else: half a call holds no place.
-async fn job(request: Request<RecvStream>, began: f64, shared: &Shared) -> Response<Body> {
+async fn answer_job(request: Request<RecvStream>, received_at: f64, shared: &Shared) -> Response<Body> {
     let (mut parts, mut body) = request.into_parts();
-    let taken = tokio::time::timeout(span(shared.limits.request_time.ms()), take(&mut body, shared)).await;
-    match taken {
+    let received =
+        tokio::time::timeout(span(shared.limits.request_time.ms()), receive_message(&mut body, shared)).await;
+    match received {
         Ok(Ok(message)) => {
-            parts.extensions.insert(Arrival { began });
+            parts.extensions.insert(ReceivedAt(received_at));
             let body = Body::new(Full::new(message));
             shared
                 .jobs
@@ -135,40 +143,40 @@
 }
 
 /// Bytes of calls that have not come whole, booked on the front's budget.
-struct Receiving<'a> {
+struct ReceiveBudget<'a> {
     shared: &'a Shared,
     bytes: usize,
 }
 
-impl Receiving<'_> {
+impl ReceiveBudget<'_> {
     fn add(&mut self, bytes: usize) -> bool {
         self.bytes += bytes;
-        let before = self.shared.receiving.fetch_add(bytes, Ordering::AcqRel);
-        before + bytes <= self.shared.buffers
+        let before = self.shared.bytes_receiving.fetch_add(bytes, Ordering::AcqRel);
+        before + bytes <= self.shared.max_bytes_receiving
     }
 }
 
-impl Drop for Receiving<'_> {
+impl Drop for ReceiveBudget<'_> {
     fn drop(&mut self) {
-        self.shared.receiving.fetch_sub(self.bytes, Ordering::AcqRel);
+        self.shared.bytes_receiving.fetch_sub(self.bytes, Ordering::AcqRel);
     }
 }
 
-async fn take(body: &mut RecvStream, shared: &Shared) -> Result<Bytes, Status> {
-    let mut receiving = Receiving { shared, bytes: 0 };
+async fn receive_message(body: &mut RecvStream, shared: &Shared) -> Result<Bytes, Status> {
+    let mut receiving = ReceiveBudget { shared, bytes: 0 };
     let mut first = Bytes::new();
     let mut message: Option<BytesMut> = None;
     while let Some(data) = body.data().await {
         let data = data.map_err(|_| Status::cancelled("broken off"))?;
         let _ = body.flow_control().release_capacity(data.len());
-        if receiving.bytes + data.len() > MESSAGE_LIMIT + PREFIX {
+        if receiving.bytes + data.len() > MESSAGE_LIMIT + MESSAGE_PREFIX_BYTES {
             shared.counters.rejected_too_large.add();
-            let why = format!("the message is over {MESSAGE_LIMIT} bytes");
-            return Err(status::invalid(&Invalid { field: "body", why }));
+            let reason = format!("the message is over {MESSAGE_LIMIT} bytes");
+            return Err(status::invalid_field(&InvalidField { field: "body", reason }));
         }
         if !receiving.add(data.len()) {
             shared.counters.rejected_no_memory.add();
-            return Err(status::refused("no memory for this call now", None));
+            return Err(status::unavailable("no memory for this call now", None));
         }
         match &mut message {
             None if first.is_empty() => first = data,
@@ -184,12 +192,12 @@
 }
 
 /// Writes a response; true if all of it was taken.
-async fn write(response: Response<Body>, mut respond: SendResponse<Bytes>, shared: &Shared) -> bool {
+async fn write_response(response: Response<Body>, mut respond: SendResponse<Bytes>, shared: &Shared) -> bool {
     let (parts, mut body) = response.into_parts();
-    let only_head = body.is_end_stream();
+    let headers_only = body.is_end_stream();
     let head = Response::from_parts(parts, ());
-    let Ok(mut stream) = respond.send_response(head, only_head) else { return false };
-    if only_head {
+    let Ok(mut stream) = respond.send_response(head, headers_only) else { return false };
+    if headers_only {
         return true;
     }
     loop {
@@ -203,7 +211,7 @@
         };
         let sent = match frame {
             Some(Ok(frame)) => match frame.into_data() {
-                Ok(data) => send(&mut stream, data, shared).await,
+                Ok(data) => send_data(&mut stream, data, shared).await,
                 Err(frame) => match frame.into_trailers() {
                     Ok(trailers) => return stream.send_trailers(trailers).is_ok(),
                     Err(_) => true,
@@ -222,7 +230,7 @@
 }
 
 /// Sends as the client makes room for it; one that makes none is cut off.
-async fn send(stream: &mut SendStream<Bytes>, mut data: Bytes, shared: &Shared) -> bool {
+async fn send_data(stream: &mut SendStream<Bytes>, mut data: Bytes, shared: &Shared) -> bool {
     let all = async {
         while !data.is_empty() {
             stream.reserve_capacity(data.len());
--- a/balancer/fronts/grpc/src/intake.rs
+++ b/balancer/fronts/grpc/src/intake.rs
@@ -8,48 +8,48 @@
 use millrudder_exchange::{Front, Job, Verbatim};
 
 /// Figures that a job may carry.
-const MOST_PROPS: usize = 32;
+const MAX_PROPS: usize = 32;
 
 /// A field that cannot be used, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid {
+pub struct InvalidField {
     pub field: &'static str,
-    pub why: String,
+    pub reason: String,
 }
 
-fn invalid<T>(field: &'static str, why: impl Into<String>) -> Result<T, Invalid> {
-    Err(Invalid { field, why: why.into() })
+fn invalid<T>(field: &'static str, reason: impl Into<String>) -> Result<T, InvalidField> {
+    Err(InvalidField { field, reason: reason.into() })
 }
 
 /// `began`: when the call's headers came, on the clock; `timeout`: what its client waits (ms), if it says.
 ///
 /// # Errors
 /// The first field that cannot be used.
-pub fn job(
+pub fn parse_job(
     request: SubmitRequest,
-    began: f64,
+    received_at: f64,
     timeout: Option<f64>,
     classes: &[Class],
-) -> Result<Job, Invalid> {
+) -> Result<Job, InvalidField> {
     let trace_id = match request.id {
         id if id.is_empty() => uuid::Uuid::new_v4().simple().to_string(),
         id if is_id(&id) => id,
         _ => return invalid("id", format!("1 to {ID_LIMIT} of A-Z a-z 0-9 - _ . ~ are wanted")),
     };
     // Of a class without settings neither worth nor what may be repeated is known.
-    let Some(class) = find_class(classes, &request.job_class, began) else {
+    let Some(class) = find_class(classes, &request.job_class, received_at) else {
         return invalid("job_class", "unknown class");
     };
-    let key = plain("idempotency_key", request.idempotency_key)?;
+    let key = optional_text("idempotency_key", request.idempotency_key)?;
     if class.keyed && key.is_none() {
         return invalid("idempotency_key", format!("class {} needs one", class.name));
     }
-    plain("object", request.object)?;
+    optional_text("object", request.object)?;
     if request.body.len() > BODY_LIMIT {
         return invalid("body", format!("{} bytes, {BODY_LIMIT} are the most", request.body.len()));
     }
-    if request.props.len() > MOST_PROPS {
-        return invalid("props", format!("{} figures, {MOST_PROPS} are the most", request.props.len()));
+    if request.props.len() > MAX_PROPS {
+        return invalid("props", format!("{} figures, {MAX_PROPS} are the most", request.props.len()));
     }
     if let Some((name, value)) = request.props.iter().find(|(_, value)| !is_figure(**value)) {
         return invalid("props", format!("{name:?} is {value}, a finite number from 0 up is wanted"));
@@ -72,7 +72,7 @@
         class: class.name.clone(),
         slots: prop("slots").unwrap_or(1.0),
         memory: prop("memory").unwrap_or(0.0),
-        deadline: began + timeout.unwrap_or(class.limit),
+        deadline: received_at + timeout.unwrap_or(class.limit),
         verbatim: Verbatim {
             method: JOB_METHOD.to_owned(),
             target,
@@ -83,7 +83,7 @@
     })
 }
 
-fn plain(field: &'static str, value: String) -> Result<Option<String>, Invalid> {
+fn optional_text(field: &'static str, value: String) -> Result<Option<String>, InvalidField> {
     match value {
         value if value.is_empty() => Ok(None),
         value if value.len() <= VALUE_LIMIT && is_plain(&value) => Ok(Some(value)),
--- a/balancer/fronts/grpc/src/intake/tests.rs
+++ b/balancer/fronts/grpc/src/intake/tests.rs
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn a_call_becomes_the_job_that_the_same_http_request_would() {
-    let made = job(request(), 1_000.0, Some(480.0), &classes()).unwrap();
+fn a_call_becomes_the_same_job_as_the_equal_http_request() {
+    let made = parse_job(request(), 1_000.0, Some(480.0), &classes()).unwrap();
     assert_eq!(
         (made.trace_id.as_str(), made.class.as_str(), made.front),
         ("9b1f", "copy-issue", Front::Grpc)
@@ -33,8 +33,10 @@
     assert_eq!((verbatim.method.as_str(), verbatim.target.as_str()), ("POST", "/api?q=1"));
     assert_eq!((verbatim.body.as_slice(), verbatim.idempotency_key.as_deref()), (&b"body"[..], Some("5c0f")));
     let bare = SubmitRequest { job_class: "look-up".to_owned(), ..SubmitRequest::default() };
-    let (first, second) =
-        (job(bare.clone(), 0.0, None, &classes()).unwrap(), job(bare, 0.0, None, &classes()).unwrap());
+    let (first, second) = (
+        parse_job(bare.clone(), 0.0, None, &classes()).unwrap(),
+        parse_job(bare, 0.0, None, &classes()).unwrap(),
+    );
     assert_eq!((first.deadline, first.slots, first.verbatim.target.as_str()), (5_000.0, 1.0, "/api"));
     assert!(is_id(&first.trace_id) && first.trace_id != second.trace_id, "one is made, each time another");
 }
@@ -62,6 +64,6 @@
     for (field, change) in cases {
         let mut request = request();
         change(&mut request);
-        assert_eq!(job(request, 0.0, None, &classes()).unwrap_err().field, field);
+        assert_eq!(parse_job(request, 0.0, None, &classes()).unwrap_err().field, field);
     }
 }
--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -15,7 +15,7 @@
 mod timeout;
 mod transport;
 
-use connection_table::{Door, Room};
+use connection_table::{ConnectionTable, Room};
 use http::{Request, Response};
 use millrudder_config::settings::GrpcLimits;
 use millrudder_config::GrpcBudget;
@@ -43,17 +43,17 @@
 use tower_service::Service;
 
 /// How often connections are looked through (ms).
-const SWEEP_MS: f64 = 50.0;
+const SWEEP_INTERVAL_MS: f64 = 50.0;
 /// After a failed accept (no descriptor is free, say) the next try waits (ms): retrying at once would spin.
 const ACCEPT_PAUSE_MS: f64 = 10.0;
 /// How soon one that was ended to make room has left (ms).
-const ROOM_PAUSE_MS: f64 = 1.0;
+const EVICTION_PAUSE_MS: f64 = 1.0;
 /// Connections that wait to be accepted, as many as std's listeners let wait.
-const BACKLOG: u32 = 128;
+const LISTEN_BACKLOG: u32 = 128;
 /// How often it is looked whether this process is the one that accepts (ms).
-const PLACE_MS: f64 = 10.0;
+const ACCEPT_CHECK_MS: f64 = 10.0;
 /// What a call for health or reflection may bring (bytes).
-const OTHERS_LIMIT: usize = 8 * 1024;
+const OTHER_MESSAGE_BYTES: usize = 8 * 1024;
 
 /// What all connections share.
 struct Shared {
@@ -63,19 +63,19 @@
     peer_process: PeerProcess,
     clock: Clock,
     limits: GrpcLimits,
-    door: Arc<Door>,
+    connections: Arc<ConnectionTable>,
     /// Bytes of calls that have not come whole, and how many there may be.
-    receiving: AtomicUsize,
-    buffers: usize,
+    bytes_receiving: AtomicUsize,
+    max_bytes_receiving: usize,
     jobs: JobsServer<JobsService>,
     /// Health and reflection, by their names.
-    others: Vec<(&'static str, Other)>,
+    other_services: Vec<(&'static str, OtherService)>,
 }
 
-type Called = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
-type Other = Box<dyn Fn(Request<Body>) -> Called + Send + Sync>;
+type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
+type OtherService = Box<dyn Fn(Request<Body>) -> ResponseFuture + Send + Sync>;
 
-fn other<S>(service: S) -> Other
+fn boxed_service<S>(service: S) -> OtherService
 where
     S: Service<Request<Body>, Response = Response<Body>, Error = Infallible> + Clone + Send + Sync + 'static,
     S::Future: Send,
@@ -88,9 +88,9 @@
 
 /// The front while it runs; its thread ends once `finish` says so.
 pub struct GrpcFront {
-    door: Arc<Door>,
+    connections: Arc<ConnectionTable>,
     address: SocketAddr,
-    end: Option<oneshot::Sender<()>>,
+    stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
@@ -112,12 +112,12 @@
             listen_on(listen, upgrades)?
         };
         let address = listener.local_addr()?;
-        let door = Arc::new(Door::new(budget.connections));
-        let (end, ended) = oneshot::channel();
-        let for_thread = door.clone();
-        let run = move || runtime.block_on(serve(listener, limits, budget, core, for_thread, ended));
+        let connections = Arc::new(ConnectionTable::new(budget.connections));
+        let (stop, stop_signal) = oneshot::channel();
+        let table = connections.clone();
+        let run = move || runtime.block_on(serve(listener, limits, budget, core, table, stop_signal));
         let thread = std::thread::Builder::new().name("grpc".to_owned()).spawn(run)?;
-        Ok(GrpcFront { door, address, end: Some(end), thread: Some(thread) })
+        Ok(GrpcFront { connections, address, stop: Some(stop), thread: Some(thread) })
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -126,12 +126,12 @@
 
     /// Answers that are still to be written.
     pub fn unsent_answers(&self) -> usize {
-        self.door.jobs()
+        self.connections.unsent_answers()
     }
 
     /// Ends the thread and with it every connection.
     pub fn finish(mut self) {
-        drop(self.end.take());
+        drop(self.stop.take());
         self.thread.take().into_iter().for_each(|thread| drop(thread.join()));
     }
 }
@@ -142,7 +142,7 @@
     // Off without need: two dispatchers started on one address by mistake are to notice.
     socket.set_reuseport(shared)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// The front's main task: accepts, looks after connections, and follows the planned stop.
@@ -151,12 +151,12 @@
     limits: GrpcLimits,
     budget: GrpcBudget,
     core: Core,
-    door: Arc<Door>,
-    ended: oneshot::Receiver<()>,
+    connections: Arc<ConnectionTable>,
+    stop_signal: oneshot::Receiver<()>,
 ) {
     let core = Arc::new(core);
     let health = HealthReporter::new();
-    set_health(&health, true).await;
+    set_serving(&health, true).await;
     let shared = Arc::new(Shared {
         counters: core.counters.clone(),
         stopping: core.stopping.clone(),
@@ -164,23 +164,23 @@
         peer_process: core.peer_process.clone(),
         clock: core.clock,
         limits,
-        door,
-        receiving: AtomicUsize::new(0),
-        buffers: budget.buffers,
+        connections,
+        bytes_receiving: AtomicUsize::new(0),
+        max_bytes_receiving: budget.buffers,
         jobs: JobsServer::new(JobsService(core.clone())).max_decoding_message_size(service::MESSAGE_LIMIT),
-        others: others(&health),
+        other_services: other_services(&health),
     });
     tokio::select! {
-        _ = ended => {}
-        () = accept(listener, &shared, &core.log) => {}
-        () = look_after(&shared, &health) => {}
+        _ = stop_signal => {}
+        () = accept_loop(listener, &shared, &core.log) => {}
+        () = sweep_loop(&shared, &health) => {}
     }
 }
 
-fn others(health: &HealthReporter) -> Vec<(&'static str, Other)> {
+fn other_services(health: &HealthReporter) -> Vec<(&'static str, OtherService)> {
     let health = HealthServer::new(HealthService::from_health_reporter(health.clone()))
-        .max_decoding_message_size(OTHERS_LIMIT);
-    let mut others = vec![(call::HEALTH, other(health))];
+        .max_decoding_message_size(OTHER_MESSAGE_BYTES);
+    let mut other_services = vec![(call::HEALTH_SERVICE, boxed_service(health))];
     let builder = || {
         tonic_reflection::server::Builder::configure()
             .register_encoded_file_descriptor_set(proto::DESCRIPTORS)
@@ -188,16 +188,22 @@
     };
     // The descriptors are built in: a test sees that they can be read.
     if let (Ok(new), Ok(old)) = (builder().build_v1(), builder().build_v1alpha()) {
-        others.push((call::REFLECTION, other(new.max_decoding_message_size(OTHERS_LIMIT))));
-        others.push((call::OLD_REFLECTION, other(old.max_decoding_message_size(OTHERS_LIMIT))));
+        other_services.push((
+            call::REFLECTION_SERVICE,
+            boxed_service(new.max_decoding_message_size(OTHER_MESSAGE_BYTES)),
+        ));
+        other_services.push((
+            call::REFLECTION_ALPHA_SERVICE,
+            boxed_service(old.max_decoding_message_size(OTHER_MESSAGE_BYTES)),
+        ));
     }
-    others
+    other_services
 }
 
-async fn set_health(health: &HealthReporter, serving: bool) {
+async fn set_serving(health: &HealthReporter, serving: bool) {
     let status = if serving { ServingStatus::Serving } else { ServingStatus::NotServing };
     // The empty name stands for the whole server.
-    for service in ["", call::JOBS] {
+    for service in ["", call::JOBS_SERVICE] {
         health.set_service_status(service, status).await;
     }
 }
@@ -205,9 +211,9 @@
 /// Accepts while this process is the one that does. In an upgrade both listen, so that nobody is turned back between
 /// them: the new one lets connections wait, the old one takes what waits at its own listener and closes that. If the new
 /// one dies, the old one listens again.
-async fn accept(listener: TcpListener, shared: &Arc<Shared>, log: &Logger) {
+async fn accept_loop(listener: TcpListener, shared: &Arc<Shared>, log: &Logger) {
     let (address, bad_accepts) = (listener.local_addr(), Limiter::default());
-    let (mut listens, mut accepted) = (Some(listener), false);
+    let (mut open_listener, mut accepted) = (Some(listener), false);
     let log_failure = |what: &str, error: &io::Error| {
         shared.counters.accept_errors.add();
         if bad_accepts.allows(shared.clock.now()) {
@@ -215,12 +221,12 @@
         }
     };
     loop {
-        match (&listens, shared.peer_process.accepts(), &address) {
+        match (&open_listener, shared.peer_process.accepts(), &address) {
             (Some(listener), true, _) => {
                 accepted = true;
-                let place_moves = async {
+                let accept_duty_lost = async {
                     while shared.peer_process.accepts() {
-                        tokio::time::sleep(span(PLACE_MS)).await;
+                        tokio::time::sleep(span(ACCEPT_CHECK_MS)).await;
                     }
                 };
                 tokio::select! {
@@ -231,23 +237,23 @@
                             tokio::time::sleep(span(ACCEPT_PAUSE_MS)).await;
                         }
                     },
-                    () = place_moves => {}
+                    () = accept_duty_lost => {}
                 }
             }
             (Some(listener), false, _) if accepted => {
                 while let Ok(Ok((stream, _))) = tokio::time::timeout(span(0.0), listener.accept()).await {
                     admit(stream, shared).await;
                 }
-                listens = None;
+                open_listener = None;
             }
             (None, true, Ok(address)) => match listen_on(*address, true) {
-                Ok(listener) => listens = Some(listener),
+                Ok(listener) => open_listener = Some(listener),
                 Err(error) => {
                     log_failure("listening", &error);
                     tokio::time::sleep(span(ACCEPT_PAUSE_MS)).await;
                 }
             },
-            _ => tokio::time::sleep(span(PLACE_MS)).await,
+            _ => tokio::time::sleep(span(ACCEPT_CHECK_MS)).await,
         }
     }
 }
@@ -255,7 +261,7 @@
 async fn admit(stream: TcpStream, shared: &Arc<Shared>) {
     if has_room(shared).await {
         shared.counters.grpc_connections.add();
-        transport::admit(stream, shared);
+        transport::start_connection(stream, shared);
     } else {
         // All have jobs here: a close at once tells the client to try elsewhere.
         shared.counters.grpc_connections_refused.add();
@@ -265,27 +271,27 @@
 /// Whether one more connection fits, once one that may leave has left for it.
 async fn has_room(shared: &Shared) -> bool {
     loop {
-        match shared.door.make_room(&shared.counters) {
+        match shared.connections.make_room(&shared.counters) {
             Room::Free => return true,
             Room::None => return false,
-            Room::Soon => tokio::time::sleep(span(ROOM_PAUSE_MS)).await,
+            Room::Soon => tokio::time::sleep(span(EVICTION_PAUSE_MS)).await,
         }
     }
 }
 
-async fn look_after(shared: &Shared, health: &HealthReporter) {
-    let mut told = true;
+async fn sweep_loop(shared: &Shared, health: &HealthReporter) {
+    let mut reported = true;
     loop {
-        tokio::time::sleep(span(SWEEP_MS)).await;
+        tokio::time::sleep(span(SWEEP_INTERVAL_MS)).await;
         let now = shared.clock.now();
         let serves = !shared.stopping.has_begun() && !shared.drain.is_on();
-        if serves != told {
-            told = serves;
-            set_health(health, serves).await;
+        if serves != reported {
+            reported = serves;
+            set_serving(health, serves).await;
         }
         // Clients of a process that has laid its place down find the new one; calls under way are answered here.
-        let moved = shared.peer_process.is_open() && !shared.peer_process.accepts();
-        let closing = shared.stopping.grace_is_over(now) || shared.drain.is_noticed(now) || moved;
-        shared.door.sweep(shared.limits.idle_time.ms(), closing, now, &shared.counters);
+        let handed_over = shared.peer_process.is_open() && !shared.peer_process.accepts();
+        let closing = shared.stopping.grace_is_over(now) || shared.drain.is_noticed(now) || handed_over;
+        shared.connections.sweep(shared.limits.idle_time.ms(), closing, now, &shared.counters);
     }
 }
--- a/balancer/fronts/grpc/src/meter.rs
+++ b/balancer/fronts/grpc/src/meter.rs
@@ -6,13 +6,13 @@
 
 /// RFC 9113, section 3.4.
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-const FRAME_HEAD: usize = 9;
+const FRAME_HEADER_BYTES: usize = 9;
 /// A header list within its bound fits into one HEADERS frame and a few CONTINUATIONs of 16 KiB (CVE-2024-27316:
 /// endless ones).
-const MOST_CONTINUATIONS: u32 = 8;
+const MAX_CONTINUATIONS: u32 = 8;
 /// Control frames that a call brings with it: window updates of both levels, a SETTINGS ACK, and the PINGs by which
 /// gRPC's clients measure the bandwidth-delay product.
-const FRAMES_PER_CALL: f64 = 8.0;
+const CONTROL_FRAMES_PER_CALL: f64 = 8.0;
 /// How many seconds of its allowance a connection may use at once.
 const BURST_S: f64 = 2.0;
 
@@ -36,7 +36,7 @@
 
 /// Why a connection is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum CloseCause {
     /// PINGs beyond those that calls bring with them (CVE-2019-9512).
     Ping,
     /// SETTINGS (CVE-2019-9515).
@@ -68,15 +68,15 @@
 
 /// Tokens that come back with time, or are earned.
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
+struct TokenBucket {
     tokens: f64,
     per_s: f64,
-    at: f64,
+    refilled_at: f64,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(per_s: f64, now: f64) -> Self {
-        Bucket { tokens: per_s * BURST_S, per_s, at: now }
+        TokenBucket { tokens: per_s * BURST_S, per_s, refilled_at: now }
     }
 
     fn earn(&mut self, tokens: f64) {
@@ -84,8 +84,8 @@
     }
 
     fn spend(&mut self, now: f64) -> bool {
-        self.earn((now - self.at).max(0.0) / 1_000.0 * self.per_s);
-        self.at = now;
+        self.earn((now - self.refilled_at).max(0.0) / 1_000.0 * self.per_s);
+        self.refilled_at = now;
         self.tokens -= 1.0;
         self.tokens >= 0.0
     }
@@ -93,14 +93,14 @@
 
 /// Frame heads out of bytes as they come; payloads are passed over, but for the first bytes.
 #[derive(Clone, Copy, Debug, Default)]
-struct Scanner {
-    head: [u8; FRAME_HEAD],
-    have: usize,
+struct FrameScanner {
+    head: [u8; FRAME_HEADER_BYTES],
+    head_len: usize,
     /// Bytes of the payload still to come.
-    left: usize,
+    payload_left: usize,
     /// The payload's first 4 bytes: the error code of RST_STREAM.
-    first: [u8; 4],
-    payload: usize,
+    first_bytes: [u8; 4],
+    first_len: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -109,43 +109,43 @@
     kind: u8,
     flags: u8,
     length: usize,
-    first: u32,
+    first_bytes: u32,
 }
 
-impl Scanner {
+impl FrameScanner {
     /// Takes bytes up to a frame's end; gives that frame and how many bytes were taken.
     fn take(&mut self, bytes: &[u8]) -> (usize, Option<Frame>) {
         let mut taken = 0;
-        if self.have < FRAME_HEAD {
-            let part = (FRAME_HEAD - self.have).min(bytes.len());
-            self.head[self.have..self.have + part].copy_from_slice(&bytes[..part]);
-            self.have += part;
+        if self.head_len < FRAME_HEADER_BYTES {
+            let part = (FRAME_HEADER_BYTES - self.head_len).min(bytes.len());
+            self.head[self.head_len..self.head_len + part].copy_from_slice(&bytes[..part]);
+            self.head_len += part;
             taken = part;
-            if self.have < FRAME_HEAD {
+            if self.head_len < FRAME_HEADER_BYTES {
                 return (taken, None);
             }
-            self.left = self.length();
-            self.payload = 0;
-            self.first = [0; 4];
+            self.payload_left = self.length();
+            self.first_len = 0;
+            self.first_bytes = [0; 4];
         }
-        let part = self.left.min(bytes.len() - taken);
-        for byte in &bytes[taken..taken + part.min(4_usize.saturating_sub(self.payload))] {
-            self.first[self.payload] = *byte;
-            self.payload += 1;
+        let part = self.payload_left.min(bytes.len() - taken);
+        for byte in &bytes[taken..taken + part.min(4_usize.saturating_sub(self.first_len))] {
+            self.first_bytes[self.first_len] = *byte;
+            self.first_len += 1;
         }
-        self.left -= part;
+        self.payload_left -= part;
         taken += part;
-        if self.left > 0 {
+        if self.payload_left > 0 {
             return (taken, None);
         }
-        self.have = 0;
+        self.head_len = 0;
         let [.., a, b, c, d] = self.head;
         let frame = Frame {
             stream: u32::from_be_bytes([a, b, c, d]),
             kind: self.head[3],
             flags: self.head[4],
             length: self.length(),
-            first: u32::from_be_bytes(self.first),
+            first_bytes: u32::from_be_bytes(self.first_bytes),
         };
         (taken, Some(frame))
     }
@@ -159,18 +159,18 @@
     bounds: Bounds,
     opened: f64,
     /// Bytes of the preface that have come.
-    preface: usize,
-    inbound: Scanner,
-    outbound: Scanner,
-    control: Bucket,
-    resets: Bucket,
+    preface_len: usize,
+    inbound: FrameScanner,
+    outbound: FrameScanner,
+    control: TokenBucket,
+    resets: TokenBucket,
     /// A header block is open: since when, and its CONTINUATIONs.
-    block: Option<(f64, u32)>,
+    header_block: Option<(f64, u32)>,
     /// A write finds no room since then.
-    blocked: Option<f64>,
+    write_blocked_since: Option<f64>,
     calls: u64,
     /// The stream whose headers went out last.
-    answered: u32,
+    last_answered_stream: u32,
     refused: Refusals,
 }
 
@@ -188,15 +188,15 @@
         Meter {
             bounds,
             opened: now,
-            preface: 0,
-            inbound: Scanner::default(),
-            outbound: Scanner::default(),
-            control: Bucket::new(bounds.control_frames, now),
-            resets: Bucket::new(bounds.resets, now),
-            block: None,
-            blocked: None,
+            preface_len: 0,
+            inbound: FrameScanner::default(),
+            outbound: FrameScanner::default(),
+            control: TokenBucket::new(bounds.control_frames, now),
+            resets: TokenBucket::new(bounds.resets, now),
+            header_block: None,
+            write_blocked_since: None,
             calls: 0,
-            answered: 0,
+            last_answered_stream: 0,
             refused: Refusals::default(),
         }
     }
@@ -205,48 +205,50 @@
     ///
     /// # Errors
     /// They are more than this connection may cost.
-    pub fn read(&mut self, mut bytes: &[u8], now: f64) -> Result<(), Cause> {
-        let start = (PREFACE.len() - self.preface).min(bytes.len());
+    pub fn on_read(&mut self, mut bytes: &[u8], now: f64) -> Result<(), CloseCause> {
+        let start = (PREFACE.len() - self.preface_len).min(bytes.len());
         // Whether it is the preface at all is h2's to say.
-        self.preface += start;
+        self.preface_len += start;
         bytes = &bytes[start..];
         while !bytes.is_empty() {
             let (taken, frame) = self.inbound.take(bytes);
             bytes = &bytes[taken..];
             if let Some(frame) = frame {
-                self.judge(frame, now)?;
+                self.check_frame(frame, now)?;
             }
         }
         Ok(())
     }
 
-    fn judge(&mut self, frame: Frame, now: f64) -> Result<(), Cause> {
+    fn check_frame(&mut self, frame: Frame, now: f64) -> Result<(), CloseCause> {
         let cause = match frame.kind {
             kind::HEADERS => {
                 self.calls += 1;
-                self.control.earn(FRAMES_PER_CALL);
-                self.block = (frame.flags & END_HEADERS == 0).then_some((now, 0));
+                self.control.earn(CONTROL_FRAMES_PER_CALL);
+                self.header_block = (frame.flags & END_HEADERS == 0).then_some((now, 0));
                 return Ok(());
             }
             kind::CONTINUATION => {
-                let (since, before) = self.block.unwrap_or((now, 0));
-                self.block = (frame.flags & END_HEADERS == 0).then_some((since, before + 1));
-                return if before < MOST_CONTINUATIONS { Ok(()) } else { Err(Cause::Continuation) };
+                let (since, before) = self.header_block.unwrap_or((now, 0));
+                self.header_block = (frame.flags & END_HEADERS == 0).then_some((since, before + 1));
+                return if before < MAX_CONTINUATIONS { Ok(()) } else { Err(CloseCause::Continuation) };
             }
             kind::RST_STREAM => {
-                return if self.resets.spend(now) { Ok(()) } else { Err(Cause::Reset) };
+                return if self.resets.spend(now) { Ok(()) } else { Err(CloseCause::Reset) };
             }
             kind::DATA if frame.length > 0 || frame.flags & END_STREAM != 0 => return Ok(()),
             // The answer to our own.
-            kind::SETTINGS | kind::PING if frame.flags & ACK != 0 => return self.spend(now, Cause::Other),
-            kind::PING => Cause::Ping,
-            kind::SETTINGS => Cause::Settings,
-            _ => Cause::Other,
+            kind::SETTINGS | kind::PING if frame.flags & ACK != 0 => {
+                return self.spend(now, CloseCause::Other)
+            }
+            kind::PING => CloseCause::Ping,
+            kind::SETTINGS => CloseCause::Settings,
+            _ => CloseCause::Other,
         };
         self.spend(now, cause)
     }
 
-    fn spend(&mut self, now: f64, cause: Cause) -> Result<(), Cause> {
+    fn spend(&mut self, now: f64, cause: CloseCause) -> Result<(), CloseCause> {
         if self.control.spend(now) {
             Ok(())
         } else {
@@ -255,18 +257,18 @@
     }
 
     /// Bytes have been written, the peer's machine has taken them.
-    pub fn wrote(&mut self, mut bytes: &[u8]) {
-        self.blocked = None;
+    pub fn on_written(&mut self, mut bytes: &[u8]) {
+        self.write_blocked_since = None;
         while !bytes.is_empty() {
             let (taken, frame) = self.outbound.take(bytes);
             bytes = &bytes[taken..];
             match frame {
-                Some(frame) if frame.kind == kind::HEADERS => self.answered = frame.stream,
+                Some(frame) if frame.kind == kind::HEADERS => self.last_answered_stream = frame.stream,
                 Some(frame) if frame.kind == kind::RST_STREAM => {
-                    self.refused.streams += u64::from(frame.first == REFUSED_STREAM);
+                    self.refused.streams += u64::from(frame.first_bytes == REFUSED_STREAM);
                     // h2 answers 431 to a header list that is too large, and then resets the stream.
-                    let answered = frame.stream == self.answered;
-                    self.refused.headers += u64::from(answered && frame.first == PROTOCOL_ERROR);
+                    let answered = frame.stream == self.last_answered_stream;
+                    self.refused.headers += u64::from(answered && frame.first_bytes == PROTOCOL_ERROR);
                 }
                 _ => {}
             }
@@ -274,21 +276,24 @@
     }
 
     /// A write found no room.
-    pub fn write_blocked(&mut self, now: f64) {
-        self.blocked.get_or_insert(now);
+    pub fn on_write_blocked(&mut self, now: f64) {
+        self.write_blocked_since.get_or_insert(now);
     }
 
     /// What only time tells; to be asked now and then.
     ///
     /// # Errors
     /// The connection has had its time.
-    pub fn check(&self, now: f64) -> Result<(), Cause> {
+    pub fn check_timeouts(&self, now: f64) -> Result<(), CloseCause> {
         let bounds = &self.bounds;
-        let silent = self.preface < PREFACE.len() && now - self.opened >= bounds.request_time;
-        let half = self.block.is_some_and(|(since, _)| now - since >= bounds.request_time);
+        let preface_late = self.preface_len < PREFACE.len() && now - self.opened >= bounds.request_time;
+        let header_block_late =
+            self.header_block.is_some_and(|(since, _)| now - since >= bounds.request_time);
         match () {
-            () if silent || half => Err(Cause::TooSlow),
-            () if self.blocked.is_some_and(|since| now - since >= bounds.answer_time) => Err(Cause::Stalled),
+            () if preface_late || header_block_late => Err(CloseCause::TooSlow),
+            () if self.write_blocked_since.is_some_and(|since| now - since >= bounds.answer_time) => {
+                Err(CloseCause::Stalled)
+            }
             () => Ok(()),
         }
     }
@@ -300,7 +305,7 @@
     }
 
     /// Streams refused since this was last asked.
-    pub fn take_refused(&mut self) -> Refusals {
+    pub fn take_refusals(&mut self) -> Refusals {
         std::mem::take(&mut self.refused)
     }
 }
--- a/balancer/fronts/grpc/src/meter/tests.rs
+++ b/balancer/fronts/grpc/src/meter/tests.rs
@@ -14,15 +14,15 @@
 
 fn meter() -> Meter {
     let mut meter = Meter::new(BOUNDS, 0.0);
-    meter.read(PREFACE, 0.0).unwrap();
+    meter.on_read(PREFACE, 0.0).unwrap();
     meter
 }
 
 /// How many of these frames pass within one moment.
-fn passes(kind: u8, flags: u8, payload: &[u8]) -> (usize, Option<Cause>) {
+fn frames_accepted(kind: u8, flags: u8, payload: &[u8]) -> (usize, Option<CloseCause>) {
     let (mut meter, bytes) = (meter(), frame(kind, flags, payload));
     for n in 0..10_000 {
-        if let Err(cause) = meter.read(&bytes, 1.0) {
+        if let Err(cause) = meter.on_read(&bytes, 1.0) {
             return (n, Some(cause));
         }
     }
@@ -30,26 +30,26 @@
 }
 
 #[test]
-fn each_flood_is_ended_and_named() {
+fn each_flood_closes_the_connection_under_its_cause() {
     for (kind, flags, payload, cause) in [
-        (kind::PING, 0, &[0; 8][..], Cause::Ping),
-        (kind::SETTINGS, 0, &[], Cause::Settings),
-        (kind::WINDOW_UPDATE, 0, &[0, 0, 0, 1], Cause::Other),
-        (kind::DATA, 0, &[], Cause::Other),
-        (2, 0, &[0; 5], Cause::Other),
-        (99, 0, &[1], Cause::Other),
+        (kind::PING, 0, &[0; 8][..], CloseCause::Ping),
+        (kind::SETTINGS, 0, &[], CloseCause::Settings),
+        (kind::WINDOW_UPDATE, 0, &[0, 0, 0, 1], CloseCause::Other),
+        (kind::DATA, 0, &[], CloseCause::Other),
+        (2, 0, &[0; 5], CloseCause::Other),
+        (99, 0, &[1], CloseCause::Other),
     ] {
-        let (passed, ended) = passes(kind, flags, payload);
+        let (accepted, ended) = frames_accepted(kind, flags, payload);
         assert_eq!(ended, Some(cause));
-        assert!((200..=202).contains(&passed), "{passed} of {cause:?}");
+        assert!((200..=202).contains(&accepted), "{accepted} of {cause:?}");
     }
-    assert_eq!(passes(kind::RST_STREAM, 0, &[0, 0, 0, 8]), (100, Some(Cause::Reset)));
-    assert_eq!(passes(kind::CONTINUATION, 0, &[1]).1, Some(Cause::Continuation));
-    assert_eq!(passes(kind::DATA, 0, &[1]).1, None, "bodies are flow control's");
+    assert_eq!(frames_accepted(kind::RST_STREAM, 0, &[0, 0, 0, 8]), (100, Some(CloseCause::Reset)));
+    assert_eq!(frames_accepted(kind::CONTINUATION, 0, &[1]).1, Some(CloseCause::Continuation));
+    assert_eq!(frames_accepted(kind::DATA, 0, &[1]).1, None, "bodies are flow control's");
 }
 
 #[test]
-fn calls_bring_their_own_frames_with_them() {
+fn control_frames_that_belong_to_calls_are_no_flood() {
     // grpc-c++ measures the link with a PING for nearly each answer: that is no flood.
     let mut meter = meter();
     for n in 0..20_000 {
@@ -62,67 +62,76 @@
             (kind::PING, 0, &[0; 8]),
             (kind::PING, ACK, &[0; 8]),
         ] {
-            meter.read(&frame(kind, flags, payload), now).unwrap();
+            meter.on_read(&frame(kind, flags, payload), now).unwrap();
         }
     }
     assert_eq!(meter.calls(), 20_000);
 }
 
 #[test]
-fn cancelling_in_moderation_is_no_flood_and_a_rapid_reset_is() {
+fn only_rapid_resets_are_a_flood() {
     let mut slow = meter();
     for n in 0..1_000 {
         let now = f64::from(n) * 25.0;
-        slow.read(&frame(kind::HEADERS, END_HEADERS, &[1]), now).unwrap();
-        slow.read(&frame(kind::RST_STREAM, 0, &[0, 0, 0, 8]), now).unwrap();
+        slow.on_read(&frame(kind::HEADERS, END_HEADERS, &[1]), now).unwrap();
+        slow.on_read(&frame(kind::RST_STREAM, 0, &[0, 0, 0, 8]), now).unwrap();
     }
     let (mut rapid, mut ended) = (meter(), None);
     for n in 0..1_000 {
         let now = f64::from(n);
-        rapid.read(&frame(kind::HEADERS, END_HEADERS, &[1]), now).unwrap();
-        ended = ended.or(rapid.read(&frame(kind::RST_STREAM, 0, &[0, 0, 0, 8]), now).err());
+        rapid.on_read(&frame(kind::HEADERS, END_HEADERS, &[1]), now).unwrap();
+        ended = ended.or(rapid.on_read(&frame(kind::RST_STREAM, 0, &[0, 0, 0, 8]), now).err());
     }
-    assert_eq!(ended, Some(Cause::Reset));
+    assert_eq!(ended, Some(CloseCause::Reset));
 }
 
 #[test]
-fn time_runs_out_for_prefaces_header_blocks_and_readers() {
+fn late_prefaces_late_header_blocks_and_stalled_readers_time_out() {
     let mut half = Meter::new(BOUNDS, 0.0);
-    half.read(&PREFACE[..20], 0.0).unwrap();
-    assert_eq!((half.check(1_999.0), half.check(2_000.0)), (Ok(()), Err(Cause::TooSlow)));
-    half.read(&PREFACE[20..], 1_999.0).unwrap();
-    assert_eq!(half.check(9_000.0), Ok(()));
+    half.on_read(&PREFACE[..20], 0.0).unwrap();
+    assert_eq!(
+        (half.check_timeouts(1_999.0), half.check_timeouts(2_000.0)),
+        (Ok(()), Err(CloseCause::TooSlow))
+    );
+    half.on_read(&PREFACE[20..], 1_999.0).unwrap();
+    assert_eq!(half.check_timeouts(9_000.0), Ok(()));
     // A block that gets a CONTINUATION now and then does not get new time with each.
-    half.read(&frame(kind::HEADERS, 0, &[1]), 10_000.0).unwrap();
-    half.read(&frame(kind::CONTINUATION, 0, &[1]), 11_500.0).unwrap();
-    assert_eq!((half.check(11_999.0), half.check(12_000.0)), (Ok(()), Err(Cause::TooSlow)));
-    half.read(&frame(kind::CONTINUATION, END_HEADERS, &[1]), 12_000.0).unwrap();
-    assert_eq!(half.check(20_000.0), Ok(()));
-    half.write_blocked(20_000.0);
-    half.write_blocked(24_000.0);
-    assert_eq!((half.check(24_999.0), half.check(25_000.0)), (Ok(()), Err(Cause::Stalled)));
-    half.wrote(&frame(kind::DATA, 0, &[1]));
-    assert_eq!(half.check(30_000.0), Ok(()));
+    half.on_read(&frame(kind::HEADERS, 0, &[1]), 10_000.0).unwrap();
+    half.on_read(&frame(kind::CONTINUATION, 0, &[1]), 11_500.0).unwrap();
+    assert_eq!(
+        (half.check_timeouts(11_999.0), half.check_timeouts(12_000.0)),
+        (Ok(()), Err(CloseCause::TooSlow))
+    );
+    half.on_read(&frame(kind::CONTINUATION, END_HEADERS, &[1]), 12_000.0).unwrap();
+    assert_eq!(half.check_timeouts(20_000.0), Ok(()));
+    half.on_write_blocked(20_000.0);
+    half.on_write_blocked(24_000.0);
+    assert_eq!(
+        (half.check_timeouts(24_999.0), half.check_timeouts(25_000.0)),
+        (Ok(()), Err(CloseCause::Stalled))
+    );
+    half.on_written(&frame(kind::DATA, 0, &[1]));
+    assert_eq!(half.check_timeouts(30_000.0), Ok(()));
 }
 
 #[test]
-fn refused_streams_are_seen_in_what_is_written() {
+fn refused_streams_are_counted_from_written_frames() {
     let mut meter = meter();
     let bytes: Vec<u8> = [[0, 0, 0, 7], [0, 0, 0, 8], [0, 0, 0, 7]]
         .iter()
         .flat_map(|code| [frame(kind::RST_STREAM, 0, code), frame(kind::DATA, 0, &[7; 30])].concat())
         .collect();
-    bytes.chunks(5).for_each(|part| meter.wrote(part));
-    assert_eq!(meter.take_refused(), Refusals { streams: 2, headers: 0 });
-    assert_eq!(meter.take_refused(), Refusals::default());
+    bytes.chunks(5).for_each(|part| meter.on_written(part));
+    assert_eq!(meter.take_refusals(), Refusals { streams: 2, headers: 0 });
+    assert_eq!(meter.take_refusals(), Refusals::default());
     // After an answer of ours on the same stream it was the header list.
-    meter.wrote(&frame(kind::HEADERS, END_HEADERS, &[1]));
-    meter.wrote(&frame(kind::RST_STREAM, 0, &[0, 0, 0, 1]));
-    assert_eq!(meter.take_refused(), Refusals { streams: 0, headers: 1 });
+    meter.on_written(&frame(kind::HEADERS, END_HEADERS, &[1]));
+    meter.on_written(&frame(kind::RST_STREAM, 0, &[0, 0, 0, 1]));
+    assert_eq!(meter.take_refusals(), Refusals { streams: 0, headers: 1 });
 }
 
 #[test]
-fn cuts_do_not_change_the_verdict_and_garbage_does_no_harm() {
+fn split_input_gives_the_same_result_and_garbage_does_not_panic() {
     let mut whole = PREFACE.to_vec();
     for n in 0..40 {
         whole.extend(frame(kind::HEADERS, END_HEADERS, &vec![1; n]));
@@ -130,13 +139,13 @@
     }
     cuts(23, &whole, |parts| {
         let mut meter = Meter::new(BOUNDS, 0.0);
-        parts.iter().for_each(|part| meter.read(part, 1.0).unwrap());
+        parts.iter().for_each(|part| meter.on_read(part, 1.0).unwrap());
         assert_eq!(meter.calls(), 40);
     });
     garbage(24, &whole, |bytes| {
         let mut meter = Meter::new(BOUNDS, 0.0);
-        let _ = meter.read(bytes, 1.0);
-        meter.wrote(bytes);
-        let _ = meter.check(9e9);
+        let _ = meter.on_read(bytes, 1.0);
+        meter.on_written(bytes);
+        let _ = meter.check_timeouts(9e9);
     });
 }
--- a/balancer/fronts/grpc/src/metered_stream.rs
+++ b/balancer/fronts/grpc/src/metered_stream.rs
@@ -1,6 +1,6 @@
 //! A client's socket under its meter: what passes is counted, and what costs too much ends it.
 
-use crate::meter::{Cause, Meter};
+use crate::meter::{CloseCause, Meter};
 use millrudder_exchange::clock::Clock;
 use std::io;
 use std::pin::Pin;
@@ -11,39 +11,39 @@
 
 /// The meter of one connection, for its socket and for whoever looks after it.
 #[derive(Clone)]
-pub struct Watch {
+pub struct SharedMeter {
     meter: Arc<Mutex<Meter>>,
-    cause: Arc<Mutex<Option<Cause>>>,
+    cause: Arc<Mutex<Option<CloseCause>>>,
 }
 
-impl Watch {
+impl SharedMeter {
     pub fn new(meter: Meter) -> Self {
-        Watch { meter: Arc::new(Mutex::new(meter)), cause: Arc::default() }
+        SharedMeter { meter: Arc::new(Mutex::new(meter)), cause: Arc::default() }
     }
 
-    pub fn meter(&self) -> MutexGuard<'_, Meter> {
+    pub fn lock(&self) -> MutexGuard<'_, Meter> {
         self.meter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Why the socket has ended itself.
-    pub fn cause(&self) -> Option<Cause> {
+    pub fn cause(&self) -> Option<CloseCause> {
         *self.cause.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-pub struct Watched {
+pub struct MeteredStream {
     stream: TcpStream,
-    watch: Watch,
+    meter: SharedMeter,
     clock: Clock,
 }
 
-impl Watched {
-    pub fn new(stream: TcpStream, watch: Watch, clock: Clock) -> Self {
-        Watched { stream, watch, clock }
+impl MeteredStream {
+    pub fn new(stream: TcpStream, meter: SharedMeter, clock: Clock) -> Self {
+        MeteredStream { stream, meter, clock }
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -51,20 +51,20 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buffer))?;
-        let verdict = self.watch.meter().read(&buffer.filled()[before..], self.clock.now());
+        let verdict = self.meter.lock().on_read(&buffer.filled()[before..], self.clock.now());
         Poll::Ready(verdict.map_err(|cause| {
-            self.watch.cause.lock().unwrap_or_else(PoisonError::into_inner).get_or_insert(cause);
+            self.meter.cause.lock().unwrap_or_else(PoisonError::into_inner).get_or_insert(cause);
             io::Error::other("more than a connection may cost")
         }))
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for MeteredStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, bytes);
         match &written {
-            Poll::Pending => self.watch.meter().write_blocked(self.clock.now()),
-            Poll::Ready(Ok(n)) => self.watch.meter().wrote(&bytes[..*n]),
+            Poll::Pending => self.meter.lock().on_write_blocked(self.clock.now()),
+            Poll::Ready(Ok(n)) => self.meter.lock().on_written(&bytes[..*n]),
             Poll::Ready(Err(_)) => {}
         }
         written
--- a/balancer/fronts/grpc/src/service.rs
+++ b/balancer/fronts/grpc/src/service.rs
@@ -17,15 +17,13 @@
 
 /// When a call's headers came, on the clock: its client's time runs from there.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrival {
-    pub began: f64,
-}
+pub struct ReceivedAt(pub f64);
 
 #[derive(Clone)]
 pub struct JobsService(pub Arc<Core>);
 
 /// A job that is here for a call. Dropped before its answer, it is withdrawn.
-struct Pending {
+struct PendingJob {
     core: Arc<Core>,
     ticket: Ticket,
     reply: Reply,
@@ -34,31 +32,31 @@
     answered: bool,
 }
 
-impl Pending {
+impl PendingJob {
     /// Waits for news of the job: its answer, or progress beyond `seen` where it is followed.
-    async fn news(&mut self, seen: Progress) -> News {
+    async fn next_update(&mut self, reported: Progress) -> Update {
         loop {
             if let Some(answer) = self.reply.take() {
                 self.answered = true;
                 // A client that is slow to read holds no place for a job.
                 self.permit = None;
-                return News::Answer(answer);
+                return Update::Answer(answer);
             }
             let progress = self.reply.progress();
-            if progress != seen {
-                return News::Progress(progress);
+            if progress != reported {
+                return Update::Progress(progress);
             }
             self.wake.notified().await;
         }
     }
 }
 
-enum News {
+enum Update {
     Answer(Answer),
     Progress(Progress),
 }
 
-impl Drop for Pending {
+impl Drop for PendingJob {
     fn drop(&mut self) {
         if !self.answered {
             self.core.exchange.withdraw(self.ticket);
@@ -68,33 +66,40 @@
 
 impl JobsService {
     /// Lets a job in, or says why not.
-    fn submit(&self, request: Request<SubmitRequest>, followed: bool) -> Result<(Pending, String), Status> {
+    fn submit(
+        &self,
+        request: Request<SubmitRequest>,
+        followed: bool,
+    ) -> Result<(PendingJob, String), Status> {
         let core = &self.0;
         let timeout = match request.metadata().get("grpc-timeout") {
             None => None,
-            Some(value) => match timeout::read(value.as_bytes()) {
+            Some(value) => match timeout::parse(value.as_bytes()) {
                 Some(ms) => Some(ms),
                 None => {
                     core.counters.rejected_headers.add();
-                    let why = "up to 8 digits and one of H M S m u n are wanted".to_owned();
-                    return Err(status::invalid(&intake::Invalid { field: "grpc-timeout", why }));
+                    let reason = "up to 8 digits and one of H M S m u n are wanted".to_owned();
+                    return Err(status::invalid_field(&intake::InvalidField {
+                        field: "grpc-timeout",
+                        reason,
+                    }));
                 }
             },
         };
-        let began = request.extensions().get::<Arrival>().map_or_else(|| core.clock.now(), |a| a.began);
-        let job =
-            intake::job(request.into_inner(), began, timeout, &core.classes.now()).map_err(|invalid| {
+        let received_at = request.extensions().get::<ReceivedAt>().map_or_else(|| core.clock.now(), |a| a.0);
+        let job = intake::parse_job(request.into_inner(), received_at, timeout, &core.classes.now())
+            .map_err(|invalid| {
                 core.counters.rejected_headers.add();
-                status::invalid(&invalid)
+                status::invalid_field(&invalid)
             })?;
         if core.stopping.grace_is_over(core.clock.now()) {
             core.counters.turned_away.add();
-            return Err(status::refused("the dispatcher stops", None));
+            return Err(status::unavailable("the dispatcher stops", None));
         }
         let permit = core.admission_gate.enter(Front::Grpc, job.verbatim.body.len()).map_err(|refused| {
             core.counters.turned_away.add();
             let advice = Some(refused.retry_after).filter(|_| core.advice.is_allowed());
-            status::refused("no room now, try again", advice)
+            status::unavailable("no room now, try again", advice)
         })?;
         let wake = Arc::new(Notify::new());
         let waker = wake.clone();
@@ -104,7 +109,7 @@
         core.counters.grpc_jobs.add();
         let ticket = core.exchange.submit(job, reply.clone());
         let core = core.clone();
-        Ok((Pending { core, ticket, reply, wake, permit: Some(permit), answered: false }, id))
+        Ok((PendingJob { core, ticket, reply, wake, permit: Some(permit), answered: false }, id))
     }
 }
 
@@ -113,8 +118,8 @@
     async fn submit(&self, request: Request<SubmitRequest>) -> Result<Response<SubmitReply>, Status> {
         let (mut pending, _) = JobsService::submit(self, request, false)?;
         loop {
-            if let News::Answer(answer) = pending.news(Progress::default()).await {
-                let result = status::of_answer(answer, self.0.advice.is_allowed())?;
+            if let Update::Answer(answer) = pending.next_update(Progress::default()).await {
+                let result = status::job_result(answer, self.0.advice.is_allowed())?;
                 return Ok(Response::new(SubmitReply { result }));
             }
         }
@@ -124,7 +129,7 @@
 
     async fn follow(&self, request: Request<SubmitRequest>) -> Result<Response<Self::FollowStream>, Status> {
         let (pending, id) = JobsService::submit(self, request, true)?;
-        let events = Events { pending, id, seen: Progress::default(), state: State::Open };
+        let events = EventStream { pending, id, reported: Progress::default(), state: StreamState::Open };
         Ok(Response::new(Box::pin(stream::unfold(events, |mut events| async {
             let next = events.next().await?;
             Some((next, events))
@@ -133,14 +138,14 @@
 }
 
 /// A followed job as a stream: any number of events, exactly one final one, and the status.
-struct Events {
-    pending: Pending,
+struct EventStream {
+    pending: PendingJob,
     id: String,
-    seen: Progress,
-    state: State,
+    reported: Progress,
+    state: StreamState,
 }
 
-enum State {
+enum StreamState {
     Open,
     /// The final event has gone out; the call still ends with this.
     Ending(Status),
@@ -151,19 +156,19 @@
     JobEvent { event: Some(event) }
 }
 
-impl Events {
+impl EventStream {
     async fn next(&mut self) -> Option<Result<JobEvent, Status>> {
-        match std::mem::replace(&mut self.state, State::Over) {
-            State::Over => return None,
-            State::Ending(status) => return Some(Err(status)),
-            State::Open => {}
+        match std::mem::replace(&mut self.state, StreamState::Over) {
+            StreamState::Over => return None,
+            StreamState::Ending(status) => return Some(Err(status)),
+            StreamState::Open => {}
         }
         loop {
-            match self.pending.news(self.seen).await {
-                News::Answer(answer) => return Some(Ok(self.last(answer))),
-                News::Progress(now) => {
-                    if let Some(event) = self.step(now) {
-                        self.state = State::Open;
+            match self.pending.next_update(self.reported).await {
+                Update::Answer(answer) => return Some(Ok(self.final_event(answer))),
+                Update::Progress(now) => {
+                    if let Some(event) = self.next_progress_event(now) {
+                        self.state = StreamState::Open;
                         return Some(Ok(event));
                     }
                 }
@@ -172,31 +177,31 @@
     }
 
     /// The next thing to tell between what was told and what is.
-    fn step(&mut self, now: Progress) -> Option<JobEvent> {
-        if now.accepted && !self.seen.accepted {
-            self.seen.accepted = true;
+    fn next_progress_event(&mut self, now: Progress) -> Option<JobEvent> {
+        if now.accepted && !self.reported.accepted {
+            self.reported.accepted = true;
             return Some(event(Event::Accepted(Accepted { id: self.id.clone() })));
         }
-        if now.starts > self.seen.starts {
+        if now.starts > self.reported.starts {
             // Starts that came while the client did not read are told as one, the newest.
-            self.seen = Progress { starts: now.starts, share: 0.0, ..self.seen };
+            self.reported = Progress { starts: now.starts, share: 0.0, ..self.reported };
             return Some(event(Event::Started(Started { attempt: now.starts })));
         }
-        let told = self.seen.share;
-        self.seen.share = now.share;
+        let told = self.reported.share;
+        self.reported.share = now.share;
         (now.share > told).then(|| event(Event::Progress(Share { share: now.share })))
     }
 
-    fn last(&mut self, answer: Answer) -> JobEvent {
-        match status::of_answer(answer, self.pending.core.advice.is_allowed()) {
+    fn final_event(&mut self, answer: Answer) -> JobEvent {
+        match status::job_result(answer, self.pending.core.advice.is_allowed()) {
             Ok(result) => event(Event::Done(Done { result })),
             Err(status) => {
                 let ended = Ended {
                     code: status.code() as i32,
                     message: status.message().to_owned(),
-                    retry_after_ms: status::advice(&status),
+                    retry_after_ms: status::pushback_ms(&status),
                 };
-                self.state = State::Ending(status);
+                self.state = StreamState::Ending(status);
                 event(Event::Ended(ended))
             }
         }
--- a/balancer/fronts/grpc/src/status.rs
+++ b/balancer/fronts/grpc/src/status.rs
@@ -1,6 +1,6 @@
 //! Answers as gRPC statuses. The table stands in `docs/operators/second-client-protocol.md`.
 
-use crate::intake::Invalid;
+use crate::intake::InvalidField;
 use millrudder_exchange::{Answer, Failure};
 use std::time::Duration;
 use tonic::metadata::MetadataValue;
@@ -8,25 +8,25 @@
 use tonic_types::{ErrorDetails, StatusExt};
 
 /// Tells gRPC's clients when to try again (gRFC A6, "Pushback").
-pub const PUSHBACK: &str = "grpc-retry-pushback-ms";
+pub const PUSHBACK_HEADER: &str = "grpc-retry-pushback-ms";
 
 /// UNAVAILABLE promises that nothing ran, as 503 does over HTTP/1.1: nothing else may be told so.
 ///
 /// `retry_after`: ms; none where the settings allow no advice or nothing is known.
-pub fn refused(message: &str, retry_after: Option<f64>) -> Status {
+pub fn unavailable(message: &str, retry_after: Option<f64>) -> Status {
     let Some(ms) = retry_after.filter(|ms| ms.is_finite() && *ms >= 0.0) else {
         return Status::unavailable(message);
     };
     let ms = ms.ceil() as u64;
     let details = ErrorDetails::with_retry_info(Some(Duration::from_millis(ms)));
     let mut status = Status::with_error_details(Code::Unavailable, message, details);
-    status.metadata_mut().insert(PUSHBACK, MetadataValue::from(ms));
+    status.metadata_mut().insert(PUSHBACK_HEADER, MetadataValue::from(ms));
     status
 }
 
-pub fn invalid(invalid: &Invalid) -> Status {
-    let message = format!("field `{}`: {}", invalid.field, invalid.why);
-    let details = ErrorDetails::with_bad_request_violation(invalid.field, invalid.why.clone());
+pub fn invalid_field(invalid: &InvalidField) -> Status {
+    let message = format!("field `{}`: {}", invalid.field, invalid.reason);
+    let details = ErrorDetails::with_bad_request_violation(invalid.field, invalid.reason.clone());
     Status::with_error_details(Code::InvalidArgument, message, details)
 }
 
@@ -34,11 +34,11 @@
 ///
 /// # Errors
 /// The job was not served.
-pub fn of_answer(answer: Answer, advice_allowed: bool) -> Result<Vec<u8>, Status> {
+pub fn job_result(answer: Answer, advice_allowed: bool) -> Result<Vec<u8>, Status> {
     match answer {
         Answer::Served { result } => Ok(result),
         Answer::Defer { retry_after } => {
-            Err(refused("deferred, try again", retry_after.filter(|_| advice_allowed)))
+            Err(unavailable("deferred, try again", retry_after.filter(|_| advice_allowed)))
         }
         // It may have run, so nothing is promised of a repeat.
         Answer::Failed(Failure::Attempts) => Err(Status::unknown("failed")),
@@ -49,8 +49,8 @@
 }
 
 /// What a status advises, in ms; 0 for nothing.
-pub fn advice(status: &Status) -> u32 {
-    let value = status.metadata().get(PUSHBACK).and_then(|v| v.to_str().ok()?.parse().ok());
+pub fn pushback_ms(status: &Status) -> u32 {
+    let value = status.metadata().get(PUSHBACK_HEADER).and_then(|v| v.to_str().ok()?.parse().ok());
     value.unwrap_or(0)
 }
 
--- a/balancer/fronts/grpc/src/status/tests.rs
+++ b/balancer/fronts/grpc/src/status/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn only_a_refusal_promises_that_a_repeat_is_harmless() {
-    let code = |answer| of_answer(answer, true).map(|_| ()).map_err(|s| s.code());
+    let code = |answer| job_result(answer, true).map(|_| ()).map_err(|s| s.code());
     assert_eq!(code(Answer::Served { result: vec![1] }), Ok(()));
     assert_eq!(code(Answer::Defer { retry_after: None }), Err(Code::Unavailable));
     assert_eq!(code(Answer::Failed(Failure::Attempts)), Err(Code::Unknown));
@@ -14,19 +14,21 @@
 }
 
 #[test]
-fn advice_comes_both_ways_and_only_where_it_is_allowed() {
-    let told = of_answer(Answer::Defer { retry_after: Some(250.4) }, true).unwrap_err();
-    assert_eq!(told.metadata().get(PUSHBACK).unwrap(), "251");
-    assert_eq!(told.get_details_retry_info().unwrap().retry_delay, Some(Duration::from_millis(251)));
-    assert_eq!(advice(&told), 251);
-    let untold = of_answer(Answer::Defer { retry_after: Some(250.0) }, false).unwrap_err();
-    assert!(untold.metadata().get(PUSHBACK).is_none() && untold.get_details_retry_info().is_none());
-    assert_eq!(advice(&untold), 0);
+fn retry_advice_is_sent_as_metadata_and_detail_if_allowed() {
+    let advised = job_result(Answer::Defer { retry_after: Some(250.4) }, true).unwrap_err();
+    assert_eq!(advised.metadata().get(PUSHBACK_HEADER).unwrap(), "251");
+    assert_eq!(advised.get_details_retry_info().unwrap().retry_delay, Some(Duration::from_millis(251)));
+    assert_eq!(pushback_ms(&advised), 251);
+    let unadvised = job_result(Answer::Defer { retry_after: Some(250.0) }, false).unwrap_err();
+    assert!(
+        unadvised.metadata().get(PUSHBACK_HEADER).is_none() && unadvised.get_details_retry_info().is_none()
+    );
+    assert_eq!(pushback_ms(&unadvised), 0);
 }
 
 #[test]
-fn the_bad_field_is_named_for_people_and_programs() {
-    let status = invalid(&Invalid { field: "job_class", why: "unknown class".to_owned() });
+fn the_invalid_field_is_named_in_message_and_details() {
+    let status = invalid_field(&InvalidField { field: "job_class", reason: "unknown class".to_owned() });
     assert_eq!(
         (status.code(), status.message()),
         (Code::InvalidArgument, "field `job_class`: unknown class")
--- a/balancer/fronts/grpc/src/timeout.rs
+++ b/balancer/fronts/grpc/src/timeout.rs
@@ -2,12 +2,12 @@
 
 use millrudder_exchange::intake::LONGEST_WAIT_MS;
 
-const MOST_DIGITS: usize = 8;
+const MAX_DIGITS: usize = 8;
 
 /// The header's value in milliseconds, at most a day; none if it is no timeout.
-pub fn read(value: &[u8]) -> Option<f64> {
+pub fn parse(value: &[u8]) -> Option<f64> {
     let (unit, digits) = value.split_last()?;
-    if digits.is_empty() || digits.len() > MOST_DIGITS || !digits.iter().all(u8::is_ascii_digit) {
+    if digits.is_empty() || digits.len() > MAX_DIGITS || !digits.iter().all(u8::is_ascii_digit) {
         return None;
     }
     let number: f64 = std::str::from_utf8(digits).ok()?.parse().ok()?;
--- a/balancer/fronts/grpc/tests/grpc/front.rs
+++ b/balancer/fronts/grpc/tests/grpc/front.rs
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn statuses_are_those_of_the_table() {
+async fn answers_and_invalid_fields_have_their_documented_status() {
     let rig = Rig::start("", 8);
     for (answer, code) in [
         (Answer::Defer { retry_after: Some(250.0) }, Code::Unavailable),
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_full_door_refuses_at_once_with_advice() {
+async fn calls_over_the_admission_limit_are_refused_at_once_with_advice() {
     let rig = Rig::start("", 8);
     let client = rig.client().await;
     let calls: Vec<_> = (0..16)
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_followed_job_is_told_in_order_with_exactly_one_final_event() {
+async fn a_followed_job_sends_events_in_order_with_exactly_one_final_event() {
     let rig = Rig::start("", 8);
     let mut client = rig.client().await;
     let asked = tokio::spawn(async move { client.follow(request("a")).await });
@@ -130,7 +130,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cancelled_call_withdraws_its_job_and_an_answer_that_crosses_does_no_harm() {
+async fn a_cancelled_call_withdraws_its_job_and_a_late_answer_is_ignored() {
     let rig = Rig::start("", 8);
     let mut client = rig.client().await;
     let (mut first, mut second) = (client.clone(), client.clone());
@@ -156,7 +156,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_connection_that_breaks_withdraws_all_its_jobs() {
     let rig = Rig::start("", 8);
-    let mut raw = crate::rig::Raw::connect(&rig, &[]);
+    let mut raw = crate::rig::RawClient::connect(&rig, &[]);
     let message = prost::Message::encode_to_vec(&request(""));
     for stream in [1, 3, 5] {
         raw.send(&crate::rig::call(stream, &message));
@@ -170,7 +170,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn at_a_stop_what_is_under_way_is_answered_kept_connections_are_served_and_then_told_to_go() {
+async fn a_stop_answers_running_jobs_and_refuses_new_ones_after_the_grace_time() {
     let rig = Rig::start("", 8);
     let mut client = rig.client().await;
     let mut first = client.clone();
@@ -191,7 +191,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn health_follows_the_stop_and_reflection_knows_the_service() {
+async fn health_follows_drain_and_stop_and_reflection_lists_the_service() {
     use tonic_health::pb::health_check_response::ServingStatus::{NotServing, Serving};
     use tonic_health::pb::{health_client::HealthClient, HealthCheckRequest};
     use tonic_reflection::pb::v1::server_reflection_client::ServerReflectionClient;
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_drain_ends_idle_connections() {
+fn a_drain_closes_idle_connections() {
     use std::io::{Read, Write};
     let rig = Rig::start("", 8);
     let mut idle = std::net::TcpStream::connect(rig.address).unwrap();
--- a/balancer/fronts/grpc/tests/grpc/rig.rs
+++ b/balancer/fronts/grpc/tests/grpc/rig.rs
@@ -25,7 +25,7 @@
 pub const WAIT: Duration = Duration::from_secs(20);
 
 /// What reaches the scripted core.
-pub enum Seen {
+pub enum CoreEvent {
     Job(Ticket, Arc<Job>, Reply),
     Withdrawn(Ticket),
 }
@@ -37,7 +37,7 @@
     pub stopping: Stopping,
     pub drain: Drain,
     pub clock: Clock,
-    seen: Receiver<Seen>,
+    seen: Receiver<CoreEvent>,
     _front: GrpcFront,
 }
 
@@ -51,8 +51,10 @@
         std::thread::spawn(move || {
             while let Ok(message) = inbox.recv() {
                 let sent = match message {
-                    Message::Submitted { ticket, job, reply } => sender.send(Seen::Job(ticket, job, reply)),
-                    Message::Withdrawn { ticket } => sender.send(Seen::Withdrawn(ticket)),
+                    Message::Submitted { ticket, job, reply } => {
+                        sender.send(CoreEvent::Job(ticket, job, reply))
+                    }
+                    Message::Withdrawn { ticket } => sender.send(CoreEvent::Withdrawn(ticket)),
                     _ => Ok(()),
                 };
                 if sent.is_err() {
@@ -97,21 +99,21 @@
         }
     }
 
-    pub fn next(&self) -> Seen {
+    pub fn next(&self) -> CoreEvent {
         self.seen.recv_timeout(WAIT).expect("something reaches the core")
     }
 
     pub fn job(&self) -> (Ticket, Arc<Job>, Reply) {
         match self.next() {
-            Seen::Job(ticket, job, reply) => (ticket, job, reply),
-            Seen::Withdrawn(ticket) => panic!("{ticket} is withdrawn"),
+            CoreEvent::Job(ticket, job, reply) => (ticket, job, reply),
+            CoreEvent::Withdrawn(ticket) => panic!("{ticket} is withdrawn"),
         }
     }
 
     pub fn withdrawn(&self) -> Ticket {
         match self.next() {
-            Seen::Withdrawn(ticket) => ticket,
-            Seen::Job(_, job, _) => panic!("{job:?}"),
+            CoreEvent::Withdrawn(ticket) => ticket,
+            CoreEvent::Job(_, job, _) => panic!("{job:?}"),
         }
     }
 
@@ -156,7 +158,7 @@
 }
 
 /// A client that writes frames as it likes.
-pub struct Raw(pub TcpStream);
+pub struct RawClient(pub TcpStream);
 
 pub mod kind {
     pub const DATA: u8 = 0;
@@ -212,18 +214,18 @@
     .concat()
 }
 
-impl Raw {
+impl RawClient {
     /// `settings`: the payload of the first SETTINGS frame.
     pub fn connect(rig: &Rig, settings: &[u8]) -> Self {
-        let mut raw = Raw::silent(rig);
+        let mut raw = RawClient::connect_silent(rig);
         raw.send(&[PREFACE, &frame(kind::SETTINGS, 0, 0, settings)].concat());
         raw
     }
 
-    pub fn silent(rig: &Rig) -> Self {
+    pub fn connect_silent(rig: &Rig) -> Self {
         let stream = TcpStream::connect(rig.address).unwrap();
         stream.set_read_timeout(Some(WAIT)).unwrap();
-        Raw(stream)
+        RawClient(stream)
     }
 
     /// The front may close at any time: that is for `is_ended` to see.
@@ -251,7 +253,7 @@
     }
 
     /// The front closes this connection.
-    pub fn is_ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         while self.frame().is_some() {}
         true
     }
