--- a/balancer/fronts/grpc/build.rs
+++ b/balancer/fronts/grpc/build.rs
@@ -1,4 +1,4 @@
-//! Generates the service from `proto/`, with a compiler in Rust: no `protoc` is needed.
+//! Generates the gRPC service from `proto/` with protox, a compiler written in Rust, so that `protoc` is not needed.
 
 use prost::Message;
 use std::path::PathBuf;
--- a/balancer/fronts/grpc/src/call.rs
+++ b/balancer/fronts/grpc/src/call.rs
@@ -1,5 +1,5 @@
-//! One call: its message is taken in whole and in time, handed to its service, and what comes back is written for
-//! as long as the client takes it.
+//! One call: receives its message within limits of size and time, passes it to the service, and writes the response as
+//! fast as the client reads it.
 
 use crate::connection_table::ConnectionHandle;
 use crate::intake::InvalidField;
@@ -21,10 +21,10 @@
 use tonic::Status;
 use tower_service::Service;
 
-/// Calls for health and reflection that one connection may hold.
+/// Concurrent calls to the health and reflection services on one connection.
 const MAX_OTHER_CALLS: usize = 8;
 const GRPC_CONTENT_TYPE: &str = "application/grpc";
-/// Flag and length before a message (gRPC over HTTP/2, "Length-Prefixed-Message").
+/// The compression flag and the length before a message (gRPC over HTTP/2, "Length-Prefixed-Message").
 const MESSAGE_PREFIX_BYTES: usize = 5;
 
 pub const JOBS_SERVICE: &str = "millrudder.v1.Jobs";
@@ -32,6 +32,7 @@
 pub const REFLECTION_SERVICE: &str = "grpc.reflection.v1.ServerReflection";
 pub const REFLECTION_ALPHA_SERVICE: &str = "grpc.reflection.v1alpha.ServerReflection";
 
+/// Serves one call, from its headers to the end of the response.
 pub async fn serve(
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
@@ -43,7 +44,7 @@
     let mut guard = CallGuard::new(&shared, &handle, is_job);
     let response = tokio::select! {
         biased;
-        // The client has cancelled, or is gone: dropping the work withdraws its job.
+        // The client cancelled the call or disconnected. Dropping the future withdraws its job.
         _ = poll_fn(|cx| respond.poll_reset(cx)) => {
             shared.counters.grpc_cancelled.add();
             return;
@@ -53,11 +54,12 @@
     guard.answer_sent = write_response(response, respond, &shared).await;
 }
 
-/// Books a call on its connection for as long as it lives.
+/// Counts a call on its connection until dropped.
 struct CallGuard<'a> {
     shared: &'a Shared,
     handle: &'a ConnectionHandle,
     is_job: bool,
+    /// Calls to other services on the connection, this one included; 0 for a job.
     other_calls: usize,
     answer_sent: bool,
 }
@@ -85,10 +87,12 @@
     }
 }
 
+/// The service's name in a path `/service/method`.
 fn service_of<T>(request: &Request<T>) -> &str {
     request.uri().path().split('/').nth(1).unwrap_or_default()
 }
 
+/// Routes a call to its service.
 async fn answer(
     request: Request<RecvStream>,
     received_at: f64,
@@ -118,7 +122,7 @@
     other(request.map(RecvBody::boxed)).await
 }
 
-/// The message of a job is taken in before anything else: half a call holds no place.
+/// Receives a job's whole message before it is submitted, so that an unfinished call does not occupy a job's place.
 async fn answer_job(request: Request<RecvStream>, received_at: f64, shared: &Shared) -> Response<Body> {
     let (mut parts, mut body) = request.into_parts();
     let received =
@@ -142,13 +146,14 @@
     }
 }
 
-/// Bytes of calls that have not come whole, booked on the front's budget.
+/// Counts the bytes of one unfinished message against the front's budget until dropped.
 struct ReceiveBudget<'a> {
     shared: &'a Shared,
     bytes: usize,
 }
 
 impl ReceiveBudget<'_> {
+    /// Counts more bytes; false if the budget is exceeded.
     fn add(&mut self, bytes: usize) -> bool {
         self.bytes += bytes;
         let before = self.shared.bytes_receiving.fetch_add(bytes, Ordering::AcqRel);
@@ -162,6 +167,7 @@
     }
 }
 
+/// Receives a call's body, with its length prefix.
 async fn receive_message(body: &mut RecvStream, shared: &Shared) -> Result<Bytes, Status> {
     let mut receiving = ReceiveBudget { shared, bytes: 0 };
     let mut first = Bytes::new();
@@ -191,7 +197,7 @@
     Ok(message.map_or(first, BytesMut::freeze))
 }
 
-/// Writes a response; true if all of it was taken.
+/// Writes a response; true if all of it was sent.
 async fn write_response(response: Response<Body>, mut respond: SendResponse<Bytes>, shared: &Shared) -> bool {
     let (parts, mut body) = response.into_parts();
     let headers_only = body.is_end_stream();
@@ -229,7 +235,8 @@
     }
 }
 
-/// Sends as the client makes room for it; one that makes none is cut off.
+/// Sends data as the client's flow-control window allows. A client that does not open its window in time has the stream
+/// reset.
 async fn send_data(stream: &mut SendStream<Bytes>, mut data: Bytes, shared: &Shared) -> bool {
     let all = async {
         while !data.is_empty() {
@@ -256,7 +263,7 @@
     }
 }
 
-/// A call's bytes as they come, for services whose clients go on sending.
+/// A call's body as a stream, for services whose clients send several messages.
 struct RecvBody(RecvStream);
 
 impl RecvBody {
--- a/balancer/fronts/grpc/src/connection_table.rs
+++ b/balancer/fronts/grpc/src/connection_table.rs
@@ -1,4 +1,5 @@
-//! Which client connections are open, and who leaves when room is short: peers that have proved nothing first.
+//! The table of client connections, and the choice of the one to evict when the limit is reached: peers that had no job
+//! answered yet go first.
 
 use crate::meter::CloseCause;
 use crate::metered_stream::SharedMeter;
@@ -7,34 +8,36 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// A peer that has made its connection and asks for nothing is sent away after this (ms). Clients open connections
-/// ahead of their first call, so this is longer than what half a preface gets.
+/// Time (ms) without a call after which a peer that had no job answered yet is disconnected. Clients open connections
+/// before their first call, so this is longer than the time for an unfinished preface.
 const UNIDENTIFIED_IDLE_MS: f64 = 30_000.0;
-/// After it was told to go away and has no call here, a connection is closed this much later (ms): the peer's last
-/// calls may be on their way.
+/// Time (ms) after GOAWAY until a connection without jobs is closed: calls that the peer sent before it read the GOAWAY
+/// may still arrive.
 const GOAWAY_GRACE_MS: f64 = 1_000.0;
 
-/// What one connection is doing, as far as leaving is concerned. Times in ms of the clock.
+/// What decides when a connection is closed. Times are in ms on the dispatcher's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct State {
-    /// It has had a job answered.
+    /// A job of the peer was answered, which makes it a known client.
     pub is_client: bool,
-    /// Calls with jobs that are here.
+    /// Calls with a job in progress.
     pub jobs: usize,
-    /// Other calls: health, reflection.
+    /// Calls to the health and reflection services.
     pub other_calls: usize,
-    /// Since when there has been no call.
+    /// When a job last ended, another call last began or ended, or the connection was opened.
     pub idle_since: f64,
-    /// When it was told to go away.
+    /// When GOAWAY was requested.
     pub goaway_sent_at: Option<f64>,
+    /// An immediate close was requested.
     pub closing_now: bool,
 }
 
-/// How a connection is to end.
+/// How a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseMode {
-    /// GOAWAY; what is under way is answered.
+    /// GOAWAY; calls in progress are still answered.
     Graceful,
+    /// At once; calls in progress are cancelled.
     Immediate,
 }
 
@@ -50,7 +53,8 @@
         }
     }
 
-    /// What its time has come for; `closing`: no new jobs are taken on by anybody.
+    /// How the connection must be closed now, if at all. `idle_limit`: ms without a call; `closing`: the front accepts
+    /// no more jobs on any connection.
     pub fn due_close(&self, idle_limit: f64, closing: bool, now: f64) -> Option<CloseMode> {
         let idle = if self.jobs + self.other_calls == 0 { now - self.idle_since } else { 0.0 };
         match self.goaway_sent_at {
@@ -65,7 +69,8 @@
     }
 }
 
-/// Strangers before clients, of equals the one without a call for longest; never one with a job here.
+/// The index of the connection to evict: peers that had no job answered before known clients, then those without other
+/// calls, then the one without a call for longest. Never one with a job in progress.
 pub fn eviction_candidate(states: impl Iterator<Item = State>) -> Option<usize> {
     let ranked = states.enumerate().filter(|(_, s)| s.jobs == 0 && !s.closing_now);
     let first = ranked.min_by(|(_, a), (_, b)| {
@@ -76,8 +81,10 @@
     first.map(|(i, _)| i)
 }
 
+/// One open connection.
 struct Entry {
     state: State,
+    /// A close that was requested and that the connection's task has not yet taken.
     requested: Option<CloseMode>,
     meter: SharedMeter,
     wake: Arc<Notify>,
@@ -86,10 +93,11 @@
 /// All connections of the front.
 pub struct ConnectionTable {
     max_connections: usize,
+    /// The last id given, and the connections by id.
     entries: Mutex<(u64, BTreeMap<u64, Entry>)>,
 }
 
-/// One connection's entry; gone when dropped.
+/// Refers to one connection's entry in the table, and removes it when dropped.
 pub struct ConnectionHandle {
     table: Arc<ConnectionTable>,
     id: u64,
@@ -97,11 +105,12 @@
 }
 
 impl ConnectionTable {
+    /// An empty table for at most `max_connections`.
     pub fn new(max_connections: usize) -> Self {
         ConnectionTable { max_connections, entries: Mutex::default() }
     }
 
-    /// Whether one more fits; where none does, one that may leave is told to.
+    /// Whether there is room for one more connection. If not, asks one to close, where one may be evicted.
     pub fn make_room(&self, counters: &Counters) -> Room {
         let mut guard = self.lock();
         let entries = &mut guard.1;
@@ -121,6 +130,7 @@
         }
     }
 
+    /// Adds a connection without calls.
     pub fn register(self: &Arc<Self>, meter: SharedMeter, now: f64) -> ConnectionHandle {
         let wake = Arc::new(Notify::new());
         let mut guard = self.lock();
@@ -130,7 +140,7 @@
         ConnectionHandle { table: self.clone(), id, wake }
     }
 
-    /// Looks through all connections: whose time is up, who costs too much.
+    /// Checks all connections, and closes those whose time is up or whose meter reports a timeout.
     pub fn sweep(&self, idle_limit: f64, closing: bool, now: f64, counters: &Counters) {
         for entry in self.lock().1.values_mut() {
             let refusals = entry.meter.lock().take_refusals();
@@ -152,7 +162,7 @@
         }
     }
 
-    /// Jobs whose answers are still to be written.
+    /// The number of jobs whose answers are not yet written in full.
     pub fn unsent_answers(&self) -> usize {
         self.lock().1.values().map(|e| e.state.jobs).sum()
     }
@@ -162,12 +172,14 @@
     }
 }
 
+/// Whether there is room for one more connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Room {
+    /// There is room.
     Free,
-    /// One is leaving.
+    /// An evicted connection is closing.
     Soon,
-    /// All have jobs here.
+    /// Every connection has jobs in progress.
     None,
 }
 
@@ -180,7 +192,7 @@
 }
 
 impl ConnectionHandle {
-    /// Waits until this connection is told to end.
+    /// Waits until this connection is asked to close.
     pub async fn close_requested(&self) -> CloseMode {
         loop {
             if let Some(mode) = self.update(|entry| entry.requested.take()).flatten() {
@@ -190,11 +202,12 @@
         }
     }
 
+    /// A call with a job has arrived.
     pub fn job_started(&self) {
         self.update(|entry| entry.state.jobs += 1);
     }
 
-    /// A call for health or reflection has come or gone; how many there are now.
+    /// Adds `change` to the number of calls to the health and reflection services; returns the new number.
     pub fn change_other_calls(&self, change: isize, now: f64) -> usize {
         let other_calls = self.update(|entry| {
             entry.state.other_calls = entry.state.other_calls.saturating_add_signed(change);
@@ -204,6 +217,7 @@
         other_calls.unwrap_or(0)
     }
 
+    /// A call with a job has ended. `answered`: its answer was written in full.
     pub fn job_ended(&self, answered: bool, now: f64) {
         self.update(|entry| {
             entry.state.jobs = entry.state.jobs.saturating_sub(1);
@@ -223,7 +237,7 @@
     }
 }
 
-/// The counter of a cause.
+/// The counter for connections closed for this cause.
 pub fn counter_of(counters: &Counters, cause: CloseCause) -> &Counter {
     match cause {
         CloseCause::Ping => &counters.grpc_flood_ping,
--- a/balancer/fronts/grpc/src/connection_table/tests.rs
+++ b/balancer/fronts/grpc/src/connection_table/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `door`.
+//! Unit tests of `connection_table`.
 
 use super::*;
 
@@ -26,7 +26,7 @@
     assert_eq!(client.due_close(IDLE, false, IDLE), Some(CloseMode::Graceful));
     let busy = State { jobs: 1, ..client };
     assert_eq!(busy.due_close(IDLE, false, 1e9), None);
-    // At a stop all are told; what is under way is answered first.
+    // A stop sends GOAWAY on all connections; jobs in progress are answered before the connection is closed.
     assert_eq!(busy.due_close(IDLE, true, 5.0), Some(CloseMode::Graceful));
     let leaving = State { goaway_sent_at: Some(5.0), ..busy };
     assert_eq!(leaving.due_close(IDLE, true, 1e9), None);
--- a/balancer/fronts/grpc/src/intake.rs
+++ b/balancer/fronts/grpc/src/intake.rs
@@ -1,4 +1,5 @@
-//! A call's message to a job: the rules that every front keeps, and the field that breaks one.
+//! Validates a call's message and turns it into a job, by the same rules as the other fronts. A failure names the
+//! field.
 
 use crate::proto::SubmitRequest;
 use millrudder_exchange::intake::{
@@ -7,10 +8,10 @@
 };
 use millrudder_exchange::{Front, Job, Verbatim};
 
-/// Figures that a job may carry.
+/// Numbers in a job's `props`.
 const MAX_PROPS: usize = 32;
 
-/// A field that cannot be used, and why.
+/// An invalid field and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidField {
     pub field: &'static str,
@@ -21,10 +22,11 @@
     Err(InvalidField { field, reason: reason.into() })
 }
 
-/// `began`: when the call's headers came, on the clock; `timeout`: what its client waits (ms), if it says.
+/// Builds the job. `received_at`: when the call's headers arrived (ms on the dispatcher's clock); `timeout`: the
+/// client's timeout (ms), if it sent one.
 ///
 /// # Errors
-/// The first field that cannot be used.
+/// The first invalid field.
 pub fn parse_job(
     request: SubmitRequest,
     received_at: f64,
@@ -36,7 +38,7 @@
         id if is_id(&id) => id,
         _ => return invalid("id", format!("1 to {ID_LIMIT} of A-Z a-z 0-9 - _ . ~ are wanted")),
     };
-    // Of a class without settings neither worth nor what may be repeated is known.
+    // For a class that is not in the settings, neither its priority nor whether it may be retried is known.
     let Some(class) = find_class(classes, &request.job_class, received_at) else {
         return invalid("job_class", "unknown class");
     };
@@ -83,6 +85,7 @@
     })
 }
 
+/// Checks a text field; `None` if it is empty.
 fn optional_text(field: &'static str, value: String) -> Result<Option<String>, InvalidField> {
     match value {
         value if value.is_empty() => Ok(None),
--- a/balancer/fronts/grpc/src/intake/tests.rs
+++ b/balancer/fronts/grpc/src/intake/tests.rs
@@ -38,7 +38,10 @@
         parse_job(bare, 0.0, None, &classes()).unwrap(),
     );
     assert_eq!((first.deadline, first.slots, first.verbatim.target.as_str()), (5_000.0, 1.0, "/api"));
-    assert!(is_id(&first.trace_id) && first.trace_id != second.trace_id, "one is made, each time another");
+    assert!(
+        is_id(&first.trace_id) && first.trace_id != second.trace_id,
+        "a new id is generated for each call"
+    );
 }
 
 #[test]
@@ -56,7 +59,8 @@
         ("body", |r| r.body = vec![0; BODY_LIMIT + 1]),
         ("props", |r| r.props = HashMap::from([("slots".to_owned(), f64::NAN)])),
         ("props", |r| r.props = HashMap::from([("slots".to_owned(), -1.0)])),
-        // Either would reach what next hops serve beside jobs: a call-off of somebody else's job, say.
+        // With another method or path, a call could reach a worker's other endpoints, for example to cancel another
+        // client's job.
         ("method", |r| r.method = "DELETE".to_owned()),
         ("target", |r| r.target = "/jobs/9b1f".to_owned()),
         ("target", |r| r.target = "/api HTTP/1.1\r\nX: 1".to_owned()),
--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gRPC front: jobs over HTTP/2, on one thread of its own with a runtime of its own. It touches the core through
-//! the exchange alone; nothing here can block the may worker, nor the other way round.
+//! The gRPC front: jobs over HTTP/2, on its own thread with its own tokio runtime. It talks to the core only through
+//! the exchange, so that neither can block the other: the core runs on a worker thread of the `may` coroutine runtime.
 //!
-//! `meter`, `door`, `intake`, `status` and `timeout` decide without I/O; `watched`, `transport`, `call` and `service`
-//! carry that out.
+//! `meter`, `connection_table`, `intake`, `status` and `timeout` make decisions without I/O; `metered_stream`,
+//! `transport`, `call` and `service` carry them out.
 
 mod call;
 mod connection_table;
@@ -42,20 +42,21 @@
 use tonic_health::ServingStatus;
 use tower_service::Service;
 
-/// How often connections are looked through (ms).
+/// Interval (ms) between two checks of all connections for timeouts and shutdown.
 const SWEEP_INTERVAL_MS: f64 = 50.0;
-/// After a failed accept (no descriptor is free, say) the next try waits (ms): retrying at once would spin.
+/// Pause (ms) after a failed accept, for example when no file descriptor is free. An immediate retry would spin.
 const ACCEPT_PAUSE_MS: f64 = 10.0;
-/// How soon one that was ended to make room has left (ms).
+/// Pause (ms) after a connection was evicted to make room; its task ends by then.
 const EVICTION_PAUSE_MS: f64 = 1.0;
-/// Connections that wait to be accepted, as many as std's listeners let wait.
+/// Length of the listener's queue of connections not yet accepted; the same as the standard library's listeners use.
 const LISTEN_BACKLOG: u32 = 128;
-/// How often it is looked whether this process is the one that accepts (ms).
+/// Interval (ms) at which it is checked whether this process accepts connections. During an upgrade only one of the two
+/// processes does.
 const ACCEPT_CHECK_MS: f64 = 10.0;
-/// What a call for health or reflection may bring (bytes).
+/// Largest message (bytes) of a call to the health or reflection service.
 const OTHER_MESSAGE_BYTES: usize = 8 * 1024;
 
-/// What all connections share.
+/// State shared by all connections.
 struct Shared {
     counters: Arc<Counters>,
     stopping: Stopping,
@@ -64,17 +65,18 @@
     clock: Clock,
     limits: GrpcLimits,
     connections: Arc<ConnectionTable>,
-    /// Bytes of calls that have not come whole, and how many there may be.
+    /// Bytes in memory of messages that are not yet complete, over all calls, and the limit on them.
     bytes_receiving: AtomicUsize,
     max_bytes_receiving: usize,
     jobs: JobsServer<JobsService>,
-    /// Health and reflection, by their names.
+    /// The health and reflection services by name.
     other_services: Vec<(&'static str, OtherService)>,
 }
 
 type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 type OtherService = Box<dyn Fn(Request<Body>) -> ResponseFuture + Send + Sync>;
 
+/// Erases a service's type, so that services can be stored together.
 fn boxed_service<S>(service: S) -> OtherService
 where
     S: Service<Request<Body>, Response = Response<Body>, Error = Infallible> + Clone + Send + Sync + 'static,
@@ -86,7 +88,7 @@
     })
 }
 
-/// The front while it runs; its thread ends once `finish` says so.
+/// The running front. Its thread runs until [`GrpcFront::finish`].
 pub struct GrpcFront {
     connections: Arc<ConnectionTable>,
     address: SocketAddr,
@@ -95,10 +97,11 @@
 }
 
 impl GrpcFront {
-    /// Listens, and serves on a thread of its own. `upgrades`: another process of an upgrade may listen there too.
+    /// Listens, and serves on a new thread. `upgrades`: during an upgrade another process may listen on the same
+    /// address.
     ///
     /// # Errors
-    /// The address cannot be listened on, or no thread be had.
+    /// The address cannot be listened on, or the thread or its runtime cannot be created.
     pub fn open(
         listen: SocketAddr,
         upgrades: bool,
@@ -120,16 +123,17 @@
         Ok(GrpcFront { connections, address, stop: Some(stop), thread: Some(thread) })
     }
 
+    /// The address it listens on, with the port that the system chose if the settings say 0.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Answers that are still to be written.
+    /// The number of jobs whose answers are not yet written in full.
     pub fn unsent_answers(&self) -> usize {
         self.connections.unsent_answers()
     }
 
-    /// Ends the thread and with it every connection.
+    /// Stops the thread, which closes every connection.
     pub fn finish(mut self) {
         drop(self.stop.take());
         self.thread.take().into_iter().for_each(|thread| drop(thread.join()));
@@ -139,13 +143,14 @@
 fn listen_on(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
-    // Off without need: two dispatchers started on one address by mistake are to notice.
+    // Set only if upgrades are configured: otherwise a second dispatcher started on the same address by mistake would
+    // not fail.
     socket.set_reuseport(shared)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// The front's main task: accepts, looks after connections, and follows the planned stop.
+/// The front's main task: accepts and checks connections until the front is stopped.
 async fn serve(
     listener: TcpListener,
     limits: GrpcLimits,
@@ -177,6 +182,7 @@
     }
 }
 
+/// The services beside jobs: health and reflection.
 fn other_services(health: &HealthReporter) -> Vec<(&'static str, OtherService)> {
     let health = HealthServer::new(HealthService::from_health_reporter(health.clone()))
         .max_decoding_message_size(OTHER_MESSAGE_BYTES);
@@ -186,7 +192,7 @@
             .register_encoded_file_descriptor_set(proto::DESCRIPTORS)
             .register_encoded_file_descriptor_set(tonic_health::pb::FILE_DESCRIPTOR_SET)
     };
-    // The descriptors are built in: a test sees that they can be read.
+    // The descriptors are compiled in, so this does not fail; a test checks that reflection answers.
     if let (Ok(new), Ok(old)) = (builder().build_v1(), builder().build_v1alpha()) {
         other_services.push((
             call::REFLECTION_SERVICE,
@@ -200,17 +206,19 @@
     other_services
 }
 
+/// Reports to the health service's clients whether jobs are accepted.
 async fn set_serving(health: &HealthReporter, serving: bool) {
     let status = if serving { ServingStatus::Serving } else { ServingStatus::NotServing };
-    // The empty name stands for the whole server.
+    // The empty name means the whole server.
     for service in ["", call::JOBS_SERVICE] {
         health.set_service_status(service, status).await;
     }
 }
 
-/// Accepts while this process is the one that does. In an upgrade both listen, so that nobody is turned back between
-/// them: the new one lets connections wait, the old one takes what waits at its own listener and closes that. If the new
-/// one dies, the old one listens again.
+/// Accepts connections while this process is the one to do so. During an upgrade both processes listen, so that no
+/// connection is refused in between: the new process leaves connections in its listener's queue until it takes over.
+/// The old process then accepts what is left in its own queue and closes its listener. If the new process dies, the old
+/// one listens again.
 async fn accept_loop(listener: TcpListener, shared: &Arc<Shared>, log: &Logger) {
     let (address, bad_accepts) = (listener.local_addr(), Limiter::default());
     let (mut open_listener, mut accepted) = (Some(listener), false);
@@ -258,17 +266,18 @@
     }
 }
 
+/// Serves a new connection if there is room, else closes it.
 async fn admit(stream: TcpStream, shared: &Arc<Shared>) {
     if has_room(shared).await {
         shared.counters.grpc_connections.add();
         transport::start_connection(stream, shared);
     } else {
-        // All have jobs here: a close at once tells the client to try elsewhere.
+        // Every connection has jobs in progress. An immediate close tells the client to try another dispatcher.
         shared.counters.grpc_connections_refused.add();
     }
 }
 
-/// Whether one more connection fits, once one that may leave has left for it.
+/// Whether there is room for one more connection, after waiting for an evicted one to close if necessary.
 async fn has_room(shared: &Shared) -> bool {
     loop {
         match shared.connections.make_room(&shared.counters) {
@@ -279,6 +288,7 @@
     }
 }
 
+/// Checks all connections regularly, and reports to the health service when serving begins or ends.
 async fn sweep_loop(shared: &Shared, health: &HealthReporter) {
     let mut reported = true;
     loop {
@@ -289,7 +299,8 @@
             reported = serves;
             set_serving(health, serves).await;
         }
-        // Clients of a process that has laid its place down find the new one; calls under way are answered here.
+        // Once the other process of an upgrade accepts connections, clients are told to reconnect and reach that one.
+        // Calls in progress are still answered here.
         let handed_over = shared.peer_process.is_open() && !shared.peer_process.accepts();
         let closing = shared.stopping.grace_is_over(now) || shared.drain.is_noticed(now) || handed_over;
         shared.connections.sweep(shared.limits.idle_time.ms(), closing, now, &shared.counters);
--- a/balancer/fronts/grpc/src/meter.rs
+++ b/balancer/fronts/grpc/src/meter.rs
@@ -1,19 +1,19 @@
-//! Watches the frames of one HTTP/2 connection, both ways, for peers that cost more than they bring: floods, half
-//! messages, readers that stall. No I/O and no clock: bytes and times go in, a verdict comes out.
+//! Checks the frames of one HTTP/2 connection, in both directions, for abusive or broken peers: floods, unfinished
+//! messages and readers that stall. There is no I/O and no clock: bytes and times are passed in.
 //!
-//! h2 has bounds of its own (streams, header lists, resets that wait to be accepted). This adds those that depend on
-//! time, and names the cause, so that each has its counter.
+//! The h2 library has its own limits (streams, header lists, resets before a stream was accepted). This module adds
+//! limits that depend on time, and tells the causes apart, so that each has its own counter.
 
-/// RFC 9113, section 3.4.
+/// The client's connection preface (RFC 9113, section 3.4).
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 const FRAME_HEADER_BYTES: usize = 9;
-/// A header list within its bound fits into one HEADERS frame and a few CONTINUATIONs of 16 KiB (CVE-2024-27316:
-/// endless ones).
+/// CONTINUATION frames of one header block. A header list within its limit fits into one HEADERS frame and a few
+/// CONTINUATIONs of 16 KiB; an endless row of them is an attack (CVE-2024-27316).
 const MAX_CONTINUATIONS: u32 = 8;
-/// Control frames that a call brings with it: window updates of both levels, a SETTINGS ACK, and the PINGs by which
-/// gRPC's clients measure the bandwidth-delay product.
+/// Control frames allowed for each call: window updates for the stream and the connection, a SETTINGS ACK, and the
+/// PINGs with which gRPC clients measure the bandwidth-delay product.
 const CONTROL_FRAMES_PER_CALL: f64 = 8.0;
-/// How many seconds of its allowance a connection may use at once.
+/// The burst that a token bucket allows, in seconds of its rate.
 const BURST_S: f64 = 2.0;
 
 /// Frame types of RFC 9113, section 6.
@@ -27,46 +27,48 @@
     pub const WINDOW_UPDATE: u8 = 8;
     pub const CONTINUATION: u8 = 9;
 }
+/// Frame flags of RFC 9113, section 6.
 const END_STREAM: u8 = 1;
 const ACK: u8 = 1;
 const END_HEADERS: u8 = 4;
-/// RFC 9113, section 7.
+/// Error codes of RFC 9113, section 7.
 const PROTOCOL_ERROR: u32 = 1;
 const REFUSED_STREAM: u32 = 7;
 
-/// Why a connection is ended.
+/// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseCause {
-    /// PINGs beyond those that calls bring with them (CVE-2019-9512).
+    /// Too many PINGs beyond those allowed for calls (CVE-2019-9512).
     Ping,
-    /// SETTINGS (CVE-2019-9515).
+    /// Too many SETTINGS (CVE-2019-9515).
     Settings,
-    /// Calls cancelled as soon as they are made (CVE-2023-44487).
+    /// Too many calls cancelled right after they were made (CVE-2023-44487).
     Reset,
-    /// A header block without end (CVE-2024-27316).
+    /// Too many CONTINUATIONs in one header block (CVE-2024-27316).
     Continuation,
-    /// PRIORITY, empty DATA, needless window updates, unknown frames (CVE-2019-9513, CVE-2019-9518).
+    /// Too many other frames without use: PRIORITY, empty DATA, needless window updates, unknown types (CVE-2019-9513,
+    /// CVE-2019-9518).
     Other,
-    /// No preface, or a header block that does not end in time.
+    /// The preface or a header block was not complete in time.
     TooSlow,
-    /// What is written to it is not taken.
+    /// The peer does not read what is written to it.
     Stalled,
 }
 
-/// Bounds on one connection; times in ms.
+/// Limits on one connection; times in ms.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Frames a second beyond what calls bring with them.
+    /// Control frames per second beyond those allowed for calls.
     pub control_frames: f64,
-    /// Calls a second that may be cancelled, and twice as many at once.
+    /// Cancelled calls per second; bursts of twice as many are allowed.
     pub resets: f64,
-    /// For the preface, and for a header block.
+    /// Time for the preface, and for each header block.
     pub request_time: f64,
-    /// For the peer to take what is written.
+    /// Time for the peer to read what is written.
     pub answer_time: f64,
 }
 
-/// Tokens that come back with time, or are earned.
+/// A token bucket that refills with time and can also be credited.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens: f64,
@@ -79,10 +81,12 @@
         TokenBucket { tokens: per_s * BURST_S, per_s, refilled_at: now }
     }
 
+    /// Adds tokens, up to the burst.
     fn earn(&mut self, tokens: f64) {
         self.tokens = (self.tokens + tokens).min(self.per_s * BURST_S);
     }
 
+    /// Takes one token; false if there was none.
     fn spend(&mut self, now: f64) -> bool {
         self.earn((now - self.refilled_at).max(0.0) / 1_000.0 * self.per_s);
         self.refilled_at = now;
@@ -91,18 +95,22 @@
     }
 }
 
-/// Frame heads out of bytes as they come; payloads are passed over, but for the first bytes.
+/// Parses frame headers from a byte stream that arrives in arbitrary pieces. Payloads are skipped except for their
+/// first 4 bytes.
 #[derive(Clone, Copy, Debug, Default)]
 struct FrameScanner {
     head: [u8; FRAME_HEADER_BYTES],
+    /// Bytes of the current frame's header that have arrived.
     head_len: usize,
-    /// Bytes of the payload still to come.
+    /// Bytes of the payload that have not arrived.
     payload_left: usize,
-    /// The payload's first 4 bytes: the error code of RST_STREAM.
+    /// The payload's first 4 bytes; in RST_STREAM they are the error code.
     first_bytes: [u8; 4],
+    /// How many of `first_bytes` have arrived.
     first_len: usize,
 }
 
+/// One whole frame, without its payload but for the first 4 bytes.
 #[derive(Clone, Copy, Debug)]
 struct Frame {
     stream: u32,
@@ -113,7 +121,7 @@
 }
 
 impl FrameScanner {
-    /// Takes bytes up to a frame's end; gives that frame and how many bytes were taken.
+    /// Consumes bytes up to the end of the current frame; returns their number, and the frame if it is complete.
     fn take(&mut self, bytes: &[u8]) -> (usize, Option<Frame>) {
         let mut taken = 0;
         if self.head_len < FRAME_HEADER_BYTES {
@@ -155,31 +163,32 @@
     }
 }
 
+/// The frame and time limits of one connection.
 pub struct Meter {
     bounds: Bounds,
     opened: f64,
-    /// Bytes of the preface that have come.
+    /// Bytes of the preface that have arrived.
     preface_len: usize,
     inbound: FrameScanner,
     outbound: FrameScanner,
     control: TokenBucket,
     resets: TokenBucket,
-    /// A header block is open: since when, and its CONTINUATIONs.
+    /// A header block that is not complete: when it began, and its CONTINUATIONs so far.
     header_block: Option<(f64, u32)>,
-    /// A write finds no room since then.
+    /// Since when the socket's buffer has been full, if it is.
     write_blocked_since: Option<f64>,
     calls: u64,
-    /// The stream whose headers went out last.
+    /// The stream whose response headers were written last.
     last_answered_stream: u32,
     refused: Refusals,
 }
 
-/// Streams that were refused by h2 itself.
+/// Streams that the h2 library refused by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Refusals {
-    /// Over the bound on calls at once.
+    /// Over the limit on concurrent streams.
     pub streams: u64,
-    /// Over the bound on a header list.
+    /// Over the limit on a header list's size.
     pub headers: u64,
 }
 
@@ -201,13 +210,13 @@
         }
     }
 
-    /// Bytes have come.
+    /// Counts bytes read from the peer.
     ///
     /// # Errors
-    /// They are more than this connection may cost.
+    /// The cause to close the connection for, if they exceed a limit.
     pub fn on_read(&mut self, mut bytes: &[u8], now: f64) -> Result<(), CloseCause> {
         let start = (PREFACE.len() - self.preface_len).min(bytes.len());
-        // Whether it is the preface at all is h2's to say.
+        // h2 checks the preface's content; here only its length counts.
         self.preface_len += start;
         bytes = &bytes[start..];
         while !bytes.is_empty() {
@@ -220,6 +229,7 @@
         Ok(())
     }
 
+    /// Counts one frame against the limits.
     fn check_frame(&mut self, frame: Frame, now: f64) -> Result<(), CloseCause> {
         let cause = match frame.kind {
             kind::HEADERS => {
@@ -237,7 +247,7 @@
                 return if self.resets.spend(now) { Ok(()) } else { Err(CloseCause::Reset) };
             }
             kind::DATA if frame.length > 0 || frame.flags & END_STREAM != 0 => return Ok(()),
-            // The answer to our own.
+            // The answer to a frame of ours.
             kind::SETTINGS | kind::PING if frame.flags & ACK != 0 => {
                 return self.spend(now, CloseCause::Other)
             }
@@ -248,6 +258,7 @@
         self.spend(now, cause)
     }
 
+    /// Takes one control frame from the allowance, or fails with `cause`.
     fn spend(&mut self, now: f64, cause: CloseCause) -> Result<(), CloseCause> {
         if self.control.spend(now) {
             Ok(())
@@ -256,7 +267,8 @@
         }
     }
 
-    /// Bytes have been written, the peer's machine has taken them.
+    /// Counts bytes that the socket has taken for writing. From them it reads which streams h2 refused, because h2 does
+    /// not report that.
     pub fn on_written(&mut self, mut bytes: &[u8]) {
         self.write_blocked_since = None;
         while !bytes.is_empty() {
@@ -266,7 +278,7 @@
                 Some(frame) if frame.kind == kind::HEADERS => self.last_answered_stream = frame.stream,
                 Some(frame) if frame.kind == kind::RST_STREAM => {
                     self.refused.streams += u64::from(frame.first_bytes == REFUSED_STREAM);
-                    // h2 answers 431 to a header list that is too large, and then resets the stream.
+                    // For a header list that is too large, h2 sends status 431 and then resets the stream.
                     let answered = frame.stream == self.last_answered_stream;
                     self.refused.headers += u64::from(answered && frame.first_bytes == PROTOCOL_ERROR);
                 }
@@ -275,15 +287,15 @@
         }
     }
 
-    /// A write found no room.
+    /// The socket's buffer is full.
     pub fn on_write_blocked(&mut self, now: f64) {
         self.write_blocked_since.get_or_insert(now);
     }
 
-    /// What only time tells; to be asked now and then.
+    /// Checks the time limits; must be called regularly.
     ///
     /// # Errors
-    /// The connection has had its time.
+    /// The cause to close the connection for, if a time limit has passed.
     pub fn check_timeouts(&self, now: f64) -> Result<(), CloseCause> {
         let bounds = &self.bounds;
         let preface_late = self.preface_len < PREFACE.len() && now - self.opened >= bounds.request_time;
@@ -298,13 +310,13 @@
         }
     }
 
-    /// Calls that have come so far.
+    /// The number of calls so far.
     #[cfg(test)]
     fn calls(&self) -> u64 {
         self.calls
     }
 
-    /// Streams refused since this was last asked.
+    /// The streams refused since the last call of this function.
     pub fn take_refusals(&mut self) -> Refusals {
         std::mem::take(&mut self.refused)
     }
--- a/balancer/fronts/grpc/src/meter/tests.rs
+++ b/balancer/fronts/grpc/src/meter/tests.rs
@@ -18,7 +18,7 @@
     meter
 }
 
-/// How many of these frames pass within one moment.
+/// How many of these frames are accepted at one point in time, and the cause of the first failure.
 fn frames_accepted(kind: u8, flags: u8, payload: &[u8]) -> (usize, Option<CloseCause>) {
     let (mut meter, bytes) = (meter(), frame(kind, flags, payload));
     for n in 0..10_000 {
@@ -45,12 +45,12 @@
     }
     assert_eq!(frames_accepted(kind::RST_STREAM, 0, &[0, 0, 0, 8]), (100, Some(CloseCause::Reset)));
     assert_eq!(frames_accepted(kind::CONTINUATION, 0, &[1]).1, Some(CloseCause::Continuation));
-    assert_eq!(frames_accepted(kind::DATA, 0, &[1]).1, None, "bodies are flow control's");
+    assert_eq!(frames_accepted(kind::DATA, 0, &[1]).1, None, "bodies are limited by flow control only");
 }
 
 #[test]
 fn control_frames_that_belong_to_calls_are_no_flood() {
-    // grpc-c++ measures the link with a PING for nearly each answer: that is no flood.
+    // grpc-c++ sends a PING for nearly every answer to measure the link, which must not count as a flood.
     let mut meter = meter();
     for n in 0..20_000 {
         let now = f64::from(n) * 0.1;
@@ -95,7 +95,7 @@
     );
     half.on_read(&PREFACE[20..], 1_999.0).unwrap();
     assert_eq!(half.check_timeouts(9_000.0), Ok(()));
-    // A block that gets a CONTINUATION now and then does not get new time with each.
+    // A CONTINUATION does not extend the time of its header block.
     half.on_read(&frame(kind::HEADERS, 0, &[1]), 10_000.0).unwrap();
     half.on_read(&frame(kind::CONTINUATION, 0, &[1]), 11_500.0).unwrap();
     assert_eq!(
@@ -124,7 +124,7 @@
     bytes.chunks(5).for_each(|part| meter.on_written(part));
     assert_eq!(meter.take_refusals(), Refusals { streams: 2, headers: 0 });
     assert_eq!(meter.take_refusals(), Refusals::default());
-    // After an answer of ours on the same stream it was the header list.
+    // A reset after response headers on the same stream means that the header list was too large.
     meter.on_written(&frame(kind::HEADERS, END_HEADERS, &[1]));
     meter.on_written(&frame(kind::RST_STREAM, 0, &[0, 0, 0, 1]));
     assert_eq!(meter.take_refusals(), Refusals { streams: 0, headers: 1 });
--- a/balancer/fronts/grpc/src/metered_stream.rs
+++ b/balancer/fronts/grpc/src/metered_stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket under its meter: what passes is counted, and what costs too much ends it.
+//! A client's socket with its meter: all bytes are counted, and reading fails once a limit is exceeded.
 
 use crate::meter::{CloseCause, Meter};
 use millrudder_exchange::clock::Clock;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The meter of one connection, for its socket and for whoever looks after it.
+/// The meter of one connection, shared by its socket and the task that checks all connections.
 #[derive(Clone)]
 pub struct SharedMeter {
     meter: Arc<Mutex<Meter>>,
@@ -17,20 +17,23 @@
 }
 
 impl SharedMeter {
+    /// Shares a meter.
     pub fn new(meter: Meter) -> Self {
         SharedMeter { meter: Arc::new(Mutex::new(meter)), cause: Arc::default() }
     }
 
+    /// Locks the meter.
     pub fn lock(&self) -> MutexGuard<'_, Meter> {
         self.meter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Why the socket has ended itself.
+    /// Why reading was made to fail, if it was.
     pub fn cause(&self) -> Option<CloseCause> {
         *self.cause.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
+/// A TCP stream whose traffic passes through a meter.
 pub struct MeteredStream {
     stream: TcpStream,
     meter: SharedMeter,
--- a/balancer/fronts/grpc/src/proto.rs
+++ b/balancer/fronts/grpc/src/proto.rs
@@ -1,8 +1,8 @@
-//! What `proto/millrudder/v1/jobs.proto` generates, for servers and clients.
+//! The code generated from `proto/millrudder/v1/jobs.proto`, for servers and clients.
 
 #![allow(missing_docs, clippy::all)]
 
 tonic::include_proto!("millrudder.v1");
 
-/// The file's descriptors, for reflection.
+/// The encoded descriptors of the proto file, for the reflection service.
 pub const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/jobs.bin"));
--- a/balancer/fronts/grpc/src/service.rs
+++ b/balancer/fronts/grpc/src/service.rs
@@ -1,4 +1,4 @@
-//! The service `millrudder.v1.Jobs`: calls to jobs, answers to replies.
+//! The service `millrudder.v1.Jobs`: turns calls into jobs, and their answers into responses.
 
 use crate::proto::job_event::{Accepted, Done, Ended, Event, Progress as Share, Started};
 use crate::proto::jobs_server::Jobs;
@@ -12,17 +12,18 @@
 use tokio::sync::Notify;
 use tonic::{Request, Response, Status};
 
-/// A message with the largest body, its other fields at their bounds.
+/// Largest message (bytes): the largest body plus all other fields at their limits.
 pub const MESSAGE_LIMIT: usize = BODY_LIMIT + 16 * 1024;
 
-/// When a call's headers came, on the clock: its client's time runs from there.
+/// When a call's headers arrived (ms on the dispatcher's clock). The client's deadline counts from then.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedAt(pub f64);
 
+/// The service's implementation.
 #[derive(Clone)]
 pub struct JobsService(pub Arc<Core>);
 
-/// A job that is here for a call. Dropped before its answer, it is withdrawn.
+/// A submitted job of one call. Dropping it before its answer withdraws the job.
 struct PendingJob {
     core: Arc<Core>,
     ticket: Ticket,
@@ -33,12 +34,12 @@
 }
 
 impl PendingJob {
-    /// Waits for news of the job: its answer, or progress beyond `seen` where it is followed.
+    /// Waits for the job's answer or, if the job is followed, for progress other than `reported`.
     async fn next_update(&mut self, reported: Progress) -> Update {
         loop {
             if let Some(answer) = self.reply.take() {
                 self.answered = true;
-                // A client that is slow to read holds no place for a job.
+                // Released before the answer is written, so that a slow reader does not occupy a job's place.
                 self.permit = None;
                 return Update::Answer(answer);
             }
@@ -51,6 +52,7 @@
     }
 }
 
+/// What became known about a job.
 enum Update {
     Answer(Answer),
     Progress(Progress),
@@ -65,7 +67,7 @@
 }
 
 impl JobsService {
-    /// Lets a job in, or says why not.
+    /// Submits a job; returns it and its id, or the status of the refusal. `followed`: progress is wanted too.
     fn submit(
         &self,
         request: Request<SubmitRequest>,
@@ -137,7 +139,7 @@
     }
 }
 
-/// A followed job as a stream: any number of events, exactly one final one, and the status.
+/// The response stream of a followed job: any number of progress events, exactly one final event, and the status.
 struct EventStream {
     pending: PendingJob,
     id: String,
@@ -145,10 +147,13 @@
     state: StreamState,
 }
 
+/// How far the response stream has come.
 enum StreamState {
+    /// The final event has not been sent.
     Open,
-    /// The final event has gone out; the call still ends with this.
+    /// The final event was sent; the call still ends with this status.
     Ending(Status),
+    /// Nothing more is sent.
     Over,
 }
 
@@ -157,6 +162,7 @@
 }
 
 impl EventStream {
+    /// Waits for the next event.
     async fn next(&mut self) -> Option<Result<JobEvent, Status>> {
         match std::mem::replace(&mut self.state, StreamState::Over) {
             StreamState::Over => return None,
@@ -176,14 +182,14 @@
         }
     }
 
-    /// The next thing to tell between what was told and what is.
+    /// The next event to send for the progress between `reported` and `now`; `None` if there is nothing to report.
     fn next_progress_event(&mut self, now: Progress) -> Option<JobEvent> {
         if now.accepted && !self.reported.accepted {
             self.reported.accepted = true;
             return Some(event(Event::Accepted(Accepted { id: self.id.clone() })));
         }
         if now.starts > self.reported.starts {
-            // Starts that came while the client did not read are told as one, the newest.
+            // If the job was started several times while the client did not read, only the latest start is sent.
             self.reported = Progress { starts: now.starts, share: 0.0, ..self.reported };
             return Some(event(Event::Started(Started { attempt: now.starts })));
         }
@@ -192,6 +198,7 @@
         (now.share > told).then(|| event(Event::Progress(Share { share: now.share })))
     }
 
+    /// The final event for an answer; a failure also sets the status with which the call ends.
     fn final_event(&mut self, answer: Answer) -> JobEvent {
         match status::job_result(answer, self.pending.core.advice.is_allowed()) {
             Ok(result) => event(Event::Done(Done { result })),
--- a/balancer/fronts/grpc/src/timeout.rs
+++ b/balancer/fronts/grpc/src/timeout.rs
@@ -1,10 +1,10 @@
-//! `grpc-timeout`: at most 8 digits and a unit (gRPC over HTTP/2, "Requests").
+//! Parses the header `grpc-timeout`: at most 8 digits and a unit (gRPC over HTTP/2, "Requests").
 
 use millrudder_exchange::intake::LONGEST_WAIT_MS;
 
 const MAX_DIGITS: usize = 8;
 
-/// The header's value in milliseconds, at most a day; none if it is no timeout.
+/// The header's value in milliseconds, capped at a day; `None` if it is malformed.
 pub fn parse(value: &[u8]) -> Option<f64> {
     let (unit, digits) = value.split_last()?;
     if digits.is_empty() || digits.len() > MAX_DIGITS || !digits.iter().all(u8::is_ascii_digit) {
--- a/balancer/fronts/grpc/src/transport.rs
+++ b/balancer/fronts/grpc/src/transport.rs
@@ -1,4 +1,5 @@
-//! One client connection: HTTP/2 by h2 over a metered socket, each call in a task of its own that ends with it.
+//! One client connection: HTTP/2 by the h2 library over a metered socket. Each call runs in its own task, which is
+//! cancelled when the connection ends.
 
 use crate::call;
 use crate::connection_table::{counter_of, CloseMode, ConnectionHandle};
@@ -11,18 +12,18 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// What a client may send of one call before it is read (bytes); a whole message fits.
+/// Flow-control window of one stream; a whole message fits into it.
 const STREAM_WINDOW_BYTES: u32 = 96 * 1024;
-/// ... and of all calls of its connection.
+/// Flow-control window of a connection, over all its calls.
 const CONNECTION_WINDOW_BYTES: u32 = 256 * 1024;
-/// Answers that h2 holds for one call (bytes).
+/// Bytes of responses that h2 buffers for one call.
 const SEND_BUFFER_BYTES: usize = 96 * 1024;
-/// Calls that were reset before they were looked at (CVE-2023-44487).
+/// Streams that the peer reset before they were accepted; h2 closes the connection beyond this (CVE-2023-44487).
 const MAX_PENDING_RESETS: usize = 64;
-/// Errors of the peer's, each of which costs a reset of ours.
+/// Streams that h2 reset because of a peer's protocol errors; h2 closes the connection beyond this.
 const MAX_LOCAL_RESETS: usize = 128;
 
-/// The meter's bounds out of the settings.
+/// The meter's limits according to the settings.
 pub fn meter_bounds(limits: &millrudder_config::settings::GrpcLimits) -> Bounds {
     Bounds {
         control_frames: limits.control_frames.get() as f64,
@@ -32,6 +33,7 @@
     }
 }
 
+/// Configures h2.
 fn builder(shared: &Shared) -> Builder {
     let limits = &shared.limits;
     let mut builder = Builder::new();
@@ -46,8 +48,8 @@
     builder
 }
 
-/// A connection that has been accepted. It counts from here on, not from when its task first runs: many may be
-/// accepted in between.
+/// Registers an accepted connection and starts its task. It counts against the limit from here on, not from when the
+/// task first runs, because many connections may be accepted in between.
 pub fn start_connection(stream: TcpStream, shared: &Arc<Shared>) {
     let now = shared.clock.now();
     let meter = SharedMeter::new(Meter::new(meter_bounds(&shared.limits), now));
@@ -55,7 +57,7 @@
     tokio::spawn(serve(stream, shared.clone(), meter, handle));
 }
 
-/// From the preface to the end.
+/// Serves a connection from the preface to its end.
 async fn serve(stream: TcpStream, shared: Arc<Shared>, meter: SharedMeter, handle: Arc<ConnectionHandle>) {
     let _ = stream.set_nodelay(true);
     let _client = ClientConnection::new(&shared);
@@ -81,7 +83,7 @@
     shared: &Arc<Shared>,
     handle: &Arc<ConnectionHandle>,
 ) -> bool {
-    // Calls that are under way when the connection breaks end with this set, and withdraw their jobs.
+    // Dropping the set when the connection ends cancels its calls, which withdraws their jobs.
     let mut calls = JoinSet::new();
     loop {
         tokio::select! {
@@ -101,12 +103,12 @@
     }
 }
 
-/// h2 has ended the connection for what the peer did.
+/// Whether h2 closed the connection because of a fault of the peer.
 fn is_peer_fault(error: &h2::Error) -> bool {
     error.reason().is_some_and(|reason| reason != h2::Reason::NO_ERROR)
 }
 
-/// Counts as a client's connection for the planned stop.
+/// Counts a client connection for the planned stop until dropped.
 struct ClientConnection(Arc<Shared>);
 
 impl ClientConnection {
--- a/balancer/fronts/grpc/tests/grpc/front.rs
+++ b/balancer/fronts/grpc/tests/grpc/front.rs
@@ -1,4 +1,4 @@
-//! The front as its clients meet it: answers, deadlines, cancellation, progress, the stop.
+//! The front as clients see it: answers, deadlines, cancellation, progress, drain and stop.
 
 use crate::rig::{request, served, until, Rig};
 use millrudder_exchange::{Answer, Failure};
@@ -23,7 +23,7 @@
     let (answer, mut client) = asked.await.unwrap();
     assert_eq!(answer.unwrap().into_inner().result, b"made here");
     until("the place is free again", || rig.admission_gate.usage(job.front).places == 0);
-    // Without a timeout the class's limit holds, and an id is made.
+    // Without a timeout the class's limit applies; without an id one is generated.
     let began = rig.clock.now();
     let asked = tokio::spawn(async move { client.submit(request("")).await });
     let (_, job, reply) = rig.job();
@@ -86,7 +86,7 @@
         .collect();
     let replies: Vec<_> = (0..16).map(|_| rig.job().2).collect();
     let status = client.clone().submit(request("one more")).await.unwrap_err();
-    assert_eq!(status.code(), Code::InvalidArgument, "spaces are no id: {status:?}");
+    assert_eq!(status.code(), Code::InvalidArgument, "an id must not contain spaces: {status:?}");
     let status = client.clone().submit(request("one-more")).await.unwrap_err();
     assert_eq!(status.code(), Code::Unavailable);
     assert!(status.metadata().get("grpc-retry-pushback-ms").is_some());
@@ -111,7 +111,7 @@
     assert!(matches!(next(events.message().await.unwrap()), Event::Started(s) if s.attempt == 1));
     reply.note(|p| p.share = 0.4);
     assert!(matches!(next(events.message().await.unwrap()), Event::Progress(p) if p.share == 0.4));
-    // A repeat starts over.
+    // A second attempt starts again from no progress.
     reply.note(|p| (p.starts, p.share) = (2, 0.0));
     assert!(matches!(next(events.message().await.unwrap()), Event::Started(s) if s.attempt == 2));
     reply.give(served("made"));
@@ -126,7 +126,7 @@
         matches!(next(events.message().await.unwrap()), Event::Ended(e) if e.code == Code::DeadlineExceeded as i32)
     );
     assert_eq!(events.message().await.unwrap_err().code(), Code::DeadlineExceeded);
-    assert!(rig.nothing_came(), "both were answered");
+    assert!(rig.nothing_came(), "answered jobs are not withdrawn");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -140,13 +140,13 @@
     assert_eq!(rig.withdrawn(), ticket);
     reply.give(served("too late"));
     until("its place is free", || rig.admission_gate.usage(job.front).places == 0);
-    // The same while events flow.
+    // The same for a followed job after its first event.
     let call = tokio::spawn(async move { second.follow(request("b")).await });
     let (ticket, _, reply) = rig.job();
     reply.note(|p| p.accepted = true);
     drop(call.await.unwrap().unwrap());
     assert_eq!(rig.withdrawn(), ticket);
-    // The connection serves on.
+    // The connection still serves calls.
     let call = tokio::spawn(async move { client.submit(request("c")).await });
     rig.job().2.give(served("c"));
     call.await.unwrap().unwrap();
@@ -177,7 +177,7 @@
     let call = tokio::spawn(async move { first.submit(request("a")).await });
     let (_, _, reply) = rig.job();
     rig.stopping.begin(rig.clock.now());
-    // Kept connections are served for as long as the HTTP/1.1 front serves its own.
+    // Open connections are served during the grace time, as the HTTP/1.1 front does.
     let mut second = client.clone();
     let served_on = tokio::spawn(async move { second.submit(request("b")).await });
     rig.job().2.give(served("b"));
@@ -204,7 +204,7 @@
         host: String::new(),
         message_request: Some(MessageRequest::ListServices(String::new())),
     };
-    // A client that keeps its side open gets its answer all the same.
+    // A client that keeps its request stream open still gets its answer.
     let open = futures_util::StreamExt::chain(
         futures_util::stream::iter([asked]),
         futures_util::stream::pending::<ServerReflectionRequest>(),
@@ -222,7 +222,7 @@
     let service = HealthCheckRequest { service: "millrudder.v1.Jobs".to_owned() };
     let mut health = HealthClient::new(channel).watch(service).await.unwrap().into_inner();
     assert_eq!(health.message().await.unwrap().unwrap().status(), Serving);
-    // A drain ends connections once their calls have ended; this one's has not.
+    // A drain closes connections once their calls have ended; this connection still has one.
     rig.drain.begin(rig.clock.now());
     assert_eq!(health.message().await.unwrap().unwrap().status(), NotServing);
     rig.drain.end();
@@ -237,10 +237,11 @@
     let rig = Rig::start("", 8);
     let mut idle = std::net::TcpStream::connect(rig.address).unwrap();
     idle.set_read_timeout(Some(crate::rig::WAIT)).unwrap();
-    // The preface and empty settings: from here on only its idle time of minutes would end it.
+    // The preface and empty settings. After them only the idle limit, which is minutes long, would close the
+    // connection.
     idle.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0").unwrap();
     let mut first = [0];
     idle.read_exact(&mut first).unwrap();
     rig.drain.begin(rig.clock.now());
-    idle.read_to_end(&mut Vec::new()).expect("told to go, and closed");
+    idle.read_to_end(&mut Vec::new()).expect("GOAWAY, then the close");
 }
--- a/balancer/fronts/grpc/tests/grpc/peers.rs
+++ b/balancer/fronts/grpc/tests/grpc/peers.rs
@@ -1,10 +1,10 @@
-//! Peers that cost more than they bring: each is ended or refused in time, has its counter, and leaves the front
-//! serving others.
+//! Abusive and broken peers: each is disconnected or refused in time and counted under its own counter, and the front
+//! still serves others.
 
 use crate::rig::{call, frame, headers, kind, request, served, until, RawClient, Rig, END_HEADERS, SUBMIT};
 use millrudder_exchange::Front;
 
-/// The front still serves a usual client.
+/// Asserts that the front still serves a well-behaved client.
 fn assert_still_serves(rig: &Rig) {
     let mut raw = RawClient::connect(rig, &[]);
     raw.send(&call(1, &prost::Message::encode_to_vec(&request("usual"))));
@@ -32,7 +32,7 @@
         assert!(raw.is_closed());
         rig.until_counted(counter);
     }
-    // Calls made and cancelled at once, again and again.
+    // Rapid reset: calls made and cancelled at once.
     let mut raw = RawClient::connect(&rig, &[]);
     for n in 0..100 {
         let stream = 2 * n + 1;
@@ -41,7 +41,7 @@
     }
     assert!(raw.is_closed());
     rig.until_counted("grpc_flood_reset 1");
-    // A header block without end.
+    // A header block that never ends.
     let mut raw = RawClient::connect(&rig, &[]);
     raw.send(&frame(kind::HEADERS, 0, 1, &headers(SUBMIT)));
     raw.send(&frame(kind::CONTINUATION, 0, 1, &[0, 1, b'a', 1, b'b']).repeat(100));
@@ -59,12 +59,13 @@
     half.send(&crate::rig::PREFACE[..10]);
     assert!(silent.is_closed() && half.is_closed());
     rig.until_counted("grpc_too_slow 2");
-    // A header block that is begun and not ended.
+    // A header block that is begun but not completed.
     let mut raw = RawClient::connect(&rig, &[]);
     raw.send(&frame(kind::HEADERS, 0, 1, &headers(SUBMIT)));
     assert!(raw.is_closed());
     rig.until_counted("grpc_too_slow 3");
-    // A call whose body does not come: it is answered, its connection stays, and it never held a place.
+    // A call whose body does not arrive: it is answered, its connection stays open, and it never occupied a job's
+    // place.
     let mut raw = RawClient::connect(&rig, &[]);
     raw.send(&frame(kind::HEADERS, END_HEADERS, 1, &headers(SUBMIT)));
     raw.send(&frame(kind::DATA, 0, 1, &[0, 0, 0]));
@@ -79,7 +80,7 @@
 #[test]
 fn a_reader_with_a_closed_window_is_reset_and_holds_no_place() {
     let rig = Rig::start("answer_time: 150 ms", 8);
-    // SETTINGS_INITIAL_WINDOW_SIZE 0.
+    // Sets SETTINGS_INITIAL_WINDOW_SIZE to 0.
     let mut raw = RawClient::connect(&rig, &[0, 4, 0, 0, 0, 0]);
     raw.send(&call(1, &prost::Message::encode_to_vec(&request("a"))));
     rig.job().2.give(served(&"x".repeat(50_000)));
@@ -92,7 +93,8 @@
 #[test]
 fn a_reader_that_stops_reading_its_socket_is_disconnected() {
     let rig = Rig::start("answer_time: 200 ms, streams: 64, control_frames: 100000", 8);
-    // A window of 2 GiB for each call and for the connection, and nothing is read: the socket's buffers fill up.
+    // The client gives a window of 2 GiB to each call and to the connection but never reads, so the socket's buffers
+    // fill up.
     let mut raw = RawClient::connect(&rig, &[0, 4, 0x7f, 0xff, 0xff, 0xff]);
     raw.send(&frame(8, 0, 0, &[0x7f, 0x00, 0x00, 0x00]));
     let message = prost::Message::encode_to_vec(&request(""));
@@ -114,7 +116,7 @@
         raw.send(&call(stream, &message));
     }
     let (stream, code) = raw.until(kind::RST_STREAM);
-    assert_eq!((stream, code.as_slice()), (5, &[0, 0, 0, 7][..]), "REFUSED_STREAM: harmless to try again");
+    assert_eq!((stream, code.as_slice()), (5, &[0, 0, 0, 7][..]), "REFUSED_STREAM: a retry is safe");
     rig.until_counted("grpc_streams_refused 1");
     (0..2).for_each(|_| rig.job().2.give(served("made")));
     let mut raw = RawClient::connect(&rig, &[]);
@@ -124,7 +126,7 @@
         block.extend([b'b'; 100]);
     }
     raw.send(&frame(kind::HEADERS, END_HEADERS, 1, &block));
-    // 431 or a reset, as h2 sees fit; never a job.
+    // h2 answers with 431 or a reset; no job is submitted.
     let answered = loop {
         match raw.frame() {
             Some((kind::HEADERS | kind::RST_STREAM | kind::GOAWAY, ..)) | None => break true,
@@ -155,13 +157,13 @@
     let mut first = RawClient::connect(&rig, &[]);
     first.send(&call(1, &message));
     let (_, _, first_reply) = rig.job();
-    // Two that say nothing: each makes room for the next.
+    // Two silent connections: the first is evicted for the second.
     let (mut silent, mut second) = (RawClient::connect(&rig, &[]), RawClient::connect(&rig, &[]));
     assert!(silent.is_closed());
     rig.until_counted("connections_evicted 1");
     second.send(&call(1, &message));
     let (_, _, second_reply) = rig.job();
-    // All have jobs here: whoever comes is told so by a close, and they are served.
+    // Every connection has a job in progress, so a new one is closed at once and the open ones are still served.
     assert!(RawClient::connect(&rig, &[]).is_closed());
     rig.until_counted("grpc_connections_refused 1");
     first_reply.give(served("made"));
@@ -173,7 +175,7 @@
 fn requests_that_are_not_grpc_are_refused() {
     let rig = Rig::start("", 4);
     let mut raw = RawClient::connect(&rig, &[]);
-    // GET / by indexed fields: no content type, wrong method.
+    // GET / as indexed header fields: wrong method and no content type.
     raw.send(&frame(kind::HEADERS, END_HEADERS | 1, 1, &[0x82, 0x86, 0x84, 0x41, 1, b'x']));
     assert_eq!(raw.until(kind::HEADERS).0, 1);
     raw.send(&frame(kind::HEADERS, END_HEADERS | 1, 3, &headers("/millrudder.v2.Jobs/Submit")));
@@ -194,7 +196,7 @@
         let mut raw = RawClient::connect_silent(&rig);
         raw.send(bytes);
     });
-    // Some of the spoilt ones were whole calls all the same; all of them are withdrawn again.
+    // Some of the damaged sessions still contained whole calls; their jobs are withdrawn when the connection ends.
     until("no place is held", || rig.admission_gate.usage(Front::Grpc).places == 0);
     let mut served_whole = 0;
     millrudder_testing::cuts(26, &session, |parts| {
--- a/balancer/fronts/grpc/tests/grpc/rig.rs
+++ b/balancer/fronts/grpc/tests/grpc/rig.rs
@@ -1,4 +1,4 @@
-//! The front between a scripted core and clients: tonic's, and one that writes frames by hand.
+//! Test rig: the front with a scripted core, and two kinds of clients: tonic's, and one that writes raw frames.
 
 use millrudder_admission::Capacity;
 use millrudder_config::settings::Settings;
@@ -21,15 +21,16 @@
 use std::time::{Duration, Instant};
 use tonic::transport::{Channel, Endpoint};
 
-/// Long enough for a loaded machine; reached only where something hangs.
+/// Limit on every wait. Long enough for a loaded machine, so it is reached only if something hangs.
 pub const WAIT: Duration = Duration::from_secs(20);
 
-/// What reaches the scripted core.
+/// A message that reached the scripted core.
 pub enum CoreEvent {
     Job(Ticket, Arc<Job>, Reply),
     Withdrawn(Ticket),
 }
 
+/// A running front and the state it shares with the scripted core.
 pub struct Rig {
     pub address: SocketAddr,
     pub counters: Arc<Counters>,
@@ -42,7 +43,8 @@
 }
 
 impl Rig {
-    /// `limits`: the settings' `fronts.grpc.limits`, in YAML's flow style.
+    /// Starts a front. `limits`: the settings `fronts.grpc.limits` in YAML's flow style; `connections`: the limit on
+    /// them.
     pub fn start(limits: &str, connections: usize) -> Self {
         let yaml = format!("fronts: {{grpc: {{listen: '127.0.0.1:0', limits: {{{limits}}}}}}}");
         let settings = Settings::read(&yaml, Path::new("test")).unwrap();
@@ -99,10 +101,12 @@
         }
     }
 
+    /// Waits for the next message to the core.
     pub fn next(&self) -> CoreEvent {
         self.seen.recv_timeout(WAIT).expect("something reaches the core")
     }
 
+    /// Waits for a job; panics if a withdrawal arrives instead.
     pub fn job(&self) -> (Ticket, Arc<Job>, Reply) {
         match self.next() {
             CoreEvent::Job(ticket, job, reply) => (ticket, job, reply),
@@ -110,6 +114,7 @@
         }
     }
 
+    /// Waits for a withdrawal; panics if a job arrives instead.
     pub fn withdrawn(&self) -> Ticket {
         match self.next() {
             CoreEvent::Withdrawn(ticket) => ticket,
@@ -117,24 +122,29 @@
         }
     }
 
+    /// Whether the core has no unread message; takes one if it has.
     pub fn nothing_came(&self) -> bool {
         self.seen.try_recv().is_err()
     }
 
+    /// Whether the printed counters contain this line.
     pub fn counted(&self, line: &str) -> bool {
         self.counters.print().lines().any(|l| l == line)
     }
 
+    /// Waits until the printed counters contain this line.
     pub fn until_counted(&self, line: &str) {
         until(line, || self.counted(line));
     }
 
+    /// Connects a tonic client.
     pub async fn client(&self) -> JobsClient<Channel> {
         let endpoint = Endpoint::from_shared(format!("http://{}", self.address)).unwrap();
         JobsClient::new(endpoint.connect().await.unwrap())
     }
 }
 
+/// Polls a condition; panics with `what` if it does not become true in time.
 pub fn until(what: &str, is: impl Fn() -> bool) {
     let end = Instant::now() + WAIT;
     while !is() {
@@ -143,6 +153,7 @@
     }
 }
 
+/// A valid request with this id.
 pub fn request(id: &str) -> SubmitRequest {
     SubmitRequest {
         id: id.to_owned(),
@@ -153,13 +164,15 @@
     }
 }
 
+/// The answer of a job whose result is this text.
 pub fn served(text: &str) -> Answer {
     Answer::Served { result: text.as_bytes().to_vec() }
 }
 
-/// A client that writes frames as it likes.
+/// A client that writes arbitrary frames or bytes.
 pub struct RawClient(pub TcpStream);
 
+/// Frame types of RFC 9113, section 6.
 pub mod kind {
     pub const DATA: u8 = 0;
     pub const HEADERS: u8 = 1;
@@ -172,6 +185,7 @@
 pub const END_STREAM: u8 = 1;
 pub const END_HEADERS: u8 = 4;
 
+/// Encodes one frame.
 pub fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let mut bytes = (payload.len() as u32).to_be_bytes()[1..].to_vec();
     bytes.extend([kind, flags]);
@@ -180,7 +194,7 @@
     bytes
 }
 
-/// Headers as literals without indexing (RFC 7541, section 6.2.2).
+/// The header block of a call, as literal fields without indexing (RFC 7541, section 6.2.2).
 pub fn headers(path: &str) -> Vec<u8> {
     let mut block = Vec::new();
     for (name, value) in [
@@ -202,7 +216,7 @@
 pub const SUBMIT: &str = "/millrudder.v1.Jobs/Submit";
 pub const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-/// A whole call as two frames: headers, message.
+/// Encodes a whole call as two frames: headers and message.
 pub fn call(stream: u32, message: &[u8]) -> Vec<u8> {
     let mut body = vec![0];
     body.extend((message.len() as u32).to_be_bytes());
@@ -215,25 +229,26 @@
 }
 
 impl RawClient {
-    /// `settings`: the payload of the first SETTINGS frame.
+    /// Connects and sends the preface. `settings`: the payload of the first SETTINGS frame.
     pub fn connect(rig: &Rig, settings: &[u8]) -> Self {
         let mut raw = RawClient::connect_silent(rig);
         raw.send(&[PREFACE, &frame(kind::SETTINGS, 0, 0, settings)].concat());
         raw
     }
 
+    /// Connects without sending anything.
     pub fn connect_silent(rig: &Rig) -> Self {
         let stream = TcpStream::connect(rig.address).unwrap();
         stream.set_read_timeout(Some(WAIT)).unwrap();
         RawClient(stream)
     }
 
-    /// The front may close at any time: that is for `is_ended` to see.
+    /// Sends bytes. Failure is no error here, because the front may close at any time; `is_closed` checks for that.
     pub fn send(&mut self, bytes: &[u8]) -> bool {
         self.0.write_all(bytes).is_ok()
     }
 
-    /// The next frame: kind, stream, payload; none once the front has closed.
+    /// Reads the next frame as (type, stream, payload); `None` once the front has closed the connection.
     pub fn frame(&mut self) -> Option<(u8, u32, Vec<u8>)> {
         let mut head = [0; 9];
         self.0.read_exact(&mut head).ok()?;
@@ -242,7 +257,7 @@
         Some((head[3], u32::from_be_bytes([head[5], head[6], head[7], head[8]]), payload))
     }
 
-    /// Waits for a frame of this kind.
+    /// Reads until a frame of this type; returns its stream and payload.
     pub fn until(&mut self, wanted: u8) -> (u32, Vec<u8>) {
         loop {
             let (kind, stream, payload) = self.frame().expect("the connection is open");
@@ -252,7 +267,7 @@
         }
     }
 
-    /// The front closes this connection.
+    /// Reads until the front closes this connection or a read fails, also after `WAIT`. Always true.
     pub fn is_closed(&mut self) -> bool {
         while self.frame().is_some() {}
         true
