--- a/balancer/fronts/operators/src/lib.rs
+++ b/balancer/fronts/operators/src/lib.rs
@@ -3,16 +3,16 @@
 //! A thread of its own with descriptors of its own, so that calls wait behind no client: `call` reads a line, `talk`
 //! keeps one caller's stages, both without I/O; this shell polls. Orders go through the exchange before all else.
 
-mod call;
-mod talk;
+mod command;
+mod session;
 
-pub use call::{parse, BadCall, Call, LINE_LIMIT};
+pub use command::{parse, BadCall, Call, LINE_LIMIT};
 use millrudder_exchange::{Core, Order, OrderHandle, Transfer};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
+use session::{Stage, Talk};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
-use talk::{Stage, Talk};
 
 /// Callers at once. Who comes beyond takes the place of one that has said nothing; the descriptors are part of what
 /// the program keeps for itself.
--- a/balancer/fronts/operators/src/talk.rs
+++ b/balancer/fronts/operators/src/session.rs
@@ -1,6 +1,6 @@
 //! One caller, without I/O: bytes and time in, a call or its refusal out, once.
 
-use crate::call::{parse, BadCall, Call, LINE_LIMIT};
+use crate::command::{parse, BadCall, Call, LINE_LIMIT};
 
 /// For a whole line to come (ms). A bad caller is owed an answer or a close within 3 s.
 pub const LINE_MS: f64 = 2_000.0;
