--- a/balancer/fronts/operators/src/command.rs
+++ b/balancer/fronts/operators/src/command.rs
@@ -7,7 +7,7 @@
 pub const LINE_LIMIT: usize = 2 * ID_LIMIT;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Command {
     /// Can this process serve?
     Ready,
     /// Leave this worker out ...
@@ -22,30 +22,30 @@
 
 /// Why a line is no call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadCall {
+pub enum CommandError {
     NotText,
     TooLong,
     UnknownWord,
     MissingId,
     BadId,
-    TooMuch,
+    TooManyWords,
     SecondLine,
     CutShort,
     TooSlow,
 }
 
-impl fmt::Display for BadCall {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BadCall::NotText => "the line is no plain text",
-            BadCall::TooLong => "the line is too long",
-            BadCall::UnknownWord => "known are READY, DISABLE ID, ENABLE ID, DRAIN and UNDRAIN",
-            BadCall::MissingId => "the id of a worker is missing",
-            BadCall::BadId => "no worker can have that id",
-            BadCall::TooMuch => "there is more on the line than the call takes",
-            BadCall::SecondLine => "one call to a connection",
-            BadCall::CutShort => "the line did not end",
-            BadCall::TooSlow => "the line did not come in time",
+            CommandError::NotText => "the line is no plain text",
+            CommandError::TooLong => "the line is too long",
+            CommandError::UnknownWord => "known are READY, DISABLE ID, ENABLE ID, DRAIN and UNDRAIN",
+            CommandError::MissingId => "the id of a worker is missing",
+            CommandError::BadId => "no worker can have that id",
+            CommandError::TooManyWords => "there is more on the line than the call takes",
+            CommandError::SecondLine => "one call to a connection",
+            CommandError::CutShort => "the line did not end",
+            CommandError::TooSlow => "the line did not come in time",
         })
     }
 }
@@ -54,30 +54,30 @@
 ///
 /// # Errors
 /// What is wrong with it. Nothing is guessed: half an id could name another worker.
-pub fn parse(line: &[u8]) -> Result<Call, BadCall> {
+pub fn parse(line: &[u8]) -> Result<Command, CommandError> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     if line.len() > LINE_LIMIT {
-        return Err(BadCall::TooLong);
+        return Err(CommandError::TooLong);
     }
     let printable = line.iter().all(|b| b.is_ascii_graphic() || *b == b' ');
-    let line = std::str::from_utf8(line).ok().filter(|_| printable).ok_or(BadCall::NotText)?;
+    let line = std::str::from_utf8(line).ok().filter(|_| printable).ok_or(CommandError::NotText)?;
     let mut words = line.split(' ').filter(|word| !word.is_empty());
-    let word = words.next().ok_or(BadCall::UnknownWord)?;
+    let word = words.next().ok_or(CommandError::UnknownWord)?;
     let (id, more) = (words.next(), words.next().is_some());
-    let alone = |call| if id.is_some() { Err(BadCall::TooMuch) } else { Ok(call) };
-    let worker = |call: fn(String) -> Call| match id {
-        None => Err(BadCall::MissingId),
-        Some(_) if more => Err(BadCall::TooMuch),
-        Some(id) if !is_id(id) => Err(BadCall::BadId),
-        Some(id) => Ok(call(id.to_owned())),
+    let without_id = |command| if id.is_some() { Err(CommandError::TooManyWords) } else { Ok(command) };
+    let with_id = |command: fn(String) -> Command| match id {
+        None => Err(CommandError::MissingId),
+        Some(_) if more => Err(CommandError::TooManyWords),
+        Some(id) if !is_id(id) => Err(CommandError::BadId),
+        Some(id) => Ok(command(id.to_owned())),
     };
     match word {
-        "READY" => alone(Call::Ready),
-        "DRAIN" => alone(Call::Drain),
-        "UNDRAIN" => alone(Call::Undrain),
-        "DISABLE" => worker(Call::Disable),
-        "ENABLE" => worker(Call::Enable),
-        _ => Err(BadCall::UnknownWord),
+        "READY" => without_id(Command::Ready),
+        "DRAIN" => without_id(Command::Drain),
+        "UNDRAIN" => without_id(Command::Undrain),
+        "DISABLE" => with_id(Command::Disable),
+        "ENABLE" => with_id(Command::Enable),
+        _ => Err(CommandError::UnknownWord),
     }
 }
 
--- a/balancer/fronts/operators/src/command/tests.rs
+++ b/balancer/fronts/operators/src/command/tests.rs
@@ -4,32 +4,32 @@
 use millrudder_testing::garbage;
 
 #[test]
-fn each_call_has_one_form() {
-    assert_eq!(parse(b"READY"), Ok(Call::Ready));
-    assert_eq!(parse(b"DRAIN\r"), Ok(Call::Drain));
-    assert_eq!(parse(b"UNDRAIN"), Ok(Call::Undrain));
-    assert_eq!(parse(b"DISABLE s-0badcafe"), Ok(Call::Disable("s-0badcafe".to_owned())));
-    assert_eq!(parse(b"ENABLE s-1\r"), Ok(Call::Enable("s-1".to_owned())));
+fn each_command_has_one_form() {
+    assert_eq!(parse(b"READY"), Ok(Command::Ready));
+    assert_eq!(parse(b"DRAIN\r"), Ok(Command::Drain));
+    assert_eq!(parse(b"UNDRAIN"), Ok(Command::Undrain));
+    assert_eq!(parse(b"DISABLE s-0badcafe"), Ok(Command::Disable("s-0badcafe".to_owned())));
+    assert_eq!(parse(b"ENABLE s-1\r"), Ok(Command::Enable("s-1".to_owned())));
 }
 
 #[test]
-fn whatever_else_is_named() {
+fn each_malformed_line_has_its_own_error() {
     let long = format!("DISABLE {}", "s".repeat(LINE_LIMIT));
-    for (line, wrong) in [
-        (&b""[..], BadCall::UnknownWord),
-        (b"ready", BadCall::UnknownWord),
-        (b"STOP", BadCall::UnknownWord),
-        (b"READY now", BadCall::TooMuch),
-        (b"DRAIN s-1", BadCall::TooMuch),
-        (b"DISABLE", BadCall::MissingId),
-        (b"ENABLE s-1 s-2", BadCall::TooMuch),
-        (b"ENABLE s/1", BadCall::BadId),
-        (b"DISABLE\ts-1", BadCall::NotText),
-        (b"DISABLE s-\xff", BadCall::NotText),
-        (b"DRAIN\r\r", BadCall::NotText),
-        (long.as_bytes(), BadCall::TooLong),
+    for (line, error) in [
+        (&b""[..], CommandError::UnknownWord),
+        (b"ready", CommandError::UnknownWord),
+        (b"STOP", CommandError::UnknownWord),
+        (b"READY now", CommandError::TooManyWords),
+        (b"DRAIN s-1", CommandError::TooManyWords),
+        (b"DISABLE", CommandError::MissingId),
+        (b"ENABLE s-1 s-2", CommandError::TooManyWords),
+        (b"ENABLE s/1", CommandError::BadId),
+        (b"DISABLE\ts-1", CommandError::NotText),
+        (b"DISABLE s-\xff", CommandError::NotText),
+        (b"DRAIN\r\r", CommandError::NotText),
+        (long.as_bytes(), CommandError::TooLong),
     ] {
-        assert_eq!(parse(line), Err(wrong), "{:?}", String::from_utf8_lossy(line));
+        assert_eq!(parse(line), Err(error), "{:?}", String::from_utf8_lossy(line));
     }
     garbage(15, b"DISABLE s-0badcafe", |bytes| drop(parse(bytes)));
 }
--- a/balancer/fronts/operators/src/lib.rs
+++ b/balancer/fronts/operators/src/lib.rs
@@ -6,25 +6,25 @@
 mod command;
 mod session;
 
-pub use command::{parse, BadCall, Call, LINE_LIMIT};
+pub use command::{parse, Command, CommandError, LINE_LIMIT};
 use millrudder_exchange::{Core, Order, OrderHandle, Transfer};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
-use session::{Stage, Talk};
+use session::{Session, Stage};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
 /// Callers at once. Who comes beyond takes the place of one that has said nothing; the descriptors are part of what
 /// the program keeps for itself.
-pub const MOST_CALLERS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// How often an order's end is looked for (ms).
-const LOOK_MS: f64 = 2.0;
+const ORDER_POLL_MS: f64 = 2.0;
 /// After a failed accept (no descriptor is free, say) the next try waits: retrying at once would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
-struct Caller {
+struct Connection {
     stream: TcpStream,
-    talk: Talk,
+    session: Session,
     /// What it has ordered, until that is carried out.
     order: Option<(Order, OrderHandle)>,
 }
@@ -44,53 +44,54 @@
 /// # Errors
 /// There is no thread to be had.
 pub fn open(listener: TcpListener, core: Core) -> io::Result<()> {
-    let desk = Desk { listener, core, callers: Vec::new() };
-    std::thread::Builder::new().name("operators".to_owned()).spawn(move || desk.run())?;
+    let server = Server { listener, core, connections: Vec::new() };
+    std::thread::Builder::new().name("operators".to_owned()).spawn(move || server.run())?;
     Ok(())
 }
 
-struct Desk {
+struct Server {
     listener: TcpListener,
     core: Core,
-    callers: Vec<Caller>,
+    connections: Vec<Connection>,
 }
 
-impl Desk {
+impl Server {
     fn run(mut self) {
         loop {
-            self.wait();
+            self.poll_sockets();
             let now = self.core.clock.now();
             self.accept(now);
-            for caller in &mut self.callers {
-                caller.turn(&self.core, now);
+            for connection in &mut self.connections {
+                connection.progress(&self.core, now);
             }
-            self.callers.retain(|caller| !caller.is_gone(now));
+            self.connections.retain(|connection| !connection.is_finished(now));
         }
     }
 
     /// Until something has come or somebody's time is up.
-    fn wait(&self) {
+    fn poll_sockets(&self) {
         let now = self.core.clock.now();
-        let due = |caller: &Caller| match &caller.order {
-            Some(_) => (now + LOOK_MS).min(caller.talk.until()),
-            None => caller.talk.until(),
+        let due = |connection: &Connection| match &connection.order {
+            Some(_) => (now + ORDER_POLL_MS).min(connection.session.deadline()),
+            None => connection.session.deadline(),
         };
-        let next = self.callers.iter().map(due).fold(f64::INFINITY, f64::min);
+        let next = self.connections.iter().map(due).fold(f64::INFINITY, f64::min);
         let timeout = next.is_finite().then(|| Timespec {
             tv_sec: ((next - now).max(0.0) / 1_000.0) as i64,
             tv_nsec: ((next - now).max(0.0) % 1_000.0 * 1e6) as i64,
         });
-        let mut waits: Vec<PollFd> =
-            self.callers.iter().map(|c| PollFd::new(&c.stream, PollFlags::IN)).collect();
+        let mut descriptors: Vec<PollFd> =
+            self.connections.iter().map(|c| PollFd::new(&c.stream, PollFlags::IN)).collect();
         if self.has_room() {
-            waits.push(PollFd::new(&self.listener, PollFlags::IN));
+            descriptors.push(PollFd::new(&self.listener, PollFlags::IN));
         }
         // An error here is an interruption: the next turn finds out what there is.
-        let _ = poll(&mut waits, timeout.as_ref());
+        let _ = poll(&mut descriptors, timeout.as_ref());
     }
 
     fn has_room(&self) -> bool {
-        self.callers.len() < MOST_CALLERS || self.callers.iter().any(|c| c.talk.rank().is_some())
+        self.connections.len() < MAX_CONNECTIONS
+            || self.connections.iter().any(|c| c.session.eviction_rank().is_some())
     }
 
     fn accept(&mut self, now: f64) {
@@ -99,10 +100,10 @@
                 Ok((stream, _)) => {
                     self.make_room();
                     if stream.set_nonblocking(true).is_ok() {
-                        let mut caller = Caller { stream, talk: Talk::new(now), order: None };
+                        let mut connection = Connection { stream, session: Session::new(now), order: None };
                         // Its line is most often there already: only silent ones are in others' way.
-                        caller.turn(&self.core, now);
-                        self.callers.push(caller);
+                        connection.progress(&self.core, now);
+                        self.connections.push(connection);
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
@@ -115,88 +116,89 @@
     }
 
     fn make_room(&mut self) {
-        if self.callers.len() < MOST_CALLERS {
+        if self.connections.len() < MAX_CONNECTIONS {
             return;
         }
-        let ranked = self.callers.iter().enumerate().filter_map(|(i, c)| Some((c.talk.rank()?, i)));
+        let ranked =
+            self.connections.iter().enumerate().filter_map(|(i, c)| Some((c.session.eviction_rank()?, i)));
         let first = ranked.min_by(|a, b| a.0 .0.cmp(&b.0 .0).then(a.0 .1.total_cmp(&b.0 .1)));
         if let Some((_, i)) = first {
-            if self.callers.swap_remove(i).talk.stage() == Stage::Listening {
+            if self.connections.swap_remove(i).session.stage() == Stage::ReadingLine {
                 self.core.counters.operator_closed.add();
             }
         }
     }
 }
 
-impl Caller {
+impl Connection {
     /// Takes what has come, and answers what can be answered.
-    fn turn(&mut self, core: &Core, now: f64) {
-        let mut part = [0; 512];
-        let asked = match self.talk.stage() {
-            Stage::Listening => match self.stream.read(&mut part) {
-                Ok(0) => self.talk.end(now),
-                Ok(n) => self.talk.hear(&part[..n], now),
-                Err(error) if error.kind() == ErrorKind::WouldBlock && self.talk.until() <= now => {
-                    self.talk.expire(now)
+    fn progress(&mut self, core: &Core, now: f64) {
+        let mut buffer = [0; 512];
+        let received = match self.session.stage() {
+            Stage::ReadingLine => match self.stream.read(&mut buffer) {
+                Ok(0) => self.session.end_of_input(now),
+                Ok(n) => self.session.receive(&buffer[..n], now),
+                Err(error) if error.kind() == ErrorKind::WouldBlock && self.session.deadline() <= now => {
+                    self.session.expire(now)
                 }
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => None,
-                Err(_) => self.talk.end(now),
+                Err(_) => self.session.end_of_input(now),
             },
             // Read past what else it sends: closing over unread bytes would reset the connection, and it would
             // never see its answer.
-            Stage::Asked | Stage::Leaving => {
-                if matches!(self.stream.read(&mut part), Ok(0)) && self.talk.stage() == Stage::Leaving {
-                    self.talk.answered(f64::NEG_INFINITY);
+            Stage::Executing | Stage::Closing => {
+                if matches!(self.stream.read(&mut buffer), Ok(0)) && self.session.stage() == Stage::Closing {
+                    self.session.answered(f64::NEG_INFINITY);
                 }
                 None
             }
         };
-        match asked {
-            Some(Ok(call)) => self.carry_out(call, core, now),
+        match received {
+            Some(Ok(command)) => self.execute(command, core, now),
             Some(Err(bad)) => self.answer(Err(&bad.to_string()), core, now),
-            None => self.look(core, now),
+            None => self.check_order(core, now),
         }
     }
 
-    fn carry_out(&mut self, call: Call, core: &Core, now: f64) {
-        slog::info!(core.log, "operators call"; "call" => format!("{call:?}"));
-        match call {
-            Call::Ready if core.stopping.has_begun() => self.answer(Err("it is told to stop"), core, now),
-            Call::Ready if !core.is_serving() => self.answer(Err("it does not serve yet"), core, now),
-            Call::Ready => self.answer(Ok(()), core, now),
-            Call::Drain => {
+    fn execute(&mut self, command: Command, core: &Core, now: f64) {
+        slog::info!(core.log, "operators call"; "call" => format!("{command:?}"));
+        match command {
+            Command::Ready if core.stopping.has_begun() => self.answer(Err("it is told to stop"), core, now),
+            Command::Ready if !core.is_serving() => self.answer(Err("it does not serve yet"), core, now),
+            Command::Ready => self.answer(Ok(()), core, now),
+            Command::Drain => {
                 core.counters.drains.add();
                 core.drain.begin(now);
                 let _ = core.peer_process.put(Transfer::Drain(true));
                 self.answer(Ok(()), core, now);
             }
-            Call::Undrain => {
+            Command::Undrain => {
                 core.drain.end();
                 let _ = core.peer_process.put(Transfer::Drain(false));
                 self.answer(Ok(()), core, now);
             }
-            Call::Disable(id) => self.order(Order::Disable(id), core),
-            Call::Enable(id) => self.order(Order::Enable(id), core),
+            Command::Disable(id) => self.order(Order::Disable(id), core),
+            Command::Enable(id) => self.order(Order::Enable(id), core),
         }
     }
 
     fn order(&mut self, order: Order, core: &Core) {
-        let awaited = core.exchange.order(order.clone());
-        self.order = Some((order, awaited));
+        let handle = core.exchange.order(order.clone());
+        self.order = Some((order, handle));
     }
 
-    fn look(&mut self, core: &Core, now: f64) {
-        let Some((order, awaited)) = self.order.take() else { return };
-        let carried = match awaited.look() {
-            Some(carried) => carried,
-            None if self.talk.until() <= now => awaited.give_up().unwrap_or(Err("not taken on in time")),
-            None => return self.order = Some((order, awaited)),
+    fn check_order(&mut self, core: &Core, now: f64) {
+        let Some((order, handle)) = self.order.take() else { return };
+        let result = match handle.look() {
+            Some(result) => result,
+            None if self.session.deadline() <= now => handle.give_up().unwrap_or(Err("not taken on in time")),
+            None => return self.order = Some((order, handle)),
         };
-        if carried.is_ok() {
+        if result.is_ok() {
             // Another process of an upgrade has to know as well; there is none most of the time.
             let _ = core.peer_process.put(Transfer::Ordered(order));
         }
-        self.answer(carried, core, now);
+        self.answer(result, core, now);
     }
 
     fn answer(&mut self, answer: Result<(), &str>, core: &Core, now: f64) {
@@ -205,19 +207,19 @@
                 core.counters.operator_calls.add();
                 "ok\n".to_owned()
             }
-            Err(why) => {
+            Err(reason) => {
                 core.counters.operator_fails.add();
-                slog::warn!(core.log, "operators' call failed"; "why" => why);
-                format!("fail {why}\n")
+                slog::warn!(core.log, "operators' call failed"; "why" => reason);
+                format!("fail {reason}\n")
             }
         };
         // A fresh socket takes a line at once; a caller that has gone needs none.
         let _ = self.stream.write_all(text.as_bytes());
         let _ = self.stream.shutdown(Shutdown::Write);
-        self.talk.answered(now);
+        self.session.answered(now);
     }
 
-    fn is_gone(&self, now: f64) -> bool {
-        self.talk.stage() == Stage::Leaving && self.talk.until() <= now
+    fn is_finished(&self, now: f64) -> bool {
+        self.session.stage() == Stage::Closing && self.session.deadline() <= now
     }
 }
