--- a/balancer/fronts/operators/src/command.rs
+++ b/balancer/fronts/operators/src/command.rs
@@ -1,36 +1,46 @@
-//! What operators can ask for, read from one line.
+//! The operators' commands, parsed from one line.
 
 use millrudder_exchange::intake::{is_id, ID_LIMIT};
 use std::fmt;
 
-/// Bytes of one line; the longest call has a word and an id.
+/// Largest line (bytes); the longest command is a word and a worker's id.
 pub const LINE_LIMIT: usize = 2 * ID_LIMIT;
 
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Can this process serve?
+    /// Asks whether this process can serve.
     Ready,
-    /// Leave this worker out ...
+    /// Sends no jobs to this worker ...
     Disable(String),
-    /// ... and put it back.
+    /// ... until it is enabled again.
     Enable(String),
-    /// Send clients away ...
+    /// Drains the dispatcher: tells its clients to go elsewhere ...
     Drain,
-    /// ... and take them again.
+    /// ... until the drain is ended.
     Undrain,
 }
 
-/// Why a line is no call.
+/// Why a line is not a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
+    /// It contains something other than printable ASCII and spaces.
     NotText,
+    /// It is over `LINE_LIMIT` bytes.
     TooLong,
+    /// The first word is not a command.
     UnknownWord,
+    /// The command needs a worker's id.
     MissingId,
+    /// The id has characters or a length that no worker's id has.
     BadId,
+    /// There are more words than the command takes.
     TooManyWords,
+    /// Bytes follow the end of the line.
     SecondLine,
+    /// The connection was closed before the end of the line.
     CutShort,
+    /// The line was not complete in time.
     TooSlow,
 }
 
@@ -50,10 +60,10 @@
     }
 }
 
-/// Reads a line without its end.
+/// Parses a line without its line feed.
 ///
 /// # Errors
-/// What is wrong with it. Nothing is guessed: half an id could name another worker.
+/// What is wrong with the line. Nothing is guessed: half an id could be the id of another worker.
 pub fn parse(line: &[u8]) -> Result<Command, CommandError> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     if line.len() > LINE_LIMIT {
--- a/balancer/fronts/operators/src/command/tests.rs
+++ b/balancer/fronts/operators/src/command/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `call`.
+//! Unit tests of `command`.
 
 use super::*;
 use millrudder_testing::garbage;
--- a/balancer/fronts/operators/src/lib.rs
+++ b/balancer/fronts/operators/src/lib.rs
@@ -1,7 +1,9 @@
-//! The operators' address: one line to a connection, one line back that begins with `ok` or `fail`.
+//! The operators' address: each connection carries one command as a line, and gets one line back that begins with `ok`
+//! or `fail`.
 //!
-//! A thread of its own with descriptors of its own, so that calls wait behind no client: `call` reads a line, `talk`
-//! keeps one caller's stages, both without I/O; this shell polls. Orders go through the exchange before all else.
+//! It has its own thread and its own descriptors, so that commands never wait behind clients. `command` parses a line
+//! and `session` keeps the state of one connection, both without I/O; this file does the I/O. The exchange delivers operators'
+//! orders to the core ahead of clients' jobs.
 
 mod command;
 mod session;
@@ -14,41 +16,43 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Callers at once. Who comes beyond takes the place of one that has said nothing; the descriptors are part of what
-/// the program keeps for itself.
+/// Concurrent connections. Beyond this, a new connection evicts an answered or silent one. Their descriptors are part
+/// of those that the program reserves for itself.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How often an order's end is looked for (ms).
+/// Interval (ms) at which the result of an order is polled.
 const ORDER_POLL_MS: f64 = 2.0;
-/// After a failed accept (no descriptor is free, say) the next try waits: retrying at once would spin.
+/// Pause after a failed accept, for example when no file descriptor is free. An immediate retry would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
+/// One operator's connection.
 struct Connection {
     stream: TcpStream,
     session: Session,
-    /// What it has ordered, until that is carried out.
+    /// The order that was given to the core and whose result is awaited.
     order: Option<(Order, OrderHandle)>,
 }
 
-/// Binds the address; `open` answers there.
+/// Binds the address. Commands are answered once [`open`] is called.
 ///
 /// # Errors
-/// It cannot be bound.
+/// The address cannot be bound.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Answers on a thread of its own for as long as the program runs.
+/// Starts the thread that answers commands until the program ends.
 ///
 /// # Errors
-/// There is no thread to be had.
+/// The thread cannot be created.
 pub fn open(listener: TcpListener, core: Core) -> io::Result<()> {
     let server = Server { listener, core, connections: Vec::new() };
     std::thread::Builder::new().name("operators".to_owned()).spawn(move || server.run())?;
     Ok(())
 }
 
+/// The state of the operators' thread.
 struct Server {
     listener: TcpListener,
     core: Core,
@@ -68,7 +72,7 @@
         }
     }
 
-    /// Until something has come or somebody's time is up.
+    /// Waits until a socket is readable, a deadline passes, or the result of an order must be polled.
     fn poll_sockets(&self) {
         let now = self.core.clock.now();
         let due = |connection: &Connection| match &connection.order {
@@ -85,15 +89,17 @@
         if self.has_room() {
             descriptors.push(PollFd::new(&self.listener, PollFlags::IN));
         }
-        // An error here is an interruption: the next turn finds out what there is.
+        // An error is an interruption by a signal; the sockets are read in any case.
         let _ = poll(&mut descriptors, timeout.as_ref());
     }
 
+    /// Whether a new connection can be accepted, if need be by an eviction.
     fn has_room(&self) -> bool {
         self.connections.len() < MAX_CONNECTIONS
             || self.connections.iter().any(|c| c.session.eviction_rank().is_some())
     }
 
+    /// Accepts all connections for which there is room.
     fn accept(&mut self, now: f64) {
         while self.has_room() {
             match self.listener.accept() {
@@ -101,7 +107,8 @@
                     self.make_room();
                     if stream.set_nonblocking(true).is_ok() {
                         let mut connection = Connection { stream, session: Session::new(now), order: None };
-                        // Its line is most often there already: only silent ones are in others' way.
+                        // The line has usually arrived already. Handling it now leaves only silent connections to be
+                        // evicted for the next one.
                         connection.progress(&self.core, now);
                         self.connections.push(connection);
                     }
@@ -115,6 +122,7 @@
         }
     }
 
+    /// Evicts a connection if the limit is reached.
     fn make_room(&mut self) {
         if self.connections.len() < MAX_CONNECTIONS {
             return;
@@ -131,7 +139,7 @@
 }
 
 impl Connection {
-    /// Takes what has come, and answers what can be answered.
+    /// Reads what has arrived, starts a complete command, and answers if the result is known.
     fn progress(&mut self, core: &Core, now: f64) {
         let mut buffer = [0; 512];
         let received = match self.session.stage() {
@@ -144,8 +152,8 @@
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => None,
                 Err(_) => self.session.end_of_input(now),
             },
-            // Read past what else it sends: closing over unread bytes would reset the connection, and it would
-            // never see its answer.
+            // Read and discard further input: closing a socket with unread bytes would reset the connection, and the
+            // operator would never see the answer.
             Stage::Executing | Stage::Closing => {
                 if matches!(self.stream.read(&mut buffer), Ok(0)) && self.session.stage() == Stage::Closing {
                     self.session.answered(f64::NEG_INFINITY);
@@ -160,6 +168,7 @@
         }
     }
 
+    /// Executes a command. READY, DRAIN and UNDRAIN are answered at once; orders wait for the core.
     fn execute(&mut self, command: Command, core: &Core, now: f64) {
         slog::info!(core.log, "operators call"; "call" => format!("{command:?}"));
         match command {
@@ -182,11 +191,13 @@
         }
     }
 
+    /// Gives an order to the core.
     fn order(&mut self, order: Order, core: &Core) {
         let handle = core.exchange.order(order.clone());
         self.order = Some((order, handle));
     }
 
+    /// Answers if the core has carried the order out or the time for it is over.
     fn check_order(&mut self, core: &Core, now: f64) {
         let Some((order, handle)) = self.order.take() else { return };
         let result = match handle.look() {
@@ -195,12 +206,14 @@
             None => return self.order = Some((order, handle)),
         };
         if result.is_ok() {
-            // Another process of an upgrade has to know as well; there is none most of the time.
+            // During an upgrade the other process must apply the order too. Usually there is none, so failure is
+            // ignored.
             let _ = core.peer_process.put(Transfer::Ordered(order));
         }
         self.answer(result, core, now);
     }
 
+    /// Writes the answer line, and counts it.
     fn answer(&mut self, answer: Result<(), &str>, core: &Core, now: f64) {
         let text = match answer {
             Ok(()) => {
@@ -213,12 +226,14 @@
                 format!("fail {reason}\n")
             }
         };
-        // A fresh socket takes a line at once; a caller that has gone needs none.
+        // The send buffer of a new socket always has room for one line. If the operator has disconnected, a failed
+        // write does not matter.
         let _ = self.stream.write_all(text.as_bytes());
         let _ = self.stream.shutdown(Shutdown::Write);
         self.session.answered(now);
     }
 
+    /// Whether the answer was sent and the time to read it is over.
     fn is_finished(&self, now: f64) -> bool {
         self.session.stage() == Stage::Closing && self.session.deadline() <= now
     }
--- a/balancer/fronts/operators/src/session/tests.rs
+++ b/balancer/fronts/operators/src/session/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `talk`.
+//! Unit tests of `session`.
 
 use super::*;
 
@@ -19,8 +19,12 @@
     assert_eq!(Session::new(0.0).receive(b"READY\nDRAIN\n", 0.0), Some(Err(CommandError::SecondLine)));
     let mut cut = Session::new(0.0);
     assert_eq!(cut.receive(b"DISABLE s-12", 0.0), None);
-    assert_eq!(cut.end_of_input(0.0), Some(Err(CommandError::CutShort)), "s-12 may be half of s-123");
-    assert_eq!(cut.end_of_input(0.0), None, "once");
+    assert_eq!(
+        cut.end_of_input(0.0),
+        Some(Err(CommandError::CutShort)),
+        "s-12 may be the beginning of s-123"
+    );
+    assert_eq!(cut.end_of_input(0.0), None, "an error is reported only once");
     let mut endless = Session::new(0.0);
     let refused = (0..LINE_LIMIT + 9).find_map(|_| endless.receive(b"x", 0.0));
     assert_eq!(refused, Some(Err(CommandError::TooLong)));
