--- a/balancer/fronts/operators/src/lib.rs
+++ b/balancer/fronts/operators/src/lib.rs
@@ -170,7 +170,7 @@
 
     /// Executes a command. READY, DRAIN and UNDRAIN are answered at once; orders wait for the core.
     fn execute(&mut self, command: Command, core: &Core, now: f64) {
-        slog::info!(core.log, "operators call"; "call" => format!("{command:?}"));
+        slog::info!(core.log, "operator command received"; "call" => format!("{command:?}"));
         match command {
             Command::Ready if core.stopping.has_begun() => self.answer(Err("it is told to stop"), core, now),
             Command::Ready if !core.is_serving() => self.answer(Err("it does not serve yet"), core, now),
@@ -222,7 +222,7 @@
             }
             Err(reason) => {
                 core.counters.operator_fails.add();
-                slog::warn!(core.log, "operators' call failed"; "why" => reason);
+                slog::warn!(core.log, "operator command failed"; "why" => reason);
                 format!("fail {reason}\n")
             }
         };
