--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -299,7 +299,7 @@
             reported = serves;
             set_serving(health, serves).await;
         }
-        // Once the other process of an upgrade accepts connections, clients are told to reconnect and reach that one.
+        // Once the other process of an upgrade accepts connections, clients get GOAWAY, reconnect and reach that one.
         // Calls in progress are still answered here.
         let handed_over = shared.peer_process.is_open() && !shared.peer_process.accepts();
         let closing = shared.stopping.grace_is_over(now) || shared.drain.is_noticed(now) || handed_over;
--- a/balancer/fronts/grpc/src/service.rs
+++ b/balancer/fronts/grpc/src/service.rs
@@ -193,9 +193,9 @@
             self.reported = Progress { starts: now.starts, share: 0.0, ..self.reported };
             return Some(event(Event::Started(Started { attempt: now.starts })));
         }
-        let told = self.reported.share;
+        let reported_share = self.reported.share;
         self.reported.share = now.share;
-        (now.share > told).then(|| event(Event::Progress(Share { share: now.share })))
+        (now.share > reported_share).then(|| event(Event::Progress(Share { share: now.share })))
     }
 
     /// The final event for an answer; a failure also sets the status with which the call ends.
--- a/balancer/fronts/grpc/tests/grpc/front.rs
+++ b/balancer/fronts/grpc/tests/grpc/front.rs
@@ -163,10 +163,10 @@
     }
     let mut tickets: Vec<_> = (0..3).map(|_| rig.job().0).collect();
     drop(raw);
-    let mut gone: Vec<_> = (0..3).map(|_| rig.withdrawn()).collect();
+    let mut withdrawn: Vec<_> = (0..3).map(|_| rig.withdrawn()).collect();
     tickets.sort_unstable();
-    gone.sort_unstable();
-    assert_eq!(tickets, gone);
+    withdrawn.sort_unstable();
+    assert_eq!(tickets, withdrawn);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/balancer/fronts/http/src/connection.rs
+++ b/balancer/fronts/http/src/connection.rs
@@ -37,7 +37,7 @@
 
 /// Why there is no next request.
 enum NoRequest {
-    /// The peer sent something that is not accepted; it is told so.
+    /// The peer sent something that is not accepted; it gets an error answer.
     Refused(Refusal),
     /// The connection has ended, must be closed, or now belongs to the other process of an upgrade.
     Closed,
--- a/balancer/fronts/http/src/connection_table.rs
+++ b/balancer/fronts/http/src/connection_table.rs
@@ -220,8 +220,8 @@
     /// are reserved for call-backs and, if this peer is unidentified, for known clients.
     pub fn job_limit_reached(&self, handle: &ConnectionHandle) -> bool {
         let entries = self.lock();
-        let stranger = entries.by_id.get(&handle.id).is_none_or(|e| e.state.role == PeerRole::Stranger);
-        let share = if stranger { UNIDENTIFIED_JOB_SHARE } else { 1.0 };
+        let unidentified = entries.by_id.get(&handle.id).is_none_or(|e| e.state.role == PeerRole::Stranger);
+        let share = if unidentified { UNIDENTIFIED_JOB_SHARE } else { 1.0 };
         entries.awaiting as f64 >= self.own_share(self.budget.inbound_jobs) as f64 * share
     }
 
--- a/balancer/fronts/operators/src/lib.rs
+++ b/balancer/fronts/operators/src/lib.rs
@@ -2,8 +2,8 @@
 //! or `fail`.
 //!
 //! It has its own thread and its own descriptors, so that commands never wait behind clients. `command` parses a line
-//! and `session` keeps the state of one connection, both without I/O; this file does the I/O. The exchange delivers operators'
-//! orders to the core ahead of clients' jobs.
+//! and `session` keeps the state of one connection, both without I/O; this file does the I/O. The exchange delivers
+//! operators' orders to the core ahead of clients' jobs.
 
 mod command;
 mod session;
