--- a/balancer/fronts/grpc/src/intake/tests.rs
+++ b/balancer/fronts/grpc/src/intake/tests.rs
@@ -4,12 +4,8 @@
 use std::collections::HashMap;
 
 fn classes() -> Vec<Class> {
-    let class = |name: &str, keyed| Class {
-        name: name.to_owned(),
-        keyed,
-        default_timeout: 5_000.0,
-        accepted_until: f64::INFINITY,
-    };
+    let class =
+        |name: &str, keyed| Class { name: name.to_owned(), keyed, limit: 5_000.0, until: f64::INFINITY };
     vec![class("copy-issue", true), class("look-up", false)]
 }
 
@@ -26,8 +22,8 @@
 }
 
 #[test]
-fn a_call_becomes_the_job_that_the_same_http_request_would() {
-    let made = job(request(), 1_000.0, Some(480.0), &classes()).unwrap();
+fn a_call_becomes_the_same_job_as_the_equal_http_request() {
+    let made = parse_job(request(), 1_000.0, Some(480.0), &classes()).unwrap();
     assert_eq!(
         (made.trace_id.as_str(), made.class.as_str(), made.front),
         ("9b1f", "copy-issue", Front::Grpc)
@@ -40,10 +36,15 @@
         (&b"body"[..], Some("5c0f"))
     );
     let bare = SubmitRequest { job_class: "look-up".to_owned(), ..SubmitRequest::default() };
-    let (first, second) =
-        (job(bare.clone(), 0.0, None, &classes()).unwrap(), job(bare, 0.0, None, &classes()).unwrap());
+    let (first, second) = (
+        parse_job(bare.clone(), 0.0, None, &classes()).unwrap(),
+        parse_job(bare, 0.0, None, &classes()).unwrap(),
+    );
     assert_eq!((first.deadline, first.slots, first.forwarded.target.as_str()), (5_000.0, 1.0, "/api"));
-    assert!(is_id(&first.trace_id) && first.trace_id != second.trace_id, "one is made, each time another");
+    assert!(
+        is_id(&first.trace_id) && first.trace_id != second.trace_id,
+        "a new id is generated for each call"
+    );
 }
 
 #[test]
@@ -61,7 +62,8 @@
         ("body", |r| r.body = vec![0; BODY_LIMIT + 1]),
         ("props", |r| r.props = HashMap::from([("slots".to_owned(), f64::NAN)])),
         ("props", |r| r.props = HashMap::from([("slots".to_owned(), -1.0)])),
-        // Either would reach what next hops serve beside jobs: a call-off of somebody else's job, say.
+        // With another method or path, a call could reach a worker's other endpoints, for example to cancel another
+        // client's job.
         ("method", |r| r.method = "DELETE".to_owned()),
         ("target", |r| r.target = "/jobs/9b1f".to_owned()),
         ("target", |r| r.target = "/api HTTP/1.1\r\nX: 1".to_owned()),
@@ -69,6 +71,6 @@
     for (field, change) in cases {
         let mut request = request();
         change(&mut request);
-        assert_eq!(job(request, 0.0, None, &classes()).unwrap_err().field, field);
+        assert_eq!(parse_job(request, 0.0, None, &classes()).unwrap_err().field, field);
     }
 }
--- a/balancer/fronts/grpc/src/lib.rs
+++ b/balancer/fronts/grpc/src/lib.rs
@@ -1,21 +1,21 @@
-//! The gRPC front: jobs over HTTP/2, on one thread of its own with a runtime of its own. It touches the core through
-//! the exchange alone; nothing here can block the may worker, nor the other way round.
+//! The gRPC front: jobs over HTTP/2, on its own thread with its own tokio runtime. It talks to the core only through
+//! the exchange, so that neither can block the other: the core runs on a worker thread of the `may` coroutine runtime.
 //!
-//! `meter`, `door`, `intake`, `status` and `timeout` decide without I/O; `watched`, `transport`, `call` and `service`
-//! carry that out.
+//! `meter`, `connection_table`, `intake`, `status` and `timeout` make decisions without I/O; `metered_stream`,
+//! `transport`, `call` and `service` carry them out.
 
 mod call;
-mod door;
+mod connection_table;
 mod intake;
 mod meter;
+mod metered_stream;
 pub mod proto;
 mod service;
 mod status;
 mod timeout;
 mod transport;
-mod watched;
 
-use door::{Door, Room};
+use connection_table::{ConnectionTable, Room};
 use http::{Request, Response};
 use millrudder_config::settings::GrpcLimits;
 use millrudder_config::GrpcBudget;
@@ -42,20 +42,21 @@
 use tonic_health::ServingStatus;
 use tower_service::Service;
 
-/// How often connections are looked through (ms).
-const SWEEP_MS: f64 = 50.0;
-/// After a failed accept (no descriptor is free, say) the next try waits (ms): retrying at once would spin.
+/// Interval (ms) between two checks of all connections for timeouts and shutdown.
+const SWEEP_INTERVAL_MS: f64 = 50.0;
+/// Pause (ms) after a failed accept, for example when no file descriptor is free. An immediate retry would spin.
 const ACCEPT_PAUSE_MS: f64 = 10.0;
-/// How soon one that was ended to make room has left (ms).
-const ROOM_PAUSE_MS: f64 = 1.0;
-/// Connections that wait to be accepted, as many as std's listeners let wait.
-const BACKLOG: u32 = 128;
-/// How often it is looked whether this process is the one that accepts (ms).
-const PLACE_MS: f64 = 10.0;
-/// What a call for health or reflection may bring (bytes).
-const OTHERS_LIMIT: usize = 8 * 1024;
+/// Pause (ms) after a connection was evicted to make room; its task ends by then.
+const EVICTION_PAUSE_MS: f64 = 1.0;
+/// Length of the listener's queue of connections not yet accepted; the same as the standard library's listeners use.
+const LISTEN_BACKLOG: u32 = 128;
+/// Interval (ms) at which it is checked whether this process accepts connections. During an upgrade only one of the two
+/// processes does.
+const ACCEPT_CHECK_MS: f64 = 10.0;
+/// Largest message (bytes) of a call to the health or reflection service.
+const OTHER_MESSAGE_BYTES: usize = 8 * 1024;
 
-/// What all connections share.
+/// State shared by all connections.
 struct Shared {
     counters: Arc<Counters>,
     stopping: Stopping,
@@ -63,19 +64,20 @@
     peer_process: PeerProcess,
     clock: Clock,
     limits: GrpcLimits,
-    door: Arc<Door>,
-    /// Bytes of calls that have not come whole, and how many there may be.
-    receiving: AtomicUsize,
-    buffers: usize,
+    connections: Arc<ConnectionTable>,
+    /// Bytes in memory of messages that are not yet complete, over all calls, and the limit on them.
+    bytes_receiving: AtomicUsize,
+    max_bytes_receiving: usize,
     jobs: JobsServer<JobsService>,
-    /// Health and reflection, by their names.
-    others: Vec<(&'static str, Other)>,
+    /// The health and reflection services by name.
+    other_services: Vec<(&'static str, OtherService)>,
 }
 
-type Called = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
-type Other = Box<dyn Fn(Request<Body>) -> Called + Send + Sync>;
+type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
+type OtherService = Box<dyn Fn(Request<Body>) -> ResponseFuture + Send + Sync>;
 
-fn other<S>(service: S) -> Other
+/// Erases a service's type, so that services can be stored together.
+fn boxed_service<S>(service: S) -> OtherService
 where
     S: Service<Request<Body>, Response = Response<Body>, Error = Infallible> + Clone + Send + Sync + 'static,
     S::Future: Send,
@@ -86,19 +88,20 @@
     })
 }
 
-/// The front while it runs; its thread ends once `finish` says so.
+/// The running front. Its thread runs until [`GrpcFront::finish`].
 pub struct GrpcFront {
-    door: Arc<Door>,
+    connections: Arc<ConnectionTable>,
     address: SocketAddr,
-    end: Option<oneshot::Sender<()>>,
+    stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl GrpcFront {
-    /// Listens, and serves on a thread of its own. `upgrades`: another process of an upgrade may listen there too.
+    /// Listens, and serves on a new thread. `upgrades`: during an upgrade another process may listen on the same
+    /// address.
     ///
     /// # Errors
-    /// The address cannot be listened on, or no thread be had.
+    /// The address cannot be listened on, or the thread or its runtime cannot be created.
     pub fn open(
         listen: SocketAddr,
         upgrades: bool,
@@ -112,26 +115,27 @@
             listen_on(listen, upgrades)?
         };
         let address = listener.local_addr()?;
-        let door = Arc::new(Door::new(budget.connections));
-        let (end, ended) = oneshot::channel();
-        let for_thread = door.clone();
-        let run = move || runtime.block_on(serve(listener, limits, budget, core, for_thread, ended));
+        let connections = Arc::new(ConnectionTable::new(budget.connections));
+        let (stop, stop_signal) = oneshot::channel();
+        let table = connections.clone();
+        let run = move || runtime.block_on(serve(listener, limits, budget, core, table, stop_signal));
         let thread = std::thread::Builder::new().name("grpc".to_owned()).spawn(run)?;
-        Ok(GrpcFront { door, address, end: Some(end), thread: Some(thread) })
+        Ok(GrpcFront { connections, address, stop: Some(stop), thread: Some(thread) })
     }
 
+    /// The address it listens on, with the port that the system chose if the settings say 0.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Answers that are still to be written.
-    pub fn busy(&self) -> usize {
-        self.door.jobs()
+    /// The number of jobs whose answers are not yet written in full.
+    pub fn unsent_answers(&self) -> usize {
+        self.connections.unsent_answers()
     }
 
-    /// Ends the thread and with it every connection.
+    /// Stops the thread, which closes every connection.
     pub fn finish(mut self) {
-        drop(self.end.take());
+        drop(self.stop.take());
         self.thread.take().into_iter().for_each(|thread| drop(thread.join()));
     }
 }
@@ -139,24 +143,25 @@
 fn listen_on(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
-    // Off without need: two dispatchers started on one address by mistake are to notice.
+    // Set only if upgrades are configured: otherwise a second dispatcher started on the same address by mistake would
+    // not fail.
     socket.set_reuseport(shared)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// The front's main task: accepts, looks after connections, and follows the planned stop.
+/// The front's main task: accepts and checks connections until the front is stopped.
 async fn serve(
     listener: TcpListener,
     limits: GrpcLimits,
     budget: GrpcBudget,
     core: FrontContext,
-    door: Arc<Door>,
-    ended: oneshot::Receiver<()>,
+    connections: Arc<ConnectionTable>,
+    stop_signal: oneshot::Receiver<()>,
 ) {
     let core = Arc::new(core);
     let health = HealthReporter::new();
-    set_health(&health, true).await;
+    set_serving(&health, true).await;
     let shared = Arc::new(Shared {
         counters: core.counters.clone(),
         stopping: core.stopping.clone(),
@@ -164,128 +169,140 @@
         peer_process: core.peer_process.clone(),
         clock: core.clock,
         limits,
-        door,
-        receiving: AtomicUsize::new(0),
-        buffers: budget.buffers,
+        connections,
+        bytes_receiving: AtomicUsize::new(0),
+        max_bytes_receiving: budget.buffers,
         jobs: JobsServer::new(JobsService(core.clone())).max_decoding_message_size(service::MESSAGE_LIMIT),
-        others: others(&health),
+        other_services: other_services(&health),
     });
     tokio::select! {
-        _ = ended => {}
-        () = accept(listener, &shared, &core.log) => {}
-        () = look_after(&shared, &health) => {}
+        _ = stop_signal => {}
+        () = accept_loop(listener, &shared, &core.log) => {}
+        () = sweep_loop(&shared, &health) => {}
     }
 }
 
-fn others(health: &HealthReporter) -> Vec<(&'static str, Other)> {
+/// The services beside jobs: health and reflection.
+fn other_services(health: &HealthReporter) -> Vec<(&'static str, OtherService)> {
     let health = HealthServer::new(HealthService::from_health_reporter(health.clone()))
-        .max_decoding_message_size(OTHERS_LIMIT);
-    let mut others = vec![(call::HEALTH, other(health))];
+        .max_decoding_message_size(OTHER_MESSAGE_BYTES);
+    let mut other_services = vec![(call::HEALTH_SERVICE, boxed_service(health))];
     let builder = || {
         tonic_reflection::server::Builder::configure()
             .register_encoded_file_descriptor_set(proto::DESCRIPTORS)
             .register_encoded_file_descriptor_set(tonic_health::pb::FILE_DESCRIPTOR_SET)
     };
-    // The descriptors are built in: a test sees that they can be read.
+    // The descriptors are compiled in, so this does not fail; a test checks that reflection answers.
     if let (Ok(new), Ok(old)) = (builder().build_v1(), builder().build_v1alpha()) {
-        others.push((call::REFLECTION, other(new.max_decoding_message_size(OTHERS_LIMIT))));
-        others.push((call::OLD_REFLECTION, other(old.max_decoding_message_size(OTHERS_LIMIT))));
+        other_services.push((
+            call::REFLECTION_SERVICE,
+            boxed_service(new.max_decoding_message_size(OTHER_MESSAGE_BYTES)),
+        ));
+        other_services.push((
+            call::REFLECTION_ALPHA_SERVICE,
+            boxed_service(old.max_decoding_message_size(OTHER_MESSAGE_BYTES)),
+        ));
     }
-    others
+    other_services
 }
 
-async fn set_health(health: &HealthReporter, serving: bool) {
+/// Reports to the health service's clients whether jobs are accepted.
+async fn set_serving(health: &HealthReporter, serving: bool) {
     let status = if serving { ServingStatus::Serving } else { ServingStatus::NotServing };
-    // The empty name stands for the whole server.
-    for service in ["", call::JOBS] {
+    // The empty name means the whole server.
+    for service in ["", call::JOBS_SERVICE] {
         health.set_service_status(service, status).await;
     }
 }
 
-/// Accepts while this process is the one that does. In an upgrade both listen, so that nobody is turned back between
-/// them: the new one lets connections wait, the old one takes what waits at its own listener and closes that. If the new
-/// one dies, the old one listens again.
-async fn accept(listener: TcpListener, shared: &Arc<Shared>, log: &Logger) {
+/// Accepts connections while this process is the one to do so. During an upgrade both processes listen, so that no
+/// connection is refused in between: the new process leaves connections in its listener's queue until it takes over.
+/// The old process then accepts what is left in its own queue and closes its listener. If the new process dies, the old
+/// one listens again.
+async fn accept_loop(listener: TcpListener, shared: &Arc<Shared>, log: &Logger) {
     let (address, bad_accepts) = (listener.local_addr(), Limiter::default());
-    let (mut listens, mut accepted) = (Some(listener), false);
-    let complain = |what: &str, error: &io::Error| {
+    let (mut open_listener, mut accepted) = (Some(listener), false);
+    let log_failure = |what: &str, error: &io::Error| {
         shared.counters.accept_errors.add();
         if bad_accepts.allows(shared.clock.now()) {
             slog::warn!(log, "{} failed", what; "front" => "grpc", "error" => %error);
         }
     };
     loop {
-        match (&listens, shared.peer_process.accepts(), &address) {
+        match (&open_listener, shared.peer_process.accepts(), &address) {
             (Some(listener), true, _) => {
                 accepted = true;
-                let place_moves = async {
+                let accept_duty_lost = async {
                     while shared.peer_process.accepts() {
-                        tokio::time::sleep(span(PLACE_MS)).await;
+                        tokio::time::sleep(span(ACCEPT_CHECK_MS)).await;
                     }
                 };
                 tokio::select! {
                     next = listener.accept() => match next {
                         Ok((stream, _)) => admit(stream, shared).await,
                         Err(error) => {
-                            complain("accept", &error);
+                            log_failure("accepting a connection", &error);
                             tokio::time::sleep(span(ACCEPT_PAUSE_MS)).await;
                         }
                     },
-                    () = place_moves => {}
+                    () = accept_duty_lost => {}
                 }
             }
             (Some(listener), false, _) if accepted => {
                 while let Ok(Ok((stream, _))) = tokio::time::timeout(span(0.0), listener.accept()).await {
                     admit(stream, shared).await;
                 }
-                listens = None;
+                open_listener = None;
             }
             (None, true, Ok(address)) => match listen_on(*address, true) {
-                Ok(listener) => listens = Some(listener),
+                Ok(listener) => open_listener = Some(listener),
                 Err(error) => {
-                    complain("listen", &error);
+                    log_failure("listening", &error);
                     tokio::time::sleep(span(ACCEPT_PAUSE_MS)).await;
                 }
             },
-            _ => tokio::time::sleep(span(PLACE_MS)).await,
+            _ => tokio::time::sleep(span(ACCEPT_CHECK_MS)).await,
         }
     }
 }
 
+/// Serves a new connection if there is room, else closes it.
 async fn admit(stream: TcpStream, shared: &Arc<Shared>) {
     if has_room(shared).await {
         shared.counters.grpc_connections.add();
-        transport::admit(stream, shared);
+        transport::start_connection(stream, shared);
     } else {
-        // All have jobs here: a close at once tells the client to try elsewhere.
+        // Every connection has jobs in progress. An immediate close tells the client to try another dispatcher.
         shared.counters.grpc_connections_refused.add();
     }
 }
 
-/// Whether one more connection fits, once one that may leave has left for it.
+/// Whether there is room for one more connection, after waiting for an evicted one to close if necessary.
 async fn has_room(shared: &Shared) -> bool {
     loop {
-        match shared.door.make_room(&shared.counters) {
+        match shared.connections.make_room(&shared.counters) {
             Room::Free => return true,
             Room::None => return false,
-            Room::Soon => tokio::time::sleep(span(ROOM_PAUSE_MS)).await,
+            Room::Soon => tokio::time::sleep(span(EVICTION_PAUSE_MS)).await,
         }
     }
 }
 
-async fn look_after(shared: &Shared, health: &HealthReporter) {
-    let mut told = true;
+/// Checks all connections regularly, and reports to the health service when serving begins or ends.
+async fn sweep_loop(shared: &Shared, health: &HealthReporter) {
+    let mut reported = true;
     loop {
-        tokio::time::sleep(span(SWEEP_MS)).await;
+        tokio::time::sleep(span(SWEEP_INTERVAL_MS)).await;
         let now = shared.clock.now();
         let serves = !shared.stopping.has_begun() && !shared.drain.is_on();
-        if serves != told {
-            told = serves;
-            set_health(health, serves).await;
+        if serves != reported {
+            reported = serves;
+            set_serving(health, serves).await;
         }
-        // Clients of a process that has laid its place down find the new one; calls under way are answered here.
-        let moved = shared.peer_process.is_open() && !shared.peer_process.accepts();
-        let closing = shared.stopping.grace_is_over(now) || shared.drain.clients_notified(now) || moved;
-        shared.door.sweep(shared.limits.idle_time.ms(), closing, now, &shared.counters);
+        // Once the other process of an upgrade accepts connections, clients get GOAWAY, reconnect and reach that one.
+        // Calls in progress are still answered here.
+        let handed_over = shared.peer_process.is_open() && !shared.peer_process.accepts();
+        let closing = shared.stopping.grace_is_over(now) || shared.drain.clients_notified(now) || handed_over;
+        shared.connections.sweep(shared.limits.idle_time.ms(), closing, now, &shared.counters);
     }
 }
--- a/balancer/fronts/http/src/call_back.rs
+++ b/balancer/fronts/http/src/call_back.rs
@@ -1,4 +1,4 @@
-//! Call-backs of next hops: `POST /_jobs/news`.
+//! Call-backs of workers: `POST /_jobs/news` with the state of a job.
 
 use super::Shared;
 use millrudder_exchange::{JobState, Message, WorkerCallBack};
@@ -6,17 +6,17 @@
 use millrudder_wire::report::read_load;
 use tinyjson::JsonValue;
 
-/// Passes news on; false if it cannot be read. That is counted and logged now and then; it is answered like any
-/// other, as the next hop would only repeat it.
-pub fn take(shared: &Shared, body: Vec<u8>) -> bool {
-    match read(&body) {
+/// Forwards a call-back to the core; false if it is malformed. A malformed one is counted, logged at a limited rate and
+/// answered like any other, since an error would only make the worker send it again.
+pub fn receive(shared: &Shared, body: Vec<u8>) -> bool {
+    match parse(&body) {
         Ok(news) => {
             shared.exchange.send(Message::CallBack(WorkerCallBack { body: Some(body), ..news }));
             true
         }
         Err(error) => {
             shared.counters.news_bad.add();
-            if shared.bad_news.allows(shared.clock.now()) {
+            if shared.bad_call_back_log.allows(shared.clock.now()) {
                 slog::warn!(shared.log, "call-back cannot be read"; "problem" => %error);
             }
             false
@@ -24,20 +24,20 @@
     }
 }
 
-/// News of a job of ours that reached the other process of an upgrade.
-pub fn take_over(shared: &Shared, body: &[u8]) {
-    if let Ok(news) = read(body) {
+/// Handles a call-back for a job of this process that reached the other process of an upgrade.
+pub fn receive_forwarded(shared: &Shared, body: &[u8]) {
+    if let Ok(news) = parse(body) {
         shared.exchange.send(Message::CallBack(news));
     }
 }
 
-pub(super) fn read(body: &[u8]) -> Result<WorkerCallBack, JsonError> {
+pub(super) fn parse(body: &[u8]) -> Result<WorkerCallBack, JsonError> {
     let document = json::parse(body)?;
     let root = Node::root(&document).object()?;
     let state = match root.at("state").needed_text()? {
         "started" => JobState::Started,
         "running" => JobState::Running { share: root.at("share").number_or(0.0)? },
-        "done" => JobState::Done { result: result(&root)? },
+        "done" => JobState::Done { result: required_result(&root)? },
         "failed" => JobState::Failed,
         "returned" => JobState::Returned,
         "lost" => JobState::Lost,
@@ -56,8 +56,8 @@
     })
 }
 
-/// The result may be empty, but it must be there: nothing else may be served in its place.
-fn result(root: &Node) -> Result<Vec<u8>, JsonError> {
+/// The result of a finished job. It may be empty but must be present: an absent one must not be served as empty.
+fn required_result(root: &Node) -> Result<Vec<u8>, JsonError> {
     match root.at("result").text()? {
         Some(text) => Ok(text.as_bytes().to_vec()),
         None => root.at("result").wrong("a string"),
--- a/balancer/fronts/http/src/lib.rs
+++ b/balancer/fronts/http/src/lib.rs
@@ -1,17 +1,18 @@
-//! The sender side: accepts connections, takes in jobs and call-backs, writes answers.
+//! The HTTP/1.1 front: accepts connections, parses jobs and call-backs, and writes answers.
 //!
-//! Clients and next hops come to the same address; a connection is known for what it is only by its requests.
+//! Clients and workers connect to the same address; only the requests on a connection tell which of the two the peer
+//! is.
 
 mod answer;
 mod call_back;
 mod connection;
-mod doors;
+mod connection_table;
 mod intake;
 #[cfg(test)]
 mod tests;
 
 use connection::Connection;
-use doors::Doors;
+use connection_table::ConnectionTable;
 use may::io::WaitIo;
 use may::net::{TcpListener, TcpStream};
 use millrudder_config::Budget;
@@ -27,20 +28,22 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// After a failed accept (no descriptor is free, say) the next try waits: retrying at once would spin.
+/// Pause (ms) after a failed accept, for example when no file descriptor is free. An immediate retry would spin.
 const ACCEPT_PAUSE_MS: f64 = 10.0;
-/// How soon one that was ended to make room has left: its coroutine runs next.
-const ROOM_PAUSE_MS: f64 = 1.0;
+/// Pause (ms) after a connection was evicted to make room. Its coroutine runs next and frees the descriptor.
+const EVICTION_PAUSE_MS: f64 = 1.0;
 
-/// How often it is looked whether this process is to accept (again).
-const PARKED_MS: f64 = 1.0;
+/// Interval (ms) at which a process that does not accept connections checks whether it should. During an upgrade only
+/// one of the two processes accepts.
+const ACCEPT_CHECK_MS: f64 = 1.0;
 
-/// How often connections are looked through.
-const WATCH_MS: f64 = 50.0;
-/// A connection younger than this was opened to bring something, a call-back most likely.
-const JUST_OPENED_MS: f64 = 200.0;
+/// Interval (ms) between two checks of all connections for timeouts and shutdown.
+const SWEEP_INTERVAL_MS: f64 = 50.0;
+/// A connection that became idle less than this long ago (ms) is not closed at a stop or drain: it was most likely
+/// opened to deliver something, usually a call-back.
+const NEWLY_IDLE_MS: f64 = 200.0;
 
-/// What the coroutines of all inbound connections share.
+/// State shared by the coroutines of all inbound connections.
 struct Shared {
     exchange: Exchange,
     counters: Arc<Counters>,
@@ -48,30 +51,34 @@
     drain: Drain,
     peer_process: PeerProcess,
     clock: Clock,
-    doors: Doors,
+    connections: ConnectionTable,
     classes: Classes,
     admission_gate: AdmissionGate,
     advice: RetryAdvice,
     log: Logger,
-    /// For the log of bad call-backs, so that a broken next hop cannot flood it.
-    bad_news: Limiter,
-    bad_accepts: Limiter,
+    /// Limits the log lines on malformed call-backs, so that a broken worker cannot flood the log.
+    bad_call_back_log: Limiter,
+    /// Limits the log lines on failed accepts.
+    accept_error_log: Limiter,
 }
 
+/// The HTTP/1.1 front. Clones share the same connections.
 #[derive(Clone)]
-pub struct SenderSide(Arc<Shared>);
+pub struct HttpFront(Arc<Shared>);
 
-/// Where clients come.
+/// Where the front listens.
 pub enum Listen {
-    At(SocketAddr),
-    /// The platform holds the socket, and so may another process of this dispatcher.
-    On(std::net::TcpListener),
+    /// Binds this address.
+    Address(SocketAddr),
+    /// Uses a listening socket that the platform bound. Another process of this dispatcher may hold it too.
+    Socket(std::net::TcpListener),
 }
 
-impl SenderSide {
+impl HttpFront {
+    /// Creates the front; it does not listen until [`HttpFront::open`].
     pub fn new(budget: Budget, core: FrontContext) -> Self {
-        let doors = Doors::new(budget, core.peer_process.clone());
-        let (bad_news, bad_accepts) = (Limiter::default(), Limiter::default());
+        let connections = ConnectionTable::new(budget, core.peer_process.clone());
+        let (bad_call_back_log, accept_error_log) = (Limiter::default(), Limiter::default());
         let FrontContext {
             exchange,
             admission_gate,
@@ -85,7 +92,7 @@
             log,
             ..
         } = core;
-        SenderSide(Arc::new(Shared {
+        HttpFront(Arc::new(Shared {
             exchange,
             admission_gate,
             counters,
@@ -93,73 +100,75 @@
             drain,
             peer_process,
             clock,
-            doors,
+            connections,
             classes,
             advice,
             log,
-            bad_news,
-            bad_accepts,
+            bad_call_back_log,
+            accept_error_log,
         }))
     }
 
-    /// Listens, and accepts in a coroutine of its own for as long as the program runs.
+    /// Listens, and starts the coroutines that accept and that check connections. They run until the program ends.
     pub fn open(&self, listen: Listen) -> std::io::Result<()> {
         let listener = match listen {
-            Listen::At(address) => TcpListener::bind(address)?,
-            Listen::On(listener) => descriptor::listener(listener)?,
+            Listen::Address(address) => TcpListener::bind(address)?,
+            Listen::Socket(listener) => descriptor::listener(listener)?,
         };
-        let (shared, watched) = (self.0.clone(), self.0.clone());
-        may::go!(move || accept(&listener, &shared));
-        may::go!(move || watch(&watched));
+        let (shared, swept) = (self.0.clone(), self.0.clone());
+        may::go!(move || accept_loop(&listener, &shared));
+        may::go!(move || sweep(&swept));
         Ok(())
     }
 
-    /// A connection between two requests that another process has served so far.
-    pub fn adopt(&self, stream: std::net::TcpStream, standing: PeerRole) {
+    /// Takes over a connection from the other process of an upgrade. It is between two requests; `role` is what its
+    /// peer has proved to be so far.
+    pub fn adopt(&self, stream: std::net::TcpStream, role: PeerRole) {
         if let Ok(stream) = descriptor::stream(stream) {
-            admit(stream, standing, &self.0);
+            start_connection(stream, role, &self.0);
         }
     }
 
-    /// A call-back that reached another process.
+    /// Handles a call-back that reached the other process of an upgrade.
     pub fn take_news(&self, body: &[u8]) {
-        call_back::take_over(&self.0, body);
+        call_back::receive_forwarded(&self.0, body);
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
-        self.0.doors.count()
+        self.0.connections.len()
     }
 
-    /// Ends the connections that wait for their next request.
-    pub fn end_idle(&self) {
-        self.0.doors.end_idle(f64::INFINITY);
+    /// Closes the connections that wait for their next request.
+    pub fn close_idle_connections(&self) {
+        self.0.connections.close_idle(f64::INFINITY);
     }
 
-    /// Answers that are still to be written.
-    pub fn busy(&self) -> usize {
-        self.0.doors.busy()
+    /// The number of jobs whose answers are not yet written in full.
+    pub fn unsent_answers(&self) -> usize {
+        self.0.connections.unsent_answers()
     }
 }
 
-fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
+fn accept_loop(listener: &TcpListener, shared: &Arc<Shared>) {
     loop {
         if !shared.peer_process.accepts() {
-            may::coroutine::sleep(span(PARKED_MS));
+            may::coroutine::sleep(span(ACCEPT_CHECK_MS));
             continue;
         }
-        if !shared.doors.make_room(&shared.counters, shared.clock.now()) {
-            may::coroutine::sleep(span(ROOM_PAUSE_MS));
+        if !shared.connections.make_room(&shared.counters, shared.clock.now()) {
+            may::coroutine::sleep(span(EVICTION_PAUSE_MS));
             continue;
         }
-        // Not may's own `accept`: blocked in it, a process that has laid its place down would take one more.
+        // Not may's own `accept`: a process blocked in it would accept one more connection after an upgrade has taken
+        // this duty from it.
         match listener.inner().accept().and_then(|(stream, _)| descriptor::stream(stream)) {
-            Ok(stream) => admit(stream, PeerRole::Unproven, shared),
+            Ok(stream) => start_connection(stream, PeerRole::Unproven, shared),
             Err(error) if error.kind() == ErrorKind::WouldBlock => drop(listener.wait_io()),
             Err(error) => {
                 shared.counters.accept_errors.add();
-                if shared.bad_accepts.allows(shared.clock.now()) {
-                    slog::warn!(shared.log, "accept failed"; "error" => %error);
+                if shared.accept_error_log.allows(shared.clock.now()) {
+                    slog::warn!(shared.log, "accepting a connection failed"; "error" => %error);
                 }
                 may::coroutine::sleep(span(ACCEPT_PAUSE_MS));
             }
@@ -167,33 +176,33 @@
     }
 }
 
-/// Ends connections that have had their time, and those between requests once a stop takes no more jobs on: their
-/// clients would go on using them, and be deferred.
-fn watch(shared: &Shared) {
+/// Closes connections whose deadline has passed. Once a stop or a drain accepts no more jobs, it also closes idle
+/// connections: their clients would otherwise keep using them, and every job would be deferred.
+fn sweep(shared: &Shared) {
     loop {
-        may::coroutine::sleep(span(WATCH_MS));
+        may::coroutine::sleep(span(SWEEP_INTERVAL_MS));
         let now = shared.clock.now();
-        shared.doors.end_overdue(&shared.counters, now);
+        shared.connections.close_overdue(&shared.counters, now);
         if shared.peer_process.takes_connections() {
-            shared.doors.wake_idle();
+            shared.connections.wake_idle();
         }
-        if !shared.doors.has_clients() {
+        if !shared.connections.may_have_clients() {
             shared.stopping.note_no_clients(now);
         }
         if shared.stopping.grace_is_over(now) {
-            shared.doors.end_idle(now - JUST_OPENED_MS);
+            shared.connections.close_idle(now - NEWLY_IDLE_MS);
         }
         if shared.drain.clients_notified(now) {
-            shared.doors.end_idle_clients(now - JUST_OPENED_MS);
+            shared.connections.close_idle_clients(now - NEWLY_IDLE_MS);
         }
     }
 }
 
-/// The connection counts against the budget from here on, not from when its coroutine first runs: many may be
-/// accepted in between.
-fn admit(stream: TcpStream, standing: PeerRole, shared: &Arc<Shared>) {
+/// Registers a connection and starts its coroutine. It counts against the budget from here on, not from when the
+/// coroutine first runs, because many connections may be accepted in between.
+fn start_connection(stream: TcpStream, role: PeerRole, shared: &Arc<Shared>) {
     shared.counters.connections_in.add();
-    if let Ok(connection) = Connection::new(stream, standing, shared) {
+    if let Ok(connection) = Connection::new(stream, role, shared) {
         may::go!(move || connection.serve());
     }
 }
