--- a/coordination/chain/src/node/catch_up.rs
+++ b/coordination/chain/src/node/catch_up.rs
@@ -11,12 +11,12 @@
 impl<M: Machine> CoreNode<M> {
     /// Whether so many members of the target hold every command that was committed before the next view that it may
     /// begin with them.
-    pub(super) fn has_enough_complete(&self, target: &TargetView) -> bool {
+    pub(super) fn has_enough_complete_members(&self, target: &TargetView) -> bool {
         target.complete.len() >= self.config.minimum_members
     }
 
     /// The first member of the target seals the epoch and brings up those that lack commands.
-    pub(super) fn catch_up_ahead(&mut self, now: Instant, target: &TargetView) {
+    pub(super) fn catch_up_before_view_change(&mut self, now: Instant, target: &TargetView) {
         let members = target.members.iter().map(|member| member.id);
         let incomplete: BTreeSet<NodeId> = members.filter(|id| !target.complete.contains(id)).collect();
         if target.members.first().is_some_and(|first| first.id == self.id) {
--- a/coordination/chain/src/node/departures.rs
+++ b/coordination/chain/src/node/departures.rs
@@ -80,12 +80,12 @@
         self.departures.set_leaving();
         self.send_heartbeats(now);
         self.release_leases(now);
-        self.consider_view(now);
+        self.propose_view_if_needed(now);
     }
 
     pub(super) fn handle_decommission(&mut self, now: Instant, ids: BTreeSet<NodeId>) {
         self.departures.set_decommissioned(ids);
-        self.consider_view(now);
+        self.propose_view_if_needed(now);
     }
 
     /// Whether every member is reachable and has caught up.
--- a/coordination/chain/src/node/messages.rs
+++ b/coordination/chain/src/node/messages.rs
@@ -4,7 +4,7 @@
 use millrudder_view::{Epoch, NodeId, ViewMessage};
 
 use super::CoreNode;
-use crate::read_confirmation::Reader;
+use crate::read_confirmation::ReadIndexRequest;
 use crate::{CoreMessage, Machine};
 
 impl<M: Machine> CoreNode<M> {
@@ -47,7 +47,7 @@
             }
             CoreMessage::Gap { end, .. } => self.replica.handle_gap(now, from, end),
             CoreMessage::ReadIndex { request_id, .. } => {
-                self.handle_read_index(Reader { origin: from, request_id })
+                self.handle_read_index(ReadIndexRequest { origin: from, request_id })
             }
             CoreMessage::ConfirmEpoch { epoch, attempt } => self.handle_confirm_epoch(from, epoch, attempt),
             CoreMessage::EpochConfirmed { attempt, .. } => self.handle_epoch_confirmed(from, attempt),
@@ -68,7 +68,7 @@
     fn handle_view_message(&mut self, now: Instant, from: NodeId, message: ViewMessage) {
         let complete = self.replica.is_complete();
         let step = self.agreement.handle(from, message, complete);
-        self.take_step(now, step);
+        self.apply_agreement_step(now, step);
     }
 }
 
--- a/coordination/chain/src/node/mod.rs
+++ b/coordination/chain/src/node/mod.rs
@@ -244,7 +244,7 @@
             self.retry_requests(now);
             self.remove_stale_peers(now);
         }
-        self.consider_view(now);
+        self.propose_view_if_needed(now);
         self.update_dispensable(now);
         self.poll_leases(now);
     }
@@ -258,7 +258,7 @@
             };
             self.run_effect(now, effect);
         }
-        self.finish_reads();
+        self.report_ready_reads();
         self.checkpoint_if_due();
     }
 
--- a/coordination/chain/src/node/outbox.rs
+++ b/coordination/chain/src/node/outbox.rs
@@ -56,7 +56,7 @@
     /// Messages that rest on no record but that of the identity.
     immediate: VecDeque<Effect>,
     /// The record of the identity, if this process has drawn it.
-    identity: PersistToken,
+    identity_token: PersistToken,
     issued: PersistToken,
     durable: PersistToken,
     bytes_since_checkpoint: usize,
@@ -70,7 +70,7 @@
             outputs: VecDeque::new(),
             deferred: VecDeque::new(),
             immediate: VecDeque::new(),
-            identity: PersistToken(0),
+            identity_token: PersistToken(0),
             issued: PersistToken(0),
             durable: PersistToken(0),
             bytes_since_checkpoint: 0,
@@ -97,7 +97,7 @@
     /// Issues the record of an identity that was just drawn: no message leaves before it is durable.
     pub(super) fn persist_identity(&mut self, id: NodeId) {
         self.persist(Record::Identity { id });
-        self.identity = self.issued;
+        self.identity_token = self.issued;
     }
 
     /// The newest record issued.
@@ -161,7 +161,7 @@
 
     /// The next effect that need not wait any more.
     pub(super) fn next_effect(&mut self) -> Option<Effect> {
-        if self.identity <= self.durable {
+        if self.identity_token <= self.durable {
             if let Some(effect) = self.immediate.pop_front() {
                 return Some(effect);
             }
--- a/coordination/chain/src/node/peers.rs
+++ b/coordination/chain/src/node/peers.rs
@@ -10,14 +10,14 @@
 use crate::{CoreMessage, Heartbeat, Machine};
 
 /// A peer outside the view that is not seen for so long is removed; it makes itself known when it returns.
-const REMOVE_AFTER: Duration = Duration::from_secs(60);
+const PEER_EXPIRY: Duration = Duration::from_secs(60);
 
 /// What a peer last said of itself.
 #[derive(Clone, Debug)]
 struct PeerStatus {
     address: String,
     /// The peers whose heartbeats arrive at it.
-    hears: Vec<NodeId>,
+    receives_from: Vec<NodeId>,
     /// The epoch in which it said that it has caught up with its predecessor.
     caught_up_in: Option<Epoch>,
     /// The epoch in which it said that it holds every command that was committed before.
@@ -66,8 +66,8 @@
     }
 
     /// Whether `from` has said that heartbeats of `to` arrive at it.
-    pub(super) fn hears(&self, from: NodeId, to: NodeId) -> bool {
-        self.peers.get(&from).is_some_and(|peer| peer.hears.contains(&to))
+    pub(super) fn receives_from(&self, from: NodeId, to: NodeId) -> bool {
+        self.peers.get(&from).is_some_and(|peer| peer.receives_from.contains(&to))
     }
 
     /// Notes that a peer answers at an address. Returns whether it is new.
@@ -75,7 +75,7 @@
         let is_new = !self.contains(id);
         let peer = self.peers.entry(id).or_insert_with(|| PeerStatus {
             address: String::new(),
-            hears: Vec::new(),
+            receives_from: Vec::new(),
             caught_up_in: None,
             complete_in: None,
             is_disk_lagging: false,
@@ -91,13 +91,13 @@
             peer.caught_up_in = heartbeat.is_caught_up.then_some(heartbeat.epoch);
             peer.is_disk_lagging = heartbeat.is_disk_lagging;
             peer.complete_in = heartbeat.is_complete.then_some(heartbeat.epoch);
-            peer.hears = heartbeat.timestamp_echoes.iter().map(|echo| echo.peer).collect();
+            peer.receives_from = heartbeat.timestamp_echoes.iter().map(|echo| echo.peer).collect();
         }
     }
 
     /// Removes peers that were not seen for a long time, but for those to `retain`.
     fn remove_stale(&mut self, now: Instant, retain: impl Fn(NodeId) -> bool) {
-        self.peers.retain(|id, peer| retain(*id) || now - peer.last_seen < REMOVE_AFTER);
+        self.peers.retain(|id, peer| retain(*id) || now - peer.last_seen < PEER_EXPIRY);
     }
 }
 
@@ -116,12 +116,12 @@
 
     pub(super) fn poll_bootstrap(&mut self, now: Instant) {
         let step = self.bootstrap.poll(&mut self.agreement);
-        self.take_step(now, step);
+        self.apply_agreement_step(now, step);
     }
 
     pub(super) fn handle_bootstrap_agreed(&mut self, now: Instant, from: NodeId, members: Vec<Member>) {
         let step = self.bootstrap.handle(&mut self.agreement, from, members);
-        self.take_step(now, step);
+        self.apply_agreement_step(now, step);
     }
 
     /// Sends a heartbeat to everybody, whether or not the disk keeps up.
@@ -175,8 +175,8 @@
     }
 
     pub(super) fn handle_heartbeat(&mut self, now: Instant, from: NodeId, heartbeat: Heartbeat) {
-        let hears_us = heartbeat.timestamp_echoes.iter().any(|echo| echo.peer == self.id);
-        self.detector.handle_heartbeat(now, from, hears_us);
+        let receives_from_us = heartbeat.timestamp_echoes.iter().any(|echo| echo.peer == self.id);
+        self.detector.handle_heartbeat(now, from, receives_from_us);
         self.collect_contact_evidence(from, &heartbeat);
         if heartbeat.is_leaving {
             self.detector.mark_leaving(from);
@@ -184,7 +184,7 @@
         self.handle_peer_seen(now, from, heartbeat.address.clone());
         self.peers.handle_heartbeat(from, &heartbeat);
         if heartbeat.is_leaving {
-            self.consider_view(now);
+            self.propose_view_if_needed(now);
         }
         self.compare_epochs(now, from, &heartbeat);
     }
@@ -194,7 +194,7 @@
         let epoch = self.agreement.epoch();
         if heartbeat.epoch < epoch {
             let step = self.agreement.handle_query(from, heartbeat.epoch);
-            self.take_step(now, step);
+            self.apply_agreement_step(now, step);
         } else if heartbeat.epoch > epoch {
             self.send(from, CoreMessage::View(ViewMessage::Query { known: epoch }));
         } else if epoch != Epoch::NONE {
--- a/coordination/chain/src/node/requests.rs
+++ b/coordination/chain/src/node/requests.rs
@@ -8,7 +8,7 @@
 use speedy::{Readable, Writable};
 
 use super::{CoreNode, Output};
-use crate::read_confirmation::Reader;
+use crate::read_confirmation::ReadIndexRequest;
 use crate::store::Applied;
 use crate::{CoreMessage, Machine, NodeId, RequestId, Sequence};
 
@@ -105,12 +105,12 @@
             return;
         };
         self.requests.add_submit(now, request_id, command.clone());
-        self.route_submit(now, request_id, command);
+        self.send_to_head(now, request_id, command);
     }
 
     pub(super) fn handle_read(&mut self, now: Instant, request_id: RequestId) {
         self.requests.add_read(now, request_id);
-        self.route_read(request_id);
+        self.request_read_index(request_id);
     }
 
     pub(super) fn handle_abandon(&mut self, request_id: RequestId) {
@@ -133,14 +133,14 @@
 
     fn resend(&mut self, now: Instant, retries: Retries) {
         for SubmitRetry { request_id, command } in retries.submits {
-            self.route_submit(now, request_id, command);
+            self.send_to_head(now, request_id, command);
         }
         for request_id in retries.reads {
-            self.route_read(request_id);
+            self.request_read_index(request_id);
         }
     }
 
-    fn route_submit(&mut self, now: Instant, request_id: RequestId, command: Vec<u8>) {
+    fn send_to_head(&mut self, now: Instant, request_id: RequestId, command: Vec<u8>) {
         match self.agreement.view().and_then(|view| view.head()) {
             // It is submitted again once the disk goes on.
             Some(head) if head == self.id && self.outbox.is_full() => {}
@@ -152,7 +152,7 @@
         }
     }
 
-    fn route_read(&mut self, request_id: RequestId) {
+    fn request_read_index(&mut self, request_id: RequestId) {
         let epoch = self.agreement.epoch();
         if let Some(tail) = self.agreement.view().and_then(|view| view.tail()) {
             self.send_immediately(tail, CoreMessage::ReadIndex { epoch, request_id });
@@ -177,9 +177,9 @@
     }
 
     /// A read arrived at the tail.
-    pub(super) fn handle_read_index(&mut self, reader: Reader) {
+    pub(super) fn handle_read_index(&mut self, request: ReadIndexRequest) {
         if self.replica.is_tail() && self.replica.is_caught_up() {
-            self.read_confirmations.add(reader);
+            self.read_confirmations.add(request);
             self.start_confirmation();
         }
     }
@@ -215,7 +215,7 @@
             return;
         };
         let sequence = confirmed.sequence;
-        for Reader { origin, request_id } in confirmed.readers {
+        for ReadIndexRequest { origin, request_id } in confirmed.requests {
             self.send_immediately(origin, CoreMessage::ReadIndexed { request_id, sequence });
         }
         self.start_confirmation();
@@ -226,7 +226,7 @@
     }
 
     /// Reports the reads whose commands this node has applied.
-    pub(super) fn finish_reads(&mut self) {
+    pub(super) fn report_ready_reads(&mut self) {
         for request_id in self.requests.take_ready_reads(self.replica.committed()) {
             self.outbox.push(Output::ReadReady { request_id });
         }
--- a/coordination/chain/src/node/target_view.rs
+++ b/coordination/chain/src/node/target_view.rs
@@ -12,7 +12,7 @@
 use crate::Machine;
 
 /// A learner may be so many commands behind when it is admitted; the chain brings it up.
-const ADMISSIBLE_LAG: u64 = 64;
+const MAX_ADMISSIBLE_LAG_COMMANDS: u64 = 64;
 
 impl<M: Machine> CoreNode<M> {
     /// The view that this node would propose, which is the present one while no majority of voters is reachable.
@@ -21,10 +21,10 @@
         if reachable < view.majority() {
             return self.with_completeness(view.voters.clone(), view.members.clone());
         }
-        let mut members = self.members_that_stay(now, view);
+        let mut members = self.retained_members(now, view);
         self.add_needed_voters(now, view, &mut members);
-        if let Some(newcomer) = self.newcomer(now, view, &members) {
-            return self.with_newcomer(now, view, members, newcomer);
+        if let Some(joining_node) = self.joining_node(now, view, &members) {
+            return self.with_joining_node(now, view, members, joining_node);
         }
         self.with_completeness(view.voters.clone(), members)
     }
@@ -58,7 +58,7 @@
     }
 
     /// The members that are reachable, without those to be replaced as far as enough others hold the state.
-    fn members_that_stay(&self, now: Instant, view: &View) -> Vec<Member> {
+    fn retained_members(&self, now: Instant, view: &View) -> Vec<Member> {
         let is_reachable = |member: &&Member| !self.is_unreachable(now, member.id);
         let mut members: Vec<Member> = view.members.iter().filter(is_reachable).cloned().collect();
         let mut staying = members.iter().filter(|member| !self.should_be_replaced(now, member.id));
@@ -90,12 +90,13 @@
 
     /// A node that can become a member: a voter first, else one that can also take over a vote. Where too few would hold
     /// the state it may be any number of commands behind, as it is brought up before the view changes.
-    fn newcomer(&self, now: Instant, view: &View, members: &[Member]) -> Option<Member> {
+    fn joining_node(&self, now: Instant, view: &View, members: &[Member]) -> Option<Member> {
         let outside =
             self.peers.as_members().filter(|peer| !members.iter().any(|member| member.id == peer.id));
         let is_short = members.len() < self.config.minimum_members;
-        let is_candidate =
-            |peer: &Member| self.is_admissible(now, peer.id, members) && (is_short || self.is_close(peer.id));
+        let is_candidate = |peer: &Member| {
+            self.is_admissible(now, peer.id, members) && (is_short || self.is_nearly_caught_up(peer.id))
+        };
         let learners: Vec<Member> = outside.filter(is_candidate).collect();
         if let Some(voter) = learners.iter().find(|learner| view.is_voter(learner.id)) {
             return Some(voter.clone());
@@ -107,24 +108,24 @@
         preferred.filter(|_| has_vacancy).cloned()
     }
 
-    fn with_newcomer(
+    fn with_joining_node(
         &self,
         now: Instant,
         view: &View,
         mut members: Vec<Member>,
-        newcomer: Member,
+        joining_node: Member,
     ) -> TargetView {
         let mut voters = view.voters.clone();
-        if !view.is_voter(newcomer.id) {
+        if !view.is_voter(joining_node.id) {
             let replaced = self.replaceable_voters(now, view, &members);
-            let same_address = replaced.iter().find(|voter| voter.address == newcomer.address);
+            let same_address = replaced.iter().find(|voter| voter.address == joining_node.address);
             let replaced_id = same_address.or(replaced.first()).map(|voter| voter.id);
             match voters.iter_mut().find(|voter| Some(voter.id) == replaced_id) {
-                Some(voter) => *voter = newcomer.clone(),
-                None => voters.push(newcomer.clone()),
+                Some(voter) => *voter = joining_node.clone(),
+                None => voters.push(joining_node.clone()),
             }
         }
-        members.push(newcomer);
+        members.push(joining_node);
         self.with_completeness(voters, members)
     }
 
@@ -144,8 +145,8 @@
     }
 
     /// Whether a learner is so little behind that the chain can bring it up.
-    fn is_close(&self, learner: NodeId) -> bool {
-        self.replica.lag_of(learner).is_some_and(|lag| lag <= ADMISSIBLE_LAG)
+    fn is_nearly_caught_up(&self, learner: NodeId) -> bool {
+        self.replica.learner_lag(learner).is_some_and(|lag| lag <= MAX_ADMISSIBLE_LAG_COMMANDS)
     }
 
     fn is_admissible(&self, now: Instant, learner: NodeId, members: &[Member]) -> bool {
@@ -156,6 +157,6 @@
     /// Whether a node and each of `members` have said that they hear each other.
     fn is_connected(&self, id: NodeId, members: &[Member]) -> bool {
         let mut others = members.iter().map(|member| member.id).filter(|other| *other != self.id);
-        others.all(|other| self.peers.hears(other, id) && self.peers.hears(id, other))
+        others.all(|other| self.peers.receives_from(other, id) && self.peers.receives_from(id, other))
     }
 }
--- a/coordination/chain/src/node/view_change.rs
+++ b/coordination/chain/src/node/view_change.rs
@@ -89,7 +89,7 @@
 
 impl<M: Machine> CoreNode<M> {
     /// Carries out a step of the agreement on views, and enters a newer view if one was decided.
-    pub(super) fn take_step(&mut self, now: Instant, step: Step) {
+    pub(super) fn apply_agreement_step(&mut self, now: Instant, step: Step) {
         if let Some(record) = step.record {
             self.outbox.persist(Record::View(record));
         }
@@ -120,7 +120,7 @@
     }
 
     /// Proposes another view when members are unreachable or leave, or when a learner can be admitted.
-    pub(super) fn consider_view(&mut self, now: Instant) {
+    pub(super) fn propose_view_if_needed(&mut self, now: Instant) {
         let Some(view) = self.agreement.view().cloned().filter(|_| self.agreement.is_member()) else {
             return;
         };
@@ -135,20 +135,20 @@
         if !self.proposals.is_due(now, initial_delay) {
             return self.retransmit_if_due(now);
         }
-        if self.has_enough_complete(&target) {
+        if self.has_enough_complete_members(&target) {
             self.proposals.start_attempt(now, self.config.retry_after);
             let step = self.agreement.propose(target);
-            return self.take_step(now, step);
+            return self.apply_agreement_step(now, step);
         }
         self.proposals.defer_attempt(now);
-        self.catch_up_ahead(now, &target);
+        self.catch_up_before_view_change(now, &target);
     }
 
     /// A lost message must not cost the whole attempt, as each one that fails makes the next one wait longer.
     fn retransmit_if_due(&mut self, now: Instant) {
         if self.proposals.take_retransmission(now, self.config.retry_after) {
             let step = self.agreement.retransmit();
-            self.take_step(now, step);
+            self.apply_agreement_step(now, step);
         }
     }
 
--- a/coordination/chain/src/quorum_contact.rs
+++ b/coordination/chain/src/quorum_contact.rs
@@ -36,10 +36,10 @@
     pub timestamp: ProcessTimestamp,
 }
 
-/// The tail's commit point at some moment after `asked_at`.
+/// The tail's commit point at some moment after `heartbeat_sent_at`.
 #[derive(Clone, Copy, Debug)]
 struct CommitReport {
-    asked_at: Instant,
+    heartbeat_sent_at: Instant,
     committed: Sequence,
 }
 
@@ -141,16 +141,16 @@
         if heartbeat.epoch != self.epoch || self.epoch == Epoch::NONE {
             return;
         }
-        let asked_at = Instant::from_micros(echo.timestamp.micros);
-        if asked_at < self.not_before {
+        let heartbeat_sent_at = Instant::from_micros(echo.timestamp.micros);
+        if heartbeat_sent_at < self.not_before {
             return;
         }
         if heartbeat.confirms_epoch {
-            let newest = self.confirmed_at.entry(from).or_insert(asked_at);
-            *newest = asked_at.max(*newest);
+            let newest = self.confirmed_at.entry(from).or_insert(heartbeat_sent_at);
+            *newest = heartbeat_sent_at.max(*newest);
         }
         if heartbeat.is_caught_up && view.tail() == Some(from) {
-            self.reports.push_back(CommitReport { asked_at, committed: heartbeat.committed });
+            self.reports.push_back(CommitReport { heartbeat_sent_at, committed: heartbeat.committed });
             if self.reports.len() > MAX_PENDING_REPORTS {
                 self.reports.pop_front();
             }
@@ -161,7 +161,7 @@
     pub(crate) fn update(&mut self, now: Instant, view: &View, local: LocalStatus) {
         self.view_as_of = self.view_as_of.max(self.view_proven_at(now, view, local));
         let applied = self.reports.iter().filter(|report| report.committed <= local.committed);
-        let newest_applied = applied.map(|report| report.asked_at).max();
+        let newest_applied = applied.map(|report| report.heartbeat_sent_at).max();
         self.reports.retain(|report| report.committed > local.committed);
         let state = if local.is_caught_up_tail { Some(now) } else { newest_applied };
         self.state_as_of = self.state_as_of.max(state);
--- a/coordination/chain/src/read_confirmation.rs
+++ b/coordination/chain/src/read_confirmation.rs
@@ -9,7 +9,7 @@
 
 /// A read that waits at the tail for its read index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Reader {
+pub(crate) struct ReadIndexRequest {
     pub(crate) origin: NodeId,
     pub(crate) request_id: RequestId,
 }
@@ -17,14 +17,14 @@
 /// Reads whose epoch was confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ConfirmedReads {
-    pub(crate) readers: Vec<Reader>,
+    pub(crate) requests: Vec<ReadIndexRequest>,
     /// Their read index.
     pub(crate) sequence: Sequence,
 }
 
 #[derive(Clone, Debug)]
 struct Attempt {
-    readers: Vec<Reader>,
+    requests: Vec<ReadIndexRequest>,
     sequence: Sequence,
     confirmed_by: BTreeSet<NodeId>,
 }
@@ -34,7 +34,7 @@
 pub(crate) struct ReadConfirmations {
     number: u64,
     attempt: Option<Attempt>,
-    waiting: Vec<Reader>,
+    waiting: Vec<ReadIndexRequest>,
 }
 
 impl ReadConfirmations {
@@ -43,16 +43,16 @@
         ReadConfirmations { number: first_number, attempt: None, waiting: Vec::new() }
     }
 
-    /// Drops everything: the view has changed, and the readers ask again.
+    /// Drops everything: the view has changed, and the nodes that asked retry their reads.
     pub(crate) fn reset(&mut self) {
         self.attempt = None;
         self.waiting.clear();
     }
 
     /// Adds a read to the next attempt.
-    pub(crate) fn add(&mut self, reader: Reader) {
-        if !self.waiting.contains(&reader) {
-            self.waiting.push(reader);
+    pub(crate) fn add(&mut self, request: ReadIndexRequest) {
+        if !self.waiting.contains(&request) {
+            self.waiting.push(request);
         }
     }
 
@@ -67,8 +67,8 @@
             return None;
         }
         self.number = self.number.wrapping_add(1);
-        let readers = std::mem::take(&mut self.waiting);
-        self.attempt = Some(Attempt { readers, sequence: committed, confirmed_by: BTreeSet::new() });
+        let requests = std::mem::take(&mut self.waiting);
+        self.attempt = Some(Attempt { requests, sequence: committed, confirmed_by: BTreeSet::new() });
         Some(self.number)
     }
 
@@ -88,6 +88,6 @@
             return None;
         }
         let attempt = self.attempt.take()?;
-        Some(ConfirmedReads { readers: attempt.readers, sequence: attempt.sequence })
+        Some(ConfirmedReads { requests: attempt.requests, sequence: attempt.sequence })
     }
 }
--- a/coordination/chain/src/replica/commit.rs
+++ b/coordination/chain/src/replica/commit.rs
@@ -18,25 +18,25 @@
     }
 
     /// Records new entries, and notes completeness once the log reaches `complete_at`.
-    pub(super) fn record_entries(&mut self, now: Instant, fresh: Vec<Entry>, complete_at: Sequence) {
+    pub(super) fn record_entries(&mut self, now: Instant, new_entries: Vec<Entry>, complete_at: Sequence) {
         let is_sealed = self.is_sealed();
         self.catch_up.set_target((self.is_member() && !is_sealed).then_some(complete_at));
         let reached = (self.is_member() || is_sealed) && self.end().sequence >= complete_at;
         if reached && !self.durability.is_complete() {
-            return self.mark_complete(fresh);
+            return self.mark_complete(new_entries);
         }
-        if fresh.is_empty() {
+        if new_entries.is_empty() {
             return self.check_caught_up(now);
         }
-        self.persist_entries(fresh);
+        self.persist_entries(new_entries);
     }
 
-    pub(super) fn mark_complete(&mut self, fresh: Vec<Entry>) {
+    pub(super) fn mark_complete(&mut self, new_entries: Vec<Entry>) {
         if self.durability.is_complete() {
             return;
         }
         self.durability.set_complete();
-        self.persist_entries(fresh);
+        self.persist_entries(new_entries);
     }
 
     pub(super) fn check_caught_up(&mut self, now: Instant) {
--- a/coordination/chain/src/replica/mod.rs
+++ b/coordination/chain/src/replica/mod.rs
@@ -241,19 +241,19 @@
         if !self.accepts_from(from, batch.sealed) {
             return;
         }
-        self.join_seal(batch.sealed);
+        self.adopt_seal(batch.sealed);
         if !self.store.log().contains(batch.previous) {
             return self.report_gap(from);
         }
         let agreed = Sequence(batch.previous.sequence.0.saturating_add(batch.entries.len() as u64));
-        let Some(fresh) = self.fresh_entries(batch.entries) else {
+        let Some(new_entries) = self.new_entries_in(batch.entries) else {
             return self.acknowledge(from);
         };
-        for entry in &fresh {
+        for entry in &new_entries {
             self.store.append(entry.clone());
         }
         self.commit(now, batch.committed.min(agreed));
-        self.record_entries(now, fresh, batch.complete_at);
+        self.record_entries(now, new_entries, batch.complete_at);
         self.replicate_to_all(now);
         self.acknowledge(from);
     }
@@ -313,7 +313,7 @@
     }
 
     /// The entries beyond the own log, or none if the log disagrees with them.
-    fn fresh_entries(&self, entries: Vec<Entry>) -> Option<Vec<Entry>> {
+    fn new_entries_in(&self, entries: Vec<Entry>) -> Option<Vec<Entry>> {
         let end = self.end().sequence;
         let agrees = |entry: &Entry| {
             entry.position.sequence > end
--- a/coordination/chain/src/replica/replication.rs
+++ b/coordination/chain/src/replica/replication.rs
@@ -9,16 +9,16 @@
 use crate::{AppendBatch, CoreMessage, Entry, Machine, Position, Sequence};
 
 /// Bytes of entries that may be in flight to one node; a single larger entry is sent alone.
-const BYTES_IN_FLIGHT: usize = 1 << 20;
+const MAX_BYTES_IN_FLIGHT: usize = 1 << 20;
 
 impl<M: Machine> Replica<M> {
     /// How far behind the commit point a learner is, in commands. None if it needs a snapshot, or more bytes of commands
     /// than may be in flight: a chain would wait for it that long.
-    pub(crate) fn lag_of(&self, learner: NodeId) -> Option<u64> {
+    pub(crate) fn learner_lag(&self, learner: NodeId) -> Option<u64> {
         let progress = self.progress.get(&learner)?;
         let is_in_log = progress.transfer().is_none() && self.store.log().contains(progress.acked());
         let bytes = self.bytes_between(progress.acked().sequence, self.committed());
-        let is_close = is_in_log && bytes <= BYTES_IN_FLIGHT;
+        let is_close = is_in_log && bytes <= MAX_BYTES_IN_FLIGHT;
         is_close.then(|| self.committed().0.saturating_sub(progress.acked().sequence.0))
     }
 
@@ -61,7 +61,7 @@
 
     /// Retains the commands that receivers still lack, within the store's bound.
     fn retain_for_receivers(&mut self) {
-        let bases = self.progress.values().map(ReplicationProgress::base);
+        let bases = self.progress.values().map(ReplicationProgress::end_after_transfer);
         let reachable = bases.filter(|base| self.store.log().contains(*base));
         let needed_after = reachable.map(|base| base.sequence).min();
         self.store.retain_after(needed_after);
@@ -89,7 +89,7 @@
         let only_committed = self.is_tail() && !self.is_sealed();
         let limit = if only_committed { self.committed() } else { self.end().sequence };
         let mut in_flight = self.bytes_between(progress.acked().sequence, progress.sent());
-        while progress.sent() < limit && in_flight < BYTES_IN_FLIGHT {
+        while progress.sent() < limit && in_flight < MAX_BYTES_IN_FLIGHT {
             let Some(previous) = self.store.log().position_at(progress.sent()) else {
                 return;
             };
--- a/coordination/chain/src/replica/sealing.rs
+++ b/coordination/chain/src/replica/sealing.rs
@@ -81,7 +81,7 @@
     }
 
     /// Joins the sender's seal before anything is appended: its log may go beyond what other members hold.
-    pub(super) fn join_seal(&mut self, sealed: bool) {
+    pub(super) fn adopt_seal(&mut self, sealed: bool) {
         if sealed {
             self.seal();
         }
--- a/coordination/chain/src/replica/snapshot_install.rs
+++ b/coordination/chain/src/replica/snapshot_install.rs
@@ -84,7 +84,7 @@
         if !self.accepts_from(from, sealed) {
             return;
         }
-        self.join_seal(sealed);
+        self.adopt_seal(sealed);
         let position = chunk.id.position;
         self.drop_conflicting(conflict_at);
         let is_known = self.store.log().contains(position);
--- a/coordination/chain/src/replication_progress.rs
+++ b/coordination/chain/src/replication_progress.rs
@@ -128,7 +128,7 @@
     }
 
     /// Where the receiver's log will end once a snapshot in flight is installed.
-    pub(crate) fn base(&self) -> Position {
+    pub(crate) fn end_after_transfer(&self) -> Position {
         self.transfer.map_or(self.acked, |transfer| transfer.id().position)
     }
 
--- a/coordination/chain/src/store.rs
+++ b/coordination/chain/src/store.rs
@@ -179,14 +179,14 @@
         if self.retention.allows(remaining, self.committed_bytes) {
             return;
         }
-        let goal = self.retention.scaled(3, 4);
+        let trim_target = self.retention.scaled(3, 4);
         if !self.retention.scaled(PEER_RETENTION_FACTOR, 1).allows(remaining, self.committed_bytes) {
             self.peer_needs_after = None;
         }
         let end =
             self.peer_needs_after.map_or(self.applied.sequence, |needed| needed.min(self.applied.sequence));
         let mut through = first;
-        while through < end.0 && !goal.allows(remaining, self.committed_bytes) {
+        while through < end.0 && !trim_target.allows(remaining, self.committed_bytes) {
             let Some(entry) = self.log.get(Sequence(through + 1)) else {
                 break;
             };
--- a/coordination/chain/src/transfer.rs
+++ b/coordination/chain/src/transfer.rs
@@ -124,12 +124,12 @@
     id: SnapshotId,
     bytes: Vec<u8>,
     /// Chunks that arrived out of order, by offset; no more than may be in flight.
-    early: BTreeMap<u64, Vec<u8>>,
+    out_of_order: BTreeMap<u64, Vec<u8>>,
 }
 
 impl IncomingSnapshot {
     pub(crate) fn new(id: SnapshotId) -> IncomingSnapshot {
-        IncomingSnapshot { id, bytes: Vec::new(), early: BTreeMap::new() }
+        IncomingSnapshot { id, bytes: Vec::new(), out_of_order: BTreeMap::new() }
     }
 
     /// Identity of the snapshot.
@@ -148,14 +148,14 @@
         if chunk.id != self.id || end > self.id.length || chunk.offset < self.received() {
             return;
         }
-        self.early.insert(chunk.offset, chunk.bytes);
-        while let Some(next) = self.early.remove(&self.received()) {
+        self.out_of_order.insert(chunk.offset, chunk.bytes);
+        while let Some(next) = self.out_of_order.remove(&self.received()) {
             self.bytes.extend_from_slice(&next);
         }
         let received = self.received();
-        self.early.retain(|offset, _| *offset > received);
-        if self.early.len() as u64 > MAX_CHUNKS_IN_FLIGHT {
-            self.early.pop_last();
+        self.out_of_order.retain(|offset, _| *offset > received);
+        if self.out_of_order.len() as u64 > MAX_CHUNKS_IN_FLIGHT {
+            self.out_of_order.pop_last();
         }
     }
 
--- a/coordination/chain/tests/cores/recovery.rs
+++ b/coordination/chain/tests/cores/recovery.rs
@@ -10,7 +10,7 @@
 /// Several seeds, so that each machine's position in the chain and each moment of a heartbeat comes up.
 const SEEDS: std::ops::Range<u64> = 0..12;
 
-fn played(seed: u64, fault: Fault) -> World {
+fn run_with_fault(seed: u64, fault: Fault) -> World {
     let mut world = World::new(Plan::with_fault(seed, FAULT_AT, fault));
     world.run_until(FAULT_AT + 8 * SECOND).expect("no invariant is broken");
     world
@@ -47,7 +47,7 @@
 fn a_killed_member_is_replaced_within_a_second_and_comes_back() {
     for seed in SEEDS {
         let machine = seed as usize % 3;
-        let world = played(seed, Fault::Kill { machine, down_micros: 2 * SECOND });
+        let world = run_with_fault(seed, Fault::Kill { machine, down_micros: 2 * SECOND });
         assert_replaced_within(&world, SECOND);
         let back = world.history.first_view_of(3, FAULT_AT + 2 * SECOND).expect("it is admitted again");
         assert!(back - FAULT_AT <= 4 * SECOND, "admitted after {} us", back - FAULT_AT);
@@ -58,7 +58,7 @@
 fn a_leaving_member_is_replaced_at_once() {
     for seed in SEEDS {
         let machine = seed as usize % 3;
-        let world = played(seed, Fault::Stop { machine, down_micros: 2 * SECOND });
+        let world = run_with_fault(seed, Fault::Stop { machine, down_micros: 2 * SECOND });
         assert_replaced_within(&world, SECOND / 10);
         let longest = world.history.longest_wait(FAULT_AT..FAULT_AT + SECOND).expect("writes were answered");
         assert!(longest <= SECOND / 2, "a write waited {longest} us");
@@ -69,7 +69,7 @@
 fn a_machine_with_a_new_disk_is_a_member_within_three_seconds_of_its_return() {
     for seed in SEEDS {
         let machine = seed as usize % 3;
-        let world = played(seed, Fault::WipeDisk { machine, down_micros: SECOND });
+        let world = run_with_fault(seed, Fault::WipeDisk { machine, down_micros: SECOND });
         let back = world.history.first_view_of(3, FAULT_AT + SECOND / 2).expect("it is admitted");
         assert!(back - FAULT_AT <= 4 * SECOND, "admitted after {} us", back - FAULT_AT);
         assert_eq!(world.members_known(), vec![3, 3, 3]);
@@ -95,7 +95,7 @@
 fn a_short_freeze_changes_no_view() {
     for seed in SEEDS {
         let machine = seed as usize % 3;
-        let world = played(seed, Fault::Freeze { machine, micros: 300_000 });
+        let world = run_with_fault(seed, Fault::Freeze { machine, micros: 300_000 });
         assert_eq!(world.history.first_view_of(2, FAULT_AT), None);
     }
 }
@@ -105,7 +105,7 @@
     for seed in SEEDS {
         let from = seed as usize % 3;
         let to = (from + 1 + seed as usize / 3 % 2) % 3;
-        let world = played(seed, Fault::PartitionOneWay { from, to, micros: 3 * SECOND });
+        let world = run_with_fault(seed, Fault::PartitionOneWay { from, to, micros: 3 * SECOND });
         assert_replaced_within(&world, 2 * SECOND);
         assert_eq!(world.members_known(), vec![3, 3, 3]);
     }
@@ -114,7 +114,7 @@
 #[test]
 fn a_core_recovers_after_power_loss_of_all() {
     for seed in SEEDS {
-        let world = played(seed, Fault::PowerLossOfAll { down_micros: SECOND });
+        let world = run_with_fault(seed, Fault::PowerLossOfAll { down_micros: SECOND });
         let after = FAULT_AT + SECOND + SECOND / 2;
         let longest = world.history.longest_wait(after..after + SECOND).expect("writes were answered");
         assert!(longest <= SECOND, "a write waited {longest} us");
@@ -171,7 +171,7 @@
 fn a_member_with_a_slow_disk_leaves_the_chain_and_keeps_its_vote() {
     for seed in SEEDS {
         let machine = seed as usize % 3;
-        let world = played(seed, Fault::SlowDisk { machine, micros: 6 * SECOND });
+        let world = run_with_fault(seed, Fault::SlowDisk { machine, micros: 6 * SECOND });
         assert_replaced_within(&world, 2 * SECOND);
         let longest = world.history.longest_wait(FAULT_AT + 2 * SECOND..FAULT_AT + 5 * SECOND);
         let longest = longest.expect("writes were answered");
--- a/coordination/chain/tests/cores/simulation.rs
+++ b/coordination/chain/tests/cores/simulation.rs
@@ -26,7 +26,7 @@
     reads: usize,
     views: usize,
     leases: usize,
-    claims: usize,
+    state_age_checks: usize,
     failed: usize,
 }
 
@@ -37,7 +37,7 @@
         self.reads += other.reads;
         self.views += other.views;
         self.leases += other.leases;
-        self.claims += other.claims;
+        self.state_age_checks += other.state_age_checks;
         self.failed += other.failed;
     }
 }
@@ -51,7 +51,7 @@
     (number(from)..number(to)).collect()
 }
 
-fn play(plan: Plan) -> Totals {
+fn run_plan(plan: Plan) -> Totals {
     let mut world = World::new(plan.clone());
     let result = world.run();
     if let Err(violation) = &result {
@@ -63,7 +63,7 @@
         reads: world.checker.finished_reads,
         views: world.checker.views(),
         leases: world.checker.granted_leases,
-        claims: world.checker.claims,
+        state_age_checks: world.checker.state_age_checks,
         failed: usize::from(result.is_err()),
     }
 }
@@ -75,29 +75,30 @@
     }
 }
 
-fn play_seeds_of(thread_index: u64, plan: fn(u64) -> Plan) -> Totals {
+fn run_seeds_of_thread(thread_index: u64, plan: fn(u64) -> Plan) -> Totals {
     let mut totals = Totals::default();
     for seed in seeds().into_iter().filter(|seed| seed % THREADS == thread_index) {
-        totals.add(play(plan(seed)));
+        totals.add(run_plan(plan(seed)));
     }
     totals
 }
 
 #[test]
 fn cores_uphold_their_invariants_under_faults() {
-    play_all(Plan::drawn);
+    run_all_seeds(Plan::drawn);
 }
 
 #[test]
 fn cores_uphold_their_invariants_under_close_losses() {
-    play_all(Plan::with_close_losses);
+    run_all_seeds(Plan::with_close_losses);
 }
 
-fn play_all(plan: fn(u64) -> Plan) {
+fn run_all_seeds(plan: fn(u64) -> Plan) {
     let mut totals = Totals::default();
     thread::scope(|scope| {
-        let threads: Vec<_> =
-            (0..THREADS).map(|thread_index| scope.spawn(move || play_seeds_of(thread_index, plan))).collect();
+        let threads: Vec<_> = (0..THREADS)
+            .map(|thread_index| scope.spawn(move || run_seeds_of_thread(thread_index, plan)))
+            .collect();
         for thread in threads {
             totals.add(thread.join().expect("the seeds are played"));
         }
--- a/coordination/chain/tests/cores/simulator/checker.rs
+++ b/coordination/chain/tests/cores/simulator/checker.rs
@@ -50,8 +50,8 @@
         expected: u64,
         seen: u64,
     },
-    Stuck {
-        what: &'static str,
+    NotRecovered {
+        reason: &'static str,
     },
 }
 
@@ -75,13 +75,13 @@
     highest_fencing_token: FencingToken,
     pub finished_reads: usize,
     pub granted_leases: usize,
-    pub claims: usize,
+    pub state_age_checks: usize,
 }
 
 impl Checker {
     /// A machine claims that its state, which ends at `seen`, holds all that was acknowledged before `as_of`.
-    pub fn claimed(&mut self, machine: usize, as_of: u64, seen: u64) -> Result<(), Violation> {
-        self.claims += 1;
+    pub fn check_state_age(&mut self, machine: usize, as_of: u64, seen: u64) -> Result<(), Violation> {
+        self.state_age_checks += 1;
         let expected = self.acknowledged_at.range(..as_of).next_back().map_or(0, |(_, highest)| *highest);
         if seen < expected {
             return Err(Violation::OlderThanClaimed { machine, expected, seen });
--- a/coordination/chain/tests/cores/simulator/fault_injection.rs
+++ b/coordination/chain/tests/cores/simulator/fault_injection.rs
@@ -12,7 +12,7 @@
 
 impl World {
     pub(super) fn inject(&mut self, fault: Fault) {
-        self.armed = None;
+        self.fault_on_acknowledgement = None;
         match fault {
             Fault::Kill { machine, down_micros } => self.kill(machine, down_micros),
             Fault::PowerLoss { machine, down_micros } => self.lose_power(machine, down_micros),
@@ -57,7 +57,7 @@
     }
 
     /// A process that shuts down ends as soon as it can leave.
-    pub(super) fn stopping(&mut self, machine: usize, process: u64, until: u64, down_micros: u64) {
+    pub(super) fn continue_stop(&mut self, machine: usize, process: u64, until: u64, down_micros: u64) {
         let host = &self.hosts[machine];
         let clock = host.clock(self.now);
         let Some(node) = host.node.as_ref().filter(|_| host.process == process) else {
--- a/coordination/chain/tests/cores/simulator/faults.rs
+++ b/coordination/chain/tests/cores/simulator/faults.rs
@@ -38,7 +38,7 @@
 
 impl Fault {
     /// Whether the fault takes a disk, which is tolerated only while everything else is healthy.
-    pub fn takes_disk(&self) -> bool {
+    pub fn loses_disk(&self) -> bool {
         matches!(
             self,
             Fault::WipeDisk { .. } | Fault::WipeTwoDisks { .. } | Fault::WipeDiskWithPowerLossOfOthers { .. }
@@ -47,7 +47,7 @@
 
     /// Whether the fault takes writes that are not durable, at every machine or with a disk.
     pub fn loses_writes(&self) -> bool {
-        self.takes_disk() || matches!(self, Fault::PowerLossOfAll { .. } | Fault::KillAll { .. })
+        self.loses_disk() || matches!(self, Fault::PowerLossOfAll { .. } | Fault::KillAll { .. })
     }
 
     /// After how many microseconds all runs again at the latest.
--- a/coordination/chain/tests/cores/simulator/outputs.rs
+++ b/coordination/chain/tests/cores/simulator/outputs.rs
@@ -34,7 +34,7 @@
             Output::Reply { request_id, reply } => {
                 let value = request_id.0 as u64;
                 self.history.replied(Submission { value, machine }, self.now);
-                if let Some(fault) = self.armed.take() {
+                if let Some(fault) = self.fault_on_acknowledgement.take() {
                     self.schedule(self.now, EventKind::Fault(fault));
                 }
                 self.checker.acknowledged(self.now, value, reply)
--- a/coordination/chain/tests/cores/simulator/plan.rs
+++ b/coordination/chain/tests/cores/simulator/plan.rs
@@ -21,7 +21,7 @@
     pub network: NetworkFaults,
     pub faults: Vec<PlannedFault>,
     /// Faults end here (microseconds).
-    pub calm_after: u64,
+    pub faults_end_at: u64,
     /// Shortest and longest pause between two requests of the clients, in microseconds.
     pub client_pause: std::ops::Range<u64>,
     /// Committed commands that a node retains in memory.
@@ -57,7 +57,7 @@
             minimum_members: 2,
             network,
             faults,
-            calm_after: at,
+            faults_end_at: at,
             client_pause: CLIENT_MICROS,
             retained_entries: RETAINED_ENTRIES,
             batch_bytes: BATCH_BYTES,
@@ -73,21 +73,21 @@
     pub fn drawn(seed: u64) -> Plan {
         let mut random = fastrand::Rng::with_seed(seed);
         let machines = [3, 3, 3, 5][random.usize(0..4)];
-        let calm_after = 11_000_000;
+        let faults_end_at = 11_000_000;
         let mut faults = Vec::new();
         let mut at = FIRST_FAULT_MICROS + random.u64(0..1_000_000);
-        let mut well_since = 0;
+        let mut healthy_since = 0;
         loop {
             let fault = draw_fault(&mut random, machines);
-            if fault.takes_disk() {
-                at = at.max(well_since + CATCH_UP_MICROS);
+            if fault.loses_disk() {
+                at = at.max(healthy_since + CATCH_UP_MICROS);
             }
-            if at >= calm_after {
+            if at >= faults_end_at {
                 break;
             }
             let after_acknowledgement = fault.loses_writes() && random.bool();
             faults.push(PlannedFault { at, after_acknowledgement, fault });
-            well_since = well_since.max(at + fault.micros() + ACKNOWLEDGED_WITHIN_MICROS);
+            healthy_since = healthy_since.max(at + fault.micros() + ACKNOWLEDGED_WITHIN_MICROS);
             at += random.u64(100_000..3_000_000);
         }
         let network = NetworkFaults {
@@ -101,7 +101,7 @@
             minimum_members: machines / 2 + 1,
             network,
             faults,
-            calm_after,
+            faults_end_at,
             client_pause: CLIENT_MICROS,
             retained_entries: RETAINED_ENTRIES,
             batch_bytes: BATCH_BYTES,
@@ -115,11 +115,11 @@
     pub fn with_close_losses(seed: u64) -> Plan {
         let mut plan = Plan::drawn(seed);
         let mut random = fastrand::Rng::with_seed(seed ^ 0xc105e);
-        plan.faults.retain(|planned| !planned.fault.takes_disk());
+        plan.faults.retain(|planned| !planned.fault.loses_disk());
         for _ in 0..random.usize(2..6) {
             let machine = random.usize(0..plan.machines);
             let down_micros = random.u64(50_000..1_500_000);
-            let at = random.u64(FIRST_FAULT_MICROS..plan.calm_after);
+            let at = random.u64(FIRST_FAULT_MICROS..plan.faults_end_at);
             plan.add_fault(at, Fault::WipeDiskIfTolerated { machine, down_micros });
         }
         plan
--- a/coordination/chain/tests/cores/simulator/world.rs
+++ b/coordination/chain/tests/cores/simulator/world.rs
@@ -21,7 +21,7 @@
 /// The largest difference of a machine's clock rate from true time, in parts per million.
 const CLOCK_RATE_PPM: u64 = 500;
 /// How long the world goes on after the last fault, in microseconds.
-const CALM_MICROS: u64 = 6_000_000;
+const RECOVERY_MICROS: u64 = 6_000_000;
 /// Reads have names beyond all written values.
 const FIRST_READ: u128 = 1 << 64;
 
@@ -36,7 +36,7 @@
     DiskDone { machine: usize, process: u64, token: PersistToken },
     Stopping { machine: usize, process: u64, until: u64, down_micros: u64 },
     Fault(Fault),
-    ArmFault(Fault),
+    FaultOnAcknowledgement(Fault),
     Heal,
     Client,
     Discover,
@@ -44,7 +44,7 @@
 
 impl EventKind {
     /// The machine that must run for this event to happen.
-    fn needs(&self) -> Option<usize> {
+    fn required_machine(&self) -> Option<usize> {
         match self {
             EventKind::Deliver { machine, .. }
             | EventKind::PeerSeen { machine, .. }
@@ -63,7 +63,7 @@
     pub(super) hosts: Vec<Host>,
     pub(super) network: Network,
     /// Injected directly after the next acknowledgement.
-    pub(super) armed: Option<Fault>,
+    pub(super) fault_on_acknowledgement: Option<Fault>,
     pub(super) events: BinaryHeap<Reverse<(u64, u64)>>,
     pub(super) queued: BTreeMap<u64, Event>,
     pub(super) next_event: u64,
@@ -90,7 +90,7 @@
             random,
             hosts,
             network,
-            armed: None,
+            fault_on_acknowledgement: None,
             events: BinaryHeap::new(),
             queued: BTreeMap::new(),
             next_event: 0,
@@ -114,7 +114,7 @@
         }
         for planned in self.plan.faults.clone() {
             let event = match planned.after_acknowledgement {
-                true => EventKind::ArmFault(planned.fault),
+                true => EventKind::FaultOnAcknowledgement(planned.fault),
                 false => EventKind::Fault(planned.fault),
             };
             self.schedule(planned.at, event);
@@ -125,8 +125,9 @@
 
     /// Plays the plan to its end, and checks that the core has recovered.
     pub fn run(&mut self) -> Result<(), Violation> {
-        let calm_at = self.plan.faults.iter().map(|planned| planned.at + planned.fault.ends_within()).max();
-        let end = calm_at.unwrap_or_default().max(self.plan.calm_after) + CALM_MICROS;
+        let last_fault_ends_at =
+            self.plan.faults.iter().map(|planned| planned.at + planned.fault.ends_within()).max();
+        let end = last_fault_ends_at.unwrap_or_default().max(self.plan.faults_end_at) + RECOVERY_MICROS;
         self.run_until(end)?;
         self.check_recovery()
     }
@@ -159,20 +160,20 @@
 
     fn step(&mut self) {
         let Some(Reverse((at, number))) = self.events.pop() else {
-            self.violation = Some(Violation::Stuck { what: "no events left" });
+            self.violation = Some(Violation::NotRecovered { reason: "no events left" });
             return;
         };
         let event = self.queued.remove(&number).expect("each event is queued once");
         self.now = self.now.max(at);
         self.steps += 1;
-        let thaw = event.needs().map_or(0, |machine| self.hosts[machine].frozen_until);
-        if thaw > self.now {
-            return self.schedule(thaw, *event);
+        let resumes_at = event.required_machine().map_or(0, |machine| self.hosts[machine].frozen_until);
+        if resumes_at > self.now {
+            return self.schedule(resumes_at, *event);
         }
-        self.happen(*event);
+        self.handle_event(*event);
     }
 
-    fn happen(&mut self, event: EventKind) {
+    fn handle_event(&mut self, event: EventKind) {
         match event {
             EventKind::Start { machine } => self.start(machine),
             EventKind::Deliver { machine, from, to, message } => {
@@ -200,10 +201,10 @@
                 }
             }
             EventKind::Stopping { machine, process, until, down_micros } => {
-                self.stopping(machine, process, until, down_micros);
+                self.continue_stop(machine, process, until, down_micros);
             }
             EventKind::Fault(fault) => self.inject(fault),
-            EventKind::ArmFault(fault) => self.armed = Some(fault),
+            EventKind::FaultOnAcknowledgement(fault) => self.fault_on_acknowledgement = Some(fault),
             EventKind::Heal => self.network.heal(),
             EventKind::Client => self.client(),
             EventKind::Discover => self.discover(),
@@ -251,12 +252,12 @@
         for output in outputs {
             self.output(machine, output);
         }
-        self.check_claim(machine);
-        self.arm(machine);
+        self.check_state_age(machine);
+        self.schedule_tick(machine);
     }
 
     /// Checks what a machine claims of the age of its state.
-    fn check_claim(&mut self, machine: usize) {
+    fn check_state_age(&mut self, machine: usize) {
         let host = &self.hosts[machine];
         let Some(node) = &host.node else {
             return;
@@ -268,12 +269,12 @@
         // A clock that runs fast shows more than true time, so that the age is at least the true one.
         let as_of = self.now.saturating_sub(age.as_micros() as u64);
         let seen = node.machine().last_sequence();
-        if let Err(violation) = self.checker.claimed(machine, as_of, seen) {
+        if let Err(violation) = self.checker.check_state_age(machine, as_of, seen) {
             self.violation.get_or_insert(violation);
         }
     }
 
-    fn arm(&mut self, machine: usize) {
+    fn schedule_tick(&mut self, machine: usize) {
         let lateness = self.random.u64(TIMER_LATENESS_MICROS);
         let host = &mut self.hosts[machine];
         let Some(node) = &host.node else {
@@ -292,14 +293,14 @@
     fn discover(&mut self) {
         for machine in 0..self.hosts.len() {
             for peer in 0..self.hosts.len() {
-                self.introduce(peer, machine);
+                self.report_peer(peer, machine);
             }
         }
         self.schedule(self.now + DISCOVERY_MICROS, EventKind::Discover);
     }
 
     /// `machine` learns which node runs at `peer`, if they can talk and the node's identity is durable.
-    fn introduce(&mut self, peer: usize, machine: usize) {
+    fn report_peer(&mut self, peer: usize, machine: usize) {
         let connected =
             !self.network.is_partitioned(peer, machine) && !self.network.is_partitioned(machine, peer);
         let Some(id) = self.hosts[peer].disk.id() else {
@@ -319,14 +320,14 @@
         let nodes: Vec<&CoreNode<ValueTable>> =
             self.hosts.iter().filter_map(|host| host.node.as_ref()).collect();
         if nodes.len() < self.hosts.len() {
-            return Err(Violation::Stuck { what: "a process does not run" });
+            return Err(Violation::NotRecovered { reason: "a process does not run" });
         }
         let members = |node: &CoreNode<ValueTable>| node.view().map_or(0, |view| view.members.len());
         if nodes.iter().any(|node| members(node) < self.hosts.len()) {
-            return Err(Violation::Stuck { what: "a machine is not a member again" });
+            return Err(Violation::NotRecovered { reason: "a machine is not a member again" });
         }
         if self.checker.acknowledged_count() == 0 || self.checker.finished_reads == 0 {
-            return Err(Violation::Stuck { what: "nothing was served" });
+            return Err(Violation::NotRecovered { reason: "nothing was served" });
         }
         let missing = |value: &u64| nodes.iter().any(|node| !node.machine().contains(*value));
         let recent = self.next_value.saturating_sub(20);
--- a/coordination/chain/tests/cores/storm.rs
+++ b/coordination/chain/tests/cores/storm.rs
@@ -22,7 +22,7 @@
 const FASTEST: std::ops::Range<u64> = 4_000..6_000;
 const UNEVEN: std::ops::Range<u64> = 5_000..300_000;
 
-fn storm(seed: u64, pause: std::ops::Range<u64>, fault: Fault) -> Plan {
+fn plan_under_load(seed: u64, pause: std::ops::Range<u64>, fault: Fault) -> Plan {
     let mut plan = Plan::with_fault(seed, FAULT_AT, fault);
     plan.client_pause = pause;
     // As with commands of 100 KB beside a log of 1 MiB.
@@ -53,7 +53,7 @@
 
 fn assert_catches_up(seed: u64, pause: std::ops::Range<u64>, fault: Fault) {
     let machine = seed as usize % 3;
-    let mut world = World::new(storm(seed, pause, fault));
+    let mut world = World::new(plan_under_load(seed, pause, fault));
     let returns_at = FAULT_AT + fault.micros() + LATE_START_MICROS;
     let took = time_to_catch_up(&mut world, machine, returns_at);
     assert!(took <= CATCH_UP_MICROS, "seed {seed}, {fault:?}: caught up after {took} us");
@@ -83,7 +83,7 @@
     for seed in SEEDS {
         for fault in faults(seed, SECOND) {
             let machine = seed as usize % 3;
-            let mut plan = storm(seed, FASTEST, fault);
+            let mut plan = plan_under_load(seed, FASTEST, fault);
             plan.network = NetworkFaults { loss: 0.02, duplicated: 0.02, delayed: 0.005 };
             let mut world = World::new(plan);
             let returns_at = FAULT_AT + fault.micros() + LATE_START_MICROS;
@@ -97,7 +97,7 @@
 fn catching_up_delays_no_write_for_long() {
     for seed in SEEDS {
         for fault in faults(seed, 2 * SECOND) {
-            let mut world = World::new(storm(seed, FASTEST, fault));
+            let mut world = World::new(plan_under_load(seed, FASTEST, fault));
             let returns_at = FAULT_AT + fault.micros() + LATE_START_MICROS;
             world.run_until(returns_at + 3 * SECOND).expect("no invariant is broken");
             let longest = world.history.longest_wait(returns_at..returns_at + 2 * SECOND);
@@ -111,9 +111,9 @@
 fn no_message_grows_with_the_state() {
     for seed in SEEDS {
         let fault = Fault::WipeDisk { machine: seed as usize % 3, down_micros: SECOND };
-        let mut plan = storm(seed, FASTEST, fault);
+        let mut plan = plan_under_load(seed, FASTEST, fault);
         let most = plan.batch_bytes + MESSAGE_OVERHEAD_BYTES;
-        plan.calm_after = FAULT_AT + 2 * SECOND;
+        plan.faults_end_at = FAULT_AT + 2 * SECOND;
         let mut world = World::new(plan);
         world.run_until(FAULT_AT + 5 * SECOND).expect("no invariant is broken");
         assert!(world.is_caught_up(seed as usize % 3));
--- a/coordination/chain/tests/model.rs
+++ b/coordination/chain/tests/model.rs
@@ -18,12 +18,12 @@
 /// States explored in an ordinary run.
 const ORDINARY_STATES: usize = 3_000;
 /// Number of long histories, and their actions.
-const WALKS: u64 = 250;
-const WALK_ACTIONS: usize = 120;
+const RANDOM_RUNS: u64 = 250;
+const ACTIONS_PER_RUN: usize = 120;
 /// Long enough after a suspicion for each member's turn to propose.
-const TURN: Duration = Duration::from_millis(200);
+const PROPOSAL_PERIOD: Duration = Duration::from_millis(200);
 /// Turns without a heartbeat after which a node is replaced.
-const TURNS_UNTIL_REPLACED: usize = 5;
+const PERIODS_UNTIL_REPLACED: usize = 5;
 const NODES: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
 
 /// The list of values written, each with its index in the order.
@@ -82,7 +82,7 @@
     /// One node believes that another is gone.
     Suspect {
         at: NodeId,
-        gone: NodeId,
+        suspected: NodeId,
     },
     /// A node hears everybody again.
     Trust {
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug)]
 struct World {
     now: Instant,
-    left: Limits,
+    remaining: Limits,
     nodes: BTreeMap<NodeId, CoreNode<Values>>,
     disks: BTreeMap<NodeId, DurableState>,
     pending: BTreeMap<NodeId, VecDeque<Pending>>,
@@ -125,7 +125,7 @@
     CoreConfig::new(address(id))
 }
 
-fn founded(id: NodeId) -> DurableState {
+fn bootstrapped_state(id: NodeId) -> DurableState {
     let members = NODES.iter().map(|id| Member { id: *id, address: address(*id) }).collect();
     let view = View::of_members(Epoch::FIRST, members);
     let mut state = DurableState::default();
@@ -146,12 +146,12 @@
 }
 
 impl World {
-    fn new(left: Limits) -> World {
+    fn new(remaining: Limits) -> World {
         let mut world = World {
             now: Instant::from_millis(1_000),
-            left,
+            remaining,
             nodes: BTreeMap::new(),
-            disks: NODES.iter().map(|id| (*id, founded(*id))).collect(),
+            disks: NODES.iter().map(|id| (*id, bootstrapped_state(*id))).collect(),
             pending: NODES.iter().map(|id| (*id, VecDeque::new())).collect(),
             in_flight: BTreeSet::new(),
             views: BTreeMap::new(),
@@ -162,8 +162,8 @@
     }
 
     /// The chain of the first view is connected, and nothing is in flight.
-    fn connected(left: Limits) -> World {
-        let mut world = World::new(left);
+    fn connected(remaining: Limits) -> World {
+        let mut world = World::new(remaining);
         while !world.in_flight.is_empty() {
             world.act(Action::Deliver { index: 0 });
             NODES.iter().for_each(|id| world.act(Action::Persist { at: *id }));
@@ -180,8 +180,9 @@
 
     fn fingerprint(&self) -> u64 {
         let mut hasher = Fingerprint(DefaultHasher::new());
-        let World { nodes, disks, pending, in_flight, left, .. } = self;
-        write!(hasher, "{nodes:?}{disks:?}{pending:?}{in_flight:?}{left:?}").expect("hashing never fails");
+        let World { nodes, disks, pending, in_flight, remaining, .. } = self;
+        write!(hasher, "{nodes:?}{disks:?}{pending:?}{in_flight:?}{remaining:?}")
+            .expect("hashing never fails");
         hasher.0.finish()
     }
 
@@ -203,7 +204,7 @@
                 _ => {}
             }
         }
-        if self.left.instant_disks {
+        if self.remaining.instant_disks {
             self.persist(id);
         }
     }
@@ -261,8 +262,8 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Submit { at } => {
-                let value = self.left.submits;
-                self.left.submits -= 1;
+                let value = self.remaining.submits;
+                self.remaining.submits -= 1;
                 self.input(at, Input::Submit { request_id: RequestId(value.into()), command: value });
             }
             Action::Deliver { index } => {
@@ -273,13 +274,13 @@
                 self.input(to, Input::Message { from, message });
             }
             Action::Persist { at } => self.persist(at),
-            Action::Suspect { at, gone } => self.suspect(at, gone),
+            Action::Suspect { at, suspected } => self.suspect(at, suspected),
             Action::Trust { at } => {
-                self.left.suspicions -= 1;
-                NODES.iter().filter(|id| **id != at).for_each(|from| self.hear(at, *from));
+                self.remaining.suspicions -= 1;
+                NODES.iter().filter(|id| **id != at).for_each(|from| self.receive_heartbeat(at, *from));
             }
             Action::Crash { at } => {
-                self.left.crashes -= 1;
+                self.remaining.crashes -= 1;
                 self.pending.entry(at).or_default().clear();
                 self.start(at);
             }
@@ -297,18 +298,18 @@
     }
 
     /// One node misses the heartbeats of another until it suspects it, and gets its turn to propose.
-    fn suspect(&mut self, at: NodeId, gone: NodeId) {
-        self.left.suspicions -= 1;
-        self.hear(at, gone);
-        for _ in 0..TURNS_UNTIL_REPLACED {
-            self.now += TURN;
-            let others = NODES.iter().filter(|from| **from != at && **from != gone);
-            others.for_each(|from| self.hear(at, *from));
+    fn suspect(&mut self, at: NodeId, suspected: NodeId) {
+        self.remaining.suspicions -= 1;
+        self.receive_heartbeat(at, suspected);
+        for _ in 0..PERIODS_UNTIL_REPLACED {
+            self.now += PROPOSAL_PERIOD;
+            let others = NODES.iter().filter(|from| **from != at && **from != suspected);
+            others.for_each(|from| self.receive_heartbeat(at, *from));
             self.input(at, Input::Tick);
         }
     }
 
-    fn hear(&mut self, at: NodeId, from: NodeId) {
+    fn receive_heartbeat(&mut self, at: NodeId, from: NodeId) {
         let heartbeat = Heartbeat {
             epoch: self.nodes[&at].epoch(),
             address: address(from),
@@ -333,26 +334,26 @@
             (0..self.in_flight.len()).map(|index| Action::Deliver { index }).collect();
         let persists = NODES.iter().filter(|id| !self.pending[*id].is_empty());
         actions.extend(persists.map(|at| Action::Persist { at: *at }));
-        if self.left.submits > 0 {
+        if self.remaining.submits > 0 {
             actions.push(Action::Submit { at: NODES[0] });
         }
-        if self.left.suspicions > 0 {
+        if self.remaining.suspicions > 0 {
             let pairs = [(NODES[1], NODES[0]), (NODES[2], NODES[0]), (NODES[0], NODES[2])];
-            actions.extend(pairs.map(|(at, gone)| Action::Suspect { at, gone }));
+            actions.extend(pairs.map(|(at, suspected)| Action::Suspect { at, suspected }));
         }
-        if self.left.crashes > 0 {
+        if self.remaining.crashes > 0 {
             actions.push(Action::Crash { at: NODES[1] });
         }
         actions
     }
 
     /// Mostly deliveries and writes to disk, now and then a fault.
-    fn drawn_action(&self, random: &mut fastrand::Rng) -> Option<Action> {
+    fn random_action(&self, random: &mut fastrand::Rng) -> Option<Action> {
         let at = random.choice(NODES)?;
-        let gone = random.choice(NODES.into_iter().filter(|id| *id != at).collect::<Vec<_>>())?;
+        let suspected = random.choice(NODES.into_iter().filter(|id| *id != at).collect::<Vec<_>>())?;
         match random.u32(0..60) {
             0 => Some(Action::Crash { at }),
-            1 | 2 => Some(Action::Suspect { at, gone }),
+            1 | 2 => Some(Action::Suspect { at, suspected }),
             3 | 4 => Some(Action::Trust { at }),
             5..=9 => Some(Action::Submit { at }),
             10..=25 => Some(Action::Persist { at }),
@@ -398,7 +399,7 @@
 #[test]
 fn long_histories_lose_no_committed_command() {
     let (mut commits, mut views) = (0, 0);
-    for seed in 0..WALKS {
+    for seed in 0..RANDOM_RUNS {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut world = World::connected(Limits {
             submits: 1_000,
@@ -406,8 +407,8 @@
             crashes: 1_000,
             instant_disks: false,
         });
-        for _ in 0..WALK_ACTIONS {
-            if let Some(action) = world.drawn_action(&mut random) {
+        for _ in 0..ACTIONS_PER_RUN {
+            if let Some(action) = world.random_action(&mut random) {
                 world.act(action);
                 world.check();
             }
@@ -415,6 +416,6 @@
         commits += world.committed.len();
         views += world.views.len() - 1;
     }
-    println!("{commits} commands and {views} new views in {WALKS} histories");
-    assert!(commits > WALKS as usize && views > WALKS as usize / 4);
+    println!("{commits} commands and {views} new views in {RANDOM_RUNS} histories");
+    assert!(commits > RANDOM_RUNS as usize && views > RANDOM_RUNS as usize / 4);
 }
--- a/coordination/chain/tests/node/catch_up.rs
+++ b/coordination/chain/tests/node/catch_up.rs
@@ -6,7 +6,7 @@
 use crate::concat_machine::address;
 
 /// A core of three that has gone on without the third node, which is back with its disk and gets no commands.
-fn with_a_lagging_voter() -> (Cluster, NodeId) {
+fn cluster_with_lagging_voter() -> (Cluster, NodeId) {
     let mut cluster = Cluster::bootstrapped(3);
     let third = cluster.hosts.remove(&address(3)).expect("the third host");
     let third_id = third.node.id();
@@ -20,7 +20,7 @@
 
 #[test]
 fn the_only_complete_member_may_be_lost_while_another_catches_up() {
-    let (mut cluster, third) = with_a_lagging_voter();
+    let (mut cluster, third) = cluster_with_lagging_voter();
     let second = cluster.hosts.remove(&address(2)).expect("the second host");
     cluster.run(2 * SECOND);
     let view = cluster.host(1).node.view().expect("a view").clone();
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_member_is_replaced_as_soon_as_the_other_holds_the_state() {
-    let (mut cluster, third) = with_a_lagging_voter();
+    let (mut cluster, third) = cluster_with_lagging_voter();
     let second = cluster.hosts.remove(&address(2)).expect("the second host").node.id();
     cluster.run(2 * SECOND);
     cluster.submit(1, 2, "b");
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_sealed_core_accepts_commands_again_once_its_members_are_back() {
-    let (mut cluster, _) = with_a_lagging_voter();
+    let (mut cluster, _) = cluster_with_lagging_voter();
     let second = cluster.hosts.remove(&address(2)).expect("the second host");
     cluster.run(2 * SECOND);
     let sealed = cluster.host(1).node.epoch();
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_seal_survives_a_restart() {
-    let (mut cluster, _) = with_a_lagging_voter();
+    let (mut cluster, _) = cluster_with_lagging_voter();
     let first = cluster.hosts.remove(&address(1)).expect("the first host");
     cluster.run(2 * SECOND);
     let second = cluster.hosts.remove(&address(2)).expect("the second host");
--- a/coordination/chain/tests/node/lost_messages.rs
+++ b/coordination/chain/tests/node/lost_messages.rs
@@ -19,7 +19,7 @@
 use crate::concat_machine::address;
 
 /// A core of three without its third node, which starts again with its disk.
-fn with_a_returning_voter() -> Cluster {
+fn cluster_with_returning_voter() -> Cluster {
     let mut cluster = Cluster::bootstrapped(3);
     let third = cluster.hosts.remove(&address(3)).expect("the third host");
     cluster.run(2 * SECOND);
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_view_is_decided_although_each_message_of_an_attempt_is_lost_once() {
-    let mut cluster = with_a_returning_voter();
+    let mut cluster = cluster_with_returning_voter();
     cluster.lost_once = Some(BTreeSet::new());
     cluster.run(6 * SECOND);
     for index in 1..=3 {
@@ -42,7 +42,7 @@
 
 #[test]
 fn messages_of_a_decided_attempt_are_not_sent_again() {
-    let mut cluster = with_a_returning_voter();
+    let mut cluster = cluster_with_returning_voter();
     cluster.run(4 * SECOND);
     assert!(cluster.host(3).node.is_caught_up());
     cluster.lost_once = Some(BTreeSet::new());
--- a/coordination/chain/tests/node/stalled_disk.rs
+++ b/coordination/chain/tests/node/stalled_disk.rs
@@ -20,7 +20,7 @@
 /// accepted (4 MiB, `docs/design/control/catchup.md`).
 const MAX_WAITING_BYTES: usize = 16 << 20;
 /// Each record, of which a peer has at most one mebibyte under way, may have its own effect on the log and one answer.
-const EFFECTS_OF_A_RECORD: u64 = 2;
+const EFFECTS_PER_RECORD: u64 = 2;
 /// Effects beyond these: for each of two peers a handful of kinds of answers.
 const MAX_OTHER_EFFECTS: u64 = 100;
 
@@ -74,7 +74,7 @@
             cluster.run(SECOND);
         }
         let backlog = cluster.host(index).node.disk_backlog();
-        let bound = backlog.records * EFFECTS_OF_A_RECORD + MAX_OTHER_EFFECTS;
+        let bound = backlog.records * EFFECTS_PER_RECORD + MAX_OTHER_EFFECTS;
         assert!(backlog.effects as u64 <= bound, "machine {index}: {backlog:?}");
         cluster.resume(index);
         cluster.run(5 * SECOND);
--- a/coordination/chain/tests/transfer.rs
+++ b/coordination/chain/tests/transfer.rs
@@ -37,7 +37,7 @@
     message: CoreMessage,
 }
 
-type Interference = Box<dyn FnMut(&mut Envelope) -> bool>;
+type MessageFilter = Box<dyn FnMut(&mut Envelope) -> bool>;
 
 /// A core, and what happens to its messages.
 struct Cluster {
@@ -45,7 +45,7 @@
     hosts: BTreeMap<usize, Host>,
     in_flight: Vec<Envelope>,
     /// Returns whether a envelope arrives; may change it.
-    interference: Interference,
+    message_filter: MessageFilter,
     /// Chunks that have been sent, in order.
     chunks: Vec<SnapshotChunk>,
 }
@@ -66,7 +66,7 @@
             now: Instant::ORIGIN,
             hosts: BTreeMap::new(),
             in_flight: Vec::new(),
-            interference: Box::new(|_| true),
+            message_filter: Box::new(|_| true),
             chunks: Vec::new(),
         };
         (1..=size).for_each(|index| cluster.start(index, config(index, size), None));
@@ -132,7 +132,7 @@
     }
 
     /// Machines find each other.
-    fn introduce(&mut self) {
+    fn report_peers(&mut self) {
         let known: Vec<(usize, NodeId)> =
             self.hosts.iter().map(|(index, host)| (*index, host.node.id())).collect();
         for (index, _) in &known {
@@ -143,9 +143,9 @@
     }
 
     fn step(&mut self) {
-        self.introduce();
+        self.report_peers();
         for mut envelope in std::mem::take(&mut self.in_flight) {
-            if (self.interference)(&mut envelope) {
+            if (self.message_filter)(&mut envelope) {
                 self.deliver(envelope);
             }
         }
@@ -178,7 +178,7 @@
         assert!(self.chunks.len() >= chunks, "chunks are sent");
     }
 
-    fn assert_brought_up(&self, index: usize) {
+    fn assert_caught_up(&self, index: usize) {
         assert_eq!(self.node(index).committed(), self.node(1).committed());
         assert_eq!(self.node(index).machine(), self.node(1).machine());
     }
@@ -197,7 +197,7 @@
     let mut cluster = Cluster::with_state(1);
     cluster.start_learner(2);
     cluster.run(2 * SECOND);
-    cluster.assert_brought_up(2);
+    cluster.assert_caught_up(2);
     cluster.chunks.len()
 }
 
@@ -206,7 +206,7 @@
     let mut cluster = Cluster::with_state(1);
     cluster.start_learner(2);
     cluster.run(2 * SECOND);
-    cluster.assert_brought_up(2);
+    cluster.assert_caught_up(2);
     let id = cluster.chunks[0].id;
     let mut next = 0;
     for chunk in &cluster.chunks {
@@ -222,7 +222,7 @@
     let mut cluster = Cluster::with_state(1);
     cluster.start_learner(2);
     cluster.run_until_chunks(20);
-    cluster.interference = Box::new(|envelope| !is_answer_to_chunk(envelope));
+    cluster.message_filter = Box::new(|envelope| !is_answer_to_chunk(envelope));
     let before = cluster.chunks.len();
     (0..10).for_each(|_| cluster.step());
     assert!(cluster.chunks.len() - before <= MAX_CHUNKS_IN_FLIGHT + 1, "{}", cluster.chunks.len() - before);
@@ -234,11 +234,11 @@
     let mut cluster = Cluster::with_state(1);
     cluster.start_learner(2);
     cluster.run_until_chunks(expected / 2);
-    cluster.interference = Box::new(|envelope| !is_answer_to_chunk(envelope));
+    cluster.message_filter = Box::new(|envelope| !is_answer_to_chunk(envelope));
     cluster.run(SECOND);
-    cluster.interference = Box::new(|_| true);
+    cluster.message_filter = Box::new(|_| true);
     cluster.run(2 * SECOND);
-    cluster.assert_brought_up(2);
+    cluster.assert_caught_up(2);
     // One window is lost, and one chunk goes out in each pause of 200 ms.
     assert!(
         cluster.chunks.len() <= expected + 2 * MAX_CHUNKS_IN_FLIGHT + 6,
@@ -257,7 +257,7 @@
         cluster.in_flight.reverse();
         cluster.step();
     }
-    cluster.assert_brought_up(2);
+    cluster.assert_caught_up(2);
     assert_eq!(cluster.chunks.len(), expected, "no chunk twice");
 }
 
@@ -266,7 +266,7 @@
     let mut cluster = Cluster::with_state(1);
     cluster.start_learner(2);
     let mut number = 0;
-    cluster.interference = Box::new(move |envelope| {
+    cluster.message_filter = Box::new(move |envelope| {
         if let CoreMessage::InstallSnapshot(install) = &mut envelope.message {
             number += 1;
             if number == 10 {
@@ -276,7 +276,7 @@
         true
     });
     cluster.run(4 * SECOND);
-    cluster.assert_brought_up(2);
+    cluster.assert_caught_up(2);
 }
 
 #[test]
@@ -289,14 +289,14 @@
     // The transfer is held up from its middle until the next view is in force.
     let middle = cluster.chunks.len() + expected / 2;
     cluster.run_until_chunks(middle);
-    cluster.interference = Box::new(|envelope| !is_chunk(envelope));
+    cluster.message_filter = Box::new(|envelope| !is_chunk(envelope));
     cluster.hosts.remove(&lost);
     cluster.run(2 * SECOND);
     assert_eq!(cluster.node(1).view().map(|view| view.members.len()), Some(2));
     let before = cluster.chunks.len();
-    cluster.interference = Box::new(|_| true);
+    cluster.message_filter = Box::new(|_| true);
     cluster.run(2 * SECOND);
-    cluster.assert_brought_up(4);
+    cluster.assert_caught_up(4);
     let after = cluster.chunks.len() - before;
     assert!(
         after <= expected / 2 + 2 * MAX_CHUNKS_IN_FLIGHT,
@@ -315,7 +315,7 @@
     config.bootstrap_addresses = Vec::new();
     cluster.start(2, config, disk);
     cluster.run(3 * SECOND);
-    cluster.assert_brought_up(2);
+    cluster.assert_caught_up(2);
 }
 
 #[test]
@@ -327,7 +327,7 @@
         cluster.submit(number);
     }
     cluster.run(2 * SECOND);
-    cluster.assert_brought_up(2);
+    cluster.assert_caught_up(2);
     let id = cluster.chunks[0].id;
     assert!(cluster.chunks.iter().all(|chunk| chunk.id == id), "one snapshot is enough");
 }
@@ -336,8 +336,8 @@
 fn a_repeated_request_does_not_run_again_after_a_transfer() {
     let mut cluster = Cluster::with_state(2);
     // The one that was brought up becomes the head once those before it are gone.
-    for (newcomer, lost) in [(3, 1), (4, 2)] {
-        cluster.start_learner(newcomer);
+    for (learner, lost) in [(3, 1), (4, 2)] {
+        cluster.start_learner(learner);
         cluster.run(2 * SECOND);
         cluster.hosts.remove(&lost);
         cluster.run(3 * SECOND);
@@ -356,7 +356,7 @@
 }
 
 /// A forged chunk from the node that sends to the learner.
-fn forged(cluster: &mut Cluster, change: impl FnOnce(&mut SnapshotId, &mut SnapshotChunk)) -> Envelope {
+fn forged_chunk(cluster: &mut Cluster, change: impl FnOnce(&mut SnapshotId, &mut SnapshotChunk)) -> Envelope {
     cluster.run_until_chunks(5);
     let genuine = cluster.chunks[4].clone();
     let (mut id, mut chunk) = (genuine.id, genuine);
@@ -384,9 +384,9 @@
     for forgery in forgeries {
         let mut cluster = Cluster::with_state(1);
         cluster.start_learner(2);
-        let envelope = forged(&mut cluster, forgery);
+        let envelope = forged_chunk(&mut cluster, forgery);
         cluster.deliver(envelope);
         cluster.run(4 * SECOND);
-        cluster.assert_brought_up(2);
+        cluster.assert_caught_up(2);
     }
 }
