--- a/coordination/chain/src/config.rs
+++ b/coordination/chain/src/config.rs
@@ -10,42 +10,45 @@
 /// all nodes.
 #[derive(Clone, Debug)]
 pub struct CoreConfig {
-    /// Address of this node, as others reach it.
+    /// Address at which other nodes reach this node.
     pub address: String,
-    /// Addresses of all nodes that form the first view, this one included; empty where this node must not propose one.
+    /// Addresses of all nodes of the first view, including this one; empty if this node must not propose a first view.
     pub bootstrap_addresses: Vec<String>,
-    /// No view has fewer members: the number of machines whose loss is tolerated, plus one.
+    /// Minimum number of members of a view: the number of machine failures to tolerate, plus one.
     pub minimum_members: usize,
-    /// How many nodes vote, as far as there are so many: twice the number of machines whose loss is tolerated, plus one.
+    /// Intended number of voters: twice the number of machine failures to tolerate, plus one. There are fewer while not
+    /// enough nodes are known.
     pub voters: usize,
     /// Failure detection.
     pub detector: DetectorConfig,
     /// Leases.
     pub lease: LeaseConfig,
-    /// Roles for which this node campaigns.
+    /// Roles whose leases this node requests.
     pub roles: Vec<Role>,
-    /// For how long a proof of contact with a quorum counts. Not longer than [`DetectorConfig::suspect_after`], so that a
-    /// partitioned node knows of it before others replace it.
+    /// How long evidence of quorum contact stays valid. Must not exceed [`DetectorConfig::suspect_after`], so that a
+    /// partitioned node notices the partition before others replace it.
     pub quorum_contact_timeout: Duration,
-    /// For how long a proof counts that the state is current. It bridges the replacement of the tail.
+    /// How long evidence that the local state is current stays valid. Long enough to span the replacement of a failed
+    /// tail.
     pub max_state_age: Duration,
-    /// An unanswered message is sent again after so long.
+    /// Time after which an unanswered message is resent.
     pub retry_after: Duration,
-    /// A checkpoint is due after records of so many bytes.
+    /// Bytes of records after which a checkpoint is due.
     pub checkpoint_bytes: usize,
-    /// Committed commands that are retained in memory to bring up peers without a snapshot.
+    /// Number of committed commands retained in memory, so that peers can catch up without a snapshot.
     pub retained_entries: usize,
-    /// The same in bytes of commands.
+    /// Bytes of committed commands retained in memory for the same purpose.
     pub retained_bytes: usize,
     /// Bytes of entries or of a snapshot in one message; a single larger entry is sent alone.
     pub batch_bytes: usize,
-    /// The head appends no further command while so many bytes of commands are not committed; one always fits. It bounds what
-    /// waits in memory for disks that take nothing. Lower values refuse bursts that a healthy core would soon commit.
+    /// Bytes of uncommitted commands from which the head appends no further command; a single command is always
+    /// allowed. Bounds the memory used while disks are stalled. Lower values would refuse bursts that a healthy core
+    /// would soon commit.
     pub uncommitted_bytes: usize,
 }
 
 impl CoreConfig {
-    /// The defaults for a core of three that tolerates the loss of one.
+    /// Defaults for a core of three nodes that tolerates the failure of one.
     pub fn new(address: impl Into<String>) -> CoreConfig {
         CoreConfig {
             address: address.into(),
@@ -66,11 +69,11 @@
         }
     }
 
-    /// Checks that the values fit together.
+    /// Checks that the values are consistent.
     ///
     /// # Errors
     ///
-    /// Says which rule the values break.
+    /// The first rule that the values violate.
     pub fn check(&self) -> Result<(), ConfigError> {
         self.detector.check()?;
         self.lease.check()?;
@@ -96,7 +99,7 @@
 /// Why a [`CoreConfig`] is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// Others could not reach the node.
+    /// [`CoreConfig::address`] is empty, so that other nodes could not reach this one.
     #[error("the node has no address")]
     NoAddress,
     /// The bounds on the size of a view contradict each other.
@@ -115,7 +118,7 @@
         /// [`CoreConfig::minimum_members`].
         minimum: usize,
     },
-    /// A partitioned node would claim contact while it is being replaced.
+    /// A partitioned node would report quorum contact while others already replace it.
     #[error("contact with a quorum would count for {contact:?}, longer than the {suspect:?} after which a peer is suspected")]
     QuorumContactTimeoutTooLong {
         /// [`CoreConfig::quorum_contact_timeout`].
@@ -123,10 +126,10 @@
         /// [`DetectorConfig::suspect_after`].
         suspect: Duration,
     },
-    /// The durations of the failure detector do not fit together.
+    /// The durations of the failure detector are inconsistent.
     #[error(transparent)]
     Detector(#[from] DetectorConfigError),
-    /// The durations of the leases do not fit together.
+    /// The durations of the leases are inconsistent.
     #[error(transparent)]
     Lease(#[from] LeaseConfigError),
 }
--- a/coordination/chain/src/durable.rs
+++ b/coordination/chain/src/durable.rs
@@ -1,5 +1,5 @@
-//! The durable state of a node: records, snapshots, and the state that they fold into. The order of fields and variants
-//! is their form on disk.
+//! The durable state of a node: its records, its snapshots, and the state that results from replaying them. The order
+//! of fields and variants is part of the on-disk format.
 
 use millrudder_lease::{LeaseRecord, VoterState};
 use millrudder_view::{Epoch, NodeId, View, ViewRecord, ViewState};
@@ -11,17 +11,17 @@
 /// The replicated state up to a position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Snapshot {
-    /// The last command that is contained.
+    /// Position of the last command contained.
     pub position: Position,
-    /// [`Machine::snapshot`](crate::Machine::snapshot); empty for a machine to which nothing was applied.
+    /// Output of [`Machine::snapshot`](crate::Machine::snapshot); empty if no command was ever applied.
     pub machine: Vec<u8>,
     pub(crate) replies: Replies,
 }
 
-/// One durable step of a node, to be appended to its journal.
+/// A change of a node's durable state, to be appended to its journal.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Record {
-    /// The node has drawn its identity.
+    /// The node has generated its identity.
     Identity {
         /// The identity.
         id: NodeId,
@@ -44,12 +44,13 @@
         /// Whether the node holds every command committed in earlier views.
         complete: bool,
     },
-    /// The commands that are not committed were dropped, since the chain may not hold them.
+    /// The uncommitted commands were dropped, since the chain may hold different ones at their positions.
     UncommittedDropped {
         /// The last command that is known to be committed.
         committed: Sequence,
     },
-    /// The node takes part in the chain of this epoch no more: what its log lacks can never be committed in it.
+    /// The node no longer takes part in the chain of this epoch, so that no command missing from its log can be
+    /// committed in it.
     Sealed {
         /// The epoch.
         epoch: Epoch,
@@ -58,7 +59,7 @@
     Lease(LeaseRecord),
 }
 
-/// Durable state of a node: the last checkpoint with the later records folded into it.
+/// Durable state of a node: the last checkpoint with the later records applied to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct DurableState {
     /// Identity of the disk.
@@ -74,7 +75,7 @@
 }
 
 impl DurableState {
-    /// Folds one record into the state. Records must be given in the order in which they were issued.
+    /// Applies one record. Records must be applied in the order in which they were issued.
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Identity { id } => self.id = *id,
--- a/coordination/chain/src/entry.rs
+++ b/coordination/chain/src/entry.rs
@@ -1,4 +1,4 @@
-//! Commands in the replicated order, which the head assigns.
+//! Entries of the replicated log. The head assigns their order.
 
 use millrudder_view::{Epoch, NodeId};
 use speedy::{Readable, Writable};
@@ -14,7 +14,8 @@
     }
 }
 
-/// Identity of one command or read, given by its caller; a command submitted again under the same identity runs once.
+/// Identity of a command or read, chosen by its caller. A command resubmitted with the same identity is applied only
+/// once, while its reply is retained.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct RequestId(pub u128);
 
@@ -29,12 +30,12 @@
     pub epoch: Epoch,
 }
 
-/// One command of the replicated order.
+/// One command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Entry {
     /// Its position.
     pub position: Position,
-    /// The request that it was submitted with.
+    /// The request with which it was submitted.
     pub request_id: RequestId,
     /// The node at which it was submitted.
     pub origin: NodeId,
@@ -43,7 +44,7 @@
 }
 
 impl Entry {
-    /// Bytes that the entry takes in a message.
+    /// Encoded size of the entry in bytes.
     pub(crate) fn encoded_bytes(&self) -> usize {
         Writable::<speedy::LittleEndian>::bytes_needed(self).unwrap_or(self.command.len())
     }
--- a/coordination/chain/src/lib.rs
+++ b/coordination/chain/src/lib.rs
@@ -1,25 +1,26 @@
 //! Chain-replicated state over an agreed membership view, for a small core of machines.
 //!
-//! [`CoreNode`] is one state machine to embed: it bootstraps the core, replicates the commands of a [`Machine`] down the
-//! chain of the present view (chain replication: van Renesse, Schneider, 2004), replaces unreachable members, readmits
-//! those that return, confirms linearizable reads, and campaigns for leader leases. It does no I/O: the embedder passes
-//! [`Input`]s with readings of its steady clock and carries out the [`Output`]s.
+//! [`CoreNode`] is a sans-I/O state machine: it bootstraps the core, replicates the commands of a [`Machine`] down the
+//! chain of the current view (chain replication: van Renesse, Schneider, 2004), replaces unreachable members, readmits
+//! those that return, confirms linearizable reads, and requests leader leases. The embedder passes [`Input`]s with
+//! readings of its monotonic clock and carries out the [`Output`]s.
 //!
-//! A command is committed once every member of the view has made it durable. No message leaves a node before every
-//! record issued earlier is durable, so that no peer ever sees what a crash could take back.
+//! A command is committed once every member of the view has made it durable. A message that depends on records is sent
+//! only after they are durable, so that no peer sees state that a crash could undo.
 //!
 //! What the embedder must do:
 //!
 //! - Append the record of each [`Output::Persist`] to a journal in the order given, and report the token with
-//!   [`Input::Persisted`] once it is synced; one report covers all earlier tokens. At the next start fold the
-//!   journal with [`DurableState::apply`] over the last [`Output::Checkpoint`].
-//! - Carry messages with the identity of sender and recipient, protected by a checksum, and hand a message in only
-//!   where the recipient's identity is the own one: another disk may answer at an old address. Messages may be
-//!   lost, delayed, duplicated or reordered.
-//! - Pass on the own [`CoreNode::id`] to others only once the first record is durable, and hand in theirs with
-//!   [`Input::PeerSeen`]. Only nodes that can be members of the core are to be handed in.
-//! - Handle [`Input::Tick`] at [`CoreNode::next_deadline`], and ask [`CoreNode::holds`] directly before each
-//!   act of a role: the lease of a process that was paused expires before [`Output::LeaseLost`] tells.
+//!   [`Input::Persisted`] once it is synced; one report covers all earlier tokens. At the next start, replay the
+//!   journal with [`DurableState::apply`] on top of the last [`Output::Checkpoint`].
+//! - Transmit each message with the identities of sender and recipient and a checksum. Pass a received message to the
+//!   node only if the recipient is its own identity, since an old address may now belong to a machine with another
+//!   disk. Messages may be lost, delayed, duplicated or reordered.
+//! - Announce [`CoreNode::id`] to other nodes only once the first record is durable, and report theirs with
+//!   [`Input::PeerSeen`]. Report only nodes that can be members of the core.
+//! - Handle [`Input::Tick`] at [`CoreNode::next_deadline`], and check [`CoreNode::holds`] immediately before each
+//!   action of a role: after a pause of the process the lease may have expired before [`Output::LeaseLost`] is
+//!   delivered.
 //!
 //! ```
 //! use millrudder_clock::Instant;
--- a/coordination/chain/src/log.rs
+++ b/coordination/chain/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: a run of entries of the replicated order after a base position.
+//! The log: consecutive entries of the replicated order after a base position.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::{Entry, Position, RequestId, Sequence};
 
-/// A run of entries without gaps.
+/// Consecutive entries, without gaps, after a base position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Log {
     base: Position,
@@ -41,13 +41,14 @@
 
     /// The entry at `sequence`.
     pub fn get(&self, sequence: Sequence) -> Option<&Entry> {
-        // A damaged state may have the last number there is as its base, so that nothing is added to it.
+        // Subtract instead of adding to the base, which overflows if a damaged state has the maximum sequence as its
+        // base.
         let after_base = sequence.0.checked_sub(self.base.sequence.0)?;
         let index = after_base.checked_sub(1)?;
         self.entries.get(usize::try_from(index).ok()?)
     }
 
-    /// The position at `sequence`, if it is the base or among the entries.
+    /// The position at `sequence`, if that is the base or one of the entries.
     pub fn position_at(&self, sequence: Sequence) -> Option<Position> {
         if sequence == self.base.sequence {
             return Some(self.base);
@@ -55,7 +56,8 @@
         self.get(sequence).map(|entry| entry.position)
     }
 
-    /// Whether this log agrees with another one up to `position`.
+    /// Whether `position` is the base or an entry of this log. If so, this log agrees with every log that contains
+    /// `position` on all entries up to it.
     pub fn contains(&self, position: Position) -> bool {
         self.position_at(position.sequence) == Some(position)
     }
@@ -66,10 +68,10 @@
         self.entries.iter().skip(usize::try_from(skipped).unwrap_or(usize::MAX))
     }
 
-    /// Appends an entry that follows the end, and returns whether it does; any other is ignored.
+    /// Appends an entry if it directly follows the end, and returns whether it does; any other entry is ignored.
     pub fn append(&mut self, entry: Entry) -> bool {
         let end = self.end().sequence;
-        // Nothing follows the last number: `next` saturates there.
+        // `next` saturates at the maximum sequence, which no entry may follow.
         let follows = entry.position.sequence > end && entry.position.sequence == end.next();
         if follows {
             self.entries.push(entry);
@@ -83,7 +85,7 @@
         self.entries.truncate(usize::try_from(retained).unwrap_or(usize::MAX));
     }
 
-    /// Drops the entries up to `sequence`, which becomes the base. The cost grows with the entries that remain.
+    /// Drops the entries up to `sequence`, whose position becomes the base. Takes time linear in the number of entries.
     pub fn trim_to(&mut self, sequence: Sequence) {
         let Some(base) = self.get(sequence).map(|entry| entry.position) else {
             return;
--- a/coordination/chain/src/machine.rs
+++ b/coordination/chain/src/machine.rs
@@ -10,7 +10,7 @@
 /// Why a snapshot cannot be restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RestoreError {
-    /// The snapshot's bytes do not follow the machine's format.
+    /// The bytes do not match the machine's snapshot format.
     #[error("the snapshot of the replicated state cannot be read")]
     Unreadable,
 }
@@ -19,7 +19,8 @@
 pub trait Machine: Default {
     /// A change of the state.
     type Command: Clone + Debug + for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian>;
-    /// The result of a command. Retained for a bounded number of requests, so it should be small.
+    /// The result of a command. Should be small, since the replies to recent requests are kept in memory and in
+    /// snapshots.
     type Reply: Clone + Debug + for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian>;
 
     /// Applies a committed command.
--- a/coordination/chain/src/message.rs
+++ b/coordination/chain/src/message.rs
@@ -9,16 +9,16 @@
     Entry, Position, ProcessTimestamp, RequestId, Sequence, SnapshotChunk, SnapshotId, TimestampEcho,
 };
 
-/// Sent to every peer at a fixed interval. Its fields repeat what a lost message may have said.
+/// Sent to every peer at a fixed interval. Its fields repeat information from messages that may have been lost.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Heartbeat {
     /// Epoch of the sender's view.
     pub epoch: Epoch,
     /// Address of the sender.
     pub address: String,
-    /// The sender's clock when this was made.
+    /// The sender's clock when it created this heartbeat.
     pub timestamp: ProcessTimestamp,
-    /// Peers whose heartbeats arrive at the sender, each with its newest timestamp.
+    /// Peers from which the sender receives heartbeats, each with its newest timestamp.
     pub timestamp_echoes: Vec<TimestampEcho>,
     /// End of the sender's durable log.
     pub log_end: Position,
@@ -30,13 +30,13 @@
     pub is_complete: bool,
     /// Whether the sender votes in its view and has accepted no later one.
     pub confirms_epoch: bool,
-    /// Whether the sender shuts down.
+    /// Whether the sender is shutting down.
     pub is_leaving: bool,
     /// Whether the sender's disk is too slow for a member.
     pub is_disk_lagging: bool,
 }
 
-/// Commands for the next node of the chain.
+/// Log entries for a receiver: the successor in the chain, a learner, or a node that catches up before the next view.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct AppendBatch {
     /// Epoch of the chain.
@@ -49,7 +49,7 @@
     pub committed: Sequence,
     /// A receiver whose log reaches this command holds every committed command.
     pub complete_at: Sequence,
-    /// Whether the sender has sealed the epoch, and brings up the receiver ahead of the next view.
+    /// Whether the sender has sealed the epoch, so that the receiver catches up before the next view.
     pub sealed: bool,
 }
 
@@ -62,24 +62,24 @@
     pub chunk: SnapshotChunk,
     /// A receiver whose log reaches this command holds every committed command.
     pub complete_at: Sequence,
-    /// Whether the sender has sealed the epoch, and brings up the receiver ahead of the next view.
+    /// Whether the sender has sealed the epoch, so that the receiver catches up before the next view.
     pub sealed: bool,
-    /// The end of the receiver's log, where the sender's log has another command or none.
+    /// The end of the receiver's log, if the sender's log has a different command there or none.
     pub conflict_at: Option<Position>,
 }
 
-/// A message between two core nodes. The order of the variants, and of their fields, is their form on the wire.
+/// A message between two core nodes. The order of the variants and of their fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum CoreMessage {
-    /// The sender is up, and how far it is.
+    /// The sender is alive; includes its status.
     Heartbeat(Heartbeat),
     /// Agreement on views.
     View(ViewMessage),
-    /// Commands, from a member to the next one or from the tail to a learner.
+    /// Log entries, from a member to its successor, from the tail to a learner, or in a catch-up before a view change.
     Append(AppendBatch),
     /// A chunk of a snapshot, for a node that is too far behind.
     InstallSnapshot(InstallSnapshotChunk),
-    /// How far the sender has received a snapshot.
+    /// How much of a snapshot the sender has received.
     SnapshotReceived {
         /// Epoch of the chain.
         epoch: Epoch,
@@ -97,14 +97,14 @@
         /// The last command that the sender knows to be committed.
         committed: Sequence,
     },
-    /// The sender lacks the commands before those that it was sent.
+    /// The sender lacks entries before those that it was sent.
     Gap {
         /// Epoch of the chain.
         epoch: Epoch,
         /// End of the sender's log.
         end: Position,
     },
-    /// A command for the head.
+    /// A command submitted to the head.
     Submit {
         /// The request.
         request_id: RequestId,
@@ -136,24 +136,24 @@
     ConfirmEpoch {
         /// The epoch.
         epoch: Epoch,
-        /// Number of the attempt.
+        /// Number of the confirmation attempt.
         attempt: u64,
     },
-    /// The epoch was current at the sender.
+    /// The sender confirms that it votes in this epoch and has accepted no later view.
     EpochConfirmed {
         /// The epoch.
         epoch: Epoch,
-        /// Number of the attempt.
+        /// Number of the confirmation attempt.
         attempt: u64,
     },
-    /// Asks a voter of the present view for a lease.
+    /// Requests a lease from a voter of the current view.
     LeaseRequest {
         /// The epoch.
         epoch: Epoch,
         /// The request.
         request: LeaseRequest,
     },
-    /// A voter's answer.
+    /// A voter's answer to a lease request.
     LeaseAnswer {
         /// The epoch.
         epoch: Epoch,
@@ -170,13 +170,13 @@
 /// Why bytes cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// They do not follow the format, or go beyond one message.
+    /// The bytes do not match the format, or extend beyond one message.
     #[error("the bytes are not a message between core nodes")]
     Unreadable,
 }
 
 impl CoreMessage {
-    /// The only epoch in which the message counts, if there is one.
+    /// The only epoch in which the message is valid; `None` if it is valid in any epoch.
     pub(crate) fn epoch(&self) -> Option<Epoch> {
         match self {
             CoreMessage::Append(batch) => Some(batch.epoch),
@@ -205,7 +205,7 @@
     /// [`MessageError::Unreadable`] if the bytes are not exactly one message.
     pub fn decode(bytes: &[u8]) -> Result<CoreMessage, MessageError> {
         let message = CoreMessage::read_from_buffer(bytes).map_err(|_| MessageError::Unreadable)?;
-        // Encoding is canonical, so a different length reveals bytes beyond the message.
+        // Encoding is canonical, so a different length means that there are trailing bytes.
         match Writable::<speedy::LittleEndian>::bytes_needed(&message) {
             Ok(length) if length == bytes.len() => Ok(message),
             _ => Err(MessageError::Unreadable),
--- a/coordination/chain/src/node/catch_up.rs
+++ b/coordination/chain/src/node/catch_up.rs
@@ -1,4 +1,4 @@
-//! Nodes are brought up ahead of a view that would begin with too few complete members.
+//! Catch-up of nodes before a view change, needed if the next view would start with too few complete members.
 
 use std::collections::BTreeSet;
 
@@ -9,13 +9,13 @@
 use crate::Machine;
 
 impl<M: Machine> CoreNode<M> {
-    /// Whether so many members of the target hold every command that was committed before the next view that it may
-    /// begin with them.
+    /// Whether at least `minimum_members` members of the target hold every command committed before the next view, so
+    /// that the view may start.
     pub(super) fn has_enough_complete_members(&self, target: &TargetView) -> bool {
         target.complete.len() >= self.config.minimum_members
     }
 
-    /// The first member of the target seals the epoch and brings up those that lack commands.
+    /// On the first member of the target: seals the epoch and replicates to the members that lack commands.
     pub(super) fn catch_up_before_view_change(&mut self, now: Instant, target: &TargetView) {
         let members = target.members.iter().map(|member| member.id);
         let incomplete: BTreeSet<NodeId> = members.filter(|id| !target.complete.contains(id)).collect();
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Whether a node has said, within the present epoch, that it holds every command committed before the next view.
+    /// Whether a node has reported, in the current epoch, that it holds every command committed before the next view.
     pub(super) fn is_complete(&self, id: NodeId) -> bool {
         if id == self.id {
             return self.replica.is_complete();
--- a/coordination/chain/src/node/contact.rs
+++ b/coordination/chain/src/node/contact.rs
@@ -1,4 +1,4 @@
-//! Contact with a quorum as it is reported: whether this node may act for the core.
+//! Reports quorum contact to the embedder: whether this node may act for the core.
 
 use std::time::Duration;
 
@@ -9,25 +9,25 @@
 use crate::quorum_contact::{LocalStatus, QuorumContact};
 use crate::{CoreConfig, Heartbeat, Machine, ProcessTimestamp, TimestampEcho};
 
-/// A change of the contact that is reported.
+/// A change of quorum contact, to be reported to the embedder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ContactChange {
     Gained,
     Lost,
 }
 
-/// Proofs of contact, for how long they count, and what was reported of them.
+/// Evidence of quorum contact, how long it stays valid, and what was last reported to the embedder.
 #[derive(Clone, Debug)]
 pub(super) struct ContactMonitor {
     proofs: QuorumContact,
     quorum_contact_timeout: Duration,
     max_state_age: Duration,
-    /// When the contact that was reported expires unless it is renewed.
+    /// When the reported contact expires unless it is renewed; `None` if the last report was a loss.
     reported_until: Option<Instant>,
 }
 
 impl ContactMonitor {
-    /// No contact yet. `process` is drawn at random by each process.
+    /// Starts without contact. `process` is a random number that identifies this process.
     pub(super) fn new(config: &CoreConfig, process: u64) -> ContactMonitor {
         ContactMonitor {
             proofs: QuorumContact::new(process),
@@ -42,7 +42,7 @@
         self.reported_until
     }
 
-    /// The timestamp for a heartbeat that is made now.
+    /// The timestamp for a heartbeat created now.
     pub(super) fn timestamp(&self, now: Instant) -> ProcessTimestamp {
         self.proofs.timestamp(now)
     }
@@ -75,13 +75,13 @@
         self.reported_until.take_if(|until| now >= *until).map(|_| ContactChange::Lost)
     }
 
-    /// Nothing that rests on the steady clock is valid any more.
+    /// Discards all evidence, since it was timed by a clock that has stalled.
     pub(super) fn handle_clock_stall(&mut self, now: Instant) -> Option<ContactChange> {
         self.proofs.handle_clock_stall(now);
         self.reported_until.take().map(|_| ContactChange::Lost)
     }
 
-    /// Draws conclusions from the heartbeats since the last call, and reports contact that was gained.
+    /// Evaluates the heartbeats received since the last call, and reports contact that was gained.
     pub(super) fn update(&mut self, now: Instant, view: &View, local: LocalStatus) -> Option<ContactChange> {
         self.proofs.update(now, view, local);
         let until = self.expires_at().filter(|until| now < *until);
@@ -102,7 +102,7 @@
         self.proofs.state_as_of().map(|as_of| now - as_of)
     }
 
-    /// When the present contact expires unless it is renewed; none if there never was any.
+    /// When the current contact expires unless it is renewed; `None` if there is no evidence.
     fn expires_at(&self) -> Option<Instant> {
         let view = self.proofs.view_as_of()? + self.quorum_contact_timeout;
         let state = self.proofs.state_as_of()? + self.max_state_age;
@@ -111,21 +111,21 @@
 }
 
 impl<M: Machine> CoreNode<M> {
-    /// Whether a majority of the voters has recently answered to this node, in the view that it knows, and its state is
-    /// known to contain all that was committed until recently.
+    /// Whether a majority of the voters has recently confirmed the view that this node knows, and this node's state is
+    /// known to contain everything committed until recently.
     ///
-    /// To be asked directly before each act that rests on it: a process that was paused finds here that its contact has
-    /// expired, before [`Output::QuorumContactLost`] tells.
+    /// Check it immediately before each action that depends on it: after a pause of the process it returns false even
+    /// before [`Output::QuorumContactLost`] is delivered.
     pub fn has_quorum_contact(&self, now: Instant) -> bool {
         self.contact.has_contact(now)
     }
 
-    /// How long ago it was proven that no later view had been decided; none if never.
+    /// Time since the last moment at which no later view is known to have been decided; `None` if never proven.
     pub fn quorum_contact_age(&self, now: Instant) -> Option<Duration> {
         self.contact.quorum_contact_age(now)
     }
 
-    /// How old [`CoreNode::machine`] can be at most: all that was committed earlier is in it. None if not known.
+    /// Upper bound on the age of [`CoreNode::machine`]: it contains everything committed earlier. `None` if unknown.
     pub fn state_age(&self, now: Instant) -> Option<Duration> {
         self.contact.state_age(now)
     }
@@ -136,13 +136,13 @@
         }
     }
 
-    /// Reports contact that has expired, before anything rests on it.
+    /// Reports contact that has expired, before the current input is handled.
     pub(super) fn expire_contact(&mut self, now: Instant) {
         let change = self.contact.poll(now);
         self.report_contact(change);
     }
 
-    /// Expires contact and leases. Heartbeats are sent at once, so that contact is proven anew.
+    /// Expires contact and leases. Sends heartbeats immediately, so that contact is re-established soon.
     pub(super) fn handle_clock_stall(&mut self, now: Instant) {
         let change = self.contact.handle_clock_stall(now);
         self.report_contact(change);
--- a/coordination/chain/src/node/departures.rs
+++ b/coordination/chain/src/node/departures.rs
@@ -1,5 +1,5 @@
-//! Nodes that leave: this process when it shuts down, and nodes that are decommissioned. Each stays a member until the
-//! others can do without it.
+//! Nodes that leave: this node during shutdown, and decommissioned nodes. Each stays a member until the other members
+//! no longer need its state or its vote.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,22 +10,22 @@
 use super::CoreNode;
 use crate::Machine;
 
-/// Which nodes leave by request of this node's embedder.
+/// Which nodes leave at the request of this node's embedder.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Departures {
     leaving: bool,
-    /// Since when the others can do without this node, which is leaving.
+    /// Since when this node, which is leaving, has been dispensable.
     dispensable_since: Option<Instant>,
     decommissioned: BTreeSet<NodeId>,
 }
 
 impl Departures {
-    /// Whether this process shuts down.
+    /// Whether this process is shutting down.
     pub(super) fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether a node is to be removed for good.
+    /// Whether a node is to be removed permanently.
     pub(super) fn is_decommissioned(&self, id: NodeId) -> bool {
         self.decommissioned.contains(&id)
     }
@@ -49,9 +49,11 @@
 }
 
 impl<M: Machine> CoreNode<M> {
-    /// Whether the core, as this node knows it, can do without the disk of `id`: it holds no state that is needed, and
-    /// its vote has gone to another node. The vote of a node that only restarts is not waited for where no node is there
-    /// to take it over; that of a decommissioned one is, as others may be lost as soon as it is gone.
+    /// Whether, in the view that this node knows, the disk of `id` is no longer needed: it holds no needed state, and
+    /// its vote has been reassigned.
+    ///
+    /// For a node that only restarts, the vote does not count if no node is available to take it over. For a
+    /// decommissioned node it always counts, since other nodes may fail as soon as it has been removed.
     pub fn is_dispensable(&self, now: Instant, id: NodeId) -> bool {
         let Some(view) = self.agreement.view() else {
             return true;
@@ -62,8 +64,8 @@
         !holds_state && !holds_vote
     }
 
-    /// Whether this process may end, after [`Input::Leave`](super::Input::Leave): the others have done without it for
-    /// so long that the loss of one of them would have been noticed, or all of them leave too.
+    /// Whether this process may exit after [`Input::Leave`](super::Input::Leave): either it has been dispensable for so
+    /// long that the failure of another node would have been detected, or all other voters are departing too.
     pub fn can_leave(&self, now: Instant) -> bool {
         let detection_time = self.config.detector.suspect_after + self.config.detector.heartbeat_interval;
         let others = self.voters().into_iter().filter(|id| *id != self.id);
@@ -93,7 +95,7 @@
         view.ids().all(|id| self.is_caught_up_member(id) && !self.is_unreachable(now, id))
     }
 
-    /// Whether a node without a vote is reachable that could take one over.
+    /// Whether a reachable node without a vote could take one over.
     fn has_spare_voter(&self, now: Instant, view: &View) -> bool {
         let outside = self.peers.ids().filter(|id| !view.is_voter(*id));
         let mut reachable = outside.filter(|id| !self.detector.is_suspect(now, *id));
--- a/coordination/chain/src/node/disk_lag.rs
+++ b/coordination/chain/src/node/disk_lag.rs
@@ -1,4 +1,4 @@
-//! Whether this node's disk keeps up with what a member has to write.
+//! Detects whether this node's disk is too slow for a member of the chain.
 
 use std::time::Duration;
 
@@ -6,14 +6,15 @@
 
 use super::PersistToken;
 
-/// A record that is not durable after so long shows a disk that would hold up the chain.
+/// If a record is not durable after this time, the disk is lagging and would delay every commit of the chain.
 const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(300);
-/// A process without an input for so long was paused itself: reports of its disk wait unread.
+/// A process that handled no input for this long was itself paused: completed writes have not been reported to it yet,
+/// so their age says nothing about the disk.
 const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_millis(200);
-/// A disk that was too slow counts as such for so long, since an idle disk shows nothing.
+/// How long a disk counts as lagging after a slow write, since an idle disk gives no evidence of its speed.
 const LAGGING_STATUS_DURATION: Duration = Duration::from_secs(3);
 
-/// How long the oldest record that is not durable has waited.
+/// Tracks how long the oldest record that is not durable has been pending.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DiskLag {
     oldest: Option<PendingRecord>,
@@ -28,7 +29,7 @@
 }
 
 impl DiskLag {
-    /// Notes how far the disk is; to be called at each input.
+    /// Records the newest issued and the newest durable record; to be called after each input.
     pub(super) fn update(&mut self, now: Instant, issued: PersistToken, durable: PersistToken) {
         let was_paused = now - self.updated_at >= PROCESS_PAUSE_THRESHOLD;
         self.updated_at = now;
@@ -43,7 +44,7 @@
         self.oldest = still_pending.or((issued > durable).then_some(next));
     }
 
-    /// Whether the disk is, or was recently, too slow for a member.
+    /// Whether the disk is lagging, or was within [`LAGGING_STATUS_DURATION`].
     pub(super) fn is_lagging(&self, now: Instant) -> bool {
         now < self.lagging_until
     }
--- a/coordination/chain/src/node/input.rs
+++ b/coordination/chain/src/node/input.rs
@@ -17,7 +17,7 @@
         /// The message.
         message: CoreMessage,
     },
-    /// Time has passed; due at [`CoreNode::next_deadline`](crate::CoreNode::next_deadline).
+    /// A timer fired; due at [`CoreNode::next_deadline`](crate::CoreNode::next_deadline).
     Tick,
     /// A command is to be committed. The same request may be submitted again, here or elsewhere.
     Submit {
@@ -26,33 +26,35 @@
         /// The command.
         command: Command,
     },
-    /// A linearizable read: it has to see every command that was committed before now.
+    /// A linearizable read: it must observe every command committed before this input.
     Read {
         /// Identity of the request.
         request_id: RequestId,
     },
-    /// The caller no longer waits for a command or read; the command may still be committed.
+    /// The caller has stopped waiting for a command or read; the command may still be committed.
     Abandon {
         /// Identity of the request.
         request_id: RequestId,
     },
     /// Every record issued up to `token` is durable.
     Persisted {
-        /// The newest of them.
+        /// Token of the newest durable record.
         token: PersistToken,
     },
-    /// This process shuts down: the others replace this node at once instead of waiting until it is suspected. It stays a
-    /// member meanwhile; [`CoreNode::can_leave`](crate::CoreNode::can_leave) tells when the process may end.
+    /// This process is shutting down: the others replace this node immediately instead of waiting until it is
+    /// suspected. It stays a member meanwhile; poll [`CoreNode::can_leave`](crate::CoreNode::can_leave) to learn when
+    /// the process may exit.
     Leave,
-    /// These nodes, and no others, are to be removed for good; to be given again after a restart. Members among them are
-    /// replaced first; see [`CoreNode::is_dispensable`](crate::CoreNode::is_dispensable).
+    /// Sets the nodes to be removed permanently, replacing the previous set. The set is not durable: pass it again
+    /// after a restart. Members among them are replaced first; see
+    /// [`CoreNode::is_dispensable`](crate::CoreNode::is_dispensable).
     Decommission {
         /// The nodes.
         ids: BTreeSet<NodeId>,
     },
-    /// The machine was suspended, its steady clock with it: leases and contact have expired meanwhile.
+    /// The machine and its steady clock were suspended: leases and quorum contact may have expired unnoticed.
     ClockStalled,
-    /// A node answers at an address.
+    /// A node was reached at an address.
     PeerSeen {
         /// The node.
         id: NodeId,
--- a/coordination/chain/src/node/leases.rs
+++ b/coordination/chain/src/node/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of the roles for which a node campaigns, and its votes for others.
+//! Leases for the roles that this node competes for, and its votes on lease requests of other nodes.
 
 use millrudder_clock::Instant;
 use millrudder_lease::{
@@ -10,20 +10,20 @@
 use super::{CoreNode, Output};
 use crate::{CoreMessage, Machine, Record};
 
-/// A change in the possession of a role.
+/// A lease was granted or lost.
 pub(super) struct LeaseChange {
     role: Role,
     event: HolderEvent,
 }
 
-/// What follows for one role from the passing of time.
+/// The result of polling the lease holder of one role.
 pub(super) struct PolledLease {
     change: Option<LeaseChange>,
-    /// To be sent to all voters.
+    /// Request to send to all voters.
     request: Option<LeaseRequest>,
 }
 
-/// Which leases a node may ask for.
+/// Which lease requests a node may send.
 #[derive(Clone, Copy)]
 pub(super) struct Eligibility {
     can_renew: bool,
@@ -35,12 +35,12 @@
 pub(super) struct Leases {
     voter: Voter,
     holders: Vec<Holder>,
-    /// The view whose voters are counted.
+    /// The view whose voters' grants are counted.
     entered: Option<View>,
 }
 
 impl Leases {
-    /// Continues with the voter's durable state; `random` gives each holder its seed.
+    /// Restores the voter from its durable state; each holder gets a seed from `random`.
     pub(super) fn new(
         config: &LeaseConfig,
         roles: &[Role],
@@ -52,7 +52,7 @@
         Leases { voter: Voter::new(config, state, now), holders: holders.collect(), entered: None }
     }
 
-    /// The disk has never been used, so that no earlier process can have voted.
+    /// Skips the voter's grace period. Only valid for a disk that was never used, as no earlier process can have voted.
     pub(super) fn skip_grace_period(&mut self) {
         self.voter.skip_grace_period();
     }
@@ -62,7 +62,7 @@
         self.voter.state()
     }
 
-    /// Token of a role, while it is held.
+    /// Fencing token of a role, while this node holds its lease.
     pub(super) fn fencing_token(&self, now: Instant, role: &Role) -> Option<FencingToken> {
         self.holders.iter().find(|holder| holder.role() == role)?.fencing_token(now)
     }
@@ -72,10 +72,11 @@
         self.holders.iter().filter_map(Holder::next_deadline).min()
     }
 
-    /// Counts grants of the voters of `view` from now on.
+    /// From now on, counts only grants by the voters of `view`.
     ///
-    /// Voters that stay the same remember to whom they have granted a role, so that no grace period is needed. This is
-    /// known only from one epoch to the next: in between others may have voted.
+    /// If the voters stay the same, they know to whom they have granted each role, and no grace period is needed. This
+    /// holds only if the new epoch directly follows the previous one: otherwise the voters of a skipped view, which may
+    /// have been different ones, may have granted leases.
     pub(super) fn enter_view(&mut self, now: Instant, view: &View) {
         let has_same_voters = self
             .entered
@@ -122,7 +123,7 @@
 }
 
 impl<M: Machine> CoreNode<M> {
-    /// Renews active leases, and claims others.
+    /// Renews held leases and requests those of the other roles.
     pub(super) fn poll_leases(&mut self, now: Instant) {
         let eligibility = self.lease_eligibility();
         for polled in self.leases.poll(now, eligibility) {
@@ -133,8 +134,8 @@
         }
     }
 
-    /// A role is claimed only by a node that has caught up: a member that has just returned would act on stale state. A
-    /// holder renews its lease while it catches up after a change of view.
+    /// Only a node that has caught up may claim a role: a member that has just rejoined would act on stale state. A
+    /// holder may renew its lease while it catches up after a view change.
     fn lease_eligibility(&self) -> Eligibility {
         let can_renew = self.agreement.is_voter() && !self.departures.is_leaving();
         Eligibility { can_renew, can_claim: can_renew && self.is_caught_up() }
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Releases every lease, so that others need not wait until it expires.
+    /// Releases every held lease, so that other nodes need not wait for its expiry.
     pub(super) fn release_leases(&mut self, now: Instant) {
         for release in self.leases.release_all(now) {
             let LeaseRelease { role, fencing_token } = release.clone();
--- a/coordination/chain/src/node/messages.rs
+++ b/coordination/chain/src/node/messages.rs
@@ -9,7 +9,7 @@
 
 impl<M: Machine> CoreNode<M> {
     pub(super) fn handle_message(&mut self, now: Instant, from: NodeId, message: CoreMessage) {
-        // As if it were lost: it is sent again.
+        // Drop the message; the sender retransmits it, as it would a lost one.
         if self.outbox.is_full() && adds_records(&message) {
             return;
         }
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Messages that count only within the epoch in which they were sent.
+    /// Handles messages that are valid only in the epoch in which they were sent.
     fn handle_epoch_message(&mut self, now: Instant, from: NodeId, message: CoreMessage) {
         if message.epoch() != Some(self.agreement.epoch()) || self.agreement.epoch() == Epoch::NONE {
             return;
@@ -55,7 +55,7 @@
                 self.handle_lease_request(now, from, epoch, &request)
             }
             CoreMessage::LeaseAnswer { answer, .. } => self.handle_lease_answer(now, from, &answer),
-            // Handled by `handle_message`, as they count in any epoch.
+            // Handled by `handle_message`, as they are valid in any epoch.
             CoreMessage::Heartbeat(_)
             | CoreMessage::View(_)
             | CoreMessage::Submit { .. }
@@ -72,7 +72,7 @@
     }
 }
 
-/// Whether handling a message may issue records.
+/// Whether handling the message may issue records to the disk.
 fn adds_records(message: &CoreMessage) -> bool {
     matches!(
         message,
--- a/coordination/chain/src/node/mod.rs
+++ b/coordination/chain/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The core node: one state machine that routes inputs to its parts.
+//! The core node: a sans-I/O state machine that dispatches inputs to its components.
 
 mod catch_up;
 mod contact;
@@ -37,24 +37,24 @@
 /// Why a node cannot start.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StartError {
-    /// The configuration is not usable.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The state on disk is not usable.
+    /// The durable state cannot be restored.
     #[error(transparent)]
     Restore(#[from] RestoreError),
 }
 
-/// What waits for a node's disk.
+/// Number of items that wait for a node's disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskBacklog {
-    /// Records that were issued and are not durable.
+    /// Records issued but not yet durable.
     pub records: u64,
-    /// Messages and other effects that rest on records.
+    /// Messages and other effects deferred until earlier records are durable.
     pub effects: usize,
 }
 
-/// A member of the core, or a node that wants to be one. See the [crate documentation](crate).
+/// A member of the core, or a node that can be admitted as one. See the [crate documentation](crate).
 ///
 /// Instants are readings of the node's steady clock, in whole microseconds: messages carry nothing finer.
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
     outbox: Outbox<M>,
     disk_lag: DiskLag,
     next_heartbeat: Instant,
-    /// When the next voter that is heard now becomes suspect unless it is heard again.
+    /// When the next voter becomes suspect unless another heartbeat arrives from it.
     next_detector_timeout: Option<Instant>,
 }
 
@@ -107,7 +107,7 @@
         Ok(node)
     }
 
-    /// The order in which parts draw from `random` decides what a seed does; it must not change.
+    /// The order in which components draw from `random` must not change: the behaviour for a given seed depends on it.
     fn restore(
         config: CoreConfig,
         state: DurableState,
@@ -145,7 +145,7 @@
         })
     }
 
-    /// Identity of this node's disk. To be passed on to others only once the first record is durable.
+    /// Identity of this node's disk. Must not be announced to other nodes before the first record is durable.
     pub fn id(&self) -> NodeId {
         self.id
     }
@@ -170,7 +170,7 @@
         self.is_member() && self.replica.is_caught_up()
     }
 
-    /// The committed state as far as this node has it; for a linearizable read wait for [`Output::ReadReady`].
+    /// The committed state as far as this node has applied it; for a linearizable read, wait for [`Output::ReadReady`].
     pub fn machine(&self) -> &M {
         self.replica.store().machine()
     }
@@ -180,7 +180,7 @@
         self.replica.committed()
     }
 
-    /// Address of a node, as far as it is known.
+    /// Address of a node, if known.
     pub fn address(&self, id: NodeId) -> Option<&str> {
         self.peers.address(id).or_else(|| self.view()?.address(id))
     }
@@ -190,7 +190,7 @@
         self.leases.fencing_token(now, role)
     }
 
-    /// What waits for this node's disk.
+    /// Number of items that wait for this node's disk.
     pub fn disk_backlog(&self) -> DiskBacklog {
         let records = self.outbox.issued().0 - self.outbox.durable().0;
         DiskBacklog { records, effects: self.outbox.deferred() }
@@ -207,7 +207,7 @@
         deadlines.into_iter().flatten().fold(self.next_heartbeat, Instant::min)
     }
 
-    /// The next output of the inputs handled so far.
+    /// Removes and returns the next output.
     pub fn next_output(&mut self) -> Option<Output<M::Command, M::Reply>> {
         self.outbox.pop()
     }
@@ -249,7 +249,7 @@
         self.poll_leases(now);
     }
 
-    /// Carries out the effects that need not wait for the disk, until nothing more follows.
+    /// Runs every effect that need not wait for the disk, including effects that these cause.
     fn run_effects(&mut self, now: Instant) {
         loop {
             self.take_replica_outputs();
@@ -275,7 +275,7 @@
         self.outbox.defer(Effect::Send { to, message });
     }
 
-    /// Sends a message that rests on no record of this node.
+    /// Sends a message that does not depend on any record being durable, except that of the node's identity.
     fn send_immediately(&mut self, to: NodeId, message: CoreMessage) {
         self.outbox.send_immediately(to, message);
     }
@@ -294,7 +294,8 @@
         }
     }
 
-    /// One checkpoint at a time: further ones would wait for the same disk, and each holds the whole state.
+    /// Starts a checkpoint if one is due. Only one is pending at a time, since each holds a copy of the whole state in
+    /// memory while it waits for the disk.
     fn checkpoint_if_due(&mut self) {
         let is_due = self.outbox.bytes_since_checkpoint() >= self.config.checkpoint_bytes;
         if !is_due || self.outbox.is_checkpoint_pending() {
@@ -305,7 +306,7 @@
         self.outbox.push(Output::Checkpoint { token, state });
     }
 
-    /// The durable state once every issued record is durable.
+    /// What the durable state will be once every issued record is durable.
     pub fn durable_state(&self) -> DurableState {
         let store = self.replica.store();
         DurableState {
@@ -325,12 +326,12 @@
         self.agreement.view().into_iter().flat_map(View::voter_ids).collect()
     }
 
-    /// Whether this node may confirm that the present view is current: it votes, and has accepted no next view.
+    /// Whether this node may confirm that its view is current: it is a voter and has accepted no next view.
     fn confirms_epoch(&self) -> bool {
         self.agreement.is_voter() && !self.agreement.has_accepted_next_view()
     }
 
-    /// Epoch of the present view.
+    /// Epoch of the current view.
     pub fn epoch(&self) -> Epoch {
         self.agreement.epoch()
     }
--- a/coordination/chain/src/node/outbox.rs
+++ b/coordination/chain/src/node/outbox.rs
@@ -1,4 +1,4 @@
-//! Outputs of a node, and the rule that nothing that rests on records leaves before they are durable.
+//! Outputs of a node. Enforces that an effect that depends on records happens only after they are durable.
 
 use std::collections::VecDeque;
 
@@ -9,22 +9,24 @@
 use crate::replica::DurableWatermark;
 use crate::{CoreMessage, Machine, Record};
 
-/// A disk behind which so many records wait has stalled. What a peer may have under way to this node, one mebibyte, makes
-/// fewer, however small its commands are.
+/// Number of pending records from which the disk counts as stalled, and messages that would add records are dropped.
+///
+/// A peer may have one mebibyte in flight to this node, which amounts to fewer records however small its commands are.
 const MAX_PENDING_RECORDS: u64 = 1 << 15;
 
-/// What happens once earlier records are durable.
+/// An action that is run once all earlier records are durable.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Effect {
-    /// A message leaves.
+    /// Sends a message.
     Send { to: NodeId, message: CoreMessage },
-    /// The replica learns that its records are durable.
+    /// Notifies the replica that its records are durable.
     Watermark(DurableWatermark),
 }
 
 impl Effect {
-    /// Whether an earlier effect is of no use any more. A heartbeat says all that an earlier one to the same peer said. An
-    /// answer to a candidate or holder counts only for its newest request, which this one answers.
+    /// Whether this effect makes an earlier one obsolete. A heartbeat replaces an earlier one to the same peer, as it
+    /// repeats all of its fields. A lease answer replaces an earlier one for the same role to the same node, which
+    /// considers only answers to its newest request.
     fn supersedes(&self, earlier: &Effect) -> bool {
         let (Effect::Send { to, message }, Effect::Send { to: earlier_to, message: earlier }) =
             (self, earlier)
@@ -53,14 +55,14 @@
 pub(super) struct Outbox<M: Machine> {
     outputs: VecDeque<Output<M::Command, M::Reply>>,
     deferred: VecDeque<DeferredEffect>,
-    /// Messages that rest on no record but that of the identity.
+    /// Messages that depend on no record except that of the identity.
     immediate: VecDeque<Effect>,
-    /// The record of the identity, if this process has drawn it.
+    /// Token of the identity record if this process generated the identity; zero otherwise.
     identity_token: PersistToken,
     issued: PersistToken,
     durable: PersistToken,
     bytes_since_checkpoint: usize,
-    /// The newest record when the last checkpoint was issued.
+    /// The newest record contained in the last checkpoint issued.
     last_checkpoint: PersistToken,
 }
 
@@ -94,7 +96,7 @@
         self.outputs.push_back(Output::Persist { token: self.issued, record });
     }
 
-    /// Issues the record of an identity that was just drawn: no message leaves before it is durable.
+    /// Issues the record of a newly generated identity. No message is sent before it is durable.
     pub(super) fn persist_identity(&mut self, id: NodeId) {
         self.persist(Record::Identity { id });
         self.identity_token = self.issued;
@@ -110,12 +112,12 @@
         self.durable
     }
 
-    /// Whether so many records wait for the disk that no message may add another.
+    /// Whether [`MAX_PENDING_RECORDS`] is reached, so that no message may add another record.
     pub(super) fn is_full(&self) -> bool {
         self.issued.0 - self.durable.0 >= MAX_PENDING_RECORDS
     }
 
-    /// Effects that wait for the disk.
+    /// Number of effects that wait for the disk.
     pub(super) fn deferred(&self) -> usize {
         self.deferred.len()
     }
@@ -124,12 +126,12 @@
         self.bytes_since_checkpoint
     }
 
-    /// Whether the disk has not taken the records before the last checkpoint yet.
+    /// Whether the last checkpoint issued is not durable yet.
     pub(super) fn is_checkpoint_pending(&self) -> bool {
         self.last_checkpoint > self.durable
     }
 
-    /// A checkpoint of all that was issued follows. Returns the newest record that it contains.
+    /// Begins a checkpoint of everything issued so far. Returns the newest record that it contains.
     pub(super) fn start_checkpoint(&mut self) -> PersistToken {
         self.bytes_since_checkpoint = 0;
         self.last_checkpoint = self.issued;
@@ -138,8 +140,8 @@
 
     /// Defers `effect` until everything issued so far is durable.
     ///
-    /// Effects that a later one makes useless are dropped, and a message that waits already is not added again, so that a
-    /// stalled disk piles up neither stale answers nor repeated messages.
+    /// Drops effects that this one supersedes, and ignores an effect that is already queued, so that neither stale
+    /// answers nor duplicate messages accumulate while the disk is stalled.
     pub(super) fn defer(&mut self, effect: Effect) {
         self.deferred.retain(|deferred| !effect.supersedes(&deferred.effect));
         if self.deferred.iter().any(|deferred| deferred.effect == effect) {
@@ -148,8 +150,8 @@
         self.deferred.push_back(DeferredEffect { after: self.issued, effect });
     }
 
-    /// Sends a message without waiting for the disk, since it says nothing that a crash could make untrue. A slow disk
-    /// must not delay those who ask whether the view is current.
+    /// Sends a message without waiting for the disk. Only for messages that stay true after a crash of this node.
+    /// Without this, a slow disk would delay nodes that ask whether the view is current.
     pub(super) fn send_immediately(&mut self, to: NodeId, message: CoreMessage) {
         self.immediate.push_back(Effect::Send { to, message });
     }
@@ -159,7 +161,7 @@
         self.durable = token.min(self.issued).max(self.durable);
     }
 
-    /// The next effect that need not wait any more.
+    /// Removes and returns the next effect that does not have to wait for the disk.
     pub(super) fn next_effect(&mut self) -> Option<Effect> {
         if self.identity_token <= self.durable {
             if let Some(effect) = self.immediate.pop_front() {
--- a/coordination/chain/src/node/output.rs
+++ b/coordination/chain/src/node/output.rs
@@ -5,11 +5,11 @@
 
 use crate::{CoreMessage, DurableState, Record, RequestId, Sequence};
 
-/// Number of an issued record; a higher one is issued later.
+/// Number of an issued record; numbers increase in the order of issue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersistToken(pub u64);
 
-/// What a [`CoreNode`](crate::CoreNode) asks of its embedder.
+/// An action or notification for the embedder of a [`CoreNode`](crate::CoreNode).
 #[derive(Clone, Debug)]
 pub enum Output<Command, Reply> {
     /// Send a message; it may be lost, delayed or duplicated.
@@ -27,14 +27,14 @@
         /// The record.
         record: Record,
     },
-    /// Replace the journal up to and including the record of `token` by this state.
+    /// Replace the journal, up to and including the record of `token`, with this state.
     Checkpoint {
-        /// The newest record that is contained.
+        /// The newest record contained in `state`.
         token: PersistToken,
         /// The state.
         state: Box<DurableState>,
     },
-    /// A command was committed; given in order at every node that follows the state.
+    /// A command was committed; delivered in order at every node that replicates the state.
     Committed {
         /// Index in the replicated order.
         sequence: Sequence,
@@ -45,9 +45,9 @@
         /// Its result.
         reply: Reply,
     },
-    /// The whole state was replaced by a snapshot from a peer.
+    /// The whole state was replaced with a snapshot from a peer.
     SnapshotInstalled {
-        /// The last command that is contained.
+        /// The last command contained in the snapshot.
         sequence: Sequence,
     },
     /// The reply to a command submitted here.
@@ -57,7 +57,7 @@
         /// The reply.
         reply: Reply,
     },
-    /// A read sees what it must in [`CoreNode::machine`](crate::CoreNode::machine).
+    /// A read may now be served from [`CoreNode::machine`](crate::CoreNode::machine).
     ReadReady {
         /// Identity of the request.
         request_id: RequestId,
@@ -71,7 +71,7 @@
         /// Token of the lease.
         fencing_token: FencingToken,
     },
-    /// This node must not exercise a role any more.
+    /// This node no longer holds a role and must not act in it.
     LeaseLost {
         /// The role.
         role: Role,
--- a/coordination/chain/src/node/peers.rs
+++ b/coordination/chain/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Peers of a node: heartbeats, addresses, and the bootstrap of the first view.
+//! Known peers: their heartbeats and addresses, and the bootstrap of the first view.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,18 +9,18 @@
 use super::CoreNode;
 use crate::{CoreMessage, Heartbeat, Machine};
 
-/// A peer outside the view that is not seen for so long is removed; it makes itself known when it returns.
+/// A peer that is no voter is removed when it was not seen for this long; it announces itself when it returns.
 const PEER_EXPIRY: Duration = Duration::from_secs(60);
 
-/// What a peer last said of itself.
+/// Status of a peer, from its last heartbeat.
 #[derive(Clone, Debug)]
 struct PeerStatus {
     address: String,
-    /// The peers whose heartbeats arrive at it.
+    /// The nodes from which the peer receives heartbeats.
     receives_from: Vec<NodeId>,
-    /// The epoch in which it said that it has caught up with its predecessor.
+    /// The epoch in which the peer reported that it has caught up with its predecessor.
     caught_up_in: Option<Epoch>,
-    /// The epoch in which it said that it holds every command that was committed before.
+    /// The epoch in which the peer reported that it holds every command committed in earlier views.
     complete_in: Option<Epoch>,
     is_disk_lagging: bool,
     last_seen: Instant,
@@ -50,27 +50,27 @@
         self.peers.iter().map(|(id, peer)| Member { id: *id, address: peer.address.clone() })
     }
 
-    /// Whether a peer has said that it has caught up in `epoch`.
+    /// Whether a peer has reported that it has caught up in `epoch`.
     pub(super) fn is_caught_up_in(&self, id: NodeId, epoch: Epoch) -> bool {
         self.peers.get(&id).is_some_and(|peer| peer.caught_up_in == Some(epoch))
     }
 
-    /// Whether a peer has said that it is complete in `epoch`.
+    /// Whether a peer has reported that it is complete in `epoch`.
     pub(super) fn is_complete_in(&self, id: NodeId, epoch: Epoch) -> bool {
         self.peers.get(&id).is_some_and(|peer| peer.complete_in == Some(epoch))
     }
 
-    /// Whether a peer has said that its disk is too slow for a member.
+    /// Whether a peer has reported that its disk is too slow for a member.
     pub(super) fn is_disk_lagging(&self, id: NodeId) -> bool {
         self.peers.get(&id).is_some_and(|peer| peer.is_disk_lagging)
     }
 
-    /// Whether `from` has said that heartbeats of `to` arrive at it.
+    /// Whether `from` has reported that it receives heartbeats from `to`.
     pub(super) fn receives_from(&self, from: NodeId, to: NodeId) -> bool {
         self.peers.get(&from).is_some_and(|peer| peer.receives_from.contains(&to))
     }
 
-    /// Notes that a peer answers at an address. Returns whether it is new.
+    /// Records the address at which a peer was reached. Returns whether the peer is new.
     fn observe(&mut self, now: Instant, id: NodeId, address: String) -> bool {
         let is_new = !self.contains(id);
         let peer = self.peers.entry(id).or_insert_with(|| PeerStatus {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Removes peers that were not seen for a long time, but for those to `retain`.
+    /// Removes peers not seen for [`PEER_EXPIRY`], except those for which `retain` returns true.
     fn remove_stale(&mut self, now: Instant, retain: impl Fn(NodeId) -> bool) {
         self.peers.retain(|id, peer| retain(*id) || now - peer.last_seen < PEER_EXPIRY);
     }
@@ -103,7 +103,7 @@
 
 impl<M: Machine> CoreNode<M> {
     pub(super) fn handle_peer_seen(&mut self, now: Instant, id: NodeId, address: String) {
-        // An earlier disk of this machine may still be known to others under this node's address.
+        // Ignore this node itself, and an earlier disk of this machine that other nodes still list at this address.
         if id == self.id || address == self.config.address {
             return;
         }
@@ -124,15 +124,15 @@
         self.apply_agreement_step(now, step);
     }
 
-    /// Sends a heartbeat to everybody, whether or not the disk keeps up.
+    /// Sends a heartbeat to every voter and known peer, usually without waiting for the disk.
     pub(super) fn send_heartbeats(&mut self, now: Instant) {
         for id in self.heartbeat_targets() {
             self.send_heartbeat(now, id);
         }
     }
 
-    /// Announces a view that was just entered by heartbeats, once it is recorded: the others have learned of it then,
-    /// too, and count what is said within it.
+    /// Announces the view just entered, by heartbeats that are deferred until its record is durable. By then the other
+    /// nodes have learned of the view as well, and accept messages of its epoch.
     pub(super) fn announce_view(&mut self, now: Instant) {
         for id in self.heartbeat_targets() {
             let heartbeat = self.heartbeat(now);
@@ -149,7 +149,8 @@
         targets
     }
 
-    /// While the log on disk is being replaced, what a heartbeat says could be untrue after a crash, so that it waits.
+    /// While the log on disk is being replaced, a crash could invalidate the contents of a heartbeat; it is then
+    /// deferred until all issued records are durable.
     fn send_heartbeat(&mut self, now: Instant, to: NodeId) {
         let heartbeat = CoreMessage::Heartbeat(self.heartbeat(now));
         match self.replica.durable_end() {
@@ -189,7 +190,8 @@
         self.compare_epochs(now, from, &heartbeat);
     }
 
-    /// Brings whoever knows the older view up to date; in the same view the heartbeat acknowledges the sender's log.
+    /// Sends the newer view to whichever side has the older one. In the same view, the heartbeat acts as an
+    /// acknowledgement of the sender's log.
     fn compare_epochs(&mut self, now: Instant, from: NodeId, heartbeat: &Heartbeat) {
         let epoch = self.agreement.epoch();
         if heartbeat.epoch < epoch {
--- a/coordination/chain/src/node/requests.rs
+++ b/coordination/chain/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Commands and reads submitted at this node, and the tail's part in reads.
+//! Commands and reads submitted at this node, and the confirmation of reads at the tail.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,33 +12,33 @@
 use crate::store::Applied;
 use crate::{CoreMessage, Machine, NodeId, RequestId, Sequence};
 
-/// A command submitted here that has no reply yet.
+/// A command submitted at this node that has no reply yet.
 #[derive(Clone, Debug)]
 struct PendingSubmit {
     command: Vec<u8>,
     sent_at: Instant,
 }
 
-/// A read submitted here that is not ready yet.
+/// A read submitted at this node that cannot be served yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingRead {
     read_index: Option<Sequence>,
     sent_at: Instant,
 }
 
-/// An encoded command that is to be sent again.
+/// An encoded command to be resent.
 pub(super) struct SubmitRetry {
     request_id: RequestId,
     command: Vec<u8>,
 }
 
-/// Requests that are to be sent again.
+/// Requests to be resent.
 pub(super) struct Retries {
     submits: Vec<SubmitRetry>,
     reads: Vec<RequestId>,
 }
 
-/// Commands and reads submitted here until they are answered.
+/// Unanswered commands and reads that were submitted at this node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingRequests {
     submits: BTreeMap<RequestId, PendingSubmit>,
@@ -59,7 +59,7 @@
         self.reads.remove(&request_id);
     }
 
-    /// Removes a command that has its reply. Returns whether it was pending.
+    /// Removes a command whose reply is known. Returns whether it was pending.
     fn complete_submit(&mut self, request_id: RequestId) -> bool {
         self.submits.remove(&request_id).is_some()
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Removes the reads whose read index is applied.
+    /// Removes and returns the reads whose read index is applied.
     fn take_ready_reads(&mut self, committed: Sequence) -> Vec<RequestId> {
         let is_ready = |read: &PendingRead| read.read_index.is_some_and(|index| index <= committed);
         let ready: Vec<RequestId> =
@@ -81,7 +81,7 @@
         ready
     }
 
-    /// Unanswered requests that were last sent `retry_after` ago or earlier; they count as sent now.
+    /// Returns the unanswered requests last sent at least `retry_after` ago, and marks them as sent now.
     fn take_retries(&mut self, now: Instant, retry_after: Duration) -> Retries {
         let is_due = |sent_at: Instant| now - sent_at >= retry_after;
         let mut submits = Vec::new();
@@ -117,14 +117,14 @@
         self.requests.abandon(request_id);
     }
 
-    /// Sends again what has not been answered for a while.
+    /// Resends requests and read confirmations that have not been answered in time.
     pub(super) fn retry_requests(&mut self, now: Instant) {
         let retries = self.requests.take_retries(now, self.config.retry_after);
         self.resend(now, retries);
         self.request_confirmation();
     }
 
-    /// Sends everything that is not answered to the head and tail of a new view.
+    /// Resends every unanswered request to the head or tail of a new view.
     pub(super) fn restart_requests(&mut self, now: Instant) {
         self.read_confirmations.reset();
         let retries = self.requests.take_retries(now, Duration::ZERO);
@@ -142,7 +142,7 @@
 
     fn send_to_head(&mut self, now: Instant, request_id: RequestId, command: Vec<u8>) {
         match self.agreement.view().and_then(|view| view.head()) {
-            // It is submitted again once the disk goes on.
+            // The disk has stalled; the retry timer submits the command again.
             Some(head) if head == self.id && self.outbox.is_full() => {}
             Some(head) if head == self.id => {
                 self.replica.submit(now, self.id, request_id, command);
@@ -176,7 +176,7 @@
         }
     }
 
-    /// A read arrived at the tail.
+    /// Handles a request for a read index; only the tail answers it.
     pub(super) fn handle_read_index(&mut self, request: ReadIndexRequest) {
         if self.replica.is_tail() && self.replica.is_caught_up() {
             self.read_confirmations.add(request);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Asks the voters, this node included, whether the epoch is current.
+    /// Asks all voters, including this node if it is one, whether the epoch is current.
     fn request_confirmation(&mut self) {
         let Some(attempt) = self.read_confirmations.in_flight() else {
             return;
@@ -225,7 +225,7 @@
         self.requests.set_read_index(request_id, sequence);
     }
 
-    /// Reports the reads whose commands this node has applied.
+    /// Reports the reads whose read index this node has applied.
     pub(super) fn report_ready_reads(&mut self) {
         for request_id in self.requests.take_ready_reads(self.replica.committed()) {
             self.outbox.push(Output::ReadReady { request_id });
--- a/coordination/chain/src/node/target_view.rs
+++ b/coordination/chain/src/node/target_view.rs
@@ -1,9 +1,9 @@
-//! What the next view should be: who votes, and who holds the state.
+//! Computes the view to propose next: its voters, and its members, which hold the replicated state.
 //!
-//! Voters change one at a time, and only by a replacement for one that is unreachable or departs, or by one more until
-//! the configured number is reached: the loss of a machine alone takes nobody's vote, nor does its decommissioning, since
-//! the next loss would then end the core. Members are the voters that are reachable. One that departs stays a member
-//! until enough others hold the state.
+//! At most one voter changes per view. A node becomes a voter either in place of one that is unreachable or to be
+//! replaced, or in addition while there are fewer than the configured number. Neither the failure of a machine nor its
+//! decommissioning alone removes a vote, since the next failure could then cost the core its majority. Members are the
+//! reachable voters. A departing node stays a member until enough others hold the state.
 
 use millrudder_clock::Instant;
 use millrudder_view::{Member, NodeId, TargetView, View};
@@ -11,11 +11,11 @@
 use super::CoreNode;
 use crate::Machine;
 
-/// A learner may be so many commands behind when it is admitted; the chain brings it up.
+/// A learner may be at most this many commands behind when it is admitted; it gets the rest through the chain.
 const MAX_ADMISSIBLE_LAG_COMMANDS: u64 = 64;
 
 impl<M: Machine> CoreNode<M> {
-    /// The view that this node would propose, which is the present one while no majority of voters is reachable.
+    /// The view that this node would propose: the current one while no majority of the voters is reachable.
     pub(super) fn target_view(&self, now: Instant, view: &View) -> TargetView {
         let reachable = view.voters.iter().filter(|voter| !self.is_unreachable(now, voter.id)).count();
         if reachable < view.majority() {
@@ -29,18 +29,18 @@
         self.with_completeness(view.voters.clone(), members)
     }
 
-    /// Whether a node is not heard, or does not hear this one.
+    /// Whether heartbeats are missing between this node and another one, in either direction.
     pub(super) fn is_unreachable(&self, now: Instant, id: NodeId) -> bool {
         id != self.id && self.detector.is_unreachable(now, id)
     }
 
-    /// Whether a node shuts down or is decommissioned.
+    /// Whether a node is shutting down or decommissioned.
     pub(super) fn is_departing(&self, id: NodeId) -> bool {
         let leaving = if id == self.id { self.departures.is_leaving() } else { self.detector.is_leaving(id) };
         leaving || self.departures.is_decommissioned(id)
     }
 
-    /// Whether a node should be no member where another can be: it departs, or its disk does not keep up.
+    /// Whether another node should replace this one as a member: it is departing, or its disk is too slow.
     fn should_be_replaced(&self, now: Instant, id: NodeId) -> bool {
         let lagging = match id == self.id {
             true => self.disk_lag.is_lagging(now),
@@ -49,7 +49,7 @@
         lagging || self.is_departing(id)
     }
 
-    /// Whether a member has said, within the present epoch, that it has caught up with its predecessor.
+    /// Whether a member has reported, in the current epoch, that it has caught up with its predecessor.
     pub(super) fn is_caught_up_member(&self, id: NodeId) -> bool {
         if id == self.id {
             return self.replica.is_caught_up();
@@ -57,7 +57,8 @@
         self.peers.is_caught_up_in(id, self.agreement.epoch())
     }
 
-    /// The members that are reachable, without those to be replaced as far as enough others hold the state.
+    /// The reachable members of the view. Those to be replaced are left out, last first, as long as `minimum_members`
+    /// remain; all are kept until every member that is not to be replaced has caught up.
     fn retained_members(&self, now: Instant, view: &View) -> Vec<Member> {
         let is_reachable = |member: &&Member| !self.is_unreachable(now, member.id);
         let mut members: Vec<Member> = view.members.iter().filter(is_reachable).cloned().collect();
@@ -73,8 +74,8 @@
         members
     }
 
-    /// Adds reachable voters, however far behind, where too few members are left to hold the state; those to be replaced
-    /// only if nobody else is left.
+    /// Adds reachable voters, however far behind, while there are fewer than `minimum_members`. Voters to be replaced
+    /// are added only after all others.
     fn add_needed_voters(&self, now: Instant, view: &View, members: &mut Vec<Member>) {
         let outside = view.voters.iter().filter(|voter| !view.contains(voter.id));
         let reachable = outside.filter(|voter| !self.is_unreachable(now, voter.id));
@@ -88,8 +89,9 @@
         }
     }
 
-    /// A node that can become a member: a voter first, else one that can also take over a vote. Where too few would hold
-    /// the state it may be any number of commands behind, as it is brought up before the view changes.
+    /// A node that can become a member: preferably a voter, otherwise a node that can also take over a vote. If there
+    /// are fewer than `minimum_members`, it may be any number of commands behind, as it catches up before the view
+    /// change.
     fn joining_node(&self, now: Instant, view: &View, members: &[Member]) -> Option<Member> {
         let outside =
             self.peers.as_members().filter(|peer| !members.iter().any(|member| member.id == peer.id));
@@ -129,14 +131,14 @@
         self.with_completeness(voters, members)
     }
 
-    /// The target with what is known of the completeness of its members.
+    /// The target view, with those of its members that are known to be complete.
     fn with_completeness(&self, voters: Vec<Member>, members: Vec<Member>) -> TargetView {
         let complete = members.iter().map(|member| member.id).filter(|id| self.is_complete(*id));
         let complete = complete.collect();
         TargetView { complete, ..TargetView::new(voters, members) }
     }
 
-    /// Voters that are unreachable or to be replaced, and are to be no members.
+    /// Voters outside `members` that are unreachable or to be replaced.
     fn replaceable_voters(&self, now: Instant, view: &View, members: &[Member]) -> Vec<Member> {
         let outside = view.voters.iter().filter(|voter| !members.contains(voter));
         let replaceable = outside
@@ -144,7 +146,7 @@
         replaceable.cloned().collect()
     }
 
-    /// Whether a learner is so little behind that the chain can bring it up.
+    /// Whether a learner is at most [`MAX_ADMISSIBLE_LAG_COMMANDS`] behind, so that it can catch up within the chain.
     fn is_nearly_caught_up(&self, learner: NodeId) -> bool {
         self.replica.learner_lag(learner).is_some_and(|lag| lag <= MAX_ADMISSIBLE_LAG_COMMANDS)
     }
@@ -154,7 +156,7 @@
         is_suitable && self.is_connected(learner, members)
     }
 
-    /// Whether a node and each of `members` have said that they hear each other.
+    /// Whether a node and each of `members` have reported that they receive each other's heartbeats.
     fn is_connected(&self, id: NodeId, members: &[Member]) -> bool {
         let mut others = members.iter().map(|member| member.id).filter(|other| *other != self.id);
         others.all(|other| self.peers.receives_from(other, id) && self.peers.receives_from(id, other))
--- a/coordination/chain/src/node/view_change.rs
+++ b/coordination/chain/src/node/view_change.rs
@@ -1,4 +1,4 @@
-//! When a node proposes another view, and what it does when one is decided.
+//! Decides when this node proposes another view, and enters views once they are decided.
 
 use std::time::Duration;
 
@@ -8,32 +8,32 @@
 use super::{CoreNode, Output};
 use crate::{CoreMessage, Machine, Record};
 
-/// The member at index `n` of the target waits `n` times so long before its first proposal, so that proposals rarely
-/// collide.
+/// The member at index `n` of the target waits `n` times this long before its first proposal, so that proposals of
+/// different members rarely collide.
 const PROPOSAL_STAGGER: Duration = Duration::from_millis(60);
 /// Lower bound of the first backoff before the next attempt of the same node.
 const MIN_INITIAL_BACKOFF: Duration = Duration::from_millis(150);
 /// Upper bound of the first backoff (exclusive).
 const MAX_INITIAL_BACKOFF: Duration = Duration::from_millis(400);
-/// The backoff doubles so often at most. An attempt aborts the one before: voters with slow disks need time for both
-/// phases.
+/// Upper bound on the number of doublings of the backoff. It grows because an attempt aborts the previous one, and
+/// voters with slow disks need time for both phases.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// Interval between two checks whether the nodes that are brought up are complete.
+/// Interval between checks whether the nodes that are catching up before the view change are complete.
 const CATCH_UP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// When the next attempt to change the view is due, with a random backoff between attempts.
+/// Schedules attempts to change the view, with a random backoff between them.
 #[derive(Clone, Debug)]
 pub(super) struct ProposalTimer {
     due: Option<Instant>,
-    /// When the unanswered messages of the present attempt are sent again.
+    /// When the unanswered messages of the current attempt are resent.
     retransmission_due: Option<Instant>,
-    /// Attempts since the view last changed, as far as they lengthen the backoff.
+    /// Attempts since the last reset, capped at [`MAX_BACKOFF_DOUBLINGS`]; the exponent of the backoff.
     attempts: u32,
     random: fastrand::Rng,
 }
 
 impl ProposalTimer {
-    /// Nothing is due.
+    /// A timer with nothing due.
     pub(super) fn new(random: fastrand::Rng) -> ProposalTimer {
         ProposalTimer { due: None, retransmission_due: None, attempts: 0, random }
     }
@@ -43,7 +43,7 @@
         self.due.into_iter().chain(self.retransmission_due).min()
     }
 
-    /// The view is as it should be, or has changed.
+    /// Clears the timer, because the view matches the target or has changed.
     fn reset(&mut self) {
         self.due = None;
         self.retransmission_due = None;
@@ -61,8 +61,8 @@
         }
     }
 
-    /// An attempt starts now; those that fail follow each other less and less often. What is not answered within it is
-    /// sent again after `retry_after`.
+    /// Records the start of an attempt and schedules the next one after a backoff that doubles with each attempt.
+    /// Unanswered messages of this attempt are resent every `retry_after`.
     fn start_attempt(&mut self, now: Instant, retry_after: Duration) {
         let range = MIN_INITIAL_BACKOFF.as_micros() as u64..MAX_INITIAL_BACKOFF.as_micros() as u64;
         let backoff = Duration::from_micros(self.random.u64(range) << self.attempts);
@@ -71,7 +71,7 @@
         self.retransmission_due = Some(now + retry_after);
     }
 
-    /// Whether a retransmission is due, which starts the time to the next one anew.
+    /// Whether a retransmission is due; if so, schedules the next one.
     fn take_retransmission(&mut self, now: Instant, retry_after: Duration) -> bool {
         let is_due = self.retransmission_due.is_some_and(|due| now >= due);
         if is_due {
@@ -80,7 +80,7 @@
         is_due
     }
 
-    /// The attempt has to wait for nodes that are brought up.
+    /// Postpones the attempt, because nodes have to catch up first.
     fn defer_attempt(&mut self, now: Instant) {
         self.due = Some(now + CATCH_UP_CHECK_INTERVAL);
         self.retransmission_due = None;
@@ -88,7 +88,7 @@
 }
 
 impl<M: Machine> CoreNode<M> {
-    /// Carries out a step of the agreement on views, and enters a newer view if one was decided.
+    /// Issues the record and messages of a step of the view agreement, and enters a newer view if one was decided.
     pub(super) fn apply_agreement_step(&mut self, now: Instant, step: Step) {
         if let Some(record) = step.record {
             self.outbox.persist(Record::View(record));
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes part in the newest decided view.
+    /// Starts to operate in the newest decided view.
     pub(super) fn enter_view(&mut self, now: Instant) {
         let Some(view) = self.agreement.view().cloned() else {
             return;
@@ -144,7 +144,8 @@
         self.catch_up_before_view_change(now, &target);
     }
 
-    /// A lost message must not cost the whole attempt, as each one that fails makes the next one wait longer.
+    /// Resends unanswered messages, so that one lost message does not fail the whole attempt: each failed attempt
+    /// delays the next one further.
     fn retransmit_if_due(&mut self, now: Instant) {
         if self.proposals.take_retransmission(now, self.config.retry_after) {
             let step = self.agreement.retransmit();
@@ -152,7 +153,8 @@
         }
     }
 
-    /// Nodes that are to be removed propose last.
+    /// Delay before the first proposal: by index among the target's members. Nodes that are not in the target come
+    /// last.
     fn initial_proposal_delay(&self, target: &TargetView) -> Duration {
         let index = target.members.iter().position(|member| member.id == self.id);
         PROPOSAL_STAGGER * index.unwrap_or(target.members.len()) as u32
--- a/coordination/chain/src/quorum_contact.rs
+++ b/coordination/chain/src/quorum_contact.rs
@@ -1,11 +1,12 @@
-//! Contact with a quorum, proven by round trips: how old what this node knows can be at most.
+//! Quorum contact, proven by round trips: an upper bound on the age of the view and state that this node knows.
 //!
-//! Each heartbeat carries the sender's time, and echoes the newest such time that the sender has from each peer. A
-//! heartbeat that echoes an own time `t` was therefore made after `t`, and what it says was true at some moment after
-//! `t`. Once a majority of the voters has confirmed that it had accepted no later view, no later view was decided before
-//! the oldest of these times. Once the tail has said how far the order is committed, a node that has applied that much
-//! lacks no command committed before. Messages that are late, or that pass in one direction only, prove nothing, and a
-//! process that was paused finds its proofs expired.
+//! Each heartbeat carries the sender's timestamp, and echoes the newest timestamp that the sender has received from
+//! each peer. A heartbeat that echoes this node's timestamp `t` was therefore created after `t`, and its contents were
+//! true at some moment after `t`. Once a majority of the voters has confirmed that it had accepted no later view, no
+//! later view was decided before the oldest of the echoed timestamps. Once the tail has reported its commit point, a
+//! node that has applied the commands up to it lacks no command committed before the echoed timestamp. Late messages
+//! renew nothing, since they echo old timestamps, and nor do messages that pass in one direction only. After a pause of
+//! the process, all evidence has expired.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,15 +16,15 @@
 
 use crate::{Heartbeat, Sequence};
 
-/// So many commit points of the tail that this node has not applied yet are remembered; the oldest goes first.
+/// Maximum number of stored commit points of the tail that this node has not applied yet; the oldest is dropped first.
 const MAX_PENDING_REPORTS: usize = 16;
 
 /// A reading of the clock of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct ProcessTimestamp {
-    /// Drawn at random by each process, to tell its readings from those of an earlier one.
+    /// Random number of the process, to distinguish its readings from those of an earlier process.
     pub process: u64,
-    /// Microseconds of the process's steady clock.
+    /// Reading of the process's monotonic clock in microseconds.
     pub micros: u64,
 }
 
@@ -32,50 +33,50 @@
 pub struct TimestampEcho {
     /// The peer.
     pub peer: NodeId,
-    /// The newest timestamp that came from it.
+    /// The newest timestamp received from the peer.
     pub timestamp: ProcessTimestamp,
 }
 
-/// The tail's commit point at some moment after `heartbeat_sent_at`.
+/// The tail's commit point at some moment after this node sent a heartbeat at `heartbeat_sent_at`.
 #[derive(Clone, Copy, Debug)]
 struct CommitReport {
     heartbeat_sent_at: Instant,
     committed: Sequence,
 }
 
-/// The state of this node itself, as far as it is evidence.
+/// Status of this node itself that counts as evidence.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LocalStatus {
     pub(crate) id: NodeId,
-    /// It votes in the present view and has accepted no later one.
+    /// Whether this node votes in the current view and has accepted no later one.
     pub(crate) confirms_epoch: bool,
-    /// It is the tail of the present view and knows every commit.
+    /// Whether this node is the tail of the current view and has caught up, so that it knows every commit.
     pub(crate) is_caught_up_tail: bool,
-    /// The last command that it has applied.
+    /// The last command that this node has applied.
     pub(crate) committed: Sequence,
 }
 
-/// Proofs of contact, from the echoes in heartbeats.
+/// Evidence of quorum contact, collected from the echoes in heartbeats.
 #[derive(Clone, Debug)]
 pub(crate) struct QuorumContact {
     process: u64,
     /// The newest timestamp of each peer.
     peer_timestamps: BTreeMap<NodeId, ProcessTimestamp>,
     epoch: Epoch,
-    /// The newest own time that each peer has echoed while it confirmed the epoch.
+    /// For each peer, the newest timestamp of this node that it echoed while it confirmed the epoch.
     confirmed_at: BTreeMap<NodeId, Instant>,
     reports: VecDeque<CommitReport>,
-    /// Echoes of earlier own times prove nothing.
+    /// Echoes of this node's timestamps before this time are ignored.
     not_before: Instant,
     view_as_of: Option<Instant>,
-    /// As proven by the tail of the present epoch.
+    /// Last moment up to which the state is known to be current, as proven by the tail of the current epoch.
     state_as_of: Option<Instant>,
-    /// As proven in earlier epochs.
+    /// The same, as proven in earlier epochs.
     earlier_state_as_of: Option<Instant>,
 }
 
 impl QuorumContact {
-    /// No contact yet. `process` is drawn at random by each process.
+    /// Starts without contact. `process` is a random number that identifies this process.
     pub(crate) fn new(process: u64) -> QuorumContact {
         QuorumContact {
             process,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The timestamp for a heartbeat that is made now.
+    /// The timestamp for a heartbeat created now.
     pub(crate) fn timestamp(&self, now: Instant) -> ProcessTimestamp {
         ProcessTimestamp { process: self.process, micros: now.as_micros() }
     }
@@ -101,12 +102,13 @@
         peers.into_iter().map(|peer| TimestampEcho { peer, timestamp: timestamp(&peer) }).collect()
     }
 
-    /// Drops the timestamps of peers that are gone.
+    /// Drops the timestamps of peers for which `is_known` returns false.
     pub(crate) fn retain_peers(&mut self, is_known: impl Fn(NodeId) -> bool) {
         self.peer_timestamps.retain(|id, _| is_known(*id));
     }
 
-    /// A view has come into force. What was proven in earlier views stays valid until it is too old.
+    /// Starts collecting evidence for a new view. The age of the state proven in earlier views stays valid until it is
+    /// too old.
     pub(crate) fn enter_epoch(&mut self, epoch: Epoch) {
         self.earlier_state_as_of = self.state_as_of();
         self.state_as_of = None;
@@ -115,7 +117,7 @@
         self.reports.clear();
     }
 
-    /// The clock has stalled: nothing that was proven is known to be recent.
+    /// Discards all evidence after a clock stall, as its true age is unknown.
     pub(crate) fn handle_clock_stall(&mut self, now: Instant) {
         self.not_before = now;
         self.view_as_of = None;
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Draws the conclusions that have become possible.
+    /// Re-evaluates the evidence with the current state of this node.
     pub(crate) fn update(&mut self, now: Instant, view: &View, local: LocalStatus) {
         self.view_as_of = self.view_as_of.max(self.view_proven_at(now, view, local));
         let applied = self.reports.iter().filter(|report| report.committed <= local.committed);
@@ -167,7 +169,7 @@
         self.state_as_of = self.state_as_of.max(state);
     }
 
-    /// The time before which no later view was decided.
+    /// The latest time before which a majority of voters proves that no later view was decided.
     fn view_proven_at(&self, now: Instant, view: &View, local: LocalStatus) -> Option<Instant> {
         let confirmed_at = |id: NodeId| match id == local.id {
             true => local.confirms_epoch.then_some(now),
@@ -178,14 +180,14 @@
         times.get(view.majority().checked_sub(1)?).copied()
     }
 
-    /// The last moment of which it is known that no later view had been decided.
+    /// The last moment at which no later view is known to have been decided.
     pub(crate) fn view_as_of(&self) -> Option<Instant> {
         self.view_as_of
     }
 
-    /// The last moment of which it is known that every command committed by then is applied here.
+    /// The last moment for which every command committed by then is known to be applied at this node.
     pub(crate) fn state_as_of(&self) -> Option<Instant> {
-        // The tail of a view that is over may lack what was committed in later views.
+        // The tail of an outdated view may lack commands committed in later views.
         self.earlier_state_as_of.max(self.state_as_of.min(self.view_as_of))
     }
 }
--- a/coordination/chain/src/read_confirmation.rs
+++ b/coordination/chain/src/read_confirmation.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads at the tail: a read index counts once a majority has confirmed that the epoch is current (read
-//! index: Ongaro, Ousterhout, 2014).
+//! Linearizable reads at the tail: a read index is valid once a majority of the voters has confirmed that the epoch is
+//! current (read index: Ongaro, Ousterhout, 2014).
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 use crate::{RequestId, Sequence};
 
-/// A read that waits at the tail for its read index.
+/// A request for a read index, pending at the tail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReadIndexRequest {
     pub(crate) origin: NodeId,
@@ -29,7 +29,7 @@
     confirmed_by: BTreeSet<NodeId>,
 }
 
-/// Confirmations of the epoch at the tail, one attempt at a time; reads that arrive meanwhile share the next one.
+/// Epoch confirmations at the tail, one attempt at a time; reads that arrive during an attempt share the next one.
 #[derive(Clone, Debug)]
 pub(crate) struct ReadConfirmations {
     number: u64,
@@ -38,7 +38,7 @@
 }
 
 impl ReadConfirmations {
-    /// `first_number` is drawn at random, so that late confirmations for an earlier process never count.
+    /// `first_number` must be random, so that late confirmations meant for an earlier process are ignored.
     pub(crate) fn new(first_number: u64) -> ReadConfirmations {
         ReadConfirmations { number: first_number, attempt: None, waiting: Vec::new() }
     }
@@ -72,7 +72,7 @@
         Some(self.number)
     }
 
-    /// Counts a confirmation. Returns the reads once `majority` voters have confirmed.
+    /// Counts a confirmation. Returns the reads of the attempt once `majority` voters have confirmed it.
     pub(crate) fn handle_confirmation(
         &mut self,
         from: NodeId,
--- a/coordination/chain/src/replica/catch_up_status.rs
+++ b/coordination/chain/src/replica/catch_up_status.rs
@@ -1,4 +1,4 @@
-//! Whether a member has caught up with the chain of its view, and when its successor will have.
+//! Whether a member has caught up with the chain of its view, and what its successor needs for that.
 
 use crate::Sequence;
 
@@ -6,14 +6,14 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct CatchUpStatus {
     is_caught_up: bool,
-    /// The member has caught up with its predecessor once its log is durable up to here; none while unknown.
+    /// The member has caught up with its predecessor once its log is durable up to here; `None` while unknown.
     target: Option<Sequence>,
     /// A receiver whose log reaches this command holds every committed command.
     complete_at: Sequence,
 }
 
 impl CatchUpStatus {
-    /// A new view: the member has yet to catch up with its new predecessor.
+    /// Starts over in a new view: the member has to catch up with its new predecessor.
     pub(super) fn reset(&mut self) {
         self.is_caught_up = false;
         self.target = None;
@@ -34,12 +34,12 @@
         self.target.is_some_and(|target| durable_through >= target)
     }
 
-    /// What the predecessor says of the target.
+    /// Sets the target that the predecessor has sent.
     pub(super) fn set_target(&mut self, target: Option<Sequence>) {
         self.target = target;
     }
 
-    /// The member has caught up while its log ends at `end`.
+    /// Marks the member as caught up, with a log that ends at `end`.
     pub(super) fn set_caught_up(&mut self, end: Sequence) {
         self.is_caught_up = true;
         self.complete_at = end;
--- a/coordination/chain/src/replica/commit.rs
+++ b/coordination/chain/src/replica/commit.rs
@@ -1,4 +1,4 @@
-//! Recording, completeness and commits.
+//! Persisting new entries, tracking completeness, and committing commands.
 
 use millrudder_clock::Instant;
 
@@ -7,7 +7,7 @@
 use crate::{CoreMessage, Entry, Machine, Record, Sequence};
 
 impl<M: Machine> Replica<M> {
-    /// The record of `watermark` is durable.
+    /// Handles the notification that the record of `watermark` is durable.
     pub(crate) fn handle_durable(&mut self, now: Instant, watermark: DurableWatermark) {
         if !self.durability.handle_durable(watermark) {
             return;
@@ -17,7 +17,7 @@
         self.replicate_to_all(now);
     }
 
-    /// Records new entries, and notes completeness once the log reaches `complete_at`.
+    /// Persists new entries, and marks the replica complete once the log reaches `complete_at`.
     pub(super) fn record_entries(&mut self, now: Instant, new_entries: Vec<Entry>, complete_at: Sequence) {
         let is_sealed = self.is_sealed();
         self.catch_up.set_target((self.is_member() && !is_sealed).then_some(complete_at));
@@ -62,7 +62,7 @@
         self.outputs.push(ReplicaOutput::WhenDurable(watermark));
     }
 
-    /// At the tail a durable command is durable at every member.
+    /// Commits at the tail: a command that is durable there is durable at every member.
     pub(super) fn commit_at_tail(&mut self, now: Instant) {
         if self.is_tail() && self.catch_up.is_caught_up() && !self.is_sealed() {
             self.commit(now, self.durability.durable_through());
@@ -85,7 +85,7 @@
         self.replicate_to_all(now);
     }
 
-    /// The tail replies to the node at which the command was submitted.
+    /// On the tail, sends the reply to the node at which the command was submitted.
     fn reply(&mut self, applied: &Applied<M>) {
         if self.is_tail() && applied.origin != self.local_id {
             let reply = applied.encoded_reply.clone();
--- a/coordination/chain/src/replica/durability.rs
+++ b/coordination/chain/src/replica/durability.rs
@@ -1,8 +1,8 @@
-//! How much of a replica's log is durable, and whether the replica is complete.
+//! Tracks how much of a replica's log is durable, and whether the replica is complete.
 
 use crate::Sequence;
 
-/// State of the log when a record was issued; it becomes durable with that record.
+/// End and completeness of the log when a record was issued; durable once that record is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DurableWatermark {
     sequence: Sequence,
@@ -15,16 +15,16 @@
 pub(super) struct Durability {
     /// Commands up to here are durable in the log.
     durable_through: Sequence,
-    /// Incremented when the log loses entries, so that earlier watermarks do not count.
+    /// Incremented when the log loses entries; watermarks of earlier generations are ignored.
     generation: u64,
-    /// As of the newest record issued.
+    /// Whether the replica is complete, as of the newest record issued.
     complete: bool,
-    /// As of the newest record that is durable.
+    /// Whether the replica is complete, as of the newest durable record.
     durably_complete: bool,
 }
 
 impl Durability {
-    /// A log that was read from the disk.
+    /// State for a log that was read from disk.
     pub(super) fn restored(durable_through: Sequence, complete: bool) -> Durability {
         Durability { durable_through, generation: 0, complete, durably_complete: complete }
     }
@@ -39,7 +39,7 @@
         self.complete
     }
 
-    /// The same, as far as it is durable.
+    /// Whether the replica is complete according to its durable records.
     pub(super) fn is_durably_complete(&self) -> bool {
         self.durably_complete
     }
@@ -49,7 +49,7 @@
         DurableWatermark { sequence, generation: self.generation, complete: self.complete }
     }
 
-    /// The record of `watermark` is durable. Returns whether it still counts.
+    /// Handles the durable record of `watermark`. Returns false if the log has lost entries since it was issued.
     pub(super) fn handle_durable(&mut self, watermark: DurableWatermark) -> bool {
         if watermark.generation != self.generation {
             return false;
@@ -59,19 +59,19 @@
         true
     }
 
-    /// The log reached everything that was committed in earlier views.
+    /// Marks the log as containing every command committed in earlier views.
     pub(super) fn set_complete(&mut self) {
         self.complete = true;
     }
 
-    /// The log loses entries without a replacement, and with them its completeness.
+    /// Handles the loss of entries without a replacement: the log is no longer complete.
     pub(super) fn handle_entries_dropped(&mut self) {
         self.complete = false;
         self.durably_complete = false;
         self.handle_log_replaced();
     }
 
-    /// The log is replaced by a snapshot; nothing of it is durable yet.
+    /// Handles the replacement of the log with a snapshot, nothing of which is durable yet.
     pub(super) fn handle_log_replaced(&mut self) {
         self.generation += 1;
         self.durable_through = Sequence::default();
--- a/coordination/chain/src/replica/mod.rs
+++ b/coordination/chain/src/replica/mod.rs
@@ -1,7 +1,7 @@
-//! One node's part in the chain of the present view (chain replication: van Renesse, Schneider, 2004).
+//! One node of the chain of the current view (chain replication: van Renesse, Schneider, 2004).
 //!
-//! Commands go from the head to the tail. Each node sends them to its receivers: the next member of the chain, or the
-//! learners at the tail.
+//! Commands are replicated from the head to the tail. Each node sends them to its receivers: a member to its successor,
+//! the tail to the learners.
 
 mod catch_up_status;
 mod commit;
@@ -26,32 +26,33 @@
 use crate::transfer::{IncomingSnapshot, OutgoingSnapshot};
 use crate::{AppendBatch, CoreMessage, Entry, Machine, Position, Record, RequestId, Sequence};
 
-/// What a replica asks of the node that embeds it, in this order.
+/// An action for the node that embeds the replica; actions must be run in order.
 #[derive(Clone, Debug)]
 pub(crate) enum ReplicaOutput<M: Machine> {
-    /// To be made durable before anything that follows.
+    /// Make a record durable before any later output takes effect.
     Persist(Record),
-    /// [`Replica::handle_durable`] is to be called once everything before is durable.
+    /// Call [`Replica::handle_durable`] once every earlier record is durable.
     WhenDurable(DurableWatermark),
-    /// A message.
+    /// Send a message.
     Send { to: NodeId, message: CoreMessage },
-    /// The state was replaced by a snapshot.
+    /// The state was replaced with a snapshot.
     SnapshotInstalled { sequence: Sequence },
     /// A command was committed.
     Applied(Applied<M>),
 }
 
-/// Sizes and durations of a replica.
+/// Size limits and the retry time-out of a replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplicaLimits {
+    /// Bytes of entries or of a snapshot in one message; a single larger entry is sent alone.
     pub(crate) batch_bytes: usize,
-    /// No further command is appended at the head while so many bytes are not committed.
+    /// Bytes of uncommitted commands from which the head appends no further command.
     pub(crate) uncommitted_bytes: usize,
-    /// What was not acknowledged is sent again after so long.
+    /// Time after which unacknowledged entries and chunks are resent.
     pub(crate) retry_after: Duration,
 }
 
-/// A member of the chain, or a learner that follows the tail.
+/// A member of the chain, or a learner that replicates from the tail.
 #[derive(Clone, Debug)]
 pub(crate) struct Replica<M: Machine> {
     local_id: NodeId,
@@ -61,19 +62,19 @@
     durability: Durability,
     catch_up: CatchUpStatus,
     seal: Seal,
-    /// The receivers.
+    /// Replication progress of each receiver.
     progress: BTreeMap<NodeId, ReplicationProgress>,
-    /// The snapshot that is sent to receivers that need one, as long as the log goes on from it.
+    /// The snapshot sent to receivers that need one; valid while the log contains its position.
     outgoing: Option<OutgoingSnapshot>,
     /// The snapshot that is being received.
     incoming: Option<IncomingSnapshot>,
-    /// Requests at the head that are not committed yet.
+    /// Requests appended at the head that are not committed yet.
     pending: BTreeSet<RequestId>,
     outputs: Vec<ReplicaOutput<M>>,
 }
 
 impl<M: Machine> Replica<M> {
-    /// Continues with what was on the disk.
+    /// Creates a replica from the durable state.
     pub(crate) fn new(
         local_id: NodeId,
         limits: ReplicaLimits,
@@ -107,17 +108,17 @@
         self.durability.is_complete()
     }
 
-    /// The same, as far as it is durable.
+    /// Whether the durable records show that this node holds every command committed in earlier views.
     pub(crate) fn is_durably_complete(&self) -> bool {
         self.durability.is_durably_complete()
     }
 
-    /// End of the durable log; none while the log on disk is being replaced.
+    /// End of the durable log; `None` while the log on disk is being replaced.
     pub(crate) fn durable_end(&self) -> Option<Position> {
         self.store.log().position_at(self.durability.durable_through())
     }
 
-    /// Whether this node has caught up with its predecessor in the present view.
+    /// Whether this node has caught up with its predecessor in the current view.
     pub(crate) fn is_caught_up(&self) -> bool {
         self.catch_up.is_caught_up()
     }
@@ -127,7 +128,7 @@
         self.seal.epoch()
     }
 
-    /// Epoch of the present view.
+    /// Epoch of the current view.
     pub(crate) fn epoch(&self) -> Epoch {
         self.view.epoch
     }
@@ -154,7 +155,7 @@
         self.view.tail() == Some(self.local_id)
     }
 
-    /// The outputs since the last call.
+    /// Returns the outputs since the last call.
     pub(crate) fn take_outputs(&mut self) -> Vec<ReplicaOutput<M>> {
         std::mem::take(&mut self.outputs)
     }
@@ -167,7 +168,8 @@
         self.store.retain_after(None);
         self.pending.clear();
         self.catch_up.reset();
-        // A node that restarts before the next view is decided retains what it received ahead of it.
+        // A node that restarts after it sealed this epoch keeps the entries that it received to catch up for the next
+        // view.
         if self.is_sealed() {
             return;
         }
@@ -179,15 +181,15 @@
         }
     }
 
-    /// The head has no predecessor to catch up with; its log goes down the chain again.
+    /// The head has no predecessor to catch up with. It replicates the uncommitted end of its log down the new chain.
     fn start_as_head(&mut self, now: Instant) {
         self.pending = self.store.log().requests_after(self.committed()).into_keys().collect();
         self.mark_complete(Vec::new());
         self.mark_caught_up(now);
     }
 
-    /// A node outside the view, and a member that is not complete, retains committed commands only: the chain may hold
-    /// others beyond them.
+    /// Drops the uncommitted entries of a node outside the view or of an incomplete member: the chain may have
+    /// different entries at these positions.
     fn drop_uncommitted(&mut self) {
         let loses_entries = self.end().sequence > self.committed();
         if !loses_entries && !self.durability.is_complete() {
@@ -198,8 +200,8 @@
         self.persist(Record::UncommittedDropped { committed: self.committed() });
     }
 
-    /// Appends a command at the head, or leaves it to be submitted again where too much is uncommitted. Returns false at any
-    /// other node.
+    /// Appends a command at the head. If too many bytes are uncommitted the command is ignored, and its origin submits
+    /// it again. Returns false if this node is not the head or has sealed the epoch.
     pub(crate) fn submit(
         &mut self,
         now: Instant,
@@ -229,14 +231,15 @@
         true
     }
 
-    /// Whether a command can be appended now. While disks take nothing, what callers have long given up would else stay in
-    /// memory; a caller that still waits submits its command again. One command always fits.
+    /// Whether the limit on uncommitted bytes allows another command. Without it, commands whose callers have timed out
+    /// would accumulate in memory while disks are stalled. A caller that is still waiting submits its command again. A
+    /// single command is always allowed.
     fn has_room_for(&self, command: &[u8]) -> bool {
         let uncommitted = self.store.uncommitted_bytes();
         uncommitted == 0 || uncommitted + command.len() <= self.limits.uncommitted_bytes
     }
 
-    /// Appends commands from the node before this one.
+    /// Appends entries received from the predecessor, or from the node that this one catches up from.
     pub(crate) fn handle_append(&mut self, now: Instant, from: NodeId, batch: AppendBatch) {
         if !self.accepts_from(from, batch.sealed) {
             return;
@@ -258,12 +261,14 @@
         self.acknowledge(from);
     }
 
-    /// The log of `from` is durable up to `end`, and it knows commands up to `committed` to be committed.
+    /// Handles an acknowledgement: the log of `from` is durable up to `end`, and `from` knows that commands up to
+    /// `committed` are committed.
     pub(crate) fn handle_ack(&mut self, now: Instant, from: NodeId, end: Position, committed: Sequence) {
         if self.is_sender_to(from) {
             let progress = self.progress.entry(from).or_insert_with(|| ReplicationProgress::new(end, now));
             progress.handle_ack(end, now);
-            // A log with other entries has been truncated to where both agree.
+            // The acknowledged position is not in this log but the new end is: the receiver has truncated its log to a
+            // common position.
             if !self.store.log().contains(progress.acked()) && self.store.log().contains(end) {
                 *progress = ReplicationProgress::new(end, now);
             }
@@ -274,7 +279,7 @@
         }
     }
 
-    /// The log of a receiver ends at `end`, before the commands that it was sent.
+    /// Handles a gap: the log of a receiver ends at `end`, before the entries that it was sent.
     pub(crate) fn handle_gap(&mut self, now: Instant, from: NodeId, end: Position) {
         if let Some(progress) = self.progress.get_mut(&from) {
             progress.handle_gap(now, self.limits.retry_after);
@@ -282,7 +287,7 @@
         self.handle_ack(now, from, end, Sequence::default());
     }
 
-    /// Sends again what was not acknowledged, and removes learners that are gone.
+    /// Resends what was not acknowledged in time, and removes learners for which `is_gone` returns true.
     pub(crate) fn handle_tick(&mut self, now: Instant, is_gone: impl Fn(NodeId) -> bool) {
         let view = &self.view;
         self.progress.retain(|id, _| view.contains(*id) || !is_gone(*id));
@@ -293,7 +298,7 @@
         self.replicate_to_all(now);
     }
 
-    /// Whether the own log is known to agree with that of `from`, so that its commit point counts here too.
+    /// Whether this node's log is known to agree with that of `from`, so that the commit point of `from` applies here.
     fn accepts_commit_point_of(&self, from: NodeId) -> bool {
         match self.is_member() {
             true => {
@@ -304,7 +309,7 @@
         }
     }
 
-    /// Whether `from` sends commands to this node along the chain.
+    /// Whether this node receives commands from `from`: a member from its predecessor, any other node from a member.
     fn is_receiver_of(&self, from: NodeId) -> bool {
         match self.is_member() {
             true => self.view.predecessor(self.local_id) == Some(from),
@@ -312,7 +317,7 @@
         }
     }
 
-    /// The entries beyond the own log, or none if the log disagrees with them.
+    /// The entries beyond the end of this node's log, or `None` if the log has different entries at the same positions.
     fn new_entries_in(&self, entries: Vec<Entry>) -> Option<Vec<Entry>> {
         let end = self.end().sequence;
         let agrees = |entry: &Entry| {
--- a/coordination/chain/src/replica/replication.rs
+++ b/coordination/chain/src/replica/replication.rs
@@ -1,5 +1,5 @@
-//! Replication to the receivers: the next member of the chain, learners at the tail, or nodes that are brought up ahead
-//! of the next view.
+//! Replication to the receivers: the successor in the chain, learners of the tail, or nodes that catch up before the
+//! next view.
 
 use millrudder_clock::Instant;
 use millrudder_view::NodeId;
@@ -12,8 +12,8 @@
 const MAX_BYTES_IN_FLIGHT: usize = 1 << 20;
 
 impl<M: Machine> Replica<M> {
-    /// How far behind the commit point a learner is, in commands. None if it needs a snapshot, or more bytes of commands
-    /// than may be in flight: a chain would wait for it that long.
+    /// How many commands a learner is behind the commit point. `None` if it needs a snapshot, or lacks more bytes of
+    /// commands than may be in flight: if it were admitted, commits of the chain would have to wait for it.
     pub(crate) fn learner_lag(&self, learner: NodeId) -> Option<u64> {
         let progress = self.progress.get(&learner)?;
         let is_in_log = progress.transfer().is_none() && self.store.log().contains(progress.acked());
@@ -22,7 +22,8 @@
         is_close.then(|| self.committed().0.saturating_sub(progress.acked().sequence.0))
     }
 
-    /// Tells a receiver that has restarted, and does not know that it has caught up, where the log ends.
+    /// Sends an empty batch to a receiver that does not know that it has caught up, for example after a restart, so
+    /// that it learns where the log ends.
     pub(crate) fn confirm_caught_up(&mut self, to: NodeId) {
         let in_chain = self.catch_up.is_caught_up()
             && !self.is_sealed()
@@ -47,7 +48,7 @@
         self.view.successor(self.local_id) == Some(to)
     }
 
-    /// Sends to each receiver what it lacks.
+    /// Sends each receiver the entries or snapshot chunks that it lacks.
     pub(super) fn replicate_to_all(&mut self, now: Instant) {
         if !self.catch_up.is_caught_up() && !self.is_catching_up_targets() {
             return;
@@ -59,7 +60,7 @@
         self.retain_for_receivers();
     }
 
-    /// Retains the commands that receivers still lack, within the store's bound.
+    /// Retains the commands that receivers still lack, within the retention limit of the store.
     fn retain_for_receivers(&mut self) {
         let bases = self.progress.values().map(ReplicationProgress::end_after_transfer);
         let reachable = bases.filter(|base| self.store.log().contains(*base));
@@ -67,7 +68,8 @@
         self.store.retain_after(needed_after);
     }
 
-    /// Sends what a receiver lacks: a snapshot if its log does not end within the own one, else commands.
+    /// Sends what a receiver lacks: a snapshot if this node's log does not contain the end of the receiver's log,
+    /// otherwise commands.
     fn replicate_to(&mut self, now: Instant, to: NodeId) {
         let Some(mut progress) = self.progress.get(&to).copied() else {
             return;
--- a/coordination/chain/src/replica/sealing.rs
+++ b/coordination/chain/src/replica/sealing.rs
@@ -1,9 +1,9 @@
-//! Sealing an epoch: its commands are fixed, so that nodes can be brought up ahead of the next view.
+//! Sealing an epoch: no further commands can be committed in it, so that nodes can catch up before the next view.
 //!
-//! A view must begin with enough members that hold every committed command, or the loss of one of them could take the
-//! only copy. Where too few are left, a member that holds everything takes no more commands in its epoch. As a commit
-//! needs every member, nothing that its log lacks can be committed in this epoch any more; whoever holds that log
-//! holds everything.
+//! A view must start with enough members that hold every committed command, or the failure of one of them could destroy
+//! the only copy. If too few such members are left, a complete member seals the epoch: it accepts no more commands in
+//! it. As a commit needs every member, no command that is missing from its log can be committed in this epoch any more.
+//! Any node with a copy of that log therefore holds every committed command.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 use super::Replica;
 use crate::{Machine, Position, Record, Sequence};
 
-/// The newest epoch that a node has sealed, and whom it brings up ahead of the next view.
+/// The newest epoch that a node has sealed, and the nodes that it replicates to before the next view.
 #[derive(Clone, Debug)]
 pub(super) struct Seal {
     epoch: Epoch,
@@ -21,7 +21,7 @@
 }
 
 impl Seal {
-    /// Continues with the durable epoch.
+    /// Restores the durable epoch.
     pub(super) fn restored(epoch: Epoch) -> Seal {
         Seal { epoch, targets: BTreeSet::new() }
     }
@@ -31,12 +31,12 @@
         self.epoch
     }
 
-    /// Whether a node is brought up ahead of the next view.
+    /// Whether this node replicates to `id` before the next view.
     pub(super) fn is_target(&self, id: NodeId) -> bool {
         self.targets.contains(&id)
     }
 
-    /// A new view: nobody is brought up ahead of the next one yet.
+    /// Clears the targets when a new view starts.
     pub(super) fn clear_targets(&mut self) {
         self.targets.clear();
     }
@@ -58,17 +58,18 @@
 }
 
 impl<M: Machine> Replica<M> {
-    /// Whether this node has left the chain of the present epoch by sealing it.
+    /// Whether this node has sealed the current epoch and so stopped taking part in its chain.
     pub(crate) fn is_sealed(&self) -> bool {
         self.view.epoch != Epoch::NONE && self.seal.epoch() == self.view.epoch
     }
 
-    /// Whether this node brings up others ahead of the next view.
+    /// Whether this node replicates to other nodes before the next view.
     pub(super) fn is_catching_up_targets(&self) -> bool {
         self.is_sealed() && self.durability.is_complete() && self.seal.has_targets()
     }
 
-    /// Seals the epoch, and brings up `nodes` with all that this node holds. Does nothing at a node that may lack commands.
+    /// Seals the epoch, and replicates this node's whole log to `nodes`. Does nothing at a node that may lack commands
+    /// or is no member.
     pub(crate) fn catch_up(&mut self, now: Instant, nodes: BTreeSet<NodeId>) {
         if !self.durability.is_complete() || !self.is_member() {
             return;
@@ -80,7 +81,8 @@
         self.replicate_to_all(now);
     }
 
-    /// Joins the sender's seal before anything is appended: its log may go beyond what other members hold.
+    /// Seals the epoch too if the sender has, before anything is appended: the sender's log may have entries that other
+    /// members lack.
     pub(super) fn adopt_seal(&mut self, sealed: bool) {
         if sealed {
             self.seal();
@@ -95,8 +97,8 @@
         }
     }
 
-    /// Whether commands are accepted from a node: along the chain, or, ahead of the next view, by a node that lacks
-    /// commands from a member that has sealed the epoch.
+    /// Whether this node accepts entries from `from`: along the chain in normal operation; from any member that has
+    /// sealed the epoch if this node is incomplete.
     pub(super) fn accepts_from(&self, from: NodeId, sealed: bool) -> bool {
         match sealed {
             true => !self.durability.is_complete() && self.view.contains(from),
@@ -104,7 +106,7 @@
         }
     }
 
-    /// What a receiver must hold to hold every committed command.
+    /// A receiver whose log reaches this command holds every committed command.
     pub(super) fn complete_at(&self) -> Sequence {
         match self.is_sealed() {
             true => self.end().sequence,
@@ -112,15 +114,16 @@
         }
     }
 
-    /// The end of a receiver's log, if this node's log has another command there or none.
+    /// Returns `end`, the end of a receiver's log, if this node's log has a different command there or none.
     pub(super) fn conflict_at(&self, end: Position) -> Option<Position> {
         let log = self.store.log();
         let differs = end.sequence > log.base().sequence && !log.contains(end);
         differs.then_some(end)
     }
 
-    /// What a node received ahead of a view, from another node than its present sender, may go beyond what that one
-    /// holds. It is dropped as soon as the sender, which holds all that was committed, reports the conflict.
+    /// Drops uncommitted entries that conflict with the sender's log. A node that caught up before a view from another
+    /// node may have entries that its current sender lacks. The sender holds every committed command, so once it
+    /// reports the conflict they can be dropped.
     pub(super) fn drop_conflicting(&mut self, conflict_at: Option<Position>) {
         let is_new_in_chain = self.is_member() && !self.is_sealed() && !self.catch_up.has_target();
         let is_brought_up = self.is_sealed() && !self.durability.is_complete();
--- a/coordination/chain/src/replica/snapshot_install.rs
+++ b/coordination/chain/src/replica/snapshot_install.rs
@@ -1,4 +1,4 @@
-//! Replacing the whole state of a node that is too far behind by a snapshot.
+//! Sending and installing snapshots, which replace the whole state of a node that is too far behind.
 
 use millrudder_clock::Instant;
 use millrudder_view::NodeId;
@@ -9,7 +9,8 @@
 use crate::{CoreMessage, InstallSnapshotChunk, Machine, Record, Sequence, Snapshot, SnapshotId};
 
 impl<M: Machine> Replica<M> {
-    /// Begins to send a snapshot: the one that is sent to others if the log goes on from it, else a new one.
+    /// Starts the transfer of a snapshot: the one already sent to others if it is not older than the receiver's log,
+    /// otherwise a new one.
     pub(super) fn begin_transfer(&mut self, progress: &mut ReplicationProgress) {
         self.drop_unusable_snapshot();
         let reusable = self.outgoing.as_ref().filter(|outgoing| outgoing.id().position >= progress.acked());
@@ -27,13 +28,13 @@
         id
     }
 
-    /// Drops the snapshot once the log does not go on from it any more.
+    /// Drops the outgoing snapshot if the log no longer contains its position, so that no entries could follow it.
     pub(super) fn drop_unusable_snapshot(&mut self) {
         let log = self.store.log();
         self.outgoing = self.outgoing.take().filter(|outgoing| log.contains(outgoing.id().position));
     }
 
-    /// Sends as many chunks as may be in flight. A transfer whose snapshot was dropped begins anew.
+    /// Sends as many chunks as may be in flight. A transfer whose snapshot was dropped restarts.
     pub(super) fn send_chunks(&mut self, to: NodeId, progress: &mut ReplicationProgress) {
         let current = |outgoing: &&OutgoingSnapshot| {
             progress.transfer().is_some_and(|transfer| transfer.id() == outgoing.id())
@@ -62,7 +63,7 @@
         progress.set_transfer(transfer);
     }
 
-    /// A receiver has the first `received` bytes of a snapshot.
+    /// Handles a receiver's report that it has the first `received` bytes of a snapshot.
     pub(crate) fn handle_snapshot_received(
         &mut self,
         now: Instant,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Adds a chunk of a snapshot from the node before this one, and installs the snapshot once it is complete.
+    /// Adds a chunk of a snapshot, and installs the snapshot once all of its chunks have arrived.
     pub(crate) fn handle_install(&mut self, now: Instant, from: NodeId, install: InstallSnapshotChunk) {
         let InstallSnapshotChunk { chunk, complete_at, sealed, conflict_at, .. } = install;
         if !self.accepts_from(from, sealed) {
@@ -111,7 +112,8 @@
         snapshot: Option<Snapshot>,
         complete_at: Sequence,
     ) {
-        // Bytes with a wrong digest are sent anew after a pause without progress.
+        // If the digest does not match or the snapshot cannot be restored, the sender restarts the transfer after its
+        // retry time-out.
         let Some(snapshot) = snapshot.filter(|snapshot| self.store.install(snapshot).is_ok()) else {
             return self.acknowledge(from);
         };
--- a/coordination/chain/src/replication_progress.rs
+++ b/coordination/chain/src/replication_progress.rs
@@ -1,4 +1,4 @@
-//! Progress of the replication from this node to another one: the next member of the chain, or a learner.
+//! Progress of replication from this node to one receiver.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 use crate::transfer::Transfer;
 use crate::{Position, Sequence, SnapshotId};
 
-/// Commands are sent again for a gap at most once in this fraction of the time-out after which an unanswered message is retried.
+/// Limit on resends caused by reported gaps: at most this many per retry time-out (`retry_after`).
 const GAP_RETRIES_PER_TIMEOUT: u32 = 16;
 
-/// How far one receiver has been brought up.
+/// How far replication to one receiver has come.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplicationProgress {
     /// End of the receiver's durable log, as it last acknowledged.
     acked: Position,
-    /// Commands up to here were sent.
+    /// The last command that was sent.
     sent: Sequence,
-    /// The commit point that was sent last.
+    /// The commit point in the last message sent.
     committed_sent: Sequence,
     /// When the receiver last made progress, or something was sent to it while nothing was in flight.
     progress_at: Instant,
-    /// The snapshot that is being sent, until the receiver has installed it.
+    /// Transfer of a snapshot, until the receiver has installed it.
     transfer: Option<Transfer>,
-    /// When commands were sent again last.
+    /// When commands were last resent.
     rewound_at: Instant,
 }
 
@@ -44,17 +44,17 @@
         self.acked
     }
 
-    /// Commands up to here were sent.
+    /// The last command that was sent.
     pub(crate) fn sent(&self) -> Sequence {
         self.sent
     }
 
-    /// The commit point that was sent last.
+    /// The commit point in the last message sent.
     pub(crate) fn committed_sent(&self) -> Sequence {
         self.committed_sent
     }
 
-    /// The snapshot that is being sent, until the receiver has installed it.
+    /// Transfer of a snapshot, until the receiver has installed it.
     pub(crate) fn transfer(&self) -> Option<Transfer> {
         self.transfer
     }
@@ -64,33 +64,34 @@
         self.sent == self.acked.sequence && self.transfer.is_none()
     }
 
-    /// Nothing was in flight until now: the time-out of a retry starts now.
+    /// Restarts the retry time-out; called when nothing is in flight.
     pub(crate) fn restart_retry_timeout(&mut self, now: Instant) {
         self.progress_at = now;
     }
 
-    /// Commands up to `sent` leave together with the commit point.
+    /// Records that commands up to `sent` and the commit point are being sent.
     pub(crate) fn record_sent(&mut self, sent: Sequence, committed: Sequence) {
         self.sent = sent;
         self.committed_sent = committed;
     }
 
-    /// The commit point leaves alone.
+    /// Records that the commit point is being sent without commands.
     pub(crate) fn record_committed_sent(&mut self, committed: Sequence) {
         self.committed_sent = committed;
     }
 
-    /// Begins to send a snapshot.
+    /// Starts the transfer of a snapshot.
     pub(crate) fn start_transfer(&mut self, id: SnapshotId) {
         self.transfer = Some(Transfer::new(id));
     }
 
-    /// Replaces the state of the transfer after chunks of it were sent.
+    /// Updates the transfer after chunks were sent.
     pub(crate) fn set_transfer(&mut self, transfer: Transfer) {
         self.transfer = Some(transfer);
     }
 
-    /// The receiver has the first `received` bytes of a snapshot. Returns whether that is progress.
+    /// Handles the receiver's report that it has the first `received` bytes of a snapshot. Returns whether that is
+    /// progress.
     pub(crate) fn handle_snapshot_received(&mut self, now: Instant, id: SnapshotId, received: u64) -> bool {
         let transfer = self.transfer.as_mut().filter(|transfer| transfer.id() == id);
         let has_progressed = transfer.is_some_and(|transfer| transfer.handle_received(received));
@@ -100,7 +101,7 @@
         has_progressed
     }
 
-    /// Notes that the receiver's durable log ends at `end`.
+    /// Handles an acknowledgement that the receiver's durable log ends at `end`.
     pub(crate) fn handle_ack(&mut self, end: Position, now: Instant) {
         let is_installed = self.transfer.is_some_and(|transfer| transfer.id().position == end);
         if end.sequence <= self.acked.sequence && !is_installed {
@@ -112,7 +113,7 @@
         self.transfer = self.transfer.filter(|transfer| end.sequence < transfer.id().position.sequence);
     }
 
-    /// The receiver lacks the commands before those that it got: they are sent again, unless they just were.
+    /// Handles a gap reported by the receiver: resends what follows its log, unless that was just done.
     pub(crate) fn handle_gap(&mut self, now: Instant, retry_after: Duration) {
         let may_rewind = now - self.rewound_at >= retry_after / GAP_RETRIES_PER_TIMEOUT;
         if may_rewind && self.transfer.is_none() {
@@ -127,13 +128,13 @@
         self.rewound_at = now;
     }
 
-    /// Where the receiver's log will end once a snapshot in flight is installed.
+    /// Where the receiver's log ends, or will end once the snapshot in flight is installed.
     pub(crate) fn end_after_transfer(&self) -> Position {
         self.transfer.map_or(self.acked, |transfer| transfer.id().position)
     }
 
-    /// Sends everything after the acknowledged end again if nothing was acknowledged for `retry_after`. Of a snapshot
-    /// the start is sent again: the answer to it tells what the receiver has.
+    /// Resends everything after the acknowledged end if there was no progress for `retry_after`. A snapshot transfer
+    /// restarts with the first chunk: the receiver's answer states how much of it it already has.
     pub(crate) fn rewind_if_stalled(&mut self, now: Instant, retry_after: Duration) {
         let is_in_flight = self.sent > self.acked.sequence || self.transfer.is_some();
         if is_in_flight && now - self.progress_at >= retry_after {
--- a/coordination/chain/src/replies.rs
+++ b/coordination/chain/src/replies.rs
@@ -1,4 +1,4 @@
-//! Bounded table of the replies to recent requests, by which a request that is submitted again runs only once.
+//! Bounded table of the replies to recent requests, used to apply a resubmitted request only once.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,17 +6,17 @@
 
 use crate::RequestId;
 
-/// How many replies are retained. All members must use the same number, since it decides whether a request that is
-/// submitted again runs again.
+/// Number of retained replies. Must be the same at all members, since it determines whether a resubmitted request is
+/// applied again.
 ///
-/// A request is retried while its caller waits, which is seconds: at five milliseconds a command this covers five
-/// seconds. A later retry runs again, so commands must name the state that they build on.
+/// A caller retries for some seconds. At one command per five milliseconds, the table covers five seconds. A later
+/// retry is applied again, so commands must be conditional on the state that they expect.
 pub(crate) const RETAINED_REPLIES: usize = 1024;
 
 /// Replies to the most recent requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Replies {
-    /// The oldest first.
+    /// Requests in the order of insertion, oldest first.
     order: VecDeque<RequestId>,
     replies: BTreeMap<RequestId, Vec<u8>>,
 }
--- a/coordination/chain/src/simulated_disk.rs
+++ b/coordination/chain/src/simulated_disk.rs
@@ -1,12 +1,12 @@
 //! A simulated disk for tests of programs that embed a [`CoreNode`](crate::CoreNode): writes complete in order, and a
-//! crash keeps a prefix of those under way.
+//! prefix of the pending writes survives a crash.
 
 use crate::durable::{DurableState, Record};
 use crate::node::PersistToken;
 use millrudder_view::NodeId;
 use std::collections::VecDeque;
 
-/// A write that a node asked for.
+/// A write requested by a node.
 #[derive(Clone, Debug)]
 pub enum DiskWrite {
     /// Append a record to the journal.
@@ -16,7 +16,7 @@
         /// The record.
         record: Record,
     },
-    /// Replace the journal by a checkpoint.
+    /// Replace the journal with a checkpoint.
     Checkpoint {
         /// The token to report once the checkpoint is durable.
         token: PersistToken,
@@ -43,7 +43,7 @@
 }
 
 impl SimulatedDisk {
-    /// A disk that contains the identity of a node and nothing else.
+    /// A disk that contains only the identity of a node.
     #[must_use]
     pub fn with_identity(id: NodeId) -> Self {
         let mut state = DurableState::default();
@@ -51,7 +51,7 @@
         Self { durable: Some(state), ..Self::default() }
     }
 
-    /// The durable state, with which a process starts; `None` on an empty disk.
+    /// The durable state from which a process starts; `None` on an empty disk.
     #[must_use]
     pub fn state(&self) -> Option<DurableState> {
         self.durable.clone()
@@ -64,7 +64,7 @@
         self.checkpoint.clone().or_else(|| self.durable.clone())
     }
 
-    /// Identity of the node whose disk this is, once it is durable.
+    /// Identity of the node that uses this disk, once durable.
     #[must_use]
     pub fn id(&self) -> Option<NodeId> {
         self.durable.as_ref().map(|state| state.id)
@@ -75,7 +75,7 @@
         self.pending.push_back(write);
     }
 
-    /// The token of the write started last, if it is under way.
+    /// The token of the last write started, if it is pending.
     #[must_use]
     pub fn last_token(&self) -> Option<PersistToken> {
         self.pending.back().map(DiskWrite::token)
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Ends the process: the first `durable` writes under way become durable, the others are lost.
+    /// Simulates a crash: the first `durable` pending writes become durable, the others are lost.
     pub fn crash(&mut self, durable: usize) {
         for _ in 0..durable.min(self.pending.len()) {
             self.finish_one();
@@ -96,7 +96,7 @@
         self.pending.clear();
     }
 
-    /// Number of writes under way.
+    /// Number of pending writes.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.pending.len()
--- a/coordination/chain/src/store.rs
+++ b/coordination/chain/src/store.rs
@@ -17,7 +17,7 @@
     pub(crate) encoded_reply: Vec<u8>,
 }
 
-/// Machine, replies and log. The machine holds exactly the committed commands.
+/// Machine, replies and log. The machine has applied exactly the committed commands.
 #[derive(Clone, Debug)]
 pub(crate) struct Store<M: Machine> {
     machine: M,
@@ -27,14 +27,14 @@
     /// Bytes of the committed commands in the log.
     committed_bytes: usize,
     retention: LogRetention,
-    /// A peer that is being brought up lacks the commands after this one.
+    /// Commands after this one are retained for the receiver that is furthest behind; `None` if there is none.
     peer_needs_after: Option<Sequence>,
 }
 
-/// While a peer is being brought up, so many times as much of the log is retained in memory.
+/// While a peer is catching up, this many times the usual amount of the log is retained in memory.
 const PEER_RETENTION_FACTOR: usize = 8;
 
-/// How much of the committed log is retained in memory to bring up peers without a snapshot.
+/// How much of the committed log is retained in memory, so that peers can catch up without a snapshot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LogRetention {
     pub(crate) entries: usize,
@@ -97,7 +97,7 @@
         self.replies.get(request_id)
     }
 
-    /// The committed state.
+    /// Takes a snapshot of the committed state.
     pub(crate) fn snapshot(&self) -> Snapshot {
         let untouched = self.applied == Position::default();
         let machine = if untouched { Vec::new() } else { self.machine.snapshot() };
@@ -118,7 +118,7 @@
         self.log.entries_after(self.applied.sequence).map(Entry::encoded_bytes).sum()
     }
 
-    /// Replaces everything by a snapshot.
+    /// Replaces machine, replies and log with a snapshot.
     pub(crate) fn install(&mut self, snapshot: &Snapshot) -> Result<(), RestoreError> {
         self.machine = restore_machine(snapshot)?;
         self.replies = snapshot.replies.clone();
@@ -129,12 +129,12 @@
         Ok(())
     }
 
-    /// Drops what is not committed.
+    /// Drops the uncommitted entries.
     pub(crate) fn drop_uncommitted(&mut self) {
         self.log.truncate_after(self.applied.sequence);
     }
 
-    /// Applies the commands up to `sequence`, as far as the log goes.
+    /// Applies the commands up to `sequence`, or up to the end of the log.
     pub(crate) fn commit(&mut self, sequence: Sequence) -> Vec<Applied<M>> {
         let mut results = Vec::new();
         while self.applied.sequence < sequence {
@@ -149,7 +149,7 @@
         results
     }
 
-    /// Applies one command, unless it was applied before under the same request.
+    /// Applies one command, unless a reply to the same request is retained; that reply is then returned again.
     fn apply(&mut self, entry: Entry) -> Option<Applied<M>> {
         let command = M::Command::read_from_buffer(&entry.command).ok()?;
         let sequence = entry.position.sequence;
@@ -164,15 +164,15 @@
         Some(Applied { sequence, request_id, origin, command, reply, encoded_reply })
     }
 
-    /// Retains the commands after `sequence` for a peer that is being brought up, as far as the bound allows.
+    /// Retains the commands after `sequence` for a peer that is catching up, up to the retention limit.
     pub(crate) fn retain_after(&mut self, sequence: Option<Sequence>) {
         self.peer_needs_after = sequence;
     }
 
-    /// Drops the oldest committed commands once the log exceeds its retention. What a peer lacks is retained until it is
-    /// so much that a snapshot is cheaper.
+    /// Drops the oldest committed commands once the log exceeds its retention limit. Commands that a peer lacks are
+    /// retained up to [`PEER_RETENTION_FACTOR`] times the limit; beyond that a snapshot is cheaper.
     ///
-    /// A quarter more than needed is dropped at a time, so that the amortized cost of a commit is constant.
+    /// Trims to three quarters of the limit, so that the amortized cost of a commit is constant.
     fn trim(&mut self) {
         let first = self.log.base().sequence.0;
         let mut remaining = self.applied.sequence.0.saturating_sub(first);
--- a/coordination/chain/src/transfer.rs
+++ b/coordination/chain/src/transfer.rs
@@ -1,7 +1,7 @@
-//! Transfer of a snapshot to another node in chunks that each fit a message.
+//! Transfer of a snapshot to another node, in chunks that each fit into a message.
 //!
-//! A transfer resumes after lost messages and after a change of view, as long as the same snapshot is sent: the receiver
-//! retains the bytes that it has, and answers the first chunk with how far it is.
+//! A transfer resumes after lost messages and after a view change, as long as the same snapshot is sent: the receiver
+//! keeps the bytes that it has, and reports their number in the answer to the first chunk.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,20 +11,20 @@
 
 use crate::{Position, Snapshot};
 
-/// Encoded snapshots are not larger, in bytes; a receiver rejects the chunks of one that claims to be.
+/// Maximum size of an encoded snapshot in bytes; a receiver rejects chunks of a snapshot with a larger stated length.
 pub const MAX_SNAPSHOT_BYTES: u64 = 32 << 20;
-/// Limit of the window of chunks in flight: it starts at one after each pause without progress, and grows by one with
-/// each answer.
+/// Upper bound on the window of chunks in flight. The window restarts at one after each retry time-out without
+/// progress, and grows by one with each answer that reports progress.
 const MAX_CHUNKS_IN_FLIGHT: u64 = 4;
 
-/// Identity of the encoded form of a snapshot.
+/// Identity of an encoded snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct SnapshotId {
-    /// The last command that is contained.
+    /// Position of the last command contained.
     pub position: Position,
-    /// Digest of the encoded form.
+    /// XXH3 digest of the encoded snapshot.
     pub digest: u128,
-    /// Length of the encoded form in bytes.
+    /// Length of the encoded snapshot in bytes.
     pub length: u64,
 }
 
@@ -75,7 +75,7 @@
     received: u64,
     /// Bytes sent.
     sent: u64,
-    /// Limit of the chunks in flight.
+    /// Maximum number of chunks in flight at present.
     window: u64,
 }
 
@@ -94,7 +94,7 @@
         self.sent
     }
 
-    /// So many more bytes were sent.
+    /// Records that another `bytes` bytes were sent.
     pub(crate) fn record_sent(&mut self, bytes: u64) {
         self.sent += bytes;
     }
@@ -105,7 +105,7 @@
         self.sent < self.id.length && in_flight < self.window.saturating_mul(chunk_bytes as u64)
     }
 
-    /// The receiver has the first `received` bytes. Returns whether that is progress.
+    /// Handles the receiver's report that it has the first `received` bytes. Returns whether that is progress.
     pub(crate) fn handle_received(&mut self, received: u64) -> bool {
         let received = received.min(self.id.length);
         if received <= self.received {
@@ -123,7 +123,7 @@
 pub(crate) struct IncomingSnapshot {
     id: SnapshotId,
     bytes: Vec<u8>,
-    /// Chunks that arrived out of order, by offset; no more than may be in flight.
+    /// Chunks received out of order, by offset; at most [`MAX_CHUNKS_IN_FLIGHT`].
     out_of_order: BTreeMap<u64, Vec<u8>>,
 }
 
@@ -142,7 +142,7 @@
         self.bytes.len() as u64
     }
 
-    /// Adds a chunk. Of those that arrive out of order the nearest are retained.
+    /// Adds a chunk. Of the chunks that arrive out of order, those with the lowest offsets are kept.
     pub(crate) fn add_chunk(&mut self, chunk: SnapshotChunk) {
         let end = chunk.offset.saturating_add(chunk.bytes.len() as u64);
         if chunk.id != self.id || end > self.id.length || chunk.offset < self.received() {
@@ -163,7 +163,7 @@
         self.received() == self.id.length
     }
 
-    /// The snapshot, if the bytes have the announced digest and position.
+    /// Decodes the snapshot; `None` if its digest or position does not match the identity.
     pub(crate) fn decode(&self) -> Option<Snapshot> {
         if xxh3_128(&self.bytes) != self.id.digest {
             return None;
--- a/coordination/chain/tests/concat_machine/mod.rs
+++ b/coordination/chain/tests/concat_machine/mod.rs
@@ -1,8 +1,8 @@
-//! A replicated machine for tests, and the addresses of its nodes.
+//! A replicated state machine for tests, and the addresses of the test nodes.
 
 use millrudder_chain::{Machine, RestoreError, Sequence};
 
-/// Concatenates all texts.
+/// State machine whose commands append text; a reply is the new length.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Text(pub String);
 
--- a/coordination/chain/tests/cores/main.rs
+++ b/coordination/chain/tests/cores/main.rs
@@ -1,4 +1,4 @@
-//! Whole cores in a simulated world.
+//! Tests of whole cores in a deterministic simulation.
 
 mod recovery;
 mod simulation;
--- a/coordination/chain/tests/cores/recovery.rs
+++ b/coordination/chain/tests/cores/recovery.rs
@@ -1,13 +1,13 @@
-//! How long the core takes to go on after one fault.
+//! Bounds on the time until the core serves requests again after faults.
 
 use crate::simulator::faults::Fault;
 use crate::simulator::plan::Plan;
 use crate::simulator::world::World;
 
-/// The fault fault_injection when the core has long been founded (microseconds).
+/// Time of the fault in microseconds, long after the bootstrap has completed.
 const FAULT_AT: u64 = 4_000_000;
 const SECOND: u64 = 1_000_000;
-/// Several seeds, so that each machine's position in the chain and each moment of a heartbeat comes up.
+/// Several seeds, to cover each machine's position in the chain and various moments between heartbeats.
 const SEEDS: std::ops::Range<u64> = 0..12;
 
 fn run_with_fault(seed: u64, fault: Fault) -> World {
@@ -39,7 +39,8 @@
     assert_eq!(world.members_known(), vec![3, 3, 3]);
     let before = world.history.messages;
     world.run_until(1_000_000).expect("no invariant is broken");
-    // Three nodes send two heartbeats in each 100 ms; two candidates and a holder of the lease ask now and then.
+    // Each of the three nodes sends two heartbeats per 100 ms; the lease holder and two candidates send occasional
+    // requests.
     assert!(world.history.messages - before <= 12, "{} messages in 50 ms", world.history.messages - before);
 }
 
@@ -121,14 +122,14 @@
     }
 }
 
-/// Asserts that writes are answered without a long pause between two times.
+/// Asserts that at least five writes per second were answered in a time range.
 fn assert_serves(world: &World, between: std::ops::Range<u64>, seed: u64) {
     let answered = world.history.answered_in(between.clone());
     let seconds = ((between.end - between.start) / SECOND) as usize;
     assert!(answered >= seconds * 5, "seed {seed}: {answered} writes were answered in {seconds} s");
 }
 
-/// Two of three machines are there all the time, but never the same two: the first comes back just before another goes.
+/// At least two of three machines run at all times, but not the same two: one returns just before another one fails.
 #[test]
 fn a_member_lost_before_another_is_readmitted_does_not_end_the_core() {
     for seed in SEEDS {
@@ -136,7 +137,7 @@
         let second = (first + 1 + seed as usize / 3 % 2) % 3;
         let down_micros = SECOND;
         let mut plan = Plan::with_fault(seed, FAULT_AT, Fault::Kill { machine: first, down_micros });
-        // It starts again within 100 ms after its time, and is admitted a second later.
+        // The first machine restarts up to 100 ms late, and is readmitted about a second later.
         let again = FAULT_AT + down_micros + 100_000 + seed * 60_000;
         let gone = match seed % 2 {
             0 => Fault::Kill { machine: second, down_micros: 8 * SECOND },
@@ -151,7 +152,7 @@
     }
 }
 
-/// One machine shuts down, and the disk of another is lost within milliseconds of the view without the first.
+/// One machine shuts down, and the disk of another is lost within milliseconds of the view that excludes the first.
 #[test]
 fn a_disk_lost_right_after_a_member_left_is_tolerated() {
     for seed in SEEDS {
--- a/coordination/chain/tests/cores/simulation.rs
+++ b/coordination/chain/tests/cores/simulation.rs
@@ -1,4 +1,4 @@
-//! Seeded simulation of entire cores under faults. `CORE_SEEDS=from..to` plays other seeds.
+//! Randomized simulation of entire cores under faults. `CORE_SEEDS=from..to` selects other seeds.
 
 use std::ops::Range;
 use std::thread;
@@ -7,18 +7,18 @@
 use crate::simulator::plan::Plan;
 use crate::simulator::world::World;
 
-/// Seeds of the ordinary test run.
+/// Seeds of a default test run.
 const ORDINARY_SEEDS: Range<u64> = 0..200;
-/// Seeds that broke an invariant once; both kinds of plan play them in each ordinary run.
+/// Regression seeds, each of which once violated an invariant; a default run uses them with both kinds of plan.
 const FOUND_SEEDS: [u64; 36] = [
     936, 1123, 2733, 4319, 4514, 6475, 7629, 8627, 9415, 11961, 15669, 16390, 17489, 19296, 19985, 53222,
     57797, 101475, 101600, 105283, 107553, 109563, 111972, 219461, 254008, 400304, 400905, 400993, 402381,
     404107, 405172, 407587, 722030, 723714, 723919, 724229,
 ];
-/// Seeds are shared out to this many threads; each seed is played by one.
+/// Number of threads among which the seeds are divided.
 const THREADS: u64 = 4;
 
-/// What the runs have done together.
+/// Event counts, summed over all runs.
 #[derive(Clone, Copy, Debug, Default)]
 struct Totals {
     events: usize,
--- a/coordination/chain/tests/cores/simulator/checker.rs
+++ b/coordination/chain/tests/cores/simulator/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold at all times, checked from what the nodes report.
+//! Checks the invariants of the core against the outputs of the nodes.
 
 use std::collections::BTreeMap;
 
@@ -44,7 +44,7 @@
     ViewTooSmall {
         view: View,
     },
-    /// A node with contact lacks a command that was acknowledged before its state can have been that old.
+    /// A node with quorum contact lacks a command acknowledged earlier than its reported state age allows.
     OlderThanClaimed {
         machine: usize,
         expected: u64,
@@ -57,18 +57,18 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ReadOperation {
-    /// Every command up to here had been acknowledged or seen when the read began.
+    /// The highest sequence acknowledged or read before this read began, which it must observe.
     floor: u64,
 }
 
-/// The record of everything that was acknowledged.
+/// Everything that nodes have committed, acknowledged and reported so far.
 #[derive(Default)]
 pub struct Checker {
     views: BTreeMap<Epoch, View>,
     committed: BTreeMap<u64, u64>,
     sequences: BTreeMap<u64, u64>,
     acknowledged: BTreeMap<u64, u64>,
-    /// The highest sequence acknowledged so far, by time.
+    /// The highest acknowledged sequence, by the time at which it was reached.
     acknowledged_at: BTreeMap<u64, u64>,
     reads: BTreeMap<RequestId, ReadOperation>,
     observed: u64,
@@ -79,7 +79,8 @@
 }
 
 impl Checker {
-    /// A machine claims that its state, which ends at `seen`, holds all that was acknowledged before `as_of`.
+    /// Checks a machine's claim that its state, which ends at sequence `seen`, contains everything acknowledged before
+    /// `as_of`.
     pub fn check_state_age(&mut self, machine: usize, as_of: u64, seen: u64) -> Result<(), Violation> {
         self.state_age_checks += 1;
         let expected = self.acknowledged_at.range(..as_of).next_back().map_or(0, |(_, highest)| *highest);
--- a/coordination/chain/tests/cores/simulator/clients.rs
+++ b/coordination/chain/tests/cores/simulator/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that write and read at machines drawn at random.
+//! Clients that send writes and reads to random machines.
 
 use millrudder_chain::{Input, RequestId};
 
--- a/coordination/chain/tests/cores/simulator/fault_injection.rs
+++ b/coordination/chain/tests/cores/simulator/fault_injection.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A process that shuts down ends as soon as it can leave.
+    /// Ends a stopping process once it can leave or `until` is reached; otherwise checks again later.
     pub(super) fn continue_stop(&mut self, machine: usize, process: u64, until: u64, down_micros: u64) {
         let host = &self.hosts[machine];
         let clock = host.clock(self.now);
@@ -70,8 +70,8 @@
         self.schedule(self.now + STOP_CHECK_MICROS, again);
     }
 
-    /// Whether everything acknowledged is also durable elsewhere, and a majority of voters has its disks, without that of
-    /// `machine`.
+    /// Whether the core survives the loss of the disk of `machine`: some other machine has caught up in the newest
+    /// view, and the disks of a majority of the voters are intact without it.
     pub(super) fn tolerates_loss_of_disk(&self, machine: usize) -> bool {
         let others = || self.hosts.iter().enumerate().filter(|(other, _)| *other != machine);
         let views = others().filter_map(|(_, host)| host.node.as_ref()?.view());
--- a/coordination/chain/tests/cores/simulator/faults.rs
+++ b/coordination/chain/tests/cores/simulator/faults.rs
@@ -1,30 +1,30 @@
 //! Faults of the simulated world.
 
-/// A process that shuts down ends after this many microseconds at the latest.
+/// Maximum duration of a graceful shutdown, in microseconds.
 pub const STOP_MICROS: u64 = 5_000_000;
 
 /// A fault of the simulated world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process ends; what was written may or may not be there. It starts again after a while.
+    /// The process is killed, and restarts later. A random prefix of the pending writes becomes durable.
     Kill { machine: usize, down_micros: u64 },
-    /// Power is lost: only what is durable survives.
+    /// The machine loses power: all pending writes are lost.
     PowerLoss { machine: usize, down_micros: u64 },
-    /// The process shuts down: it announces that it leaves, and ends a little later.
+    /// The process shuts down gracefully: it announces that it leaves, and ends later.
     Stop { machine: usize, down_micros: u64 },
-    /// Every process ends at the same moment.
+    /// Every process is killed at the same moment.
     KillAll { down_micros: u64 },
     /// Every machine loses power.
     PowerLossOfAll { down_micros: u64 },
     /// The disk is lost; the machine starts with an empty one.
     WipeDisk { machine: usize, down_micros: u64 },
-    /// The same if the core tolerates it at that moment; else nothing happens.
+    /// The disk is lost if the core tolerates that at this moment; otherwise nothing happens.
     WipeDiskIfTolerated { machine: usize, down_micros: u64 },
     /// The disk is lost and every other machine loses power.
     WipeDiskWithPowerLossOfOthers { machine: usize, down_micros: u64 },
-    /// Two disks are lost; only for cores that tolerate the loss of two machines.
+    /// Two disks are lost; only for cores that tolerate two failures.
     WipeTwoDisks { machines: [usize; 2], down_micros: u64 },
-    /// The process does not run for a while.
+    /// The process is paused.
     Freeze { machine: usize, micros: u64 },
     /// Messages in one direction are lost.
     PartitionOneWay { from: usize, to: usize, micros: u64 },
@@ -32,12 +32,12 @@
     PartitionBothWays { one: usize, other: usize, micros: u64 },
     /// A machine is partitioned from all others.
     Isolate { machine: usize, micros: u64 },
-    /// Writes take long.
+    /// Disk writes are slow.
     SlowDisk { machine: usize, micros: u64 },
 }
 
 impl Fault {
-    /// Whether the fault takes a disk, which is tolerated only while everything else is healthy.
+    /// Whether the fault always destroys a disk, which is tolerated only while all other machines are healthy.
     pub fn loses_disk(&self) -> bool {
         matches!(
             self,
@@ -45,12 +45,12 @@
         )
     }
 
-    /// Whether the fault takes writes that are not durable, at every machine or with a disk.
+    /// Whether the fault destroys a disk, or loses pending writes at every machine.
     pub fn loses_writes(&self) -> bool {
         self.loses_disk() || matches!(self, Fault::PowerLossOfAll { .. } | Fault::KillAll { .. })
     }
 
-    /// After how many microseconds all runs again at the latest.
+    /// Maximum time until the fault has ended, in microseconds.
     pub fn ends_within(&self) -> u64 {
         match self {
             Fault::Stop { .. } => self.micros() + STOP_MICROS,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// How long the fault lasts, from the moment at which the process ends.
+    /// Duration of the fault in microseconds; for a shutdown, counted from the end of the process.
     pub fn micros(&self) -> u64 {
         match self {
             Fault::Kill { down_micros, .. }
--- a/coordination/chain/tests/cores/simulator/history.rs
+++ b/coordination/chain/tests/cores/simulator/history.rs
@@ -1,4 +1,4 @@
-//! When things happened, for tests that bound times.
+//! Times of views, leases and writes, for tests that assert bounds on durations.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 /// A node entered a view.
 #[derive(Clone, Debug)]
 pub struct ViewEntered {
-    /// Microseconds of true time.
+    /// Simulated time in microseconds.
     pub at: u64,
     pub view: View,
 }
@@ -15,13 +15,13 @@
 /// A node was granted a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant {
-    /// Microseconds of true time.
+    /// Simulated time in microseconds.
     pub at: u64,
     /// Whether the node had caught up with its chain.
     pub caught_up: bool,
 }
 
-/// Times of views, writes and messages, in microseconds of true time.
+/// Views, leases and writes with their simulated times in microseconds, and statistics of messages.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     pub views: Vec<ViewEntered>,
@@ -33,7 +33,8 @@
     pub waits: Vec<Wait>,
 }
 
-/// A value and the machine to which it was given; each machine that has it given answers it.
+/// A value and the machine to which it was submitted. A value may be submitted to several machines, each of which
+/// replies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Submission {
     pub value: u64,
@@ -58,13 +59,13 @@
         }
     }
 
-    /// The longest wait of the writes submitted in a span of time.
+    /// The longest wait among the writes submitted in a time range.
     pub fn longest_wait(&self, span: std::ops::Range<u64>) -> Option<u64> {
         let waits = self.waits.iter().filter(|wait| span.contains(&wait.submitted_at));
         waits.map(|wait| wait.micros).max()
     }
 
-    /// How many writes were answered in a span of time.
+    /// Number of writes answered in a time range.
     pub fn answered_in(&self, span: std::ops::Range<u64>) -> usize {
         self.waits.iter().filter(|wait| span.contains(&(wait.submitted_at + wait.micros))).count()
     }
--- a/coordination/chain/tests/cores/simulator/host.rs
+++ b/coordination/chain/tests/cores/simulator/host.rs
@@ -1,11 +1,11 @@
-//! One machine: disk, clock and process.
+//! A simulated machine with its disk, clock and process.
 
 use millrudder_chain::{CoreNode, SimulatedDisk};
 use millrudder_clock::Instant;
 
 use super::value_table::ValueTable;
 
-/// One machine with its process, if that runs.
+/// A simulated machine. `node` is `None` while its process is not running.
 #[derive(Default)]
 pub struct Host {
     pub node: Option<CoreNode<ValueTable>>,
@@ -21,12 +21,12 @@
 }
 
 impl Host {
-    /// The machine's steady clock at a true time.
+    /// Reading of the machine's monotonic clock at simulated time `now`.
     pub fn clock(&self, now: u64) -> Instant {
         Instant::from_micros(self.clock_offset + now + now / 1_000_000 * self.clock_rate_ppm)
     }
 
-    /// True time at which the machine's steady clock will show `local`, or a little later.
+    /// Simulated time at which the machine's monotonic clock has reached `local`.
     pub fn true_time(&self, now: u64, local: Instant) -> u64 {
         now + (local - self.clock(now)).as_micros() as u64
     }
--- a/coordination/chain/tests/cores/simulator/network.rs
+++ b/coordination/chain/tests/cores/simulator/network.rs
@@ -1,4 +1,4 @@
-//! Links with loss, delay, reordering, doubling and partitions.
+//! A simulated network with loss, delay, reordering, duplication and partitions.
 
 use std::collections::BTreeSet;
 
@@ -13,12 +13,12 @@
     pub delayed: f64,
 }
 
-/// Shortest and longest ordinary delay of a message, in microseconds.
+/// Range of the normal message delay, in microseconds.
 const DELAY_MICROS: std::ops::Range<u64> = 300..3_000;
-/// Longest delay of a message that is delayed, in microseconds.
+/// Range of the delay of messages chosen by [`NetworkFaults::delayed`], in microseconds.
 const DELAYED_MICROS: std::ops::Range<u64> = 3_000..2_000_000;
 
-/// The network between machines, which are numbered.
+/// The network between the machines, which are identified by index.
 pub struct Network {
     pub faults: NetworkFaults,
     partitions: BTreeSet<(usize, usize)>,
@@ -29,7 +29,7 @@
         Network { faults, partitions: BTreeSet::new() }
     }
 
-    /// Interrupts one direction.
+    /// Drops all messages in one direction until [`Network::heal`].
     pub fn partition(&mut self, from: usize, to: usize) {
         self.partitions.insert((from, to));
     }
@@ -42,7 +42,7 @@
         self.partitions.contains(&(from, to))
     }
 
-    /// Delays of the copies of a message that arrive.
+    /// Delay of each delivered copy of a message; empty if the message is lost.
     pub fn delays(&self, random: &mut fastrand::Rng, from: usize, to: usize) -> Vec<u64> {
         if self.is_partitioned(from, to) || random.f64() < self.faults.loss {
             return Vec::new();
--- a/coordination/chain/tests/cores/simulator/outputs.rs
+++ b/coordination/chain/tests/cores/simulator/outputs.rs
@@ -1,4 +1,4 @@
-//! What nodes ask for is carried out and checked.
+//! Carries out the outputs of the nodes and checks them.
 
 use millrudder_chain::{CoreMessage, FencingToken, NodeId, Output, PersistToken, Role};
 
@@ -7,9 +7,9 @@
 use super::world::{EventKind, World};
 use millrudder_chain::DiskWrite;
 
-/// Shortest and longest time of an ordinary write to disk, in microseconds.
+/// Range of the duration of a normal disk write, in microseconds.
 const DISK_MICROS: std::ops::Range<u64> = 1_500..6_000;
-/// Shortest and longest time of a write to a slow disk, in microseconds.
+/// Range of the duration of a write to a slow disk, in microseconds.
 const SLOW_DISK_MICROS: std::ops::Range<u64> = 50_000..700_000;
 
 impl World {
@@ -92,7 +92,7 @@
         let takes = self.random.u64(if slow { SLOW_DISK_MICROS } else { DISK_MICROS });
         let host = &mut self.hosts[machine];
         host.disk.begin(write);
-        // Writes that wait together are synced together.
+        // Pending writes are synced together, so that their durations overlap instead of adding up.
         let at = host.disk_free_at.max(self.now + takes);
         host.disk_free_at = at;
         let process = host.process;
--- a/coordination/chain/tests/cores/simulator/plan.rs
+++ b/coordination/chain/tests/cores/simulator/plan.rs
@@ -1,18 +1,18 @@
-//! A seeded plan: network, size of the core, and faults over time.
+//! Plans for simulation runs, generated from a seed: core size, network and faults over time.
 
 use super::faults::Fault;
 use super::network::NetworkFaults;
 
-/// A fault at a time (microseconds).
+/// A fault scheduled at a time (microseconds).
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedFault {
     pub at: u64,
-    /// Injected not at that time, but directly after the first acknowledgement from then on.
+    /// Whether the fault is injected directly after the first acknowledgement from `at` on, instead of at `at`.
     pub after_acknowledgement: bool,
     pub fault: Fault,
 }
 
-/// What one simulated run does.
+/// Parameters of one simulation run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
@@ -20,9 +20,9 @@
     pub minimum_members: usize,
     pub network: NetworkFaults,
     pub faults: Vec<PlannedFault>,
-    /// Faults end here (microseconds).
+    /// Time after which no fault is injected (microseconds).
     pub faults_end_at: u64,
-    /// Shortest and longest pause between two requests of the clients, in microseconds.
+    /// Range of the pause between two client requests, in microseconds.
     pub client_pause: std::ops::Range<u64>,
     /// Committed commands that a node retains in memory.
     pub retained_entries: usize,
@@ -30,24 +30,25 @@
     pub batch_bytes: usize,
 }
 
-/// Pauses of clients who are in no hurry.
+/// Range of the pause between client requests under light load, in microseconds.
 const CLIENT_MICROS: std::ops::Range<u64> = 5_000..100_000;
-/// Small, so that snapshots are needed often ...
+/// Small, so that snapshots are often needed.
 const RETAINED_ENTRIES: usize = 20;
-/// ... and are sent in many chunks.
+/// Small, so that snapshots are sent in many chunks.
 const BATCH_BYTES: usize = 1 << 10;
 
-/// Faults start when the core can have been founded.
+/// Time of the first fault in microseconds, when the bootstrap can have completed.
 const FIRST_FAULT_MICROS: u64 = 2_000_000;
 
-/// A machine counts as lost for this long after its return; a disk is taken only when none counts as lost.
+/// Time, in microseconds, for which a machine counts as failed after its return. A disk is destroyed only while no
+/// machine counts as failed.
 const CATCH_UP_MICROS: u64 = 4_500_000;
 
-/// A fault that waits for an acknowledgement mostly fault_injection within this time.
+/// Time, in microseconds, within which a fault that waits for an acknowledgement is usually injected.
 const ACKNOWLEDGED_WITHIN_MICROS: u64 = 200_000;
 
 impl Plan {
-    /// Three machines on a good network, with one fault.
+    /// Three machines on a network without faults, with one fault of a machine.
     pub fn with_fault(seed: u64, at: u64, fault: Fault) -> Plan {
         let network = NetworkFaults { loss: 0.0, duplicated: 0.0, delayed: 0.0 };
         let faults = vec![PlannedFault { at, after_acknowledgement: false, fault }];
@@ -64,12 +65,12 @@
         }
     }
 
-    /// One more fault.
+    /// Adds a fault.
     pub fn add_fault(&mut self, at: u64, fault: Fault) {
         self.faults.push(PlannedFault { at, after_acknowledgement: false, fault });
     }
 
-    /// A plan drawn from a seed.
+    /// A random plan generated from a seed.
     pub fn drawn(seed: u64) -> Plan {
         let mut random = fastrand::Rng::with_seed(seed);
         let machines = [3, 3, 3, 5][random.usize(0..4)];
@@ -110,8 +111,8 @@
 }
 
 impl Plan {
-    /// A plan in which losses follow each other closely: disks are lost whenever that is tolerated, and machines are
-    /// stopped, killed and partitioned meanwhile.
+    /// A plan in which failures follow each other closely: disks are lost at random times if that is tolerated then,
+    /// while machines are stopped, killed and partitioned.
     pub fn with_close_losses(seed: u64) -> Plan {
         let mut plan = Plan::drawn(seed);
         let mut random = fastrand::Rng::with_seed(seed ^ 0xc105e);
--- a/coordination/chain/tests/cores/simulator/value_table.rs
+++ b/coordination/chain/tests/cores/simulator/value_table.rs
@@ -1,9 +1,9 @@
-//! The replicated machine of the simulation: an ordered table of the values written so far.
+//! The replicated state machine of the simulation: a list of the written values.
 
 use millrudder_chain::{Machine, RestoreError, Sequence};
 use speedy::{Readable, Writable};
 
-/// Remembers at which sequence each value was written first, and how often each was applied.
+/// Stores every applied value with its sequence, so that a value applied twice appears twice.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ValueTable {
     pub values: Vec<Written>,
--- a/coordination/chain/tests/cores/simulator/world.rs
+++ b/coordination/chain/tests/cores/simulator/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: one event at a time, in the order of time.
+//! The simulation: processes one event at a time, in order of time.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -14,15 +14,15 @@
 use super::plan::Plan;
 use super::value_table::ValueTable;
 
-/// Pause between two rounds in which machines find each other, in microseconds.
+/// Interval between rounds of peer discovery, in microseconds.
 const DISCOVERY_MICROS: u64 = 250_000;
-/// How late a timer may go off, in microseconds.
+/// Range of the delay with which a timer fires, in microseconds.
 const TIMER_LATENESS_MICROS: std::ops::Range<u64> = 0..2_000;
-/// The largest difference of a machine's clock rate from true time, in parts per million.
+/// Maximum deviation of a machine's clock rate from simulated time, in parts per million.
 const CLOCK_RATE_PPM: u64 = 500;
-/// How long the world goes on after the last fault, in microseconds.
+/// Time after the last fault within which the core must have recovered, in microseconds.
 const RECOVERY_MICROS: u64 = 6_000_000;
-/// Reads have names beyond all written values.
+/// Request ids of reads start here, above all written values, which serve as the request ids of writes.
 const FIRST_READ: u128 = 1 << 64;
 
 type Event = Box<EventKind>;
@@ -43,7 +43,7 @@
 }
 
 impl EventKind {
-    /// The machine that must run for this event to happen.
+    /// The machine that handles the event; the event is postponed while that machine is frozen.
     fn required_machine(&self) -> Option<usize> {
         match self {
             EventKind::Deliver { machine, .. }
@@ -56,13 +56,13 @@
     }
 }
 
-/// The world of one run.
+/// State of one simulation run.
 pub struct World {
     pub(super) plan: Plan,
     pub(super) random: fastrand::Rng,
     pub(super) hosts: Vec<Host>,
     pub(super) network: Network,
-    /// Injected directly after the next acknowledgement.
+    /// Fault to inject directly after the next acknowledgement.
     pub(super) fault_on_acknowledgement: Option<Fault>,
     pub(super) events: BinaryHeap<Reverse<(u64, u64)>>,
     pub(super) queued: BTreeMap<u64, Event>,
@@ -123,7 +123,7 @@
         self.schedule(1_000_000, EventKind::Client);
     }
 
-    /// Plays the plan to its end, and checks that the core has recovered.
+    /// Runs the whole plan, and checks that the core has recovered.
     pub fn run(&mut self) -> Result<(), Violation> {
         let last_fault_ends_at =
             self.plan.faults.iter().map(|planned| planned.at + planned.fault.ends_within()).max();
@@ -132,7 +132,7 @@
         self.check_recovery()
     }
 
-    /// Plays until a time (microseconds).
+    /// Runs until simulated time `end` (microseconds).
     pub fn run_until(&mut self, end: u64) -> Result<(), Violation> {
         while self.now < end && self.violation.is_none() {
             self.step();
@@ -140,13 +140,13 @@
         self.violation.clone().map_or(Ok(()), Err)
     }
 
-    /// Sizes of the views that the running nodes know.
+    /// For each running node, the number of members of the view that it knows.
     pub fn members_known(&self) -> Vec<usize> {
         let nodes = self.hosts.iter().filter_map(|host| host.node.as_ref());
         nodes.map(|node| node.view().map_or(0, |view| view.members.len())).collect()
     }
 
-    /// Whether the node at `machine` is a member and holds what the chain of its view holds.
+    /// Whether the node at `machine` is a member and has caught up with the chain of its view.
     pub fn is_caught_up(&self, machine: usize) -> bool {
         self.hosts[machine].node.as_ref().is_some_and(CoreNode::is_caught_up)
     }
@@ -256,7 +256,7 @@
         self.schedule_tick(machine);
     }
 
-    /// Checks what a machine claims of the age of its state.
+    /// Checks the state age that a machine reports.
     fn check_state_age(&mut self, machine: usize) {
         let host = &self.hosts[machine];
         let Some(node) = &host.node else {
@@ -266,7 +266,7 @@
         let Some(age) = node.state_age(clock).filter(|_| node.has_quorum_contact(clock)) else {
             return;
         };
-        // A clock that runs fast shows more than true time, so that the age is at least the true one.
+        // Machine clocks never run slower than simulated time, so the reported age is at least the true age.
         let as_of = self.now.saturating_sub(age.as_micros() as u64);
         let seen = node.machine().last_sequence();
         if let Err(violation) = self.checker.check_state_age(machine, as_of, seen) {
@@ -299,7 +299,7 @@
         self.schedule(self.now + DISCOVERY_MICROS, EventKind::Discover);
     }
 
-    /// `machine` learns which node runs at `peer`, if they can talk and the node's identity is durable.
+    /// Reports the node at `peer` to `machine`, if both run and are connected and the identity of `peer` is durable.
     fn report_peer(&mut self, peer: usize, machine: usize) {
         let connected =
             !self.network.is_partitioned(peer, machine) && !self.network.is_partitioned(machine, peer);
@@ -315,7 +315,7 @@
         self.schedule(self.now + 1_000, event);
     }
 
-    /// After the calm every machine is a member again and holds everything that was acknowledged.
+    /// Checks that every machine is a member again and holds every acknowledged write except the most recent ones.
     fn check_recovery(&self) -> Result<(), Violation> {
         let nodes: Vec<&CoreNode<ValueTable>> =
             self.hosts.iter().filter_map(|host| host.node.as_ref()).collect();
--- a/coordination/chain/tests/cores/storm.rs
+++ b/coordination/chain/tests/cores/storm.rs
@@ -1,4 +1,4 @@
-//! A member that returns under a heavy load of writes.
+//! Catch-up of a member that returns under a heavy load of writes.
 
 use crate::simulator::faults::Fault;
 use crate::simulator::network::NetworkFaults;
@@ -6,26 +6,26 @@
 use crate::simulator::world::World;
 
 const SECOND: u64 = 1_000_000;
-/// The storm has gone on for a while when the fault fault_injection (microseconds).
+/// Time of the fault in microseconds, when the write load has lasted for a while.
 const FAULT_AT: u64 = 3 * SECOND;
-/// Longest time from a machine's return until it holds everything and takes part (microseconds).
+/// Maximum time from a machine's return until it has caught up as a member (microseconds).
 const CATCH_UP_MICROS: u64 = 4_500_000;
-/// How often a machine that comes back is looked at (microseconds).
+/// Interval between checks of a returning machine (microseconds).
 const CHECK_MICROS: u64 = 10_000;
-/// A process starts up to this much later than planned (microseconds).
+/// Maximum delay of a process start beyond the planned time (microseconds).
 const LATE_START_MICROS: u64 = 100_000;
-/// What a message has beside its entries or its chunk of a snapshot.
+/// Maximum size of a message without its entries or snapshot chunk.
 const MESSAGE_OVERHEAD_BYTES: usize = 128;
 const SEEDS: std::ops::Range<u64> = 0..24;
 
-/// Pauses between changes, in microseconds.
+/// Pauses between client requests, in microseconds.
 const FASTEST: std::ops::Range<u64> = 4_000..6_000;
 const UNEVEN: std::ops::Range<u64> = 5_000..300_000;
 
 fn plan_under_load(seed: u64, pause: std::ops::Range<u64>, fault: Fault) -> Plan {
     let mut plan = Plan::with_fault(seed, FAULT_AT, fault);
     plan.client_pause = pause;
-    // As with commands of 100 KB beside a log of 1 MiB.
+    // Corresponds to commands of 100 KB with a log retention of 1 MiB.
     plan.retained_entries = 10;
     plan
 }
@@ -40,7 +40,7 @@
     ]
 }
 
-/// Plays until the machine has caught up again; returns how long after its return that was.
+/// Runs until the machine has caught up, and returns the time since its return (microseconds).
 fn time_to_catch_up(world: &mut World, machine: usize, returns_at: u64) -> u64 {
     world.run_until(returns_at).expect("no invariant is broken");
     let mut at = returns_at;
--- a/coordination/chain/tests/decoders.rs
+++ b/coordination/chain/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Corrupted bytes: damaged states, records and messages are rejected, or handled without a panic.
+//! Decoding of corrupted bytes: damaged states, records and messages are rejected or handled without a panic.
 
 mod concat_machine;
 
@@ -17,14 +17,15 @@
 
 const CASES: u32 = 2_000;
 const STEP: Duration = Duration::from_millis(20);
-/// Steps of the run that collects real bytes, and commands in it.
+/// Number of steps of the run that collects the corpus.
 const STEPS: u64 = 120;
+/// Number of commands submitted in that run.
 const COMMANDS: u64 = 40;
 const NODES: usize = 3;
 
 type Node = CoreNode<Text>;
 
-/// What real nodes have encoded, and the nodes afterwards.
+/// Encoded messages, records and states from a run of real nodes, and the nodes at its end.
 struct Corpus {
     nodes: Vec<Node>,
     messages: Vec<Vec<u8>>,
@@ -35,7 +36,7 @@
 
 fn config(index: usize) -> CoreConfig {
     let mut config = CoreConfig::new(address(index));
-    // The last one joins later, and needs a snapshot.
+    // The last node joins later and needs a snapshot.
     config.bootstrap_addresses =
         if index + 1 < NODES { (0..NODES - 1).map(address).collect() } else { Vec::new() };
     config.minimum_members = 1;
@@ -119,14 +120,14 @@
     })
 }
 
-/// Damage to bytes.
+/// A modification of encoded bytes.
 #[derive(Clone, Debug)]
 enum Damage {
     Flip {
         at: Index,
         mask: u8,
     },
-    /// A length or number becomes another one.
+    /// Four bytes, which may encode a length or number, are overwritten.
     Number {
         at: Index,
         number: u32,
@@ -191,14 +192,14 @@
     proptest::collection::vec(damage(), 1..4)
 }
 
-/// A value does not hold more than the bytes that it was read from.
+/// Asserts that a decoded value does not encode to more bytes than it was read from.
 fn assert_no_larger<T: Writable<speedy::LittleEndian>>(value: &T, bytes: &[u8]) -> Result<(), TestCaseError> {
     let length = value.write_to_vec().expect("it is written").len();
     prop_assert!(length <= bytes.len(), "{length} bytes read from {}", bytes.len());
     Ok(())
 }
 
-/// A node that is started from a state goes on for a while.
+/// Starts a node from a state and runs it for a few steps.
 fn start(state: DurableState) {
     let Ok(mut node) = Node::new(config(0), Some(state), 7, Instant::ORIGIN) else { return };
     for step in 0..8 {
@@ -213,7 +214,7 @@
     }
 }
 
-/// A node gets a message from another one, and goes on for a while.
+/// Delivers a message to a node and runs it for a few steps.
 fn deliver(node: &mut Node, now: Instant, from: NodeId, message: CoreMessage) {
     node.handle(now, Input::Message { from, message });
     for step in 1..4 {
@@ -276,7 +277,7 @@
     }
 }
 
-/// Every index that could hold a length says that four billion follow.
+/// Overwrites every offset that could hold a length with `u32::MAX`, about four billion.
 #[test]
 fn false_lengths_reserve_no_memory() {
     let Corpus { messages, records, states, .. } = corpus();
--- a/coordination/chain/tests/golden.rs
+++ b/coordination/chain/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Messages between core nodes and what they keep on disk, byte for byte as earlier versions write them.
+//! Golden tests: the encodings of messages and of durable state match those of earlier versions byte for byte.
 
 use millrudder_chain::{
     AppendBatch, CoreMessage, DurableState, Entry, Epoch, FencingToken, Heartbeat, InstallSnapshotChunk,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Each flag of a heartbeat once, so that no two of them can change places.
+/// Heartbeats with exactly one flag set, for each flag, so that swapped fields are detected.
 fn heartbeats() -> Vec<(&'static str, Heartbeat)> {
     let plain = Heartbeat {
         epoch: EPOCH,
@@ -132,7 +132,7 @@
     golden.finish();
 }
 
-/// A replicated state with one remembered reply, as an earlier version writes it.
+/// A snapshot with one retained reply, as encoded by an earlier version.
 fn snapshot() -> Snapshot {
     let (sequence, epoch, machine) = (5_u64, 3_u64, b"machine".to_vec());
     let mut bytes = Vec::new();
--- a/coordination/chain/tests/log.rs
+++ b/coordination/chain/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log against a plain list of entries.
+//! Compares the log with a plain list of entries.
 
 use millrudder_chain::{Entry, Epoch, Log, NodeId, Position, RequestId, Sequence};
 use proptest::prelude::*;
@@ -75,10 +75,10 @@
     assert_eq!(log.position_at(Sequence(9)), None);
 }
 
-/// The log of a node whose disk is damaged may say that it starts after the last number there is. `Log::get` added one to that
-/// number: a debug build panicked at the node's start ("attempt to add with overflow", `a_damaged_state_is_rejected_or_started_from`
-/// with the pinned case `Large { number: 18446744073709551615 }`), an optimized one went on with zero and took any entry for
-/// the one that was asked for.
+/// The log on a damaged disk may have the maximum sequence as its base. `Log::get` used to add one to the base: a debug
+/// build panicked when the node started ("attempt to add with overflow", `a_damaged_state_is_rejected_or_started_from`
+/// with the pinned case `Large { number: 18446744073709551615 }`), and a release build wrapped to zero and returned a
+/// wrong entry.
 #[test]
 fn a_log_after_the_last_number_has_no_entries() {
     let mut log = Log::after(Position { sequence: Sequence(u64::MAX), epoch: Epoch(1) });
--- a/coordination/chain/tests/messages.rs
+++ b/coordination/chain/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages: they decode to what was encoded, and arbitrary bytes are rejected.
+//! Message encoding: encoding and decoding round-trips, and arbitrary bytes are rejected.
 
 use millrudder_chain::{
     AppendBatch, CoreMessage, Entry, Epoch, Heartbeat, MessageError, NodeId, Position, ProcessTimestamp,
--- a/coordination/chain/tests/model.rs
+++ b/coordination/chain/tests/model.rs
@@ -1,5 +1,5 @@
-//! Change of view while commands are written, with three nodes: every order of events to a stated depth, and long
-//! random histories. `CHAIN_MODEL_STATES` raises the bound on states.
+//! Model checking of view changes with concurrent writes on three nodes: an exhaustive breadth-first search up to a
+//! bound on the number of states, and long random runs. `CHAIN_MODEL_STATES` sets the bound.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::fmt::Write;
@@ -15,18 +15,19 @@
 use millrudder_view::ViewRecord;
 use speedy::{Readable, Writable};
 
-/// States explored in an ordinary run.
+/// Bound on the explored states in a default run.
 const ORDINARY_STATES: usize = 3_000;
-/// Number of long histories, and their actions.
+/// Number of random runs.
 const RANDOM_RUNS: u64 = 250;
+/// Number of actions in each random run.
 const ACTIONS_PER_RUN: usize = 120;
-/// Long enough after a suspicion for each member's turn to propose.
+/// Long enough after a suspicion for each member to have made its first proposal.
 const PROPOSAL_PERIOD: Duration = Duration::from_millis(200);
-/// Turns without a heartbeat after which a node is replaced.
+/// Number of proposal periods without a heartbeat after which a node is replaced.
 const PERIODS_UNTIL_REPLACED: usize = 5;
 const NODES: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
 
-/// The list of values written, each with its index in the order.
+/// The replicated state machine: the list of written values with their sequences.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 struct Values(Vec<Value>);
 
@@ -54,7 +55,7 @@
     }
 }
 
-/// A message in flight. The same message sent twice counts once.
+/// A message in flight. Identical messages are deduplicated.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     from: NodeId,
@@ -79,29 +80,29 @@
     Persist {
         at: NodeId,
     },
-    /// One node believes that another is gone.
+    /// One node suspects that another has failed.
     Suspect {
         at: NodeId,
         suspected: NodeId,
     },
-    /// A node hears everybody again.
+    /// A node receives heartbeats from all other nodes again.
     Trust {
         at: NodeId,
     },
-    /// The process ends; what was not durable is lost.
+    /// The process crashes and restarts; records that were not durable are lost.
     Crash {
         at: NodeId,
     },
 }
 
-/// How much may happen.
+/// Limits on the actions of a run.
 #[derive(Clone, Copy, Debug)]
 struct Limits {
     submits: u64,
     suspicions: usize,
     crashes: usize,
-    /// Whether writes to disk end at once. To leave this out of the exhaustive check loses nothing: a message that
-    /// waits for the disk is like one that is late.
+    /// Whether disk writes complete immediately. The exhaustive search assumes this without loss of coverage: a message
+    /// that waits for the disk is equivalent to a delayed one.
     instant_disks: bool,
 }
 
@@ -135,7 +136,7 @@
     state
 }
 
-/// Hashes what is written to it.
+/// A `fmt::Write` sink that hashes the text written to it.
 struct Fingerprint(DefaultHasher);
 
 impl Write for Fingerprint {
@@ -161,7 +162,7 @@
         world
     }
 
-    /// The chain of the first view is connected, and nothing is in flight.
+    /// A world in which the chain of the first view is connected and no message is in flight.
     fn connected(remaining: Limits) -> World {
         let mut world = World::new(remaining);
         while !world.in_flight.is_empty() {
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Of the heartbeats only those to the predecessor are sent: the others repeat what other messages say.
+    /// Sends only those heartbeats that go to the predecessor: the others only repeat information from other messages.
     fn send(&mut self, from: NodeId, to: NodeId, message: &CoreMessage) {
         let predecessor = self.nodes[&from].view().and_then(|view| view.predecessor(from));
         let repeats = matches!(message, CoreMessage::Heartbeat(_)) && predecessor != Some(to);
@@ -218,7 +219,7 @@
         }
         let mut message = message.clone();
         if let CoreMessage::Heartbeat(heartbeat) = &mut message {
-            // Times differ in each; nothing that is checked here rests on them.
+            // Timestamps would make equal states differ, and no check here depends on them.
             heartbeat.timestamp = ProcessTimestamp::default();
             heartbeat
                 .timestamp_echoes
@@ -238,7 +239,7 @@
         assert_eq!(*first, view, "one view an epoch");
     }
 
-    /// The head of the newest view holds every committed command.
+    /// Checks that the head of the newest view holds every committed command.
     fn check(&self) {
         let Some(view) = self.views.values().last() else {
             return;
@@ -297,7 +298,7 @@
         self.input(at, Input::Persisted { token });
     }
 
-    /// One node misses the heartbeats of another until it suspects it, and gets its turn to propose.
+    /// Withholds the heartbeats of one node from another until the latter suspects it and has had time to propose.
     fn suspect(&mut self, at: NodeId, suspected: NodeId) {
         self.remaining.suspicions -= 1;
         self.receive_heartbeat(at, suspected);
@@ -347,7 +348,7 @@
         actions
     }
 
-    /// Mostly deliveries and writes to disk, now and then a fault.
+    /// A random action: mostly deliveries and disk writes, with occasional faults.
     fn random_action(&self, random: &mut fastrand::Rng) -> Option<Action> {
         let at = random.choice(NODES)?;
         let suspected = random.choice(NODES.into_iter().filter(|id| *id != at).collect::<Vec<_>>())?;
--- a/coordination/chain/tests/node/catch_up.rs
+++ b/coordination/chain/tests/node/catch_up.rs
@@ -1,11 +1,12 @@
-//! A node counts as a member only once it holds the state: until then the member that it replaces stays one.
+//! A node becomes a member only once it holds the state; until then the member that it replaces remains one.
 
 use millrudder_chain::{NodeId, RequestId};
 
 use crate::cluster::{config, Cluster, SECOND, STEP};
 use crate::concat_machine::address;
 
-/// A core of three that has gone on without the third node, which is back with its disk and gets no commands.
+/// A core of three that continued without the third node. That node has restarted with its disk, but its appends are
+/// blocked.
 fn cluster_with_lagging_voter() -> (Cluster, NodeId) {
     let mut cluster = Cluster::bootstrapped(3);
     let third = cluster.hosts.remove(&address(3)).expect("the third host");
@@ -25,7 +26,7 @@
     cluster.run(2 * SECOND);
     let view = cluster.host(1).node.view().expect("a view").clone();
     assert!(view.contains(second.node.id()) && !view.contains(third), "{view:?}");
-    // The first machine's disk is lost; the second comes back with its own.
+    // The first machine is lost with its disk; the second restarts with its own.
     cluster.hosts.remove(&address(1));
     cluster.without_appends.clear();
     cluster.start(config(2, 3), Some(second.disk));
@@ -58,7 +59,7 @@
     let second = cluster.hosts.remove(&address(2)).expect("the second host");
     cluster.run(2 * SECOND);
     let sealed = cluster.host(1).node.epoch();
-    // The missing member returns before the other has caught up.
+    // The failed member returns before the third node has caught up.
     cluster.start(config(2, 3), Some(second.disk));
     cluster.run(SECOND);
     cluster.submit(2, 2, "b");
@@ -75,8 +76,8 @@
     let second = cluster.hosts.remove(&address(2)).expect("the second host");
     let sealed = second.node.epoch();
     cluster.start(config(2, 3), Some(second.disk));
-    // The second machine may have brought the third up with its log: nothing may be committed beyond that before the
-    // next view.
+    // The third machine may have caught up with the second's log and count as complete: no further command may be
+    // committed before the next view.
     cluster.start(config(1, 3), Some(first.disk));
     cluster.submit(1, 2, "b");
     for _ in 0..SECOND.as_micros() / STEP.as_micros() {
--- a/coordination/chain/tests/node/cluster.rs
+++ b/coordination/chain/tests/node/cluster.rs
@@ -1,4 +1,4 @@
-//! A few nodes on a reliable network, each with a disk on which everything is durable at once.
+//! A test cluster on a reliable network, with disks whose writes are durable immediately unless they are stalled.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 use crate::concat_machine::{address, Text};
 
-/// Time advances in steps of this length.
+/// Step of the simulated time.
 pub const STEP: Duration = Duration::from_millis(20);
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// A node with its disk, on which everything is durable at once.
+/// A node with its disk, on which writes are durable immediately unless it is stalled.
 pub struct Host {
     pub node: CoreNode<Text>,
     pub disk: DurableState,
@@ -24,11 +24,11 @@
     pub ready: Vec<RequestId>,
     pub committed: Vec<String>,
     pub snapshots_installed: usize,
-    /// Its disk takes nothing for now.
+    /// Whether the disk is stalled, so that writes do not complete.
     pub is_stalled: bool,
-    /// Bytes that wait for the disk.
+    /// Bytes of records and checkpoints issued while the disk is stalled.
     pub waiting_bytes: usize,
-    /// The newest record that waits for the disk.
+    /// The newest record issued while the disk is stalled.
     pub waiting: Option<PersistToken>,
 }
 
@@ -38,9 +38,9 @@
     pub hosts: BTreeMap<String, Host>,
     pub in_flight: Vec<(NodeId, NodeId, CoreMessage)>,
     pub installs: usize,
-    /// No commands are delivered to these nodes.
+    /// Append messages to these nodes are dropped.
     pub without_appends: BTreeSet<NodeId>,
-    /// Each message of the agreement on views is lost when it is sent for the first time; none if messages are not lost.
+    /// If set, every view agreement message is lost the first time it is sent; contains the messages lost so far.
     pub lost_once: Option<BTreeSet<String>>,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl Cluster {
-    /// A core whose first view is in force.
+    /// A core whose first view is active.
     pub fn bootstrapped(size: usize) -> Cluster {
         let mut cluster = Cluster::default();
         for index in 1..=size {
@@ -128,12 +128,12 @@
         }
     }
 
-    /// From now on the disk of a host takes nothing.
+    /// Stalls the disk of a host.
     pub fn stall(&mut self, index: usize) {
         self.hosts.get_mut(&address(index)).expect("the host is there").is_stalled = true;
     }
 
-    /// The disk goes on, with what has waited for it.
+    /// Ends the stall, and completes the pending writes.
     pub fn resume(&mut self, index: usize) {
         let host = self.hosts.get_mut(&address(index)).expect("the host is there");
         host.is_stalled = false;
--- a/coordination/chain/tests/node/lost_messages.rs
+++ b/coordination/chain/tests/node/lost_messages.rs
@@ -1,10 +1,9 @@
-//! A machine was not a member of the core again six seconds after the last fault, on networks that lose one message in
-//! twenty (`CORE_SEEDS` 4319, 2733 and 936 of the simulation).
+//! Guards against slow view changes on lossy networks. View agreement messages were not retransmitted, unlike commands
+//! and snapshots, which are resent after 200 ms. One lost message therefore failed a whole attempt to change the view,
+//! and the backoff doubled before the next one. On networks that lose one message in twenty, a returning machine was
+//! not readmitted within six seconds of the last fault (`CORE_SEEDS` 4319, 2733 and 936 of the simulation).
 //!
-//! The node that admits it proposes the next view. The trace of seed 4319 shows three attempts in a row of which one
-//! message each was lost: the proposer waited for the answer of that voter until its backoff was over, began anew with a
-//! higher ballot, and waited twice as long each time. A command or a snapshot that is not answered is sent again after
-//! 200 ms; a message of the agreement on views was not.
+//! In this trace of the proposer with seed 4319, three attempts in a row each lose one message:
 //!
 //! ```text
 //! 15.0958 Prepare round 2 to 0 (that to 1 lost)      15.0985 Promise of 0
@@ -18,7 +17,7 @@
 use crate::cluster::{config, Cluster, SECOND};
 use crate::concat_machine::address;
 
-/// A core of three without its third node, which starts again with its disk.
+/// A core of three whose third node failed and has just restarted with its disk.
 fn cluster_with_returning_voter() -> Cluster {
     let mut cluster = Cluster::bootstrapped(3);
     let third = cluster.hosts.remove(&address(3)).expect("the third host");
--- a/coordination/chain/tests/node/main.rs
+++ b/coordination/chain/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! One core node or a few, on a reliable network.
+//! Tests of one or a few core nodes on a reliable network.
 
 mod catch_up;
 mod cluster;
--- a/coordination/chain/tests/node/serving.rs
+++ b/coordination/chain/tests/node/serving.rs
@@ -1,4 +1,4 @@
-//! Commands, reads, records and checkpoints of one core node or a few.
+//! Commands, reads, records and checkpoints of one or a few core nodes.
 
 use millrudder_chain::{
     ConfigError, CoreNode, DurableState, Input, NodeId, Output, Record, RequestId, StartError,
