--- a/coordination/chain/tests/node/stalled_disk.rs
+++ b/coordination/chain/tests/node/stalled_disk.rs
@@ -1,10 +1,10 @@
-//! A disk that takes nothing for minutes: what waits for it must be bounded, or the process is killed for its memory, and with
-//! it what others wait for.
+//! While a disk is stalled for minutes, the data that waits for it must be bounded. Otherwise the process runs out of
+//! memory and is killed, along with the requests of other nodes that it was serving.
 //!
-//! Known by reading (`docs/ROADMAP.md`): the journal's queue has no bound, as the state machine that fills it had none. Where
-//! no other node can take the place of the stalled ones, the head went on to append what it was asked for; each command that
-//! its caller had long given up stayed in its log and in the queue. And every answer that rests on records was kept, also
-//! where a newer one to the same node had made it useless.
+//! The journal's queue has no bound of its own, so the state machine that fills it must limit it. Formerly, if no other
+//! node could replace the stalled ones, the head continued to append commands, and those abandoned by their callers
+//! stayed in its log and in the queue. Every answer that depended on records was kept as well, even if a newer answer
+//! to the same node had made it obsolete.
 
 use millrudder_chain::{CoreMessage, Epoch, FencingToken, Input, RequestId, Role};
 use millrudder_lease::LeaseRequest;
@@ -14,20 +14,21 @@
 
 /// Bytes of one command.
 const COMMAND_BYTES: usize = 64 << 10;
-/// How long a caller waits for an answer, in steps of the cluster.
+/// Time-out of a caller, in steps of the cluster.
 const TIMEOUT_STEPS: usize = 50;
-/// A core holds a configuration in force, the next one, and their copies under way: four bodies of the largest size that is
-/// accepted (4 MiB, `docs/design/control/catchup.md`).
+/// Bound on the bytes that wait for a disk: a core holds the active configuration, the next one, and a copy of each in
+/// flight, which are four bodies of the maximum size (4 MiB, `docs/design/control/catchup.md`).
 const MAX_WAITING_BYTES: usize = 16 << 20;
-/// Each record, of which a peer has at most one mebibyte under way, may have its own effect on the log and one answer.
+/// Each record may have one effect on the log and one answer. A peer has at most one mebibyte of records in flight.
 const EFFECTS_PER_RECORD: u64 = 2;
-/// Effects beyond these: for each of two peers a handful of kinds of answers.
+/// Allowance for other effects: a few kinds of answers to each of two peers.
 const MAX_OTHER_EFFECTS: u64 = 100;
 
-/// Records that may wait: somewhat more than the smallest commands that a peer may have under way.
+/// Maximum number of records that may wait: slightly more than the number of smallest commands that a peer may have in
+/// flight.
 const MAX_WAITING_RECORDS: u64 = 40_000;
 
-/// Submits a command at each step, and abandons it after the time-out of its caller.
+/// Submits a command at each step, and abandons each one after [`TIMEOUT_STEPS`].
 fn submit_for(cluster: &mut Cluster, index: usize, steps: usize) {
     let first = 1_000;
     for step in 0..steps {
@@ -81,7 +82,7 @@
     }
 }
 
-/// A voter writes down each token that it grants. Candidates that never win ask for higher and higher ones.
+/// A voter records each token that it grants. Candidates that never win keep requesting higher ones.
 #[test]
 fn records_that_wait_for_a_stalled_disk_are_bounded() {
     let mut cluster = Cluster::bootstrapped(3);
--- a/coordination/chain/tests/node/voters.rs
+++ b/coordination/chain/tests/node/voters.rs
@@ -1,4 +1,4 @@
-//! Who votes, who holds the state, and when a node may leave.
+//! Which nodes are voters and members, and when a node may leave.
 
 use std::collections::BTreeSet;
 
@@ -44,7 +44,8 @@
     let view = cluster.host(1).node.view().expect("a view").clone();
     assert!(view.is_voter(new_id) && !view.is_voter(lost_id));
     assert_eq!(view.voters.len(), 3);
-    // The lost disk comes back: it does not vote, and the core goes on with one of its earlier machines only.
+    // The lost node returns with its disk but without a vote; the core then continues with only one of its original
+    // members.
     cluster.start(config(3, 3), Some(lost.disk));
     cluster.run(SECOND);
     assert!(!cluster.host(3).node.is_voter());
@@ -63,7 +64,7 @@
     let view = cluster.host(1).node.view().expect("a view").clone();
     assert_eq!(view.members.len(), 2);
     assert!(view.is_voter(host.node.id()) && view.voters.len() == 3);
-    // It comes back, and before it is admitted another goes.
+    // It returns, and another node fails before it is readmitted.
     cluster.start(config(3, 3), Some(host.disk));
     cluster.run(SECOND / 2);
     assert!(!cluster.host(3).node.is_member());
@@ -90,7 +91,7 @@
         !cluster.host(index).node.is_dispensable(cluster.now, decommissioned)
     };
     assert!(cluster.host(2).node.is_member() && is_needed(&cluster, 1));
-    // The first new node replaces the lost one, the next the decommissioned one.
+    // The first new node replaces the lost one, the second replaces the decommissioned one.
     for index in 4..=5 {
         let mut newcomer = config(index, 3);
         newcomer.bootstrap_addresses.clear();
@@ -121,7 +122,7 @@
     assert!(!cluster.host(1).node.is_dispensable(cluster.now, decommissioned));
 }
 
-/// The decommissioned node is removed as soon as it is dispensable, and another one fails at the same time.
+/// The decommissioned node is removed as soon as it is dispensable, and another node fails at the same moment.
 #[test]
 fn any_other_node_may_be_lost_once_a_decommissioned_one_is_dispensable() {
     for lost in [1, 3, 4] {
@@ -218,7 +219,7 @@
     assert!(!cluster.host(2).node.is_member() && cluster.host(2).node.can_leave(cluster.now));
 }
 
-/// What a machine sends in answer to one message.
+/// The messages that a machine sends in answer to one message.
 fn answers(cluster: &mut Cluster, index: usize, message: CoreMessage) -> Vec<CoreMessage> {
     let from = NodeId(1 << 40);
     let id = cluster.host(index).node.id();
@@ -278,13 +279,13 @@
         let epoch = cluster.host(1).node.epoch();
         answers(cluster, 1, lease_request(epoch, FencingToken::floor(epoch.0 + 1)))
     };
-    // A loss changes members only.
+    // The failure of a node changes only the members, not the voters.
     cluster.hosts.remove(&address(3));
     while cluster.host(1).node.epoch() == Epoch::FIRST {
         cluster.run(STEP);
     }
     assert!(!refused(&ask(&mut cluster)));
-    // Another takes over the vote.
+    // Another node takes over the vote.
     let mut replacement = config(4, 3);
     replacement.bootstrap_addresses.clear();
     cluster.start(replacement, None);
--- a/coordination/chain/tests/quorum_contact.rs
+++ b/coordination/chain/tests/quorum_contact.rs
@@ -1,4 +1,4 @@
-//! Contact with a quorum is proven by echoes of what this node sent, and expires by itself.
+//! Quorum contact is proven by echoes of this node's timestamps, and expires without further messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 const STEP: Duration = Duration::from_millis(10);
 const SECOND: Duration = Duration::from_secs(1);
-/// Within this time the nodes of a core of three have bootstrapped and heard from each other.
+/// Time within which a core of three bootstraps and its nodes receive each other's heartbeats.
 const BOOTSTRAP_TIME: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, Default)]
@@ -45,14 +45,14 @@
     message: CoreMessage,
 }
 
-/// Cores on a network on which each link can be interrupted in one direction.
+/// Nodes on a network on which each link can be interrupted in one direction.
 struct Cluster {
     now: Instant,
     nodes: Vec<CoreNode<Count>>,
     partitioned: Vec<(usize, usize)>,
     paused: Vec<usize>,
     in_flight: Vec<Envelope>,
-    /// Messages on interrupted links, to be delivered late.
+    /// Messages held back on interrupted links, for late delivery.
     delayed: Vec<Envelope>,
     contact_changes: BTreeMap<usize, Vec<bool>>,
 }
@@ -213,7 +213,7 @@
     cluster.isolate(0);
     cluster.run(SECOND);
     assert!(!cluster.has_contact(0));
-    // All that the others sent meanwhile comes at once; it answers questions of a second ago.
+    // Delivers all delayed heartbeats at once; the timestamps that they echo are a second old.
     cluster.partitioned.clear();
     let late = std::mem::take(&mut cluster.delayed);
     let heartbeats =
@@ -264,7 +264,7 @@
 #[test]
 fn after_a_clock_stall_contact_must_be_proven_anew() {
     let mut cluster = Cluster::bootstrapped(3);
-    // Answers to what was sent before lie unread.
+    // Heartbeats that echo earlier timestamps are waiting unread.
     cluster.paused = vec![0];
     cluster.run(SECOND / 10);
     cluster.paused.clear();
--- a/coordination/chain/tests/transfer.rs
+++ b/coordination/chain/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfer of a large snapshot to a node that is far behind: chunks, losses, corruption, changes of view, restarts.
+//! Transfer of a large snapshot to a node that is far behind: chunks, losses, corruption, view changes, restarts.
 
 mod concat_machine;
 
@@ -12,14 +12,15 @@
 };
 use millrudder_clock::Instant;
 
-/// Time advances in steps of this length; a message takes one step.
+/// Step of the simulated time; a message takes one step to arrive.
 const STEP: Duration = Duration::from_millis(5);
 const SECOND: Duration = Duration::from_secs(1);
 const CHUNK_BYTES: usize = 64;
-/// The learner's state is replaced beyond this many commands.
+/// A learner that is more than this many commands behind needs a snapshot.
 const RETAINED_ENTRIES: usize = 4;
-/// Commands before the learner comes, and the length of each in bytes.
+/// Number of commands committed before the learner starts.
 const COMMANDS: u128 = 60;
+/// Length of each command in bytes.
 const COMMAND_BYTES: usize = 100;
 /// Chunks that may be in flight at once.
 const MAX_CHUNKS_IN_FLIGHT: usize = 4;
@@ -39,12 +40,12 @@
 
 type MessageFilter = Box<dyn FnMut(&mut Envelope) -> bool>;
 
-/// A core, and what happens to its messages.
+/// A core, whose messages pass through a filter.
 struct Cluster {
     now: Instant,
     hosts: BTreeMap<usize, Host>,
     in_flight: Vec<Envelope>,
-    /// Returns whether a envelope arrives; may change it.
+    /// Returns whether a message is delivered; may modify it.
     message_filter: MessageFilter,
     /// Chunks that have been sent, in order.
     chunks: Vec<SnapshotChunk>,
@@ -60,7 +61,7 @@
 }
 
 impl Cluster {
-    /// A core of `size` that has committed many commands.
+    /// A core of `size` nodes that has committed [`COMMANDS`] commands.
     fn with_state(size: usize) -> Cluster {
         let mut cluster = Cluster {
             now: Instant::ORIGIN,
@@ -84,7 +85,7 @@
         self.take_outputs(index);
     }
 
-    /// A node without state that wants to be a member.
+    /// Starts a node without state, which follows as a learner until it is admitted.
     fn start_learner(&mut self, index: usize) {
         let mut config = config(index, 0);
         config.bootstrap_addresses = Vec::new();
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Machines find each other.
+    /// Reports every node to all others.
     fn report_peers(&mut self) {
         let known: Vec<(usize, NodeId)> =
             self.hosts.iter().map(|(index, host)| (*index, host.node.id())).collect();
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Goes on until this many chunks have been sent.
+    /// Runs until `chunks` chunks have been sent.
     fn run_until_chunks(&mut self, chunks: usize) {
         let end = self.now + 10 * SECOND;
         while self.chunks.len() < chunks && self.now < end {
@@ -192,7 +193,7 @@
     matches!(envelope.message, CoreMessage::SnapshotReceived { .. })
 }
 
-/// Chunks of a state that is sent once.
+/// Number of chunks in an undisturbed transfer.
 fn chunks_of_one_transfer() -> usize {
     let mut cluster = Cluster::with_state(1);
     cluster.start_learner(2);
@@ -239,7 +240,7 @@
     cluster.message_filter = Box::new(|_| true);
     cluster.run(2 * SECOND);
     cluster.assert_caught_up(2);
-    // One window is lost, and one chunk goes out in each pause of 200 ms.
+    // The answers to one window are lost, and then one chunk is resent per retry time-out of 200 ms.
     assert!(
         cluster.chunks.len() <= expected + 2 * MAX_CHUNKS_IN_FLIGHT + 6,
         "{} chunks for {expected}",
@@ -286,7 +287,7 @@
     let tail = cluster.node(1).view().and_then(|view| view.tail()).expect("a view");
     let lost = (2..=3).find(|index| cluster.node(*index).id() != tail).expect("one in the middle");
     cluster.start_learner(4);
-    // The transfer is held up from its middle until the next view is in force.
+    // Half-way through the transfer, chunks are dropped until the next view is active.
     let middle = cluster.chunks.len() + expected / 2;
     cluster.run_until_chunks(middle);
     cluster.message_filter = Box::new(|envelope| !is_chunk(envelope));
@@ -335,7 +336,7 @@
 #[test]
 fn a_repeated_request_does_not_run_again_after_a_transfer() {
     let mut cluster = Cluster::with_state(2);
-    // The one that was brought up becomes the head once those before it are gone.
+    // A node that caught up by a snapshot becomes the head once its predecessors are removed.
     for (learner, lost) in [(3, 1), (4, 2)] {
         cluster.start_learner(learner);
         cluster.run(2 * SECOND);
@@ -355,7 +356,7 @@
     assert_ne!(cluster.node(3).machine(), &before);
 }
 
-/// A forged chunk from the node that sends to the learner.
+/// A forged chunk that appears to come from the learner's sender.
 fn forged_chunk(cluster: &mut Cluster, change: impl FnOnce(&mut SnapshotId, &mut SnapshotChunk)) -> Envelope {
     cluster.run_until_chunks(5);
     let genuine = cluster.chunks[4].clone();
