--- a/coordination/chain/src/config.rs
+++ b/coordination/chain/src/config.rs
@@ -103,7 +103,9 @@
     #[error("the node has no address")]
     NoAddress,
     /// The bounds on the size of a view contradict each other.
-    #[error("a view cannot have at least {minimum} members of {voters} voters")]
+    #[error(
+        "the minimum number of members must be between 1 and the number of voters ({voters}), not {minimum}"
+    )]
     InconsistentViewSize {
         /// [`CoreConfig::minimum_members`].
         minimum: usize,
@@ -111,7 +113,9 @@
         voters: usize,
     },
     /// The first view would be smaller than allowed.
-    #[error("{addresses} bootstrap addresses are fewer than the {minimum} members of the smallest view")]
+    #[error(
+        "there are {addresses} bootstrap addresses, fewer than the minimum of {minimum} members of a view"
+    )]
     TooFewBootstrapAddresses {
         /// Number of [`CoreConfig::bootstrap_addresses`].
         addresses: usize,
@@ -119,7 +123,9 @@
         minimum: usize,
     },
     /// A partitioned node would report quorum contact while others already replace it.
-    #[error("contact with a quorum would count for {contact:?}, longer than the {suspect:?} after which a peer is suspected")]
+    #[error(
+        "the quorum contact time-out of {contact:?} exceeds the {suspect:?} after which a peer is suspected"
+    )]
     QuorumContactTimeoutTooLong {
         /// [`CoreConfig::quorum_contact_timeout`].
         contact: Duration,
--- a/coordination/chain/src/machine.rs
+++ b/coordination/chain/src/machine.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RestoreError {
     /// The bytes do not match the machine's snapshot format.
-    #[error("the snapshot of the replicated state cannot be read")]
+    #[error("the snapshot of the replicated state cannot be decoded")]
     Unreadable,
 }
 
--- a/coordination/chain/tests/cores/recovery.rs
+++ b/coordination/chain/tests/cores/recovery.rs
@@ -50,7 +50,7 @@
         let machine = seed as usize % 3;
         let world = run_with_fault(seed, Fault::Kill { machine, down_micros: 2 * SECOND });
         assert_replaced_within(&world, SECOND);
-        let back = world.history.first_view_of(3, FAULT_AT + 2 * SECOND).expect("it is admitted again");
+        let back = world.history.first_view_of(3, FAULT_AT + 2 * SECOND).expect("the member is readmitted");
         assert!(back - FAULT_AT <= 4 * SECOND, "admitted after {} us", back - FAULT_AT);
     }
 }
@@ -71,7 +71,7 @@
     for seed in SEEDS {
         let machine = seed as usize % 3;
         let world = run_with_fault(seed, Fault::WipeDisk { machine, down_micros: SECOND });
-        let back = world.history.first_view_of(3, FAULT_AT + SECOND / 2).expect("it is admitted");
+        let back = world.history.first_view_of(3, FAULT_AT + SECOND / 2).expect("the machine is admitted");
         assert!(back - FAULT_AT <= 4 * SECOND, "admitted after {} us", back - FAULT_AT);
         assert_eq!(world.members_known(), vec![3, 3, 3]);
     }
--- a/coordination/chain/tests/cores/simulation.rs
+++ b/coordination/chain/tests/cores/simulation.rs
@@ -100,7 +100,7 @@
             .map(|thread_index| scope.spawn(move || run_seeds_of_thread(thread_index, plan)))
             .collect();
         for thread in threads {
-            totals.add(thread.join().expect("the seeds are played"));
+            totals.add(thread.join().expect("the thread finishes its seeds"));
         }
     });
     println!("{totals:?}");
--- a/coordination/chain/tests/cores/simulator/outputs.rs
+++ b/coordination/chain/tests/cores/simulator/outputs.rs
@@ -80,7 +80,7 @@
         let sender = node.id();
         let bytes = message.encode();
         self.history.longest_message = self.history.longest_message.max(bytes.len());
-        let message = CoreMessage::decode(&bytes).expect("a message survives its encoding");
+        let message = CoreMessage::decode(&bytes).expect("an encoded message can be decoded");
         for delay in self.network.delays(&mut self.random, from, machine) {
             let event = EventKind::Deliver { machine, from: sender, to, message: message.clone() };
             self.schedule(self.now + delay, event);
--- a/coordination/chain/tests/cores/simulator/world.rs
+++ b/coordination/chain/tests/cores/simulator/world.rs
@@ -320,14 +320,14 @@
         let nodes: Vec<&CoreNode<ValueTable>> =
             self.hosts.iter().filter_map(|host| host.node.as_ref()).collect();
         if nodes.len() < self.hosts.len() {
-            return Err(Violation::NotRecovered { reason: "a process does not run" });
+            return Err(Violation::NotRecovered { reason: "a process is not running" });
         }
         let members = |node: &CoreNode<ValueTable>| node.view().map_or(0, |view| view.members.len());
         if nodes.iter().any(|node| members(node) < self.hosts.len()) {
-            return Err(Violation::NotRecovered { reason: "a machine is not a member again" });
+            return Err(Violation::NotRecovered { reason: "a machine was not readmitted" });
         }
         if self.checker.acknowledged_count() == 0 || self.checker.finished_reads == 0 {
-            return Err(Violation::NotRecovered { reason: "nothing was served" });
+            return Err(Violation::NotRecovered { reason: "no write or no read was answered" });
         }
         let missing = |value: &u64| nodes.iter().any(|node| !node.machine().contains(*value));
         let recent = self.next_value.saturating_sub(20);
--- a/coordination/chain/tests/model.rs
+++ b/coordination/chain/tests/model.rs
@@ -231,12 +231,12 @@
 
     fn check_committed(&mut self, sequence: Sequence, value: u64) {
         let first = *self.committed.entry(sequence.0).or_insert(value);
-        assert_eq!(first, value, "one command an index");
+        assert_eq!(first, value, "two commands were committed at one sequence");
     }
 
     fn check_view(&mut self, view: View) {
         let first = self.views.entry(view.epoch).or_insert_with(|| view.clone());
-        assert_eq!(*first, view, "one view an epoch");
+        assert_eq!(*first, view, "two views were decided in one epoch");
     }
 
     /// Checks that the head of the newest view holds every committed command.
@@ -271,7 +271,7 @@
                 let message = self.in_flight.iter().nth(index).cloned().expect("the index is in range");
                 self.in_flight.remove(&message);
                 let InFlight { from, to, bytes } = message;
-                let message = CoreMessage::decode(&bytes).expect("a message survives its encoding");
+                let message = CoreMessage::decode(&bytes).expect("an encoded message can be decoded");
                 self.input(to, Input::Message { from, message });
             }
             Action::Persist { at } => self.persist(at),
--- a/coordination/chain/tests/node/cluster.rs
+++ b/coordination/chain/tests/node/cluster.rs
@@ -98,7 +98,7 @@
 
     fn take_outputs(&mut self, name: &str) {
         while let Some(output) = self.hosts.get_mut(name).and_then(|host| host.node.next_output()) {
-            let host = self.hosts.get_mut(name).expect("the host is there");
+            let host = self.hosts.get_mut(name).expect("the host exists");
             match output {
                 Output::Send { to, message } => {
                     self.installs += usize::from(matches!(message, CoreMessage::InstallSnapshot(_)));
@@ -107,7 +107,7 @@
                 Output::Persist { token, record } => {
                     host.disk.apply(&record);
                     if host.is_stalled {
-                        host.waiting_bytes += record.write_to_vec().expect("it is encoded").len();
+                        host.waiting_bytes += record.write_to_vec().expect("encoding succeeds").len();
                         host.waiting = Some(token);
                     } else {
                         host.node.handle(self.now, Input::Persisted { token });
@@ -115,7 +115,7 @@
                 }
                 Output::Checkpoint { state, .. } => {
                     if host.is_stalled {
-                        host.waiting_bytes += state.write_to_vec().expect("it is encoded").len();
+                        host.waiting_bytes += state.write_to_vec().expect("encoding succeeds").len();
                     }
                     host.checkpoint = Some(*state);
                 }
@@ -130,12 +130,12 @@
 
     /// Stalls the disk of a host.
     pub fn stall(&mut self, index: usize) {
-        self.hosts.get_mut(&address(index)).expect("the host is there").is_stalled = true;
+        self.hosts.get_mut(&address(index)).expect("the host exists").is_stalled = true;
     }
 
     /// Ends the stall, and completes the pending writes.
     pub fn resume(&mut self, index: usize) {
-        let host = self.hosts.get_mut(&address(index)).expect("the host is there");
+        let host = self.hosts.get_mut(&address(index)).expect("the host exists");
         host.is_stalled = false;
         host.waiting_bytes = 0;
         if let Some(token) = host.waiting.take() {
