--- a/coordination/chain/src/lib.rs
+++ b/coordination/chain/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`CoreNode`] is a sans-I/O state machine: it bootstraps the core, replicates the commands of a [`Machine`] down the
 //! chain of the current view (chain replication: van Renesse, Schneider, 2004), replaces unreachable members, readmits
 //! those that return, confirms linearizable reads, and requests leader leases. The embedder passes [`Input`]s with
-//! readings of its monotonic clock and carries out the [`Output`]s.
+//! readings of its steady clock and carries out the [`Output`]s.
 //!
 //! A command is committed once every member of the view has made it durable. A message that depends on records is sent
 //! only after they are durable, so that no peer sees state that a crash could undo.
--- a/coordination/chain/src/node/mod.rs
+++ b/coordination/chain/src/node/mod.rs
@@ -56,7 +56,7 @@
 
 /// A member of the core, or a node that can be admitted as one. See the [crate documentation](crate).
 ///
-/// Instants are readings of the node's steady clock, in whole microseconds: messages carry nothing finer.
+/// Instants are readings of the node's steady clock, in whole microseconds: messages carry no finer resolution.
 #[derive(Clone, Debug)]
 pub struct CoreNode<M: Machine> {
     config: CoreConfig,
--- a/coordination/chain/src/node/output.rs
+++ b/coordination/chain/src/node/output.rs
@@ -62,7 +62,7 @@
         /// Identity of the request.
         request_id: RequestId,
     },
-    /// A newer view is in force.
+    /// A newer view has become active.
     ViewChanged(View),
     /// This node holds a role from now on.
     LeaseGranted {
--- a/coordination/chain/src/quorum_contact.rs
+++ b/coordination/chain/src/quorum_contact.rs
@@ -24,7 +24,7 @@
 pub struct ProcessTimestamp {
     /// Random number of the process, to distinguish its readings from those of an earlier process.
     pub process: u64,
-    /// Reading of the process's monotonic clock in microseconds.
+    /// Reading of the process's steady clock in microseconds.
     pub micros: u64,
 }
 
--- a/coordination/chain/src/replica/catch_up_status.rs
+++ b/coordination/chain/src/replica/catch_up_status.rs
@@ -2,7 +2,7 @@
 
 use crate::Sequence;
 
-/// Progress of one member in the chain of the present view.
+/// Progress of one member in the chain of the current view.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CatchUpStatus {
     is_caught_up: bool,
@@ -24,7 +24,7 @@
         self.is_caught_up
     }
 
-    /// Whether the predecessor has sent anything in the present view.
+    /// Whether the predecessor has sent anything in the current view.
     pub(super) fn has_target(&self) -> bool {
         self.target.is_some()
     }
--- a/coordination/chain/tests/cores/simulator/host.rs
+++ b/coordination/chain/tests/cores/simulator/host.rs
@@ -21,12 +21,12 @@
 }
 
 impl Host {
-    /// Reading of the machine's monotonic clock at simulated time `now`.
+    /// Reading of the machine's steady clock at simulated time `now`.
     pub fn clock(&self, now: u64) -> Instant {
         Instant::from_micros(self.clock_offset + now + now / 1_000_000 * self.clock_rate_ppm)
     }
 
-    /// Simulated time at which the machine's monotonic clock has reached `local`.
+    /// Simulated time at which the machine's steady clock has reached `local`.
     pub fn true_time(&self, now: u64, local: Instant) -> u64 {
         now + (local - self.clock(now)).as_micros() as u64
     }
