--- a/coordination/chain/src/store.rs
+++ b/coordination/chain/src/store.rs
@@ -164,7 +164,8 @@
         Some(Applied { sequence, request_id, origin, command, reply, encoded_reply })
     }
 
-    /// Retains the commands after `sequence` for a peer that is catching up, up to the retention limit.
+    /// Retains the commands after `sequence` for a peer that is catching up, up to [`PEER_RETENTION_FACTOR`] times the
+    /// retention limit.
     pub(crate) fn retain_after(&mut self, sequence: Option<Sequence>) {
         self.peer_needs_after = sequence;
     }
