--- a/balancer/fronts/grpc/src/intake/tests.rs
+++ b/balancer/fronts/grpc/src/intake/tests.rs
@@ -4,8 +4,12 @@
 use std::collections::HashMap;
 
 fn classes() -> Vec<Class> {
-    let class =
-        |name: &str, keyed| Class { name: name.to_owned(), keyed, limit: 5_000.0, until: f64::INFINITY };
+    let class = |name: &str, keyed| Class {
+        name: name.to_owned(),
+        keyed,
+        default_timeout: 5_000.0,
+        accepted_until: f64::INFINITY,
+    };
     vec![class("copy-issue", true), class("look-up", false)]
 }
 
