--- a/system/state/placement/src/balance.rs
+++ b/system/state/placement/src/balance.rs
@@ -1,4 +1,4 @@
-//! Balance: new stores get a fair part of the shards, a few at a time, and only while no store is unhealthy.
+//! Balancing: moves an even share of the replicas to new stores, a few at a time and only while every store is stable.
 
 use crate::changes;
 use crate::cluster::{ClusterSnapshot, Counts};
@@ -6,28 +6,29 @@
 use millrudder_protocol::placement::{ChangeReason, Placement, ShardEntry};
 use millrudder_protocol::StoreId;
 
-/// Shards that move at one time for the sake of balance.
+/// Maximum number of replicas that are moved at the same time for balance.
 const MAX_CONCURRENT_MOVES: usize = 8;
-/// Two stores whose numbers of replicas differ by less are balanced.
+/// Two stores are balanced if their numbers of replicas differ by less than this.
 const IMBALANCE_THRESHOLD: usize = 3;
 
-/// A replica that may move to another store. The greatest is the best one to move.
+/// A possible move of a replica to a given receiver. The greatest in the derived order is the best move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Move {
-    /// Replicas that the present store has more than the receiver.
+    /// How many more replicas the current store has than the receiver.
     surplus: usize,
-    /// It is the shard's first replica and the receiver has fewer first replicas, or it is neither.
+    /// True if this is the shard's first replica and the receiver lacks first replicas compared with the current store,
+    /// or if neither is the case.
     balances_first_replicas: bool,
-    /// The shard's primary, which fills the receiver, is in the receiver's zone.
+    /// Whether the shard's primary, from which the receiver copies the data, is in the receiver's zone.
     is_filled_within_zone: bool,
     shard_index: usize,
     leaves: StoreId,
 }
 
-/// Numbers of replicas at the stores, as the moves that were begun will leave them.
+/// Numbers of replicas per store, as they will be after the moves begun so far.
 struct Loads {
     replicas: Counts,
-    /// First replicas of shards: a store gets the primaries of those.
+    /// First replicas of shards. A stable store is the primary of the shards whose first replica it has.
     first_replicas: Counts,
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// Begins to move replicas to stores that hold fewer than others.
+/// Begins to move replicas to stores that have fewer than others.
 pub fn begin_changes(cluster: &ClusterSnapshot, next: &mut Placement) {
     if !is_calm(cluster, next) {
         return;
@@ -68,20 +69,21 @@
     }
 }
 
-/// Every store is stable, and no change is in progress.
+/// Whether every store is stable and no membership change is in progress.
 fn is_calm(cluster: &ClusterSnapshot, next: &Placement) -> bool {
     let is_stable = |id: StoreId| cluster.stores.is_stable(cluster.now, id);
     next.shards.iter().all(|shard| shard.change.is_none())
         && next.stores.iter().all(|store| is_stable(store.id))
 }
 
-/// A store that has just registered may be meant to replace another one: it is not given shards of others at once.
+/// Whether a store has been healthy for long enough to receive replicas for balance. A store that has just registered
+/// may be meant to replace another one, so it receives none at first.
 fn was_spare_long_enough(cluster: &ClusterSnapshot, store: &StoreStatus) -> bool {
     let since = cluster.stores.healthy_since(store.id).unwrap_or(cluster.now);
     cluster.now - since.max(cluster.observed_since) >= cluster.delays.before_balance
 }
 
-/// The best replica for `receiver` to take, if it holds fewer than some other store.
+/// The best move of a replica to `receiver`, if some other store has enough replicas more.
 fn best_move(
     cluster: &ClusterSnapshot,
     next: &Placement,
@@ -110,7 +112,7 @@
     moves.max()
 }
 
-/// Whether the shard's replicas are laid out no worse than before.
+/// Whether the layout cost of the shard would be no higher with `receiver` in place of `leaves`.
 fn keeps_layout(
     cluster: &ClusterSnapshot,
     next: &Placement,
--- a/system/state/placement/src/changes.rs
+++ b/system/state/placement/src/changes.rs
@@ -1,10 +1,10 @@
-//! Steps that several decisions have in common.
+//! Edits to a placement that repair, balancing and the choice of primaries share.
 
 use crate::store_health::StoreStatus;
 use millrudder_protocol::placement::{ChangeReason, MemberChange, Placement, ShardEntry, StoreEntry};
 use millrudder_protocol::{Epoch, StoreId};
 
-/// Begins a membership change of one shard; `leaves` is absent where the learner is one replica more.
+/// Begins a membership change of one shard. With `leaves` set to `None`, the learner becomes an additional replica.
 pub fn begin_change(
     next: &mut Placement,
     shard_index: usize,
@@ -19,13 +19,13 @@
     next.shards[shard_index].change = Some(change);
 }
 
-/// Makes a replica the primary of its shard; a new term begins.
+/// Makes a replica the primary of its shard and starts a new term.
 pub fn assign_primary(shard: &mut ShardEntry, primary: StoreId, epoch: Epoch) {
     shard.primary = primary;
     shard.term = epoch;
 }
 
-/// A healthy store as a placement lists it.
+/// Returns the placement entry of a healthy store.
 pub fn store_entry(store: &StoreStatus) -> StoreEntry {
     StoreEntry {
         id: store.id,
--- a/system/state/placement/src/cluster.rs
+++ b/system/state/placement/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The inputs of a decision: what is known of the cluster at one time.
+//! Input of a placement decision: the known state of the cluster at one point in time.
 
 use crate::layout::Layout;
 use crate::learner_reports::LearnerReports;
@@ -12,22 +12,23 @@
 /// Delays before shards move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepairDelays {
-    /// How long a store must be unhealthy before a spare store replaces it: filling one that holds nothing costs the
-    /// others nothing.
+    /// How long a store must be unhealthy before a spare store replaces it. This is the shorter delay, since a spare
+    /// has no replicas and the other stores need not take on more.
     pub with_spare: Duration,
-    /// The same where stores that hold shards would have to take more.
+    /// How long a store must be unhealthy before stores that already hold replicas take over its replicas.
     pub without_spare: Duration,
-    /// How long a new store stays a spare before it gets shards of others.
+    /// How long a new store must have been healthy before replicas are moved to it for balance.
     pub before_balance: Duration,
 }
 
 impl RepairDelays {
-    /// Derives the delays from the time in which a replacement must have caught up.
+    /// Derives the delays from the time within which a replacement must have caught up.
     ///
-    /// A third of it is granted for a restart, which needs no repair; the rest is for the filling. Without a spare, three
-    /// times as much is granted, since a store that is away for so long was not just restarted.
+    /// A third of this time allows for a restart, which needs no repair; the rest is for copying the data. Without a
+    /// spare store, the delay is three times `catch_up`, since a store that is absent for that long has not just
+    /// restarted.
     pub fn from_catch_up(catch_up: Duration) -> Self {
-        // In whole milliseconds, as all times that it is compared with.
+        // Rounded down to whole milliseconds, like all times it is compared with.
         let third = Duration::from_millis(u64::try_from(catch_up.as_millis()).unwrap_or(u64::MAX) / 3);
         RepairDelays {
             with_spare: third,
@@ -37,23 +38,23 @@
     }
 }
 
-/// What is known of the cluster when a placement is decided.
+/// The known state of the cluster at the time of a placement decision.
 pub struct ClusterSnapshot<'a> {
     /// Time of the decision.
     pub now: Instant,
-    /// Stores that may be lost at one time without losing a message.
+    /// How many stores may be lost at the same time without losing a message.
     pub tolerated_losses: u32,
-    /// Stores that have registered, and their health.
+    /// Registered stores and their health.
     pub stores: &'a StoreTable,
-    /// Learners that have caught up.
+    /// Reports by learners that they have caught up.
     pub learner_reports: &'a LearnerReports,
-    /// Names of the machines that are retiring, or have retired.
+    /// Names of machines that are retiring or have retired.
     pub retiring: &'a BTreeSet<String>,
     /// Delays before shards move.
     pub delays: RepairDelays,
-    /// Rule by which replicas are laid out.
+    /// Rule for spreading replicas over zones and regions.
     pub layout: &'a Layout,
-    /// Since when this manager has received heartbeats.
+    /// When this manager started to receive heartbeats.
     pub observed_since: Instant,
 }
 
@@ -73,7 +74,7 @@
         name.is_some_and(|name| self.retiring.contains(name))
     }
 
-    /// Whether a store's disk was replaced and will never come back.
+    /// Whether a store's disk has been replaced, so that the store will never come back.
     pub fn is_replaced(&self, placement: &Placement, id: StoreId) -> bool {
         placement.store(id).is_some_and(|store| self.stores.is_replaced(self.now, id, &store.name))
     }
@@ -83,7 +84,7 @@
         self.stores.unhealthy_for(self.now, id, self.observed_since)
     }
 
-    /// Stores that may be given shards.
+    /// Stores that may receive new replicas: stable and not retiring.
     pub fn candidates(&self) -> impl Iterator<Item = &StoreStatus> {
         let may_join = |store: &&StoreStatus| {
             self.stores.is_stable(self.now, store.id) && !self.retiring.contains(&store.name)
@@ -91,24 +92,24 @@
         self.stores.iter().filter(may_join)
     }
 
-    /// When the learner of a change reported that it has caught up; `None` before.
+    /// When the learner of a change reported that it has caught up; `None` if it has not.
     pub fn caught_up_at(&self, shard: ShardId, change: &MemberChange) -> Option<Instant> {
         self.learner_reports.caught_up_at(shard, change)
     }
 
-    /// Zone of a store in a placement, or of one that has registered; empty for any other.
+    /// Zone of a store, from the placement or else from its registration; empty if the store is unknown.
     pub fn zone_of<'p>(&'p self, placement: &'p Placement, id: StoreId) -> &'p str {
         let placed = placement.store(id).map(|store| store.zone.as_str());
         placed.or_else(|| self.stores.get(id).map(|store| store.zone.as_str())).unwrap_or_default()
     }
 }
 
-/// A placement's shards with their numbers.
+/// Pairs each shard of a placement with its ID.
 pub fn numbered(shards: &[ShardEntry]) -> impl Iterator<Item = (ShardId, &ShardEntry)> {
     shards.iter().enumerate().filter_map(|(index, shard)| Some((ShardId(u16::try_from(index).ok()?), shard)))
 }
 
-/// Number of replicas and learners at each store.
+/// A count for each store, such as its number of replicas.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     counts: BTreeMap<StoreId, usize>,
@@ -122,7 +123,7 @@
         counts
     }
 
-    /// Replicas and learners of each store in a placement.
+    /// Counts the replicas and learners of each store in a placement.
     pub fn of_replicas(placement: &Placement) -> Counts {
         Counts::of(
             placement.shards.iter().flat_map(|shard| shard.replicas.iter().copied().chain(shard.learner())),
@@ -134,12 +135,12 @@
         self.counts.get(&store).copied().unwrap_or(0)
     }
 
-    /// Adds one.
+    /// Adds one to the count of a store.
     pub fn increment(&mut self, store: StoreId) {
         *self.counts.entry(store).or_default() += 1;
     }
 
-    /// Subtracts one from a store that has been counted.
+    /// Subtracts one from the count of a store; does nothing if the store was never counted.
     pub fn decrement(&mut self, store: StoreId) {
         if let Some(count) = self.counts.get_mut(&store) {
             *count -= 1;
--- a/system/state/placement/src/initial_placement.rs
+++ b/system/state/placement/src/initial_placement.rs
@@ -1,4 +1,4 @@
-//! The first placement of a cluster.
+//! The initial placement of a cluster.
 
 use crate::changes::store_entry;
 use crate::cluster::Counts;
@@ -7,13 +7,14 @@
 use millrudder_protocol::placement::{target_replicas, Placement, ShardEntry};
 use millrudder_protocol::{Epoch, StoreId};
 
-/// Shards for each store: so many that the shards of a lost store are spread evenly over the others.
+/// Shards per store. There are enough that the shards of a lost store can be spread evenly over the other stores.
 const SHARDS_PER_STORE: usize = 8;
-/// Bounds on the number of shards, which never changes afterwards.
+/// Minimum number of shards of a cluster; the number never changes after the initial placement.
 const MIN_SHARDS: usize = 24;
+/// Maximum number of shards of a cluster.
 const MAX_SHARDS: usize = 4096;
 
-/// Lays out all shards over the stores, with the primaries spread evenly.
+/// Assigns the replicas of all shards to stores, with the primaries spread evenly.
 pub fn initial_placement(stores: &[&StoreStatus], tolerated_losses: u32, layout: &Layout) -> Placement {
     let shard_count = (SHARDS_PER_STORE * stores.len()).clamp(MIN_SHARDS, MAX_SHARDS);
     let epoch = Epoch(1);
@@ -32,8 +33,8 @@
     }
 }
 
-/// Chooses the stores of one shard: the first in turn, then those that the layout prefers and that hold least. Ties go
-/// by an order that differs from shard to shard.
+/// Chooses the stores of one shard. The first is assigned round-robin; each further one has the lowest layout cost,
+/// then the fewest replicas. Remaining ties are broken by an order that differs from shard to shard.
 fn choose_replicas(
     stores: &[&StoreStatus],
     shard_number: usize,
@@ -55,7 +56,8 @@
     chosen.into_iter().map(|store| store.id).collect()
 }
 
-/// The stores in the order for one shard: each is first in turn, and those after the first take turns at being second.
+/// The order of the stores for one shard. From shard to shard, the first place rotates over all stores. After each full
+/// rotation, the order of the other stores is rotated by one, so that the second place varies too.
 fn rotated<'a>(stores: &[&'a StoreStatus], shard_number: usize) -> Vec<&'a StoreStatus> {
     let count = stores.len();
     let (first, turn) = (shard_number % count, shard_number / count);
--- a/system/state/placement/src/layout.rs
+++ b/system/state/placement/src/layout.rs
@@ -1,23 +1,24 @@
-//! How the replicas of a shard are laid out over zones and regions.
+//! How the replicas of a shard are spread over zones and regions.
 
 use millrudder_topology::{Distance, Topology};
 use std::collections::BTreeSet;
 
-/// The largest failure domain whose loss must be tolerated; replicas are spread over it as far as there are enough.
+/// The largest kind of failure domain whose loss must be tolerated. Replicas are placed in different domains of this
+/// kind as far as there are enough.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FailureDomain {
-    /// Machines. Replicas stay in one region, over its zones: each write that leaves the region takes longer and costs
-    /// more.
+    /// Machines. Replicas stay in one region, spread over its zones, because each write to another region takes longer
+    /// and costs more.
     #[default]
     Machine,
-    /// Zones. Replicas lie in different zones, of one region where that has enough of them.
+    /// Zones. Replicas are in different zones, all in one region if it has enough zones.
     Zone,
-    /// Regions. Replicas lie in different regions.
+    /// Regions. Replicas are in different regions.
     Region,
 }
 
 impl FailureDomain {
-    /// For a system that must tolerate the loss of so many zones and regions at one time.
+    /// The failure domain for a system that must tolerate the simultaneous loss of this many zones and regions.
     pub fn for_losses(zones: u32, regions: u32) -> Self {
         match (zones, regions) {
             (_, 1..) => FailureDomain::Region,
@@ -27,14 +28,14 @@
     }
 }
 
-/// The rule by which replicas are laid out.
+/// Rule for spreading the replicas of a shard over zones and regions.
 #[derive(Clone, Debug, Default)]
 pub struct Layout {
     topology: Topology,
     failure_domain: FailureDomain,
 }
 
-/// Cost of a set of replicas' zones; the lowest is the best. Only costs of sets of the same size are compared.
+/// Cost of the zones of a shard's replicas; lower is better. Costs are comparable only for the same number of replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LayoutCost {
     primary: usize,
@@ -42,12 +43,12 @@
 }
 
 impl Layout {
-    /// A layout over the zones and regions of `topology`.
+    /// Creates a layout over the zones and regions of `topology`.
     pub fn new(topology: Topology, failure_domain: FailureDomain) -> Self {
         Layout { topology, failure_domain }
     }
 
-    /// Cost of replicas in these zones, one for each replica.
+    /// Cost of a set of replicas, given the zone of each replica.
     pub(crate) fn cost(&self, zones: &[&str]) -> LayoutCost {
         let (primary, secondary) = match self.failure_domain {
             FailureDomain::Machine => (self.cross_region_pairs(zones), shared_zones(zones)),
@@ -57,18 +58,18 @@
         LayoutCost { primary, secondary }
     }
 
-    /// Cost of replicas in these zones and one more.
+    /// Cost of replicas in the zones `others` plus one in `zone`.
     pub(crate) fn cost_with(&self, others: &[&str], zone: &str) -> LayoutCost {
         let zones: Vec<&str> = others.iter().copied().chain([zone]).collect();
         self.cost(&zones)
     }
 
-    /// Whether two zones are of different regions.
+    /// Whether two zones are in different regions.
     pub(crate) fn is_other_region(&self, one: &str, other: &str) -> bool {
         self.topology.distance(one, other) == Distance::OtherRegion
     }
 
-    /// Pairs of replicas in different regions.
+    /// Number of pairs of replicas that are in different regions.
     fn cross_region_pairs(&self, zones: &[&str]) -> usize {
         let later = |index: usize| zones.get(index + 1..).unwrap_or_default();
         let crossings = |(index, zone): (usize, &&str)| {
@@ -77,14 +78,14 @@
         zones.iter().enumerate().map(crossings).sum()
     }
 
-    /// Replicas beyond the first of each region.
+    /// Number of replicas beyond the first in each region.
     fn shared_regions(&self, zones: &[&str]) -> usize {
         let regions: BTreeSet<&str> = zones.iter().map(|zone| self.topology.region(zone)).collect();
         zones.len() - regions.len()
     }
 }
 
-/// Replicas beyond the first of each zone.
+/// Number of replicas beyond the first in each zone.
 fn shared_zones(zones: &[&str]) -> usize {
     let distinct: BTreeSet<&&str> = zones.iter().collect();
     zones.len() - distinct.len()
--- a/system/state/placement/src/learner_reports.rs
+++ b/system/state/placement/src/learner_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of learners that they have caught up with a shard.
+//! Reports by learners that they have caught up with a shard.
 
 use millrudder_clock::Instant;
 use millrudder_protocol::control::CaughtUpShard;
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Report {
-    /// Epoch of the membership change in which the learner was filled.
+    /// Epoch of the membership change for which the learner has caught up.
     change: Epoch,
     received_at: Instant,
 }
@@ -26,7 +26,7 @@
 }
 
 impl LearnerReports {
-    /// Adds reports of one learner; of several reports for one change, the first one's time counts.
+    /// Adds the reports of one learner. Repeated reports for the same change keep the time of the first one.
     pub fn add(&mut self, now: Instant, learner: StoreId, shards: &[CaughtUpShard]) {
         for filled in shards {
             let new = Report { change: filled.change, received_at: now };
@@ -37,13 +37,13 @@
         }
     }
 
-    /// When the learner of `change` first reported that it has caught up in this very change.
+    /// When the learner of `change` first reported that it has caught up. Reports for other changes do not count.
     pub fn caught_up_at(&self, shard: ShardId, change: &MemberChange) -> Option<Instant> {
         let report = self.reports.get(&LearnerKey { shard, learner: change.joins })?;
         (report.change == change.epoch).then_some(report.received_at)
     }
 
-    /// Removes reports for changes that are completed or abandoned in `placement`.
+    /// Removes reports for changes that have been completed or abandoned as of `placement`.
     pub fn retain_pending(&mut self, placement: &Placement) {
         self.reports.retain(|key, report| {
             let change = placement.shard(key.shard).and_then(|entry| entry.change);
--- a/system/state/placement/src/lib.rs
+++ b/system/state/placement/src/lib.rs
@@ -1,18 +1,17 @@
 //! Decides which stores hold the replicas of each shard, and which replica is its primary.
 //!
-//! A [`PlacementManager`] runs at every core machine; only the holder of the controller's lease proposes. It follows the
-//! stores' heartbeats and returns the next placement when something should change:
+//! A [`PlacementManager`] runs on every core machine, but only the holder of the controller lease proposes placements.
+//! The manager tracks the heartbeats of the stores and returns a new placement when something should change:
 //!
-//! - A store that is unresponsive, whose disk stalls or that shuts down loses its primaries at once, and gets them back
-//!   after it has been healthy for a while.
-//! - A replica whose store is lost or retiring is replaced by a learner, which is filled before it counts, one replica of
-//!   a shard at a time (repair).
-//! - New stores get a fair part of the shards in the same way (balance).
+//! - A store that is unresponsive, has a stalled disk or is shutting down loses its primaries immediately. It gets them
+//!   back once it has been healthy for some time.
+//! - Repair: a replica on a lost or retiring store is replaced by a learner. The learner receives the shard's data
+//!   before it counts towards quorums. At most one replica of a shard is replaced at a time.
+//! - Balancing: new stores receive an even share of the replicas in the same way.
 //!
-//! The crate does no I/O. Its embedder passes readings of one steady clock that never go back, submits each placement that
-//! [`PlacementManager::handle`] returns, and passes every placement that is committed back in as [`Input::Committed`].
-//! A proposal that is not committed is made again; at most one placement of each epoch is ever committed, by the control
-//! state.
+//! The crate does no I/O. The caller passes readings of a single monotonic clock, submits each placement that
+//! [`PlacementManager::handle`] returns, and passes every committed placement back as [`Input::Committed`]. A proposal
+//! that is not committed is retried. The control state commits at most one placement per epoch.
 
 #![forbid(unsafe_code)]
 
--- a/system/state/placement/src/manager.rs
+++ b/system/state/placement/src/manager.rs
@@ -1,4 +1,4 @@
-//! The state machine that follows the stores and proposes placements.
+//! The state machine that tracks the stores and proposes placements.
 
 use crate::cluster::{ClusterSnapshot, RepairDelays};
 use crate::initial_placement::initial_placement;
@@ -14,29 +14,30 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// The first placement waits until no new store has registered for this time ...
+/// The initial placement is proposed only after no new store has registered for this long.
 const INITIAL_QUIET_PERIOD: Duration = Duration::from_millis(1000);
-/// ... and, where there are fewer stores than a shard should have replicas, until this time after the first one.
+/// If there are fewer healthy stores than a shard should have replicas, the initial placement also waits until this
+/// long after the first registration.
 const INITIAL_WAIT_FOR_STORES: Duration = Duration::from_millis(5000);
-/// A new lease holder that does not know all stores first waits for heartbeats for this time: stores that it has not
-/// heard yet are not dead.
+/// How long a new lease holder that does not know all stores waits for heartbeats before it proposes anything. A store
+/// whose heartbeats it has not received yet may still be alive.
 const OBSERVATION_PERIOD: Duration = Duration::from_millis(700);
-/// While stores connect, others may be about to: for this time after a registration, no store is taken for dead by a
-/// lease holder that has just begun.
+/// A lease holder that is still within [`OBSERVATION_PERIOD`] considers no store lost until this long after the last
+/// registration: while stores are connecting, more may follow.
 const REGISTRATION_QUIET_PERIOD: Duration = Duration::from_millis(300);
-/// A proposal without an outcome is made again after this time.
+/// A proposal that has not been committed is retried after this long.
 const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// Heartbeats that change nothing lead to a decision at this interval.
+/// Minimum interval between decisions that are triggered by a heartbeat without a change of any store's health.
 const DECISION_INTERVAL: Duration = Duration::from_millis(50);
-/// How often the first placement is considered.
+/// How often the manager checks whether it can propose the initial placement.
 const INITIAL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time in which a replacement must have caught up, where the settings name none.
+/// Time within which a replacement must have caught up, if the settings specify none.
 const DEFAULT_CATCH_UP: Duration = Duration::from_millis(4500);
 
 /// Inputs of the placement manager.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A store has registered, for the first time or anew.
+    /// A store has registered, for the first time or again.
     Registered(Registration),
     /// A store has sent a heartbeat.
     Heartbeat {
@@ -49,34 +50,34 @@
     LearnerCaughtUp {
         /// The learner's store.
         id: StoreId,
-        /// The shards, each with the change in which it was filled.
+        /// The shards with which it has caught up, each with the epoch of its membership change.
         shards: Vec<CaughtUpShard>,
     },
-    /// Names of the machines that are retiring or have retired, by the control state.
+    /// The control state's list of machine names that are retiring or have retired.
     Retiring(BTreeSet<String>),
     /// A placement was committed.
     Committed(Placement),
-    /// This machine has got or lost the controller's lease.
+    /// This machine has acquired or lost the controller lease.
     ControllerLease {
-        /// It holds the lease now.
+        /// Whether it now holds the lease.
         is_held: bool,
     },
     /// Time has passed.
     Tick,
 }
 
-/// Times at which stores have registered.
+/// Times of store registrations.
 #[derive(Clone, Debug, Default)]
 struct RegistrationTimes {
-    /// The first store.
+    /// First registration of any store.
     first: Option<Instant>,
-    /// The last store that had not registered before.
+    /// Last registration of a store that had not registered before.
     last_new: Instant,
-    /// The last registration, of a new or a known store.
+    /// Last registration of any store, new or known.
     last: Instant,
 }
 
-/// Follows the stores and proposes placements; see the crate's documentation.
+/// Tracks the stores and proposes placements; see the crate documentation.
 #[derive(Clone, Debug)]
 pub struct PlacementManager {
     tolerated_losses: u32,
@@ -88,13 +89,14 @@
     delays: RepairDelays,
     layout: Layout,
     lease_held_since: Option<Instant>,
-    /// When the last proposal was made, if its outcome is open.
+    /// When the pending proposal was made; `None` if none is pending.
     proposed_at: Option<Instant>,
     decided_at: Instant,
 }
 
 impl PlacementManager {
-    /// A manager without stores. `tolerated_losses`: stores that may be lost at one time without losing a message.
+    /// Creates a manager without stores. `tolerated_losses` is the number of stores that may be lost at the same time
+    /// without losing a message.
     #[must_use]
     pub fn new(tolerated_losses: u32) -> Self {
         PlacementManager {
@@ -112,21 +114,21 @@
         }
     }
 
-    /// Sets the time in which a replacement must have caught up; the delays before repairs follow from it.
+    /// Sets the time within which a replacement must have caught up, from which the repair delays are derived.
     #[must_use]
     pub fn with_catch_up(mut self, catch_up: Duration) -> Self {
         self.delays = RepairDelays::from_catch_up(catch_up);
         self
     }
 
-    /// Sets how replicas are laid out over zones and regions; the default is over the zones of one region.
+    /// Sets how replicas are spread over zones and regions. By default, they are spread over the zones of one region.
     #[must_use]
     pub fn with_layout(mut self, layout: Layout) -> Self {
         self.layout = layout;
         self
     }
 
-    /// Handles one input; the placement that is returned is to be submitted to the core.
+    /// Handles one input. The caller submits a returned placement to the core.
     pub fn handle(&mut self, now: Instant, input: Input) -> Option<Placement> {
         match input {
             Input::Registered(registration) => self.register(now, registration),
@@ -155,21 +157,21 @@
         self.stores.healthy(now).map(|store| store.name.clone()).collect()
     }
 
-    /// The address from which a machine's store last registered, or that the placement has for it.
+    /// The address in the last registration of a machine's store, or else its address in the placement.
     pub fn address_of(&self, name: &str) -> Option<Address> {
         let registered = self.stores.iter().find(|store| store.name == name).map(|store| store.address);
         let placed = || self.current.stores.iter().find(|store| store.name == name);
         registered.or_else(|| placed().map(|store| store.address))
     }
 
-    /// Whether at most one store machine has this address, as in every deployment with an address for each machine.
+    /// Whether at most one store machine has this IP address, as in every deployment in which each machine has its own.
     pub fn is_exclusive_address(&self, ip: IpAddr) -> bool {
         let stores = self.stores.iter().filter(|store| store.address.0.ip() == ip);
         let names: BTreeSet<&str> = stores.map(|store| store.name.as_str()).collect();
         names.len() <= 1
     }
 
-    /// When the next [`Input::Tick`] is due; `None` without the lease.
+    /// When the next [`Input::Tick`] is due; `None` while this machine does not hold the lease.
     pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
         let lease_held_since = self.lease_held_since?;
         let observed = Some(lease_held_since + OBSERVATION_PERIOD).filter(|at| *at > now);
@@ -179,7 +181,7 @@
         [observed, retry, initial, health].into_iter().flatten().min()
     }
 
-    /// There is no placement yet.
+    /// Whether no placement has been committed yet.
     fn is_initial(&self) -> bool {
         self.current.epoch.0 == 0
     }
@@ -211,7 +213,7 @@
         let placement = if self.is_initial() {
             self.propose_initial(now)
         } else {
-            // A store that never registered here counts as unhealthy since others did.
+            // A store that has never registered here counts as unhealthy since the first registration of any store.
             let observed_since = self.registrations.first.unwrap_or(lease_held_since);
             planner::next_placement(&self.snapshot(now, observed_since), &self.current)
         }?;
@@ -219,7 +221,8 @@
         Some(placement)
     }
 
-    /// Whether it followed the stores before it got the lease: it knows each of them, and most are healthy now.
+    /// Whether the manager can decide without waiting for [`OBSERVATION_PERIOD`]: it already knows every store of the
+    /// placement, and most of them are healthy.
     fn has_observed_all_stores(&self, now: Instant) -> bool {
         let stores = &self.current.stores;
         let healthy = stores.iter().filter(|store| self.stores.is_healthy(now, store.id)).count();
--- a/system/state/placement/src/planner.rs
+++ b/system/state/placement/src/planner.rs
@@ -1,4 +1,4 @@
-//! The placement that follows the present one.
+//! Computes the next placement from the current one.
 
 use crate::balance;
 use crate::cluster::ClusterSnapshot;
@@ -7,7 +7,7 @@
 use millrudder_protocol::placement::{Placement, ShardEntry};
 use millrudder_protocol::Epoch;
 
-/// The placement of the next epoch by what is known of the cluster; `None` where nothing is to change.
+/// Computes the placement of the next epoch from the state of the cluster; `None` if nothing should change.
 pub fn next_placement(cluster: &ClusterSnapshot, current: &Placement) -> Option<Placement> {
     let mut next = current.clone();
     next.epoch = Epoch(current.epoch.0 + 1);
@@ -22,7 +22,7 @@
     is_changed.then_some(next)
 }
 
-/// Sets addresses and liveness of the stores as they are now.
+/// Updates the addresses and the liveness of the listed stores.
 fn refresh_stores(cluster: &ClusterSnapshot, next: &mut Placement) {
     for store in &mut next.stores {
         store.alive = cluster.is_healthy(store.id);
@@ -32,7 +32,7 @@
     }
 }
 
-/// Removes stores without a replica or learner.
+/// Removes stores that have neither a replica nor a learner.
 fn remove_unused_stores(next: &mut Placement) {
     let shards = &next.shards;
     next.stores.retain(|store| {
--- a/system/state/placement/src/primaries.rs
+++ b/system/state/placement/src/primaries.rs
@@ -6,8 +6,9 @@
 use millrudder_protocol::StoreId;
 use std::collections::BTreeMap;
 
-/// Chooses the primary of each shard: the first replica where that is stable, else the present primary while that is
-/// healthy, else a healthy replica, preferably of the first one's region and with few primaries.
+/// Chooses the primary of each shard: the first replica if its store is stable, else the current primary if it is
+/// healthy, else the healthy replica that is preferably in the first replica's region and whose store has the fewest
+/// primaries.
 pub fn choose_primaries(cluster: &ClusterSnapshot, next: &mut Placement) {
     let epoch = next.epoch;
     let mut load = Counts::of(next.shards.iter().map(|shard| shard.primary));
--- a/system/state/placement/src/repair.rs
+++ b/system/state/placement/src/repair.rs
@@ -1,8 +1,9 @@
-//! Repair: replicas whose store is lost or retiring move to other stores, one replica of a shard at a time.
+//! Repair: moves replicas from lost or retiring stores to other stores, one replica of a shard at a time.
 //!
-//! A change begins with a learner, which is filled while the replica that it replaces still counts. It is completed once
-//! the learner has reported, for this very change, that it has caught up. A change may be abandoned at any time: the
-//! membership before it stays valid throughout.
+//! A membership change begins by adding a learner, which copies the shard's data while the replica that it replaces
+//! still counts towards quorums. The change is completed once the learner has reported that it has caught up for this
+//! particular change. A change can be abandoned at any time, because the previous membership stays valid until it is
+//! completed.
 
 use crate::changes::{assign_primary, begin_change};
 use crate::cluster::{numbered, ClusterSnapshot, Counts};
@@ -12,11 +13,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long a learner that has caught up with one shard waits for its other shards: each placement costs dispatchers a
-/// moment, so the shards of one store are better completed together.
+/// How long a learner that has caught up with one shard waits for its other shards. Each new placement briefly holds up
+/// the dispatchers, so the changes of one store are completed together if possible.
 const COMPLETE_TOGETHER_WITHIN: Duration = Duration::from_millis(400);
 
-/// Makes replicas of learners that have caught up with all of their shards.
+/// Completes the changes of learners that have caught up with all of their shards, or that have waited for
+/// [`COMPLETE_TOGETHER_WITHIN`] since they caught up with one.
 pub fn complete_changes(cluster: &ClusterSnapshot, next: &mut Placement) {
     let behind = learners_behind(cluster, next);
     let completed: Vec<usize> = numbered(&next.shards)
@@ -42,7 +44,7 @@
     }
 }
 
-/// Learners that lack some shard still.
+/// Learners that have not yet caught up with at least one of their shards.
 fn learners_behind(cluster: &ClusterSnapshot, next: &Placement) -> BTreeSet<StoreId> {
     let is_behind = |(number, shard): (_, &ShardEntry)| {
         let change = shard.change.filter(|change| cluster.caught_up_at(number, change).is_none())?;
@@ -51,7 +53,7 @@
     numbered(&next.shards).filter_map(is_behind).collect()
 }
 
-/// Ends changes that are of no use any more.
+/// Ends changes that are no longer useful.
 pub fn abandon_changes(cluster: &ClusterSnapshot, next: &mut Placement) {
     let obsolete: Vec<bool> = next.shards.iter().map(|shard| is_obsolete(cluster, next, shard)).collect();
     for (shard, is_obsolete) in next.shards.iter_mut().zip(obsolete) {
@@ -75,7 +77,7 @@
     }
 }
 
-/// Whether another replica of the shard than the one that leaves is lost: that goes before balance.
+/// Whether a replica other than the leaving one is on an unhealthy store. Repairing it takes precedence over balancing.
 fn has_more_urgent_repair(cluster: &ClusterSnapshot, shard: &ShardEntry, change: &MemberChange) -> bool {
     shard.replicas.iter().any(|id| !cluster.is_healthy(*id) && change.leaves != Some(*id))
 }
@@ -83,7 +85,7 @@
 /// Which stores may take over a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CandidateFilter {
-    /// Stores that hold nothing, or that registered after the lost one became unhealthy.
+    /// Stores without replicas, and stores that first registered after the lost store became unhealthy.
     SparesOnly,
     /// Any store.
     All,
@@ -91,13 +93,13 @@
 
 /// A replica that is to be replaced or added.
 struct Repair {
-    /// The replica to be replaced; absent where the shard has too few.
+    /// The replica to be replaced; `None` if the shard has too few replicas and needs an additional one.
     leaves: Option<StoreId>,
     reason: ChangeReason,
     candidates: CandidateFilter,
 }
 
-/// Begins to fill learners in place of replicas that are lost or whose stores are retiring.
+/// Adds learners that will replace replicas on lost or retiring stores.
 pub fn begin_changes(cluster: &ClusterSnapshot, current: &Placement, next: &mut Placement) {
     let mut load = Counts::of_replicas(next);
     let holders: BTreeSet<StoreId> =
@@ -126,7 +128,7 @@
         if unhealthy_for >= cluster.delays.without_spare {
             return repair(Some(*lost), CandidateFilter::All);
         }
-        // One that shuts down may never come back. It still serves, so a successor loses nothing.
+        // A store that shuts down may never come back. It still serves, so replacing it without delay loses nothing.
         if unhealthy_for >= cluster.delays.with_spare || is_shutting_down(*lost) {
             return repair(Some(*lost), CandidateFilter::SparesOnly);
         }
@@ -139,7 +141,7 @@
     Some(Repair { leaves: Some(retiring), reason, candidates })
 }
 
-/// The store that the layout prefers and that holds least.
+/// Chooses the eligible store with the lowest layout cost; ties go to the store with the fewest replicas.
 fn choose_learner<'a>(
     cluster: &'a ClusterSnapshot,
     next: &Placement,
@@ -160,7 +162,7 @@
     free.min_by_key(rank)
 }
 
-/// Whether a store holds nothing, or registered after the lost store became unhealthy.
+/// Whether a store has no replicas, or first registered after the lost store became unhealthy.
 fn is_spare(cluster: &ClusterSnapshot, repair: &Repair, holders: &BTreeSet<StoreId>, id: StoreId) -> bool {
     let Some(lost) = repair.leaves.filter(|_| holders.contains(&id)) else { return true };
     let unhealthy_since = cluster.now - cluster.unhealthy_for(lost);
--- a/system/state/placement/src/store_health.rs
+++ b/system/state/placement/src/store_health.rs
@@ -1,4 +1,4 @@
-//! Health of the stores, by their heartbeats.
+//! Health of the stores, derived from their heartbeats.
 
 use millrudder_clock::Instant;
 use millrudder_protocol::control::StoreHealth;
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A store without a heartbeat for this time is taken for dead: five heartbeats were missed.
+/// A store that has sent no heartbeat for this long is unresponsive: it has missed five heartbeats.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A store whose oldest write has waited for its disk for this time is taken for dead.
+/// A store is unhealthy if its oldest unsynced write has waited for the disk for this long.
 const DISK_STALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// A store that was unhealthy gets its primaries back after it has been healthy for this time.
+/// A store that was unhealthy is stable, and gets its primaries back, after it has been healthy for this long.
 const STABLE_AFTER: Duration = Duration::from_millis(1500);
 
-/// How a store registers.
+/// Details with which a store registers.
 #[derive(Clone, Debug)]
 pub struct Registration {
     /// Identity of its disk.
@@ -26,7 +26,7 @@
     pub address: Address,
 }
 
-/// A store that has registered, and its health.
+/// A registered store and its health.
 #[derive(Clone, Debug)]
 pub struct StoreStatus {
     /// Identity of its disk.
@@ -40,11 +40,11 @@
     health: StoreHealth,
     last_heartbeat_at: Instant,
     first_registered_at: Instant,
-    /// Start of the present time without a fault.
+    /// Start of the current healthy period; `None` while unhealthy.
     healthy_since: Option<Instant>,
-    /// Start of the present time of a fault.
+    /// Start of the current unhealthy period; `None` while healthy.
     unhealthy_since: Option<Instant>,
-    /// It has been unhealthy since this manager receives heartbeats.
+    /// Whether it has been unhealthy at any time since its first registration with this manager.
     has_failed: bool,
 }
 
@@ -65,8 +65,8 @@
         }
     }
 
-    /// A registration anew. The last heartbeat's content holds until the next: a store that shuts down may only have
-    /// connected anew.
+    /// Applies a repeated registration. The health from the last heartbeat is kept until the next one, because a store
+    /// that is shutting down may merely have reconnected.
     fn re_register(&mut self, now: Instant, registration: Registration) {
         self.name = registration.name;
         self.zone = registration.zone;
@@ -87,7 +87,7 @@
         !self.is_unresponsive(now) && !self.is_disk_stalled() && !self.health.is_shutting_down
     }
 
-    /// Notes a change of health; true if there is one.
+    /// Records a change between healthy and unhealthy; returns whether there was one.
     fn update(&mut self, now: Instant) -> bool {
         match (self.is_healthy(now), self.healthy_since) {
             (false, Some(_)) => {
@@ -106,7 +106,8 @@
         }
     }
 
-    /// When it is to be looked at again: at the end of its heartbeat's time-out, and when it becomes stable.
+    /// When its health may change next without a heartbeat: at the heartbeat timeout or when it becomes stable. `None`
+    /// while it is unhealthy.
     fn next_deadline(&self, now: Instant) -> Option<Instant> {
         let unresponsive_at = self.last_heartbeat_at + HEARTBEAT_TIMEOUT;
         let stable_at = self.healthy_since? + STABLE_AFTER;
@@ -114,14 +115,14 @@
     }
 }
 
-/// All stores that have registered since this manager receives heartbeats.
+/// All stores that have registered with this manager.
 #[derive(Clone, Debug, Default)]
 pub struct StoreTable {
     stores: BTreeMap<StoreId, StoreStatus>,
 }
 
 impl StoreTable {
-    /// Adds a store that has registered; true if it is new.
+    /// Records a registration; returns whether the store is new.
     pub fn register(&mut self, now: Instant, registration: Registration) -> bool {
         match self.stores.get_mut(&registration.id) {
             Some(store) => {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Handles a heartbeat; true if any store has become healthy or unhealthy.
+    /// Handles a heartbeat; returns whether any store has become healthy or unhealthy.
     pub fn handle_heartbeat(&mut self, now: Instant, id: StoreId, health: StoreHealth) -> bool {
         if let Some(store) = self.stores.get_mut(&id) {
             store.last_heartbeat_at = now;
@@ -144,7 +145,7 @@
         self.update(now)
     }
 
-    /// Notes which stores have become healthy or unhealthy; true if any has.
+    /// Updates the health of all stores; returns whether any has become healthy or unhealthy.
     pub fn update(&mut self, now: Instant) -> bool {
         let mut is_changed = false;
         for store in self.stores.values_mut() {
@@ -153,7 +154,7 @@
         is_changed
     }
 
-    /// When a store may become unhealthy or stable next.
+    /// The next time at which a store may become unhealthy or stable.
     pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
         self.stores.values().filter_map(|store| store.next_deadline(now)).min()
     }
@@ -163,15 +164,16 @@
         self.stores.get(&id).is_some_and(|store| store.is_healthy(now))
     }
 
-    /// Whether a store is healthy, and has been for so long that it may be given primaries and shards.
+    /// Whether a store may be given primaries and replicas: it is healthy, and has either never been unhealthy or been
+    /// healthy for [`STABLE_AFTER`].
     pub fn is_stable(&self, now: Instant, id: StoreId) -> bool {
         let Some(store) = self.stores.get(&id) else { return false };
         let is_long = store.healthy_since.is_some_and(|since| now - since >= STABLE_AFTER);
         store.is_healthy(now) && (is_long || !store.has_failed)
     }
 
-    /// How long a store has been unhealthy; zero while it is healthy. One that never registered counts from
-    /// `observed_since`.
+    /// How long a store has been unhealthy; zero while it is healthy. A store that has never registered counts as
+    /// unhealthy since `observed_since`.
     pub fn unhealthy_for(&self, now: Instant, id: StoreId, observed_since: Instant) -> Duration {
         if self.is_healthy(now, id) {
             return Duration::ZERO;
@@ -182,39 +184,40 @@
         now - since
     }
 
-    /// Since when a store has been healthy without a break.
+    /// Start of a store's current healthy period; `None` while it is unhealthy or unknown.
     pub fn healthy_since(&self, id: StoreId) -> Option<Instant> {
         self.stores.get(&id).and_then(|store| store.healthy_since)
     }
 
-    /// Whether a store's process shuts down and still serves.
+    /// Whether a store's process is shutting down but still sends heartbeats.
     pub fn is_shutting_down(&self, now: Instant, id: StoreId) -> bool {
         self.stores.get(&id).is_some_and(|store| store.health.is_shutting_down && !store.is_unresponsive(now))
     }
 
-    /// When a store registered for the first time here.
+    /// When a store first registered with this manager.
     pub fn first_registered_at(&self, id: StoreId) -> Option<Instant> {
         self.stores.get(&id).map(|store| store.first_registered_at)
     }
 
-    /// Whether the machine of this name has another disk now, so that the store of this identity never comes back.
+    /// Whether store `id` is replaced: it is not healthy, and a healthy store with another ID runs on the machine
+    /// `name`. The machine then has a new disk, so the old store never comes back.
     pub fn is_replaced(&self, now: Instant, id: StoreId, name: &str) -> bool {
         let is_successor = |store: &StoreStatus| store.id != id && store.name == name;
         let is_live_successor = |store: &StoreStatus| is_successor(store) && store.is_healthy(now);
         !self.is_healthy(now, id) && self.stores.values().any(is_live_successor)
     }
 
-    /// A store that has registered.
+    /// The status of a registered store.
     pub fn get(&self, id: StoreId) -> Option<&StoreStatus> {
         self.stores.get(&id)
     }
 
-    /// All stores that have registered, by identity.
+    /// All registered stores, ordered by ID.
     pub fn iter(&self) -> impl Iterator<Item = &StoreStatus> {
         self.stores.values()
     }
 
-    /// Stores that are healthy now, by identity.
+    /// Stores that are healthy now, ordered by ID.
     pub fn healthy(&self, now: Instant) -> impl Iterator<Item = &StoreStatus> {
         self.stores.values().filter(move |store| store.is_healthy(now))
     }
--- a/system/state/placement/tests/manager.rs
+++ b/system/state/placement/tests/manager.rs
@@ -1,4 +1,4 @@
-//! Initial placement, failures, recoveries and lost disks.
+//! Initial placement, store failures and recoveries, replaced disks, and changes of the lease holder.
 
 mod rig;
 
--- a/system/state/placement/tests/model.rs
+++ b/system/state/placement/tests/model.rs
@@ -1,4 +1,5 @@
-//! Random losses, recoveries, replacements, additions, shutdowns, retirements and lost leases: invariants at each step.
+//! Checks the invariants of placements after each step of a random sequence of store losses, recoveries, replacements,
+//! additions, shutdowns, retirements and lost leases.
 
 mod rig;
 
@@ -13,7 +14,7 @@
 
 const RUNS: u64 = 8;
 const STEPS: usize = 60;
-/// Without further faults, everything is repaired within this time.
+/// Time within which every shard must be repaired once no further faults occur.
 const REPAIRED_WITHIN: Duration = Duration::from_millis(40_000);
 
 struct Model {
@@ -21,11 +22,11 @@
     random: Rng,
     tolerated: u32,
     next: u64,
-    /// Disks that are down and may come back, with the names of their machines.
+    /// Stores that are down and may come back, with the names of their machines.
     down: BTreeMap<u64, String>,
     names: BTreeMap<u64, String>,
     retiring: BTreeSet<String>,
-    /// Everything that learners have ever reported.
+    /// All reports that learners have sent so far.
     reported: BTreeSet<(StoreId, CaughtUpShard)>,
     previous: Placement,
 }
@@ -135,7 +136,8 @@
         }
     }
 
-    /// Another core machine gets the lease, which may have followed the stores for a while or not at all.
+    /// Moves the lease to another core machine, which may have received heartbeats from the stores before or not at
+    /// all.
     fn lose_lease(&mut self) {
         self.rig.manager = PlacementManager::new(self.tolerated);
         let (placement, names) = (self.rig.placement.clone(), self.retiring.clone());
@@ -164,7 +166,7 @@
         }
     }
 
-    /// A learner reports what it has by now, or what it had in an earlier change.
+    /// Reports that a learner has caught up with some of its shards, and repeats its reports for earlier changes.
     fn report(&mut self, id: u64) {
         let all = self.rig.reports_of(id);
         let now: Vec<CaughtUpShard> = all.into_iter().filter(|_| self.random.u8(0..3) > 0).collect();
@@ -188,45 +190,59 @@
 
     fn check_entry(&self, placement: &Placement, shard: &ShardEntry) {
         let distinct: BTreeSet<&StoreId> = shard.replicas.iter().collect();
-        assert_eq!(distinct.len(), shard.replicas.len(), "a store is one replica of a shard");
+        assert_eq!(distinct.len(), shard.replicas.len(), "a store holds at most one replica of a shard");
         assert_eq!(
             shard.replicas.len(),
             self.target_replicas(),
-            "replicas are never fewer nor more than the target"
+            "the number of replicas always equals the target"
         );
         assert!(shard.replicas.contains(&shard.primary), "the primary is a replica");
         let members = shard.replicas.iter().copied().chain(shard.learner());
         for id in members {
-            assert!(placement.store(id).is_some(), "whoever has a replica is listed with an address");
+            assert!(placement.store(id).is_some(), "every store with a replica or learner is listed");
         }
         let Some(change) = shard.change else { return };
-        assert!(!shard.replicas.contains(&change.joins), "a learner is no replica");
-        assert!(change.leaves.is_some_and(|id| shard.replicas.contains(&id)), "a replica leaves");
-        assert!(change.epoch <= placement.epoch, "a change began in a placement that was agreed");
+        assert!(!shard.replicas.contains(&change.joins), "a learner is not a replica");
+        assert!(
+            change.leaves.is_some_and(|id| shard.replicas.contains(&id)),
+            "the leaving store is a replica"
+        );
+        assert!(change.epoch <= placement.epoch, "a change began in a committed placement");
     }
 
     fn check_shard(&self, number: ShardId, old: &Placement, before: &ShardEntry, after: &ShardEntry) {
         let same_primary = before.primary == after.primary;
-        assert_eq!(same_primary, before.term == after.term, "a term is one primary's");
+        assert_eq!(
+            same_primary,
+            before.term == after.term,
+            "the term changes exactly when the primary changes"
+        );
         if let Some(change) = after.change.filter(|_| before.change != after.change) {
-            assert!(change.epoch > old.epoch, "a change that begins has a name of its own");
-            assert!(!self.retiring.contains(&self.names[&change.joins.0]), "a retiring machine gets nothing");
+            assert!(change.epoch > old.epoch, "a new change has a new epoch");
+            assert!(
+                !self.retiring.contains(&self.names[&change.joins.0]),
+                "a retiring machine receives no learner"
+            );
         }
         if before.replicas == after.replicas {
             return;
         }
-        let change = before.change.expect("replicas change only by a change that was agreed before");
-        assert_eq!(after.replicas, before.replicas_after(&change), "and only as it says");
+        let change = before.change.expect("replicas change only by a previously committed change");
+        assert_eq!(
+            after.replicas,
+            before.replicas_after(&change),
+            "the new replicas are those that the change specifies"
+        );
         let report = (change.joins, CaughtUpShard { shard: number, change: change.epoch });
         assert!(
             self.reported.contains(&report),
-            "a learner is counted only after its report for this change"
+            "a learner becomes a replica only after its report for this change"
         );
         assert!(after.change.is_none_or(|next| next.epoch > change.epoch), "two changes do not overlap");
         self.check_quorums(before, after);
     }
 
-    /// Every write quorum while the change was under way meets every read quorum after it.
+    /// Checks that every write quorum during the change intersects every read quorum after it.
     fn check_quorums(&self, before: &ShardEntry, after: &ShardEntry) {
         let during = before.memberships(self.tolerated);
         let next = after.memberships(self.tolerated);
@@ -236,10 +252,10 @@
             let common = shared(&written.replicas, &next[0].replicas);
             common == all && written.write_quorum + read > all
         });
-        assert!(meets, "no membership under which was written is that under which is read");
+        assert!(meets, "no write quorum during the change is certain to intersect the read quorum after it");
     }
 
-    /// Without further faults and with enough machines, everything is repaired.
+    /// Checks that every shard is repaired once no further faults occur and there are enough machines.
     fn check_converges(&mut self) {
         for id in self.up() {
             self.rig.heartbeats.get_mut(&id).unwrap().is_shutting_down = false;
@@ -259,8 +275,11 @@
         let up: BTreeSet<u64> = self.up().into_iter().collect();
         for shard in &self.rig.placement.shards {
             for id in &shard.replicas {
-                assert!(up.contains(&id.0), "a lost store keeps a replica for ever");
-                assert!(!self.retiring.contains(&self.names[&id.0]), "a retiring machine keeps a replica");
+                assert!(up.contains(&id.0), "a lost store still has a replica");
+                assert!(
+                    !self.retiring.contains(&self.names[&id.0]),
+                    "a retiring machine still has a replica"
+                );
             }
         }
     }
--- a/system/state/placement/tests/regions.rs
+++ b/system/state/placement/tests/regions.rs
@@ -1,4 +1,5 @@
-//! Replicas over zones and regions: initial placement, repair, new stores, the substitute of a lost primary.
+//! Layout of replicas over zones and regions, at the initial placement, in repair, for new stores and when a primary is
+//! lost.
 
 mod rig;
 
@@ -21,7 +22,7 @@
     Layout::new(topology(), failure_domain)
 }
 
-/// Stores one after the other in the zones given.
+/// Creates a cluster with one store in each of the given zones, in this order.
 fn rig(failure_domain: FailureDomain, tolerated_losses: u32, zones: &[&'static str]) -> Rig {
     let mut rig = Rig::with_layout(tolerated_losses, layout(failure_domain));
     for (at, zone) in zones.iter().enumerate() {
@@ -39,7 +40,7 @@
     &zone[..1]
 }
 
-/// Replicas in the region of the first.
+/// Number of replicas in the region of the shard's first replica.
 fn in_home_region(placement: &Placement, shard: &ShardEntry) -> usize {
     let zones = zones_of(placement, shard);
     zones.iter().filter(|zone| region(zone) == region(zones[0])).count()
@@ -154,7 +155,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// Whatever stores there are: every shard has as many replicas as it should, all different.
+    /// For any set of stores, every shard has the required number of replicas, each on a different store.
     #[test]
     fn every_initial_placement_is_complete(
         at in prop::collection::vec(0..ZONES.len(), 5..30),
@@ -185,7 +186,7 @@
     let begun = rig.changes_begun;
     assert!(begun < rig.placement.shards.len(), "{begun}");
     rig.run_filling(40_000);
-    assert_eq!(rig.changes_begun, begun, "nothing moves any more");
+    assert_eq!(rig.changes_begun, begun, "no replica moves once the stores are balanced");
     assert!(
         rig.replica_count(14) > 10 && rig.replica_count(15) > 10,
         "{} {}",
--- a/system/state/placement/tests/repair.rs
+++ b/system/state/placement/tests/repair.rs
@@ -1,4 +1,4 @@
-//! Repair and balance: which replicas move to which store, and when, as stores fail, come back, are added or shut down.
+//! Repair and balancing: which replicas move to which store, and when, as stores fail, recover, are added or shut down.
 
 mod rig;
 
@@ -8,9 +8,9 @@
 use rig::Rig;
 use std::collections::BTreeSet;
 
-/// Time in which a replacement must have caught up (ms), as the manager has it by default.
+/// The manager's default time within which a replacement must have caught up, in milliseconds.
 const CATCH_UP_MS: u64 = 4500;
-/// Numbers of replicas that differ by less are balanced.
+/// Two stores are balanced if their numbers of replicas differ by less than this.
 const IMBALANCE_THRESHOLD: usize = 3;
 
 fn placed(stores: u64, tolerated_losses: u32) -> Rig {
@@ -133,7 +133,11 @@
     rig.heartbeats.get_mut(&2).unwrap().is_shutting_down = true;
     rig.run(200);
     assert_eq!(rig.learner_count(4), 24);
-    assert_eq!(rig.replica_count(2), 24, "it counts until its successor is admitted");
+    assert_eq!(
+        rig.replica_count(2),
+        24,
+        "a store that shuts down keeps its replicas until its successor has caught up"
+    );
     rig.report_caught_up(4);
     assert_eq!(rig.replica_count(2), 0);
 }
@@ -199,7 +203,7 @@
     let homes = rig.placement.shards.iter().filter(|shard| shard.primary == StoreId(10)).count();
     assert!((5..=9).contains(&homes), "{homes} primaries");
     let moved = rig.replica_count(10);
-    assert_eq!(rig.changes_begun, moved, "no replica moves for another reason");
+    assert_eq!(rig.changes_begun, moved, "no replica moves except to the added store");
     assert!(rig.reasons.iter().all(|reason| *reason == ChangeReason::Balance));
 }
 
@@ -208,7 +212,11 @@
     let mut rig = placed(3, 1);
     rig.register(4, "store-4");
     rig.run_filling(20_000);
-    assert_eq!(rig.replica_count(1) + rig.replica_count(4), 24, "both are in one zone");
+    assert_eq!(
+        rig.replica_count(1) + rig.replica_count(4),
+        24,
+        "stores 1 and 4 share the replicas of their zone"
+    );
     assert!(rig.replica_count(1).abs_diff(rig.replica_count(4)) < IMBALANCE_THRESHOLD);
     assert_eq!((rig.replica_count(2), rig.replica_count(3)), (24, 24));
 }
--- a/system/state/placement/tests/retire.rs
+++ b/system/state/placement/tests/retire.rs
@@ -1,4 +1,4 @@
-//! Retiring stores.
+//! Retirement of stores: replicas move to other stores, and a retired store receives none again.
 
 mod rig;
 
--- a/system/state/placement/tests/rig/mod.rs
+++ b/system/state/placement/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! A manager, its stores' heartbeats and the commits of what it proposes.
+//! Test harness that runs a placement manager without I/O.
 
 #![allow(dead_code)]
 
@@ -13,7 +13,7 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 pub const STEP_MS: u64 = 100;
 
-/// A manager, its stores' heartbeats and the commits of what it proposes.
+/// Runs a manager with simulated stores that send heartbeats, and commits every placement that it proposes at once.
 pub struct Rig {
     pub manager: PlacementManager,
     pub now: Instant,
@@ -21,7 +21,7 @@
     pub heartbeats: BTreeMap<u64, StoreHealth>,
     pub placement: Placement,
     pub commits: usize,
-    /// Membership changes that were begun, and why.
+    /// Number of membership changes begun so far; `reasons` has the reason of each.
     pub changes_begun: usize,
     pub reasons: Vec<ChangeReason>,
 }
@@ -35,7 +35,7 @@
         rig
     }
 
-    /// A manager that holds the lease, without a store.
+    /// Creates a manager that holds the lease and knows no stores.
     pub fn with_layout(tolerated_losses: u32, layout: Layout) -> Self {
         let mut rig = Rig {
             manager: PlacementManager::new(tolerated_losses).with_layout(layout),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// What a learner would report now if it had caught up with all of its shards.
+    /// The report that a learner would send now if it had caught up with all of its shards.
     pub fn reports_of(&self, id: u64) -> Vec<CaughtUpShard> {
         let shards = self.placement.shards.iter().enumerate().filter_map(|(number, shard)| {
             let change = shard.change.filter(|change| change.joins == StoreId(id))?;
@@ -104,13 +104,13 @@
         shards.collect()
     }
 
-    /// A learner reports that it has caught up with all of its shards.
+    /// Reports that a learner has caught up with all of its shards.
     pub fn report_caught_up(&mut self, id: u64) {
         let shards = self.reports_of(id);
         self.handle(Input::LearnerCaughtUp { id: StoreId(id), shards });
     }
 
-    /// Runs while every learner that is up is filled within a step.
+    /// Runs for a time in which every learner that sends heartbeats catches up within one step.
     pub fn run_filling(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while self.now < end {
@@ -121,12 +121,12 @@
         }
     }
 
-    /// Shards of which a store is the learner.
+    /// Number of shards for which a store is the learner.
     pub fn learner_count(&self, id: u64) -> usize {
         self.placement.shards.iter().filter(|shard| shard.learner() == Some(StoreId(id))).count()
     }
 
-    /// Shards of which a store is a replica.
+    /// Number of shards of which a store holds a replica.
     pub fn replica_count(&self, id: u64) -> usize {
         self.placement.shards.iter().filter(|shard| shard.replicas.contains(&StoreId(id))).count()
     }
