--- a/system/state/placement/src/balance.rs
+++ b/system/state/placement/src/balance.rs
@@ -1,7 +1,7 @@
 //! Balancing: moves an even share of the replicas to new stores, a few at a time and only while every store is stable.
 
 use crate::changes;
-use crate::cluster::{ClusterSnapshot, Counts};
+use crate::cluster::{ClusterSnapshot, StoreCounts};
 use crate::store_health::StoreStatus;
 use millrudder_protocol::placement::{ChangeReason, Placement, ShardEntry};
 use millrudder_protocol::StoreId;
@@ -27,15 +27,18 @@
 
 /// Numbers of replicas per store, as they will be after the moves begun so far.
 struct Loads {
-    replicas: Counts,
+    replicas: StoreCounts,
     /// First replicas of shards. A stable store is the primary of the shards whose first replica it has.
-    first_replicas: Counts,
+    first_replicas: StoreCounts,
 }
 
 impl Loads {
     fn of(placement: &Placement) -> Loads {
         let first = placement.shards.iter().filter_map(|shard| shard.replicas.first());
-        Loads { replicas: Counts::of_replicas(placement), first_replicas: Counts::of(first.copied()) }
+        Loads {
+            replicas: StoreCounts::of_replicas(placement),
+            first_replicas: StoreCounts::of(first.copied()),
+        }
     }
 
     fn apply(&mut self, placement: &Placement, receiver: StoreId, chosen: &Move) {
@@ -50,12 +53,12 @@
 
 /// Begins to move replicas to stores that have fewer than others.
 pub fn begin_changes(cluster: &ClusterSnapshot, next: &mut Placement) {
-    if !is_calm(cluster, next) {
+    if !can_begin_balancing(cluster, next) {
         return;
     }
     let mut loads = Loads::of(next);
     let receivers: Vec<&StoreStatus> =
-        cluster.candidates().filter(|store| was_spare_long_enough(cluster, store)).collect();
+        cluster.candidates().filter(|store| has_passed_balance_delay(cluster, store)).collect();
     for _ in 0..MAX_CONCURRENT_MOVES {
         let mut by_load = receivers.clone();
         by_load.sort_by_key(|store| (loads.replicas.get(store.id), store.id));
@@ -70,7 +73,7 @@
 }
 
 /// Whether every store is stable and no membership change is in progress.
-fn is_calm(cluster: &ClusterSnapshot, next: &Placement) -> bool {
+fn can_begin_balancing(cluster: &ClusterSnapshot, next: &Placement) -> bool {
     let is_stable = |id: StoreId| cluster.stores.is_stable(cluster.now, id);
     next.shards.iter().all(|shard| shard.change.is_none())
         && next.stores.iter().all(|store| is_stable(store.id))
@@ -78,7 +81,7 @@
 
 /// Whether a store has been healthy for long enough to receive replicas for balance. A store that has just registered
 /// may be meant to replace another one, so it receives none at first.
-fn was_spare_long_enough(cluster: &ClusterSnapshot, store: &StoreStatus) -> bool {
+fn has_passed_balance_delay(cluster: &ClusterSnapshot, store: &StoreStatus) -> bool {
     let since = cluster.stores.healthy_since(store.id).unwrap_or(cluster.now);
     cluster.now - since.max(cluster.observed_since) >= cluster.delays.before_balance
 }
@@ -96,13 +99,13 @@
         let replicas = shard.replicas.iter().enumerate();
         replicas.filter_map(move |(position, leaves)| {
             let surplus = loads.replicas.get(*leaves).checked_sub(loads.replicas.get(receiver.id))?;
-            let lacks_first_replicas =
+            let receiver_lacks_first_replicas =
                 loads.first_replicas.get(*leaves) > loads.first_replicas.get(receiver.id) + 1;
             let is_allowed =
                 surplus >= IMBALANCE_THRESHOLD && keeps_layout(cluster, next, shard, *leaves, receiver);
             is_allowed.then(|| Move {
                 surplus,
-                balances_first_replicas: (position == 0) == lacks_first_replicas,
+                balances_first_replicas: (position == 0) == receiver_lacks_first_replicas,
                 is_filled_within_zone: cluster.zone_of(next, shard.primary) == receiver.zone,
                 shard_index,
                 leaves: *leaves,
--- a/system/state/placement/src/cluster.rs
+++ b/system/state/placement/src/cluster.rs
@@ -105,27 +105,27 @@
 }
 
 /// Pairs each shard of a placement with its ID.
-pub fn numbered(shards: &[ShardEntry]) -> impl Iterator<Item = (ShardId, &ShardEntry)> {
+pub fn shards_with_ids(shards: &[ShardEntry]) -> impl Iterator<Item = (ShardId, &ShardEntry)> {
     shards.iter().enumerate().filter_map(|(index, shard)| Some((ShardId(u16::try_from(index).ok()?), shard)))
 }
 
 /// A count for each store, such as its number of replicas.
 #[derive(Clone, Debug, Default)]
-pub struct Counts {
+pub struct StoreCounts {
     counts: BTreeMap<StoreId, usize>,
 }
 
-impl Counts {
-    /// Counts how often each store occurs.
-    pub fn of(stores: impl Iterator<Item = StoreId>) -> Counts {
-        let mut counts = Counts::default();
+impl StoreCounts {
+    /// StoreCounts how often each store occurs.
+    pub fn of(stores: impl Iterator<Item = StoreId>) -> StoreCounts {
+        let mut counts = StoreCounts::default();
         stores.for_each(|store| counts.increment(store));
         counts
     }
 
-    /// Counts the replicas and learners of each store in a placement.
-    pub fn of_replicas(placement: &Placement) -> Counts {
-        Counts::of(
+    /// StoreCounts the replicas and learners of each store in a placement.
+    pub fn of_replicas(placement: &Placement) -> StoreCounts {
+        StoreCounts::of(
             placement.shards.iter().flat_map(|shard| shard.replicas.iter().copied().chain(shard.learner())),
         )
     }
--- a/system/state/placement/src/initial_placement.rs
+++ b/system/state/placement/src/initial_placement.rs
@@ -1,7 +1,7 @@
 //! The initial placement of a cluster.
 
 use crate::changes::store_entry;
-use crate::cluster::Counts;
+use crate::cluster::StoreCounts;
 use crate::layout::Layout;
 use crate::store_health::StoreStatus;
 use millrudder_protocol::placement::{target_replicas, Placement, ShardEntry};
@@ -18,7 +18,7 @@
 pub fn initial_placement(stores: &[&StoreStatus], tolerated_losses: u32, layout: &Layout) -> Placement {
     let shard_count = (SHARDS_PER_STORE * stores.len()).clamp(MIN_SHARDS, MAX_SHARDS);
     let epoch = Epoch(1);
-    let mut load = Counts::default();
+    let mut load = StoreCounts::default();
     let shards = (0..shard_count).map(|number| {
         let replicas = choose_replicas(stores, number, target_replicas(tolerated_losses), &load, layout);
         replicas.iter().for_each(|store| load.increment(*store));
@@ -39,7 +39,7 @@
     stores: &[&StoreStatus],
     shard_number: usize,
     target_count: usize,
-    load: &Counts,
+    load: &StoreCounts,
     layout: &Layout,
 ) -> Vec<StoreId> {
     let mut remaining = rotated(stores, shard_number);
--- a/system/state/placement/src/primaries.rs
+++ b/system/state/placement/src/primaries.rs
@@ -1,7 +1,7 @@
 //! Choice of each shard's primary.
 
 use crate::changes::assign_primary;
-use crate::cluster::{ClusterSnapshot, Counts};
+use crate::cluster::{ClusterSnapshot, StoreCounts};
 use millrudder_protocol::placement::Placement;
 use millrudder_protocol::StoreId;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 /// primaries.
 pub fn choose_primaries(cluster: &ClusterSnapshot, next: &mut Placement) {
     let epoch = next.epoch;
-    let mut load = Counts::of(next.shards.iter().map(|shard| shard.primary));
+    let mut load = StoreCounts::of(next.shards.iter().map(|shard| shard.primary));
     let zones = zones_of_replicas(cluster, next);
     for shard in &mut next.shards {
         let first = shard.replicas.first().copied();
--- a/system/state/placement/src/repair.rs
+++ b/system/state/placement/src/repair.rs
@@ -6,7 +6,7 @@
 //! completed.
 
 use crate::changes::{assign_primary, begin_change};
-use crate::cluster::{numbered, ClusterSnapshot, Counts};
+use crate::cluster::{shards_with_ids, ClusterSnapshot, StoreCounts};
 use crate::store_health::StoreStatus;
 use millrudder_protocol::placement::{target_replicas, ChangeReason, MemberChange, Placement, ShardEntry};
 use millrudder_protocol::{Epoch, StoreId};
@@ -21,7 +21,7 @@
 /// [`COMPLETE_TOGETHER_WITHIN`] since they caught up with one.
 pub fn complete_changes(cluster: &ClusterSnapshot, next: &mut Placement) {
     let behind = learners_behind(cluster, next);
-    let completed: Vec<usize> = numbered(&next.shards)
+    let completed: Vec<usize> = shards_with_ids(&next.shards)
         .filter(|(number, shard)| {
             let Some(change) = shard.change else { return false };
             let Some(caught_up_at) = cluster.caught_up_at(*number, &change) else { return false };
@@ -50,7 +50,7 @@
         let change = shard.change.filter(|change| cluster.caught_up_at(number, change).is_none())?;
         Some(change.joins)
     };
-    numbered(&next.shards).filter_map(is_behind).collect()
+    shards_with_ids(&next.shards).filter_map(is_behind).collect()
 }
 
 /// Ends changes that are no longer useful.
@@ -101,7 +101,7 @@
 
 /// Adds learners that will replace replicas on lost or retiring stores.
 pub fn begin_changes(cluster: &ClusterSnapshot, current: &Placement, next: &mut Placement) {
-    let mut load = Counts::of_replicas(next);
+    let mut load = StoreCounts::of_replicas(next);
     let holders: BTreeSet<StoreId> =
         current.shards.iter().flat_map(|shard| shard.replicas.iter().copied()).collect();
     for index in 0..next.shards.len() {
@@ -148,7 +148,7 @@
     shard: &ShardEntry,
     repair: &Repair,
     holders: &BTreeSet<StoreId>,
-    load: &Counts,
+    load: &StoreCounts,
 ) -> Option<&'a StoreStatus> {
     let others = shard.replicas.iter().copied().filter(|id| Some(*id) != repair.leaves);
     let zones: Vec<&str> = others.map(|id| cluster.zone_of(next, id)).collect();
--- a/system/state/placement/src/store_health.rs
+++ b/system/state/placement/src/store_health.rs
@@ -168,8 +168,8 @@
     /// healthy for [`STABLE_AFTER`].
     pub fn is_stable(&self, now: Instant, id: StoreId) -> bool {
         let Some(store) = self.stores.get(&id) else { return false };
-        let is_long = store.healthy_since.is_some_and(|since| now - since >= STABLE_AFTER);
-        store.is_healthy(now) && (is_long || !store.has_failed)
+        let is_past_delay = store.healthy_since.is_some_and(|since| now - since >= STABLE_AFTER);
+        store.is_healthy(now) && (is_past_delay || !store.has_failed)
     }
 
     /// How long a store has been unhealthy; zero while it is healthy. A store that has never registered counts as
@@ -203,8 +203,8 @@
     /// `name`. The machine then has a new disk, so the old store never comes back.
     pub fn is_replaced(&self, now: Instant, id: StoreId, name: &str) -> bool {
         let is_successor = |store: &StoreStatus| store.id != id && store.name == name;
-        let is_live_successor = |store: &StoreStatus| is_successor(store) && store.is_healthy(now);
-        !self.is_healthy(now, id) && self.stores.values().any(is_live_successor)
+        let is_healthy_successor = |store: &StoreStatus| is_successor(store) && store.is_healthy(now);
+        !self.is_healthy(now, id) && self.stores.values().any(is_healthy_successor)
     }
 
     /// The status of a registered store.
--- a/system/state/placement/tests/manager.rs
+++ b/system/state/placement/tests/manager.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_new_lease_holder_waits_for_heartbeats_before_it_takes_a_store_for_dead() {
+fn a_new_lease_holder_waits_for_heartbeats_before_it_considers_a_store_lost() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
     let mut successor = PlacementManager::new(1);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_new_lease_holder_that_has_followed_the_stores_acts_at_once() {
+fn a_new_lease_holder_that_already_tracked_the_stores_acts_immediately() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
     rig.handle(Input::ControllerLease { is_held: false });
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_new_lease_holder_that_hears_few_stores_waits_for_heartbeats() {
+fn a_new_lease_holder_that_gets_heartbeats_from_few_stores_waits_for_more() {
     let mut rig = Rig::new(3, 1);
     rig.run(2000);
     rig.handle(Input::ControllerLease { is_held: false });
--- a/system/state/placement/tests/model.rs
+++ b/system/state/placement/tests/model.rs
@@ -19,9 +19,9 @@
 
 struct Model {
     rig: Rig,
-    random: Rng,
-    tolerated: u32,
-    next: u64,
+    rng: Rng,
+    tolerated_losses: u32,
+    next_id: u64,
     /// Stores that are down and may come back, with the names of their machines.
     down: BTreeMap<u64, String>,
     names: BTreeMap<u64, String>,
@@ -33,48 +33,48 @@
 
 impl Model {
     fn new(seed: u64) -> Self {
-        let mut random = Rng::with_seed(seed);
-        let tolerated = random.u32(1..=2);
-        let stores = u64::from(2 * tolerated + 1) + random.u64(0..4);
-        let mut rig = Rig::new(stores, tolerated);
+        let mut rng = Rng::with_seed(seed);
+        let tolerated_losses = rng.u32(1..=2);
+        let stores = u64::from(2 * tolerated_losses + 1) + rng.u64(0..4);
+        let mut rig = Rig::new(stores, tolerated_losses);
         rig.run(2000);
         let names = (1..=stores).map(|id| (id, format!("store-{id}"))).collect();
         let previous = rig.placement.clone();
         let (down, retiring, reported) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
-        Model { rig, random, tolerated, next: stores + 1, down, names, retiring, reported, previous }
+        Model { rig, rng, tolerated_losses, next_id: stores + 1, down, names, retiring, reported, previous }
     }
 
     fn target_replicas(&self) -> usize {
-        2 * self.tolerated as usize + 1
+        2 * self.tolerated_losses as usize + 1
     }
 
-    fn up(&self) -> Vec<u64> {
+    fn running_stores(&self) -> Vec<u64> {
         self.rig.heartbeats.keys().copied().collect()
     }
 
     fn pick(&mut self, ids: &[u64]) -> Option<u64> {
-        (!ids.is_empty()).then(|| ids[self.random.usize(0..ids.len())])
+        (!ids.is_empty()).then(|| ids[self.rng.usize(0..ids.len())])
     }
 
     fn step(&mut self) {
-        let up = self.up();
-        match self.random.u8(0..10) {
-            0 | 1 => self.lose(&up),
+        let running = self.running_stores();
+        match self.rng.u8(0..10) {
+            0 | 1 => self.lose(&running),
             2 | 3 => self.recover(),
             4 => self.replace_disk(),
             5 => self.add(),
-            6 => self.shut_down(&up),
-            7 => self.retire(&up),
+            6 => self.shut_down(&running),
+            7 => self.retire(&running),
             8 => self.lose_lease(),
             _ => {}
         }
-        for _ in 0..self.random.u64(1..30) {
+        for _ in 0..self.rng.u64(1..30) {
             self.run_step();
         }
     }
 
-    fn lose(&mut self, up: &[u64]) {
-        if let Some(id) = self.pick(up).filter(|_| self.down.len() <= self.tolerated as usize) {
+    fn lose(&mut self, running: &[u64]) {
+        if let Some(id) = self.pick(running).filter(|_| self.down.len() <= self.tolerated_losses as usize) {
             self.rig.heartbeats.remove(&id);
             self.down.insert(id, self.names[&id].clone());
         }
@@ -92,19 +92,19 @@
         let ids: Vec<u64> = self.down.keys().copied().collect();
         if let Some(id) = self.pick(&ids) {
             let name = self.down.remove(&id).unwrap();
-            let fresh = self.fresh();
-            self.register(fresh, &name);
+            let new_id = self.allocate_id();
+            self.register(new_id, &name);
         }
     }
 
     fn add(&mut self) {
-        let fresh = self.fresh();
-        self.register(fresh, &format!("store-{fresh}"));
+        let new_id = self.allocate_id();
+        self.register(new_id, &format!("store-{new_id}"));
     }
 
-    fn fresh(&mut self) -> u64 {
-        self.next += 1;
-        self.next - 1
+    fn allocate_id(&mut self) -> u64 {
+        self.next_id += 1;
+        self.next_id - 1
     }
 
     fn register(&mut self, id: u64, name: &str) {
@@ -113,10 +113,10 @@
         self.check();
     }
 
-    fn shut_down(&mut self, up: &[u64]) {
-        if let Some(id) = self.pick(up).filter(|_| self.down.len() <= self.tolerated as usize) {
+    fn shut_down(&mut self, running: &[u64]) {
+        if let Some(id) = self.pick(running).filter(|_| self.down.len() <= self.tolerated_losses as usize) {
             self.rig.heartbeats.get_mut(&id).unwrap().is_shutting_down = true;
-            for _ in 0..self.random.u64(1..10) {
+            for _ in 0..self.rng.u64(1..10) {
                 self.run_step();
             }
             self.rig.heartbeats.remove(&id);
@@ -124,11 +124,11 @@
         }
     }
 
-    fn retire(&mut self, up: &[u64]) {
-        let Some(id) = self.pick(up) else { return };
+    fn retire(&mut self, running: &[u64]) {
+        let Some(id) = self.pick(running) else { return };
         let name = self.names[&id].clone();
         let stays = |id: &&u64| self.names[*id] != name && !self.retiring.contains(&self.names[*id]);
-        if up.iter().filter(stays).count() >= self.target_replicas() {
+        if running.iter().filter(stays).count() >= self.target_replicas() {
             self.retiring.insert(name);
             let names = self.retiring.clone();
             self.rig.handle(Input::Retiring(names));
@@ -139,17 +139,17 @@
     /// Moves the lease to another core machine, which may have received heartbeats from the stores before or not at
     /// all.
     fn lose_lease(&mut self) {
-        self.rig.manager = PlacementManager::new(self.tolerated);
+        self.rig.manager = PlacementManager::new(self.tolerated_losses);
         let (placement, names) = (self.rig.placement.clone(), self.retiring.clone());
         self.rig.handle(Input::Committed(placement));
         self.rig.handle(Input::Retiring(names));
-        for id in self.up() {
+        for id in self.running_stores() {
             let health = self.rig.heartbeats[&id];
             let name = self.names[&id].clone();
             self.rig.register(id, &name);
             self.rig.heartbeats.insert(id, health);
         }
-        if self.random.bool() {
+        if self.rng.bool() {
             self.run_step();
         }
         self.rig.handle(Input::ControllerLease { is_held: true });
@@ -159,8 +159,8 @@
     fn run_step(&mut self) {
         self.rig.run(STEP_MS);
         self.check();
-        for id in self.up() {
-            if self.random.u8(0..4) == 0 {
+        for id in self.running_stores() {
+            if self.rng.u8(0..4) == 0 {
                 self.report(id);
             }
         }
@@ -169,7 +169,7 @@
     /// Reports that a learner has caught up with some of its shards, and repeats its reports for earlier changes.
     fn report(&mut self, id: u64) {
         let all = self.rig.reports_of(id);
-        let now: Vec<CaughtUpShard> = all.into_iter().filter(|_| self.random.u8(0..3) > 0).collect();
+        let now: Vec<CaughtUpShard> = all.into_iter().filter(|_| self.rng.u8(0..3) > 0).collect();
         self.reported.extend(now.iter().map(|filled| (StoreId(id), *filled)));
         let known = self.reported.iter().filter(|(store, _)| store.0 == id).map(|(_, filled)| *filled);
         let shards = known.collect();
@@ -244,8 +244,8 @@
 
     /// Checks that every write quorum during the change intersects every read quorum after it.
     fn check_quorums(&self, before: &ShardEntry, after: &ShardEntry) {
-        let during = before.memberships(self.tolerated);
-        let next = after.memberships(self.tolerated);
+        let during = before.memberships(self.tolerated_losses);
+        let next = after.memberships(self.tolerated_losses);
         let shared = |one: &[StoreId], two: &[StoreId]| one.iter().filter(|id| two.contains(id)).count();
         let meets = during.iter().any(|written| {
             let (all, read) = (written.replicas.len(), next[0].read_quorum);
@@ -257,10 +257,10 @@
 
     /// Checks that every shard is repaired once no further faults occur and there are enough machines.
     fn check_converges(&mut self) {
-        for id in self.up() {
+        for id in self.running_stores() {
             self.rig.heartbeats.get_mut(&id).unwrap().is_shutting_down = false;
         }
-        while self.up().iter().filter(|id| !self.retiring.contains(&self.names[*id])).count()
+        while self.running_stores().iter().filter(|id| !self.retiring.contains(&self.names[*id])).count()
             < self.target_replicas()
         {
             self.add();
@@ -268,14 +268,14 @@
         let end = self.rig.now + REPAIRED_WITHIN;
         while self.rig.now < end {
             self.run_step();
-            for id in self.up() {
+            for id in self.running_stores() {
                 self.report(id);
             }
         }
-        let up: BTreeSet<u64> = self.up().into_iter().collect();
+        let running: BTreeSet<u64> = self.running_stores().into_iter().collect();
         for shard in &self.rig.placement.shards {
             for id in &shard.replicas {
-                assert!(up.contains(&id.0), "a lost store still has a replica");
+                assert!(running.contains(&id.0), "a lost store still has a replica");
                 assert!(
                     !self.retiring.contains(&self.names[&id.0]),
                     "a retiring machine still has a replica"
--- a/system/state/placement/tests/regions.rs
+++ b/system/state/placement/tests/regions.rs
@@ -23,10 +23,10 @@
 }
 
 /// Creates a cluster with one store in each of the given zones, in this order.
-fn rig(failure_domain: FailureDomain, tolerated_losses: u32, zones: &[&'static str]) -> Rig {
+fn rig_in_zones(failure_domain: FailureDomain, tolerated_losses: u32, zones: &[&'static str]) -> Rig {
     let mut rig = Rig::with_layout(tolerated_losses, layout(failure_domain));
-    for (at, zone) in zones.iter().enumerate() {
-        rig.register_in(at as u64 + 1, zone);
+    for (index, zone) in zones.iter().enumerate() {
+        rig.register_in(index as u64 + 1, zone);
     }
     rig.run(2000);
     rig
@@ -41,7 +41,7 @@
 }
 
 /// Number of replicas in the region of the shard's first replica.
-fn in_home_region(placement: &Placement, shard: &ShardEntry) -> usize {
+fn replicas_in_first_region(placement: &Placement, shard: &ShardEntry) -> usize {
     let zones = zones_of(placement, shard);
     zones.iter().filter(|zone| region(zone) == region(zones[0])).count()
 }
@@ -52,10 +52,10 @@
 
 #[test]
 fn where_only_machines_may_fail_replicas_stay_in_one_region() {
-    let rig = rig(FailureDomain::Machine, 2, &two_in_each_zone());
+    let rig = rig_in_zones(FailureDomain::Machine, 2, &two_in_each_zone());
     for shard in &rig.placement.shards {
         assert_eq!(shard.replicas.len(), 5);
-        assert_eq!(in_home_region(&rig.placement, shard), 4);
+        assert_eq!(replicas_in_first_region(&rig.placement, shard), 4);
     }
     let counts: Vec<usize> = (1..=12).map(|id| rig.replica_count(id)).collect();
     let (least, most) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
@@ -64,7 +64,7 @@
 
 #[test]
 fn within_a_region_replicas_lie_in_different_zones_first() {
-    let rig = rig(FailureDomain::Machine, 1, &["n-1", "n-1", "n-2", "n-1"]);
+    let rig = rig_in_zones(FailureDomain::Machine, 1, &["n-1", "n-1", "n-2", "n-1"]);
     for shard in &rig.placement.shards {
         assert!(zones_of(&rig.placement, shard).contains(&"n-2"));
     }
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_region_with_too_few_stores_has_the_rest_in_one_other() {
-    let rig = rig(FailureDomain::Machine, 1, &["n-1", "s-1", "s-2", "s-1", "w-1", "w-2", "w-1"]);
+    let rig = rig_in_zones(FailureDomain::Machine, 1, &["n-1", "s-1", "s-2", "s-1", "w-1", "w-2", "w-1"]);
     for shard in rig.placement.shards.iter().filter(|shard| shard.replicas[0] == StoreId(1)) {
         let others: BTreeSet<&str> =
             zones_of(&rig.placement, shard)[1..].iter().map(|zone| region(zone)).collect();
@@ -82,17 +82,17 @@
 
 #[test]
 fn where_zones_may_fail_different_zones_come_before_one_region() {
-    let rig = rig(FailureDomain::Zone, 1, &two_in_each_zone());
+    let rig = rig_in_zones(FailureDomain::Zone, 1, &two_in_each_zone());
     for shard in &rig.placement.shards {
         let zones = zones_of(&rig.placement, shard);
         assert_eq!(zones.iter().collect::<BTreeSet<_>>().len(), 3);
-        assert_eq!(in_home_region(&rig.placement, shard), 2);
+        assert_eq!(replicas_in_first_region(&rig.placement, shard), 2);
     }
 }
 
 #[test]
 fn where_regions_may_fail_replicas_lie_in_different_regions() {
-    let rig = rig(FailureDomain::Region, 1, &two_in_each_zone());
+    let rig = rig_in_zones(FailureDomain::Region, 1, &two_in_each_zone());
     for shard in &rig.placement.shards {
         let zones = zones_of(&rig.placement, shard);
         assert_eq!(zones.iter().map(|zone| region(zone)).collect::<BTreeSet<_>>().len(), 3);
@@ -109,19 +109,19 @@
 #[test]
 fn a_lost_store_is_replaced_in_its_region_while_there_is_one() {
     let zones = ["n-1", "n-2", "n-1", "n-2", "s-1", "s-2", "s-1", "s-2"];
-    let mut rig = rig(FailureDomain::Machine, 1, &zones);
+    let mut rig = rig_in_zones(FailureDomain::Machine, 1, &zones);
     rig.heartbeats.remove(&1);
     rig.run_filling(30_000);
     assert_eq!(rig.replica_count(1), 0);
     for shard in &rig.placement.shards {
-        assert_eq!(in_home_region(&rig.placement, shard), 3, "{shard:?}");
+        assert_eq!(replicas_in_first_region(&rig.placement, shard), 3, "{shard:?}");
     }
 }
 
 #[test]
 fn without_a_store_left_in_the_region_another_region_is_used() {
     let zones = ["n-1", "n-2", "n-1", "s-1", "s-2", "s-1"];
-    let mut rig = rig(FailureDomain::Machine, 1, &zones);
+    let mut rig = rig_in_zones(FailureDomain::Machine, 1, &zones);
     rig.heartbeats.remove(&1);
     rig.run_filling(30_000);
     assert_eq!(rig.replica_count(1), 0);
@@ -130,25 +130,25 @@
 
 #[test]
 fn the_substitute_of_a_lost_primary_is_of_its_region() {
-    let mut rig = rig(FailureDomain::Machine, 2, &two_in_each_zone());
-    let homes: Vec<StoreId> = rig.placement.shards.iter().map(|shard| shard.primary).collect();
+    let mut rig = rig_in_zones(FailureDomain::Machine, 2, &two_in_each_zone());
+    let primaries_before: Vec<StoreId> = rig.placement.shards.iter().map(|shard| shard.primary).collect();
     rig.heartbeats.remove(&1);
     rig.run(700);
-    for (shard, home) in rig.placement.shards.iter().zip(homes) {
+    for (shard, primary_before) in rig.placement.shards.iter().zip(primaries_before) {
         let zone = |id: StoreId| rig.placement.store(id).unwrap().zone.clone();
         assert_ne!(shard.primary, StoreId(1));
-        assert_eq!(region(&zone(shard.primary)), region(&zone(home)));
+        assert_eq!(region(&zone(shard.primary)), region(&zone(primary_before)));
     }
 }
 
 #[test]
 fn balance_moves_no_replica_out_of_its_region() {
-    let mut rig = rig(FailureDomain::Machine, 1, &["n-1", "n-2", "n-1", "s-1", "s-2", "s-1"]);
+    let mut rig = rig_in_zones(FailureDomain::Machine, 1, &["n-1", "n-2", "n-1", "s-1", "s-2", "s-1"]);
     rig.register_in(7, "s-2");
     rig.run_filling(30_000);
     assert!(rig.replica_count(7) > 0);
     for shard in &rig.placement.shards {
-        assert_eq!(in_home_region(&rig.placement, shard), 3);
+        assert_eq!(replicas_in_first_region(&rig.placement, shard), 3);
     }
 }
 
@@ -158,15 +158,15 @@
     /// For any set of stores, every shard has the required number of replicas, each on a different store.
     #[test]
     fn every_initial_placement_is_complete(
-        at in prop::collection::vec(0..ZONES.len(), 5..30),
+        zone_indices in prop::collection::vec(0..ZONES.len(), 5..30),
         failure_domain in prop_oneof![
             Just(FailureDomain::Machine),
             Just(FailureDomain::Zone),
             Just(FailureDomain::Region),
         ],
     ) {
-        let zones: Vec<&'static str> = at.iter().map(|at| ZONES[*at]).collect();
-        let rig = rig(failure_domain, 2, &zones);
+        let zones: Vec<&'static str> = zone_indices.iter().map(|index| ZONES[*index]).collect();
+        let rig = rig_in_zones(failure_domain, 2, &zones);
         prop_assert!(!rig.placement.shards.is_empty());
         for shard in &rig.placement.shards {
             let distinct: BTreeSet<_> = shard.replicas.iter().collect();
@@ -179,7 +179,7 @@
 #[test]
 fn balance_converges_after_stores_are_added() {
     let zones = ["n-1", "n-2", "n-1", "n-1", "n-2", "s-1", "s-2", "s-1", "s-2", "w-1", "w-2", "w-1", "w-2"];
-    let mut rig = rig(FailureDomain::Machine, 2, &zones);
+    let mut rig = rig_in_zones(FailureDomain::Machine, 2, &zones);
     rig.register_in(14, "n-1");
     rig.register_in(15, "s-2");
     rig.run_filling(40_000);
