--- a/system/state/staleness/src/connection_planner.rs
+++ b/system/state/staleness/src/connection_planner.rs
@@ -1,47 +1,48 @@
-//! Choice of the core machines to which a process is connected.
+//! Chooses the core machines to which a process connects.
 
 use millrudder_clock::Instant;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A connection that has not opened after this time is replaced, where another core machine is known.
+/// A connection that has not opened within this time is replaced if another core machine is known.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1200);
-/// A core machine that has not confirmed its state for this time is replaced, where another one is known. Four
-/// intervals of its confirmations ([`CONFIRM_INTERVAL`](crate::CONFIRM_INTERVAL)).
+/// A core machine that has not confirmed its state for this long is replaced if another one is known. This is four
+/// times the interval of the confirmations ([`CONFIRM_INTERVAL`](crate::CONFIRM_INTERVAL)).
 pub const CONFIRM_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Backoff after a core machine was left for the first time. It doubles each time ...
+/// How long a core machine is not retried after it was first replaced. Doubles each time, up to [`MAX_BACKOFF`].
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
-/// ... up to this.
+/// Upper bound of the backoff.
 pub const MAX_BACKOFF: Duration = Duration::from_millis(2000);
-/// A process that was not run for this time knows nothing of its connections.
+/// After a pause of this process of at least this long, all connection timeouts restart, since the process cannot know
+/// which connections have failed.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(1000);
 
-/// What the process is to do.
+/// An action that the process must take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionStep {
     /// Close the connection to this core machine.
     Close(SocketAddr),
-    /// Open a connection to this core machine, and open it anew as long as it is not to be closed.
+    /// Open a connection to this core machine, and reopen it whenever it closes until [`ConnectionStep::Close`].
     Open(SocketAddr),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// Not open yet, or being opened anew.
+    /// Not open yet, or being reopened.
     Opening,
     /// Open; the core machine has not confirmed its state yet.
     Open,
     /// The core machine has confirmed its state.
     Confirmed,
-    /// The core machine cannot confirm its state, or shuts down.
+    /// The core machine cannot confirm its state, or is shutting down.
     Rejected,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Connection {
     state: ConnectionState,
-    /// Time of the last change of state or confirmation.
+    /// Time of the last state change or confirmation.
     progressed_at: Instant,
 }
 
@@ -63,7 +64,7 @@
 }
 
 impl Backoff {
-    /// The backoff that follows `previous`, from now on.
+    /// The backoff that starts now and follows `previous`.
     fn after(previous: Option<&Backoff>, now: Instant) -> Backoff {
         let delay = previous.map_or(INITIAL_BACKOFF, |backoff| backoff.next);
         Backoff { until: now + delay, next: (delay * 2).min(MAX_BACKOFF) }
@@ -76,8 +77,8 @@
 
 /// Plans the connections of a process to core machines.
 ///
-/// A core machine that cannot confirm its state is replaced by another one, and not tried again before its backoff is
-/// over. Without another one the connection stays.
+/// A core machine that cannot confirm its state is replaced by another one, and not retried until its backoff is over.
+/// If there is no other candidate, the connection is kept.
 #[derive(Clone, Debug)]
 pub struct ConnectionPlanner {
     max_connections: usize,
@@ -85,13 +86,13 @@
     addresses: Vec<SocketAddr>,
     connections: BTreeMap<SocketAddr, Connection>,
     backoffs: BTreeMap<SocketAddr, Backoff>,
-    /// Position of the last address that was tried, modulo the number of addresses.
+    /// Index of the last address that was tried, modulo the number of addresses.
     cursor: usize,
     polled_at: Instant,
 }
 
 impl ConnectionPlanner {
-    /// A planner of up to `max_connections` connections; `seed` picks the core machine to begin with.
+    /// Creates a planner for up to `max_connections` connections. `seed` selects the core machine to start with.
     pub fn new(max_connections: usize, seed: u64) -> ConnectionPlanner {
         ConnectionPlanner {
             max_connections,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Adds a core machine. True if its address is new.
+    /// Adds the address of a core machine; returns whether it is new.
     pub fn add_address(&mut self, address: SocketAddr) -> bool {
         let is_new = !self.addresses.contains(&address);
         if is_new {
@@ -117,17 +118,17 @@
         self.addresses.len()
     }
 
-    /// Whether some core machine has confirmed its state on a connection that is open.
+    /// Whether any core machine has confirmed its state on a connection that is open.
     pub fn has_confirmed_connection(&self) -> bool {
         self.connections.values().any(|connection| connection.state == ConnectionState::Confirmed)
     }
 
-    /// Handles that a connection has opened.
+    /// Handles the opening of a connection.
     pub fn handle_opened(&mut self, now: Instant, address: SocketAddr) {
         self.set_state(now, address, ConnectionState::Open);
     }
 
-    /// Handles that a connection has closed; it is being opened anew.
+    /// Handles the closing of a connection, which the process then reopens unless told otherwise.
     pub fn handle_closed(&mut self, now: Instant, address: SocketAddr) {
         let connection = self.connections.get(&address);
         let is_rejected = connection.is_some_and(|connection| connection.state == ConnectionState::Rejected);
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Handles a core machine's confirmation that its state was current when this process asked, at `sent_at`.
+    /// Handles a core machine's confirmation that its state was current at `sent_at`, when this process sent its check.
+    /// A confirmation at least [`CONFIRM_TIMEOUT`] old is ignored.
     pub fn handle_confirmation(&mut self, now: Instant, address: SocketAddr, sent_at: Instant) {
         if now - sent_at < CONFIRM_TIMEOUT {
             self.set_state(now, address, ConnectionState::Confirmed);
@@ -144,12 +146,12 @@
         }
     }
 
-    /// Handles that a core machine cannot confirm its state, or shuts down.
+    /// Handles a core machine's report that it cannot confirm its state or is shutting down.
     pub fn handle_rejection(&mut self, now: Instant, address: SocketAddr) {
         self.set_state(now, address, ConnectionState::Rejected);
     }
 
-    /// Replaces failed connections and fills up to the maximum.
+    /// Replaces failed connections, and opens new ones up to the maximum.
     pub fn poll(&mut self, now: Instant) -> Vec<ConnectionStep> {
         self.restart_timeouts_after_pause(now);
         let mut steps = Vec::new();
@@ -172,7 +174,7 @@
         }
     }
 
-    /// After a time in which this process itself was not run, no connection is to blame for its silence.
+    /// Restarts all timeouts after a pause of this process, since the silence of a connection may be due to the pause.
     fn restart_timeouts_after_pause(&mut self, now: Instant) {
         let was_paused = now - self.polled_at >= PAUSE_THRESHOLD;
         self.polled_at = now;
@@ -199,7 +201,7 @@
         steps.push(ConnectionStep::Open(address));
     }
 
-    /// The next known address without a connection and not backing off.
+    /// The next known address that has no connection and is not backing off.
     fn next_candidate(&mut self, now: Instant) -> Option<SocketAddr> {
         for _ in 0..self.addresses.len() {
             self.cursor = self.cursor.wrapping_add(1);
--- a/system/state/staleness/src/lib.rs
+++ b/system/state/staleness/src/lib.rs
@@ -1,20 +1,20 @@
-//! Bounded staleness of the control state, at both ends of a control connection, without I/O.
+//! Bounded staleness of the control state: state machines, without I/O, for both ends of a control connection.
 //!
-//! A core machine may be cut off from the rest of the core without noticing at once. What it still holds must not reach
-//! a process as current. Two sides keep to that:
+//! A core machine may be partitioned from the rest of the core without noticing immediately. It must not pass off the
+//! state that it still holds as current. Both ends of a connection ensure this:
 //!
-//! - A core machine keeps a [`ReadBarrier`]: linearizable reads confirm again and again that its state is current, and
-//!   it sends registrants nothing unless a recent read confirmed it.
-//! - A process that follows the control state (a registrant: dispatcher or store) keeps a [`ConnectionPlanner`], which
-//!   replaces connections to core machines that cannot confirm their state, and a [`StalenessTracker`], which knows how
-//!   old the last confirmation of its own copy is.
+//! - A core machine has a [`ReadBarrier`]. It confirms at an interval, by linearizable reads, that the machine's state
+//!   is current, and sends state to registrants only if a recent read has confirmed it.
+//! - A registrant is a process that receives the control state: a dispatcher or a store. It has a
+//!   [`ConnectionPlanner`], which replaces connections to core machines that cannot confirm their state, and a
+//!   [`StalenessTracker`], which tracks the age of the last confirmation of the process's copy.
 //!
-//! Both rest on steady clocks. A [`ClockStallDetector`] notices that a machine's steady clock has stood still, so that
-//! time-outs measured by it cannot be trusted.
+//! Both ends rely on monotonic clocks. A [`ClockStallDetector`] detects that a machine's monotonic clock has stopped
+//! for a while, so that timeouts measured with it cannot be trusted.
 //!
-//! An embedder passes readings of one steady clock that never go back, handles every output in order, and calls the
-//! state machines at the deadlines that they give. Readings of different processes are never compared: a confirmation
-//! carries the time at which the registrant asked, on the registrant's own clock.
+//! The caller passes readings of a single monotonic clock, handles every output in order, and calls the state machines
+//! at the deadlines that they return. Clock readings of different processes are never compared: a confirmation carries
+//! the time at which the registrant sent its check, measured by the registrant's own clock.
 
 #![forbid(unsafe_code)]
 
--- a/system/state/staleness/src/read_barrier/interface.rs
+++ b/system/state/staleness/src/read_barrier/interface.rs
@@ -2,7 +2,7 @@
 
 use crate::versions::{ConnectionId, StateVersions};
 
-/// Number of a confirming read; later reads of one process have higher numbers.
+/// Number of a confirming read. Within one process, later reads have higher numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReadNumber(pub u64);
 
@@ -12,16 +12,17 @@
     }
 }
 
-/// A reading of a registrant's own steady clock, in milliseconds; comparable only with others of the same registrant.
+/// A reading of a registrant's own monotonic clock, in milliseconds. Comparable only with readings of the same
+/// registrant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RegistrantTime(pub u64);
 
-/// The kind of a process that has registered.
+/// The kind of a registrant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrantKind {
     /// A dispatcher; it receives all parts of the control state.
     Dispatcher,
-    /// A store; it receives no lists of workers.
+    /// A store; it receives no worker lists.
     Store,
 }
 
@@ -34,7 +35,7 @@
         connection: ConnectionId,
         /// Its kind.
         kind: RegistrantKind,
-        /// Versions of the control state that it has already.
+        /// Versions of the control state that it already has.
         versions: StateVersions,
     },
     /// A registrant's connection has closed.
@@ -46,63 +47,64 @@
     StalenessCheck {
         /// Its connection.
         connection: ConnectionId,
-        /// When it sent the check, by its own clock; the confirmation carries it back.
+        /// When it sent the check, by its own clock. The confirmation returns this value.
         sent_at: RegistrantTime,
     },
-    /// This machine's state has these versions now.
+    /// This machine's state has changed and now has these versions.
     StateChanged(StateVersions),
-    /// This machine has got or lost the controller's lease.
+    /// This machine has acquired or lost the controller lease.
     ControllerLease {
-        /// It holds the lease now.
+        /// Whether it now holds the lease.
         is_held: bool,
     },
-    /// The read has completed; it sees all that was committed before its start.
+    /// A read has completed. This machine's state now includes everything that was committed before the read started.
     ReadCompleted {
         /// Number of the read, as in [`Output::StartRead`].
         read: ReadNumber,
     },
     /// Time has passed.
     Tick,
-    /// A connection to another core machine has opened: a read that was started without one may complete now.
+    /// A connection to another core machine has opened, so that a read may complete that could not before.
     PeerOpened,
-    /// This machine's steady clock stood still: neither the last confirmation nor a read in flight is known to be recent.
+    /// This machine's monotonic clock has stalled, so the last confirmation and a read in flight may be older than they
+    /// seem.
     ClockStalled,
     /// This machine is shutting down.
     ShuttingDown,
 }
 
-/// A part of the control state that is sent as a whole.
+/// A part of the control state, which is always sent in full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatePart {
-    /// The configuration in force.
+    /// The current configuration.
     Configuration,
-    /// The placement of shards in force.
+    /// The current placement of shards.
     Placement,
-    /// The list of workers in force.
+    /// The current worker list.
     Workers,
 }
 
 /// Outputs of the read barrier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Start a linearizable read, and report its end as [`Input::ReadCompleted`].
+    /// Start a linearizable read, and report its completion as [`Input::ReadCompleted`].
     StartRead {
         /// Number of the read.
         read: ReadNumber,
     },
-    /// Abandon a read in flight; its result is not needed any more.
+    /// Abandon a read in flight, whose result is no longer needed.
     AbandonRead {
         /// Number of the read.
         read: ReadNumber,
     },
-    /// Send a part of the state as it is now.
+    /// Send the current content of a part of the state.
     Send {
         /// The registrant's connection.
         connection: ConnectionId,
         /// The part to send.
         part: StatePart,
     },
-    /// Confirm that all that was committed when the registrant sent its check has been sent on this connection.
+    /// Confirm that everything committed before the registrant sent its check has been sent on this connection.
     Confirm {
         /// The registrant's connection.
         connection: ConnectionId,
@@ -114,7 +116,7 @@
         /// The registrant's connection.
         connection: ConnectionId,
     },
-    /// Redirect a registrant to another core machine, since this one shuts down.
+    /// Redirect a registrant to another core machine, because this one is shutting down.
     Redirect {
         /// The registrant's connection.
         connection: ConnectionId,
--- a/system/state/staleness/src/read_barrier/mod.rs
+++ b/system/state/staleness/src/read_barrier/mod.rs
@@ -1,8 +1,8 @@
-//! The read barrier of a core machine: what it may send to its registrants, and when.
+//! The read barrier of a core machine, which decides what the machine may send to its registrants and when.
 //!
 //! A linearizable read that completes proves that this machine's state was current when the read began (Raft's read
-//! index: Ongaro, Ousterhout, 2014, section 8). The barrier starts such reads at an interval and admits a registrant once a
-//! read has completed that began after its registration.
+//! index: Ongaro, Ousterhout, 2014, section 8). The barrier starts such reads at an interval. It admits a registrant,
+//! so that state may be sent to it, once a read that began after the registration has completed.
 
 mod interface;
 mod registrant;
@@ -15,9 +15,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Interval between the starts of two confirming reads.
+/// Interval between the starts of confirming reads.
 pub const CONFIRM_INTERVAL: Duration = Duration::from_millis(300);
-/// A confirmation counts for this time from the start of its read. Longer than a change of the core's view takes.
+/// How long a confirmation is valid, counted from the start of its read. Longer than a view change of the core takes.
 pub const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(1500);
 
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +32,7 @@
     }
 }
 
-/// Lets registrants receive this machine's state only while a quorum of the core has confirmed it recently.
+/// Allows this machine's state to be sent to registrants only while a quorum of the core has recently confirmed it.
 #[derive(Clone, Debug)]
 pub struct ReadBarrier {
     state: StateVersions,
@@ -40,17 +40,17 @@
     last_read: ReadNumber,
     read_in_flight: Option<ReadInFlight>,
     next_read_at: Instant,
-    /// Start of the last read that completed.
+    /// Start of the last completed read; `None` if none has completed or its confirmation no longer counts.
     confirmed_at: Option<Instant>,
     has_quorum_contact: bool,
     holds_controller_lease: bool,
     is_shutting_down: bool,
-    /// Cached, since finding it takes a pass over all registrants.
+    /// Cached, since computing it iterates over all registrants.
     deadline: Option<Instant>,
 }
 
 impl ReadBarrier {
-    /// A barrier that lets nothing through before a first read; `state` is what the disk holds.
+    /// Creates a barrier that sends no state until a first read completes. `state` has the versions found on disk.
     pub fn new(state: StateVersions) -> ReadBarrier {
         ReadBarrier {
             state,
@@ -66,23 +66,23 @@
         }
     }
 
-    /// Whether a quorum has confirmed this machine's state recently, so that answers may be based on it.
+    /// Whether a quorum has recently confirmed this machine's state, so that responses may be based on it.
     pub fn has_quorum(&self, now: Instant) -> bool {
         self.confirmed_at.is_some_and(|at| now - at < MAX_CONFIRMATION_AGE)
     }
 
-    /// Whether this machine accepts requests that change the state: not while it is partitioned off or shuts down.
+    /// Whether this machine accepts requests that change the state: it is neither partitioned nor shutting down.
     pub fn accepts_requests(&self, now: Instant) -> bool {
         self.has_quorum(now) && !self.is_shutting_down
     }
 
-    /// Registrants that are sent changes of the state.
+    /// Registrants to which state changes are sent.
     pub fn admitted(&self) -> impl Iterator<Item = ConnectionId> + '_ {
         let admitted = self.registrants.iter().filter(|(_, registrant)| registrant.is_admitted());
         admitted.map(|(connection, _)| *connection)
     }
 
-    /// When [`Input::Tick`] is due; a change of contact with the quorum is to be passed in at once.
+    /// When the next [`Input::Tick`] is due. After a change of contact with the quorum, it is due immediately.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.deadline
     }
@@ -93,8 +93,8 @@
         has_quorum_contact != self.has_quorum_contact || is_past_deadline
     }
 
-    /// Handles one input. `has_quorum_contact`: this machine receives messages of a quorum of the core at present, and
-    /// the quorum receives its messages.
+    /// Handles one input. `has_quorum_contact` tells whether this machine currently exchanges messages, in both
+    /// directions, with a quorum of the core.
     pub fn handle(
         &mut self,
         now: Instant,
@@ -125,7 +125,8 @@
         self.deadline = self.find_deadline();
     }
 
-    /// Lost contact voids the last confirmation: the next read must begin after contact is back.
+    /// Updates the contact with the quorum. Losing it invalidates the last confirmation and abandons the read in
+    /// flight, so that only a read that starts after the loss counts.
     fn update_contact(&mut self, now: Instant, has_quorum_contact: bool, outputs: &mut Vec<Output>) {
         let is_lost = self.has_quorum_contact && !has_quorum_contact;
         self.has_quorum_contact = has_quorum_contact;
@@ -220,14 +221,15 @@
         outputs.extend(registrants.into_keys().map(|connection| Output::Redirect { connection }));
     }
 
-    /// Gives up a read that has taken so long that its confirmation would not count.
+    /// Restarts a read that has taken so long that its confirmation would no longer be valid.
     fn expire_read(&mut self, now: Instant, outputs: &mut Vec<Output>) {
         if self.read_in_flight.is_some_and(|read| now >= read.expires_at()) {
             self.restart_read(now, outputs);
         }
     }
 
-    /// Withdraws all admissions when the state cannot be confirmed, and notifies those who have waited too long.
+    /// Withdraws all admissions if the state cannot be confirmed, and notifies the affected registrants and those that
+    /// have waited too long.
     fn withdraw_unconfirmed(&mut self, now: Instant, outputs: &mut Vec<Output>) {
         let has_quorum = self.has_quorum(now);
         let next_read = self.last_read.next();
--- a/system/state/staleness/src/read_barrier/registrant.rs
+++ b/system/state/staleness/src/read_barrier/registrant.rs
@@ -1,4 +1,4 @@
-//! One registrant: whether it is admitted, what it has been sent, and which of its checks is open.
+//! State of a single registrant: its admission, the versions sent to it and its pending staleness checks.
 
 use super::interface::{Output, ReadNumber, RegistrantKind, RegistrantTime, StatePart};
 use super::MAX_CONFIRMATION_AGE;
@@ -7,9 +7,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Admission {
-    /// Sent nothing before `read`, or a later one, has confirmed the state.
+    /// Nothing is sent until `read` or a later read has confirmed the state.
     Waiting { read: ReadNumber, since: Instant, was_notified: bool },
-    /// Sent every change of the state.
+    /// Every state change is sent.
     Admitted,
 }
 
@@ -17,19 +17,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct StalenessChecks {
     newest: Option<RegistrantTime>,
-    /// The newest that had arrived when the last read began.
+    /// The newest one that had arrived when the last read began.
     covered_by_read: Option<RegistrantTime>,
-    /// The newest that was confirmed.
+    /// The newest one that has been confirmed.
     confirmed: Option<RegistrantTime>,
 }
 
 impl StalenessChecks {
-    /// Whether the first check has come after the start of the last read.
+    /// Whether checks have arrived, but none of them before the start of the last read.
     fn is_first_uncovered(&self) -> bool {
         self.newest.is_some() && self.covered_by_read.is_none()
     }
 
-    /// The check to be confirmed after a read has completed; each is confirmed once.
+    /// Returns the check to confirm after a read has completed. Each check is confirmed at most once.
     fn take_confirmable(&mut self) -> Option<RegistrantTime> {
         let confirmable = self.covered_by_read.filter(|_| self.covered_by_read > self.confirmed)?;
         self.confirmed = Some(confirmable);
@@ -40,14 +40,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Registrant {
     kind: RegistrantKind,
-    /// Versions that it had when it registered or that were sent to it since.
+    /// Versions that it had when it registered or that have been sent to it since.
     sent: StateVersions,
     admission: Admission,
     checks: StalenessChecks,
 }
 
 impl Registrant {
-    /// A registrant that waits for `read`. `was_notified`: it knows already that there is no quorum.
+    /// Creates a registrant that waits for `read`. `was_notified` tells whether it already knows that there is no
+    /// quorum.
     pub fn waiting(
         kind: RegistrantKind,
         versions: StateVersions,
@@ -73,7 +74,7 @@
         is_waiting || self.checks.is_first_uncovered()
     }
 
-    /// When it is to be notified that there is no quorum, if nothing confirms the state before.
+    /// When it must be notified that there is no quorum, unless the state is confirmed before.
     pub fn notification_deadline(&self) -> Option<Instant> {
         match self.admission {
             Admission::Waiting { since, was_notified: false, .. } => Some(since + MAX_CONFIRMATION_AGE),
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Withdraws the admission, or ends the wait, if the state cannot be confirmed. True if the registrant is to be
-    /// notified of that.
+    /// Withdraws the admission if there is no quorum, or gives up a wait that has taken too long. Returns whether the
+    /// registrant must be notified that the state cannot be confirmed.
     pub fn withdraw_unless_confirmed(
         &mut self,
         now: Instant,
@@ -100,20 +101,20 @@
         is_refused
     }
 
-    /// Notes a staleness check. True if it is the first, which is answered as soon as may be: the process is not ready
-    /// before.
+    /// Records a staleness check. Returns whether no read has covered an earlier check yet. A read should then start as
+    /// soon as possible, because the process is not ready before its first check is confirmed.
     pub fn add_check(&mut self, sent_at: RegistrantTime) -> bool {
         self.checks.newest = self.checks.newest.max(Some(sent_at));
         self.checks.covered_by_read.is_none()
     }
 
-    /// Notes that a read begins: it covers the checks that have arrived.
+    /// Records the start of a read, which covers all checks that have arrived so far.
     pub fn begin_read(&mut self) {
         self.checks.covered_by_read = self.checks.newest;
     }
 
-    /// Handles the end of a read: admits the registrant, sends what it lacks and confirms its check. Nothing happens if
-    /// it waits for a later read.
+    /// Handles the completion of a read: admits the registrant, sends the state that it lacks and confirms its check.
+    /// Does nothing if the registrant waits for a later read.
     pub fn complete_read(
         &mut self,
         connection: ConnectionId,
@@ -134,11 +135,12 @@
         }
     }
 
-    /// Sends the parts of the state that are newer than what was sent last.
+    /// Sends the parts of the state that are newer than those last sent.
     ///
-    /// Every store is connected to every core machine, and a configuration may be large. So a store that is admitted
-    /// gets later ones only from the machine that holds the controller's lease (`with_configuration`). A store that
-    /// this machine cannot reach is primary of no shard, so that missing one does no harm.
+    /// Every store is connected to every core machine, and a configuration may be large. Therefore, a store that is
+    /// already admitted receives later configurations only from the machine that holds the controller lease
+    /// (`with_configuration`). A store that this machine cannot reach is not the primary of any shard, so missing a
+    /// configuration does no harm.
     pub fn send_newer(
         &mut self,
         connection: ConnectionId,
--- a/system/state/staleness/src/tracker.rs
+++ b/system/state/staleness/src/tracker.rs
@@ -3,10 +3,10 @@
 use millrudder_clock::Instant;
 use std::time::Duration;
 
-/// A copy whose last confirmation is this old is reported as stale.
+/// A copy is reported as stale once its last confirmation is this old.
 pub const STALE_AFTER: Duration = Duration::from_millis(2000);
 
-/// The copy has become stale, or is fresh again.
+/// Reports that a copy has become stale or fresh.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalenessChange {
     /// No core machine has confirmed the copy for [`STALE_AFTER`] or longer.
@@ -16,24 +16,25 @@
     },
     /// A stale copy was confirmed again.
     Fresh {
-        /// Time between the last confirmation before and the present.
+        /// Time since the confirmation before this one.
         stale_for: Duration,
     },
 }
 
-/// Tracks how old the last confirmation of a copy is.
+/// Tracks the age of the last confirmation of a copy.
 #[derive(Clone, Debug, Default)]
 pub struct StalenessTracker {
-    /// When the confirmed check was sent: a quorum of the core had nothing newer then.
+    /// When this process sent the last confirmed check. A quorum of the core had no newer state at that time.
     confirmed_at: Option<Instant>,
     is_stale: bool,
 }
 
 impl StalenessTracker {
-    /// Handles a core machine's confirmation that the copy holds all that was committed when this process sent its
-    /// check, at `sent_at`.
+    /// Handles a core machine's confirmation that the copy includes everything that was committed at `sent_at`, when
+    /// this process sent its check.
     ///
-    /// A confirmation that is itself older than [`STALE_AFTER`], as after a pause of this process, does not count.
+    /// A confirmation that is itself at least [`STALE_AFTER`] old, for instance after a pause of this process, is
+    /// ignored.
     pub fn handle_confirmation(&mut self, now: Instant, sent_at: Instant) -> Option<StalenessChange> {
         if now - sent_at >= STALE_AFTER {
             return None;
@@ -47,17 +48,17 @@
         Some(StalenessChange::Fresh { stale_for })
     }
 
-    /// Whether the copy was confirmed at any time since this process started.
+    /// Whether the copy has ever been confirmed since this process started.
     pub fn was_confirmed(&self) -> bool {
         self.confirmed_at.is_some()
     }
 
-    /// Age of the last confirmation; `None` before the first.
+    /// Age of the last confirmation; `None` before the first one.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         Some(now - self.confirmed_at?)
     }
 
-    /// Checks the age. Reports once that the copy has become stale.
+    /// Reports, once, that the copy has become stale.
     pub fn poll(&mut self, now: Instant) -> Option<StalenessChange> {
         let age = self.age(now)?;
         if self.is_stale || age < STALE_AFTER {
--- a/system/state/staleness/tests/clock_stall.rs
+++ b/system/state/staleness/tests/clock_stall.rs
@@ -1,10 +1,10 @@
-//! A steady clock that stood still is detected by the time of day.
+//! Detection of a stalled monotonic clock by comparison with the time of day.
 
 use millrudder_clock::Instant;
 use millrudder_staleness::ClockStallDetector;
 use std::time::Duration;
 
-/// The detector with readings in milliseconds.
+/// A detector that takes clock readings in milliseconds.
 struct Detector(ClockStallDetector);
 
 impl Detector {
--- a/system/state/staleness/tests/connection_planner.rs
+++ b/system/state/staleness/tests/connection_planner.rs
@@ -1,4 +1,4 @@
-//! The core machines to which a process is connected, whatever these send or fail to send.
+//! Which core machines a process connects to when machines reject it, are unresponsive, recover or shut down.
 
 use millrudder_clock::Instant;
 use millrudder_staleness::{
@@ -14,7 +14,7 @@
     SocketAddr::from(([127, 0, 0, 1], number))
 }
 
-/// A process that opens and closes connections as its planner asks.
+/// A process that opens and closes connections as its planner requests.
 struct Process {
     planner: ConnectionPlanner,
     now: Instant,
@@ -33,7 +33,7 @@
         process
     }
 
-    /// One with connections to machines that all have confirmed their state.
+    /// Creates a process whose connected machines have all confirmed their state.
     fn confirmed(max_connections: usize, machines: u16) -> Process {
         let mut process = Process::with(max_connections, machines);
         for address in process.connections.clone() {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Time passes in small steps, in each of which the connected machines `report` to the planner.
+    /// Advances the time by `span` in small steps. In each step, `report` is called for every connected machine.
     fn pass(&mut self, span: Duration, report: impl Fn(&mut ConnectionPlanner, Instant, SocketAddr)) {
         for _ in 0..span.as_millis() / STEP.as_millis() {
             self.now += STEP;
@@ -100,7 +100,7 @@
     process.poll();
     process.planner.handle_rejection(process.now, second);
     process.poll();
-    assert!(process.connections.contains(&second), "there is no other machine");
+    assert!(process.connections.contains(&second), "no other machine is available");
     process.now += INITIAL_BACKOFF;
     process.poll();
     assert!(process.connections.contains(&first));
@@ -144,7 +144,7 @@
     process
         .pass(Duration::from_millis(20_000), |planner, now, address| planner.handle_rejection(now, address));
     let attempts = process.opened - opened;
-    // Each machine backs off when it was left: three machines, one of them backing off.
+    // A replaced machine backs off. With three machines and two connections, only one is backing off at a time.
     let max_attempts = (20_000 / MAX_BACKOFF.as_millis() as usize) * 2 + 4;
     assert!(attempts <= max_attempts, "{attempts} connections were opened");
     assert!(attempts >= 8, "only {attempts} connections were opened");
@@ -201,7 +201,8 @@
     assert_eq!(process.connections, before);
 }
 
-/// What a machine said before the process stood still report nothing of now.
+/// A confirmation of a check that was sent long ago, for instance before a pause, does not show that the machine's
+/// state is current now.
 #[test]
 fn an_outdated_confirmation_does_not_keep_a_connection() {
     let mut process = Process::confirmed(2, 3);
--- a/system/state/staleness/tests/read_barrier.rs
+++ b/system/state/staleness/tests/read_barrier.rs
@@ -1,4 +1,4 @@
-//! What a core machine sends its registrants, with and without contact with a quorum.
+//! What a core machine sends to its registrants, with and without contact with a quorum.
 
 use millrudder_clock::Instant;
 use millrudder_staleness::{
@@ -16,7 +16,7 @@
     StateVersions { configuration_version, placement_epoch, workers: WorkerListVersion::default() }
 }
 
-/// A barrier with its clock and its contact with the quorum.
+/// A core machine: its barrier, its clock and whether it has contact with a quorum.
 struct Machine {
     barrier: ReadBarrier,
     now: Instant,
@@ -43,7 +43,7 @@
         self.handle(Input::Registered { connection, kind, versions })
     }
 
-    /// A registrant sends a check now; its clock is the machine's here.
+    /// Handles a check that a registrant sends now. In this test, its clock is that of the machine.
     fn check_staleness(&mut self, connection: ConnectionId) -> Vec<Output> {
         self.handle(Input::StalenessCheck { connection, sent_at: RegistrantTime(self.now.as_millis()) })
     }
@@ -53,13 +53,13 @@
         self.handle(Input::Tick)
     }
 
-    /// Ends the read that `outputs` starts.
+    /// Completes the read that `outputs` starts.
     fn confirm(&mut self, outputs: &[Output]) -> Vec<Output> {
         let read = started(outputs).expect("no read was started");
         self.handle(Input::ReadCompleted { read })
     }
 
-    /// A registrant that is admitted.
+    /// Registers a registrant and completes the read that admits it.
     fn admit(&mut self, connection: ConnectionId, kind: RegistrantKind) -> Vec<Output> {
         let outputs = self.register(connection, kind, StateVersions::default());
         self.confirm(&outputs)
@@ -81,7 +81,7 @@
     sent.collect()
 }
 
-/// All that is sent to registrants.
+/// All outputs that go to registrants.
 fn sent_to_registrants(outputs: &[Output]) -> Vec<Output> {
     let is_read = |output: &&Output| matches!(output, Output::StartRead { .. } | Output::AbandonRead { .. });
     outputs.iter().filter(|output| !is_read(output)).copied().collect()
@@ -114,13 +114,13 @@
     machine.now += 7 * MILLISECOND;
     let outputs = machine.confirm(&first);
     assert_eq!(confirmed_check(&outputs, FIRST), None);
-    // The first question is not kept waiting for the next read that is due.
+    // The next read starts immediately for the first check, rather than at the usual interval.
     machine.now += 7 * MILLISECOND;
     let outputs = machine.confirm(&outputs);
     assert_eq!(confirmed_check(&outputs, FIRST), Some(sent_at));
     let outputs = machine.tick_after(CONFIRM_INTERVAL);
     let outputs = machine.confirm(&outputs);
-    assert_eq!(confirmed_check(&outputs, FIRST), None, "it was answered already");
+    assert_eq!(confirmed_check(&outputs, FIRST), None, "the check was already confirmed");
 }
 
 #[test]
@@ -141,7 +141,7 @@
     let outputs = machine.confirm(&first);
     assert_eq!(sent(&outputs, SECOND), vec![]);
     assert_eq!(confirmed_check(&outputs, SECOND), None);
-    // The next one starts at once.
+    // The next read starts immediately.
     let outputs = machine.confirm(&outputs);
     assert_eq!(sent(&outputs, SECOND), vec![StatePart::Configuration, StatePart::Placement]);
 }
@@ -155,7 +155,7 @@
     assert_eq!(sent_to_registrants(&lost), vec![Output::NoQuorum { connection: FIRST }]);
     assert!(!machine.barrier.accepts_requests(machine.now));
     assert_eq!(machine.handle(Input::StateChanged(versions(6, 2))), vec![]);
-    assert_eq!(machine.tick_after(50 * MILLISECOND), vec![], "said once");
+    assert_eq!(machine.tick_after(50 * MILLISECOND), vec![], "the registrant is notified only once");
     machine.has_contact = true;
     let outputs = machine.tick_after(50 * MILLISECOND);
     assert_eq!(sent_to_registrants(&outputs), vec![], "contact alone confirms nothing");
@@ -175,7 +175,7 @@
     assert_eq!(sent_to_registrants(&machine.handle(Input::ReadCompleted { read: in_flight })), vec![]);
 }
 
-/// A machine that has just started waits neither for the next heartbeats nor for the next attempt of its read.
+/// A machine that has just started does not wait for the next heartbeats or for the next attempt of its read.
 #[test]
 fn the_first_connection_to_another_core_machine_starts_the_read_anew() {
     let mut machine = Machine::with(versions(5, 2));
@@ -186,7 +186,11 @@
     let outputs = machine.confirm(&outputs);
     assert_eq!(sent(&outputs, FIRST), vec![StatePart::Configuration, StatePart::Placement]);
     assert!(machine.barrier.accepts_requests(machine.now));
-    assert_eq!(machine.handle(Input::PeerOpened), vec![], "it has a quorum");
+    assert_eq!(
+        machine.handle(Input::PeerOpened),
+        vec![],
+        "a machine that has a quorum does not restart reads"
+    );
 }
 
 #[test]
@@ -196,7 +200,7 @@
     assert!(machine.barrier.accepts_requests(machine.now));
     let outputs = machine.tick_after(CONFIRM_INTERVAL);
     assert!(started(&outputs).is_some());
-    // Contact there is, but the tail does not answer.
+    // There is contact with the quorum, but the tail does not respond to the read.
     let outputs = machine.tick_after(MAX_CONFIRMATION_AGE - CONFIRM_INTERVAL);
     assert_eq!(outputs, vec![Output::NoQuorum { connection: FIRST }]);
     assert!(!machine.barrier.accepts_requests(machine.now));
@@ -207,7 +211,7 @@
     let mut machine = Machine::with(versions(5, 2));
     let outputs = machine.register(FIRST, RegistrantKind::Store, StateVersions::default());
     let late = started(&outputs).unwrap();
-    // The process stood still, with the confirmation of long ago in its sockets.
+    // The process was paused while an old confirmation was in its socket buffer.
     machine.now += MAX_CONFIRMATION_AGE;
     let outputs = machine.handle(Input::ReadCompleted { read: late });
     assert!(outputs.contains(&Output::AbandonRead { read: late }));
@@ -245,7 +249,11 @@
         vec![StatePart::Configuration, StatePart::Placement]
     );
     let outputs = machine.handle(Input::StateChanged(versions(7, 3)));
-    assert_eq!(sent(&outputs, FIRST), vec![StatePart::Placement], "another one tells it the configuration");
+    assert_eq!(
+        sent(&outputs, FIRST),
+        vec![StatePart::Placement],
+        "the holder of the lease sends the configuration"
+    );
     let outputs = machine.tick_after(CONFIRM_INTERVAL);
     assert_eq!(sent(&machine.confirm(&outputs), FIRST), vec![]);
     machine.handle(Input::ControllerLease { is_held: true });
@@ -253,7 +261,7 @@
     assert_eq!(
         sent(&machine.confirm(&outputs), FIRST),
         vec![StatePart::Configuration],
-        "it may have missed it"
+        "the store may have missed the configuration"
     );
     let outputs = machine.handle(Input::StateChanged(versions(8, 3)));
     assert_eq!(sent(&outputs, FIRST), vec![StatePart::Configuration]);
@@ -285,7 +293,7 @@
 }
 
 impl Machine {
-    /// The same where a read may be due already.
+    /// Like `admit`, for a machine that has completed a read before: advances the clock by a millisecond first.
     fn admit_next(&mut self, connection: ConnectionId, kind: RegistrantKind) -> Vec<Output> {
         self.now += MILLISECOND;
         self.admit(connection, kind)
@@ -320,17 +328,17 @@
     assert_eq!(machine.barrier.next_deadline(), None);
 }
 
-/// What is committed by the core, and what a machine that is partitioned at times has received of it.
+/// Models the core: what it has committed, and what a machine that is partitioned at times has received.
 struct Core {
     machine: Machine,
     random: fastrand::Rng,
     committed: u64,
     received: u64,
-    /// The read under way, and what was committed when it began.
+    /// The read in flight, and the version that was committed when it began.
     read: Option<(ReadNumber, u64)>,
-    /// Committed when each connection registered; a lower bound on what may be sent to it.
+    /// The version that was committed when each connection registered, which is the lowest that may be sent to it.
     minimum_versions: Vec<(ConnectionId, u64)>,
-    /// Committed by time.
+    /// The committed version over time.
     history: Vec<(Instant, u64)>,
     next_connection: u64,
     confirmations: u64,
@@ -391,7 +399,7 @@
         self.machine.check_staleness(connection)
     }
 
-    /// A read ends only once the machine has what was committed when it began.
+    /// Completes the read in flight if the machine has received everything that was committed when it began.
     fn end_read(&mut self) -> Vec<Output> {
         match self.read.take_if(|(_, begun_at)| *begun_at <= self.received) {
             Some((read, _)) => self.machine.handle(Input::ReadCompleted { read }),
@@ -414,7 +422,7 @@
         }
     }
 
-    /// What a registrant hears is no older than what was committed when it came.
+    /// Checks that a registrant is sent nothing older than what was committed when it registered.
     fn check_sent(&self, connection: ConnectionId) {
         let minimum_versions = self
             .minimum_versions
@@ -423,15 +431,19 @@
             .map(|(_, version)| *version);
         assert!(
             Some(self.received) >= minimum_versions,
-            "{connection:?} is sent {}, but {minimum_versions:?} was committed",
+            "{connection:?} is sent version {}; {minimum_versions:?} was committed when it registered",
             self.received
         );
     }
 
-    /// What is confirmed holds all that was committed when the registrant asked.
+    /// Checks that the confirmed state includes everything that was committed when the registrant sent its check.
     fn check_confirmed(&self, sent_at: RegistrantTime) {
         let then = self.history.iter().rev().find(|(at, _)| at.as_millis() <= sent_at.0).unwrap().1;
-        assert!(self.received >= then, "{} is confirmed, but {then} was committed then", self.received);
+        assert!(
+            self.received >= then,
+            "version {} is confirmed, but {then} was committed when the check was sent",
+            self.received
+        );
     }
 }
 
@@ -453,12 +465,12 @@
     let mut machine = Machine::with(versions(5, 2));
     machine.admit(FIRST, RegistrantKind::Dispatcher);
     let in_flight = started(&machine.tick_after(CONFIRM_INTERVAL)).unwrap();
-    // With or without contact: a read that was answered meanwhile lies unread.
+    // Whether or not there is contact, the response to the old read may still be unread in a socket buffer.
     for contact in [true, false] {
         machine.has_contact = contact;
         let outputs = machine.handle(Input::ClockStalled);
         assert!(!machine.barrier.accepts_requests(machine.now));
         assert_eq!(sent_to_registrants(&machine.handle(Input::ReadCompleted { read: in_flight })), vec![]);
-        assert!(started(&outputs).is_some_and(|later| later > in_flight), "a read begins anew");
+        assert!(started(&outputs).is_some_and(|later| later > in_flight), "a new read starts");
     }
 }
--- a/system/state/staleness/tests/tracker.rs
+++ b/system/state/staleness/tests/tracker.rs
@@ -1,4 +1,4 @@
-//! The reported age of a copy of the control state.
+//! Age of a process's copy of the control state, and reports that it has become stale or fresh.
 
 use millrudder_clock::Instant;
 use millrudder_staleness::{StalenessChange, StalenessTracker, STALE_AFTER};
@@ -47,7 +47,7 @@
     assert_eq!(tracker.handle_confirmation(at(10_300), at(10_280)), None);
 }
 
-/// The process was paused with the answer in its sockets.
+/// The process was paused while the confirmation was in its socket buffer.
 #[test]
 fn a_confirmation_read_after_a_pause_does_not_count() {
     let mut tracker = StalenessTracker::default();
