--- a/system/state/staleness/src/connection_planner.rs
+++ b/system/state/staleness/src/connection_planner.rs
@@ -157,7 +157,7 @@
         let mut steps = Vec::new();
         for failed in self.failed_connections(now) {
             let Some(candidate) = self.next_candidate(now) else { break };
-            self.leave(now, failed);
+            self.close_and_back_off(now, failed);
             steps.push(ConnectionStep::Close(failed));
             self.open(now, candidate, &mut steps);
         }
@@ -190,7 +190,7 @@
         failed.map(|(address, _)| *address).collect()
     }
 
-    fn leave(&mut self, now: Instant, address: SocketAddr) {
+    fn close_and_back_off(&mut self, now: Instant, address: SocketAddr) {
         self.connections.remove(&address);
         let backoff = Backoff::after(self.backoffs.get(&address), now);
         self.backoffs.insert(address, backoff);
--- a/system/state/staleness/tests/clock_stall.rs
+++ b/system/state/staleness/tests/clock_stall.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn clocks_that_run_together_are_no_stall() {
+fn clocks_that_advance_equally_are_not_a_stall() {
     let mut detector = Detector::new(5, 1_000_000);
     for passed in [0, 1, 40, 90_000] {
         assert!(!detector.detect_stall(5 + passed, 1_000_000 + passed));
@@ -36,13 +36,13 @@
 }
 
 #[test]
-fn a_pause_in_which_both_clocks_go_on_is_no_stall() {
+fn a_pause_in_which_both_clocks_advance_is_not_a_stall() {
     let mut detector = Detector::new(0, 1_000_000);
     assert!(!detector.detect_stall(20_000, 1_020_000));
 }
 
 #[test]
-fn small_corrections_and_steps_back_are_no_stall_and_hide_none_that_follows() {
+fn small_corrections_and_backward_steps_are_not_a_stall_and_do_not_hide_a_later_one() {
     let mut detector = Detector::new(0, 1_000_000);
     assert!(!detector.detect_stall(10, 1_000_900));
     assert!(!detector.detect_stall(20, 400_000));
--- a/system/state/staleness/tests/connection_planner.rs
+++ b/system/state/staleness/tests/connection_planner.rs
@@ -56,7 +56,7 @@
     }
 
     /// Advances the time by `span` in small steps. In each step, `report` is called for every connected machine.
-    fn pass(&mut self, span: Duration, report: impl Fn(&mut ConnectionPlanner, Instant, SocketAddr)) {
+    fn advance(&mut self, span: Duration, report: impl Fn(&mut ConnectionPlanner, Instant, SocketAddr)) {
         for _ in 0..span.as_millis() / STEP.as_millis() {
             self.now += STEP;
             for address in self.connections.clone() {
@@ -66,11 +66,11 @@
         }
     }
 
-    fn spare(&self, machines: u16) -> SocketAddr {
+    fn unconnected_machine(&self, machines: u16) -> SocketAddr {
         (1..=machines).map(core).find(|address| !self.connections.contains(address)).unwrap()
     }
 
-    fn first(&self) -> SocketAddr {
+    fn first_connected(&self) -> SocketAddr {
         *self.connections.first().unwrap()
     }
 }
@@ -85,17 +85,17 @@
 #[test]
 fn a_machine_without_a_quorum_is_replaced_at_once() {
     let mut process = Process::confirmed(2, 3);
-    let (cut_off, spare) = (process.first(), process.spare(3));
-    process.planner.handle_rejection(process.now, cut_off);
+    let (without_quorum, spare) = (process.first_connected(), process.unconnected_machine(3));
+    process.planner.handle_rejection(process.now, without_quorum);
     process.poll();
-    assert!(!process.connections.contains(&cut_off));
+    assert!(!process.connections.contains(&without_quorum));
     assert!(process.connections.contains(&spare));
 }
 
 #[test]
-fn a_machine_that_was_left_is_not_retried_before_its_backoff_is_over() {
+fn a_replaced_machine_is_not_retried_before_its_backoff_is_over() {
     let mut process = Process::confirmed(2, 3);
-    let (first, second) = (process.first(), process.spare(3));
+    let (first, second) = (process.first_connected(), process.unconnected_machine(3));
     process.planner.handle_rejection(process.now, first);
     process.poll();
     process.planner.handle_rejection(process.now, second);
@@ -110,8 +110,8 @@
 #[test]
 fn an_unresponsive_machine_is_replaced() {
     let mut process = Process::confirmed(2, 3);
-    let (unresponsive, spare) = (process.first(), process.spare(3));
-    process.pass(CONFIRM_TIMEOUT, |planner, now, address| {
+    let (unresponsive, spare) = (process.first_connected(), process.unconnected_machine(3));
+    process.advance(CONFIRM_TIMEOUT, |planner, now, address| {
         if address != unresponsive {
             planner.handle_confirmation(now, address, now);
         }
@@ -123,16 +123,17 @@
 #[test]
 fn a_machine_that_cannot_be_reached_is_replaced() {
     let mut process = Process::with(1, 2);
-    let unreachable = process.first();
-    process.pass(CONNECT_TIMEOUT, |_, _, _| {});
+    let unreachable = process.first_connected();
+    process.advance(CONNECT_TIMEOUT, |_, _, _| {});
     assert!(!process.connections.contains(&unreachable));
 }
 
 #[test]
 fn without_another_machine_no_connection_is_closed() {
     let mut process = Process::confirmed(usize::MAX, 3);
-    process
-        .pass(Duration::from_millis(20_000), |planner, now, address| planner.handle_rejection(now, address));
+    process.advance(Duration::from_millis(20_000), |planner, now, address| {
+        planner.handle_rejection(now, address)
+    });
     assert_eq!(process.connections.len(), 3);
     assert_eq!(process.opened, 3);
 }
@@ -141,8 +142,9 @@
 fn while_no_machine_has_a_quorum_attempts_are_bounded_by_backoff() {
     let mut process = Process::confirmed(2, 3);
     let opened = process.opened;
-    process
-        .pass(Duration::from_millis(20_000), |planner, now, address| planner.handle_rejection(now, address));
+    process.advance(Duration::from_millis(20_000), |planner, now, address| {
+        planner.handle_rejection(now, address)
+    });
     let attempts = process.opened - opened;
     // A replaced machine backs off. With three machines and two connections, only one is backing off at a time.
     let max_attempts = (20_000 / MAX_BACKOFF.as_millis() as usize) * 2 + 4;
@@ -153,13 +155,14 @@
 #[test]
 fn a_machine_that_has_a_quorum_again_keeps_its_connection() {
     let mut process = Process::confirmed(2, 3);
-    process.pass(Duration::from_millis(6000), |planner, now, address| planner.handle_rejection(now, address));
-    process.pass(Duration::from_millis(3000), |planner, now, address| {
+    process
+        .advance(Duration::from_millis(6000), |planner, now, address| planner.handle_rejection(now, address));
+    process.advance(Duration::from_millis(3000), |planner, now, address| {
         planner.handle_confirmation(now, address, now)
     });
     let (kept, opened) = (process.connections.clone(), process.opened);
     assert!(process.planner.has_confirmed_connection());
-    process.pass(Duration::from_millis(5000), |planner, now, address| {
+    process.advance(Duration::from_millis(5000), |planner, now, address| {
         planner.handle_confirmation(now, address, now)
     });
     assert_eq!((process.connections, process.opened), (kept, opened));
@@ -168,17 +171,17 @@
 #[test]
 fn a_machine_that_redirects_and_closes_is_replaced_by_the_next_one() {
     let mut process = Process::confirmed(2, 3);
-    let (ending, spare) = (process.first(), process.spare(3));
-    process.planner.handle_rejection(process.now, ending);
-    process.planner.handle_closed(process.now, ending);
+    let (shutting_down, spare) = (process.first_connected(), process.unconnected_machine(3));
+    process.planner.handle_rejection(process.now, shutting_down);
+    process.planner.handle_closed(process.now, shutting_down);
     process.poll();
-    assert!(process.connections.contains(&spare) && !process.connections.contains(&ending));
+    assert!(process.connections.contains(&spare) && !process.connections.contains(&shutting_down));
 }
 
 #[test]
-fn the_timeout_restarts_when_a_connection_opens_anew() {
+fn the_timeout_restarts_when_a_connection_reopens() {
     let mut process = Process::confirmed(2, 3);
-    let address = process.first();
+    let address = process.first_connected();
     process.planner.handle_closed(process.now, address);
     process.now += Duration::from_millis(900);
     process.planner.handle_opened(process.now, address);
@@ -206,12 +209,12 @@
 #[test]
 fn an_outdated_confirmation_does_not_keep_a_connection() {
     let mut process = Process::confirmed(2, 3);
-    let unresponsive = process.first();
-    process.pass(CONFIRM_TIMEOUT, |planner, now, address| {
+    let unresponsive = process.first_connected();
+    process.advance(CONFIRM_TIMEOUT, |planner, now, address| {
         let sent_at = if address == unresponsive { Instant::ORIGIN } else { now };
         planner.handle_confirmation(now, address, sent_at);
     });
-    process.pass(CONFIRM_TIMEOUT, |planner, now, address| {
+    process.advance(CONFIRM_TIMEOUT, |planner, now, address| {
         let sent_at = if address == unresponsive { Instant::ORIGIN } else { now };
         planner.handle_confirmation(now, address, sent_at);
     });
--- a/system/state/staleness/tests/read_barrier.rs
+++ b/system/state/staleness/tests/read_barrier.rs
@@ -177,7 +177,7 @@
 
 /// A machine that has just started does not wait for the next heartbeats or for the next attempt of its read.
 #[test]
-fn the_first_connection_to_another_core_machine_starts_the_read_anew() {
+fn the_first_connection_to_another_core_machine_restarts_the_read() {
     let mut machine = Machine::with(versions(5, 2));
     machine.has_contact = false;
     let lost = machine.register(FIRST, RegistrantKind::Store, StateVersions::default());
@@ -282,7 +282,7 @@
     let workers = WorkerListVersion { fencing: 4, number: 1 };
     let mut machine = Machine::with(StateVersions { workers, ..StateVersions::default() });
     let store = machine.admit(FIRST, RegistrantKind::Store);
-    let dispatcher = machine.admit_next(SECOND, RegistrantKind::Dispatcher);
+    let dispatcher = machine.admit_after_read(SECOND, RegistrantKind::Dispatcher);
     assert_eq!(sent(&store, FIRST), vec![]);
     assert_eq!(sent(&dispatcher, SECOND), vec![StatePart::Workers]);
     let older = WorkerListVersion { fencing: 3, number: 9 };
@@ -294,7 +294,7 @@
 
 impl Machine {
     /// Like `admit`, for a machine that has completed a read before: advances the clock by a millisecond first.
-    fn admit_next(&mut self, connection: ConnectionId, kind: RegistrantKind) -> Vec<Output> {
+    fn admit_after_read(&mut self, connection: ConnectionId, kind: RegistrantKind) -> Vec<Output> {
         self.now += MILLISECOND;
         self.admit(connection, kind)
     }
@@ -331,7 +331,7 @@
 /// Models the core: what it has committed, and what a machine that is partitioned at times has received.
 struct Core {
     machine: Machine,
-    random: fastrand::Rng,
+    rng: fastrand::Rng,
     committed: u64,
     received: u64,
     /// The read in flight, and the version that was committed when it began.
@@ -348,7 +348,7 @@
     fn new(seed: u64) -> Core {
         Core {
             machine: Machine::with(versions(1, 0)),
-            random: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
             committed: 1,
             received: 1,
             read: None,
@@ -360,8 +360,8 @@
     }
 
     fn step(&mut self) {
-        self.machine.now += Duration::from_millis(self.random.u64(1..200));
-        let outputs = match self.random.u32(0..10) {
+        self.machine.now += Duration::from_millis(self.rng.u64(1..200));
+        let outputs = match self.rng.u32(0..10) {
             0 => {
                 self.machine.has_contact = !self.machine.has_contact;
                 self.machine.handle(Input::Tick)
@@ -378,7 +378,7 @@
             5 => self.register(),
             6 | 7 => self.end_read(),
             8 => self.check_staleness(),
-            9 if self.random.u32(0..5) == 0 => {
+            9 if self.rng.u32(0..5) == 0 => {
                 self.machine.now += 5000 * MILLISECOND;
                 self.machine.handle(Input::Tick)
             }
@@ -395,13 +395,13 @@
     }
 
     fn check_staleness(&mut self) -> Vec<Output> {
-        let connection = ConnectionId(self.random.u64(0..=self.next_connection));
+        let connection = ConnectionId(self.rng.u64(0..=self.next_connection));
         self.machine.check_staleness(connection)
     }
 
     /// Completes the read in flight if the machine has received everything that was committed when it began.
     fn end_read(&mut self) -> Vec<Output> {
-        match self.read.take_if(|(_, begun_at)| *begun_at <= self.received) {
+        match self.read.take_if(|(_, committed_at_start)| *committed_at_start <= self.received) {
             Some((read, _)) => self.machine.handle(Input::ReadCompleted { read }),
             None => vec![],
         }
@@ -427,7 +427,7 @@
         let minimum_versions = self
             .minimum_versions
             .iter()
-            .find(|(minimum_versions_to, _)| *minimum_versions_to == connection)
+            .find(|(registered, _)| *registered == connection)
             .map(|(_, version)| *version);
         assert!(
             Some(self.received) >= minimum_versions,
@@ -438,10 +438,10 @@
 
     /// Checks that the confirmed state includes everything that was committed when the registrant sent its check.
     fn check_confirmed(&self, sent_at: RegistrantTime) {
-        let then = self.history.iter().rev().find(|(at, _)| at.as_millis() <= sent_at.0).unwrap().1;
+        let committed = self.history.iter().rev().find(|(at, _)| at.as_millis() <= sent_at.0).unwrap().1;
         assert!(
-            self.received >= then,
-            "version {} is confirmed, but {then} was committed when the check was sent",
+            self.received >= committed,
+            "version {} is confirmed, but {committed} was committed when the check was sent",
             self.received
         );
     }
