--- a/system/state/intake/src/deadlines.rs
+++ b/system/state/intake/src/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of calls, in their order.
+//! Deadlines of calls, ordered by time.
 
 use crate::interface::CallNumber;
 use millrudder_clock::Instant;
@@ -10,7 +10,7 @@
     call: CallNumber,
 }
 
-/// One deadline for each call.
+/// At most one deadline per call.
 #[derive(Clone, Debug, Default)]
 pub struct Deadlines {
     by_call: BTreeMap<CallNumber, Instant>,
@@ -18,7 +18,7 @@
 }
 
 impl Deadlines {
-    /// Sets the deadline of a call, in place of the one before.
+    /// Sets the deadline of a call, replacing the previous one.
     pub fn set(&mut self, call: CallNumber, at: Instant) {
         self.remove(call);
         self.by_call.insert(call, at);
@@ -32,17 +32,17 @@
         }
     }
 
-    /// The next deadline.
+    /// The earliest deadline.
     pub fn next(&self) -> Option<Instant> {
         self.by_time.first().map(|deadline| deadline.at)
     }
 
-    /// The call whose deadline is the next, if it is reached.
+    /// The call with the earliest deadline, if that has passed.
     pub fn first_due(&self, now: Instant) -> Option<CallNumber> {
         self.due(now).next()
     }
 
-    /// Calls whose deadline is reached, in the order of the deadlines.
+    /// Calls whose deadline has passed, ordered by deadline.
     pub fn due(&self, now: Instant) -> impl Iterator<Item = CallNumber> + '_ {
         self.by_time.iter().take_while(move |deadline| deadline.at <= now).map(|deadline| deadline.call)
     }
--- a/system/state/intake/src/intake.rs
+++ b/system/state/intake/src/intake.rs
@@ -1,4 +1,4 @@
-//! The coordinator: routes inputs to the parts that handle them.
+//! Routes inputs to the submissions, the queries and the store directory.
 
 use crate::interface::{Input, Output};
 use crate::queries::Queries;
@@ -10,20 +10,20 @@
 use millrudder_topology::Location;
 use std::time::Duration;
 
-/// Interval of pings to unresponsive stores.
+/// Interval between pings to unresponsive stores.
 const PING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The intake of one dispatcher; see the crate's documentation.
+/// The intake of one dispatcher; see the crate documentation.
 pub struct Intake {
     stores: StoreDirectory,
     submissions: Submissions,
     queries: Queries,
-    /// When unresponsive stores are pinged next.
+    /// When unresponsive stores may be pinged next.
     ping_at: Instant,
 }
 
 impl Intake {
-    /// `location` is the dispatcher's; `seed` determines message identifiers and the spreading of load.
+    /// Creates the intake of a dispatcher at `location`. `seed` determines the message identifiers.
     pub fn new(location: impl Into<Location>, seed: u64) -> Self {
         Intake {
             stores: StoreDirectory::new(location.into()),
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Messages of these shards that are in doubt: a store that becomes their primary must not let others run them.
+    /// Messages in the selected shards that are in doubt. A store that becomes the primary of such a shard must not let
+    /// other dispatchers run them.
     pub fn in_doubt(&self, is_of_shard: impl Fn(ShardId) -> bool) -> Vec<MessageId> {
         self.submissions.in_doubt(is_of_shard)
     }
@@ -119,7 +120,7 @@
             ToDispatcher::State { request, answer } => {
                 self.queries.handle_state(now, store, request, answer, &self.stores, outputs);
             }
-            // They answer no request of intake: the embedder reports them as `Input::StoreActive`.
+            // These are not replies to requests of intake. The caller reports them as `Input::StoreActive`.
             ToDispatcher::Welcome { .. }
             | ToDispatcher::Deliver { .. }
             | ToDispatcher::CallBack { .. }
--- a/system/state/intake/src/interface.rs
+++ b/system/state/intake/src/interface.rs
@@ -7,48 +7,48 @@
 use millrudder_protocol::{LeaseToken, MessageId, StoreId};
 use std::time::Duration;
 
-/// Number that the embedder gives a client's request; never used again.
+/// Number that the caller assigns to a client's request. Numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallNumber(pub u64);
 
-/// The shard that a message must be in.
+/// The shard in which a message must be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetShard {
-    /// Any shard: the nearest store accepts it.
+    /// Any shard; the nearest store is preferred.
     Any,
-    /// The shard of this name (an order key, or a service with a rate limit).
+    /// The shard to which this name is mapped (an order key, or a service with a rate limit).
     ByName(String),
 }
 
-/// A message that is to be accepted by a store.
+/// A message that a store should accept.
 #[derive(Clone, Debug)]
 pub struct Submission {
     /// The message.
     pub message: Message,
-    /// The shard that it must be in.
+    /// The shard in which it must be stored.
     pub target: TargetShard,
-    /// When the client must have its answer.
+    /// When the client must have its answer at the latest.
     pub deadline: Instant,
 }
 
-/// Final answer to a submission.
+/// Final result of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionResult {
-    /// The message is durable: the client may be answered with 202.
+    /// The message is durable, so the client may be answered with 202.
     Accepted {
         /// Identifier of the message.
         id: MessageId,
     },
-    /// No store has the message or will have it: it never runs.
+    /// No store has or will have the message, so it never runs.
     Rejected {
-        /// When the client may try again.
+        /// How long the client should wait before it tries again.
         retry_after: Duration,
     },
-    /// A store may have the message; it is being withdrawn, but may have run.
+    /// A store may have the message. It is being withdrawn, but may already have run.
     InDoubt,
 }
 
-/// Final answer to a query.
+/// Final result of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryResult {
     /// The message has not ended.
@@ -60,21 +60,21 @@
     },
     /// The message is dead-lettered.
     DeadLetter,
-    /// The body that was asked for.
+    /// The requested body of the message.
     Body {
         /// The body.
         body: Vec<u8>,
     },
     /// No replica knows the message.
     Unknown,
-    /// Too few replicas have answered to tell.
+    /// The answers received so far do not determine the state.
     Unavailable,
 }
 
 /// Inputs of intake.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A placement is in force.
+    /// A placement has become current.
     Placement(Placement),
     /// A connection to a store has opened.
     StoreConnected {
@@ -86,14 +86,14 @@
         /// The store.
         store: StoreId,
     },
-    /// A store has sent a message that may answer a request of intake.
+    /// A store has sent a message that may be a reply to a request of intake.
     FromStore {
         /// The store.
         store: StoreId,
         /// The message.
         message: ToDispatcher,
     },
-    /// A store has sent anything else: it is responsive.
+    /// A store has sent anything else, which shows that it is responsive.
     StoreActive {
         /// The store.
         store: StoreId,
@@ -111,7 +111,7 @@
         call: CallNumber,
         /// The message.
         id: MessageId,
-        /// It asks for the body.
+        /// Whether the client requests the body.
         with_body: bool,
     },
     /// Time has passed.
@@ -121,14 +121,14 @@
 /// Outputs of intake.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message to a store; dropped if there is no connection.
+    /// Send a message to a store, or drop it if there is no connection.
     ToStore {
         /// The store.
         store: StoreId,
         /// The message.
         message: FromDispatcher,
     },
-    /// Final answer to a submission.
+    /// A submission has its final result.
     SubmissionEnded {
         /// The client's request.
         call: CallNumber,
@@ -146,7 +146,7 @@
         /// The client's request.
         call: CallNumber,
     },
-    /// Final answer to a query.
+    /// A query has its final result.
     QueryEnded {
         /// The client's request.
         call: CallNumber,
--- a/system/state/intake/src/lib.rs
+++ b/system/state/intake/src/lib.rs
@@ -1,14 +1,15 @@
-//! A dispatcher's intake, without I/O: asks stores to accept clients' messages, and queries their state.
+//! The intake of a dispatcher: submits clients' messages to stores and queries the state of messages. It does no I/O.
 //!
-//! [`Intake`] gives one final answer to each submission and each query:
+//! [`Intake`] returns exactly one final result for each submission and each query:
 //!
-//! - A submission is accepted once a store has confirmed that the message is durable. It is rejected only if no store can
-//!   have the message. If one may have it, the answer is in doubt, and the stores that may have it are asked to withdraw
-//!   it: a client without a 202 may send its message again, and the first one must not run.
-//! - A query is answered by the shard's primary, or by other replicas if that is slow or unreachable.
+//! - A submission is accepted once a store has confirmed that the message is durable. It is rejected only if no store
+//!   can have the message. If a store may have it, the result is in doubt, and the stores that may have it are asked to
+//!   withdraw it: a client that received no 202 may send its message again, and the first copy must not run.
+//! - A query is answered by the primary of the message's shard, or by other replicas if the primary is slow or
+//!   unreachable.
 //!
-//! The embedder passes inputs with readings of one steady clock that never go back, in whole milliseconds, sends every
-//! message in [`Output::ToStore`] in order, and passes [`Input::Tick`] at [`Intake::next_deadline`].
+//! The caller passes inputs with readings of a single monotonic clock in whole milliseconds, sends every message in
+//! [`Output::ToStore`] in order, and passes [`Input::Tick`] at [`Intake::next_deadline`].
 
 #![forbid(unsafe_code)]
 
--- a/system/state/intake/src/queries.rs
+++ b/system/state/intake/src/queries.rs
@@ -1,4 +1,5 @@
-//! Queries of a message's state: the shard's primary is asked first, other replicas if it is slow or unreachable.
+//! Queries of a message's state. The primary of the shard is asked first, then other replicas if it is slow,
+//! unreachable or cannot give a final answer.
 
 use crate::deadlines::Deadlines;
 use crate::interface::{CallNumber, Output, QueryResult};
@@ -10,29 +11,30 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// After this time without an answer the next replica is asked as well (a hedged request).
+/// If no answer arrives within this time, the next replica is asked as well (a hedged request).
 const HEDGE_DELAY: Duration = Duration::from_millis(250);
-/// Clients wait two seconds, of which the network takes a part; by this time they get the best answer so far.
+/// After this time, a query ends with the best result so far. Clients wait for two seconds, which includes the network
+/// latency.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A query without a final answer.
+/// A query without a final result.
 struct PendingQuery {
     id: MessageId,
     with_body: bool,
     /// Replicas in the order in which they are asked.
     replicas: Vec<StoreId>,
-    /// Number of replicas that were asked, or passed over.
+    /// Index of the next replica to ask. Those before it were asked, or skipped as not connected.
     next_replica: usize,
     in_flight: BTreeMap<RequestNumber, StoreId>,
-    /// Number of replicas that do not know the message.
+    /// Number of replicas that have answered that they do not know the message.
     unknown_answers: usize,
-    /// A replica other than the primary has the message queued; the primary may know a later state.
+    /// Whether a replica other than the primary has the message queued. The primary may know a later state.
     is_queued_at_replica: bool,
     deadline: Instant,
 }
 
 impl PendingQuery {
-    /// The answer if no more replies arrive.
+    /// The result if no more answers arrive.
     fn best_result(&self) -> QueryResult {
         if self.is_queued_at_replica && !self.with_body {
             QueryResult::Queued
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Begins anew with other replicas; returns the requests whose answers do not matter any more.
+    /// Restarts with other replicas. Returns the requests whose answers are no longer needed.
     fn restart(&mut self, replicas: Vec<StoreId>) -> impl Iterator<Item = RequestNumber> {
         self.replicas = replicas;
         self.next_replica = 0;
@@ -51,7 +53,7 @@
         std::mem::take(&mut self.in_flight).into_keys()
     }
 
-    /// The next replica with an open connection.
+    /// Returns the next connected replica and advances past it.
     fn take_next_replica(&mut self, stores: &StoreDirectory) -> Option<StoreId> {
         while let Some(store) = self.replicas.get(self.next_replica).copied() {
             self.next_replica += 1;
@@ -63,7 +65,7 @@
     }
 }
 
-/// All queries without a final answer.
+/// All queries without a final result.
 #[derive(Default)]
 pub struct Queries {
     last_request: u64,
@@ -73,7 +75,7 @@
 }
 
 impl Queries {
-    /// Begins a query.
+    /// Starts a query.
     pub fn begin(
         &mut self,
         now: Instant,
@@ -103,15 +105,15 @@
         self.deadlines.next()
     }
 
-    /// Advances all queries whose deadline is reached.
+    /// Advances all queries whose deadline has passed.
     pub fn handle_tick(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
         while let Some(call) = self.deadlines.first_due(now) {
             self.ask_next(now, call, stores, outputs);
         }
     }
 
-    /// Handles another placement: where it names other replicas, that the former ones do not know a message proves
-    /// nothing.
+    /// Handles a new placement. Queries whose replicas have changed restart, because it proves nothing if the former
+    /// replicas do not know a message.
     pub fn handle_placement(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
         let is_moved = |query: &PendingQuery| query.replicas != stores.replicas(query.id.shard);
         let moved = self.pending.iter().filter(|(_, query)| is_moved(query));
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Handles that a connection has closed: no answer will arrive on it.
+    /// Handles the closing of a connection, on which no more answers will arrive.
     pub fn handle_closed(
         &mut self,
         now: Instant,
@@ -165,13 +167,13 @@
             QueryAnswer::Queued if is_primary => return self.end(call, QueryResult::Queued, outputs),
             QueryAnswer::Queued => query.is_queued_at_replica = true,
             QueryAnswer::Unknown => query.unknown_answers += 1,
-            // It may never have been sent the message.
+            // The store may never have been sent the message, so this does not count as unknown.
             QueryAnswer::NotReplica => {}
         }
         self.ask_next(now, call, stores, outputs);
     }
 
-    /// Asks the next replica that can be reached; ends the query where no more answers can arrive.
+    /// Asks the next connected replica. Ends the query if its deadline has passed or no more answers can arrive.
     fn ask_next(
         &mut self,
         now: Instant,
--- a/system/state/intake/src/store_directory.rs
+++ b/system/state/intake/src/store_directory.rs
@@ -1,4 +1,4 @@
-//! The stores of the placement, and which of them this dispatcher can reach.
+//! The stores of the current placement, and which of them this dispatcher can reach.
 
 use millrudder_clock::Instant;
 use millrudder_protocol::placement::Placement;
@@ -7,13 +7,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A lost primary is usually replaced this long after its loss was seen here: the core's suspicion, the next view, the next
-/// placement and the takeover. A client that leaves before is not kept waiting.
+/// Usual time from the detection of a primary's loss here until its replacement: failure detection by the core, the
+/// next view, the next placement and the takeover. A message whose client stops waiting before that is not kept
+/// waiting.
 const USUAL_REPLACEMENT: Duration = Duration::from_millis(600);
-/// A primary that has not been replaced after this time is not waited for any more.
+/// If a lost primary has not been replaced after this time, messages stop waiting for its replacement.
 const MAX_REPLACEMENT: Duration = Duration::from_millis(900);
 
-/// The placement in force and the state of the connections to its stores.
+/// The current placement and the state of the connections to its stores.
 #[derive(Debug)]
 pub struct StoreDirectory {
     location: Location,
@@ -21,16 +22,16 @@
     connected: BTreeSet<StoreId>,
     /// When each store last sent something.
     active_at: BTreeMap<StoreId, Instant>,
-    /// Stores that have let a request time out and sent nothing since: no new request is sent there.
+    /// Stores that have let a request time out and sent nothing since then. No new requests are sent to them.
     unresponsive: BTreeSet<StoreId>,
-    /// Since when each unusable store has been so.
+    /// When each store that is disconnected or unresponsive became so.
     lost_at: BTreeMap<StoreId, Instant>,
-    /// Shards by the distance of their primary.
+    /// Shards by the distance from this dispatcher to their primary.
     shards_by_distance: BTreeMap<Distance, Vec<ShardId>>,
 }
 
 impl StoreDirectory {
-    /// A directory without stores, for a dispatcher at `location`.
+    /// Creates a directory without stores for a dispatcher at `location`.
     pub fn new(location: Location) -> Self {
         StoreDirectory {
             location,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Adopts a placement unless it is older than the present one.
+    /// Adopts a placement if it is newer than the current one.
     pub fn set_placement(&mut self, placement: Placement) {
         if placement.epoch > self.placement.epoch {
             self.placement = placement;
@@ -61,26 +62,26 @@
         }
     }
 
-    /// Handles that a connection has opened.
+    /// Handles the opening of a connection.
     pub fn handle_connected(&mut self, now: Instant, store: StoreId) {
         self.connected.insert(store);
         self.handle_activity(now, store);
     }
 
-    /// Handles that a connection has closed.
+    /// Handles the closing of a connection.
     pub fn handle_closed(&mut self, now: Instant, store: StoreId) {
         self.connected.remove(&store);
         self.lost_at.entry(store).or_insert(now);
     }
 
-    /// Handles that a store has sent something; true if it was unresponsive before.
+    /// Records that a store has sent something; returns whether it was unresponsive before.
     pub fn handle_activity(&mut self, now: Instant, store: StoreId) -> bool {
         self.active_at.insert(store, now);
         self.lost_at.remove(&store);
         self.unresponsive.remove(&store)
     }
 
-    /// Handles that a request sent at `sent_at` has timed out. The store is unresponsive if it has sent nothing since.
+    /// Handles the timeout of a request sent at `sent_at`. The store becomes unresponsive if it has sent nothing since.
     pub fn handle_timeout(&mut self, now: Instant, store: StoreId, sent_at: Instant) {
         if self.active_at.get(&store).is_none_or(|active_at| *active_at <= sent_at) {
             self.unresponsive.insert(store);
@@ -103,7 +104,7 @@
         self.connected.contains(&store)
     }
 
-    /// Shard of everything with this name; `None` before the first placement.
+    /// The shard to which a name is mapped; `None` before the first placement.
     pub fn shard_of(&self, name: &str) -> Option<ShardId> {
         self.placement.shard_of(name)
     }
@@ -122,9 +123,10 @@
         self.primary(shard).filter(|store| self.is_connected(*store))
     }
 
-    /// Until when a message of this shard, whose client leaves at `deadline`, may wait for the shard's next primary.
+    /// Until when a message in this shard, whose client waits until `deadline`, may wait for the shard's next primary.
     ///
-    /// `None` unless the present one was lost recently and as many replicas are usable as a write needs.
+    /// `None` unless the current primary was lost recently, its replacement is usually there by `deadline`, and enough
+    /// replicas for a write quorum are usable.
     pub fn await_next_primary(&self, now: Instant, shard: ShardId, deadline: Instant) -> Option<Instant> {
         let entry = self.placement.shard(shard)?;
         let lost_at = *self.lost_at.get(&entry.primary)?;
@@ -134,14 +136,15 @@
         (has_quorum && usual <= deadline && now < latest).then_some(latest.min(deadline))
     }
 
-    /// The shard's replicas, the primary first.
+    /// The shard's replicas, with the primary first.
     pub fn replicas(&self, shard: ShardId) -> Vec<StoreId> {
         let Some(entry) = self.placement.shard(shard) else { return Vec::new() };
         let others = entry.replicas.iter().copied().filter(|store| *store != entry.primary);
         std::iter::once(entry.primary).chain(others).collect()
     }
 
-    /// A shard whose primary is usable and not `excluded`, of the nearest such; `turn` spreads the load over them.
+    /// A shard among those with the nearest primaries that are usable and not `excluded`. `turn` spreads the load over
+    /// these shards.
     pub fn any_shard(&self, turn: usize, excluded: &[StoreId]) -> Option<ShardId> {
         let is_eligible =
             |shard: &&ShardId| self.usable_primary(**shard).is_some_and(|store| !excluded.contains(&store));
--- a/system/state/intake/src/submissions.rs
+++ b/system/state/intake/src/submissions.rs
@@ -1,9 +1,10 @@
-//! Submissions: one message, one or more attempts at stores, one final answer.
+//! Submissions: each has one message, one or more attempts to store it, and one final result.
 //!
-//! A message that may be in any shard is attempted at another store, under another identifier, as soon as a store is slow;
-//! the other attempts are withdrawn. A message whose shard is given (by its order key, or by its service's rate limit) is
-//! attempted again under the same identifier at the shard's present primary, which deduplicates; where that one was lost
-//! recently, it waits for the next one while enough replicas are left to accept a message.
+//! If a message may be in any shard and the store is slow, the message is also sent to another store under another
+//! identifier. Once one store has accepted it, the other attempts are withdrawn. If the shard is fixed, by the
+//! message's order key or its service's rate limit, the message is retried under the same identifier at the shard's
+//! current primary, which deduplicates it. If that primary was lost recently, the message waits for the next primary as
+//! long as enough replicas remain to accept a message.
 
 use crate::deadlines::Deadlines;
 use crate::interface::{CallNumber, Output, Submission, SubmissionResult, TargetShard};
@@ -16,16 +17,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Delay before the shard's primary is asked again, where it was not ready.
+/// Delay before a submission is retried if the shard's primary was not ready or no attempt can be made at present.
 const RETRY_DELAY: Duration = Duration::from_millis(15);
-/// Retry-After of clients where no store can accept their message.
+/// `Retry-After` for clients whose message no store can accept.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// An attempt that may have left the message at a store.
+/// An attempt to store a message, which the store may have accepted.
 struct Attempt {
     id: MessageId,
     store: StoreId,
-    /// The connection on which it was sent is still open, so that an answer may arrive.
+    /// Whether the connection on which it was sent is still open, so that an answer may arrive.
     is_connected: bool,
     sent_at: Instant,
 }
@@ -40,7 +41,7 @@
     }
 }
 
-/// An attempt that a store has not answered in time.
+/// An attempt that a store has not answered within the timeout.
 pub struct TimedOutAttempt {
     /// The store.
     pub store: StoreId,
@@ -48,12 +49,12 @@
     pub sent_at: Instant,
 }
 
-/// A submission without a final answer.
+/// A submission without a final result.
 struct PendingSubmission {
     submission: Submission,
     attempts: BTreeMap<RequestNumber, Attempt>,
     attempted_stores: Vec<StoreId>,
-    /// Its identifier, where its shard is given.
+    /// The message's identifier, if its shard is fixed.
     fixed_id: Option<MessageId>,
 }
 
@@ -63,7 +64,7 @@
         PendingSubmission { submission, attempts: BTreeMap::new(), attempted_stores, fixed_id: None }
     }
 
-    /// Whether an answer may still arrive, or its shard may get another primary in time.
+    /// Whether an answer may still arrive, or a later primary of the fixed shard may still accept the message.
     fn may_be_accepted(&self) -> bool {
         let has_connected_attempt = self.attempts.values().any(|attempt| attempt.is_connected);
         has_connected_attempt || !self.attempts.is_empty() && self.fixed_id.is_some()
@@ -73,14 +74,14 @@
         self.attempts.values().any(|attempt| attempt.is_connected && attempt.store == store)
     }
 
-    /// When the last attempt that is still in time was sent.
+    /// When the last attempt that has not timed out was sent.
     fn last_in_time(&self, now: Instant, timeout: Duration) -> Option<Instant> {
         let in_time = self.attempts.values().filter(|attempt| attempt.is_in_time(now, timeout));
         in_time.map(|attempt| attempt.sent_at).max()
     }
 }
 
-/// All submissions without a final answer.
+/// All submissions without a final result.
 pub struct Submissions {
     random: fastrand::Rng,
     turn: usize,
@@ -93,7 +94,7 @@
 }
 
 impl Submissions {
-    /// `seed` determines message identifiers.
+    /// Creates an empty set of submissions. `seed` determines the message identifiers.
     pub fn new(seed: u64) -> Self {
         Submissions {
             random: fastrand::Rng::with_seed(seed),
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Begins a submission.
+    /// Starts a submission.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -126,21 +127,22 @@
         self.deadlines.next()
     }
 
-    /// Advances all submissions whose deadline is reached.
+    /// Advances all submissions whose deadline has passed.
     pub fn handle_tick(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
         while let Some(call) = self.deadlines.first_due(now) {
             self.advance(now, call, stores, outputs);
         }
     }
 
-    /// Messages that a store may have accepted without an answer yet, or whose withdrawal is not confirmed.
+    /// Messages in the selected shards that a store may have accepted without having answered yet, or whose withdrawal
+    /// is not confirmed.
     pub fn in_doubt(&self, is_of_shard: impl Fn(ShardId) -> bool) -> Vec<MessageId> {
         let attempts = self.pending.values().flat_map(|pending| pending.attempts.values());
         let attempted = attempts.map(|attempt| attempt.id);
         attempted.chain(self.withdrawals.pending()).filter(|id| is_of_shard(id.shard)).collect()
     }
 
-    /// Attempts of due submissions that have timed out.
+    /// Timed-out attempts of submissions whose deadline has passed.
     pub fn timed_out_attempts(&self, now: Instant) -> Vec<TimedOutAttempt> {
         let timeout = self.response_time.attempt_timeout();
         let due = self.deadlines.due(now).filter_map(|call| self.pending.get(&call));
@@ -149,7 +151,7 @@
         timed_out.map(|attempt| TimedOutAttempt { store: attempt.store, sent_at: attempt.sent_at }).collect()
     }
 
-    /// Handles another placement, or a connection that has opened or closed.
+    /// Handles a new placement, or the opening or closing of a connection.
     pub fn handle_stores_changed(
         &mut self,
         now: Instant,
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Handles that a connection has closed: no answer will arrive on it.
+    /// Handles the closing of a connection, on which no more answers will arrive.
     pub fn handle_closed(
         &mut self,
         now: Instant,
@@ -183,7 +185,7 @@
         self.handle_stores_changed(now, stores, outputs);
     }
 
-    /// Handles that a store has accepted a message: ends the submission and withdraws its other attempts.
+    /// Handles the acceptance of a message by a store: ends the submission and withdraws its other attempts.
     pub fn handle_accepted(
         &mut self,
         now: Instant,
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Handles that a store has rejected a message.
+    /// Handles the rejection of a message by a store.
     pub fn handle_rejected(
         &mut self,
         now: Instant,
@@ -224,7 +226,7 @@
                 let retry_after = Duration::from_millis(u64::from(retry_after_ms));
                 self.end_unaccepted(call, retry_after, stores, outputs);
             }
-            // The same primary may be ready a moment later.
+            // The same store may become ready as the primary shortly afterwards.
             AcceptRejection::NotPrimary { .. } if pending.fixed_id.is_some() => {
                 self.deadlines.set(call, now + RETRY_DELAY);
             }
@@ -232,12 +234,12 @@
         }
     }
 
-    /// Handles that the withdrawal of a message is durable.
+    /// Handles the confirmation that the withdrawal of a message is durable.
     pub fn handle_withdrawn(&mut self, id: MessageId) {
         self.withdrawals.handle_confirmed(id);
     }
 
-    /// Does for a submission what can be done now: waits for an attempt, makes another, or ends it.
+    /// Advances a submission: waits for an attempt in flight, makes another attempt, or ends the submission.
     fn advance(
         &mut self,
         now: Instant,
@@ -265,15 +267,15 @@
             self.deadlines.set(call, (now + RETRY_DELAY).min(deadline));
             return;
         }
-        // A new placement or an opened connection advances it before.
+        // A new placement or an opened connection advances the submission before this deadline.
         match pending.fixed_id.and_then(|id| stores.await_next_primary(now, id.shard, deadline)) {
             Some(until) => self.deadlines.set(call, until),
             None => self.end_unaccepted(call, RETRY_AFTER, stores, outputs),
         }
     }
 
-    /// Sends the message to a store that was not attempted yet, or to the primary of the shard that it must be in. False
-    /// if there is none.
+    /// Sends the message to a store that has not been attempted yet or, if its shard is fixed, to the primary of that
+    /// shard. Returns whether an attempt was made.
     fn attempt_next(
         &mut self,
         now: Instant,
@@ -298,7 +300,7 @@
         true
     }
 
-    /// The identifier for the next attempt.
+    /// Chooses the identifier, and thereby the shard, for the next attempt.
     fn choose_id(&mut self, call: CallNumber, stores: &StoreDirectory) -> Option<MessageId> {
         let pending = self.pending.get_mut(&call)?;
         if pending.fixed_id.is_some() {
@@ -314,7 +316,7 @@
         Some(MessageId { shard, unique })
     }
 
-    /// Ends a submission without a 202: rejected if no store can have the message, in doubt otherwise.
+    /// Ends a submission that was not accepted: as rejected if no store can have the message, otherwise as in doubt.
     fn end_unaccepted(
         &mut self,
         call: CallNumber,
--- a/system/state/intake/src/withdrawals.rs
+++ b/system/state/intake/src/withdrawals.rs
@@ -1,4 +1,4 @@
-//! Withdrawals: messages whose clients got no 202 although a store may have them. They must not run.
+//! Withdrawals of attempts that did not lead to a 202 although a store may have the message. Such copies must not run.
 
 use crate::interface::Output;
 use crate::store_directory::StoreDirectory;
@@ -6,11 +6,12 @@
 use millrudder_protocol::MessageId;
 use std::collections::BTreeSet;
 
-/// Maximum number of withdrawals that are pending while stores cannot be reached; beyond it the lowest identifiers are
-/// dropped.
+/// Maximum number of withdrawals that are kept while stores are unreachable. Beyond this, those with the lowest message
+/// identifiers are dropped.
 const MAX_PENDING: usize = 10_000;
 
-/// Withdrawals that no store has confirmed yet. They are sent again whenever the shard's primary changes or reconnects.
+/// Withdrawals that no store has confirmed yet. They are resent after every new placement and whenever a connection to
+/// a store opens or closes.
 #[derive(Debug, Default)]
 pub struct Withdrawals {
     pending: BTreeSet<MessageId>,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Messages whose withdrawal is not confirmed.
+    /// Messages whose withdrawal is not confirmed yet.
     pub fn pending(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.pending.iter().copied()
     }
@@ -37,7 +38,7 @@
         self.pending.remove(&id);
     }
 
-    /// Sends all pending withdrawals again.
+    /// Resends all pending withdrawals.
     pub fn resend(&self, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
         for id in &self.pending {
             send(*id, stores, outputs);
--- a/system/state/intake/tests/intake.rs
+++ b/system/state/intake/tests/intake.rs
@@ -1,4 +1,4 @@
-//! Submissions and queries against scripted stores.
+//! Submissions and queries against stores whose replies are scripted.
 
 use millrudder_clock::Instant;
 use millrudder_intake::{
@@ -83,7 +83,7 @@
         self.handle(now, Input::FromStore { store, message })
     }
 
-    /// Ticks at each deadline up to `until`, and returns all outputs.
+    /// Ticks at each deadline up to `until` (milliseconds) and returns all outputs.
     fn run(&mut self, until: u64) -> Vec<Output> {
         let mut all = Vec::new();
         while let Some(due) = self.intake.next_deadline().filter(|due| due.as_millis() <= until) {
@@ -198,13 +198,13 @@
     assert!(matches!(answer, Some(SubmissionResult::Rejected { .. })), "{answer:?}");
 }
 
-/// The primary of the shard of this key.
+/// The primary of the shard to which `key` is mapped.
 fn primary_of(key: &str) -> StoreId {
     let placement = placement(1, [HERE, THERE, FAR]);
     placement.shard(placement.shard_of(key).unwrap()).unwrap().primary
 }
 
-/// The same shards, with `next` instead of `lost` as primary.
+/// The initial placement with `next` in place of `lost` as primary.
 fn without(lost: StoreId, next: StoreId) -> Placement {
     placement(2, [HERE, THERE, FAR].map(|primary| if primary == lost { next } else { primary }))
 }
@@ -381,10 +381,10 @@
     let mut next = placement(2, [HERE, NEW, FAR]);
     next.shards[1].replicas = vec![HERE, NEW, FAR];
     let outputs = test.handle(6, Input::Placement(next));
-    assert_eq!(query_requests(&outputs).len(), 1, "the present replicas are asked from the first one on");
+    assert_eq!(query_requests(&outputs).len(), 1, "the query restarts at the first of the current replicas");
     let outputs =
         test.receive(7, late.0, ToDispatcher::State { request: late.1, answer: QueryAnswer::Unknown });
-    assert_eq!(query_result(&outputs), None, "an answer to a former request is ignored");
+    assert_eq!(query_result(&outputs), None, "an answer to an earlier request is ignored");
     let all = test.run(3_000);
     assert!(!all
         .iter()
@@ -447,7 +447,7 @@
     test.handle(now, Input::StoreConnected { store });
 }
 
-/// One request to a store, sent on its connection before.
+/// A request that was sent to a store on its previous connection.
 #[derive(Clone, Copy)]
 struct SentRequest {
     call: CallNumber,
@@ -455,7 +455,8 @@
     id: MessageId,
 }
 
-/// Submits messages to the store of a key, which accepts the first of them; then it reconnects.
+/// Submits four messages to the store of a key. The store accepts the first one and reconnects. Returns the other
+/// three.
 fn submit_and_reconnect(test: &mut TestIntake) -> Vec<SentRequest> {
     let mut asked = Vec::new();
     for call in 0..4 {
@@ -470,7 +471,7 @@
     asked
 }
 
-/// A late reply of the connection before carries a number that no later request has.
+/// Request numbers are not reused, so a late reply from the previous connection cannot match a later request.
 #[test]
 fn a_late_reply_to_a_request_before_a_reconnect_answers_that_request_and_no_other() {
     let mut test = TestIntake::new();
