--- a/system/state/intake/src/queries.rs
+++ b/system/state/intake/src/queries.rs
@@ -97,7 +97,7 @@
         };
         self.pending.insert(call, query);
         self.deadlines.set(call, now);
-        self.ask_next(now, call, stores, outputs);
+        self.ask_next_replica(now, call, stores, outputs);
     }
 
     /// When [`Queries::handle_tick`] is due.
@@ -108,23 +108,23 @@
     /// Advances all queries whose deadline has passed.
     pub fn handle_tick(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
         while let Some(call) = self.deadlines.first_due(now) {
-            self.ask_next(now, call, stores, outputs);
+            self.ask_next_replica(now, call, stores, outputs);
         }
     }
 
     /// Handles a new placement. Queries whose replicas have changed restart, because it proves nothing if the former
     /// replicas do not know a message.
     pub fn handle_placement(&mut self, now: Instant, stores: &StoreDirectory, outputs: &mut Vec<Output>) {
-        let is_moved = |query: &PendingQuery| query.replicas != stores.replicas(query.id.shard);
-        let moved = self.pending.iter().filter(|(_, query)| is_moved(query));
-        let calls: Vec<CallNumber> = moved.map(|(call, _)| *call).collect();
+        let has_other_replicas = |query: &PendingQuery| query.replicas != stores.replicas(query.id.shard);
+        let affected = self.pending.iter().filter(|(_, query)| has_other_replicas(query));
+        let calls: Vec<CallNumber> = affected.map(|(call, _)| *call).collect();
         for call in calls {
             if let Some(query) = self.pending.get_mut(&call) {
                 for request in query.restart(stores.replicas(query.id.shard)) {
                     self.by_request.remove(&request);
                 }
             }
-            self.ask_next(now, call, stores, outputs);
+            self.ask_next_replica(now, call, stores, outputs);
         }
     }
 
@@ -143,7 +143,7 @@
             if let Some(query) = self.pending.get_mut(&call) {
                 query.in_flight.retain(|_, other| *other != store);
             }
-            self.ask_next(now, call, stores, outputs);
+            self.ask_next_replica(now, call, stores, outputs);
         }
     }
 
@@ -170,11 +170,11 @@
             // The store may never have been sent the message, so this does not count as unknown.
             QueryAnswer::NotReplica => {}
         }
-        self.ask_next(now, call, stores, outputs);
+        self.ask_next_replica(now, call, stores, outputs);
     }
 
     /// Asks the next connected replica. Ends the query if its deadline has passed or no more answers can arrive.
-    fn ask_next(
+    fn ask_next_replica(
         &mut self,
         now: Instant,
         call: CallNumber,
--- a/system/state/intake/src/store_directory.rs
+++ b/system/state/intake/src/store_directory.rs
@@ -143,14 +143,14 @@
         std::iter::once(entry.primary).chain(others).collect()
     }
 
-    /// A shard among those with the nearest primaries that are usable and not `excluded`. `turn` spreads the load over
-    /// these shards.
-    pub fn any_shard(&self, turn: usize, excluded: &[StoreId]) -> Option<ShardId> {
+    /// A shard among those with the nearest primaries that are usable and not `excluded`. `round_robin` spreads the
+    /// load over these shards.
+    pub fn any_shard(&self, round_robin: usize, excluded: &[StoreId]) -> Option<ShardId> {
         let is_eligible =
             |shard: &&ShardId| self.usable_primary(**shard).is_some_and(|store| !excluded.contains(&store));
         let pick = |shards: &Vec<ShardId>| {
             let eligible: Vec<&ShardId> = shards.iter().filter(is_eligible).collect();
-            (!eligible.is_empty()).then(|| *eligible[turn % eligible.len()])
+            (!eligible.is_empty()).then(|| *eligible[round_robin % eligible.len()])
         };
         self.shards_by_distance.values().find_map(pick)
     }
--- a/system/state/intake/src/submissions.rs
+++ b/system/state/intake/src/submissions.rs
@@ -83,8 +83,9 @@
 
 /// All submissions without a final result.
 pub struct Submissions {
-    random: fastrand::Rng,
-    turn: usize,
+    rng: fastrand::Rng,
+    /// Counter that spreads submissions over the shards.
+    round_robin: usize,
     last_request: u64,
     pending: BTreeMap<CallNumber, PendingSubmission>,
     by_request: BTreeMap<RequestNumber, CallNumber>,
@@ -97,8 +98,8 @@
     /// Creates an empty set of submissions. `seed` determines the message identifiers.
     pub fn new(seed: u64) -> Self {
         Submissions {
-            random: fastrand::Rng::with_seed(seed),
-            turn: 0,
+            rng: fastrand::Rng::with_seed(seed),
+            round_robin: 0,
             last_request: 0,
             pending: BTreeMap::new(),
             by_request: BTreeMap::new(),
@@ -258,7 +259,7 @@
             self.deadlines.set(call, (sent_at + timeout).min(deadline));
             return;
         }
-        if self.attempt_next(now, call, stores, outputs) {
+        if self.make_attempt(now, call, stores, outputs) {
             self.deadlines.set(call, (now + timeout).min(deadline));
             return;
         }
@@ -276,7 +277,7 @@
 
     /// Sends the message to a store that has not been attempted yet or, if its shard is fixed, to the primary of that
     /// shard. Returns whether an attempt was made.
-    fn attempt_next(
+    fn make_attempt(
         &mut self,
         now: Instant,
         call: CallNumber,
@@ -306,13 +307,13 @@
         if pending.fixed_id.is_some() {
             return pending.fixed_id;
         }
-        let unique = self.random.u64(..);
+        let unique = self.rng.u64(..);
         if let TargetShard::ByName(name) = &pending.submission.target {
             pending.fixed_id = stores.shard_of(name).map(|shard| MessageId { shard, unique });
             return pending.fixed_id;
         }
-        self.turn = self.turn.wrapping_add(1);
-        let shard = stores.any_shard(self.turn, &pending.attempted_stores)?;
+        self.round_robin = self.round_robin.wrapping_add(1);
+        let shard = stores.any_shard(self.round_robin, &pending.attempted_stores)?;
         Some(MessageId { shard, unique })
     }
 
--- a/system/state/intake/tests/intake.rs
+++ b/system/state/intake/tests/intake.rs
@@ -10,10 +10,10 @@
 use millrudder_protocol::{Address, Epoch, LeaseToken, MessageId, RequestNumber, ShardId, StoreId};
 use std::time::Duration;
 
-const HERE: StoreId = StoreId(1);
-const THERE: StoreId = StoreId(2);
-const FAR: StoreId = StoreId(3);
-const NEW: StoreId = StoreId(4);
+const LOCAL: StoreId = StoreId(1);
+const REMOTE_1: StoreId = StoreId(2);
+const REMOTE_2: StoreId = StoreId(3);
+const ADDED: StoreId = StoreId(4);
 const CALL: CallNumber = CallNumber(7);
 
 fn placement(epoch: u64, primaries: [StoreId; 3]) -> Placement {
@@ -24,12 +24,16 @@
         address: Address(([127, 0, 0, 1], 7000).into()),
         alive: true,
     };
-    let shard =
-        |primary| ShardEntry { primary, replicas: vec![HERE, THERE, FAR], change: None, term: Epoch(epoch) };
+    let shard = |primary| ShardEntry {
+        primary,
+        replicas: vec![LOCAL, REMOTE_1, REMOTE_2],
+        change: None,
+        term: Epoch(epoch),
+    };
     Placement {
         epoch: Epoch(epoch),
         tolerated_losses: 1,
-        stores: vec![store(HERE, "a"), store(THERE, "b"), store(FAR, "c")],
+        stores: vec![store(LOCAL, "a"), store(REMOTE_1, "b"), store(REMOTE_2, "c")],
         shards: primaries.into_iter().map(shard).collect(),
     }
 }
@@ -61,8 +65,8 @@
 impl TestIntake {
     fn new() -> Self {
         let mut test = TestIntake { intake: Intake::new("a", 1), outputs: Vec::new() };
-        test.handle(0, Input::Placement(placement(1, [HERE, THERE, FAR])));
-        for store in [HERE, THERE, FAR] {
+        test.handle(0, Input::Placement(placement(1, [LOCAL, REMOTE_1, REMOTE_2])));
+        for store in [LOCAL, REMOTE_1, REMOTE_2] {
             test.handle(0, Input::StoreConnected { store });
         }
         test
@@ -118,14 +122,14 @@
 }
 
 #[test]
-fn the_store_of_the_zone_accepts_a_message_and_grants_its_lease() {
+fn the_store_in_the_dispatchers_zone_accepts_a_message_and_grants_its_lease() {
     let mut test = TestIntake::new();
     let (store, request, id) = accept_request(&test.submit(TargetShard::Any)).unwrap();
-    assert_eq!(store, HERE);
+    assert_eq!(store, LOCAL);
     let token = LeaseToken(3);
-    let outputs = test.receive(5, HERE, ToDispatcher::Accepted { request, token: Some(token) });
+    let outputs = test.receive(5, LOCAL, ToDispatcher::Accepted { request, token: Some(token) });
     assert_eq!(submission_result(&outputs), Some(SubmissionResult::Accepted { id }));
-    assert!(outputs.contains(&Output::Deliver { store: HERE, id, token, call: CALL }));
+    assert!(outputs.contains(&Output::Deliver { store: LOCAL, id, token, call: CALL }));
     assert_eq!(test.intake.next_deadline(), None);
 }
 
@@ -134,11 +138,11 @@
     let mut test = TestIntake::new();
     let (_, _, first) = accept_request(&test.submit(TargetShard::Any)).unwrap();
     let (store, request, second) = accept_request(&test.run(90)).unwrap();
-    assert_ne!(store, HERE);
+    assert_ne!(store, LOCAL);
     assert_ne!(first, second);
     let outputs = test.receive(130, store, ToDispatcher::Accepted { request, token: None });
     assert_eq!(submission_result(&outputs), Some(SubmissionResult::Accepted { id: second }));
-    assert_eq!(withdrawals(&outputs), vec![(HERE, first)]);
+    assert_eq!(withdrawals(&outputs), vec![(LOCAL, first)]);
 }
 
 #[test]
@@ -146,7 +150,7 @@
     let mut test = TestIntake::new();
     let (_, request, first) = accept_request(&test.submit(TargetShard::Any)).unwrap();
     let (store, _, second) = accept_request(&test.run(90)).unwrap();
-    let outputs = test.receive(130, HERE, ToDispatcher::Accepted { request, token: None });
+    let outputs = test.receive(130, LOCAL, ToDispatcher::Accepted { request, token: None });
     assert_eq!(submission_result(&outputs), Some(SubmissionResult::Accepted { id: first }));
     assert_eq!(withdrawals(&outputs), vec![(store, second)]);
 }
@@ -155,13 +159,13 @@
 fn a_pending_withdrawal_is_sent_again_when_the_store_reconnects() {
     let mut test = TestIntake::new();
     let (_, _, first) = accept_request(&test.submit(TargetShard::Any)).unwrap();
-    let (store, request, _) = accept_request(&test.handle(10, Input::StoreClosed { store: HERE })).unwrap();
+    let (store, request, _) = accept_request(&test.handle(10, Input::StoreClosed { store: LOCAL })).unwrap();
     test.receive(20, store, ToDispatcher::Accepted { request, token: None });
-    let outputs = test.handle(900, Input::StoreConnected { store: HERE });
-    assert_eq!(withdrawals(&outputs), vec![(HERE, first)]);
-    test.receive(901, HERE, ToDispatcher::Withdrawn { id: first });
-    test.handle(950, Input::StoreClosed { store: HERE });
-    assert_eq!(withdrawals(&test.handle(960, Input::StoreConnected { store: HERE })), vec![]);
+    let outputs = test.handle(900, Input::StoreConnected { store: LOCAL });
+    assert_eq!(withdrawals(&outputs), vec![(LOCAL, first)]);
+    test.receive(901, LOCAL, ToDispatcher::Withdrawn { id: first });
+    test.handle(950, Input::StoreClosed { store: LOCAL });
+    assert_eq!(withdrawals(&test.handle(960, Input::StoreConnected { store: LOCAL })), vec![]);
 }
 
 #[test]
@@ -169,8 +173,8 @@
     let mut test = TestIntake::new();
     let (store, _, first) = accept_request(&test.submit(TargetShard::ByName("key-1".into()))).unwrap();
     test.handle(10, Input::StoreClosed { store });
-    let next = if store == HERE { THERE } else { HERE };
-    let mut later = placement(2, [HERE, THERE, FAR]);
+    let next = if store == LOCAL { REMOTE_1 } else { LOCAL };
+    let mut later = placement(2, [LOCAL, REMOTE_1, REMOTE_2]);
     later.shards[usize::from(first.shard.0)].primary = next;
     let (second_store, request, second) = accept_request(&test.handle(200, Input::Placement(later))).unwrap();
     assert_eq!((second_store, second), (next, first));
@@ -191,7 +195,7 @@
 #[test]
 fn without_a_reachable_store_a_message_is_rejected_at_once() {
     let mut test = TestIntake::new();
-    for store in [HERE, THERE, FAR] {
+    for store in [LOCAL, REMOTE_1, REMOTE_2] {
         test.handle(0, Input::StoreClosed { store });
     }
     let answer = submission_result(&test.submit(TargetShard::Any));
@@ -200,78 +204,78 @@
 
 /// The primary of the shard to which `key` is mapped.
 fn primary_of(key: &str) -> StoreId {
-    let placement = placement(1, [HERE, THERE, FAR]);
+    let placement = placement(1, [LOCAL, REMOTE_1, REMOTE_2]);
     placement.shard(placement.shard_of(key).unwrap()).unwrap().primary
 }
 
 /// The initial placement with `next` in place of `lost` as primary.
-fn without(lost: StoreId, next: StoreId) -> Placement {
-    placement(2, [HERE, THERE, FAR].map(|primary| if primary == lost { next } else { primary }))
+fn with_replaced_primary(lost: StoreId, next: StoreId) -> Placement {
+    placement(2, [LOCAL, REMOTE_1, REMOTE_2].map(|primary| if primary == lost { next } else { primary }))
 }
 
 #[test]
 fn a_message_with_a_given_shard_waits_for_the_next_primary_of_a_lost_one() {
     let mut test = TestIntake::new();
     let lost = primary_of("key-1");
-    let next = if lost == HERE { THERE } else { HERE };
+    let next = if lost == LOCAL { REMOTE_1 } else { LOCAL };
     test.handle(0, Input::StoreClosed { store: lost });
-    let outputs = submit_as(&mut test, 200, 7, TargetShard::ByName("key-1".into()));
+    let outputs = submit_at(&mut test, 200, 7, TargetShard::ByName("key-1".into()));
     assert_eq!((accept_request(&outputs), submission_result(&outputs)), (None, None));
     assert_eq!(test.run(600), vec![]);
     let (store, request, id) =
-        accept_request(&test.handle(610, Input::Placement(without(lost, next)))).unwrap();
+        accept_request(&test.handle(610, Input::Placement(with_replaced_primary(lost, next)))).unwrap();
     assert_eq!(store, next);
     let outputs = test.receive(615, next, ToDispatcher::Accepted { request, token: None });
     assert_eq!(submission_result(&outputs), Some(SubmissionResult::Accepted { id }));
 }
 
 #[test]
-fn a_message_that_waits_in_vain_for_a_primary_is_rejected_in_time() {
+fn a_message_whose_lost_primary_is_not_replaced_is_rejected_in_time() {
     let mut test = TestIntake::new();
     test.handle(0, Input::StoreClosed { store: primary_of("key-1") });
-    submit_as(&mut test, 200, 7, TargetShard::ByName("key-1".into()));
+    submit_at(&mut test, 200, 7, TargetShard::ByName("key-1".into()));
     assert_eq!(submission_result(&test.run(699)), None);
     let answer = submission_result(&test.run(700));
     assert!(matches!(answer, Some(SubmissionResult::Rejected { .. })), "{answer:?}");
-    submit_as(&mut test, 701, 8, TargetShard::ByName("key-1".into()));
+    submit_at(&mut test, 701, 8, TargetShard::ByName("key-1".into()));
     let answer = submission_result(&test.run(900));
     assert!(matches!(answer, Some(SubmissionResult::Rejected { .. })), "{answer:?}");
 }
 
 #[test]
-fn a_client_that_leaves_before_a_primary_can_be_replaced_is_rejected_at_once() {
+fn a_client_whose_deadline_is_before_the_usual_replacement_of_a_primary_is_rejected_at_once() {
     let mut test = TestIntake::new();
     test.handle(0, Input::StoreClosed { store: primary_of("key-1") });
-    let outputs = submit_as(&mut test, 10, 8, TargetShard::ByName("key-1".into()));
+    let outputs = submit_at(&mut test, 10, 8, TargetShard::ByName("key-1".into()));
     assert!(matches!(submission_result(&outputs), Some(SubmissionResult::Rejected { .. })), "{outputs:?}");
 }
 
 #[test]
-fn a_primary_that_returns_is_waited_for_as_well() {
+fn a_message_that_waits_is_sent_to_the_former_primary_if_that_reconnects() {
     let mut test = TestIntake::new();
     let lost = primary_of("key-1");
     test.handle(0, Input::StoreClosed { store: lost });
-    submit_as(&mut test, 200, 7, TargetShard::ByName("key-1".into()));
+    submit_at(&mut test, 200, 7, TargetShard::ByName("key-1".into()));
     assert_eq!(accept_request(&test.handle(400, Input::StoreConnected { store: lost })).unwrap().0, lost);
 }
 
 #[test]
-fn a_primary_that_is_long_lost_is_not_waited_for() {
+fn a_message_does_not_wait_for_a_primary_that_was_lost_long_ago() {
     let mut test = TestIntake::new();
     test.handle(0, Input::StoreClosed { store: primary_of("key-1") });
-    let outputs = submit_as(&mut test, 5000, 8, TargetShard::ByName("key-1".into()));
+    let outputs = submit_at(&mut test, 5000, 8, TargetShard::ByName("key-1".into()));
     assert!(matches!(submission_result(&outputs), Some(SubmissionResult::Rejected { .. })), "{outputs:?}");
 }
 
 #[test]
-fn without_a_quorum_of_replicas_no_next_primary_is_waited_for() {
+fn without_a_quorum_of_replicas_a_message_does_not_wait_for_the_next_primary() {
     let mut test = TestIntake::new();
     let lost = primary_of("key-1");
-    let other = if lost == HERE { THERE } else { HERE };
+    let other = if lost == LOCAL { REMOTE_1 } else { LOCAL };
     for store in [lost, other] {
         test.handle(0, Input::StoreClosed { store });
     }
-    let answer = submission_result(&submit_as(&mut test, 200, 7, TargetShard::ByName("key-1".into())));
+    let answer = submission_result(&submit_at(&mut test, 200, 7, TargetShard::ByName("key-1".into())));
     assert!(matches!(answer, Some(SubmissionResult::Rejected { .. })), "{answer:?}");
 }
 
@@ -290,8 +294,8 @@
     let mut test = TestIntake::new();
     let (_, request, _) = accept_request(&test.submit(TargetShard::Any)).unwrap();
     let reason = AcceptRejection::NotPrimary { epoch: Epoch(1) };
-    let outputs = test.receive(5, HERE, ToDispatcher::Rejected { request, reason });
-    assert_ne!(accept_request(&outputs).unwrap().0, HERE);
+    let outputs = test.receive(5, LOCAL, ToDispatcher::Rejected { request, reason });
+    assert_ne!(accept_request(&outputs).unwrap().0, LOCAL);
 }
 
 fn query_requests(outputs: &[Output]) -> Vec<(StoreId, RequestNumber)> {
@@ -314,11 +318,12 @@
 #[test]
 fn the_primary_is_asked_first_and_its_answer_is_final() {
     let mut test = TestIntake::new();
-    let asked = query_requests(&test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false }));
-    assert_eq!(asked.len(), 1);
-    assert_eq!(asked[0].0, THERE);
+    let requests =
+        query_requests(&test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false }));
+    assert_eq!(requests.len(), 1);
+    assert_eq!(requests[0].0, REMOTE_1);
     let answer = QueryAnswer::Queued;
-    let outputs = test.receive(3, THERE, ToDispatcher::State { request: asked[0].1, answer });
+    let outputs = test.receive(3, REMOTE_1, ToDispatcher::State { request: requests[0].1, answer });
     assert_eq!(query_result(&outputs), Some(QueryResult::Queued));
 }
 
@@ -326,41 +331,41 @@
 fn a_query_to_a_slow_primary_is_hedged_to_a_replica() {
     let mut test = TestIntake::new();
     test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false });
-    let asked = query_requests(&test.run(300));
+    let requests = query_requests(&test.run(300));
     let end = End::Completed { signature: "s".into() };
     let answer = QueryAnswer::Ended { end };
-    let outputs = test.receive(310, asked[0].0, ToDispatcher::State { request: asked[0].1, answer });
+    let outputs = test.receive(310, requests[0].0, ToDispatcher::State { request: requests[0].1, answer });
     assert_eq!(query_result(&outputs), Some(QueryResult::Completed { signature: "s".into() }));
 }
 
 #[test]
 fn a_message_is_unknown_only_if_all_replicas_say_so() {
     let mut test = TestIntake::new();
-    let mut asked =
+    let mut requests =
         query_requests(&test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false }));
     for _ in 0..2 {
-        let (store, request) = asked[0];
+        let (store, request) = requests[0];
         let outputs = test.receive(5, store, ToDispatcher::State { request, answer: QueryAnswer::Unknown });
         assert_eq!(query_result(&outputs), None);
-        asked = query_requests(&outputs);
+        requests = query_requests(&outputs);
     }
-    let (store, request) = asked[0];
+    let (store, request) = requests[0];
     let outputs = test.receive(9, store, ToDispatcher::State { request, answer: QueryAnswer::Unknown });
     assert_eq!(query_result(&outputs), Some(QueryResult::Unknown));
 }
 
 #[test]
-fn a_store_that_is_no_replica_proves_nothing() {
+fn an_answer_of_a_store_that_is_not_a_replica_does_not_make_a_message_unknown() {
     let mut test = TestIntake::new();
-    let mut asked =
+    let mut requests =
         query_requests(&test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false }));
     let answers = [QueryAnswer::Unknown, QueryAnswer::NotReplica, QueryAnswer::Unknown];
     let mut result = None;
     for answer in answers {
-        let (store, request) = asked[0];
+        let (store, request) = requests[0];
         let outputs = test.receive(5, store, ToDispatcher::State { request, answer });
         result = query_result(&outputs);
-        asked = query_requests(&outputs);
+        requests = query_requests(&outputs);
     }
     assert_eq!(result, Some(QueryResult::Unavailable));
 }
@@ -368,18 +373,18 @@
 #[test]
 fn answers_of_former_replicas_are_ignored() {
     let mut test = TestIntake::new();
-    let mut asked =
+    let mut requests =
         query_requests(&test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false }));
-    let (store, request) = asked[0];
-    assert_eq!(store, THERE);
-    asked = query_requests(&test.receive(
+    let (store, request) = requests[0];
+    assert_eq!(store, REMOTE_1);
+    requests = query_requests(&test.receive(
         5,
         store,
         ToDispatcher::State { request, answer: QueryAnswer::Unknown },
     ));
-    let late = asked[0];
-    let mut next = placement(2, [HERE, NEW, FAR]);
-    next.shards[1].replicas = vec![HERE, NEW, FAR];
+    let late = requests[0];
+    let mut next = placement(2, [LOCAL, ADDED, REMOTE_2]);
+    next.shards[1].replicas = vec![LOCAL, ADDED, REMOTE_2];
     let outputs = test.handle(6, Input::Placement(next));
     assert_eq!(query_requests(&outputs).len(), 1, "the query restarts at the first of the current replicas");
     let outputs =
@@ -392,7 +397,7 @@
 }
 
 #[test]
-fn a_query_ends_well_before_clients_leave() {
+fn a_query_ends_well_before_clients_time_out() {
     let mut test = TestIntake::new();
     test.handle(0, Input::Query { call: CALL, id: QUERIED, with_body: false });
     assert_eq!(query_result(&test.run(1_600)), Some(QueryResult::Unavailable));
@@ -405,7 +410,7 @@
     assert_eq!(query_result(&test.run(1900)), Some(QueryResult::Unavailable));
 }
 
-fn submit_as(test: &mut TestIntake, now: u64, call: u64, target: TargetShard) -> Vec<Output> {
+fn submit_at(test: &mut TestIntake, now: u64, call: u64, target: TargetShard) -> Vec<Output> {
     let submission = Submission { message: message(), target, deadline: Instant::from_millis(now + 500) };
     test.handle(now, Input::Submit { call: CallNumber(call), submission: Box::new(submission) })
 }
@@ -415,11 +420,11 @@
     let mut test = TestIntake::new();
     test.submit(TargetShard::Any);
     test.run(480);
-    let outputs = submit_as(&mut test, 490, 8, TargetShard::Any);
+    let outputs = submit_at(&mut test, 490, 8, TargetShard::Any);
     assert_eq!(accept_request(&outputs), None);
     assert!(matches!(submission_result(&outputs), Some(SubmissionResult::Rejected { .. })), "{outputs:?}");
-    test.handle(495, Input::StoreActive { store: FAR });
-    assert_eq!(accept_request(&submit_as(&mut test, 496, 9, TargetShard::Any)).unwrap().0, FAR);
+    test.handle(495, Input::StoreActive { store: REMOTE_2 });
+    assert_eq!(accept_request(&submit_at(&mut test, 496, 9, TargetShard::Any)).unwrap().0, REMOTE_2);
 }
 
 #[test]
@@ -429,7 +434,7 @@
     let pings = test
         .run(400)
         .into_iter()
-        .filter(|output| matches!(output, Output::ToStore { store: HERE, message: FromDispatcher::Ping }));
+        .filter(|output| matches!(output, Output::ToStore { store: LOCAL, message: FromDispatcher::Ping }));
     assert!((2..=5).contains(&pings.count()));
 }
 
@@ -437,9 +442,9 @@
 fn a_slow_store_that_sends_something_is_not_unresponsive() {
     let mut test = TestIntake::new();
     test.submit(TargetShard::Any);
-    test.handle(50, Input::StoreActive { store: HERE });
+    test.handle(50, Input::StoreActive { store: LOCAL });
     test.run(70);
-    assert_eq!(accept_request(&submit_as(&mut test, 75, 8, TargetShard::Any)).unwrap().0, HERE);
+    assert_eq!(accept_request(&submit_at(&mut test, 75, 8, TargetShard::Any)).unwrap().0, LOCAL);
 }
 
 fn reconnect(test: &mut TestIntake, now: u64, store: StoreId) {
@@ -458,17 +463,17 @@
 /// Submits four messages to the store of a key. The store accepts the first one and reconnects. Returns the other
 /// three.
 fn submit_and_reconnect(test: &mut TestIntake) -> Vec<SentRequest> {
-    let mut asked = Vec::new();
+    let mut sent = Vec::new();
     for call in 0..4 {
-        let outputs = submit_as(test, 0, call, TargetShard::ByName("key".into()));
+        let outputs = submit_at(test, 0, call, TargetShard::ByName("key".into()));
         let (store, request, id) = accept_request(&outputs).unwrap();
-        assert_eq!(store, THERE);
-        asked.push(SentRequest { call: CallNumber(call), request, id });
+        assert_eq!(store, REMOTE_1);
+        sent.push(SentRequest { call: CallNumber(call), request, id });
     }
-    let first = asked.remove(0);
-    test.receive(0, THERE, ToDispatcher::Accepted { request: first.request, token: None });
-    reconnect(test, 1, THERE);
-    asked
+    let first = sent.remove(0);
+    test.receive(0, REMOTE_1, ToDispatcher::Accepted { request: first.request, token: None });
+    reconnect(test, 1, REMOTE_1);
+    sent
 }
 
 /// Request numbers are not reused, so a late reply from the previous connection cannot match a later request.
@@ -476,7 +481,7 @@
 fn a_late_reply_to_a_request_before_a_reconnect_answers_that_request_and_no_other() {
     let mut test = TestIntake::new();
     for SentRequest { call, request, id } in submit_and_reconnect(&mut test) {
-        let outputs = test.receive(3, THERE, ToDispatcher::Accepted { request, token: None });
+        let outputs = test.receive(3, REMOTE_1, ToDispatcher::Accepted { request, token: None });
         let answered: Vec<&Output> =
             outputs.iter().filter(|output| matches!(output, Output::SubmissionEnded { .. })).collect();
         assert_eq!(answered, [&Output::SubmissionEnded { call, result: SubmissionResult::Accepted { id } }]);
@@ -486,14 +491,14 @@
 #[test]
 fn a_late_rejection_from_before_a_reconnect_rejects_no_other_request() {
     let mut test = TestIntake::new();
-    let before = submit_and_reconnect(&mut test);
+    let sent_before = submit_and_reconnect(&mut test);
     test.run(600);
     for call in 4..8 {
-        submit_as(&mut test, 600, call, TargetShard::Any);
+        submit_at(&mut test, 600, call, TargetShard::Any);
     }
-    for SentRequest { request, .. } in before {
+    for SentRequest { request, .. } in sent_before {
         let reason = AcceptRejection::Full { retry_after_ms: 1 };
-        let outputs = test.receive(601, THERE, ToDispatcher::Rejected { request, reason });
+        let outputs = test.receive(601, REMOTE_1, ToDispatcher::Rejected { request, reason });
         assert_eq!(outputs, []);
     }
 }
@@ -501,20 +506,20 @@
 #[test]
 fn a_late_reply_to_a_query_before_a_reconnect_answers_that_query_and_no_other() {
     let mut test = TestIntake::new();
-    let mut before = Vec::new();
+    let mut sent_before = Vec::new();
     for call in 0..4 {
         let id = MessageId { unique: 5 + call, ..QUERIED };
-        let asked =
+        let requests =
             query_requests(&test.handle(0, Input::Query { call: CallNumber(call), id, with_body: false }));
-        before.push(SentRequest { call: CallNumber(call), request: asked[0].1, id });
+        sent_before.push(SentRequest { call: CallNumber(call), request: requests[0].1, id });
     }
     let state =
         |request| ToDispatcher::State { request, answer: QueryAnswer::Ended { end: End::DeadLetter } };
-    let first = before.remove(0);
-    test.receive(0, THERE, state(first.request));
-    reconnect(&mut test, 1, THERE);
-    for SentRequest { call, request, .. } in before {
-        let outputs = test.receive(2, THERE, state(request));
+    let first = sent_before.remove(0);
+    test.receive(0, REMOTE_1, state(first.request));
+    reconnect(&mut test, 1, REMOTE_1);
+    for SentRequest { call, request, .. } in sent_before {
+        let outputs = test.receive(2, REMOTE_1, state(request));
         assert_eq!(outputs, [Output::QueryEnded { call, result: QueryResult::DeadLetter }]);
     }
 }
