--- a/system/state/intake/src/submissions.rs
+++ b/system/state/intake/src/submissions.rs
@@ -317,7 +317,7 @@
         Some(MessageId { shard, unique })
     }
 
-    /// Ends a submission that was not accepted: as rejected if no store can have the message, otherwise as in doubt.
+    /// Ends a submission whose client gets no 202: as rejected if no store can have the message, otherwise as in doubt.
     fn end_unaccepted(
         &mut self,
         call: CallNumber,
