--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -62,11 +62,11 @@
     // Before anything else runs: the number must not name a descriptor of our own.
     let inherited = config.inherited.as_deref().map(descriptor::inherited_listener).transpose();
     let inherited = inherited.map_err(StartError::InheritedListener)?;
-    let met = config.meeting.as_deref().and_then(|path| upgrade::meet(path, clock, &log));
-    let legacy = met.as_ref().and_then(|met| read_legacy(&met.state.core, &log));
+    let predecessor = config.meeting.as_deref().and_then(|path| upgrade::find_predecessor(path, clock, &log));
+    let legacy = predecessor.as_ref().and_then(|predecessor| read_legacy(&predecessor.state.core, &log));
     let peer_process = PeerProcess::default();
     let drain = Drain::default();
-    if met.as_ref().is_some_and(|met| met.state.drained) {
+    if predecessor.as_ref().is_some_and(|predecessor| predecessor.state.drained) {
         drain.begin(clock.now());
     }
     let longest = config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
@@ -150,7 +150,7 @@
     let listen = settings.fronts.http.listen.map_or(config.listen, |address| address.0);
     let opens = inherited.map_or(Listen::At(listen), Listen::On);
     // A new process listens, and accepts once the old one has laid that down.
-    peer_process.accept(met.is_none());
+    peer_process.accept(predecessor.is_none());
     sender.open(opens).map_err(|source| StartError::Listen { address: listen, source })?;
     // What cannot be opened ends the start before a running process lays anything down.
     let grpc = match (settings.fronts.grpc, shares.grpc) {
@@ -162,14 +162,16 @@
         }
         _ => None,
     };
-    let shell = config.meeting.clone().map(|path| {
+    let context = config.meeting.clone().map(|path| {
         let front = Arc::new(Doorway(sender.clone()));
-        upgrade::Shell { core: core.clone(), front, path }
+        upgrade::UpgradeContext { core: core.clone(), front, path }
     });
-    match (met, &shell) {
-        (Some(met), Some(shell)) => met.take_over(shell.clone()).map_err(StartError::Upgrade)?,
-        (_, Some(shell)) => {
-            if let Err(error) = upgrade::await_successors(shell.clone()) {
+    match (predecessor, &context) {
+        (Some(predecessor), Some(context)) => {
+            predecessor.take_over(context.clone()).map_err(StartError::Upgrade)?
+        }
+        (_, Some(context)) => {
+            if let Err(error) = upgrade::await_successors(context.clone()) {
                 slog::warn!(log, "upgrade: no successor will find this process"; "why" => %error);
             }
             core.now_serves();
@@ -182,7 +184,7 @@
     }
     running(&exchange);
     dispatching.join().map_err(|_| StartError::DispatchFailed)?;
-    shell.iter().for_each(|shell| upgrade::flush(shell, LAST_PARCELS_MS));
+    context.iter().for_each(|context| upgrade::flush_transfers(context, LAST_PARCELS_MS));
     finish(&sender, grpc);
     drop(control);
     Ok(())
--- a/balancer/dispatcher/tests/upgrade/mod.rs
+++ b/balancer/dispatcher/tests/upgrade/mod.rs
@@ -424,7 +424,7 @@
 fn dies_after(path: &std::path::Path, words: usize) {
     let mut stream = UnixStream::connect(path).unwrap();
     stream.set_read_timeout(Some(WAIT)).unwrap();
-    let hello = Message::Hello { version: VERSION, least: VERSION, program: "test".to_owned() };
+    let hello = Message::Hello { version: VERSION, min_version: VERSION, program: "test".to_owned() };
     let mut decoder = Decoder::default();
     for message in [hello, Message::Checked, Message::Ready, Message::Committed].into_iter().take(words) {
         stream.write_all(&encode(&message).unwrap()).unwrap();
--- a/balancer/handover/src/lib.rs
+++ b/balancer/handover/src/lib.rs
@@ -8,14 +8,14 @@
 //! What the shell owes them: actions are carried out in order, and [`Event::PeerDied`] means the other process is
 //! dead (waitpid, pidfd), never just that a socket has closed: a closed socket tells nothing of who accepts.
 
-mod giver;
 mod messages;
-mod taker;
+mod predecessor;
+mod successor;
 mod wire;
 
-pub use giver::{Giver, GiverPhase};
-pub use messages::{Call, Message, Outcome, Probation, State, Was, VERSION};
-pub use taker::{Taker, TakerPhase};
+pub use messages::{Callback, Message, Outcome, PeerKind, ProbationReport, State, VERSION};
+pub use predecessor::{Predecessor, PredecessorPhase};
+pub use successor::{Successor, SuccessorPhase};
 pub use wire::{encode, Decoder, WireError, FRAME_LIMIT};
 
 /// Time limits of the steps (ms).
@@ -36,7 +36,7 @@
     pub drain: f64,
     /// The platform has started the new process and ends the old one. Neither kills the other or takes the place back;
     /// where they lose each other both accept, from the one listening socket that both hold.
-    pub platform: bool,
+    pub platform_managed: bool,
 }
 
 impl Limits {
@@ -44,7 +44,7 @@
     /// the 6 s in which it has to say yes.
     pub fn platform() -> Self {
         let (start, load, commit) = (1_500.0, 1_500.0, 500.0);
-        Limits { start, load, commit, probation: 60_000.0, platform: true, ..Limits::default() }
+        Limits { start, load, commit, probation: 60_000.0, platform_managed: true, ..Limits::default() }
     }
 }
 
@@ -57,7 +57,7 @@
             probation: 3_000.0,
             take_back: 250.0,
             drain: 10_000.0,
-            platform: false,
+            platform_managed: false,
         }
     }
 }
@@ -73,11 +73,11 @@
     /// This process is told to stop.
     Stop,
     /// This process could not do its part (settings, descriptors, memory), and why.
-    Unable(String),
+    LocalFailure(String),
     /// The taker has checked its settings.
-    Checked,
+    SettingsChecked,
     /// The taker has taken in the state it was given.
-    Loaded,
+    StateLoaded,
 }
 
 /// What one side is to do, in order.
@@ -91,8 +91,8 @@
     /// The giver's state and descriptors go out with the next message.
     SendState,
     /// The taker checks its settings, or loads what it got.
-    Check,
-    Load,
+    CheckSettings,
+    LoadState,
     /// The other process is killed; `PeerDied` follows.
     KillPeer,
     /// The old process's jobs run to their end, no new ones come.
@@ -100,5 +100,5 @@
     /// This process ends.
     Exit(Outcome),
     /// A step for whoever watches the upgrade.
-    Tell(&'static str),
+    LogStep(&'static str),
 }
--- a/balancer/handover/src/messages.rs
+++ b/balancer/handover/src/messages.rs
@@ -11,13 +11,12 @@
     /// Taker: who it is.
     Hello {
         version: u32,
-        least: u32,
+        #[serde(rename = "least")]
+        min_version: u32,
         program: String,
     },
     /// Giver: it may go on.
-    Offer {
-        version: u32,
-    },
+    Offer { version: u32 },
     /// Taker: its settings can be used.
     Checked,
     /// Giver: all that passes over; descriptors come with it.
@@ -30,62 +29,53 @@
     Commit {
         under_way: Vec<String>,
         inbound: usize,
-        next_hops: usize,
+        #[serde(rename = "next_hops")]
+        worker_connections: usize,
     },
     /// Taker: it accepts.
     Committed,
     /// Taker, during probation: what became of its jobs so far.
-    Report(Probation),
+    Report(ProbationReport),
     /// Giver: probation is over, it drains.
     Confirm,
     /// Giver: the place is to come back.
     TakeBack,
     /// Taker: it has stopped accepting.
-    GivenBack {
-        under_way: Vec<String>,
-    },
+    GivenBack { under_way: Vec<String> },
     /// Either: it gives up, before the place has passed.
-    Abort {
-        reason: String,
-    },
+    Abort { reason: String },
     /// A call-back that reached the wrong process, for its owner.
-    CallBack(Call),
+    #[serde(rename = "CallBack")]
+    Callback(Callback),
     /// A job of the giver's has ended: its id is free.
-    Ended {
-        id: String,
-    },
+    #[serde(rename = "Ended")]
+    JobEnded { id: String },
     /// A job has come in at the giver after all, on a connection that it still has.
-    Began {
-        id: String,
-    },
+    #[serde(rename = "Began")]
+    JobStarted { id: String },
     /// One of its flights has landed: it counts at its worker no more.
-    Landed {
-        worker: String,
-        job: u64,
-        attempt: usize,
-    },
+    #[serde(rename = "Landed")]
+    AttemptEnded { worker: String, job: u64, attempt: usize },
     /// So many descriptors of inbound connections are left at the giver.
-    Held {
-        inbound: usize,
-    },
+    #[serde(rename = "Held")]
+    InboundLeft { inbound: usize },
     /// A connection between two requests; its descriptor comes with this message.
     Connection {
-        was: Was,
+        #[serde(rename = "was")]
+        peer: PeerKind,
     },
     /// Either: an operator's order, for both.
-    Ban {
-        id: String,
-        on: bool,
-    },
-    Drain {
-        on: bool,
-    },
+    #[serde(rename = "Ban")]
+    DisableWorker { id: String, on: bool },
+    #[serde(rename = "Drain")]
+    DrainClients { on: bool },
 }
 
 /// What a connection's peer has proved to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Was {
-    Stranger,
+pub enum PeerKind {
+    #[serde(rename = "Stranger")]
+    Unverified,
     Caller,
     Client,
 }
@@ -103,7 +93,7 @@
 
 /// A call-back's body as the next hop sent it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Call {
+pub struct Callback {
     pub number: u64,
     pub body: Vec<u8>,
 }
@@ -111,21 +101,21 @@
 /// The taker's answers since it accepts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Probation {
+pub struct ProbationReport {
     pub served: u64,
     /// Errors of its own making; a worker's failure is none.
     pub failed: u64,
 }
 
-impl Probation {
+impl ProbationReport {
     /// With fewer answers nothing is judged.
-    pub const LEAST: u64 = 20;
+    pub const MIN_ANSWERS: u64 = 20;
     /// Of so many answers one may fail.
-    pub const FAILED_PART: u64 = 5;
+    pub const MAX_FAILED_ONE_IN: u64 = 5;
 
     pub fn is_bad(self) -> bool {
         let answers = self.served + self.failed;
-        answers >= Self::LEAST && self.failed * Self::FAILED_PART > answers
+        answers >= Self::MIN_ANSWERS && self.failed * Self::MAX_FAILED_ONE_IN > answers
     }
 }
 
--- a/balancer/handover/src/giver.rs
+++ b/balancer/handover/src/predecessor.rs
@@ -3,7 +3,7 @@
 use crate::{Action, Event, Limits, Message, Outcome, State, VERSION};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum GiverPhase {
+pub enum PredecessorPhase {
     /// The new process has been started; its first word is awaited.
     Started,
     /// It checks its settings.
@@ -25,10 +25,10 @@
     Done,
 }
 
-use GiverPhase as Phase;
+use PredecessorPhase as Phase;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Giver {
+pub struct Predecessor {
     phase: Phase,
     limits: Limits,
     deadline: f64,
@@ -38,13 +38,13 @@
     /// Descriptors of inbound connections, and of next hops'.
     held: (usize, usize),
     /// Jobs that the new process still has, after the place came back.
-    elsewhere: Vec<String>,
+    peer_jobs: Vec<String>,
 }
 
-impl Giver {
+impl Predecessor {
     /// The new process has just been started.
     pub fn new(limits: Limits, state: State, now: f64) -> Self {
-        Giver {
+        Predecessor {
             phase: Phase::Started,
             limits,
             deadline: now + limits.start,
@@ -52,7 +52,7 @@
             state,
             under_way: Vec::new(),
             held: (0, 0),
-            elsewhere: Vec::new(),
+            peer_jobs: Vec::new(),
         }
     }
 
@@ -81,13 +81,13 @@
     }
 
     /// What is held of descriptors, told with the baton: see [`Message::Commit`].
-    pub fn set_held(&mut self, inbound: usize, next_hops: usize) {
-        self.held = (inbound, next_hops);
+    pub fn set_held(&mut self, inbound: usize, worker_connections: usize) {
+        self.held = (inbound, worker_connections);
     }
 
     /// A job of this id is the new process's: see [`crate::Taker::is_elsewhere`].
-    pub fn is_elsewhere(&self, id: &str) -> bool {
-        self.elsewhere.iter().any(|known| known == id)
+    pub fn is_peer_job(&self, id: &str) -> bool {
+        self.peer_jobs.iter().any(|known| known == id)
     }
 
     fn enter(&mut self, phase: Phase, limit: f64, now: f64) {
@@ -97,52 +97,54 @@
 
     pub fn handle(&mut self, event: Event, now: f64, out: &mut Vec<Action>) {
         match event {
-            Event::Message(message) => self.hear(message, now, out),
-            Event::PeerDied => self.on_death(out),
+            Event::Message(message) => self.on_message(message, now, out),
+            Event::PeerDied => self.on_peer_death(out),
             Event::Idle if self.phase == Phase::Draining => self.finish(out),
             Event::Stop => self.on_stop(now, out),
-            Event::Unable(reason) => self.fail(reason, now, out),
-            Event::Idle | Event::Checked | Event::Loaded => {}
+            Event::LocalFailure(reason) => self.fail(reason, now, out),
+            Event::Idle | Event::SettingsChecked | Event::StateLoaded => {}
         }
     }
 
     /// A message that does not fit the phase is late or doubled: passed over.
-    fn hear(&mut self, message: Message, now: f64, out: &mut Vec<Action>) {
+    fn on_message(&mut self, message: Message, now: f64, out: &mut Vec<Action>) {
         match (self.phase, message) {
-            (Phase::Started, Message::Hello { version, least, .. }) => {
-                if version < VERSION || least > VERSION {
+            (Phase::Started, Message::Hello { version, min_version, .. }) => {
+                if version < VERSION || min_version > VERSION {
                     // Nothing has been given away.
                     return self.fail(format!("it speaks version {version}, this one {VERSION}"), now, out);
                 }
                 self.enter(Phase::Offered, self.limits.start, now);
-                out.push(Action::Tell("offered"));
+                out.push(Action::LogStep("offered"));
                 out.push(Action::Send(Message::Offer { version: VERSION }));
             }
             (Phase::Offered, Message::Checked) => {
                 self.enter(Phase::Loading, self.limits.load, now);
-                out.push(Action::Tell("settings checked, state goes over"));
+                out.push(Action::LogStep("settings checked, state goes over"));
                 out.push(Action::SendState);
                 out.push(Action::Send(Message::State(self.state.clone())));
             }
             (Phase::Loading, Message::Ready) => {
                 self.enter(Phase::Committing, self.limits.commit, now);
-                out.push(Action::Tell("ready, committing"));
+                out.push(Action::LogStep("ready, committing"));
                 // Laid down before it is told.
                 out.push(Action::StopAccepting);
-                let (inbound, next_hops) = self.held;
+                let (inbound, worker_connections) = self.held;
                 let under_way = self.under_way.clone();
-                out.push(Action::Send(Message::Commit { under_way, inbound, next_hops }));
+                out.push(Action::Send(Message::Commit { under_way, inbound, worker_connections }));
             }
             // Its word came late, and this process had gone on beside it.
-            (Phase::FellBack, Message::Committed) if self.limits.platform => {
+            (Phase::FellBack, Message::Committed) if self.limits.platform_managed => {
                 self.enter(Phase::Probation, self.limits.probation, now);
                 out.push(Action::StopAccepting);
             }
             (Phase::Committing, Message::Committed) => {
                 self.enter(Phase::Probation, self.limits.probation, now);
-                out.push(Action::Tell("the new process accepts, on probation"));
+                out.push(Action::LogStep("the new process accepts, on probation"));
             }
-            (Phase::Probation, Message::Report(report)) if report.is_bad() && !self.limits.platform => {
+            (Phase::Probation, Message::Report(report))
+                if report.is_bad() && !self.limits.platform_managed =>
+            {
                 let reason = format!(
                     "{} of its first {} answers failed",
                     report.failed,
@@ -151,10 +153,10 @@
                 self.fail(reason, now, out);
             }
             (Phase::TakingBack, Message::GivenBack { under_way }) => {
-                self.elsewhere = under_way;
+                self.peer_jobs = under_way;
                 self.fall_back(out);
             }
-            (Phase::FellBack, Message::Ended { id }) => self.elsewhere.retain(|known| *known != id),
+            (Phase::FellBack, Message::JobEnded { id }) => self.peer_jobs.retain(|known| *known != id),
             (
                 Phase::Started | Phase::Offered | Phase::Loading | Phase::Committing | Phase::Probation,
                 Message::Abort { reason },
@@ -172,7 +174,7 @@
             Phase::Committing => self.fail("it did not accept in time".to_owned(), now, out),
             Phase::Probation => {
                 self.enter(Phase::Draining, self.limits.drain, now);
-                out.push(Action::Tell("proven, draining the old process"));
+                out.push(Action::LogStep("proven, draining the old process"));
                 out.push(Action::Send(Message::Confirm));
                 out.push(Action::Drain);
             }
@@ -192,19 +194,19 @@
                 self.reason = reason;
                 out.push(Action::Send(Message::Abort { reason: self.reason.clone() }));
                 // It has no place; but it must not find one when this process dies one day.
-                if !self.limits.platform {
+                if !self.limits.platform_managed {
                     out.push(Action::KillPeer);
                 }
                 self.fall_back(out);
             }
-            Phase::Committing | Phase::Probation if self.limits.platform => {
+            Phase::Committing | Phase::Probation if self.limits.platform_managed => {
                 self.reason = reason;
                 self.fall_back(out);
             }
             Phase::Committing | Phase::Probation => {
                 self.reason = reason;
                 self.enter(Phase::TakingBack, self.limits.take_back, now);
-                out.push(Action::Tell("taking the place back"));
+                out.push(Action::LogStep("taking the place back"));
                 out.push(Action::Send(Message::TakeBack));
             }
             _ => {}
@@ -212,8 +214,8 @@
     }
 
     /// A dead process accepts nothing: wherever the baton was, it is here.
-    fn on_death(&mut self, out: &mut Vec<Action>) {
-        self.elsewhere.clear();
+    fn on_peer_death(&mut self, out: &mut Vec<Action>) {
+        self.peer_jobs.clear();
         match self.phase {
             Phase::FellBack | Phase::Done => {}
             // Also while it drains: better its place than none.
@@ -231,7 +233,7 @@
             out.push(Action::Accept);
         }
         (self.phase, self.deadline) = (Phase::FellBack, f64::INFINITY);
-        out.push(Action::Tell("fell back"));
+        out.push(Action::LogStep("fell back"));
     }
 
     /// Before the place has passed, the new process is told to go with it; afterwards this one just drains.
@@ -248,7 +250,7 @@
 
     fn finish(&mut self, out: &mut Vec<Action>) {
         (self.phase, self.deadline) = (Phase::Done, f64::INFINITY);
-        out.push(Action::Tell("done"));
+        out.push(Action::LogStep("done"));
         out.push(Action::Exit(Outcome::HandedOver));
     }
 }
--- a/balancer/handover/src/wire.rs
+++ b/balancer/handover/src/wire.rs
@@ -6,9 +6,9 @@
 
 /// The largest message: the state of 10,000 workers at some 200 bytes each, with room.
 pub const FRAME_LIMIT: usize = 8 * 1024 * 1024;
-const HEAD: usize = 4;
+const LENGTH_SIZE: usize = 4;
 /// CBOR may nest; nothing of ours does so deeper than this.
-const MOST_NESTING: usize = 16;
+const MAX_NESTING: usize = 16;
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum WireError {
@@ -32,25 +32,25 @@
 /// # Errors
 /// The message is larger than the other side would take.
 pub fn encode(message: &Message) -> Result<Vec<u8>, WireError> {
-    let mut bytes = vec![0; HEAD];
+    let mut bytes = vec![0; LENGTH_SIZE];
     ciborium::into_writer(message, &mut bytes).map_err(|e| WireError::Malformed(e.to_string()))?;
-    let length = bytes.len() - HEAD;
+    let length = bytes.len() - LENGTH_SIZE;
     if length > FRAME_LIMIT {
         return Err(WireError::TooLarge(length));
     }
-    bytes[..HEAD].copy_from_slice(&(length as u32).to_be_bytes());
+    bytes[..LENGTH_SIZE].copy_from_slice(&(length as u32).to_be_bytes());
     Ok(bytes)
 }
 
 /// Messages out of bytes as they come.
 #[derive(Default)]
 pub struct Decoder {
-    held: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl Decoder {
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// The next whole message, if there is one.
@@ -58,16 +58,16 @@
     /// # Errors
     /// What has come is none; the connection is of no further use.
     pub fn next_message(&mut self) -> Result<Option<Message>, WireError> {
-        let Some(head) = self.held.first_chunk::<HEAD>() else { return Ok(None) };
+        let Some(head) = self.buffer.first_chunk::<LENGTH_SIZE>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
         if length > FRAME_LIMIT {
             return Err(WireError::TooLarge(length));
         }
-        if self.held.len() < HEAD + length {
+        if self.buffer.len() < LENGTH_SIZE + length {
             return Ok(None);
         }
-        let body: Vec<u8> = self.held.drain(..HEAD + length).skip(HEAD).collect();
-        let read = ciborium::de::from_reader_with_recursion_limit(body.as_slice(), MOST_NESTING);
+        let body: Vec<u8> = self.buffer.drain(..LENGTH_SIZE + length).skip(LENGTH_SIZE).collect();
+        let read = ciborium::de::from_reader_with_recursion_limit(body.as_slice(), MAX_NESTING);
         read.map(Some).map_err(|e| WireError::Malformed(e.to_string()))
     }
 }
--- a/balancer/handover/src/wire/tests.rs
+++ b/balancer/handover/src/wire/tests.rs
@@ -1,17 +1,17 @@
 //! Unit tests of `wire`.
 
 use super::*;
-use crate::{Call, Probation, State};
+use crate::{Callback, ProbationReport, State};
 use ciborium::value::Value;
 use millrudder_testing::{cuts, garbage};
 
 fn messages() -> Vec<Message> {
     vec![
-        Message::Hello { version: 1, least: 1, program: "millrudder 0.1".to_owned() },
+        Message::Hello { version: 1, min_version: 1, program: "millrudder 0.1".to_owned() },
         Message::State(State { core: vec![1, 2, 3], drained: true }),
-        Message::Commit { under_way: vec!["9b1f".to_owned()], inbound: 7, next_hops: 3 },
-        Message::Report(Probation { served: 3, failed: 1 }),
-        Message::CallBack(Call { number: 7, body: b"{}".to_vec() }),
+        Message::Commit { under_way: vec!["9b1f".to_owned()], inbound: 7, worker_connections: 3 },
+        Message::Report(ProbationReport { served: 3, failed: 1 }),
+        Message::Callback(Callback { number: 7, body: b"{}".to_vec() }),
         Message::Committed,
     ]
 }
@@ -48,6 +48,6 @@
     let mut decoder = Decoder::default();
     decoder.push(&(bytes.len() as u32).to_be_bytes());
     decoder.push(&bytes);
-    let expected = Message::Report(Probation { served: 3, failed: 0 });
+    let expected = Message::Report(ProbationReport { served: 3, failed: 0 });
     assert_eq!(decoder.next_message(), Ok(Some(expected)));
 }
--- a/balancer/handover/tests/model.rs
+++ b/balancer/handover/tests/model.rs
@@ -1,7 +1,9 @@
 //! Every order of events: messages late, lost, doubled, timers at any time, either side dying, stopping or unable.
 //! In each reachable state at most one process accepts, and from each, once faults end, exactly one of those alive.
 
-use millrudder_handover::{Action, Event, Giver, GiverPhase, Limits, Message, State, Taker, TakerPhase};
+use millrudder_handover::{
+    Action, Event, Limits, Message, Predecessor, PredecessorPhase, State, Successor, SuccessorPhase,
+};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 const JOB: &str = "old-1";
@@ -14,16 +16,16 @@
 
 #[derive(Clone)]
 struct World {
-    giver: Option<Giver>,
-    taker: Option<Taker>,
-    to_giver: Vec<Message>,
-    to_taker: Vec<Message>,
+    predecessor: Option<Predecessor>,
+    successor: Option<Successor>,
+    to_predecessor: Vec<Message>,
+    to_successor: Vec<Message>,
     work: Option<Work>,
-    giver_listens: bool,
-    taker_listens: bool,
+    predecessor_listens: bool,
+    successor_listens: bool,
     /// Deaths not yet noticed by the other side, and a kill that is under way.
-    giver_dead: bool,
-    taker_dead: bool,
+    predecessor_dead: bool,
+    successor_dead: bool,
     killing: bool,
     /// The platform leads.
     platform: bool,
@@ -34,8 +36,15 @@
     stops: u8,
 }
 
-type Key =
-    (Option<GiverPhase>, Option<TakerPhase>, Vec<String>, Vec<String>, [bool; 5], Option<Work>, [u8; 4]);
+type Key = (
+    Option<PredecessorPhase>,
+    Option<SuccessorPhase>,
+    Vec<String>,
+    Vec<String>,
+    [bool; 5],
+    Option<Work>,
+    [u8; 4],
+);
 
 fn name(message: &Message) -> String {
     // What a reason says does not matter.
@@ -51,28 +60,28 @@
     }
 
     fn led(limits: Limits, losses: u8, doubles: u8, deaths: u8, stops: u8) -> Self {
-        let mut giver = Giver::new(limits, State::default(), 0.0);
-        giver.set_under_way(vec![JOB.to_owned()]);
+        let mut predecessor = Predecessor::new(limits, State::default(), 0.0);
+        predecessor.set_under_way(vec![JOB.to_owned()]);
         let mut out = Vec::new();
-        let taker = Taker::new(limits, "new", 0.0, &mut out);
+        let successor = Successor::new(limits, "new", 0.0, &mut out);
         let mut world = World {
-            platform: limits.platform,
-            giver: Some(giver),
-            taker: Some(taker),
-            to_giver: Vec::new(),
-            to_taker: Vec::new(),
+            platform: limits.platform_managed,
+            predecessor: Some(predecessor),
+            successor: Some(successor),
+            to_predecessor: Vec::new(),
+            to_successor: Vec::new(),
             work: None,
-            giver_listens: true,
-            taker_listens: false,
-            giver_dead: false,
-            taker_dead: false,
+            predecessor_listens: true,
+            successor_listens: false,
+            predecessor_dead: false,
+            successor_dead: false,
             killing: false,
             losses,
             doubles,
             deaths,
             stops,
         };
-        world.by_taker(out);
+        world.apply_successor_actions(out);
         world
     }
 
@@ -82,64 +91,71 @@
             names.sort();
             names
         };
-        let flags = [self.giver_listens, self.taker_listens, self.giver_dead, self.taker_dead, self.killing];
+        let flags = [
+            self.predecessor_listens,
+            self.successor_listens,
+            self.predecessor_dead,
+            self.successor_dead,
+            self.killing,
+        ];
         (
-            self.giver.as_ref().map(Giver::phase),
-            self.taker.as_ref().map(Taker::phase),
-            names(&self.to_giver),
-            names(&self.to_taker),
+            self.predecessor.as_ref().map(Predecessor::phase),
+            self.successor.as_ref().map(Successor::phase),
+            names(&self.to_predecessor),
+            names(&self.to_successor),
             flags,
             self.work,
             [self.losses, self.doubles, self.deaths, self.stops],
         )
     }
 
-    fn by_giver(&mut self, actions: Vec<Action>) {
+    fn apply_predecessor_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(message) => self.to_taker.push(message),
+                Action::Send(message) => self.to_successor.push(message),
                 Action::Accept => {
-                    assert!(!self.giver_listens);
-                    self.giver_listens = true;
+                    assert!(!self.predecessor_listens);
+                    self.predecessor_listens = true;
                 }
-                Action::StopAccepting => self.giver_listens = false,
-                Action::KillPeer => self.killing = self.taker.is_some(),
-                Action::Exit(_) => self.giver_dies(),
+                Action::StopAccepting => self.predecessor_listens = false,
+                Action::KillPeer => self.killing = self.successor.is_some(),
+                Action::Exit(_) => self.predecessor_dies(),
                 _ => {}
             }
             self.check();
         }
     }
 
-    fn by_taker(&mut self, actions: Vec<Action>) {
+    fn apply_successor_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(message) => self.to_giver.push(message),
-                Action::Accept => self.taker_listens = true,
-                Action::StopAccepting => self.taker_listens = false,
-                Action::Check => self.work = Some(Work::Check),
-                Action::Load => self.work = Some(Work::Load),
-                Action::Exit(_) => self.taker_dies(),
+                Action::Send(message) => self.to_predecessor.push(message),
+                Action::Accept => self.successor_listens = true,
+                Action::StopAccepting => self.successor_listens = false,
+                Action::CheckSettings => self.work = Some(Work::Check),
+                Action::LoadState => self.work = Some(Work::Load),
+                Action::Exit(_) => self.successor_dies(),
                 _ => {}
             }
             self.check();
         }
     }
 
-    fn giver_dies(&mut self) {
-        if self.giver.take().is_some() {
-            (self.giver_listens, self.giver_dead) = (false, true);
+    fn predecessor_dies(&mut self) {
+        if self.predecessor.take().is_some() {
+            (self.predecessor_listens, self.predecessor_dead) = (false, true);
         }
     }
 
-    fn taker_dies(&mut self) {
-        if self.taker.take().is_some() {
-            (self.taker_listens, self.taker_dead, self.killing, self.work) = (false, true, false, None);
+    fn successor_dies(&mut self) {
+        if self.successor.take().is_some() {
+            (self.successor_listens, self.successor_dead, self.killing, self.work) =
+                (false, true, false, None);
         }
     }
 
     fn check(&self) {
-        let both = self.giver_listens && self.taker_listens;
+        let both = self.predecessor_listens && self.successor_listens;
         assert!(!both || self.platform, "two accept: {:?}", self.key());
         assert!(!(self.platform && self.killing), "nobody is killed: {:?}", self.key());
     }
@@ -148,77 +164,94 @@
     /// giver knows whose job is whose.
     fn check_whole(&self) {
         self.check();
-        assert_eq!(self.giver.as_ref().is_some_and(Giver::accepts), self.giver_listens, "{:?}", self.key());
-        assert_eq!(self.taker.as_ref().is_some_and(Taker::accepts), self.taker_listens, "{:?}", self.key());
-        if let (Some(_), Some(taker), false) = (&self.giver, &self.taker, self.giver_dead) {
+        assert_eq!(
+            self.predecessor.as_ref().is_some_and(Predecessor::accepts),
+            self.predecessor_listens,
+            "{:?}",
+            self.key()
+        );
+        assert_eq!(
+            self.successor.as_ref().is_some_and(Successor::accepts),
+            self.successor_listens,
+            "{:?}",
+            self.key()
+        );
+        if let (Some(_), Some(successor), false) = (&self.predecessor, &self.successor, self.predecessor_dead)
+        {
             assert!(
-                !taker.accepts() || taker.is_elsewhere(JOB) || self.platform,
+                !successor.accepts() || successor.is_peer_job(JOB) || self.platform,
                 "a job with no owner known: {:?}",
                 self.key()
             );
         }
     }
 
-    fn tell_giver(&self, event: Event) -> World {
+    fn notify_predecessor(&self, event: Event) -> World {
         let mut next = self.clone();
         let mut out = Vec::new();
-        next.giver.as_mut().into_iter().for_each(|giver| giver.handle(event.clone(), 0.0, &mut out));
-        next.by_giver(out);
+        next.predecessor
+            .as_mut()
+            .into_iter()
+            .for_each(|predecessor| predecessor.handle(event.clone(), 0.0, &mut out));
+        next.apply_predecessor_actions(out);
         next
     }
 
-    fn tell_taker(&self, event: Event) -> World {
+    fn notify_successor(&self, event: Event) -> World {
         let mut next = self.clone();
         let mut out = Vec::new();
-        next.taker.as_mut().into_iter().for_each(|taker| taker.handle(event.clone(), 0.0, &mut out));
-        next.by_taker(out);
+        next.successor
+            .as_mut()
+            .into_iter()
+            .for_each(|successor| successor.handle(event.clone(), 0.0, &mut out));
+        next.apply_successor_actions(out);
         next
     }
 
     fn works(&self, event: Event) -> World {
         let mut next = self.clone();
         next.work = None;
-        next.tell_taker(event)
+        next.notify_successor(event)
     }
 
     /// What comes without any further fault, in some order.
     fn progress(&self) -> Vec<World> {
         let mut next = Vec::new();
-        for (i, message) in self.to_giver.iter().enumerate() {
+        for (i, message) in self.to_predecessor.iter().enumerate() {
             let mut world = self.clone();
-            world.to_giver.remove(i);
-            next.push(world.tell_giver(Event::Message(message.clone())));
+            world.to_predecessor.remove(i);
+            next.push(world.notify_predecessor(Event::Message(message.clone())));
         }
-        for (i, message) in self.to_taker.iter().enumerate() {
+        for (i, message) in self.to_successor.iter().enumerate() {
             let mut world = self.clone();
-            world.to_taker.remove(i);
-            next.push(world.tell_taker(Event::Message(message.clone())));
+            world.to_successor.remove(i);
+            next.push(world.notify_successor(Event::Message(message.clone())));
         }
         match self.work {
-            Some(Work::Check) => next.push(self.works(Event::Checked)),
-            Some(Work::Load) => next.push(self.works(Event::Loaded)),
+            Some(Work::Check) => next.push(self.works(Event::SettingsChecked)),
+            Some(Work::Load) => next.push(self.works(Event::StateLoaded)),
             None => {}
         }
         if self.killing {
             let mut world = self.clone();
-            world.taker_dies();
+            world.successor_dies();
             next.push(world);
         }
-        if self.giver_dead && self.taker.is_some() {
+        if self.predecessor_dead && self.successor.is_some() {
             let mut world = self.clone();
-            world.giver_dead = false;
-            next.push(world.tell_taker(Event::PeerDied));
+            world.predecessor_dead = false;
+            next.push(world.notify_successor(Event::PeerDied));
         }
-        if self.taker_dead && self.giver.is_some() {
+        if self.successor_dead && self.predecessor.is_some() {
             let mut world = self.clone();
-            world.taker_dead = false;
-            next.push(world.tell_giver(Event::PeerDied));
+            world.successor_dead = false;
+            next.push(world.notify_predecessor(Event::PeerDied));
         }
-        if self.giver.as_ref().is_some_and(|g| g.phase() == GiverPhase::Draining) {
-            next.push(self.tell_giver(Event::Idle));
+        if self.predecessor.as_ref().is_some_and(|g| g.phase() == PredecessorPhase::Draining) {
+            next.push(self.notify_predecessor(Event::Idle));
         }
-        if self.taker.as_ref().is_some_and(|t| t.phase() == TakerPhase::Draining) {
-            next.push(self.tell_taker(Event::Idle));
+        if self.successor.as_ref().is_some_and(|t| t.phase() == SuccessorPhase::Draining) {
+            next.push(self.notify_successor(Event::Idle));
         }
         next
     }
@@ -226,16 +259,16 @@
     /// Timers may come at any time.
     fn timers(&self) -> Vec<World> {
         let mut next = Vec::new();
-        if self.giver.as_ref().is_some_and(|g| g.deadline().is_finite()) {
+        if self.predecessor.as_ref().is_some_and(|g| g.deadline().is_finite()) {
             let (mut world, mut out) = (self.clone(), Vec::new());
-            world.giver.as_mut().into_iter().for_each(|giver| giver.expire(0.0, &mut out));
-            world.by_giver(out);
+            world.predecessor.as_mut().into_iter().for_each(|predecessor| predecessor.expire(0.0, &mut out));
+            world.apply_predecessor_actions(out);
             next.push(world);
         }
-        if self.taker.as_ref().is_some_and(|t| t.deadline().is_finite()) {
+        if self.successor.as_ref().is_some_and(|t| t.deadline().is_finite()) {
             let (mut world, mut out) = (self.clone(), Vec::new());
-            world.taker.as_mut().into_iter().for_each(|taker| taker.expire(0.0, &mut out));
-            world.by_taker(out);
+            world.successor.as_mut().into_iter().for_each(|successor| successor.expire(0.0, &mut out));
+            world.apply_successor_actions(out);
             next.push(world);
         }
         next
@@ -248,47 +281,47 @@
             change(&mut world);
             world
         };
-        for i in (0..self.to_giver.len()).filter(|_| self.losses > 0) {
+        for i in (0..self.to_predecessor.len()).filter(|_| self.losses > 0) {
             next.push(change(&|w| {
                 w.losses -= 1;
-                w.to_giver.remove(i);
+                w.to_predecessor.remove(i);
             }));
         }
-        for i in (0..self.to_taker.len()).filter(|_| self.losses > 0) {
+        for i in (0..self.to_successor.len()).filter(|_| self.losses > 0) {
             next.push(change(&|w| {
                 w.losses -= 1;
-                w.to_taker.remove(i);
+                w.to_successor.remove(i);
             }));
         }
-        for i in (0..self.to_giver.len()).filter(|_| self.doubles > 0) {
+        for i in (0..self.to_predecessor.len()).filter(|_| self.doubles > 0) {
             next.push(change(&|w| {
                 w.doubles -= 1;
-                w.to_giver.push(w.to_giver[i].clone());
+                w.to_predecessor.push(w.to_predecessor[i].clone());
             }));
         }
-        for i in (0..self.to_taker.len()).filter(|_| self.doubles > 0) {
+        for i in (0..self.to_successor.len()).filter(|_| self.doubles > 0) {
             next.push(change(&|w| {
                 w.doubles -= 1;
-                w.to_taker.push(w.to_taker[i].clone());
+                w.to_successor.push(w.to_successor[i].clone());
             }));
         }
         if self.deaths > 0 {
             next.push(change(&|w| {
                 w.deaths -= 1;
-                w.giver_dies();
+                w.predecessor_dies();
             }));
             next.push(change(&|w| {
                 w.deaths -= 1;
-                w.taker_dies();
+                w.successor_dies();
             }));
         }
         if self.stops > 0 {
             let world = change(&|w| w.stops -= 1);
-            next.push(world.tell_giver(Event::Stop));
-            next.push(world.tell_taker(Event::Stop));
+            next.push(world.notify_predecessor(Event::Stop));
+            next.push(world.notify_successor(Event::Stop));
         }
         if self.work.is_some() {
-            next.push(self.works(Event::Unable("no memory".to_owned())));
+            next.push(self.works(Event::LocalFailure("no memory".to_owned())));
         }
         next
     }
@@ -313,12 +346,12 @@
     while let Some(world) = queue.pop_front() {
         world.check_whole();
         let end = world.clone().settle();
-        let alive = usize::from(end.giver.is_some()) + usize::from(end.taker.is_some());
-        let listening = usize::from(end.giver_listens) + usize::from(end.taker_listens);
+        let alive = usize::from(end.predecessor.is_some()) + usize::from(end.successor.is_some());
+        let listening = usize::from(end.predecessor_listens) + usize::from(end.successor_listens);
         let right = listening == alive.min(1) || world.platform && listening == alive;
         assert!(right, "{:?} ends as {:?}", world.key(), end.key());
         *ends
-            .entry(match (end.giver_listens, end.taker_listens) {
+            .entry(match (end.predecessor_listens, end.successor_listens) {
                 (true, _) => "the old one serves",
                 (_, true) => "the new one serves",
                 _ => "both are dead",
@@ -352,14 +385,14 @@
     while let Some(next) = world.progress().into_iter().next() {
         world = next;
     }
-    let giver = world.giver.as_ref().unwrap();
-    assert_eq!((giver.phase(), world.taker_listens), (GiverPhase::Probation, true));
+    let predecessor = world.predecessor.as_ref().unwrap();
+    assert_eq!((predecessor.phase(), world.successor_listens), (PredecessorPhase::Probation, true));
     // A taker that answers with errors of its own does not pass probation.
-    let bad = millrudder_handover::Probation { served: 10, failed: 10 };
-    let back = world.tell_giver(Event::Message(Message::Report(bad))).settle();
-    assert!(back.giver_listens && back.giver.unwrap().reason().contains("10 of its first 20"));
+    let bad = millrudder_handover::ProbationReport { served: 10, failed: 10 };
+    let back = world.notify_predecessor(Event::Message(Message::Report(bad))).settle();
+    assert!(back.predecessor_listens && back.predecessor.unwrap().reason().contains("10 of its first 20"));
     let end = world.settle();
-    assert!(end.giver.is_none() && end.taker_listens);
+    assert!(end.predecessor.is_none() && end.successor_listens);
 }
 
 #[test]
@@ -370,52 +403,57 @@
         assert!(states > 300, "{states} {ends:?}");
     }
     let end = World::led(limits, 0, 0, 0, 0).settle();
-    assert!(end.giver.is_none() && end.taker_listens, "without faults the place passes");
+    assert!(end.predecessor.is_none() && end.successor_listens, "without faults the place passes");
     let mut silent = World::led(limits, 0, 0, 0, 0);
-    silent.to_giver.clear();
-    silent.giver_dies();
-    silent.giver_dead = false;
+    silent.to_predecessor.clear();
+    silent.predecessor_dies();
+    silent.predecessor_dead = false;
     let alone = silent.settle();
-    assert!(alone.taker_listens, "a giver that says nothing leaves the new one alone");
+    assert!(alone.successor_listens, "a predecessor that says nothing leaves the new one alone");
 }
 
 #[test]
 fn an_incompatible_version_is_refused_before_anything_is_given_away() {
-    for (version, least) in [(0, 0), (9, 9)] {
-        let mut giver = Giver::new(Limits::default(), State::default(), 0.0);
+    for (version, min_version) in [(0, 0), (9, 9)] {
+        let mut predecessor = Predecessor::new(Limits::default(), State::default(), 0.0);
         let mut out = Vec::new();
-        let hello = Message::Hello { version, least, program: "x".to_owned() };
-        giver.handle(Event::Message(hello), 1.0, &mut out);
+        let hello = Message::Hello { version, min_version, program: "x".to_owned() };
+        predecessor.handle(Event::Message(hello), 1.0, &mut out);
         assert!(
-            giver.accepts() && giver.phase() == GiverPhase::FellBack && giver.reason().contains("version")
+            predecessor.accepts()
+                && predecessor.phase() == PredecessorPhase::FellBack
+                && predecessor.reason().contains("version")
         );
         assert!(!out.iter().any(|a| matches!(a, Action::SendState | Action::StopAccepting)));
     }
     // A newer one that still speaks ours is let in.
-    let mut giver = Giver::new(Limits::default(), State::default(), 0.0);
-    let hello = Message::Hello { version: 9, least: 1, program: "x".to_owned() };
-    giver.handle(Event::Message(hello), 1.0, &mut Vec::new());
-    assert_eq!(giver.phase(), GiverPhase::Offered);
+    let mut predecessor = Predecessor::new(Limits::default(), State::default(), 0.0);
+    let hello = Message::Hello { version: 9, min_version: 1, program: "x".to_owned() };
+    predecessor.handle(Event::Message(hello), 1.0, &mut Vec::new());
+    assert_eq!(predecessor.phase(), PredecessorPhase::Offered);
 }
 
 #[test]
 fn every_step_has_its_time_limit() {
     let limits = Limits::default();
-    let mut giver = Giver::new(limits, State::default(), 100.0);
-    assert_eq!(giver.deadline(), 100.0 + limits.start);
-    let hello = Message::Hello { version: 1, least: 1, program: "x".to_owned() };
+    let mut predecessor = Predecessor::new(limits, State::default(), 100.0);
+    assert_eq!(predecessor.deadline(), 100.0 + limits.start);
+    let hello = Message::Hello { version: 1, min_version: 1, program: "x".to_owned() };
     for (message, limit) in [
         (hello, limits.start),
         (Message::Checked, limits.load),
         (Message::Ready, limits.commit),
         (Message::Committed, limits.probation),
     ] {
-        giver.handle(Event::Message(message), 200.0, &mut Vec::new());
-        assert_eq!(giver.deadline(), 200.0 + limit, "{:?}", giver.phase());
+        predecessor.handle(Event::Message(message), 200.0, &mut Vec::new());
+        assert_eq!(predecessor.deadline(), 200.0 + limit, "{:?}", predecessor.phase());
     }
     let mut out = Vec::new();
-    giver.expire(300.0, &mut out);
-    assert_eq!((giver.phase(), giver.deadline()), (GiverPhase::Draining, 300.0 + limits.drain));
+    predecessor.expire(300.0, &mut out);
+    assert_eq!(
+        (predecessor.phase(), predecessor.deadline()),
+        (PredecessorPhase::Draining, 300.0 + limits.drain)
+    );
     assert_eq!(out[1], Action::Send(Message::Confirm));
 }
 
@@ -425,20 +463,24 @@
     let mut steps = 0;
     loop {
         let mut without_new = world.clone();
-        without_new.taker_dies();
+        without_new.successor_dies();
         let old = without_new.settle();
-        assert!(old.giver_listens || world.giver.is_none(), "the new one died: {:?}", world.key());
-        let ready = [TakerPhase::Ready, TakerPhase::Serving, TakerPhase::Draining];
-        let able = world.taker.as_ref().is_some_and(|taker| ready.contains(&taker.phase()));
+        assert!(
+            old.predecessor_listens || world.predecessor.is_none(),
+            "the new one died: {:?}",
+            world.key()
+        );
+        let ready = [SuccessorPhase::Ready, SuccessorPhase::Serving, SuccessorPhase::Draining];
+        let able = world.successor.as_ref().is_some_and(|successor| ready.contains(&successor.phase()));
         let mut without_old = world.clone();
-        without_old.giver_dies();
+        without_old.predecessor_dies();
         // With the state on its way it may yet get there, too.
-        assert!(without_old.settle().taker_listens || !able, "the old one died: {:?}", world.key());
+        assert!(without_old.settle().successor_listens || !able, "the old one died: {:?}", world.key());
         steps += 1;
         match world.progress().into_iter().next().or_else(|| world.timers().into_iter().next()) {
             Some(next) => world = next,
             None => break,
         }
     }
-    assert!(steps > 8 && world.taker_listens && world.giver.is_none());
+    assert!(steps > 8 && world.successor_listens && world.predecessor.is_none());
 }
--- a/balancer/upgrade/src/lib.rs
+++ b/balancer/upgrade/src/lib.rs
@@ -5,14 +5,14 @@
 //! messages and descriptors. Fronts and core are reached through the exchange and its `PeerProcess`. Whatever goes wrong
 //! here ends in each process that is alive serving.
 
-mod giver;
 mod link;
-mod taker;
+mod predecessor;
+mod successor;
 
-pub use giver::flush;
-use link::{Heard, Link};
+use link::{Link, Received};
 use millrudder_exchange::{Core, Order, PeerProcess, PeerRequest, PeerRole, Transfer};
-use millrudder_handover::{Call, Message, Was};
+use millrudder_handover::{Callback, Message, PeerKind};
+pub use predecessor::flush_transfers;
 use slog::Logger;
 use std::io;
 use std::net::TcpStream;
@@ -21,10 +21,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-pub use taker::{meet, Met};
+pub use successor::{find_predecessor, PredecessorSession};
 
 /// How often what is to go over is looked for, while another process is there.
-const TICK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The front whose connections go over.
 pub trait Front: Send + Sync {
@@ -38,7 +38,7 @@
 
 /// What both sides act on.
 #[derive(Clone)]
-pub struct Shell {
+pub struct UpgradeContext {
     pub core: Core,
     pub front: Arc<dyn Front>,
     pub path: PathBuf,
@@ -48,9 +48,9 @@
 ///
 /// # Errors
 /// The socket cannot be made.
-pub fn await_successors(shell: Shell) -> io::Result<()> {
-    let listener = listen(&shell.path)?;
-    let run = move || giver::run(&listener, &shell);
+pub fn await_successors(context: UpgradeContext) -> io::Result<()> {
+    let listener = listen(&context.path)?;
+    let run = move || predecessor::run(&listener, &context);
     std::thread::Builder::new().name("upgrade".to_owned()).spawn(run)?;
     Ok(())
 }
@@ -64,7 +64,7 @@
     Ok(listener)
 }
 
-impl Shell {
+impl UpgradeContext {
     fn peer_process(&self) -> &PeerProcess {
         &self.core.peer_process
     }
@@ -74,23 +74,27 @@
     }
 
     /// Sends what waits to go over.
-    fn send_parcels(&self, link: &Link, giver: bool) -> io::Result<()> {
-        while let Some(parcel) = self.peer_process().take() {
-            match parcel {
+    fn send_transfers(&self, link: &Link, is_predecessor: bool) -> io::Result<()> {
+        while let Some(transfer) = self.peer_process().take() {
+            match transfer {
                 Transfer::Connection(stream, standing) => {
                     self.core.counters.connections_passed_on.add();
-                    link.send(&Message::Connection { was: was(standing) }, Some(stream.as_fd()))?;
+                    link.send(&Message::Connection { peer: peer_kind(standing) }, Some(stream.as_fd()))?;
                 }
-                Transfer::News(body) => link.send(&Message::CallBack(Call { number: 0, body }), None)?,
-                Transfer::Ordered(Order::Disable(id)) => link.send(&Message::Ban { id, on: true }, None)?,
-                Transfer::Ordered(Order::Enable(id)) => link.send(&Message::Ban { id, on: false }, None)?,
-                Transfer::Drain(on) => link.send(&Message::Drain { on }, None)?,
+                Transfer::News(body) => link.send(&Message::Callback(Callback { number: 0, body }), None)?,
+                Transfer::Ordered(Order::Disable(id)) => {
+                    link.send(&Message::DisableWorker { id, on: true }, None)?
+                }
+                Transfer::Ordered(Order::Enable(id)) => {
+                    link.send(&Message::DisableWorker { id, on: false }, None)?
+                }
+                Transfer::Drain(on) => link.send(&Message::DrainClients { on }, None)?,
                 // Only the one that ends tells of its jobs.
-                _ if !giver => {}
-                Transfer::Began(id) => link.send(&Message::Began { id }, None)?,
-                Transfer::Ended(id) => link.send(&Message::Ended { id }, None)?,
+                _ if !is_predecessor => {}
+                Transfer::Began(id) => link.send(&Message::JobStarted { id }, None)?,
+                Transfer::Ended(id) => link.send(&Message::JobEnded { id }, None)?,
                 Transfer::Landed { worker, job, attempt } => {
-                    link.send(&Message::Landed { worker, job, attempt }, None)?;
+                    link.send(&Message::AttemptEnded { worker, job, attempt }, None)?;
                 }
             }
         }
@@ -98,25 +102,25 @@
     }
 
     /// Acts on what either side may say at any time; gives back what is the state machine's.
-    fn take(&self, heard: Heard) -> Option<Message> {
-        match heard {
-            (Message::Connection { was }, Some(descriptor)) => {
+    fn apply(&self, received: Received) -> Option<Message> {
+        match received {
+            (Message::Connection { peer }, Some(descriptor)) => {
                 self.core.counters.connections_taken_over.add();
-                self.front.adopt(TcpStream::from(descriptor), standing(was));
+                self.front.adopt(TcpStream::from(descriptor), peer_role(peer));
             }
             (Message::Connection { .. }, None) => {}
-            (Message::CallBack(call), _) => self.front.take_news(&call.body),
-            (Message::Ban { id, on }, _) => {
+            (Message::Callback(call), _) => self.front.take_news(&call.body),
+            (Message::DisableWorker { id, on }, _) => {
                 // OrderResult out before any job that waits; an id unknown here has no worker here.
                 let order = if on { Order::Disable(id) } else { Order::Enable(id) };
                 drop(self.core.exchange.order(order));
             }
-            (Message::Drain { on: true }, _) => self.core.drain.begin(self.core.clock.now()),
-            (Message::Drain { on: false }, _) => self.core.drain.end(),
-            (Message::Landed { worker, job, attempt }, _) => {
+            (Message::DrainClients { on: true }, _) => self.core.drain.begin(self.core.clock.now()),
+            (Message::DrainClients { on: false }, _) => self.core.drain.end(),
+            (Message::AttemptEnded { worker, job, attempt }, _) => {
                 self.core.exchange.ask(PeerRequest::Landed { worker, job, attempt });
             }
-            (Message::Held { inbound }, _) => {
+            (Message::InboundLeft { inbound }, _) => {
                 self.peer_process().share(inbound, self.peer_process().worker_connections());
             }
             (message, _) => return Some(message),
@@ -125,24 +129,24 @@
     }
 
     /// The other process is gone.
-    fn part(&self) {
+    fn on_peer_gone(&self) {
         self.peer_process().close();
         self.core.exchange.ask(PeerRequest::Gone);
     }
 }
 
-fn was(standing: PeerRole) -> Was {
-    match standing {
-        PeerRole::Stranger => Was::Stranger,
-        PeerRole::Caller => Was::Caller,
-        PeerRole::Client => Was::Client,
+fn peer_kind(role: PeerRole) -> PeerKind {
+    match role {
+        PeerRole::Stranger => PeerKind::Unverified,
+        PeerRole::Caller => PeerKind::Caller,
+        PeerRole::Client => PeerKind::Client,
     }
 }
 
-fn standing(was: Was) -> PeerRole {
-    match was {
-        Was::Stranger => PeerRole::Stranger,
-        Was::Caller => PeerRole::Caller,
-        Was::Client => PeerRole::Client,
+fn peer_role(peer: PeerKind) -> PeerRole {
+    match peer {
+        PeerKind::Unverified => PeerRole::Stranger,
+        PeerKind::Caller => PeerRole::Caller,
+        PeerKind::Client => PeerRole::Client,
     }
 }
--- a/balancer/upgrade/src/link.rs
+++ b/balancer/upgrade/src/link.rs
@@ -16,9 +16,9 @@
 use std::time::{Duration, Instant};
 
 /// A peer that takes nothing for so long is as good as gone.
-const SEND_LIMIT: Duration = Duration::from_millis(500);
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 /// Descriptors that have come without their messages; one a message, and messages come in order.
-const MOST_DESCRIPTORS: usize = 64;
+const MAX_PENDING_DESCRIPTORS: usize = 64;
 const READ_SIZE: usize = 64 * 1024;
 
 pub struct Link {
@@ -28,7 +28,7 @@
 }
 
 /// A message, and the descriptor that belongs to it.
-pub type Heard = (Message, Option<OwnedFd>);
+pub type Received = (Message, Option<OwnedFd>);
 
 impl Link {
     pub fn new(stream: UnixStream) -> io::Result<Self> {
@@ -45,7 +45,7 @@
     pub fn send(&self, message: &Message, descriptor: Option<BorrowedFd>) -> io::Result<()> {
         let bytes = encode(message).map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?;
         let (mut left, mut descriptor) = (bytes.as_slice(), descriptor);
-        let end = Instant::now() + SEND_LIMIT;
+        let end = Instant::now() + SEND_TIMEOUT;
         while !left.is_empty() {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut control = SendAncillaryBuffer::new(&mut space);
@@ -58,7 +58,7 @@
                 // A descriptor goes with the first byte of its message.
                 Ok(n) => (left, descriptor) = (&left[n..], None),
                 Err(Errno::INTR) => {}
-                Err(Errno::AGAIN) if Instant::now() < end => self.wait(PollFlags::OUT, SEND_LIMIT),
+                Err(Errno::AGAIN) if Instant::now() < end => self.wait(PollFlags::OUT, SEND_TIMEOUT),
                 Err(Errno::AGAIN) => return Err(ErrorKind::TimedOut.into()),
                 Err(error) => return Err(error.into()),
             }
@@ -70,11 +70,11 @@
     ///
     /// # Errors
     /// The other process is gone, or says what is no message.
-    pub fn receive(&mut self, wait: Duration) -> io::Result<Vec<Heard>> {
+    pub fn receive(&mut self, wait: Duration) -> io::Result<Vec<Received>> {
         self.wait(PollFlags::IN, wait);
         let mut part = vec![0; READ_SIZE];
         loop {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PENDING_DESCRIPTORS))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let flags = RecvFlags::CMSG_CLOEXEC | RecvFlags::DONTWAIT;
             match recvmsg(&self.stream, &mut [IoSliceMut::new(&mut part)], &mut control, flags) {
@@ -94,15 +94,15 @@
                 Err(error) => return Err(error.into()),
             }
         }
-        let heard = self.decode()?;
+        let received = self.decode()?;
         match self.descriptors.len() {
-            n if n > MOST_DESCRIPTORS => Err(ErrorKind::InvalidData.into()),
-            _ => Ok(heard),
+            n if n > MAX_PENDING_DESCRIPTORS => Err(ErrorKind::InvalidData.into()),
+            _ => Ok(received),
         }
     }
 
-    fn decode(&mut self) -> io::Result<Vec<Heard>> {
-        let mut heard = Vec::new();
+    fn decode(&mut self) -> io::Result<Vec<Received>> {
+        let mut received = Vec::new();
         while let Some(message) =
             self.decoder.next_message().map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?
         {
@@ -110,9 +110,9 @@
                 Message::Connection { .. } => self.descriptors.pop_front(),
                 _ => None,
             };
-            heard.push((message, descriptor));
+            received.push((message, descriptor));
         }
-        Ok(heard)
+        Ok(received)
     }
 
     fn wait(&self, what: PollFlags, time: Duration) {
@@ -122,7 +122,7 @@
     }
 
     /// The other process's user.
-    pub fn is_ours(&self) -> bool {
+    pub fn is_same_user(&self) -> bool {
         let peer = rustix::net::sockopt::socket_peercred(self.stream.as_fd());
         peer.is_ok_and(|peer| peer.uid == rustix::process::geteuid())
     }
--- a/balancer/upgrade/src/link/tests.rs
+++ b/balancer/upgrade/src/link/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `link`.
 
 use super::*;
-use millrudder_handover::Was;
+use millrudder_handover::PeerKind;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
@@ -19,19 +19,19 @@
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let served = listener.accept().unwrap().0;
     client.write_all(b"unread").unwrap();
-    here.send(&Message::Drain { on: true }, None).unwrap();
-    here.send(&Message::Connection { was: Was::Client }, Some(served.as_fd())).unwrap();
+    here.send(&Message::DrainClients { on: true }, None).unwrap();
+    here.send(&Message::Connection { peer: PeerKind::Client }, Some(served.as_fd())).unwrap();
     drop(served);
-    let mut heard = Vec::new();
-    while heard.len() < 2 {
-        heard.extend(there.receive(LONG).unwrap());
+    let mut received = Vec::new();
+    while received.len() < 2 {
+        received.extend(there.receive(LONG).unwrap());
     }
-    assert_eq!((&heard[0].0, heard[0].1.is_none()), (&Message::Drain { on: true }, true));
-    let mut taken = TcpStream::from(heard.pop().unwrap().1.expect("its descriptor"));
+    assert_eq!((&received[0].0, received[0].1.is_none()), (&Message::DrainClients { on: true }, true));
+    let mut taken = TcpStream::from(received.pop().unwrap().1.expect("its descriptor"));
     let mut text = [0; 6];
     taken.read_exact(&mut text).unwrap();
     assert_eq!(&text, b"unread");
-    assert!(there.is_ours());
+    assert!(there.is_same_user());
 }
 
 #[test]
--- a/balancer/upgrade/src/giver/tests.rs
+++ b/balancer/upgrade/src/predecessor/tests.rs
@@ -22,7 +22,7 @@
     }
 }
 
-fn shell() -> (Shell, Inbox) {
+fn context() -> (UpgradeContext, Inbox) {
     let ((exchange, inbox), clock) = (Exchange::new(), Clock::start());
     let core = Core {
         exchange,
@@ -37,19 +37,19 @@
         advice: Advice::new(true),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
-    (Shell { core, front: Arc::new(NoFront), path: "unused".into() }, inbox)
+    (UpgradeContext { core, front: Arc::new(NoFront), path: "unused".into() }, inbox)
 }
 
 #[test]
 fn a_place_laid_down_before_the_core_failed_to_answer_is_taken_up_again() {
     // Nobody would have accepted from then on: the machine had not seen its place laid down.
-    let (shell, inbox) = shell();
+    let (context, inbox) = context();
     let (here, there) = UnixStream::pair().unwrap();
     let here = Link::new(here).unwrap();
     let there = Link::new(there).unwrap();
-    let for_session = shell.clone();
-    let session = std::thread::spawn(move || Session::begin(here, &for_session).unwrap().run());
-    let hello = Message::Hello { version: VERSION, least: VERSION, program: "test".to_owned() };
+    let session_context = context.clone();
+    let session = std::thread::spawn(move || Session::begin(here, &session_context).unwrap().run());
+    let hello = Message::Hello { version: VERSION, min_version: VERSION, program: "test".to_owned() };
     there.send(&hello, None).unwrap();
     let mut parked = false;
     while let Ok(message) = inbox.recv_timeout(Duration::from_secs(60)) {
@@ -60,11 +60,11 @@
                 there.send(&Message::Ready, None).unwrap();
             }
             // The core is stuck: what it was asked for is dropped.
-            Inbound::PeerRequest(PeerRequest::UnderWay(_)) => parked = !shell.core.peer_process.accepts(),
+            Inbound::PeerRequest(PeerRequest::UnderWay(_)) => parked = !context.core.peer_process.accepts(),
             Inbound::PeerRequest(PeerRequest::Gone) => break,
             _ => {}
         }
     }
     session.join().unwrap();
-    assert!(parked && shell.core.peer_process.accepts());
+    assert!(parked && context.core.peer_process.accepts());
 }
--- /dev/null
+++ b/balancer/upgrade/src/successor.rs
@@ -0,0 +1,183 @@
+//! The new process's side.
+
+use crate::{listen, predecessor, Link, Received, UpgradeContext, POLL_INTERVAL};
+use millrudder_exchange::clock::{span, Clock};
+use millrudder_handover::{Action, Event, Limits, Message, State, Successor};
+use slog::Logger;
+use std::path::Path;
+use std::time::Duration;
+use thiserror::Error;
+
+/// In all, until the old process has given its state: it may still be busy with its own predecessor.
+const STATE_TIMEOUT_MS: f64 = 4_000.0;
+
+/// An old process that has told what it knows.
+pub struct PredecessorSession {
+    link: Link,
+    successor: Successor,
+    pub state: State,
+    /// What happened at the old process since, to be acted on once its state is loaded.
+    buffered: Vec<Received>,
+}
+
+/// Looks for an old process; none: this one is alone. It blocks: before anything runs that must not.
+pub fn find_predecessor(path: &Path, clock: Clock, log: &Logger) -> Option<PredecessorSession> {
+    let link = match Link::connect(path) {
+        Ok(link) if link.is_same_user() => link,
+        Ok(_) => {
+            slog::warn!(log, "upgrade: the process found belongs to another user");
+            return None;
+        }
+        Err(error) => {
+            slog::info!(log, "upgrade: no old process"; "why" => %error);
+            return None;
+        }
+    };
+    let mut out = Vec::new();
+    let limits = Limits { start: STATE_TIMEOUT_MS / 2.0, load: STATE_TIMEOUT_MS / 2.0, ..Limits::platform() };
+    let successor = Successor::new(limits, env!("CARGO_PKG_VERSION"), clock.now(), &mut out);
+    match request_state(link, successor, out, clock) {
+        Ok(session) => Some(session),
+        Err(why) => {
+            slog::warn!(log, "upgrade: the old process gives nothing, serving beside it"; "why" => %why);
+            None
+        }
+    }
+}
+
+/// Why an old process that was found gives nothing.
+#[derive(Debug, Error)]
+enum HandoverError {
+    #[error(transparent)]
+    Link(#[from] std::io::Error),
+    #[error("no state")]
+    NoState,
+    #[error("it did not answer in time")]
+    TimedOut,
+}
+
+fn request_state(
+    mut link: Link,
+    mut successor: Successor,
+    mut out: Vec<Action>,
+    clock: Clock,
+) -> Result<PredecessorSession, HandoverError> {
+    let (mut state, mut buffered) = (None, Vec::new());
+    loop {
+        for action in std::mem::take(&mut out) {
+            match action {
+                Action::Send(message) => link.send(&message, None)?,
+                // It was read and checked before anybody was looked for.
+                Action::CheckSettings => successor.handle(Event::SettingsChecked, clock.now(), &mut out),
+                Action::LoadState => {
+                    let state = state.take().ok_or(HandoverError::NoState)?;
+                    return Ok(PredecessorSession { link, successor, state, buffered });
+                }
+                Action::Accept => return Err(HandoverError::TimedOut),
+                _ => {}
+            }
+        }
+        if !out.is_empty() {
+            continue;
+        }
+        let left = (successor.deadline() - clock.now()).max(0.0);
+        for (message, descriptor) in link.receive(span(left))? {
+            match message {
+                Message::Offer { .. } | Message::Abort { .. } => {}
+                Message::State(ref given) => state = Some(given.clone()),
+                _ => {
+                    buffered.push((message, descriptor));
+                    continue;
+                }
+            }
+            successor.handle(Event::Message(message), clock.now(), &mut out);
+        }
+        if clock.now() >= successor.deadline() {
+            successor.expire(clock.now(), &mut out);
+        }
+    }
+}
+
+impl PredecessorSession {
+    /// What was given is loaded: takes the place over, on a thread of its own, and waits for successors afterwards.
+    /// Until then this process does not accept.
+    ///
+    /// # Errors
+    /// There is no thread to be had.
+    pub fn take_over(self, context: UpgradeContext) -> std::io::Result<()> {
+        context.peer_process().accept(false);
+        context.peer_process().open();
+        std::thread::Builder::new().name("upgrade".to_owned()).spawn(move || self.run(&context))?;
+        Ok(())
+    }
+
+    fn run(mut self, context: &UpgradeContext) {
+        let clock = context.core.clock;
+        let (mut out, mut listener) = (Vec::new(), None);
+        for received in std::mem::take(&mut self.buffered) {
+            self.on_message(received, context, &mut out);
+        }
+        self.successor.handle(Event::StateLoaded, clock.now(), &mut out);
+        loop {
+            let gone =
+                self.act(std::mem::take(&mut out), context).is_err() || self.turn(context, &mut out).is_err();
+            if clock.now() >= self.successor.deadline() {
+                self.successor.expire(clock.now(), &mut out);
+            }
+            if gone {
+                self.successor.handle(Event::PeerDied, clock.now(), &mut out);
+                let _ = self.act(std::mem::take(&mut out), context);
+            }
+            if self.successor.accepts() && listener.is_none() {
+                listener = listen(&context.path).ok();
+            }
+            if gone {
+                break;
+            }
+        }
+        slog::info!(context.log(), "upgrade: the old process has ended");
+        context.on_peer_gone();
+        if let Some(listener) = listener {
+            predecessor::run(&listener, context);
+        }
+    }
+
+    /// One look at the link; an error: the old process is gone.
+    fn turn(&mut self, context: &UpgradeContext, out: &mut Vec<Action>) -> std::io::Result<()> {
+        let wait = if out.is_empty() { POLL_INTERVAL } else { Duration::ZERO };
+        for received in self.link.receive(wait)? {
+            self.on_message(received, context, out);
+        }
+        context.send_transfers(&self.link, false)
+    }
+
+    fn on_message(&mut self, received: Received, context: &UpgradeContext, out: &mut Vec<Action>) {
+        let Some(message) = context.apply(received) else { return };
+        match &message {
+            Message::Commit { under_way, inbound, worker_connections } => {
+                under_way.iter().for_each(|id| context.peer_process().their_job(id.clone()));
+                context.peer_process().share(*inbound, *worker_connections);
+            }
+            Message::JobStarted { id } => context.peer_process().their_job(id.clone()),
+            Message::JobEnded { id } => context.peer_process().their_job_ended(id),
+            _ => {}
+        }
+        self.successor.handle(Event::Message(message), context.core.clock.now(), out);
+    }
+
+    fn act(&mut self, actions: Vec<Action>, context: &UpgradeContext) -> std::io::Result<()> {
+        for action in actions {
+            match action {
+                Action::Send(message) => self.link.send(&message, None)?,
+                Action::Accept => {
+                    slog::info!(context.log(), "upgrade: this process accepts");
+                    context.peer_process().accept(true);
+                    context.core.now_serves();
+                }
+                Action::StopAccepting => context.peer_process().accept(false),
+                _ => {}
+            }
+        }
+        Ok(())
+    }
+}
