--- a/balancer/handover/src/lib.rs
+++ b/balancer/handover/src/lib.rs
@@ -1,12 +1,13 @@
-//! Upgrade under load: a serving process (the giver) hands its place to a new one (the taker), and takes it back if
-//! the new one fails to start or to prove itself.
+//! Upgrade under load: a serving process (the predecessor) passes the serving role to a new process (the successor),
+//! and takes it back if the successor fails to start or fails its probation.
 //!
-//! Two state machines without I/O or clock: events and `now` go in, actions come out. The place is a baton: whoever
-//! holds it accepts. The giver lays it down before it says so; the taker picks it up only when told, or when the giver
-//! is dead. `tests/model.rs` searches every order of messages lost, doubled and late, and of deaths.
+//! Two state machines without I/O or a clock: they take events and the current time, and return actions. The process
+//! that has the serving role accepts connections. The predecessor stops accepting before it sends the message that
+//! passes the role; the successor starts only when it gets that message, or when the predecessor is dead.
+//! `tests/model.rs` searches every order of lost, duplicated and late messages, and of process deaths.
 //!
-//! What the shell owes them: actions are carried out in order, and [`Event::PeerDied`] means the other process is
-//! dead (waitpid, pidfd), never just that a socket has closed: a closed socket tells nothing of who accepts.
+//! The caller must carry out the actions in order, and must report [`Event::PeerDied`] only if the other process is
+//! known to be dead (waitpid, pidfd). A closed socket is not enough: it does not show which process accepts.
 
 mod messages;
 mod predecessor;
@@ -18,30 +19,30 @@
 pub use successor::{Successor, SuccessorPhase};
 pub use wire::{encode, Decoder, WireError, FRAME_LIMIT};
 
-/// Time limits of the steps (ms).
+/// Time limits of the steps (ms), and who controls the upgrade.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// For the new process to start and say who it is, and to check its settings.
+    /// For the new process to start and send its hello; then again, for it to check its settings.
     pub start: f64,
-    /// To load what it was given and report ready.
+    /// For the new process to load the state that it was sent and report that it is ready.
     pub load: f64,
-    /// From the baton laid down to the new process's word that it accepts. Nobody accepts meanwhile; connections
-    /// wait in the listeners' queues.
+    /// From the predecessor's last accept to the successor's report that it accepts. Neither process accepts in
+    /// between; new connections wait in the listeners' backlogs.
     pub commit: f64,
-    /// During which the new process is watched.
+    /// How long the successor's error rate is watched.
     pub probation: f64,
-    /// For it to give the place back; after that it is killed.
+    /// For the successor to return the serving role; after that it is killed.
     pub take_back: f64,
-    /// For the old one's jobs to end.
+    /// For the jobs of the process that stopped serving to end.
     pub drain: f64,
-    /// The platform has started the new process and ends the old one. Neither kills the other or takes the place back;
-    /// where they lose each other both accept, from the one listening socket that both hold.
+    /// Whether the platform starts the new process and ends the old one. Then neither process kills the other or
+    /// takes the serving role back. If they lose contact, both accept, on the listening socket that they share.
     pub platform_managed: bool,
 }
 
 impl Limits {
-    /// An upgrade by the platform: a new process that is not served by an old one in time serves alone, well within
-    /// the 6 s in which it has to say yes.
+    /// Limits for an upgrade by the platform. If the predecessor does not hand over in time, the new process serves
+    /// alone; that leaves it well within the 6 s in which the platform expects it to report ready.
     pub fn platform() -> Self {
         let (start, load, commit) = (1_500.0, 1_500.0, 500.0);
         Limits { start, load, commit, probation: 60_000.0, platform_managed: true, ..Limits::default() }
@@ -62,43 +63,44 @@
     }
 }
 
-/// What happens to one side.
+/// Input of either state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     Message(Message),
     /// The other process is dead.
     PeerDied,
-    /// Nothing of this process's own is owed any more.
+    /// No job of this process is waiting for its answer any more.
     Idle,
     /// This process is told to stop.
     Stop,
-    /// This process could not do its part (settings, descriptors, memory), and why.
+    /// This process could not do its part (settings, descriptors, memory); with the reason.
     LocalFailure(String),
-    /// The taker has checked its settings.
+    /// The successor has checked its settings.
     SettingsChecked,
-    /// The taker has taken in the state it was given.
+    /// The successor has loaded the state that it was sent.
     StateLoaded,
 }
 
-/// What one side is to do, in order.
+/// What the caller must do, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Send(Message),
-    /// From here on this process accepts ...
+    /// Accept connections from here on.
     Accept,
-    /// ... and from here on it does not.
+    /// Accept no more connections.
     StopAccepting,
-    /// The giver's state and descriptors go out with the next message.
+    /// Predecessor: attach its state and descriptors to the next message.
     SendState,
-    /// The taker checks its settings, or loads what it got.
+    /// Successor: check its settings.
     CheckSettings,
+    /// Successor: load the state that it was sent.
     LoadState,
-    /// The other process is killed; `PeerDied` follows.
+    /// Kill the other process; `PeerDied` follows.
     KillPeer,
-    /// The old process's jobs run to their end, no new ones come.
+    /// Finish the jobs of this process and take no new ones.
     Drain,
-    /// This process ends.
+    /// End this process.
     Exit(Outcome),
-    /// A step for whoever watches the upgrade.
+    /// Log a step of the upgrade.
     LogStep(&'static str),
 }
--- a/balancer/handover/src/messages.rs
+++ b/balancer/handover/src/messages.rs
@@ -1,116 +1,120 @@
-//! What the two processes say to each other. Maps by field name: a newer side may add fields, which an older one
-//! passes over.
+//! Messages between the two processes. They are encoded as maps keyed by field name, so that an older version can
+//! skip fields that a newer one adds. `#[serde(rename)]` keeps the names that earlier versions send.
 
 use serde::{Deserialize, Serialize};
 
-/// Of this protocol. Two sides agree if each is at least the other's `least`.
+/// Protocol version. Two processes are compatible if the version of each is at least the other's `min_version`.
 pub const VERSION: u32 = 1;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Taker: who it is.
+    /// Successor: its versions and its program.
     Hello {
         version: u32,
         #[serde(rename = "least")]
         min_version: u32,
         program: String,
     },
-    /// Giver: it may go on.
+    /// Predecessor: the versions are compatible, the handover may go on.
     Offer { version: u32 },
-    /// Taker: its settings can be used.
+    /// Successor: its settings are valid.
     Checked,
-    /// Giver: all that passes over; descriptors come with it.
+    /// Predecessor: the state for the successor; descriptors come with it.
     State(State),
-    /// Taker: loaded, able to accept at once.
+    /// Successor: the state is loaded and it can accept at once.
     Ready,
-    /// Giver: it has stopped accepting; the place is the taker's. The ids are the giver's jobs under way; the
-    /// descriptors are those that it holds of inbound connections, which become fewer, and the most that it will hold
-    /// of next hops' from now on.
+    /// Predecessor: it has stopped accepting; the serving role is the successor's. `under_way` has the ids of the
+    /// predecessor's open jobs. `inbound` is the number of descriptors that it holds for inbound connections, which
+    /// only falls from here on; `worker_connections` is the most that it will hold for connections to workers.
     Commit {
         under_way: Vec<String>,
         inbound: usize,
         #[serde(rename = "next_hops")]
         worker_connections: usize,
     },
-    /// Taker: it accepts.
+    /// Successor: it accepts.
     Committed,
-    /// Taker, during probation: what became of its jobs so far.
+    /// Successor, during probation: the results of its jobs so far.
     Report(ProbationReport),
-    /// Giver: probation is over, it drains.
+    /// Predecessor: probation is passed, the predecessor drains.
     Confirm,
-    /// Giver: the place is to come back.
+    /// Predecessor: the successor must return the serving role.
     TakeBack,
-    /// Taker: it has stopped accepting.
+    /// Successor: it has stopped accepting; with the ids of its open jobs.
     GivenBack { under_way: Vec<String> },
-    /// Either: it gives up, before the place has passed.
+    /// Either: it gives up the handover, before the serving role has passed.
     Abort { reason: String },
-    /// A call-back that reached the wrong process, for its owner.
+    /// A worker's call-back that reached the process that does not have the job.
     #[serde(rename = "CallBack")]
     Callback(Callback),
-    /// A job of the giver's has ended: its id is free.
+    /// A job of the sender has ended; its id may be used again.
     #[serde(rename = "Ended")]
     JobEnded { id: String },
-    /// A job has come in at the giver after all, on a connection that it still has.
+    /// The predecessor has got one more job, on a connection that it still has.
     #[serde(rename = "Began")]
     JobStarted { id: String },
-    /// One of its flights has landed: it counts at its worker no more.
+    /// An attempt of the predecessor has ended and no longer counts as in flight at its worker.
     #[serde(rename = "Landed")]
     AttemptEnded { worker: String, job: u64, attempt: usize },
-    /// So many descriptors of inbound connections are left at the giver.
+    /// Number of descriptors that the predecessor still holds for inbound connections.
     #[serde(rename = "Held")]
     InboundLeft { inbound: usize },
-    /// A connection between two requests; its descriptor comes with this message.
+    /// A connection that is idle between two requests; its descriptor comes with this message.
     Connection {
         #[serde(rename = "was")]
         peer: PeerKind,
     },
-    /// Either: an operator's order, for both.
+    /// Either: an operator has disabled (`on`) or enabled a worker; applies to both processes.
     #[serde(rename = "Ban")]
     DisableWorker { id: String, on: bool },
+    /// Either: an operator has started (`on`) or ended the draining of clients; applies to both processes.
     #[serde(rename = "Drain")]
     DrainClients { on: bool },
 }
 
-/// What a connection's peer has proved to be.
+/// What a connection's peer has proved to be by its valid requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerKind {
     #[serde(rename = "Stranger")]
+    /// It has sent no valid request yet.
     Unverified,
+    /// A worker that sends call-backs, or a monitor that reads this program's state.
     Caller,
+    /// It has had a job answered.
     Client,
 }
 
-/// What passes over, by parts that each side may or may not know.
+/// State sent to the successor. A part that one of the versions does not know is skipped or has its default.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct State {
-    /// The transport map, the position of the watch, bans and what the decision module has learnt, in the core's own
-    /// versioned form.
+    /// The core's handover state in its own versioned encoding: the worker list, the position in the discovery
+    /// watch, disabled workers and the learned state of the decision module.
     pub core: Vec<u8>,
-    /// Clients are being sent away.
+    /// Whether an operator has drained this dispatcher: its clients are sent away.
     pub drained: bool,
 }
 
-/// A call-back's body as the next hop sent it.
+/// The body of a call-back, as the worker sent it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Callback {
     pub number: u64,
     pub body: Vec<u8>,
 }
 
-/// The taker's answers since it accepts.
+/// The successor's answers since it started to accept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ProbationReport {
     pub served: u64,
-    /// Errors of its own making; a worker's failure is none.
+    /// Errors that the successor itself caused; failures of a worker do not count.
     pub failed: u64,
 }
 
 impl ProbationReport {
-    /// With fewer answers nothing is judged.
+    /// Fewest answers by which the successor is judged.
     pub const MIN_ANSWERS: u64 = 20;
-    /// Of so many answers one may fail.
+    /// One answer in this many may fail.
     pub const MAX_FAILED_ONE_IN: u64 = 5;
 
     pub fn is_bad(self) -> bool {
@@ -122,8 +126,8 @@
 /// How the handover ended for one process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The new one serves.
+    /// The new process serves.
     HandedOver,
-    /// The old one serves, and why.
+    /// The old process serves; with the reason.
     FellBack(String),
 }
--- a/balancer/handover/src/predecessor.rs
+++ b/balancer/handover/src/predecessor.rs
@@ -1,26 +1,28 @@
-//! The serving process's side. Until the place has been confirmed elsewhere, every failure ends in it serving.
+//! The side of the old process. Until the successor has passed probation, every failure leaves the old process
+//! serving.
 
 use crate::{Action, Event, Limits, Message, Outcome, State, VERSION};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PredecessorPhase {
-    /// The new process has been started; its first word is awaited.
+    /// The new process has been started; its `Hello` is awaited.
     Started,
-    /// It checks its settings.
+    /// The new process checks its settings.
     Offered,
-    /// It loads the state.
+    /// The new process loads the state.
     Loading,
-    /// The baton is down: nobody accepts until the new process says so, or is known not to.
+    /// This process has stopped accepting. Neither process accepts until the new one reports that it does, or this
+    /// one knows that it does not.
     Committing,
     /// The new process accepts and is watched.
     Probation,
-    /// The place is to come back; the new process is asked ...
+    /// The new process has been asked to return the serving role.
     TakingBack,
-    /// ... or has been killed, which is not known to be done yet.
+    /// The new process has been sent a kill; its death is not confirmed yet.
     Killing,
-    /// The new process has it for good; own jobs run to their end.
+    /// The new process has passed probation; this process finishes its own jobs.
     Draining,
-    /// This process serves as before.
+    /// The handover has failed; this process serves as before.
     FellBack,
     Done,
 }
@@ -35,14 +37,14 @@
     reason: String,
     state: State,
     under_way: Vec<String>,
-    /// Descriptors of inbound connections, and of next hops'.
+    /// Descriptors held for inbound connections, and for connections to workers.
     held: (usize, usize),
-    /// Jobs that the new process still has, after the place came back.
+    /// Ids of the jobs that the new process still has after it has returned the serving role.
     peer_jobs: Vec<String>,
 }
 
 impl Predecessor {
-    /// The new process has just been started.
+    /// Starts a handover to a new process that has just been started.
     pub fn new(limits: Limits, state: State, now: f64) -> Self {
         Predecessor {
             phase: Phase::Started,
@@ -60,32 +62,33 @@
         self.phase
     }
 
-    /// This process accepts.
+    /// Whether this process accepts connections.
     pub fn accepts(&self) -> bool {
         matches!(self.phase, Phase::Started | Phase::Offered | Phase::Loading | Phase::FellBack)
     }
 
-    /// When `expire` is due (ms on the caller's clock).
+    /// When [`Predecessor::expire`] is due (ms on the caller's clock).
     pub fn deadline(&self) -> f64 {
         self.deadline
     }
 
-    /// Why the place stayed here.
+    /// Why this process kept the serving role or took it back.
     pub fn reason(&self) -> &str {
         &self.reason
     }
 
-    /// Ids of the jobs that are under way here, to be told with the baton; kept up to date by the shell.
+    /// Sets the ids of this process's open jobs, which are sent in [`Message::Commit`]. The caller keeps them up to
+    /// date.
     pub fn set_under_way(&mut self, ids: Vec<String>) {
         self.under_way = ids;
     }
 
-    /// What is held of descriptors, told with the baton: see [`Message::Commit`].
+    /// Sets the numbers of descriptors that are sent in [`Message::Commit`].
     pub fn set_held(&mut self, inbound: usize, worker_connections: usize) {
         self.held = (inbound, worker_connections);
     }
 
-    /// A job of this id is the new process's: see [`crate::Taker::is_elsewhere`].
+    /// Whether the job with this id is the new process's: see [`crate::Successor::is_peer_job`].
     pub fn is_peer_job(&self, id: &str) -> bool {
         self.peer_jobs.iter().any(|known| known == id)
     }
@@ -106,12 +109,12 @@
         }
     }
 
-    /// A message that does not fit the phase is late or doubled: passed over.
+    /// Handles a message. One that does not fit the phase is late or duplicated, and is ignored.
     fn on_message(&mut self, message: Message, now: f64, out: &mut Vec<Action>) {
         match (self.phase, message) {
             (Phase::Started, Message::Hello { version, min_version, .. }) => {
                 if version < VERSION || min_version > VERSION {
-                    // Nothing has been given away.
+                    // No state has been sent yet, so this process just goes on serving.
                     return self.fail(format!("it speaks version {version}, this one {VERSION}"), now, out);
                 }
                 self.enter(Phase::Offered, self.limits.start, now);
@@ -120,20 +123,20 @@
             }
             (Phase::Offered, Message::Checked) => {
                 self.enter(Phase::Loading, self.limits.load, now);
-                out.push(Action::LogStep("settings checked, state goes over"));
+                out.push(Action::LogStep("settings checked, sending the state"));
                 out.push(Action::SendState);
                 out.push(Action::Send(Message::State(self.state.clone())));
             }
             (Phase::Loading, Message::Ready) => {
                 self.enter(Phase::Committing, self.limits.commit, now);
                 out.push(Action::LogStep("ready, committing"));
-                // Laid down before it is told.
+                // Stop before the message goes out, so that both never accept at the same time.
                 out.push(Action::StopAccepting);
                 let (inbound, worker_connections) = self.held;
                 let under_way = self.under_way.clone();
                 out.push(Action::Send(Message::Commit { under_way, inbound, worker_connections }));
             }
-            // Its word came late, and this process had gone on beside it.
+            // `Committed` came after the time limit, when this process had already started to accept again.
             (Phase::FellBack, Message::Committed) if self.limits.platform_managed => {
                 self.enter(Phase::Probation, self.limits.probation, now);
                 out.push(Action::StopAccepting);
@@ -165,7 +168,7 @@
         }
     }
 
-    /// The step's time is up.
+    /// Handles the end of the current step's time limit.
     pub fn expire(&mut self, now: f64, out: &mut Vec<Action>) {
         match self.phase {
             Phase::Started => self.fail("it did not say who it is in time".to_owned(), now, out),
@@ -174,7 +177,7 @@
             Phase::Committing => self.fail("it did not accept in time".to_owned(), now, out),
             Phase::Probation => {
                 self.enter(Phase::Draining, self.limits.drain, now);
-                out.push(Action::LogStep("proven, draining the old process"));
+                out.push(Action::LogStep("probation passed, draining the old process"));
                 out.push(Action::Send(Message::Confirm));
                 out.push(Action::Drain);
             }
@@ -187,13 +190,14 @@
         }
     }
 
-    /// Something is wrong with the new process.
+    /// Ends the handover after a failure, in the way that the phase needs.
     fn fail(&mut self, reason: String, now: f64, out: &mut Vec<Action>) {
         match self.phase {
             Phase::Started | Phase::Offered | Phase::Loading => {
                 self.reason = reason;
                 out.push(Action::Send(Message::Abort { reason: self.reason.clone() }));
-                // It has no place; but it must not find one when this process dies one day.
+                // The new process does not serve, but left alive it would take the serving role when this process
+                // dies at some later time.
                 if !self.limits.platform_managed {
                     out.push(Action::KillPeer);
                 }
@@ -206,19 +210,20 @@
             Phase::Committing | Phase::Probation => {
                 self.reason = reason;
                 self.enter(Phase::TakingBack, self.limits.take_back, now);
-                out.push(Action::LogStep("taking the place back"));
+                out.push(Action::LogStep("taking the serving role back"));
                 out.push(Action::Send(Message::TakeBack));
             }
             _ => {}
         }
     }
 
-    /// A dead process accepts nothing: wherever the baton was, it is here.
+    /// Handles the death of the new process. It can no longer accept, so this process has the serving role,
+    /// whichever of them had it before.
     fn on_peer_death(&mut self, out: &mut Vec<Action>) {
         self.peer_jobs.clear();
         match self.phase {
             Phase::FellBack | Phase::Done => {}
-            // Also while it drains: better its place than none.
+            // Also while draining: otherwise no process would serve.
             _ => {
                 if self.reason.is_empty() {
                     self.reason = "it ended".to_owned();
@@ -236,13 +241,14 @@
         out.push(Action::LogStep("fell back"));
     }
 
-    /// Before the place has passed, the new process is told to go with it; afterwards this one just drains.
+    /// Handles an order to stop. Before the serving role has passed, the new process is stopped as well; on probation,
+    /// this process confirms it at once and drains.
     fn on_stop(&mut self, now: f64, out: &mut Vec<Action>) {
         match self.phase {
             Phase::Started | Phase::Offered | Phase::Loading => {
                 self.fail("told to stop".to_owned(), now, out)
             }
-            // The new process accepts: it is the one that goes on.
+            // The new process already accepts, so it is the one to go on serving.
             Phase::Probation => self.expire(now, out),
             _ => {}
         }
--- a/balancer/handover/src/successor.rs
+++ b/balancer/handover/src/successor.rs
@@ -1,24 +1,25 @@
-//! The new process's side. It accepts when told that the place is its own, or when the giver is dead; giving up means
-//! ending.
+//! The side of the new process. It accepts when the predecessor passes it the serving role, or when the predecessor is
+//! dead. A successor that gives up exits, except in an upgrade by the platform, where it serves instead.
 
 use crate::{Action, Event, Limits, Message, Outcome, VERSION};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum SuccessorPhase {
-    /// It has said who it is.
+    /// `Hello` is sent; the predecessor's offer is awaited.
     HelloSent,
+    /// It checks its settings.
     Checking,
-    /// Its settings can be used; the state is awaited ...
+    /// Its settings are valid; the predecessor's state is awaited.
     Checked,
-    /// ... and taken in.
+    /// It loads the state.
     Loading,
-    /// It could accept at once.
+    /// The state is loaded; it can accept as soon as it is told to.
     Ready,
     /// It accepts.
     Serving,
-    /// The place went back; its own jobs run to their end.
+    /// It has returned the serving role and finishes its own jobs.
     Draining,
-    /// It has ended, or is about to.
+    /// It has given up; the process ends.
     Exiting,
 }
 
@@ -31,14 +32,14 @@
     phase: Phase,
     limits: Limits,
     deadline: f64,
-    /// Ids that belong to the giver until it says that they have ended.
+    /// Ids of the predecessor's jobs, until it reports their end.
     peer_jobs: Vec<String>,
-    /// Ids of the jobs that are under way here, to be told if the place goes back.
+    /// Ids of this process's open jobs, sent if it has to return the serving role.
     under_way: Vec<String>,
 }
 
 impl Successor {
-    /// It has just started, with the giver's socket.
+    /// Starts the successor's side, on a new connection to the predecessor.
     pub fn new(limits: Limits, program: &str, now: f64, out: &mut Vec<Action>) -> Self {
         out.push(Action::Send(Message::Hello {
             version: VERSION,
@@ -66,7 +67,8 @@
         self.deadline
     }
 
-    /// A job of this id is the giver's: a repeat of it is refused here, a call-back for it is passed on.
+    /// Whether the job with this id is the predecessor's: then a repeat of it is refused here, and a call-back for it
+    /// is passed on to the predecessor.
     pub fn is_peer_job(&self, id: &str) -> bool {
         self.peer_jobs.iter().any(|known| known == id)
     }
@@ -88,15 +90,16 @@
                 out.push(Action::Send(Message::Checked));
             }
             Event::StateLoaded if self.phase == Phase::Loading => {
-                // The giver says what follows; without a word from it the place is not ours, unless the platform
-                // wants both to serve.
+                // The predecessor decides what follows: without a message from it this process must not accept,
+                // unless the platform manages the upgrade; then both may serve.
                 let limit = if self.limits.platform_managed { self.limits.commit } else { f64::INFINITY };
                 self.enter(Phase::Ready, limit, now);
                 out.push(Action::Send(Message::Ready));
             }
             Event::Idle if self.phase == Phase::Draining => self.end(RETURNED_TO_PREDECESSOR.to_owned(), out),
             Event::LocalFailure(reason) if !self.accepts() => self.give_up(reason, out),
-            // Told to stop while it serves it stops as ever: the giver sees it end and takes back or has gone.
+            // A serving successor stops like any other dispatcher: the predecessor sees it end and takes the serving
+            // role back, or has already gone.
             Event::Stop if !self.accepts() => self.give_up("told to stop".to_owned(), out),
             _ => {}
         }
@@ -120,7 +123,7 @@
             (Phase::Serving, Message::JobStarted { id }) => self.peer_jobs.push(id),
             (Phase::Serving, Message::JobEnded { id }) => self.peer_jobs.retain(|known| *known != id),
             (Phase::Ready | Phase::Serving, Message::TakeBack) => {
-                // First it stops, then it says so.
+                // Stop before the message goes out, so that both never accept at the same time.
                 if self.accepts() {
                     out.push(Action::StopAccepting);
                 }
@@ -128,7 +131,7 @@
                 out.push(Action::Send(Message::GivenBack { under_way: self.under_way.clone() }));
                 out.push(Action::Drain);
             }
-            // The word was lost.
+            // A repeated request: the first `GivenBack` was lost.
             (Phase::Draining, Message::TakeBack) => {
                 out.push(Action::Send(Message::GivenBack { under_way: self.under_way.clone() }));
             }
@@ -138,7 +141,7 @@
         }
     }
 
-    /// The step's time is up.
+    /// Handles the end of the current step's time limit.
     pub fn expire(&mut self, _now: f64, out: &mut Vec<Action>) {
         match self.phase {
             Phase::HelloSent | Phase::Checking | Phase::Checked | Phase::Loading => {
@@ -153,7 +156,8 @@
         }
     }
 
-    /// A dead giver accepts nothing. One that was ready takes its place; one that was not cannot.
+    /// Handles the death of the predecessor, which can no longer accept. A successor that has loaded the state serves
+    /// in its stead; an earlier one cannot.
     fn on_peer_death(&mut self, out: &mut Vec<Action>) {
         self.peer_jobs.clear();
         match self.phase {
@@ -177,7 +181,7 @@
 
     fn end(&mut self, reason: String, out: &mut Vec<Action>) {
         if self.limits.platform_managed {
-            // This process has been started to stay.
+            // The platform has started this process to replace the old one: it serves even without a handover.
             if !self.accepts() {
                 self.accept(out);
             }
--- a/balancer/handover/src/wire.rs
+++ b/balancer/handover/src/wire.rs
@@ -1,20 +1,22 @@
-//! Messages as bytes: a length of 4 bytes, big endian, then CBOR (RFC 8949). CBOR and not postcard, because a map
-//! by names lets an older side pass over what a newer one adds; it costs some bytes, a few times an upgrade.
+//! Encoding of messages: a big-endian length of 4 bytes, then CBOR (RFC 8949). CBOR is used rather than postcard
+//! because its maps with named fields let an older version skip fields that a newer one adds. That costs a few more
+//! bytes in a few messages per upgrade.
 
 use crate::Message;
 use std::fmt;
 
-/// The largest message: the state of 10,000 workers at some 200 bytes each, with room.
+/// Largest message (bytes): holds the state of 10,000 workers of some 200 bytes each, with room to spare.
 pub const FRAME_LIMIT: usize = 8 * 1024 * 1024;
+/// Size of the length before each message (bytes).
 const LENGTH_SIZE: usize = 4;
-/// CBOR may nest; nothing of ours does so deeper than this.
+/// Deepest nesting of CBOR values that is accepted; no message of this protocol needs more.
 const MAX_NESTING: usize = 16;
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum WireError {
     /// A length over [`FRAME_LIMIT`].
     TooLarge(usize),
-    /// No message that this version knows.
+    /// Not a message that this version knows.
     Malformed(String),
 }
 
@@ -29,8 +31,10 @@
 
 impl std::error::Error for WireError {}
 
+/// Encodes a message with its length.
+///
 /// # Errors
-/// The message is larger than the other side would take.
+/// The message is larger than [`FRAME_LIMIT`], which the other side would reject.
 pub fn encode(message: &Message) -> Result<Vec<u8>, WireError> {
     let mut bytes = vec![0; LENGTH_SIZE];
     ciborium::into_writer(message, &mut bytes).map_err(|e| WireError::Malformed(e.to_string()))?;
@@ -42,7 +46,7 @@
     Ok(bytes)
 }
 
-/// Messages out of bytes as they come.
+/// Decodes messages from a stream of bytes that may be split anywhere.
 #[derive(Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
@@ -56,7 +60,7 @@
     /// The next whole message, if there is one.
     ///
     /// # Errors
-    /// What has come is none; the connection is of no further use.
+    /// The bytes are not a valid message; the connection cannot be used any further.
     pub fn next_message(&mut self) -> Result<Option<Message>, WireError> {
         let Some(head) = self.buffer.first_chunk::<LENGTH_SIZE>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
--- a/balancer/handover/tests/golden.rs
+++ b/balancer/handover/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Messages of an upgrade, byte for byte as earlier versions send them.
+//! Compares the encoded messages of an upgrade, byte by byte, with what earlier versions send.
 
 use millrudder_handover::{encode, Callback, Decoder, Message, PeerKind, ProbationReport, State};
 use millrudder_testing::golden::Golden;
--- a/balancer/handover/tests/model.rs
+++ b/balancer/handover/tests/model.rs
@@ -1,5 +1,7 @@
-//! Every order of events: messages late, lost, doubled, timers at any time, either side dying, stopping or unable.
-//! In each reachable state at most one process accepts, and from each, once faults end, exactly one of those alive.
+//! Model check of the handover. It searches every order of events: messages late, lost or duplicated, timers at any
+//! time, either process dying, being told to stop or failing locally. In each reachable state at most one process
+//! accepts, and once faults end, exactly one of the living processes does. Only where the platform manages the upgrade
+//! may both accept.
 
 use millrudder_handover::{
     Action, Event, Limits, Message, Predecessor, PredecessorPhase, State, Successor, SuccessorPhase,
@@ -23,15 +25,15 @@
     work: Option<Work>,
     predecessor_listens: bool,
     successor_listens: bool,
-    /// Deaths not yet noticed by the other side, and a kill that is under way.
+    /// Deaths that the other process has not noticed yet, and a kill that has not taken effect yet.
     predecessor_dead: bool,
     successor_dead: bool,
     killing: bool,
-    /// The platform leads.
-    platform: bool,
-    /// Faults still to come.
+    /// Whether the platform manages the upgrade: see [`Limits::platform_managed`].
+    platform_managed: bool,
+    /// How many faults of each kind may still be injected.
     losses: u8,
-    doubles: u8,
+    duplicates: u8,
     deaths: u8,
     stops: u8,
 }
@@ -47,7 +49,7 @@
 );
 
 fn name(message: &Message) -> String {
-    // What a reason says does not matter.
+    // The text of the reason does not affect the state machines; without it fewer states differ.
     match message {
         Message::Abort { .. } => "Abort".to_owned(),
         other => format!("{other:?}"),
@@ -55,17 +57,17 @@
 }
 
 impl World {
-    fn new(losses: u8, doubles: u8, deaths: u8, stops: u8) -> Self {
-        World::led(Limits::default(), losses, doubles, deaths, stops)
+    fn new(losses: u8, duplicates: u8, deaths: u8, stops: u8) -> Self {
+        World::with_limits(Limits::default(), losses, duplicates, deaths, stops)
     }
 
-    fn led(limits: Limits, losses: u8, doubles: u8, deaths: u8, stops: u8) -> Self {
+    fn with_limits(limits: Limits, losses: u8, duplicates: u8, deaths: u8, stops: u8) -> Self {
         let mut predecessor = Predecessor::new(limits, State::default(), 0.0);
         predecessor.set_under_way(vec![JOB.to_owned()]);
         let mut out = Vec::new();
         let successor = Successor::new(limits, "new", 0.0, &mut out);
         let mut world = World {
-            platform: limits.platform_managed,
+            platform_managed: limits.platform_managed,
             predecessor: Some(predecessor),
             successor: Some(successor),
             to_predecessor: Vec::new(),
@@ -77,7 +79,7 @@
             successor_dead: false,
             killing: false,
             losses,
-            doubles,
+            duplicates,
             deaths,
             stops,
         };
@@ -105,7 +107,7 @@
             names(&self.to_successor),
             flags,
             self.work,
-            [self.losses, self.doubles, self.deaths, self.stops],
+            [self.losses, self.duplicates, self.deaths, self.stops],
         )
     }
 
@@ -156,13 +158,17 @@
 
     fn check(&self) {
         let both = self.predecessor_listens && self.successor_listens;
-        assert!(!both || self.platform, "two accept: {:?}", self.key());
-        assert!(!(self.platform && self.killing), "nobody is killed: {:?}", self.key());
+        assert!(!both || self.platform_managed, "both processes accept: {:?}", self.key());
+        assert!(
+            !(self.platform_managed && self.killing),
+            "a process was killed in a platform-managed upgrade: {:?}",
+            self.key()
+        );
     }
 
-    /// After each step: what the machines believe is what the sockets do, and the taker that accepts beside a living
-    /// giver knows whose job is whose.
-    fn check_whole(&self) {
+    /// Checked after each step: `accepts` of each state machine agrees with its modelled listening socket, and a
+    /// successor that accepts beside a living predecessor knows which jobs are the predecessor's.
+    fn check_consistency(&self) {
         self.check();
         assert_eq!(
             self.predecessor.as_ref().is_some_and(Predecessor::accepts),
@@ -179,8 +185,8 @@
         if let (Some(_), Some(successor), false) = (&self.predecessor, &self.successor, self.predecessor_dead)
         {
             assert!(
-                !successor.accepts() || successor.is_peer_job(JOB) || self.platform,
-                "a job with no owner known: {:?}",
+                !successor.accepts() || successor.is_peer_job(JOB) || self.platform_managed,
+                "the successor does not know the owner of a job: {:?}",
                 self.key()
             );
         }
@@ -208,13 +214,13 @@
         next
     }
 
-    fn works(&self, event: Event) -> World {
+    fn finish_work(&self, event: Event) -> World {
         let mut next = self.clone();
         next.work = None;
         next.notify_successor(event)
     }
 
-    /// What comes without any further fault, in some order.
+    /// The states that can follow without a further fault.
     fn progress(&self) -> Vec<World> {
         let mut next = Vec::new();
         for (i, message) in self.to_predecessor.iter().enumerate() {
@@ -228,8 +234,8 @@
             next.push(world.notify_successor(Event::Message(message.clone())));
         }
         match self.work {
-            Some(Work::Check) => next.push(self.works(Event::SettingsChecked)),
-            Some(Work::Load) => next.push(self.works(Event::StateLoaded)),
+            Some(Work::Check) => next.push(self.finish_work(Event::SettingsChecked)),
+            Some(Work::Load) => next.push(self.finish_work(Event::StateLoaded)),
             None => {}
         }
         if self.killing {
@@ -256,7 +262,7 @@
         next
     }
 
-    /// Timers may come at any time.
+    /// The states that follow if a timer expires now; timers may expire at any time.
     fn timers(&self) -> Vec<World> {
         let mut next = Vec::new();
         if self.predecessor.as_ref().is_some_and(|g| g.deadline().is_finite()) {
@@ -293,15 +299,15 @@
                 w.to_successor.remove(i);
             }));
         }
-        for i in (0..self.to_predecessor.len()).filter(|_| self.doubles > 0) {
+        for i in (0..self.to_predecessor.len()).filter(|_| self.duplicates > 0) {
             next.push(change(&|w| {
-                w.doubles -= 1;
+                w.duplicates -= 1;
                 w.to_predecessor.push(w.to_predecessor[i].clone());
             }));
         }
-        for i in (0..self.to_successor.len()).filter(|_| self.doubles > 0) {
+        for i in (0..self.to_successor.len()).filter(|_| self.duplicates > 0) {
             next.push(change(&|w| {
-                w.doubles -= 1;
+                w.duplicates -= 1;
                 w.to_successor.push(w.to_successor[i].clone());
             }));
         }
@@ -321,12 +327,12 @@
             next.push(world.notify_successor(Event::Stop));
         }
         if self.work.is_some() {
-            next.push(self.works(Event::LocalFailure("no memory".to_owned())));
+            next.push(self.finish_work(Event::LocalFailure("no memory".to_owned())));
         }
         next
     }
 
-    /// Once faults end: everything on its way arrives, then timers run out, until nothing changes.
+    /// Runs without further faults until nothing changes: delivers all messages first, then lets timers expire.
     fn settle(mut self) -> World {
         for _ in 0..200 {
             let next = self.progress().into_iter().next().or_else(|| self.timers().into_iter().next());
@@ -335,20 +341,20 @@
                 None => return self,
             }
         }
-        panic!("it does not come to rest: {:?}", self.key());
+        panic!("does not settle: {:?}", self.key());
     }
 }
 
-/// Searches everything reachable; gives how many states that are.
+/// Searches all reachable states. Returns their number, and how often each outcome was reached.
 fn search(start: World) -> (usize, BTreeMap<&'static str, usize>) {
     let (mut seen, mut queue) = (HashSet::from([start.key()]), VecDeque::from([start]));
     let mut ends = BTreeMap::new();
     while let Some(world) = queue.pop_front() {
-        world.check_whole();
+        world.check_consistency();
         let end = world.clone().settle();
         let alive = usize::from(end.predecessor.is_some()) + usize::from(end.successor.is_some());
         let listening = usize::from(end.predecessor_listens) + usize::from(end.successor_listens);
-        let right = listening == alive.min(1) || world.platform && listening == alive;
+        let right = listening == alive.min(1) || world.platform_managed && listening == alive;
         assert!(right, "{:?} ends as {:?}", world.key(), end.key());
         *ends
             .entry(match (end.predecessor_listens, end.successor_listens) {
@@ -380,14 +386,14 @@
 }
 
 #[test]
-fn without_faults_the_place_passes_and_only_then_the_old_one_ends() {
+fn without_faults_the_serving_role_passes_and_only_then_the_old_one_ends() {
     let mut world = World::new(0, 0, 0, 0);
     while let Some(next) = world.progress().into_iter().next() {
         world = next;
     }
     let predecessor = world.predecessor.as_ref().unwrap();
     assert_eq!((predecessor.phase(), world.successor_listens), (PredecessorPhase::Probation, true));
-    // A taker that answers with errors of its own does not pass probation.
+    // A successor whose own errors are too many fails probation.
     let bad = millrudder_handover::ProbationReport { served: 10, failed: 10 };
     let back = world.notify_predecessor(Event::Message(Message::Report(bad))).settle();
     assert!(back.predecessor_listens && back.predecessor.unwrap().reason().contains("10 of its first 20"));
@@ -399,17 +405,17 @@
 fn under_the_platform_each_process_alive_serves_in_the_end_and_the_new_one_never_ends_by_itself() {
     let limits = Limits::platform();
     for world in [(2, 1, 0, 0), (1, 0, 1, 1)] {
-        let (states, ends) = search(World::led(limits, world.0, world.1, world.2, world.3));
+        let (states, ends) = search(World::with_limits(limits, world.0, world.1, world.2, world.3));
         assert!(states > 300, "{states} {ends:?}");
     }
-    let end = World::led(limits, 0, 0, 0, 0).settle();
-    assert!(end.predecessor.is_none() && end.successor_listens, "without faults the place passes");
-    let mut silent = World::led(limits, 0, 0, 0, 0);
+    let end = World::with_limits(limits, 0, 0, 0, 0).settle();
+    assert!(end.predecessor.is_none() && end.successor_listens, "without faults the serving role passes");
+    let mut silent = World::with_limits(limits, 0, 0, 0, 0);
     silent.to_predecessor.clear();
     silent.predecessor_dies();
     silent.predecessor_dead = false;
     let alone = silent.settle();
-    assert!(alone.successor_listens, "a predecessor that says nothing leaves the new one alone");
+    assert!(alone.successor_listens, "the new process must serve if the predecessor sends nothing");
 }
 
 #[test]
@@ -426,7 +432,7 @@
         );
         assert!(!out.iter().any(|a| matches!(a, Action::SendState | Action::StopAccepting)));
     }
-    // A newer one that still speaks ours is let in.
+    // A newer version that still supports this one is accepted.
     let mut predecessor = Predecessor::new(Limits::default(), State::default(), 0.0);
     let hello = Message::Hello { version: 9, min_version: 1, program: "x".to_owned() };
     predecessor.handle(Event::Message(hello), 1.0, &mut Vec::new());
@@ -474,7 +480,7 @@
         let able = world.successor.as_ref().is_some_and(|successor| ready.contains(&successor.phase()));
         let mut without_old = world.clone();
         without_old.predecessor_dies();
-        // With the state on its way it may yet get there, too.
+        // A successor that is not ready yet may still get the state if its message is already on the way.
         assert!(without_old.settle().successor_listens || !able, "the old one died: {:?}", world.key());
         steps += 1;
         match world.progress().into_iter().next().or_else(|| world.timers().into_iter().next()) {
