--- a/balancer/dispatcher/tests/upgrade/mod.rs
+++ b/balancer/dispatcher/tests/upgrade/mod.rs
@@ -398,13 +398,13 @@
     let (old, _) = platform.start_ready();
     let (new, second) = platform.start_ready();
     drop(old);
-    assert!(new.log_shows("the old process has ended"));
+    assert!(new.log_shows("the predecessor has ended"));
     assert_eq!(call(second, "READY"), "ok\n");
     serves(&platform, &hop, "d1");
     // And a new one that dies leaves the old one serving.
     let (newer, _) = platform.start_ready();
     drop(newer);
-    assert!(new.log_shows("the successor has gone"));
+    assert!(new.log_shows("the connection to the successor has ended"));
     serves(&platform, &hop, "d2");
 }
 
--- a/balancer/upgrade/src/lib.rs
+++ b/balancer/upgrade/src/lib.rs
@@ -1,9 +1,9 @@
-//! A new version under load: the new process finds the old one by a socket, takes over what it knows and what it holds,
-//! and says that it serves only then.
+//! Upgrade under load: a new process (the successor) finds the old one (the predecessor) by a Unix socket, takes over
+//! its state and connections, and reports that it serves only after that.
 //!
-//! The two sides are package `handover`'s state machines; `giver` and `taker` carry out what they say, `link` carries
-//! messages and descriptors. Fronts and core are reached through the exchange and its `PeerProcess`. Whatever goes wrong
-//! here ends in each process that is alive serving.
+//! The state machines of the two sides are in package `handover`; `predecessor` and `successor` carry out their
+//! actions, and `link` transports messages and file descriptors. The fronts and the core are reached through the
+//! exchange and its `PeerProcess`. After any failure here, each process that is alive serves.
 
 mod link;
 mod predecessor;
@@ -23,31 +23,32 @@
 use std::time::Duration;
 pub use successor::{find_predecessor, PredecessorSession};
 
-/// How often what is to go over is looked for, while another process is there.
+/// How often the queue of transfers and the link are checked while the other process is connected.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The front whose connections go over.
+/// The front whose connections are passed between the processes.
 pub trait Front: Send + Sync {
-    /// A connection between two requests.
+    /// Takes over a connection that is idle between two requests.
     fn adopt(&self, stream: TcpStream, standing: PeerRole);
-    /// A call-back that reached the other process.
+    /// Handles a call-back that reached the other process.
     fn take_news(&self, body: &[u8]);
-    /// Descriptors held by inbound connections.
+    /// Number of descriptors that this front holds for inbound connections.
     fn inbound(&self) -> usize;
 }
 
-/// What both sides act on.
+/// The parts of the dispatcher that an upgrade acts on.
 #[derive(Clone)]
 pub struct UpgradeContext {
     pub core: Core,
     pub front: Arc<dyn Front>,
+    /// The socket on which this process waits for its successor.
     pub path: PathBuf,
 }
 
-/// Waits for successors on a thread of its own for as long as the program runs.
+/// Starts a thread that waits for successors for as long as the program runs.
 ///
 /// # Errors
-/// The socket cannot be made.
+/// The socket or the thread cannot be created.
 pub fn await_successors(context: UpgradeContext) -> io::Result<()> {
     let listener = listen(&context.path)?;
     let run = move || predecessor::run(&listener, &context);
@@ -55,7 +56,8 @@
     Ok(())
 }
 
-/// Takes the name over from whoever had it: who comes later finds this process.
+/// Listens under a temporary name, then renames that over `path`: later processes find this one rather than the one
+/// that listened there before.
 fn listen(path: &Path) -> io::Result<UnixListener> {
     let own = path.with_extension(std::process::id().to_string());
     let _ = std::fs::remove_file(&own);
@@ -73,7 +75,7 @@
         &self.core.log
     }
 
-    /// Sends what waits to go over.
+    /// Sends all queued transfers to the other process.
     fn send_transfers(&self, link: &Link, is_predecessor: bool) -> io::Result<()> {
         while let Some(transfer) = self.peer_process().take() {
             match transfer {
@@ -89,7 +91,7 @@
                     link.send(&Message::DisableWorker { id, on: false }, None)?
                 }
                 Transfer::Drain(on) => link.send(&Message::DrainClients { on }, None)?,
-                // Only the one that ends tells of its jobs.
+                // Only the predecessor, which is to end, reports its jobs.
                 _ if !is_predecessor => {}
                 Transfer::Began(id) => link.send(&Message::JobStarted { id }, None)?,
                 Transfer::Ended(id) => link.send(&Message::JobEnded { id }, None)?,
@@ -101,7 +103,7 @@
         Ok(())
     }
 
-    /// Acts on what either side may say at any time; gives back what is the state machine's.
+    /// Handles the messages that either side may send at any time; returns any other, which is for the state machine.
     fn apply(&self, received: Received) -> Option<Message> {
         match received {
             (Message::Connection { peer }, Some(descriptor)) => {
@@ -111,7 +113,8 @@
             (Message::Connection { .. }, None) => {}
             (Message::Callback(call), _) => self.front.take_news(&call.body),
             (Message::DisableWorker { id, on }, _) => {
-                // OrderResult out before any job that waits; an id unknown here has no worker here.
+                // The order is carried out before any queued job. Its result is dropped: this process may not know a
+                // worker with this id.
                 let order = if on { Order::Disable(id) } else { Order::Enable(id) };
                 drop(self.core.exchange.order(order));
             }
@@ -128,7 +131,7 @@
         None
     }
 
-    /// The other process is gone.
+    /// Closes the transfers and tells the core that the other process has ended.
     fn on_peer_gone(&self) {
         self.peer_process().close();
         self.core.exchange.ask(PeerRequest::Gone);
--- a/balancer/upgrade/src/link.rs
+++ b/balancer/upgrade/src/link.rs
@@ -1,4 +1,5 @@
-//! A Unix socket between the two processes: messages of package `handover`, descriptors beside them.
+//! The Unix socket between the two processes. It carries messages of package `handover`, and file descriptors with
+//! some of them.
 
 use millrudder_handover::{encode, Decoder, Message};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -15,10 +16,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A peer that takes nothing for so long is as good as gone.
+/// Longest wait for room in the socket; a peer that reads nothing for this long is treated as gone.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
-/// Descriptors that have come without their messages; one a message, and messages come in order.
+/// Most descriptors that may wait for their messages. Each such message has one, and messages arrive in order.
 const MAX_PENDING_DESCRIPTORS: usize = 64;
+/// Most bytes read from the socket at once.
 const READ_SIZE: usize = 64 * 1024;
 
 pub struct Link {
@@ -27,7 +29,7 @@
     descriptors: VecDeque<OwnedFd>,
 }
 
-/// A message, and the descriptor that belongs to it.
+/// A message, and the descriptor that came with it.
 pub type Received = (Message, Option<OwnedFd>);
 
 impl Link {
@@ -40,8 +42,10 @@
         Link::new(UnixStream::connect(path)?)
     }
 
+    /// Sends a message, with a descriptor if one is given.
+    ///
     /// # Errors
-    /// The other process is gone, or takes nothing.
+    /// The other process is gone, or has read nothing for [`SEND_TIMEOUT`].
     pub fn send(&self, message: &Message, descriptor: Option<BorrowedFd>) -> io::Result<()> {
         let bytes = encode(message).map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?;
         let (mut left, mut descriptor) = (bytes.as_slice(), descriptor);
@@ -55,7 +59,7 @@
             }
             let flags = SendFlags::NOSIGNAL | SendFlags::DONTWAIT;
             match sendmsg(&self.stream, &[IoSlice::new(left)], &mut control, flags) {
-                // A descriptor goes with the first byte of its message.
+                // The descriptor went with the first bytes; the rest of the message goes without it.
                 Ok(n) => (left, descriptor) = (&left[n..], None),
                 Err(Errno::INTR) => {}
                 Err(Errno::AGAIN) if Instant::now() < end => self.wait(PollFlags::OUT, SEND_TIMEOUT),
@@ -66,10 +70,10 @@
         Ok(())
     }
 
-    /// What has come, after waiting for it for so long at most.
+    /// Returns the messages that have come; waits for `wait` at most if there are none.
     ///
     /// # Errors
-    /// The other process is gone, or says what is no message.
+    /// The other process is gone, or sent something that is not a message.
     pub fn receive(&mut self, wait: Duration) -> io::Result<Vec<Received>> {
         self.wait(PollFlags::IN, wait);
         let mut part = vec![0; READ_SIZE];
@@ -117,11 +121,12 @@
 
     fn wait(&self, what: PollFlags, time: Duration) {
         let time = Timespec { tv_sec: time.as_secs() as i64, tv_nsec: time.subsec_nanos().into() };
-        // An error here is an interruption: the call that follows finds out what there is.
+        // An error of `poll` needs no handling, it is an interruption: the caller's next read or write finds out the
+        // state of the socket.
         let _ = poll(&mut [PollFd::new(&self.stream, what)], Some(&time));
     }
 
-    /// The other process's user.
+    /// Whether the other process runs as the same user as this one.
     pub fn is_same_user(&self) -> bool {
         let peer = rustix::net::sockopt::socket_peercred(self.stream.as_fd());
         peer.is_ok_and(|peer| peer.uid == rustix::process::geteuid())
--- a/balancer/upgrade/src/predecessor.rs
+++ b/balancer/upgrade/src/predecessor.rs
@@ -1,4 +1,4 @@
-//! The serving process's side: one successor after another.
+//! The side of the old process: serves successors one after another.
 
 use crate::{Link, UpgradeContext, POLL_INTERVAL};
 use millrudder_exchange::clock::span;
@@ -9,11 +9,11 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// For a successor's first word; what connects and says nothing must not keep the next one out.
+/// Longest wait for a successor's `Hello`: a client that connects and sends nothing must not block the next successor.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
-/// For the core to write out what it knows.
+/// Longest wait for an answer of the core: its handover state, or its open jobs.
 const EXPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// After a failed accept (no descriptor is free, say) the next try waits: retrying at once would spin.
+/// Delay after a failed accept, for example if no descriptor is free; retrying at once would spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 pub fn run(listener: &UnixListener, context: &UpgradeContext) {
@@ -29,7 +29,7 @@
         match Session::begin(link, context) {
             Ok(session) => session.run(),
             Err(error) => {
-                slog::warn!(context.log(), "upgrade: no successor after all"; "why" => %error);
+                slog::warn!(context.log(), "upgrade: handover to a connected process failed to start"; "why" => %error);
                 context.on_peer_gone();
             }
         }
@@ -40,7 +40,7 @@
     link: Link,
     predecessor: Predecessor,
     context: &'a UpgradeContext,
-    /// Told last of the connections that are left here.
+    /// Number of inbound connections that was reported to the successor last.
     reported_inbound: usize,
 }
 
@@ -53,7 +53,7 @@
         let Some((hello @ Message::Hello { .. }, _)) = received.into_iter().next() else {
             return Err(ErrorKind::TimedOut.into());
         };
-        // Before the state is written out: what happens from then on goes over too.
+        // Open the transfers before the state is exported, so that later changes reach the successor too.
         context.peer_process().open();
         let (give, given) = channel();
         context.core.exchange.ask(PeerRequest::Export(give));
@@ -71,15 +71,16 @@
     }
 
     fn run(mut self) {
-        slog::info!(self.context.log(), "upgrade: a successor has come");
+        slog::info!(self.context.log(), "upgrade: a successor has connected");
         while self.turn().is_ok() {}
-        // A dead process accepts nothing; whatever it had been given goes with it.
+        // A dead process accepts nothing; what had been passed to it is lost with it.
         let _ = self.handle(Event::PeerDied);
         self.context.on_peer_gone();
-        // Also where the machine never saw the place laid down: between this process's word and its own.
+        // Needed also if this process stopped accepting before its state machine knew of it: `stop_accepting` may have
+        // failed before the machine handled `Ready`.
         self.context.peer_process().accept(true);
         self.context.core.stopping.succeed(false);
-        slog::warn!(self.context.log(), "upgrade: the successor has gone"; "why" => self.predecessor.reason());
+        slog::warn!(self.context.log(), "upgrade: the connection to the successor has ended"; "why" => self.predecessor.reason());
     }
 
     fn turn(&mut self) -> io::Result<()> {
@@ -108,7 +109,8 @@
         Ok(())
     }
 
-    /// Before the baton is said to be down: nothing more is accepted, so what is held from here on only becomes less.
+    /// Stops accepting, and then reads the numbers for [`Message::Commit`]: as nothing more is accepted, the number of
+    /// inbound connections only falls from here on.
     fn stop_accepting(&mut self) -> io::Result<()> {
         self.context.peer_process().accept(false);
         let (give, given) = channel();
@@ -142,13 +144,14 @@
                     peer_process.take_connections(false);
                     self.context.core.stopping.succeed(false);
                 }
-                // The platform has said so already, or it says it in a moment.
+                // The platform sends this process a stop too; it has done so already, or will in a moment.
                 Action::Drain => self.context.core.exchange.put(Inbound::Stop),
                 Action::LogStep(step) => slog::info!(self.context.log(), "upgrade: {}", step),
                 _ => {}
             }
         }
-        // The new process accepts: connections go there, and this one ends when it has none and owes nothing.
+        // The new process accepts: connections are passed to it, and this process ends once it has no connections and
+        // no unanswered jobs left.
         if matches!(self.predecessor.phase(), PredecessorPhase::Probation | PredecessorPhase::Draining) {
             peer_process.take_connections(true);
             self.context.core.stopping.succeed(true);
@@ -157,7 +160,7 @@
     }
 }
 
-/// What still waits to go over gets its time when this process ends.
+/// Gives queued transfers up to `limit_ms` to be sent before this process ends.
 pub fn flush_transfers(context: &UpgradeContext, limit_ms: f64) {
     let end = Instant::now() + span(limit_ms);
     while !context.peer_process().is_empty() && Instant::now() < end {
--- a/balancer/upgrade/src/predecessor/tests.rs
+++ b/balancer/upgrade/src/predecessor/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `giver`.
+//! Unit tests of `predecessor`.
 
 use super::*;
 use crate::Front;
@@ -41,8 +41,9 @@
 }
 
 #[test]
-fn a_place_laid_down_before_the_core_failed_to_answer_is_taken_up_again() {
-    // Nobody would have accepted from then on: the machine had not seen its place laid down.
+fn accepting_resumes_if_the_core_does_not_answer_during_a_handover() {
+    // The core fails to answer after the process has stopped accepting, before the state machine knows of that.
+    // Without a reset no process would accept any more.
     let (context, inbox) = context();
     let (here, there) = UnixStream::pair().unwrap();
     let here = Link::new(here).unwrap();
@@ -51,7 +52,7 @@
     let session = std::thread::spawn(move || Session::begin(here, &session_context).unwrap().run());
     let hello = Message::Hello { version: VERSION, min_version: VERSION, program: "test".to_owned() };
     there.send(&hello, None).unwrap();
-    let mut parked = false;
+    let mut stopped_accepting = false;
     while let Ok(message) = inbox.recv_timeout(Duration::from_secs(60)) {
         match message {
             Inbound::PeerRequest(PeerRequest::Export(give)) => {
@@ -59,12 +60,14 @@
                 there.send(&Message::Checked, None).unwrap();
                 there.send(&Message::Ready, None).unwrap();
             }
-            // The core is stuck: what it was asked for is dropped.
-            Inbound::PeerRequest(PeerRequest::UnderWay(_)) => parked = !context.core.peer_process.accepts(),
+            // The core is stuck: the request is dropped without an answer.
+            Inbound::PeerRequest(PeerRequest::UnderWay(_)) => {
+                stopped_accepting = !context.core.peer_process.accepts()
+            }
             Inbound::PeerRequest(PeerRequest::Gone) => break,
             _ => {}
         }
     }
     session.join().unwrap();
-    assert!(parked && context.core.peer_process.accepts());
+    assert!(stopped_accepting && context.core.peer_process.accepts());
 }
--- a/balancer/upgrade/src/successor.rs
+++ b/balancer/upgrade/src/successor.rs
@@ -1,4 +1,4 @@
-//! The new process's side.
+//! The side of the new process.
 
 use crate::{listen, predecessor, Link, Received, UpgradeContext, POLL_INTERVAL};
 use millrudder_exchange::clock::{span, Clock};
@@ -8,28 +8,30 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// In all, until the old process has given its state: it may still be busy with its own predecessor.
+/// Longest wait for the state of the old process (ms), over all steps: the old process may still be busy with its own
+/// predecessor.
 const STATE_TIMEOUT_MS: f64 = 4_000.0;
 
-/// An old process that has told what it knows.
+/// A connection to a predecessor that has sent its state.
 pub struct PredecessorSession {
     link: Link,
     successor: Successor,
     pub state: State,
-    /// What happened at the old process since, to be acted on once its state is loaded.
+    /// Messages that came after the state, to be handled once it is loaded.
     buffered: Vec<Received>,
 }
 
-/// Looks for an old process; none: this one is alone. It blocks: before anything runs that must not.
+/// Connects to the predecessor and gets its state. Returns `None` if there is none or it does not send its state; then
+/// this process serves without a handover. It blocks, so it must be called before anything that must not be blocked.
 pub fn find_predecessor(path: &Path, clock: Clock, log: &Logger) -> Option<PredecessorSession> {
     let link = match Link::connect(path) {
         Ok(link) if link.is_same_user() => link,
         Ok(_) => {
-            slog::warn!(log, "upgrade: the process found belongs to another user");
+            slog::warn!(log, "upgrade: the process at the socket belongs to another user, not taking over");
             return None;
         }
         Err(error) => {
-            slog::info!(log, "upgrade: no old process"; "why" => %error);
+            slog::info!(log, "upgrade: no predecessor found"; "why" => %error);
             return None;
         }
     };
@@ -39,20 +41,20 @@
     match request_state(link, successor, out, clock) {
         Ok(session) => Some(session),
         Err(why) => {
-            slog::warn!(log, "upgrade: the old process gives nothing, serving beside it"; "why" => %why);
+            slog::warn!(log, "upgrade: the predecessor has sent no state, serving beside it"; "why" => %why);
             None
         }
     }
 }
 
-/// Why an old process that was found gives nothing.
+/// Why a predecessor that was found has sent no state.
 #[derive(Debug, Error)]
 enum HandoverError {
     #[error(transparent)]
     Link(#[from] std::io::Error),
-    #[error("no state")]
+    #[error("the predecessor ended the handover before it sent its state")]
     NoState,
-    #[error("it did not answer in time")]
+    #[error("the predecessor did not answer in time")]
     TimedOut,
 }
 
@@ -67,7 +69,7 @@
         for action in std::mem::take(&mut out) {
             match action {
                 Action::Send(message) => link.send(&message, None)?,
-                // It was read and checked before anybody was looked for.
+                // The settings were read and checked before this process looked for a predecessor.
                 Action::CheckSettings => successor.handle(Event::SettingsChecked, clock.now(), &mut out),
                 Action::LoadState => {
                     let state = state.take().ok_or(HandoverError::NoState)?;
@@ -99,11 +101,11 @@
 }
 
 impl PredecessorSession {
-    /// What was given is loaded: takes the place over, on a thread of its own, and waits for successors afterwards.
-    /// Until then this process does not accept.
+    /// Takes the serving role over on a thread of its own, which later waits for successors. Called once the state is
+    /// loaded. This process does not accept until it has the serving role.
     ///
     /// # Errors
-    /// There is no thread to be had.
+    /// The thread cannot be started.
     pub fn take_over(self, context: UpgradeContext) -> std::io::Result<()> {
         context.peer_process().accept(false);
         context.peer_process().open();
@@ -135,14 +137,14 @@
                 break;
             }
         }
-        slog::info!(context.log(), "upgrade: the old process has ended");
+        slog::info!(context.log(), "upgrade: the predecessor has ended");
         context.on_peer_gone();
         if let Some(listener) = listener {
             predecessor::run(&listener, context);
         }
     }
 
-    /// One look at the link; an error: the old process is gone.
+    /// Handles received messages and sends queued transfers. An error means that the old process is gone.
     fn turn(&mut self, context: &UpgradeContext, out: &mut Vec<Action>) -> std::io::Result<()> {
         let wait = if out.is_empty() { POLL_INTERVAL } else { Duration::ZERO };
         for received in self.link.receive(wait)? {
@@ -170,7 +172,7 @@
             match action {
                 Action::Send(message) => self.link.send(&message, None)?,
                 Action::Accept => {
-                    slog::info!(context.log(), "upgrade: this process accepts");
+                    slog::info!(context.log(), "upgrade: this process now accepts connections");
                     context.peer_process().accept(true);
                     context.core.now_serves();
                 }
