--- a/balancer/dispatcher/src/check.rs
+++ b/balancer/dispatcher/src/check.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 /// Something cannot be used.
-const BAD: u8 = 2;
+const EXIT_BAD_CONFIGURATION: u8 = 2;
 
 pub fn run(files: &Files) -> ExitCode {
     let mut bad = false;
@@ -48,5 +48,5 @@
             bad = true;
         }
     }
-    ExitCode::from(if bad { BAD } else { 0 })
+    ExitCode::from(if bad { EXIT_BAD_CONFIGURATION } else { 0 })
 }
--- a/balancer/dispatcher/src/demo.rs
+++ b/balancer/dispatcher/src/demo.rs
@@ -16,9 +16,9 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
-const LIVE_EVERY: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// For the figures, once the dispatcher has ended.
-const LAST_FIGURES: Duration = Duration::from_secs(5);
+const SUMMARY_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub fn run(demo: &Demo) -> ExitCode {
     match start(demo) {
@@ -52,16 +52,16 @@
         "operators {}  (READY, DISABLE ID, ENABLE ID, DRAIN, UNDRAIN; one line a connection)",
         demo.operators
     );
-    let over = Arc::new(AtomicBool::new(false));
-    let (live, lived) = (Live::new(demo, fleet.handle(), over.clone()), mpsc::channel());
+    let stopped = Arc::new(AtomicBool::new(false));
+    let (load_run, summary_channel) = (LoadRun::new(demo, fleet.handle(), stopped.clone()), mpsc::channel());
     let setup = Setup { config, settings, files: None, signals, threshold, counters, log };
     let outcome = serve::serve(setup, |exchange| {
         let exchange = exchange.clone();
-        std::thread::spawn(move || drop(lived.0.send(live.run(&exchange))));
+        std::thread::spawn(move || drop(summary_channel.0.send(load_run.run(&exchange))));
     });
-    over.store(true, Ordering::Release);
+    stopped.store(true, Ordering::Release);
     outcome?;
-    if let Ok(summary) = lived.1.recv_timeout(LAST_FIGURES) {
+    if let Ok(summary) = summary_channel.1.recv_timeout(SUMMARY_TIMEOUT) {
         summary.print(&fleet);
     }
     drop(guard);
@@ -69,13 +69,13 @@
 }
 
 /// The load and the figures while it runs.
-struct Live {
+struct LoadRun {
     runtime: tokio::runtime::Handle,
     kinds: Vec<Kind>,
     rate: f64,
     seed: u64,
     until: Option<Duration>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 struct Summary(Vec<(&'static str, Seen)>);
@@ -87,15 +87,15 @@
     }
 }
 
-impl Live {
-    fn new(demo: &Demo, runtime: tokio::runtime::Handle, over: Arc<AtomicBool>) -> Self {
-        Live {
+impl LoadRun {
+    fn new(demo: &Demo, runtime: tokio::runtime::Handle, stopped: Arc<AtomicBool>) -> Self {
+        LoadRun {
             runtime,
             kinds: vec![Kind::new(Protocol::Http, demo.http, "h"), Kind::new(Protocol::Grpc, demo.grpc, "g")],
             rate: demo.rate / 2.0,
             seed: demo.seed,
             until: (demo.seconds > 0).then(|| Duration::from_secs(demo.seconds)),
-            over,
+            stopped,
         }
     }
 
@@ -111,13 +111,14 @@
             }
             _ => Vec::new(),
         };
-        let mut next = began + LIVE_EVERY;
+        let mut next = began + REPORT_INTERVAL;
         let mut before = vec![0; loads.len()];
-        while !self.over.load(Ordering::Acquire) && self.until.is_none_or(|until| began.elapsed() < until) {
+        while !self.stopped.load(Ordering::Acquire) && self.until.is_none_or(|until| began.elapsed() < until)
+        {
             std::thread::sleep(Duration::from_millis(20));
             if Instant::now() >= next && !loads.is_empty() {
-                next += LIVE_EVERY;
-                print_live(&loads, &mut before, began.elapsed());
+                next += REPORT_INTERVAL;
+                print_rates(&loads, &mut before, began.elapsed());
             }
         }
         for (_, load) in &loads {
@@ -128,7 +129,7 @@
     }
 }
 
-fn print_live(loads: &[(&'static str, Load)], before: &mut [u64], at: Duration) {
+fn print_rates(loads: &[(&'static str, Load)], before: &mut [u64], at: Duration) {
     let parts = loads.iter().zip(before).map(|((name, load), before)| {
         let seen = load.seen();
         let rate = seen.served - std::mem::replace(before, seen.served);
--- a/balancer/dispatcher/src/logging.rs
+++ b/balancer/dispatcher/src/logging.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-const QUEUE: usize = 512;
+const QUEUE_RECORDS: usize = 512;
 
 /// Which events are written; can be turned while running.
 #[derive(Clone)]
@@ -16,15 +16,15 @@
 
 impl Threshold {
     fn new(level: LogLevel) -> Self {
-        Threshold(Arc::new(AtomicUsize::new(of(level).as_usize())))
+        Threshold(Arc::new(AtomicUsize::new(slog_level(level).as_usize())))
     }
 
     pub fn set(&self, level: LogLevel) {
-        self.0.store(of(level).as_usize(), Ordering::Relaxed);
+        self.0.store(slog_level(level).as_usize(), Ordering::Relaxed);
     }
 }
 
-fn of(level: LogLevel) -> Level {
+fn slog_level(level: LogLevel) -> Level {
     match level {
         LogLevel::Error => Level::Error,
         LogLevel::Warning => Level::Warning,
@@ -33,12 +33,12 @@
     }
 }
 
-struct Above<D> {
+struct ThresholdFilter<D> {
     drain: D,
     threshold: Threshold,
 }
 
-impl<D: Drain<Ok = (), Err = Never>> Drain for Above<D> {
+impl<D: Drain<Ok = (), Err = Never>> Drain for ThresholdFilter<D> {
     type Ok = ();
     type Err = Never;
 
@@ -55,24 +55,24 @@
     match log.format {
         LogFormat::Text => {
             let decorator = slog_term::PlainSyncDecorator::new(std::io::stderr());
-            queued(slog_term::FullFormat::new(decorator).build().fuse(), log.level)
+            asynchronous(slog_term::FullFormat::new(decorator).build().fuse(), log.level)
         }
         LogFormat::Json => {
             let drain = slog_json::Json::new(std::io::stderr()).add_default_keys().build();
-            queued(Mutex::new(drain).fuse(), log.level)
+            asynchronous(Mutex::new(drain).fuse(), log.level)
         }
     }
 }
 
-fn queued<D>(drain: D, level: LogLevel) -> (Logger, slog_async::AsyncGuard, Threshold)
+fn asynchronous<D>(drain: D, level: LogLevel) -> (Logger, slog_async::AsyncGuard, Threshold)
 where
     D: SendSyncRefUnwindSafeDrain<Ok = (), Err = Never> + Send + 'static,
 {
     let threshold = Threshold::new(level);
     let (drain, guard) = slog_async::Async::new(drain)
-        .chan_size(QUEUE)
+        .chan_size(QUEUE_RECORDS)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
-    let above = Above { drain: Mutex::new(drain).fuse(), threshold: threshold.clone() };
-    (Logger::root(above, slog::o!()), guard, threshold)
+    let filter = ThresholdFilter { drain: Mutex::new(drain).fuse(), threshold: threshold.clone() };
+    (Logger::root(filter, slog::o!()), guard, threshold)
 }
--- a/balancer/dispatcher/src/main.rs
+++ b/balancer/dispatcher/src/main.rs
@@ -26,9 +26,10 @@
 
 fn main() -> ExitCode {
     // As the platform starts it there is nothing to parse: the parser's pages stay untouched, 0.5 MB of memory.
-    let bare =
+    let without_arguments =
         std::env::args_os().len() == 1 && std::env::var_os(millrudder_config::settings::VARIABLE).is_none();
-    let cli = if bare { Cli { files: Files { settings: None }, command: None } } else { Cli::parse() };
+    let cli =
+        if without_arguments { Cli { files: Files { settings: None }, command: None } } else { Cli::parse() };
     match cli.command {
         None | Some(Command::Serve) => serve_files(&cli.files),
         Some(Command::Status(status)) => status::run(&status),
--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -27,13 +27,13 @@
 use std::sync::Arc;
 
 /// A 202 on its way comes within a few round trips; a next hop that is slower than this is cut off.
-const CALL_OFF_GRACE_MS: f64 = 25.0;
+const CANCEL_GRACE_MS: f64 = 25.0;
 /// An answer that comes a second time comes some milliseconds late.
-const REST_MS: f64 = 30.0;
+const REUSE_DELAY_MS: f64 = 30.0;
 /// How long connections may take to go over at the end.
-const LAST_PARCELS_MS: f64 = 250.0;
+const FINAL_TRANSFER_MS: f64 = 250.0;
 /// How long answers may take to be written at the end.
-const LAST_WRITES: usize = 40;
+const FINAL_WRITE_POLLS: usize = 40;
 
 /// What a dispatcher is started from.
 pub struct Setup {
@@ -63,7 +63,8 @@
     let inherited = config.inherited.as_deref().map(descriptor::inherited_listener).transpose();
     let inherited = inherited.map_err(StartError::InheritedListener)?;
     let predecessor = config.meeting.as_deref().and_then(|path| upgrade::find_predecessor(path, clock, &log));
-    let legacy = predecessor.as_ref().and_then(|predecessor| read_legacy(&predecessor.state.core, &log));
+    let handover_state =
+        predecessor.as_ref().and_then(|predecessor| read_handover_state(&predecessor.state.core, &log));
     let peer_process = PeerProcess::default();
     let drain = Drain::default();
     if predecessor.as_ref().is_some_and(|predecessor| predecessor.state.drained) {
@@ -96,13 +97,13 @@
         connections: config.budget.worker_connections,
         connect_timeout: config.settings.limits.connect_timeout,
         conn_idle: config.conn_idle,
-        cancel_grace: CALL_OFF_GRACE_MS,
-        reuse_delay: REST_MS,
+        cancel_grace: CANCEL_GRACE_MS,
+        reuse_delay: REUSE_DELAY_MS,
     };
     let transport =
         HttpTransport::new(limits, exchange.clone(), peer_process.clone(), counters.clone(), clock);
-    let (generation, known) = match &legacy {
-        Some(legacy) => (legacy.generation(), Some(legacy.worker_list())),
+    let (generation, known) = match &handover_state {
+        Some(handover_state) => (handover_state.generation(), Some(handover_state.worker_list())),
         None => config.known.clone().map(|list| (Some(list.generation), Some(list.news))).unwrap_or_default(),
     };
     let worker_list = WorkerListWatcher::follow(
@@ -141,12 +142,12 @@
     let dispatch = Dispatch::new(&config, dependencies);
 
     if let Some(address) = config.mgmt {
-        let desk = operators::bind(address).and_then(|listener| operators::open(listener, core.clone()));
-        desk.map_err(|source| StartError::ListenForOperators { address, source })?;
+        let opened = operators::bind(address).and_then(|listener| operators::open(listener, core.clone()));
+        opened.map_err(|source| StartError::ListenForOperators { address, source })?;
         slog::info!(log, "operators are answered"; "listen" => %address);
     }
     // The module knows the last list before the first client can come.
-    let dispatching = may::go!(move || dispatch.run(&inbox, known, legacy.as_ref()));
+    let dispatching = may::go!(move || dispatch.run(&inbox, known, handover_state.as_ref()));
     let listen = settings.fronts.http.listen.map_or(config.listen, |address| address.0);
     let opens = inherited.map_or(Listen::At(listen), Listen::On);
     // A new process listens, and accepts once the old one has laid that down.
@@ -163,7 +164,7 @@
         _ => None,
     };
     let context = config.meeting.clone().map(|path| {
-        let front = Arc::new(Doorway(sender.clone()));
+        let front = Arc::new(UpgradableHttpFront(sender.clone()));
         upgrade::UpgradeContext { core: core.clone(), front, path }
     });
     match (predecessor, &context) {
@@ -184,16 +185,16 @@
     }
     running(&exchange);
     dispatching.join().map_err(|_| StartError::DispatchFailed)?;
-    context.iter().for_each(|context| upgrade::flush_transfers(context, LAST_PARCELS_MS));
+    context.iter().for_each(|context| upgrade::flush_transfers(context, FINAL_TRANSFER_MS));
     finish(&sender, grpc);
     drop(control);
     Ok(())
 }
 
 /// The HTTP/1.1 front, as an upgrade sees it.
-struct Doorway(SenderSide);
+struct UpgradableHttpFront(SenderSide);
 
-impl upgrade::Front for Doorway {
+impl upgrade::Front for UpgradableHttpFront {
     fn adopt(&self, stream: TcpStream, standing: PeerRole) {
         self.0.adopt(stream, standing);
     }
@@ -207,7 +208,7 @@
     }
 }
 
-fn read_legacy(bytes: &[u8], log: &Logger) -> Option<HandoverState> {
+fn read_handover_state(bytes: &[u8], log: &Logger) -> Option<HandoverState> {
     HandoverState::decode(bytes)
         .map_err(|why| slog::warn!(log, "upgrade: what the old process knows cannot be used"; "why" => %why))
         .ok()
@@ -216,7 +217,7 @@
 /// Nothing is owed; what has been answered is still to be written out.
 fn finish(sender: &SenderSide, grpc: Option<GrpcFront>) {
     sender.end_idle();
-    for _ in 0..LAST_WRITES {
+    for _ in 0..FINAL_WRITE_POLLS {
         if sender.busy() + grpc.as_ref().map_or(0, GrpcFront::busy) == 0 {
             break;
         }
