--- a/balancer/dispatcher/src/check.rs
+++ b/balancer/dispatcher/src/check.rs
@@ -1,11 +1,11 @@
-//! `millrudder check`: reads both files as a start would, and says what is wrong with them.
+//! `millrudder check`: reads both configuration files as a start would, and prints their errors.
 
 use crate::cli::Files;
 use millrudder_config::settings::Settings;
 use millrudder_config::Config;
 use std::process::ExitCode;
 
-/// Something cannot be used.
+/// Exit code if a file is invalid.
 const EXIT_BAD_CONFIGURATION: u8 = 2;
 
 pub fn run(files: &Files) -> ExitCode {
--- a/balancer/dispatcher/src/cli.rs
+++ b/balancer/dispatcher/src/cli.rs
@@ -65,7 +65,7 @@
     pub seed: u64,
 }
 
-/// The text is no rate that the demo can run at.
+/// The text is not a rate at which the demo can run.
 #[derive(Debug, Error)]
 #[error("a number from 0 to 5000 is wanted")]
 struct BadRate;
--- a/balancer/dispatcher/src/demo.rs
+++ b/balancer/dispatcher/src/demo.rs
@@ -1,4 +1,4 @@
-//! `millrudder demo`: stand-ins, a dispatcher and a small load in one process.
+//! `millrudder demo`: stand-in workers, a dispatcher and a small load in one process.
 
 use crate::cli::Demo;
 use crate::error::{DemoError, StartError};
@@ -16,8 +16,9 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
+/// Time between two lines of figures while the load runs.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// For the figures, once the dispatcher has ended.
+/// Longest wait for the summary of the load after the dispatcher has ended.
 const SUMMARY_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub fn run(demo: &Demo) -> ExitCode {
@@ -31,7 +32,7 @@
 }
 
 fn start(demo: &Demo) -> Result<(), DemoError> {
-    // The figures below are what a person came to see: only warnings beside them.
+    // The demo prints its figures to the terminal, so the log shows only warnings and errors.
     let (log, guard, threshold) = logging::start(Log { level: LogLevel::Warning, ..Log::default() });
     let signals = signals::catch().map_err(StartError::Signals)?;
     let plan = Plan { workers: usize::from(demo.workers), seed: demo.seed, ..Plan::default() };
@@ -68,7 +69,7 @@
     Ok(())
 }
 
-/// The load and the figures while it runs.
+/// Runs the load and prints its figures.
 struct LoadRun {
     runtime: tokio::runtime::Handle,
     kinds: Vec<Kind>,
--- a/balancer/dispatcher/src/error.rs
+++ b/balancer/dispatcher/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the program cannot start.
+//! Errors of the start.
 
 use millrudder_config::settings::SettingsError;
 use millrudder_config::ConfigError;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// What could not be read, opened or started.
+/// Why the dispatcher cannot start, or has failed.
 #[derive(Debug, Error)]
 pub enum StartError {
     #[error("settings: {0}")]
@@ -22,10 +22,10 @@
     ControlSocket { path: PathBuf, source: io::Error },
     #[error("listen for operators on {address}: {source}")]
     ListenForOperators { address: SocketAddr, source: io::Error },
-    /// No thread for the upgrade's side of the new process.
+    /// The thread that takes over from the predecessor cannot be started.
     #[error("upgrade: {0}")]
     Upgrade(#[source] io::Error),
-    /// The coroutine that owns the decision module ended by a panic.
+    /// The coroutine that owns the decision module has panicked.
     #[error("the dispatch coroutine has failed")]
     DispatchFailed,
     #[error("listen on {address}: {source}")]
--- a/balancer/dispatcher/src/logging.rs
+++ b/balancer/dispatcher/src/logging.rs
@@ -1,16 +1,17 @@
 //! The log: slog to standard error through a thread of its own, so that a slow reader of the log cannot block
-//! the coroutines. What does not fit into its queue is dropped and counted by slog-async.
+//! the coroutines. Records that do not fit into its queue are dropped and counted by slog-async.
 //!
-//! One schema for every event, whatever the format: when, level, what happened, and named figures.
+//! Every record has the same fields in both formats: time, level, message, and named values.
 
 use millrudder_config::settings::{Log, LogFormat, LogLevel};
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, SendSyncRefUnwindSafeDrain};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
+/// Most records that wait to be written.
 const QUEUE_RECORDS: usize = 512;
 
-/// Which events are written; can be turned while running.
+/// The least severe level that is written; can be changed while running.
 #[derive(Clone)]
 pub struct Threshold(Arc<AtomicUsize>);
 
@@ -33,6 +34,7 @@
     }
 }
 
+/// Passes on the records that the threshold lets through.
 struct ThresholdFilter<D> {
     drain: D,
     threshold: Threshold,
@@ -50,7 +52,7 @@
     }
 }
 
-/// The guard writes out what is queued when it is dropped.
+/// Starts the log. When the guard is dropped, it writes out the queued records.
 pub fn start(log: Log) -> (Logger, slog_async::AsyncGuard, Threshold) {
     match log.format {
         LogFormat::Text => {
--- a/balancer/dispatcher/src/main.rs
+++ b/balancer/dispatcher/src/main.rs
@@ -1,8 +1,8 @@
-//! The real dispatcher: takes jobs from clients, has millrudder's module decide which next hop gets each, and
-//! gives each client its one answer.
+//! The dispatcher: takes jobs from clients, lets millrudder's decision module choose a worker for each, and gives each
+//! client exactly one answer.
 //!
-//! A request passes a front (accept, intake), the exchange, dispatch (the module), a next hop, and comes back the
-//! same way; the transport map follows discovery beside it. This binary only wires.
+//! A request passes a front (accept, intake), the exchange, dispatch (the decision module) and a worker, and its answer
+//! comes back the same way. Meanwhile the worker list follows discovery. This binary only connects the parts.
 
 mod check;
 mod cli;
@@ -25,7 +25,8 @@
 use std::sync::Arc;
 
 fn main() -> ExitCode {
-    // As the platform starts it there is nothing to parse: the parser's pages stay untouched, 0.5 MB of memory.
+    // The platform starts the program without arguments. Then the command-line parser is not run, and its pages are
+    // never loaded, which saves 0.5 MB of memory.
     let without_arguments =
         std::env::args_os().len() == 1 && std::env::var_os(millrudder_config::settings::VARIABLE).is_none();
     let cli =
@@ -40,7 +41,7 @@
 
 fn serve_files(files: &Files) -> ExitCode {
     let settings = files.settings.as_deref().map_or_else(|| Ok(Settings::default()), Settings::load);
-    // A file that cannot be used must still be said in a log.
+    // With an invalid settings file the log starts with its defaults, so that the error can be logged.
     let log = settings.as_ref().map_or(Log::default(), |settings| settings.log);
     let (log, guard, threshold) = logging::start(log);
     let counters = Arc::new(Counters::default());
--- a/balancer/dispatcher/src/reload.rs
+++ b/balancer/dispatcher/src/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: both files are read and checked again; if either cannot be used, neither changes anything.
+//! Reload on SIGHUP: both files are read and checked again. If either is invalid, neither is applied.
 
 use crate::logging::Threshold;
 use millrudder_config::settings::Settings;
@@ -12,15 +12,15 @@
 use slog::Logger;
 use std::path::PathBuf;
 
-/// What a reload reads, and what of it can change while running.
+/// What a reload reads, and the parts of the running dispatcher that it changes.
 pub struct Reload {
     pub source: Source,
     pub settings: Option<PathBuf>,
-    /// What the program was started with.
+    /// The settings that the program was started with.
     pub running: Settings,
     pub admission_gate: AdmissionGate,
     pub threshold: Threshold,
-    /// Where new settings go: the core, the fronts, the planned stop.
+    /// Takes the new settings to the core; `classes` takes them to the fronts, `stopping` to the planned stop.
     pub pending_settings: PendingSettings,
     pub classes: Classes,
     pub stopping: Stopping,
@@ -29,7 +29,7 @@
 }
 
 impl Reload {
-    /// It blocks: not for coroutines.
+    /// Reads both files and applies them. It blocks, so it must not be called by a coroutine.
     pub fn run(&self, exchange: &Exchange, counters: &Counters, log: &Logger) {
         let settings = self.settings.as_deref().map(Settings::load).transpose();
         match (self.source.reload(), settings) {
@@ -44,7 +44,7 @@
                 let taken = classes(&platform.names, &platform.settings);
                 self.stopping.set_longest(taken.iter().map(|class| class.limit).fold(0.0, f64::max));
                 self.advice.allow(platform.settings.limits.retry_after);
-                // The core first: no front lets a job in whose class it does not know.
+                // The core first, so that no front admits a job of a class that the core does not know yet.
                 let (settings, names, conn_idle) = (platform.settings, platform.names, platform.conn_idle);
                 self.pending_settings.put(ReloadedSettings { settings, names, conn_idle }, exchange);
                 self.classes.replace(taken, self.clock.now());
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Applies what can change; names what waits for the next start.
+    /// Applies the settings that can change while running; returns the names of those that need a restart.
     fn apply(&self, newer: &Settings) -> Vec<String> {
         self.threshold.set(newer.log.level);
         self.admission_gate.set_weights(&newer.weights());
--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together, runs until a stop is over, and ends in order.
+//! Assembles the parts of the dispatcher, runs until it has stopped, and shuts the parts down in order.
 
 use crate::error::StartError;
 use crate::logging::Threshold;
@@ -26,20 +26,21 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// A 202 on its way comes within a few round trips; a next hop that is slower than this is cut off.
+/// How long the 202 of a cancelled request is awaited (ms). A 202 that is on its way comes within a few round trips; the
+/// connection to a slower worker is closed.
 const CANCEL_GRACE_MS: f64 = 25.0;
-/// An answer that comes a second time comes some milliseconds late.
+/// How long a connection is not reused after a response (ms): a duplicate of the response comes some milliseconds late.
 const REUSE_DELAY_MS: f64 = 30.0;
-/// How long connections may take to go over at the end.
+/// Longest wait at the end for connections and messages that are still to be passed to a successor (ms).
 const FINAL_TRANSFER_MS: f64 = 250.0;
-/// How long answers may take to be written at the end.
+/// Most polls, 5 ms apart, for the last answers to be written at the end.
 const FINAL_WRITE_POLLS: usize = 40;
 
-/// What a dispatcher is started from.
+/// Everything that a dispatcher is started with.
 pub struct Setup {
     pub config: Config,
     pub settings: Settings,
-    /// The files to read again on SIGHUP; none for a demo.
+    /// The configuration files that SIGHUP reads again; none in the demo.
     pub files: Option<(Source, Option<PathBuf>)>,
     pub signals: Signals,
     pub threshold: Threshold,
@@ -47,19 +48,20 @@
     pub log: Logger,
 }
 
-/// One worker: there is one core, and coroutines of one thread need no order among threads.
+/// Sets up the coroutine scheduler with one thread: there is one CPU core, and coroutines that share a thread need no
+/// synchronization between threads.
 pub fn start_coroutines() {
     may::config().set_workers(1).set_stack_size(STACK_WORDS).set_worker_pin(false);
 }
 
-/// `running` is called once all fronts listen.
+/// Starts a dispatcher and runs it until it has stopped. Calls `running` once all fronts listen.
 ///
 /// # Errors
-/// [`StartError`]: what could not be started.
+/// A part cannot be started, or the dispatch coroutine has failed.
 pub fn serve(setup: Setup, running: impl FnOnce(&Exchange)) -> Result<(), StartError> {
     let Setup { config, settings, files, signals, threshold, counters, log } = setup;
     let clock = Clock::start();
-    // Before anything else runs: the number must not name a descriptor of our own.
+    // Before anything else opens a descriptor: the inherited number must not name one of this process's own.
     let inherited = config.inherited.as_deref().map(descriptor::inherited_listener).transpose();
     let inherited = inherited.map_err(StartError::InheritedListener)?;
     let predecessor = config.meeting.as_deref().and_then(|path| upgrade::find_predecessor(path, clock, &log));
@@ -146,14 +148,15 @@
         opened.map_err(|source| StartError::ListenForOperators { address, source })?;
         slog::info!(log, "operators are answered"; "listen" => %address);
     }
-    // The module knows the last list before the first client can come.
+    // Started before the fronts, so that the decision module knows the last worker list before the first client
+    // connects.
     let dispatching = may::go!(move || dispatch.run(&inbox, known, handover_state.as_ref()));
     let listen = settings.fronts.http.listen.map_or(config.listen, |address| address.0);
     let opens = inherited.map_or(Listen::At(listen), Listen::On);
-    // A new process listens, and accepts once the old one has laid that down.
+    // A successor listens at once, but accepts only when the predecessor has stopped accepting.
     peer_process.accept(predecessor.is_none());
     sender.open(opens).map_err(|source| StartError::Listen { address: listen, source })?;
-    // What cannot be opened ends the start before a running process lays anything down.
+    // Opened before the handover: if it fails, this process exits while the predecessor still serves.
     let grpc = match (settings.fronts.grpc, shares.grpc) {
         (Some(grpc), Some(budget)) => {
             let address = grpc.listen.0;
@@ -173,7 +176,7 @@
         }
         (_, Some(context)) => {
             if let Err(error) = upgrade::await_successors(context.clone()) {
-                slog::warn!(log, "upgrade: no successor will find this process"; "why" => %error);
+                slog::warn!(log, "upgrade: cannot listen for successors, the next process will serve beside this one"; "why" => %error);
             }
             core.now_serves();
         }
@@ -191,7 +194,7 @@
     Ok(())
 }
 
-/// The HTTP/1.1 front, as an upgrade sees it.
+/// The HTTP/1.1 front, through the interface that an upgrade uses.
 struct UpgradableHttpFront(SenderSide);
 
 impl upgrade::Front for UpgradableHttpFront {
@@ -210,11 +213,11 @@
 
 fn read_handover_state(bytes: &[u8], log: &Logger) -> Option<HandoverState> {
     HandoverState::decode(bytes)
-        .map_err(|why| slog::warn!(log, "upgrade: what the old process knows cannot be used"; "why" => %why))
+        .map_err(|why| slog::warn!(log, "upgrade: the predecessor's handover state cannot be read, starting without it"; "why" => %why))
         .ok()
 }
 
-/// Nothing is owed; what has been answered is still to be written out.
+/// Shuts the fronts down. Every job has its answer by now; waits until the answers are written out.
 fn finish(sender: &SenderSide, grpc: Option<GrpcFront>) {
     sender.end_idle();
     for _ in 0..FINAL_WRITE_POLLS {
--- a/balancer/dispatcher/src/signals.rs
+++ b/balancer/dispatcher/src/signals.rs
@@ -1,5 +1,4 @@
-//! What the platform says by signals: stop (SIGTERM, SIGINT), read the configuration again (SIGHUP), print the
-//! counters (SIGUSR1).
+//! Signals: stop (SIGTERM, SIGINT), reload of the configuration (SIGHUP), output of the counters to the log (SIGUSR1).
 
 use crate::reload::Reload;
 use millrudder_exchange::counters::Counters;
@@ -10,13 +9,14 @@
 use std::io;
 use std::sync::Arc;
 
-/// From here on none of these ends the process by itself; what comes before `listen` waits for it.
+/// Takes over the handling of these signals, so that none ends the process by default. Signals that come before
+/// [`listen`] are kept for it.
 pub fn catch() -> io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP])
 }
 
-/// Waits for signals on a thread of its own: handlers cannot run coroutines, a wait or a look into the
-/// configuration's file would block them all. `reload`: none where there is no file to read again.
+/// Handles signals on a thread of its own: a signal handler cannot run coroutines, and in a coroutine the wait for a
+/// signal or the reading of a file would block all others. `reload` is `None` if there is no file to read again.
 pub fn listen(
     mut signals: Signals,
     reload: Option<Reload>,
--- a/balancer/dispatcher/src/status.rs
+++ b/balancer/dispatcher/src/status.rs
@@ -1,4 +1,4 @@
-//! The control socket's questions: answered by a running dispatcher, asked by `millrudder status`.
+//! Status over the control socket: the answer of a running dispatcher, and the command `millrudder status`.
 
 use crate::cli;
 use crate::error::StartError;
@@ -10,7 +10,7 @@
 /// Opens the control socket of this dispatcher.
 ///
 /// # Errors
-/// [`StartError::ControlSocket`]: the socket cannot be had.
+/// [`StartError::ControlSocket`]: the socket cannot be opened.
 pub fn open(path: &Path, core: &Core) -> Result<Control, StartError> {
     let (core, start) = (core.clone(), core.clock.now());
     let answer = move |Question::Status| {
