--- a/balancer/control/src/lib.rs
+++ b/balancer/control/src/lib.rs
@@ -9,4 +9,4 @@
 
 pub use client::{ask, AskError};
 pub use messages::{Answer, Question, Status, LINE_LIMIT};
-pub use server::{Control, MOST_CONNECTIONS};
+pub use server::{Control, MAX_CONNECTIONS};
--- a/balancer/control/src/server.rs
+++ b/balancer/control/src/server.rs
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 /// Questions under way at once; who comes beyond is closed on. People ask, and few at a time.
-pub const MOST_CONNECTIONS: usize = 4;
+pub const MAX_CONNECTIONS: usize = 4;
 /// For a whole question, and for the answer to be taken.
-const PATIENCE: Duration = Duration::from_millis(500);
+const TIMEOUT: Duration = Duration::from_millis(500);
 /// After a failed accept (no descriptor is free, say) the next try waits: retrying at once would spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Only the dispatcher's own user may open the socket's file.
-const MODE: u32 = 0o600;
+const SOCKET_MODE: u32 = 0o600;
 
 type Answers = dyn Fn(Question) -> Answer + Send + Sync;
 
@@ -36,9 +36,9 @@
         path: &Path,
         answers: impl Fn(Question) -> Answer + Send + Sync + 'static,
     ) -> io::Result<Self> {
-        clear(path)?;
+        remove_stale_socket(path)?;
         let listener = UnixListener::bind(path)?;
-        std::fs::set_permissions(path, std::fs::Permissions::from_mode(MODE))?;
+        std::fs::set_permissions(path, std::fs::Permissions::from_mode(SOCKET_MODE))?;
         let answers: Arc<Answers> = Arc::new(answers);
         std::thread::Builder::new().name("control".to_owned()).spawn(move || accept(&listener, &answers))?;
         Ok(Control { path: path.to_owned() })
@@ -52,7 +52,7 @@
 }
 
 /// Removes what a process left that has died; nothing else.
-fn clear(path: &Path) -> io::Result<()> {
+fn remove_stale_socket(path: &Path) -> io::Result<()> {
     let found = match std::fs::symlink_metadata(path) {
         Ok(found) => found,
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(()),
@@ -72,17 +72,17 @@
     let open = Arc::new(AtomicUsize::new(0));
     loop {
         let Ok((stream, _)) = listener.accept() else {
-            std::thread::sleep(ACCEPT_PAUSE);
+            std::thread::sleep(ACCEPT_RETRY_DELAY);
             continue;
         };
-        if open.fetch_add(1, Ordering::AcqRel) >= MOST_CONNECTIONS {
+        if open.fetch_add(1, Ordering::AcqRel) >= MAX_CONNECTIONS {
             open.fetch_sub(1, Ordering::AcqRel);
             continue;
         }
-        let place = Place(open.clone());
+        let slot = ConnectionSlot(open.clone());
         let answers = answers.clone();
         let run = move || {
-            let _place = place;
+            let _slot = slot;
             let _ = serve(stream, answers.as_ref());
         };
         // Without a thread the connection is closed, and its place is free again.
@@ -90,18 +90,18 @@
     }
 }
 
-struct Place(Arc<AtomicUsize>);
+struct ConnectionSlot(Arc<AtomicUsize>);
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 fn serve(mut stream: UnixStream, answers: &Answers) -> io::Result<()> {
-    stream.set_write_timeout(Some(PATIENCE))?;
+    stream.set_write_timeout(Some(TIMEOUT))?;
     let peer = getsockopt(&stream, PeerCredentials)?;
-    let answer = match is_ours(Uid::from_raw(peer.uid())) {
+    let answer = match is_allowed_user(Uid::from_raw(peer.uid())) {
         // The file's mode says so already; a socket that was handed on does not.
         false => Answer::Refused("another user's".to_owned()),
         true => match read_line(&mut stream)? {
@@ -115,13 +115,13 @@
     stream.write_all(&to_line(&answer))
 }
 
-fn is_ours(peer: Uid) -> bool {
+fn is_allowed_user(peer: Uid) -> bool {
     peer == geteuid() || peer.is_root()
 }
 
 /// A line, whole in time; longer than the limit if it is too long.
 fn read_line(stream: &mut UnixStream) -> io::Result<Vec<u8>> {
-    let (end, mut line, mut part) = (Instant::now() + PATIENCE, Vec::new(), [0; 512]);
+    let (end, mut line, mut part) = (Instant::now() + TIMEOUT, Vec::new(), [0; 512]);
     loop {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
--- a/balancer/control/tests/control.rs
+++ b/balancer/control/tests/control.rs
@@ -1,6 +1,6 @@
 //! The socket between its own client and bad ones.
 
-use millrudder_control::{ask, Answer, AskError, Control, Question, Status, LINE_LIMIT, MOST_CONNECTIONS};
+use millrudder_control::{ask, Answer, AskError, Control, Question, Status, LINE_LIMIT, MAX_CONNECTIONS};
 use std::io::{ErrorKind, Read, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::UnixStream;
@@ -46,7 +46,7 @@
 }
 
 /// Bad clients may hold all places for as long as they are given.
-fn answered_in_the_end(path: &Path) {
+fn wait_for_answer(path: &Path) {
     let end = Instant::now() + Duration::from_secs(20);
     while !ask(path, Question::Status).is_ok_and(|answer| answer == Answer::Status(status())) {
         assert!(Instant::now() < end, "an answer");
@@ -54,7 +54,7 @@
     }
 }
 
-fn say(path: &Path, bytes: &[u8]) -> String {
+fn send_raw(path: &Path, bytes: &[u8]) -> String {
     let mut stream = UnixStream::connect(path).unwrap();
     // It may close while we still write.
     let _ = stream.write_all(bytes);
@@ -96,16 +96,16 @@
         (b"\n", "no question"),
         (&[b'x'; 2 * LINE_LIMIT], "over 4096 bytes"),
     ] {
-        let answer = say(&folder.socket(), bytes);
+        let answer = send_raw(&folder.socket(), bytes);
         assert!(answer.contains(words), "{answer:?}");
     }
     // A newer client's further fields are passed over.
-    assert!(say(&folder.socket(), b"{\"ask\":\"status\",\"mood\":1}\n").contains("jobs_owed"));
+    assert!(send_raw(&folder.socket(), b"{\"ask\":\"status\",\"mood\":1}\n").contains("jobs_owed"));
     millrudder_testing::garbage(33, b"{\"ask\":\"status\"}\n", |bytes| {
         let mut stream = UnixStream::connect(folder.socket()).unwrap();
         let _ = stream.write_all(bytes);
     });
-    answered_in_the_end(&folder.socket());
+    wait_for_answer(&folder.socket());
 }
 
 #[test]
@@ -124,7 +124,7 @@
         assert!(Instant::now() < end, "{} are kept", silent.len());
         silent.retain(|stream| !is_closed(stream));
     }
-    answered_in_the_end(&folder.socket());
+    wait_for_answer(&folder.socket());
 }
 
 /// The other end has closed it; waits a moment for that.
@@ -138,7 +138,7 @@
 
 /// Keeps whoever asks waiting until it is opened.
 #[derive(Default)]
-struct AdmissionGate {
+struct AnswerGate {
     state: Mutex<GateState>,
     opened: Condvar,
 }
@@ -146,15 +146,15 @@
 #[derive(Default)]
 struct GateState {
     inside: usize,
-    most_inside: usize,
+    max_inside: usize,
     is_open: bool,
 }
 
-impl AdmissionGate {
+impl AnswerGate {
     fn pass(&self) {
         let mut state = self.state.lock().unwrap();
         state.inside += 1;
-        state.most_inside = state.most_inside.max(state.inside);
+        state.max_inside = state.max_inside.max(state.inside);
         state = self.opened.wait_while(state, |state| !state.is_open).unwrap();
         state.inside -= 1;
     }
@@ -166,11 +166,11 @@
 }
 
 #[test]
-fn only_so_many_are_answered_at_once_and_the_rest_is_closed_on() {
+fn at_most_max_connections_are_answered_at_once_and_the_rest_are_closed() {
     const CALLERS: usize = 100;
     let folder = Folder::new();
-    let admission_gate = Arc::new(AdmissionGate::default());
-    let held = Arc::clone(&admission_gate);
+    let gate = Arc::new(AnswerGate::default());
+    let held = Arc::clone(&gate);
     let _control = Control::open(&folder.socket(), move |Question::Status| {
         held.pass();
         Answer::Status(status())
@@ -184,17 +184,17 @@
         callers.push(stream);
     }
     let end = Instant::now() + Duration::from_secs(20);
-    while callers.len() > MOST_CONNECTIONS {
+    while callers.len() > MAX_CONNECTIONS {
         assert!(Instant::now() < end, "{} are kept", callers.len());
         callers.retain(|stream| !is_closed(stream));
     }
-    admission_gate.open();
+    gate.open();
     for stream in &mut callers {
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
         assert!(answer.contains("serving"), "{answer}");
     }
-    let most_inside = admission_gate.state.lock().unwrap().most_inside;
-    assert!((1..=MOST_CONNECTIONS).contains(&most_inside), "{most_inside}");
+    let max_inside = gate.state.lock().unwrap().max_inside;
+    assert!((1..=MAX_CONNECTIONS).contains(&max_inside), "{max_inside}");
 }
