--- a/balancer/control/src/client.rs
+++ b/balancer/control/src/client.rs
@@ -1,4 +1,4 @@
-//! The asking side.
+//! The client of the control socket.
 
 use crate::messages::{to_line, Answer, Question, LINE_LIMIT};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -7,15 +7,17 @@
 use std::time::Duration;
 use std::{error, fmt};
 
+/// Longest wait for each read and write.
+/// Longest wait for each read and write.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
 pub enum AskError {
-    /// Nobody listens there, or it cannot be reached.
+    /// No process listens on the socket, or it cannot be connected to.
     Unreachable(PathBuf, io::Error),
-    /// It was reached and did not answer.
+    /// The dispatcher was connected to, but sent no answer.
     NoAnswer(io::Error),
-    /// What came is no answer that this version knows.
+    /// The answer is not one that this version knows.
     InvalidAnswer(String),
 }
 
@@ -31,10 +33,10 @@
 
 impl error::Error for AskError {}
 
-/// Asks one question.
+/// Sends one question and returns the answer.
 ///
 /// # Errors
-/// It could not be asked, or was not answered.
+/// The question could not be sent, or was not answered.
 pub fn ask(path: &Path, question: Question) -> Result<Answer, AskError> {
     let stream = UnixStream::connect(path).map_err(|e| AskError::Unreachable(path.to_owned(), e))?;
     let line = exchange(stream, question).map_err(AskError::NoAnswer)?;
--- a/balancer/control/src/lib.rs
+++ b/balancer/control/src/lib.rs
@@ -1,7 +1,8 @@
-//! A dispatcher's control socket: a Unix socket on which its own user asks how it is. One JSON object a line each way.
+//! A dispatcher's control socket: a Unix socket on which its own user can ask for its status. Questions and answers are
+//! JSON objects, one per line.
 //!
-//! It runs on threads of its own and is bounded in connections, bytes and time: whatever comes in on it, serving goes
-//! on undisturbed.
+//! The server runs on threads of its own and limits connections, bytes and time, so that nothing sent to the socket can
+//! disturb the dispatcher's service.
 
 mod client;
 mod messages;
--- a/balancer/control/src/messages.rs
+++ b/balancer/control/src/messages.rs
@@ -1,8 +1,8 @@
-//! What is asked and answered. Fields that a newer side adds are passed over.
+//! Questions and answers on the control socket. Fields that a newer version adds are ignored.
 
 use serde::{Deserialize, Serialize};
 
-/// A question or an answer is no longer than this (bytes).
+/// Longest question or answer (bytes).
 pub const LINE_LIMIT: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -15,7 +15,7 @@
 #[serde(rename_all = "lowercase")]
 pub enum Answer {
     Status(Status),
-    /// It cannot be answered, and why.
+    /// The question was refused; with the reason.
     Refused(String),
 }
 
@@ -26,15 +26,15 @@
     pub version: String,
     /// `serving` or `stopping`.
     pub phase: String,
-    /// Jobs that have a place and no answer yet, over all fronts.
+    /// Jobs that were admitted and have no answer yet, over all fronts.
     pub jobs_owed: u64,
-    /// Since its start (ms).
+    /// Time since the start of the process (ms).
     pub age_ms: u64,
 }
 
-/// One line.
+/// Encodes a question or an answer as one line.
 pub fn to_line<T: Serialize>(message: &T) -> Vec<u8> {
-    // These types always serialize.
+    // Serializing these types cannot fail.
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
     line
--- a/balancer/control/src/messages/golden_tests.rs
+++ b/balancer/control/src/messages/golden_tests.rs
@@ -1,4 +1,4 @@
-//! Lines of the control socket, byte for byte as earlier versions write them.
+//! Compares the lines of the control socket, byte by byte, with what earlier versions write.
 
 use super::{to_line, Answer, Question, Status};
 use millrudder_testing::golden::Golden;
--- a/balancer/control/src/server.rs
+++ b/balancer/control/src/server.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's side.
+//! The server of the control socket, in the dispatcher.
 
 use crate::messages::{to_line, Answer, Question, LINE_LIMIT};
 use nix::sys::socket::{getsockopt, sockopt::PeerCredentials};
@@ -11,27 +11,27 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Questions under way at once; who comes beyond is closed on. People ask, and few at a time.
+/// Most connections that are served at once; further ones are closed. Questions come from people, few at a time.
 pub const MAX_CONNECTIONS: usize = 4;
-/// For a whole question, and for the answer to be taken.
+/// Time limit for a client to send its whole question, and for it to read the answer.
 const TIMEOUT: Duration = Duration::from_millis(500);
-/// After a failed accept (no descriptor is free, say) the next try waits: retrying at once would spin.
+/// Delay after a failed accept, for example if no descriptor is free; retrying at once would spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Only the dispatcher's own user may open the socket's file.
+/// Mode of the socket's file: only the dispatcher's own user may open it.
 const SOCKET_MODE: u32 = 0o600;
 
 type Answers = dyn Fn(Question) -> Answer + Send + Sync;
 
-/// The socket's file; removed when this is dropped.
+/// An open control socket. Its file is removed when this is dropped.
 pub struct Control {
     path: PathBuf,
 }
 
 impl Control {
-    /// Listens, and answers on threads of its own for as long as the program runs.
+    /// Opens the socket and answers questions on threads of its own for as long as the program runs.
     ///
     /// # Errors
-    /// Another process listens there, something else than a socket is there, or the folder cannot be written.
+    /// Another process listens on the socket, the path is not a socket, or its folder cannot be written.
     pub fn open(
         path: &Path,
         answers: impl Fn(Question) -> Answer + Send + Sync + 'static,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Removes what a process left that has died; nothing else.
+/// Removes the socket file of a process that has died; fails if anything else is at the path.
 fn remove_stale_socket(path: &Path) -> io::Result<()> {
     let found = match std::fs::symlink_metadata(path) {
         Ok(found) => found,
@@ -85,11 +85,12 @@
             let _slot = slot;
             let _ = serve(stream, answers.as_ref());
         };
-        // Without a thread the connection is closed, and its place is free again.
+        // If no thread can be started, dropping the closure closes the connection and frees its slot.
         let _ = std::thread::Builder::new().name("control".to_owned()).spawn(run);
     }
 }
 
+/// One of the [`MAX_CONNECTIONS`]; free again when this is dropped.
 struct ConnectionSlot(Arc<AtomicUsize>);
 
 impl Drop for ConnectionSlot {
@@ -102,7 +103,8 @@
     stream.set_write_timeout(Some(TIMEOUT))?;
     let peer = getsockopt(&stream, PeerCredentials)?;
     let answer = match is_allowed_user(Uid::from_raw(peer.uid())) {
-        // The file's mode says so already; a socket that was handed on does not.
+        // The file's mode already keeps other users out, but a connection may have been passed to another user's
+        // process.
         false => Answer::Refused("another user's".to_owned()),
         true => match read_line(&mut stream)? {
             line if line.len() > LINE_LIMIT => Answer::Refused(format!("over {LINE_LIMIT} bytes")),
@@ -119,7 +121,7 @@
     peer == geteuid() || peer.is_root()
 }
 
-/// A line, whole in time; longer than the limit if it is too long.
+/// Reads a line within [`TIMEOUT`]. If it is too long, returns more than [`LINE_LIMIT`] bytes.
 fn read_line(stream: &mut UnixStream) -> io::Result<Vec<u8>> {
     let (end, mut line, mut part) = (Instant::now() + TIMEOUT, Vec::new(), [0; 512]);
     loop {
--- a/balancer/control/tests/control.rs
+++ b/balancer/control/tests/control.rs
@@ -1,4 +1,4 @@
-//! The socket between its own client and bad ones.
+//! The control socket with its own client, and with clients that misbehave.
 
 use millrudder_control::{ask, Answer, AskError, Control, Question, Status, LINE_LIMIT, MAX_CONNECTIONS};
 use std::io::{ErrorKind, Read, Write};
@@ -45,7 +45,7 @@
     Control::open(path, |Question::Status| Answer::Status(status()))
 }
 
-/// Bad clients may hold all places for as long as they are given.
+/// Asks until the socket answers: misbehaving clients may occupy all connections until their time limit.
 fn wait_for_answer(path: &Path) {
     let end = Instant::now() + Duration::from_secs(20);
     while !ask(path, Question::Status).is_ok_and(|answer| answer == Answer::Status(status())) {
@@ -56,7 +56,7 @@
 
 fn send_raw(path: &Path, bytes: &[u8]) -> String {
     let mut stream = UnixStream::connect(path).unwrap();
-    // It may close while we still write.
+    // The server may close the connection before everything is written.
     let _ = stream.write_all(bytes);
     let mut text = String::new();
     let _ = stream.read_to_string(&mut text);
@@ -99,7 +99,7 @@
         let answer = send_raw(&folder.socket(), bytes);
         assert!(answer.contains(words), "{answer:?}");
     }
-    // A newer client's further fields are passed over.
+    // Fields that a newer client adds are ignored.
     assert!(send_raw(&folder.socket(), b"{\"ask\":\"status\",\"mood\":1}\n").contains("jobs_owed"));
     millrudder_testing::garbage(33, b"{\"ask\":\"status\"}\n", |bytes| {
         let mut stream = UnixStream::connect(folder.socket()).unwrap();
@@ -127,7 +127,7 @@
     wait_for_answer(&folder.socket());
 }
 
-/// The other end has closed it; waits a moment for that.
+/// Whether the other end has closed the connection; waits 5 ms for that.
 fn is_closed(mut stream: &UnixStream) -> bool {
     stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
     match stream.read(&mut [0]) {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Keeps whoever asks waiting until it is opened.
+/// Blocks all answers until it is opened, and counts how many wait at once.
 #[derive(Default)]
 struct AnswerGate {
     state: Mutex<GateState>,
@@ -179,7 +179,7 @@
     let mut callers: Vec<UnixStream> = Vec::new();
     for _ in 0..CALLERS {
         let mut stream = UnixStream::connect(folder.socket()).unwrap();
-        // It may be closed on while we write.
+        // The server may close the connection before everything is written.
         let _ = stream.write_all(b"{\"ask\":\"status\"}\n");
         callers.push(stream);
     }
