--- a/balancer/dispatcher/tests/crossings/mod.rs
+++ b/balancer/dispatcher/tests/crossings/mod.rs
@@ -1,7 +1,7 @@
 //! Races between the end of a job or attempt and the work still open for it. Each test forces one order of events with a
 //! peer that holds a connection at the exact step, and checks which requests arrived where.
 
-use crate::peers::{client, read_message, Client, Dispatcher, Hop, Reply, WAIT};
+use crate::peers::{client, read_message, Client, Dispatcher, Reply, ScriptedWorker, WAIT};
 use crate::JOB;
 use millrudder_front_grpc::proto::jobs_client::JobsClient;
 use millrudder_front_grpc::proto::SubmitRequest;
@@ -29,7 +29,7 @@
 fn where_no_two_may_be_out_a_lost_job_is_sent_again_once_its_call_off_is_heard() {
     // Guards against a second attempt that is sent before the cancel request of the first has reached its worker. With
     // the worker cut off, the DELETE could not reach it, and the second attempt left 0.1 ms after the cancel was requested.
-    let ((hop, listener), other) = (Hop::by_hand(), Hop::start());
+    let ((hop, listener), other) = (ScriptedWorker::with_listener(), ScriptedWorker::start());
     let dispatcher = Dispatcher::start_with(&hop, 256, &[], |config| {
         // Without start or progress messages a job counts as lost after a few times its running time, which is first
         // estimated from the target (`aim`).
@@ -70,8 +70,8 @@
 
 /// With parallel attempts forbidden, a worker takes a job and its 202 is lost. Returns that worker's listener and a
 /// second worker.
-fn unheard(allowed: bool) -> (Dispatcher, TcpListener, Hop, Client) {
-    let ((hop, listener), other) = (Hop::by_hand(), Hop::start());
+fn unheard(allowed: bool) -> (Dispatcher, TcpListener, ScriptedWorker, Client) {
+    let ((hop, listener), other) = (ScriptedWorker::with_listener(), ScriptedWorker::start());
     let dispatcher = Dispatcher::start_with(&hop, 256, &[], |config| {
         with_cancel(allowed)(config)
             .replace("at_most_once", "idempotent")
@@ -116,14 +116,14 @@
 #[test]
 fn a_client_that_leaves_while_a_connection_comes_up_is_not_sent_on() {
     for allowed in [true, false] {
-        let (hop, crowd) = Hop::crowded();
+        let (hop, crowd) = ScriptedWorker::with_full_accept_queue();
         let dispatcher = Dispatcher::start_with(&hop, 256, &[], with_cancel(allowed));
         let mut leaving = client(&dispatcher.listen);
         leaving.send(JOB);
         dispatcher.until_counted("attempts_sent 1\n");
         drop(leaving);
         dispatcher.until_counted("withdrawn 1\n");
-        let read = crowd.let_in();
+        let read = crowd.make_room();
         dispatcher.until_counted("outcome_ignored 1\n");
         assert_eq!(seen_at_the_end(dispatcher, read), "", "may_cancel: {allowed}");
     }
@@ -140,7 +140,7 @@
 fn a_grpc_client_that_leaves_while_a_connection_comes_up_is_not_sent_on() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     for allowed in [true, false] {
-        let (hop, crowd) = Hop::crowded();
+        let (hop, crowd) = ScriptedWorker::with_full_accept_queue();
         let grpc = Some("fronts: {grpc: {listen: 'GRPC'}}\n");
         let dispatcher = Dispatcher::spawn_with(&hop, 512, &[], grpc, with_cancel(allowed));
         assert!(dispatcher.log_shows("serving gRPC"));
@@ -148,7 +148,7 @@
         dispatcher.until_counted("attempts_sent 1\n");
         call.abort();
         dispatcher.until_counted("withdrawn 1\n");
-        let read = crowd.let_in();
+        let read = crowd.make_room();
         dispatcher.until_counted("outcome_ignored 1\n");
         assert_eq!(seen_at_the_end(dispatcher, read), "", "may_cancel: {allowed}");
     }
@@ -159,7 +159,7 @@
     // No worker takes jobs when the two jobs arrive; once one does, only the job whose client has stayed is sent.
     let runtime = tokio::runtime::Runtime::new().unwrap();
     for allowed in [true, false] {
-        let (leaving, other) = (Hop::start(), Hop::start());
+        let (leaving, other) = (ScriptedWorker::start(), ScriptedWorker::start());
         let grpc = Some("fronts: {grpc: {listen: 'GRPC'}}\n");
         let dispatcher = Dispatcher::spawn_with(&leaving, 512, &[], grpc, |config| {
             // Lets jobs wait: while the running time is unknown, it is assumed to be as long as the target (`aim`),
@@ -197,7 +197,7 @@
 #[test]
 fn when_to_come_back_is_said_only_where_the_settings_allow_it_also_after_sighup() {
     // One job fills admission. Guards against a Retry-After header in refusals although the settings forbid it.
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let one = Some("admission: {jobs: 1}\n");
     let dispatcher = Dispatcher::spawn_with(&hop, 256, &[], one, |config| {
         config.replace("\"may_cancel\":true", "\"may_cancel\":true,\"retry_after\":false")
@@ -221,7 +221,7 @@
 #[test]
 fn at_the_deadline_a_worker_is_called_off_only_where_the_settings_allow_it() {
     for allowed in [true, false] {
-        let hop = Hop::start();
+        let hop = ScriptedWorker::start();
         let dispatcher = Dispatcher::start_with(&hop, 256, &[], with_cancel(allowed));
         let mut waiting = client(&dispatcher.listen);
         waiting.send(&JOB.replace("20000m", "300m"));
@@ -239,7 +239,7 @@
 
 #[test]
 fn how_long_a_connect_may_take_changes_with_the_settings() {
-    let (hop, _crowd) = Hop::crowded();
+    let (hop, _crowd) = ScriptedWorker::with_full_accept_queue();
     let dispatcher =
         Dispatcher::start_with(&hop, 256, &[], |config| config.replace("timeout\":5000", "timeout\":900000"));
     dispatcher.reload("127.0.0.1:1", |config| config.replace("timeout\":900000", "timeout\":20"));
@@ -251,7 +251,7 @@
 
 #[test]
 fn one_told_to_drain_while_a_connection_comes_up_gets_nothing() {
-    let (hop, crowd) = Hop::crowded();
+    let (hop, crowd) = ScriptedWorker::with_full_accept_queue();
     let dispatcher = Dispatcher::start(&hop, 256);
     let mut watch = dispatcher.watches.recv_timeout(WAIT).expect("a watch is held");
     let mut waiting = client(&dispatcher.listen);
@@ -259,7 +259,7 @@
     dispatcher.until_counted("attempts_sent 1\n");
     tell(&mut watch, &hop.listed_as("s-1", 2, "leaving"));
     dispatcher.until_counted("map_changes 1\n");
-    let read = crowd.let_in();
+    let read = crowd.make_room();
     // The job never ran anywhere, so the client may safely try again: 503.
     assert_eq!(waiting.answer().status, 503);
     assert_eq!(seen_at_the_end(dispatcher, read), "");
@@ -267,7 +267,7 @@
 
 #[test]
 fn a_client_that_sent_much_ahead_is_seen_to_leave() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let mut leaving = client(&dispatcher.listen);
     leaving.send(JOB);
@@ -279,7 +279,7 @@
 
 #[test]
 fn what_is_sent_ahead_without_end_ends_in_a_bound() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let mut flooding = client(&dispatcher.listen);
     flooding.send(JOB);
@@ -291,7 +291,7 @@
 
 #[test]
 fn what_was_sent_ahead_is_dropped_and_the_answer_ends_the_connection() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let mut ahead = client(&dispatcher.listen);
     ahead.send(JOB);
@@ -306,7 +306,7 @@
 fn where_lists_are_pushed_a_watch_is_held_all_the_same_and_opened_anew_at_once() {
     // Guards against a dispatcher that holds no watch where worker lists are pushed, because the decision module asks
     // for no list there: that led to 2,087 sends to draining workers on one day.
-    let (hop, other) = (Hop::start(), Hop::start());
+    let (hop, other) = (ScriptedWorker::start(), ScriptedWorker::start());
     let failures = ["HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n"; 3];
     let dispatcher = Dispatcher::start_with(&hop, 256, &failures, |config| {
         config.replace("\"registry_mode\":\"ask\"", "\"registry_mode\":\"push\"")
--- a/balancer/dispatcher/tests/operators/mod.rs
+++ b/balancer/dispatcher/tests/operators/mod.rs
@@ -1,7 +1,7 @@
 //! Operators' calls to a running dispatcher: disabling workers and draining clients. Every wait ends with an event; the
 //! time limits only turn a hang into a failure.
 
-use crate::peers::{self, client, Client, Dispatcher, Hop, Reply, WAIT};
+use crate::peers::{self, client, Client, Dispatcher, Reply, ScriptedWorker, WAIT};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
     )
 }
 
-fn managed(hop: &Hop) -> Dispatcher {
+fn managed(hop: &ScriptedWorker) -> Dispatcher {
     Dispatcher::start_with(hop, 256, &[], |config| {
         let advice = "\"retry_after\":true,\"max_retry_after\":2000,\"max_attempts\"";
         config.replacen('{', "{\"mgmt\":\"MGMT\",", 1).replace("\"max_attempts\"", advice)
@@ -26,7 +26,7 @@
 }
 
 /// Runs one job from the client's request to its answer.
-fn served(dispatcher: &Dispatcher, hop: &Hop, client: &mut Client, id: &str) {
+fn served(dispatcher: &Dispatcher, hop: &ScriptedWorker, client: &mut Client, id: &str) {
     client.send(&job(id));
     hop.next().answer(Reply::Accept);
     done(dispatcher, id);
@@ -41,7 +41,7 @@
 
 #[test]
 fn each_call_gets_one_line_and_what_is_none_fails() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = managed(&hop);
     assert_eq!(dispatcher.operators(b"READY\n"), "ok\n");
     assert_eq!(dispatcher.operators(b"READY\r\n"), "ok\n");
@@ -74,7 +74,7 @@
 
 #[test]
 fn callers_that_hold_half_a_call_delay_nobody() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = managed(&hop);
     let silent: Vec<TcpStream> = (0..100)
         .map(|_| {
@@ -99,7 +99,7 @@
 
 #[test]
 fn nothing_goes_to_a_worker_out_by_hand_until_it_is_put_back() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = managed(&hop);
     let mut client = client(&dispatcher.listen);
     served(&dispatcher, &hop, &mut client, "a1");
@@ -126,7 +126,7 @@
 
 #[test]
 fn a_drained_dispatcher_sends_clients_away_and_takes_them_again() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = managed(&hop);
     let (mut idle, mut busy, mut late) =
         (client(&dispatcher.listen), client(&dispatcher.listen), client(&dispatcher.listen));
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_drain_does_not_keep_a_stop_from_ending() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let mut dispatcher = managed(&hop);
     assert_eq!(dispatcher.operators(b"DRAIN\n"), "ok\n");
     dispatcher.signal("TERM");
--- a/balancer/dispatcher/tests/peers/mod.rs
+++ b/balancer/dispatcher/tests/peers/mod.rs
@@ -25,16 +25,16 @@
 
 impl Seen {
     pub fn answer(&self, reply: Reply) {
-        self.reply.send(reply).expect("the next hop waits");
+        self.reply.send(reply).expect("the worker waits");
     }
 }
 
-pub struct Hop {
+pub struct ScriptedWorker {
     address: String,
     seen: Receiver<Seen>,
 }
 
-impl Hop {
+impl ScriptedWorker {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
@@ -42,23 +42,23 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let sender = sender.clone();
-                std::thread::spawn(move || serve_hop(stream, &sender));
+                std::thread::spawn(move || serve_worker(stream, &sender));
             }
         });
-        Hop { address, seen }
+        ScriptedWorker { address, seen }
     }
 
     /// A worker at whose address nothing listens: the port is never assigned.
-    pub fn absent() -> Self {
-        Hop { address: "127.0.0.1:1".to_owned(), seen: channel().1 }
+    pub fn unreachable() -> Self {
+        ScriptedWorker { address: "127.0.0.1:1".to_owned(), seen: channel().1 }
     }
 
     /// A worker whose accept queue is full: no connection to it is established until the test's own first connection
     /// has been accepted.
-    pub fn crowded() -> (Self, Crowd) {
-        let (hop, listener) = Hop::by_hand();
+    pub fn with_full_accept_queue() -> (Self, FullAcceptQueue) {
+        let (hop, listener) = ScriptedWorker::with_listener();
         let first = TcpStream::connect(&hop.address).unwrap();
-        (hop, Crowd { listener, first })
+        (hop, FullAcceptQueue { listener, first })
     }
 
     /// A worker list that holds only this worker.
@@ -81,27 +81,27 @@
     }
 
     /// A worker without a thread: the test accepts its connections. Only one connection fits into the accept queue.
-    pub fn by_hand() -> (Self, TcpListener) {
+    pub fn with_listener() -> (Self, TcpListener) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         rustix::net::listen(&listener, 0).unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        (Hop { address, seen: channel().1 }, listener)
+        (ScriptedWorker { address, seen: channel().1 }, listener)
     }
 
     pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(WAIT).expect("a request reaches the next hop")
+        self.seen.recv_timeout(WAIT).expect("a request reaches the worker")
     }
 }
 
 /// Keeps a worker's accept queue full.
-pub struct Crowd {
+pub struct FullAcceptQueue {
     listener: TcpListener,
     first: TcpStream,
 }
 
-impl Crowd {
+impl FullAcceptQueue {
     /// Makes room in the queue and accepts the program's connection. The returned function reads that up to its end.
-    pub fn let_in(self) -> impl FnOnce() -> String {
+    pub fn make_room(self) -> impl FnOnce() -> String {
         drop((self.listener.accept().unwrap(), self.first));
         let mut stream = self.listener.accept().unwrap().0;
         move || {
@@ -113,7 +113,7 @@
     }
 }
 
-fn serve_hop(mut stream: TcpStream, seen: &Sender<Seen>) {
+fn serve_worker(mut stream: TcpStream, seen: &Sender<Seen>) {
     while let Some(message) = read_message(&mut stream) {
         let (reply, replies) = channel();
         if seen.send(Seen { text: message.head + &message.body, reply }).is_err() {
@@ -225,12 +225,12 @@
 }
 
 impl Dispatcher {
-    pub fn start(hop: &Hop, sockets: usize) -> Self {
+    pub fn start(hop: &ScriptedWorker, sockets: usize) -> Self {
         Dispatcher::start_with(hop, sockets, &[], |config| config)
     }
 
     pub fn start_with(
-        hop: &Hop,
+        hop: &ScriptedWorker,
         sockets: usize,
         first_of_discovery: &[&'static str],
         change: impl Fn(String) -> String,
@@ -241,7 +241,7 @@
     }
 
     pub fn spawn(
-        hop: &Hop,
+        hop: &ScriptedWorker,
         sockets: usize,
         first_of_discovery: &[&'static str],
         change: impl Fn(String) -> String,
@@ -251,7 +251,7 @@
 
     /// `operators`: the operators' settings; GRPC in them is replaced by a free address for the gRPC front.
     pub fn spawn_with(
-        hop: &Hop,
+        hop: &ScriptedWorker,
         sockets: usize,
         first_of_discovery: &[&'static str],
         operators: Option<&str>,
--- a/balancer/dispatcher/tests/retune/mod.rs
+++ b/balancer/dispatcher/tests/retune/mod.rs
@@ -1,6 +1,6 @@
 //! Settings that change while jobs are open.
 
-use crate::peers::{client, counter, Dispatcher, Hop, Reply};
+use crate::peers::{client, counter, Dispatcher, Reply, ScriptedWorker};
 
 fn job(id: &str, class: &str) -> String {
     format!(
@@ -22,7 +22,7 @@
 
 #[test]
 fn new_classes_come_dropped_ones_go_and_open_jobs_keep_their_rules() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let (mut open, mut asks) = (client(&dispatcher.listen), client(&dispatcher.listen));
     open.send(&job("a1", "copy-issue"));
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_file_that_cannot_be_used_changes_nothing_at_all() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let bad: [fn(String) -> String; 5] = [
         |_| String::new(),
--- a/balancer/dispatcher/tests/serve.rs
+++ b/balancer/dispatcher/tests/serve.rs
@@ -8,7 +8,7 @@
 mod retune;
 mod upgrade;
 
-use peers::{client, start_discovery, Dispatcher, Hop, Reply, WAIT};
+use peers::{client, start_discovery, Dispatcher, Reply, ScriptedWorker, WAIT};
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_job_passes_unchanged_and_its_result_is_the_answer() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let mut client = client(&dispatcher.listen);
     client.send(JOB);
@@ -55,7 +55,7 @@
 fn a_connection_that_breaks_before_the_202_is_never_taken_for_unsent() {
     // The job may have run. A 503 would promise that the client may safely repeat it, and another attempt would run it
     // twice.
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let mut client = client(&dispatcher.listen);
     client.send(JOB);
@@ -66,7 +66,7 @@
 
 #[test]
 fn at_the_deadline_the_client_is_answered_and_the_next_hop_told() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let mut client = client(&dispatcher.listen);
     client.send(&JOB.replace("20000m", "3000m"));
@@ -77,7 +77,7 @@
 
 #[test]
 fn bad_input_is_named_and_leaves_the_program_standing() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     for (request, status, words) in [
         ("nonsense\r\n\r\n", 400, "malformed"),
@@ -113,7 +113,7 @@
 
 #[test]
 fn the_second_user_of_an_id_gets_an_error_and_the_first_job_is_untouched() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let (mut first, mut second) = (client(&dispatcher.listen), client(&dispatcher.listen));
     first.send(JOB);
@@ -131,7 +131,7 @@
 fn who_says_nothing_or_half_a_request_is_ended_and_who_is_known_stays() {
     // Guards against connections that never send a complete request: 477 of them once held the descriptors that usual
     // clients needed, for a whole day.
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let mut known = client(&dispatcher.listen);
     known.send(JOB);
@@ -150,7 +150,7 @@
 fn silent_connections_do_not_crowd_out_jobs() {
     // Guards against silent clients that hold most of the descriptors: on the first day with bad clients every job was
     // deferred because of them.
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 96);
     let _silent: Vec<TcpStream> =
         (0..120).map(|_| TcpStream::connect(&dispatcher.listen).expect("taken or queued")).collect();
@@ -163,7 +163,7 @@
 
 #[test]
 fn more_clients_than_descriptors_do_not_shut_the_door() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 96);
     // The test keeps all these connections open; the dispatcher evicts idle ones to make room.
     let mut idle: Vec<TcpStream> =
@@ -178,7 +178,7 @@
 
 #[test]
 fn after_sigterm_what_was_taken_is_answered_and_the_exit_is_clean() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let mut dispatcher = Dispatcher::start(&hop, 256);
     let mut idle = TcpStream::connect(&dispatcher.listen).unwrap();
     let mut client = client(&dispatcher.listen);
@@ -201,7 +201,7 @@
 
 #[test]
 fn a_bad_configuration_ends_the_start_and_names_the_key() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let mut dispatcher = Dispatcher::spawn(&hop, 256, &[], |config| {
         config.replace("\"hard_limit\":20000", "\"hard_limit\":\"x\"")
     });
@@ -211,7 +211,7 @@
 
 #[test]
 fn a_client_that_leaves_is_noticed_while_its_job_runs() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let dispatcher = Dispatcher::start(&hop, 256);
     let mut leaving = TcpStream::connect(&dispatcher.listen).unwrap();
     leaving.write_all(JOB.as_bytes()).unwrap();
@@ -226,7 +226,7 @@
 #[test]
 fn what_could_not_be_sent_is_deferred_at_once() {
     // Nothing ran, so the client may try again; it would not help to hold the answer back until the deadline.
-    let hop = Hop::absent();
+    let hop = ScriptedWorker::unreachable();
     let dispatcher = Dispatcher::start(&hop, 256);
     let mut client = client(&dispatcher.listen);
     client.send(JOB);
@@ -236,7 +236,7 @@
 
 #[test]
 fn a_discovery_that_fails_or_lies_is_asked_again() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let failures = [
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{\"generation\":[]}",
@@ -256,7 +256,7 @@
 #[test]
 fn what_does_not_end_in_time_after_sigterm_is_answered_before_the_kill() {
     // The platform kills 3.7 s after the signal; a job that runs longer must not end without an answer.
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let mut dispatcher = Dispatcher::start(&hop, 256);
     let mut client = client(&dispatcher.listen);
     // The job's own deadline is later than every wait of this test.
@@ -273,7 +273,7 @@
 #[test]
 fn sighup_turns_to_another_discovery_and_keeps_what_is_under_way() {
     // Guards against SIGHUP ending the process: that lost nineteen requests on the first day on which it was sent.
-    let (hop, other) = (Hop::start(), Hop::start());
+    let (hop, other) = (ScriptedWorker::start(), ScriptedWorker::start());
     let mut dispatcher = Dispatcher::start(&hop, 256);
     let mut held = dispatcher.watches.recv_timeout(WAIT).expect("a watch is held");
     let mut waiting = client(&dispatcher.listen);
--- a/balancer/dispatcher/tests/upgrade/mod.rs
+++ b/balancer/dispatcher/tests/upgrade/mod.rs
@@ -1,7 +1,7 @@
 //! Upgrades under load, run as the platform runs them: the test holds the listening socket, which every process
 //! inherits.
 
-use crate::peers::{client, counter, start_discovery, Client, Hop, Reply, WAIT};
+use crate::peers::{client, counter, start_discovery, Client, Reply, ScriptedWorker, WAIT};
 use crate::process::Process;
 use millrudder_handover::{encode, Decoder, Message, VERSION};
 use millrudder_standins::load::{Kind, Load, Protocol};
@@ -247,7 +247,7 @@
 
 #[test]
 fn two_processes_together_hold_no_more_descriptors_than_one_may() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let (mut platform, _watches) = platform_with_scripted_worker(&hop);
     let (mut old, _) = platform.start_ready();
     let address = platform.address();
@@ -281,7 +281,7 @@
     Content-Length: 4\r\n\r\nbody";
 
 /// A platform whose processes have one scripted worker.
-fn platform_with_scripted_worker(hop: &Hop) -> (Platform, Receiver<TcpStream>) {
+fn platform_with_scripted_worker(hop: &ScriptedWorker) -> (Platform, Receiver<TcpStream>) {
     let list = hop.listed("s-1");
     let (discovery, watches) = start_discovery([].into(), list.clone());
     let platform = Platform::new(|listen| {
@@ -298,7 +298,7 @@
 }
 
 /// Checks that a job reaches the worker, and that its client is answered when the worker breaks the connection.
-fn assert_serves(platform: &Platform, hop: &Hop, id: &str) {
+fn assert_serves(platform: &Platform, hop: &ScriptedWorker, id: &str) {
     let mut client = client(&platform.address());
     client.send(&JOB.replace("ID", id));
     hop.next().answer(Reply::Break);
@@ -313,7 +313,7 @@
 
 #[test]
 fn a_job_stays_with_the_old_process_and_its_call_back_finds_it() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let (mut platform, _watches) = platform_with_scripted_worker(&hop);
     let (mut old, _) = platform.start_ready();
     let address = platform.address();
@@ -342,7 +342,7 @@
 
 #[test]
 fn bans_and_drains_are_handed_over_and_reach_both_processes() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let (mut platform, _watches) = platform_with_scripted_worker(&hop);
     let (old, first) = platform.start_ready();
     assert_eq!(call(first, "DISABLE s-1"), "ok\n");
@@ -376,7 +376,7 @@
 
 #[test]
 fn without_a_working_predecessor_the_new_process_serves_alone() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let (mut platform, _watches) = platform_with_scripted_worker(&hop);
     let path = platform.folder.join("millrudder.sock");
     // In turn: a predecessor that sends nothing, one that sends invalid messages, and a socket file that a dead process
@@ -402,7 +402,7 @@
 
 #[test]
 fn an_old_process_that_dies_leaves_the_new_one_serving() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let (mut platform, _watches) = platform_with_scripted_worker(&hop);
     let (old, _) = platform.start_ready();
     let (new, second) = platform.start_ready();
@@ -419,7 +419,7 @@
 
 #[test]
 fn a_number_that_is_no_listening_socket_ends_the_start_with_its_name() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let (platform, _watches) = platform_with_scripted_worker(&hop);
     for number in ["1", "77", "x"] {
         let variables = [("NODE_INHERITED_FD", number.to_owned())];
@@ -461,7 +461,7 @@
 
 #[test]
 fn a_successor_that_dies_at_any_step_leaves_the_old_one_accepting() {
-    let hop = Hop::start();
+    let hop = ScriptedWorker::start();
     let (mut platform, _watches) = platform_with_scripted_worker(&hop);
     let (process, _) = platform.start_ready();
     let path = platform.folder.join("millrudder.sock");
