--- a/balancer/dispatcher/src/check.rs
+++ b/balancer/dispatcher/src/check.rs
@@ -1,12 +1,12 @@
-//! `millrudder check`: reads both files as a start would, and says what is wrong with them.
+//! `millrudder check`: reads both configuration files as a start would, and prints their errors.
 
 use crate::cli::Files;
 use millrudder_config::settings::Settings;
 use millrudder_config::Config;
 use std::process::ExitCode;
 
-/// Something cannot be used.
-const BAD: u8 = 2;
+/// Exit code if a file is invalid.
+const EXIT_BAD_CONFIGURATION: u8 = 2;
 
 pub fn run(files: &Files) -> ExitCode {
     let mut bad = false;
@@ -48,5 +48,5 @@
             bad = true;
         }
     }
-    ExitCode::from(if bad { BAD } else { 0 })
+    ExitCode::from(if bad { EXIT_BAD_CONFIGURATION } else { 0 })
 }
--- a/balancer/dispatcher/src/demo.rs
+++ b/balancer/dispatcher/src/demo.rs
@@ -1,4 +1,4 @@
-//! `millrudder demo`: stand-ins, a dispatcher and a small load in one process.
+//! `millrudder demo`: stand-in workers, a dispatcher and a small load in one process.
 
 use crate::cli::Demo;
 use crate::error::{DemoError, StartError};
@@ -16,9 +16,10 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
-const LIVE_EVERY: Duration = Duration::from_secs(1);
-/// For the figures, once the dispatcher has ended.
-const LAST_FIGURES: Duration = Duration::from_secs(5);
+/// Time between two lines of figures while the load runs.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest wait for the summary of the load after the dispatcher has ended.
+const SUMMARY_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub fn run(demo: &Demo) -> ExitCode {
     match start(demo) {
@@ -31,7 +32,7 @@
 }
 
 fn start(demo: &Demo) -> Result<(), DemoError> {
-    // The figures below are what a person came to see: only warnings beside them.
+    // The demo prints its figures to the terminal, so the log shows only warnings and errors.
     let (log, guard, threshold) = logging::start(Log { level: LogLevel::Warning, ..Log::default() });
     let signals = signals::catch().map_err(StartError::Signals)?;
     let plan = Plan { workers: usize::from(demo.workers), seed: demo.seed, ..Plan::default() };
@@ -52,30 +53,30 @@
         "operators {}  (READY, DISABLE ID, ENABLE ID, DRAIN, UNDRAIN; one line a connection)",
         demo.operators
     );
-    let over = Arc::new(AtomicBool::new(false));
-    let (live, lived) = (Live::new(demo, fleet.handle(), over.clone()), mpsc::channel());
+    let stopped = Arc::new(AtomicBool::new(false));
+    let (load_run, summary_channel) = (LoadRun::new(demo, fleet.handle(), stopped.clone()), mpsc::channel());
     let setup = Setup { config, settings, files: None, signals, threshold, counters, log };
     let outcome = serve::serve(setup, |exchange| {
         let exchange = exchange.clone();
-        std::thread::spawn(move || drop(lived.0.send(live.run(&exchange))));
+        std::thread::spawn(move || drop(summary_channel.0.send(load_run.run(&exchange))));
     });
-    over.store(true, Ordering::Release);
+    stopped.store(true, Ordering::Release);
     outcome?;
-    if let Ok(summary) = lived.1.recv_timeout(LAST_FIGURES) {
+    if let Ok(summary) = summary_channel.1.recv_timeout(SUMMARY_TIMEOUT) {
         summary.print(&fleet);
     }
     drop(guard);
     Ok(())
 }
 
-/// The load and the figures while it runs.
-struct Live {
+/// Runs the load and prints its figures.
+struct LoadRun {
     runtime: tokio::runtime::Handle,
     kinds: Vec<Kind>,
     rate: f64,
     seed: u64,
     until: Option<Duration>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 struct Summary(Vec<(&'static str, Seen)>);
@@ -87,15 +88,15 @@
     }
 }
 
-impl Live {
-    fn new(demo: &Demo, runtime: tokio::runtime::Handle, over: Arc<AtomicBool>) -> Self {
-        Live {
+impl LoadRun {
+    fn new(demo: &Demo, runtime: tokio::runtime::Handle, stopped: Arc<AtomicBool>) -> Self {
+        LoadRun {
             runtime,
             kinds: vec![Kind::new(Protocol::Http, demo.http, "h"), Kind::new(Protocol::Grpc, demo.grpc, "g")],
             rate: demo.rate / 2.0,
             seed: demo.seed,
             until: (demo.seconds > 0).then(|| Duration::from_secs(demo.seconds)),
-            over,
+            stopped,
         }
     }
 
@@ -111,13 +112,14 @@
             }
             _ => Vec::new(),
         };
-        let mut next = began + LIVE_EVERY;
+        let mut next = began + REPORT_INTERVAL;
         let mut before = vec![0; loads.len()];
-        while !self.over.load(Ordering::Acquire) && self.until.is_none_or(|until| began.elapsed() < until) {
+        while !self.stopped.load(Ordering::Acquire) && self.until.is_none_or(|until| began.elapsed() < until)
+        {
             std::thread::sleep(Duration::from_millis(20));
             if Instant::now() >= next && !loads.is_empty() {
-                next += LIVE_EVERY;
-                print_live(&loads, &mut before, began.elapsed());
+                next += REPORT_INTERVAL;
+                print_rates(&loads, &mut before, began.elapsed());
             }
         }
         for (_, load) in &loads {
@@ -128,7 +130,7 @@
     }
 }
 
-fn print_live(loads: &[(&'static str, Load)], before: &mut [u64], at: Duration) {
+fn print_rates(loads: &[(&'static str, Load)], before: &mut [u64], at: Duration) {
     let parts = loads.iter().zip(before).map(|((name, load), before)| {
         let seen = load.seen();
         let rate = seen.served - std::mem::replace(before, seen.served);
--- a/balancer/dispatcher/src/serve.rs
+++ b/balancer/dispatcher/src/serve.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together, runs until a stop is over, and ends in order.
+//! Assembles the parts of the dispatcher, runs until it has stopped, and shuts the parts down in order.
 
 use crate::error::StartError;
 use crate::logging::Threshold;
@@ -26,20 +26,21 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// A 202 on its way comes within a few round trips; a next hop that is slower than this is cut off.
-const CALL_OFF_GRACE_MS: f64 = 25.0;
-/// An answer that comes a second time comes some milliseconds late.
-const REST_MS: f64 = 30.0;
-/// How long connections may take to go over at the end.
-const LAST_PARCELS_MS: f64 = 250.0;
-/// How long answers may take to be written at the end.
-const LAST_WRITES: usize = 40;
+/// How long the 202 of a cancelled request is awaited (ms). A 202 that is on its way comes within a few round trips; the
+/// connection to a slower worker is closed.
+const CANCEL_GRACE_MS: f64 = 25.0;
+/// How long a connection is not reused after a response (ms): a duplicate of the response comes some milliseconds late.
+const REUSE_DELAY_MS: f64 = 30.0;
+/// Longest wait at the end for connections and messages that are still to be passed to a successor (ms).
+const FINAL_TRANSFER_MS: f64 = 250.0;
+/// Most polls, 5 ms apart, for the last answers to be written at the end.
+const FINAL_WRITE_POLLS: usize = 40;
 
-/// What a dispatcher is started from.
+/// Everything that a dispatcher is started with.
 pub struct Setup {
     pub config: Config,
     pub settings: Settings,
-    /// The files to read again on SIGHUP; none for a demo.
+    /// The configuration files that SIGHUP reads again; none in the demo.
     pub files: Option<(Source, Option<PathBuf>)>,
     pub signals: Signals,
     pub threshold: Threshold,
@@ -47,26 +48,29 @@
     pub log: Logger,
 }
 
-/// One worker: there is one core, and coroutines of one thread need no order among threads.
+/// Sets up the coroutine scheduler with one thread: there is one CPU core, and coroutines that share a thread need no
+/// synchronization between threads.
 pub fn start_coroutines() {
     may::config().set_workers(1).set_stack_size(STACK_WORDS).set_worker_pin(false);
 }
 
-/// `running` is called once all fronts listen.
+/// Starts a dispatcher and runs it until it has stopped. Calls `running` once all fronts listen.
 ///
 /// # Errors
-/// [`StartError`]: what could not be started.
+/// A part cannot be started, or the dispatch coroutine has failed.
 pub fn serve(setup: Setup, running: impl FnOnce(&Exchange)) -> Result<(), StartError> {
     let Setup { config, settings, files, signals, threshold, counters, log } = setup;
     let clock = Clock::start();
-    // Before anything else runs: the number must not name a descriptor of our own.
+    // Before anything else opens a descriptor: the inherited number must not name one of this process's own.
     let inherited = config.inherited.as_deref().map(descriptor::inherited_listener).transpose();
     let inherited = inherited.map_err(StartError::InheritedListener)?;
-    let met = config.upgrade_socket.as_deref().and_then(|path| upgrade::meet(path, clock, &log));
-    let legacy = met.as_ref().and_then(|met| read_legacy(&met.state.core, &log));
+    let predecessor =
+        config.upgrade_socket.as_deref().and_then(|path| upgrade::find_predecessor(path, clock, &log));
+    let handover_state =
+        predecessor.as_ref().and_then(|predecessor| read_handover_state(&predecessor.state.core, &log));
     let peer_process = PeerProcess::default();
     let drain = Drain::default();
-    if met.as_ref().is_some_and(|met| met.state.drained) {
+    if predecessor.as_ref().is_some_and(|predecessor| predecessor.state.drained) {
         drain.begin(clock.now());
     }
     let longest = config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
@@ -96,13 +100,13 @@
         connections: config.budget.worker_connections,
         connect_timeout: config.settings.limits.connect_timeout,
         conn_idle: config.conn_idle,
-        cancel_grace: CALL_OFF_GRACE_MS,
-        reuse_delay: REST_MS,
+        cancel_grace: CANCEL_GRACE_MS,
+        reuse_delay: REUSE_DELAY_MS,
     };
     let transport =
         HttpTransport::new(limits, exchange.clone(), peer_process.clone(), counters.clone(), clock);
-    let (generation, known) = match &legacy {
-        Some(legacy) => (legacy.generation(), Some(legacy.worker_list())),
+    let (generation, known) = match &handover_state {
+        Some(handover_state) => (handover_state.generation(), Some(handover_state.worker_list())),
         None => {
             config.known.clone().map(|list| (Some(list.generation), Some(list.update))).unwrap_or_default()
         }
@@ -143,18 +147,19 @@
     let dispatch = Dispatch::new(&config, dependencies);
 
     if let Some(address) = config.mgmt {
-        let desk = operators::bind(address).and_then(|listener| operators::open(listener, core.clone()));
-        desk.map_err(|source| StartError::ListenForOperators { address, source })?;
+        let opened = operators::bind(address).and_then(|listener| operators::open(listener, core.clone()));
+        opened.map_err(|source| StartError::ListenForOperators { address, source })?;
         slog::info!(log, "operators are answered"; "listen" => %address);
     }
-    // The module knows the last list before the first client can come.
-    let dispatching = may::go!(move || dispatch.run(&inbox, known, legacy.as_ref()));
+    // Started before the fronts, so that the decision module knows the last worker list before the first client
+    // connects.
+    let dispatching = may::go!(move || dispatch.run(&inbox, known, handover_state.as_ref()));
     let listen = settings.fronts.http.listen.map_or(config.listen, |address| address.0);
     let opens = inherited.map_or(Listen::Address(listen), Listen::Socket);
-    // A new process listens, and accepts once the old one has laid that down.
-    peer_process.accept(met.is_none());
+    // A successor listens at once, but accepts only when the predecessor has stopped accepting.
+    peer_process.accept(predecessor.is_none());
     sender.open(opens).map_err(|source| StartError::Listen { address: listen, source })?;
-    // What cannot be opened ends the start before a running process lays anything down.
+    // Opened before the handover: if it fails, this process exits while the predecessor still serves.
     let grpc = match (settings.fronts.grpc, shares.grpc) {
         (Some(grpc), Some(budget)) => {
             let address = grpc.listen.0;
@@ -164,15 +169,17 @@
         }
         _ => None,
     };
-    let shell = config.upgrade_socket.clone().map(|path| {
-        let front = Arc::new(Doorway(sender.clone()));
-        upgrade::Shell { core: core.clone(), front, path }
+    let context = config.upgrade_socket.clone().map(|path| {
+        let front = Arc::new(UpgradableHttpFront(sender.clone()));
+        upgrade::UpgradeContext { core: core.clone(), front, path }
     });
-    match (met, &shell) {
-        (Some(met), Some(shell)) => met.take_over(shell.clone()).map_err(StartError::Upgrade)?,
-        (_, Some(shell)) => {
-            if let Err(error) = upgrade::await_successors(shell.clone()) {
-                slog::warn!(log, "upgrade: no successor will find this process"; "why" => %error);
+    match (predecessor, &context) {
+        (Some(predecessor), Some(context)) => {
+            predecessor.take_over(context.clone()).map_err(StartError::Upgrade)?
+        }
+        (_, Some(context)) => {
+            if let Err(error) = upgrade::await_successors(context.clone()) {
+                slog::warn!(log, "upgrade: cannot listen for successors, the next process will serve beside this one"; "why" => %error);
             }
             core.set_serving();
         }
@@ -184,16 +191,16 @@
     }
     running(&exchange);
     dispatching.join().map_err(|_| StartError::DispatchFailed)?;
-    shell.iter().for_each(|shell| upgrade::flush(shell, LAST_PARCELS_MS));
+    context.iter().for_each(|context| upgrade::flush_transfers(context, FINAL_TRANSFER_MS));
     finish(&sender, grpc);
     drop(control);
     Ok(())
 }
 
-/// The HTTP/1.1 front, as an upgrade sees it.
-struct Doorway(HttpFront);
+/// The HTTP/1.1 front, through the interface that an upgrade uses.
+struct UpgradableHttpFront(HttpFront);
 
-impl upgrade::Front for Doorway {
+impl upgrade::Front for UpgradableHttpFront {
     fn adopt(&self, stream: TcpStream, standing: PeerRole) {
         self.0.adopt(stream, standing);
     }
@@ -207,16 +214,16 @@
     }
 }
 
-fn read_legacy(bytes: &[u8], log: &Logger) -> Option<HandoverState> {
+fn read_handover_state(bytes: &[u8], log: &Logger) -> Option<HandoverState> {
     HandoverState::decode(bytes)
-        .map_err(|why| slog::warn!(log, "upgrade: what the old process knows cannot be used"; "why" => %why))
+        .map_err(|why| slog::warn!(log, "upgrade: the predecessor's handover state cannot be read, starting without it"; "why" => %why))
         .ok()
 }
 
-/// Nothing is owed; what has been answered is still to be written out.
+/// Shuts the fronts down. Every job has its answer by now; waits until the answers are written out.
 fn finish(sender: &HttpFront, grpc: Option<GrpcFront>) {
     sender.close_idle_connections();
-    for _ in 0..LAST_WRITES {
+    for _ in 0..FINAL_WRITE_POLLS {
         if sender.unsent_answers() + grpc.as_ref().map_or(0, GrpcFront::unsent_answers) == 0 {
             break;
         }
--- a/balancer/upgrade/src/lib.rs
+++ b/balancer/upgrade/src/lib.rs
@@ -1,18 +1,18 @@
-//! A new version under load: the new process finds the old one by a socket, takes over what it knows and what it holds,
-//! and says that it serves only then.
+//! Upgrade under load: a new process (the successor) finds the old one (the predecessor) by a Unix socket, takes over
+//! its state and connections, and reports that it serves only after that.
 //!
-//! The two sides are package `handover`'s state machines; `giver` and `taker` carry out what they say, `link` carries
-//! messages and descriptors. Fronts and core are reached through the exchange and its `PeerProcess`. Whatever goes wrong
-//! here ends in each process that is alive serving.
+//! The state machines of the two sides are in package `handover`; `predecessor` and `successor` carry out their
+//! actions, and `link` transports messages and file descriptors. The fronts and the core are reached through the
+//! exchange and its `PeerProcess`. After any failure here, each process that is alive serves.
 
-mod giver;
 mod link;
-mod taker;
+mod predecessor;
+mod successor;
 
-pub use giver::flush;
-use link::{Heard, Link};
+use link::{Link, Received};
 use millrudder_exchange::{FrontContext, Order, PeerProcess, PeerRequest, PeerRole, Transfer};
-use millrudder_handover::{Call, Message, Was};
+use millrudder_handover::{Callback, Message, PeerKind};
+pub use predecessor::flush_transfers;
 use slog::Logger;
 use std::io;
 use std::net::TcpStream;
@@ -21,41 +21,43 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-pub use taker::{meet, Met};
+pub use successor::{find_predecessor, PredecessorSession};
 
-/// How often what is to go over is looked for, while another process is there.
-const TICK: Duration = Duration::from_millis(2);
+/// How often the queue of transfers and the link are checked while the other process is connected.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The front whose connections go over.
+/// The front whose connections are passed between the processes.
 pub trait Front: Send + Sync {
-    /// A connection between two requests.
+    /// Takes over a connection that is idle between two requests.
     fn adopt(&self, stream: TcpStream, standing: PeerRole);
-    /// A call-back that reached the other process.
+    /// Handles a call-back that reached the other process.
     fn take_news(&self, body: &[u8]);
-    /// Descriptors held by inbound connections.
+    /// Number of descriptors that this front holds for inbound connections.
     fn inbound(&self) -> usize;
 }
 
-/// What both sides act on.
+/// The parts of the dispatcher that an upgrade acts on.
 #[derive(Clone)]
-pub struct Shell {
+pub struct UpgradeContext {
     pub core: FrontContext,
     pub front: Arc<dyn Front>,
+    /// The socket on which this process waits for its successor.
     pub path: PathBuf,
 }
 
-/// Waits for successors on a thread of its own for as long as the program runs.
+/// Starts a thread that waits for successors for as long as the program runs.
 ///
 /// # Errors
-/// The socket cannot be made.
-pub fn await_successors(shell: Shell) -> io::Result<()> {
-    let listener = listen(&shell.path)?;
-    let run = move || giver::run(&listener, &shell);
+/// The socket or the thread cannot be created.
+pub fn await_successors(context: UpgradeContext) -> io::Result<()> {
+    let listener = listen(&context.path)?;
+    let run = move || predecessor::run(&listener, &context);
     std::thread::Builder::new().name("upgrade".to_owned()).spawn(run)?;
     Ok(())
 }
 
-/// Takes the name over from whoever had it: who comes later finds this process.
+/// Listens under a temporary name, then renames that over `path`: later processes find this one rather than the one
+/// that listened there before.
 fn listen(path: &Path) -> io::Result<UnixListener> {
     let own = path.with_extension(std::process::id().to_string());
     let _ = std::fs::remove_file(&own);
@@ -64,7 +66,7 @@
     Ok(listener)
 }
 
-impl Shell {
+impl UpgradeContext {
     fn peer_process(&self) -> &PeerProcess {
         &self.core.peer_process
     }
@@ -73,50 +75,57 @@
         &self.core.log
     }
 
-    /// Sends what waits to go over.
-    fn send_parcels(&self, link: &Link, giver: bool) -> io::Result<()> {
-        while let Some(parcel) = self.peer_process().take() {
-            match parcel {
+    /// Sends all queued transfers to the other process.
+    fn send_transfers(&self, link: &Link, is_predecessor: bool) -> io::Result<()> {
+        while let Some(transfer) = self.peer_process().take() {
+            match transfer {
                 Transfer::Connection(stream, standing) => {
                     self.core.counters.connections_passed_on.add();
-                    link.send(&Message::Connection { was: was(standing) }, Some(stream.as_fd()))?;
+                    link.send(&Message::Connection { peer: peer_kind(standing) }, Some(stream.as_fd()))?;
                 }
-                Transfer::CallBack(body) => link.send(&Message::CallBack(Call { number: 0, body }), None)?,
-                Transfer::Ordered(Order::Disable(id)) => link.send(&Message::Ban { id, on: true }, None)?,
-                Transfer::Ordered(Order::Enable(id)) => link.send(&Message::Ban { id, on: false }, None)?,
-                Transfer::Drain(on) => link.send(&Message::Drain { on }, None)?,
-                // Only the one that ends tells of its jobs.
-                _ if !giver => {}
-                Transfer::JobStarted(id) => link.send(&Message::Began { id }, None)?,
-                Transfer::JobEnded(id) => link.send(&Message::Ended { id }, None)?,
+                Transfer::CallBack(body) => {
+                    link.send(&Message::Callback(Callback { number: 0, body }), None)?
+                }
+                Transfer::Ordered(Order::Disable(id)) => {
+                    link.send(&Message::DisableWorker { id, on: true }, None)?
+                }
+                Transfer::Ordered(Order::Enable(id)) => {
+                    link.send(&Message::DisableWorker { id, on: false }, None)?
+                }
+                Transfer::Drain(on) => link.send(&Message::DrainClients { on }, None)?,
+                // Only the predecessor, which is to end, reports its jobs.
+                _ if !is_predecessor => {}
+                Transfer::JobStarted(id) => link.send(&Message::JobStarted { id }, None)?,
+                Transfer::JobEnded(id) => link.send(&Message::JobEnded { id }, None)?,
                 Transfer::AttemptEnded { worker, job, attempt } => {
-                    link.send(&Message::Landed { worker, job, attempt }, None)?;
+                    link.send(&Message::AttemptEnded { worker, job, attempt }, None)?;
                 }
             }
         }
         Ok(())
     }
 
-    /// Acts on what either side may say at any time; gives back what is the state machine's.
-    fn take(&self, heard: Heard) -> Option<Message> {
-        match heard {
-            (Message::Connection { was }, Some(descriptor)) => {
+    /// Handles the messages that either side may send at any time; returns any other, which is for the state machine.
+    fn apply(&self, received: Received) -> Option<Message> {
+        match received {
+            (Message::Connection { peer }, Some(descriptor)) => {
                 self.core.counters.connections_taken_over.add();
-                self.front.adopt(TcpStream::from(descriptor), standing(was));
+                self.front.adopt(TcpStream::from(descriptor), peer_role(peer));
             }
             (Message::Connection { .. }, None) => {}
-            (Message::CallBack(call), _) => self.front.take_news(&call.body),
-            (Message::Ban { id, on }, _) => {
-                // OrderResult out before any job that waits; an id unknown here has no worker here.
+            (Message::Callback(call), _) => self.front.take_news(&call.body),
+            (Message::DisableWorker { id, on }, _) => {
+                // The order is carried out before any queued job. Its result is dropped: this process may not know a
+                // worker with this id.
                 let order = if on { Order::Disable(id) } else { Order::Enable(id) };
                 drop(self.core.exchange.order(order));
             }
-            (Message::Drain { on: true }, _) => self.core.drain.begin(self.core.clock.now()),
-            (Message::Drain { on: false }, _) => self.core.drain.end(),
-            (Message::Landed { worker, job, attempt }, _) => {
+            (Message::DrainClients { on: true }, _) => self.core.drain.begin(self.core.clock.now()),
+            (Message::DrainClients { on: false }, _) => self.core.drain.end(),
+            (Message::AttemptEnded { worker, job, attempt }, _) => {
                 self.core.exchange.ask(PeerRequest::AttemptEnded { worker, job, attempt });
             }
-            (Message::Held { inbound }, _) => {
+            (Message::InboundLeft { inbound }, _) => {
                 self.peer_process().set_peer_connections(inbound, self.peer_process().worker_connections());
             }
             (message, _) => return Some(message),
@@ -124,25 +133,25 @@
         None
     }
 
-    /// The other process is gone.
-    fn part(&self) {
+    /// Closes the transfers and tells the core that the other process has ended.
+    fn on_peer_gone(&self) {
         self.peer_process().close();
         self.core.exchange.ask(PeerRequest::PeerEnded);
     }
 }
 
-fn was(standing: PeerRole) -> Was {
-    match standing {
-        PeerRole::Unproven => Was::Stranger,
-        PeerRole::WorkerOrMonitor => Was::Caller,
-        PeerRole::Client => Was::Client,
+fn peer_kind(role: PeerRole) -> PeerKind {
+    match role {
+        PeerRole::Unproven => PeerKind::Unverified,
+        PeerRole::WorkerOrMonitor => PeerKind::Caller,
+        PeerRole::Client => PeerKind::Client,
     }
 }
 
-fn standing(was: Was) -> PeerRole {
-    match was {
-        Was::Stranger => PeerRole::Unproven,
-        Was::Caller => PeerRole::WorkerOrMonitor,
-        Was::Client => PeerRole::Client,
+fn peer_role(peer: PeerKind) -> PeerRole {
+    match peer {
+        PeerKind::Unverified => PeerRole::Unproven,
+        PeerKind::Caller => PeerRole::WorkerOrMonitor,
+        PeerKind::Client => PeerRole::Client,
     }
 }
--- a/balancer/upgrade/src/link.rs
+++ b/balancer/upgrade/src/link.rs
@@ -1,4 +1,5 @@
-//! A Unix socket between the two processes: messages of package `handover`, descriptors beside them.
+//! The Unix socket between the two processes. It carries messages of package `handover`, and file descriptors with
+//! some of them.
 
 use millrudder_handover::{encode, Decoder, Message};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -15,10 +16,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A peer that takes nothing for so long is as good as gone.
-const SEND_LIMIT: Duration = Duration::from_millis(500);
-/// Descriptors that have come without their messages; one a message, and messages come in order.
-const MOST_DESCRIPTORS: usize = 64;
+/// Longest wait for room in the socket; a peer that reads nothing for this long is treated as gone.
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
+/// Most descriptors that may wait for their messages. Each such message has one, and messages arrive in order.
+const MAX_PENDING_DESCRIPTORS: usize = 64;
+/// Most bytes read from the socket at once.
 const READ_SIZE: usize = 64 * 1024;
 
 pub struct Link {
@@ -27,8 +29,8 @@
     descriptors: VecDeque<OwnedFd>,
 }
 
-/// A message, and the descriptor that belongs to it.
-pub type Heard = (Message, Option<OwnedFd>);
+/// A message, and the descriptor that came with it.
+pub type Received = (Message, Option<OwnedFd>);
 
 impl Link {
     pub fn new(stream: UnixStream) -> io::Result<Self> {
@@ -40,12 +42,14 @@
         Link::new(UnixStream::connect(path)?)
     }
 
+    /// Sends a message, with a descriptor if one is given.
+    ///
     /// # Errors
-    /// The other process is gone, or takes nothing.
+    /// The other process is gone, or has read nothing for [`SEND_TIMEOUT`].
     pub fn send(&self, message: &Message, descriptor: Option<BorrowedFd>) -> io::Result<()> {
         let bytes = encode(message).map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?;
         let (mut left, mut descriptor) = (bytes.as_slice(), descriptor);
-        let end = Instant::now() + SEND_LIMIT;
+        let end = Instant::now() + SEND_TIMEOUT;
         while !left.is_empty() {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut control = SendAncillaryBuffer::new(&mut space);
@@ -55,10 +59,10 @@
             }
             let flags = SendFlags::NOSIGNAL | SendFlags::DONTWAIT;
             match sendmsg(&self.stream, &[IoSlice::new(left)], &mut control, flags) {
-                // A descriptor goes with the first byte of its message.
+                // The descriptor went with the first bytes; the rest of the message goes without it.
                 Ok(n) => (left, descriptor) = (&left[n..], None),
                 Err(Errno::INTR) => {}
-                Err(Errno::AGAIN) if Instant::now() < end => self.wait(PollFlags::OUT, SEND_LIMIT),
+                Err(Errno::AGAIN) if Instant::now() < end => self.wait(PollFlags::OUT, SEND_TIMEOUT),
                 Err(Errno::AGAIN) => return Err(ErrorKind::TimedOut.into()),
                 Err(error) => return Err(error.into()),
             }
@@ -66,15 +70,15 @@
         Ok(())
     }
 
-    /// What has come, after waiting for it for so long at most.
+    /// Returns the messages that have come; waits for `wait` at most if there are none.
     ///
     /// # Errors
-    /// The other process is gone, or says what is no message.
-    pub fn receive(&mut self, wait: Duration) -> io::Result<Vec<Heard>> {
+    /// The other process is gone, or sent something that is not a message.
+    pub fn receive(&mut self, wait: Duration) -> io::Result<Vec<Received>> {
         self.wait(PollFlags::IN, wait);
         let mut part = vec![0; READ_SIZE];
         loop {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PENDING_DESCRIPTORS))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let flags = RecvFlags::CMSG_CLOEXEC | RecvFlags::DONTWAIT;
             match recvmsg(&self.stream, &mut [IoSliceMut::new(&mut part)], &mut control, flags) {
@@ -94,15 +98,15 @@
                 Err(error) => return Err(error.into()),
             }
         }
-        let heard = self.decode()?;
+        let received = self.decode()?;
         match self.descriptors.len() {
-            n if n > MOST_DESCRIPTORS => Err(ErrorKind::InvalidData.into()),
-            _ => Ok(heard),
+            n if n > MAX_PENDING_DESCRIPTORS => Err(ErrorKind::InvalidData.into()),
+            _ => Ok(received),
         }
     }
 
-    fn decode(&mut self) -> io::Result<Vec<Heard>> {
-        let mut heard = Vec::new();
+    fn decode(&mut self) -> io::Result<Vec<Received>> {
+        let mut received = Vec::new();
         while let Some(message) =
             self.decoder.next_message().map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?
         {
@@ -110,19 +114,20 @@
                 Message::Connection { .. } => self.descriptors.pop_front(),
                 _ => None,
             };
-            heard.push((message, descriptor));
+            received.push((message, descriptor));
         }
-        Ok(heard)
+        Ok(received)
     }
 
     fn wait(&self, what: PollFlags, time: Duration) {
         let time = Timespec { tv_sec: time.as_secs() as i64, tv_nsec: time.subsec_nanos().into() };
-        // An error here is an interruption: the call that follows finds out what there is.
+        // An error of `poll` needs no handling, it is an interruption: the caller's next read or write finds out the
+        // state of the socket.
         let _ = poll(&mut [PollFd::new(&self.stream, what)], Some(&time));
     }
 
-    /// The other process's user.
-    pub fn is_ours(&self) -> bool {
+    /// Whether the other process runs as the same user as this one.
+    pub fn is_same_user(&self) -> bool {
         let peer = rustix::net::sockopt::socket_peercred(self.stream.as_fd());
         peer.is_ok_and(|peer| peer.uid == rustix::process::geteuid())
     }
--- a/balancer/upgrade/src/giver/tests.rs
+++ b/balancer/upgrade/src/predecessor/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `giver`.
+//! Unit tests of `predecessor`.
 
 use super::*;
 use crate::Front;
@@ -22,7 +22,7 @@
     }
 }
 
-fn shell() -> (Shell, Inbox) {
+fn context() -> (UpgradeContext, Inbox) {
     let ((exchange, inbox), clock) = (Exchange::new(), Clock::start());
     let core = FrontContext {
         exchange,
@@ -37,21 +37,22 @@
         advice: RetryAdvice::new(true),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
-    (Shell { core, front: Arc::new(NoFront), path: "unused".into() }, inbox)
+    (UpgradeContext { core, front: Arc::new(NoFront), path: "unused".into() }, inbox)
 }
 
 #[test]
-fn a_place_laid_down_before_the_core_failed_to_answer_is_taken_up_again() {
-    // Nobody would have accepted from then on: the machine had not seen its place laid down.
-    let (shell, inbox) = shell();
+fn accepting_resumes_if_the_core_does_not_answer_during_a_handover() {
+    // The core fails to answer after the process has stopped accepting, before the state machine knows of that.
+    // Without a reset no process would accept any more.
+    let (context, inbox) = context();
     let (here, there) = UnixStream::pair().unwrap();
     let here = Link::new(here).unwrap();
     let there = Link::new(there).unwrap();
-    let for_session = shell.clone();
-    let session = std::thread::spawn(move || Session::begin(here, &for_session).unwrap().run());
-    let hello = Message::Hello { version: VERSION, least: VERSION, program: "test".to_owned() };
+    let session_context = context.clone();
+    let session = std::thread::spawn(move || Session::begin(here, &session_context).unwrap().run());
+    let hello = Message::Hello { version: VERSION, min_version: VERSION, program: "test".to_owned() };
     there.send(&hello, None).unwrap();
-    let mut parked = false;
+    let mut stopped_accepting = false;
     while let Ok(message) = inbox.recv_timeout(Duration::from_secs(60)) {
         match message {
             Inbound::PeerRequest(PeerRequest::Export(give)) => {
@@ -59,14 +60,14 @@
                 there.send(&Message::Checked, None).unwrap();
                 there.send(&Message::Ready, None).unwrap();
             }
-            // The core is stuck: what it was asked for is dropped.
+            // The core is stuck: the request is dropped without an answer.
             Inbound::PeerRequest(PeerRequest::UnfinishedJobs(_)) => {
-                parked = !shell.core.peer_process.accepts()
+                stopped_accepting = !context.core.peer_process.accepts()
             }
             Inbound::PeerRequest(PeerRequest::PeerEnded) => break,
             _ => {}
         }
     }
     session.join().unwrap();
-    assert!(parked && shell.core.peer_process.accepts());
+    assert!(stopped_accepting && context.core.peer_process.accepts());
 }
